--- /dev/null
+++ b/internal/digest/digest_test.go
@@ -0,0 +1,114 @@
+package digest
+
+import (
+	"fmt"
+	"os"
+	"slices"
+	"strings"
+	"testing"
+
+	"garnethitch/internal/micros"
+	"garnethitch/internal/standin"
+)
+
+// recorded reads the lines of the file that "go run ./internal/measure digest" prints.
+func recorded(t *testing.T) []string {
+	t.Helper()
+	text, err := os.ReadFile("testdata/digest.txt")
+	if err != nil {
+		t.Fatal(err)
+	}
+	lines := strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
+	if lines[0] != Head {
+		t.Errorf("the file begins with %q, want %q", lines[0], Head)
+	}
+	return lines[1:]
+}
+
+// TestBehaviourIsPreserved plays a few small plans and compares the digests of their
+// messages with the recorded ones. The whole file is compared with what the command prints.
+func TestBehaviourIsPreserved(t *testing.T) {
+	lines := recorded(t)
+	plans := standin.RulePlans()
+	for _, name := range []string{
+		"quiet, jobs parted",
+		"troubles, teams parted",
+		"meetings, teams parted",
+		"stale, jobs parted",
+		"pipelines and troubles, jobs parted",
+		"a roll, jobs parted",
+		"a roll from the last landing and meetings",
+		"groups and meetings, teams parted",
+		"groups, a roll from the version before and back",
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			i := slices.IndexFunc(plans, func(p standin.NamedPlan) bool { return p.Name == name })
+			if i < 0 {
+				t.Fatal("no such plan")
+			}
+			got, err := Play(Run{Plan: plans[i], Seed: 1})
+			if err != nil {
+				t.Fatal(err)
+			}
+			if !slices.Contains(lines, got.String()) {
+				t.Errorf("%q is not among the recorded digests", got)
+			}
+		})
+	}
+}
+
+// TestEveryRunIsRecorded: the file has a line for each run that is played by default.
+func TestEveryRunIsRecorded(t *testing.T) {
+	t.Parallel()
+	lines := recorded(t)
+	runs := Runs(standin.RulePlans(), "", 0)
+	if len(lines) != len(runs) {
+		t.Fatalf("%d digests are recorded, want %d", len(lines), len(runs))
+	}
+	for i, run := range runs {
+		name := Digest{Plan: run.Plan.Name, Seed: run.Seed}.String()
+		name = strings.TrimSuffix(name, " 0 ")
+		if !strings.HasPrefix(lines[i], name+" ") {
+			t.Errorf("line %d is %q, want that of %s", i, lines[i], name)
+		}
+	}
+}
+
+// TestHookChangesNothing: a run goes the same way with and without a recorder.
+func TestHookChangesNothing(t *testing.T) {
+	t.Parallel()
+	for _, plan := range standin.RulePlans()[:4] {
+		plain := standin.New(plan.WithSeed(1))
+		plain.Run()
+		recorded := standin.New(plan.WithSeed(1))
+		recorded.Sent = newRecorder().record
+		recorded.Run()
+		if outcomeOf(plain) != outcomeOf(recorded) {
+			t.Errorf("%s: %+v, recorded %+v", plan.Name, outcomeOf(plain), outcomeOf(recorded))
+		}
+	}
+}
+
+// outcome is what a run comes to.
+type outcome struct {
+	started  int
+	finished int
+	restarts int
+	copies   int
+	broken   int
+	waited   micros.Micros
+	requests string
+}
+
+func outcomeOf(sim *standin.Sim) outcome {
+	return outcome{
+		started:  sim.Started,
+		finished: sim.Finished,
+		restarts: sim.Restarts,
+		copies:   sim.Copies,
+		broken:   len(sim.Broken),
+		waited:   sim.Waited,
+		requests: fmt.Sprint(sim.StateRequests()),
+	}
+}
--- /dev/null
+++ b/internal/digest/parallel.go
@@ -0,0 +1,28 @@
+package digest
+
+import (
+	"errors"
+	"sync"
+)
+
+// PlayAll plays runs, at most parallel of them at a time. The digests are in the order of
+// the runs.
+func PlayAll(runs []Run, parallel int) ([]Digest, error) {
+	digests := make([]Digest, len(runs))
+	failures := make([]error, len(runs))
+	indexes := make(chan int)
+	var workers sync.WaitGroup
+	for range max(parallel, 1) {
+		workers.Go(func() {
+			for i := range indexes {
+				digests[i], failures[i] = Play(runs[i])
+			}
+		})
+	}
+	for i := range runs {
+		indexes <- i
+	}
+	close(indexes)
+	workers.Wait()
+	return digests, errors.Join(failures...)
+}
--- /dev/null
+++ b/internal/measure/digest.go
@@ -0,0 +1,33 @@
+package main
+
+import (
+	"fmt"
+
+	"garnethitch/internal/digest"
+	"garnethitch/internal/standin"
+)
+
+// digestCommand plays the plans of the simulation's rules and prints a hash of all
+// messages of each run.
+type digestCommand struct {
+	Seeds    int    `help:"How many seeds of each plan; 0: two, and one of plans with hundreds of machines."`
+	Plan     string `help:"Only plans whose names contain this."`
+	Parallel int    `default:"4" help:"How many runs at a time."`
+}
+
+// Run plays the plans and prints one line per run, in an order that is always the same.
+func (d *digestCommand) Run() error {
+	runs := digest.Runs(standin.RulePlans(), d.Plan, d.Seeds)
+	if len(runs) == 0 {
+		return fmt.Errorf("no plan's name contains %q", d.Plan)
+	}
+	digests, err := digest.PlayAll(runs, d.Parallel)
+	if err != nil {
+		return err
+	}
+	fmt.Println(digest.Head)
+	for _, result := range digests {
+		fmt.Println(result)
+	}
+	return nil
+}
--- a/internal/measure/main.go
+++ b/internal/measure/main.go
@@ -1,6 +1,7 @@
 // Command measure takes measurements that are too long for the tests. Each prints its
 // figures, writes one report, and stops by itself.
 //
+//	go run ./internal/measure digest --plan quiet
 //	go run ./internal/measure grants --seeds 50 --grants 2000
 //	go run ./internal/measure quota --seed 1
 //	go run ./internal/measure soak --seeds 50 --first 1
@@ -17,6 +18,7 @@
 )
 
 type arguments struct {
+	Digest  digestCommand  `cmd:"" help:"Hashes of all messages that controllers send in the simulation."`
 	Grants  grantsCommand  `cmd:"" help:"Concurrent grants of real controllers on loopback, checked for overshoots."`
 	Cluster clusterCommand `cmd:"" help:"Run controllers on loopback for a while, to try the command line on."`
 	Size    sizeCommand    `cmd:"" help:"The simulation at production size, controllers that know little."`
--- a/internal/runtime/runtime.go
+++ b/internal/runtime/runtime.go
@@ -5,10 +5,7 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 	"log/slog"
-	"net/url"
-	"strconv"
 	"strings"
 	"sync"
 	"time"
@@ -24,11 +21,7 @@
 	"garnethitch/internal/wire"
 )
 
-const (
-	cborType    = "application/cbor"
-	msgpackType = "application/msgpack"
-	maxBody     = 64 << 10
-)
+const maxBody = 64 << 10
 
 // Runtime is one running controller.
 type Runtime struct {
@@ -274,19 +267,12 @@
 		return
 	}
 	delete(rt.replies, a.Reply)
-	out := server.Answer{Status: a.Status, RetryAfterS: a.RetryAfterS, ContentType: cborType, Spare: w.report}
-	if a.Body != nil {
-		var err error
-		if resp, isPeer := a.Body.(*peer.Response); isPeer {
-			out.ContentType = msgpackType
-			out.Body, err = peer.Encode(resp)
-		} else {
-			out.Body, err = wire.Encode(a.Body)
-		}
-		if err != nil {
-			rt.log.Error("answer not encoded", "error", err)
-			out = server.Answer{Status: 503, RetryAfterS: 1}
-		}
+	out := server.Answer{Status: a.Status, RetryAfterS: a.RetryAfterS, Spare: w.report}
+	var err error
+	out.ContentType, out.Body, err = EncodeAnswer(a.Body)
+	if err != nil {
+		rt.log.Error("answer not encoded", "error", err)
+		out = server.Answer{Status: 503, RetryAfterS: 1}
 	}
 	w.Send(out)
 }
@@ -388,13 +374,13 @@
 
 // do makes a call. Anything that is not a well-formed answer counts as none.
 func (rt *Runtime) do(call core.Call) core.Result {
-	out, body, err := rt.request(call)
+	out, err := rt.request(call)
 	if err != nil {
 		rt.log.Error("request not encoded", "error", err)
 		return core.Result{NotSent: true}
 	}
-	out.Body, out.Timeout = body, call.Timeout.Duration()
-	if len(body) > 0 {
+	out.Timeout = call.Timeout.Duration()
+	if len(out.Body) > 0 {
 		out.ContentType = cborType
 	}
 	cl := rt.out
@@ -421,67 +407,26 @@
 }
 
 // request gives the HTTP form of a call.
-func (rt *Runtime) request(call core.Call) (client.Call, []byte, error) {
-	var out client.Call
-	var payload any
+func (rt *Runtime) request(call core.Call) (client.Call, error) {
+	encoded, err := EncodeCall(call)
+	if err != nil {
+		return client.Call{}, err
+	}
+	return client.Call{Addr: rt.address(call), Method: encoded.Method, Target: encoded.Target, Body: encoded.Body}, nil
+}
+
+// address is where a call is sent to.
+func (rt *Runtime) address(call core.Call) string {
 	switch call.To {
 	case core.ToState:
-		out.Addr = rt.set.Endpoints.State
+		return rt.set.Endpoints.State
 	case core.ToCloud:
-		out.Addr = rt.set.Endpoints.Cloud
-	case core.ToWorker:
-		out.Addr = call.Addr
+		return rt.set.Endpoints.Cloud
 	case core.ToPeer:
-		out.Addr, out.Method, out.Target = rt.peers[call.Addr], "POST", "/peer"
-		body, err := peer.Encode(call.Req)
-		return out, body, err
-	}
-	post := func(target string, body any) { out.Method, out.Target, payload = "POST", target, body }
-	get := func(target string) { out.Method, out.Target = "GET", target }
-	switch r := call.Req.(type) {
-	case wire.Txn:
-		if r.If == nil {
-			r.If = []wire.Condition{}
-		}
-		post("/multi", r)
-	case wire.NewLease:
-		post("/grants", r)
-	case core.RenewLease:
-		post("/grants/"+strconv.FormatUint(r.Lease, 10)+"/extend", nil)
-	case core.GetKey:
-		get("/keys/" + r.Key)
-	case core.ListKeys:
-		q := "/keys?starts=" + url.QueryEscape(r.Prefix) + "&most=" + strconv.Itoa(r.Limit)
-		if r.After != "" {
-			q += "&since=" + url.QueryEscape(r.After)
-		}
-		get(q)
-	case core.Watch:
-		get("/watch?starts=" + url.QueryEscape(r.Prefix) + "&since=" + strconv.FormatUint(r.Since, 10) + "&blockMs=" + strconv.FormatInt(r.WaitMS, 10))
-	case core.GetTypes:
-		get("/flavors")
-	case core.ListMachines:
-		q := "/rentals?most=" + strconv.Itoa(r.Limit)
-		if r.After != "" {
-			q += "&since=" + url.QueryEscape(r.After)
-		}
-		get(q)
-	case core.ReturnMachines:
-		post("/rentals/return", wire.MachineNames{Machines: r.Machines})
-	case wire.Rental:
-		post("/rentals", r)
-	case wire.Orders:
-		post("/orders", r)
-	case core.Show:
-		get("/show")
+		return rt.peers[call.Addr]
 	default:
-		return out, nil, fmt.Errorf("runtime: request of unknown type %T", call.Req)
-	}
-	if payload == nil {
-		return out, nil, nil
+		return call.Addr
 	}
-	body, err := wire.Encode(payload)
-	return out, body, err
 }
 
 // decode reads an answer into the type that the core expects for the request.
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -99,6 +99,7 @@
 	for _, e := range effects {
 		switch e := e.(type) {
 		case core.Answer:
+			n.sent(e)
 			if a, ok := e.Body.(wire.ReportAnswer); ok {
 				n.sim.checkStarts(n, a.Commands)
 			}
@@ -107,6 +108,7 @@
 				f(e)
 			}
 		case core.Call:
+			n.sent(e)
 			if o, ok := e.Req.(wire.Orders); ok {
 				n.sim.checkStarts(n, o.Commands)
 			}
@@ -132,6 +134,13 @@
 	}
 }
 
+// sent passes an effect to the hook of the simulation.
+func (n *Node) sent(effect core.Effect) {
+	if n.sim.Sent != nil {
+		n.sim.Sent(n.sim.now, n.label, effect)
+	}
+}
+
 // ask gives the node a request; f gets the answer, if one comes.
 func (n *Node) ask(make func(core.ReplyID) core.Input, f func(core.Answer)) {
 	if n.core == nil {
--- a/internal/standin/sim.go
+++ b/internal/standin/sim.go
@@ -126,6 +126,9 @@
 	stateRequests          []core.RequestClassMetrics // of processes that have ended
 	// Trace, if set, hears what happens.
 	Trace func(string)
+	// Sent, if set, is called with each Answer and Call of each controller, in the order in
+	// which they are sent. It must not change the effect.
+	Sent func(at micros.Micros, from string, effect core.Effect)
 	// copiesUntil: until then many reports are copied.
 	copiesUntil micros.Micros
 	knownAt     micros.Micros // when checkKnown looks next
--- a/internal/standin/sim_test.go
+++ b/internal/standin/sim_test.go
@@ -9,26 +9,6 @@
 	"garnethitch/internal/core"
 )
 
-var (
-	oneTeam  = []core.Team{{Name: "solo"}}
-	fourTeam = []core.Team{
-		{Name: "red", CPUs: 8, CPUsMax: 14}, {Name: "green", CPUs: 4, CPUsMax: 10},
-		{Name: "blue", CPUs: 8, CPUsMax: 20}, {Name: "grey", CPUs: 4, CPUsMax: 12},
-	}
-)
-
-// grownTeam are the same with room for hundreds of machines.
-var grownTeam = []core.Team{
-	{Name: "red", CPUs: 300, CPUsMax: 500}, {Name: "green", CPUs: 150, CPUsMax: 400},
-	{Name: "blue", CPUs: 300, CPUsMax: 700}, {Name: "grey", CPUs: 150, CPUsMax: 400},
-}
-
-// fleetTeam have room for over a thousand.
-var fleetTeam = []core.Team{
-	{Name: "red", CPUs: 1200, CPUsMax: 2000}, {Name: "green", CPUs: 600, CPUsMax: 1600},
-	{Name: "blue", CPUs: 1200, CPUsMax: 2800}, {Name: "grey", CPUs: 600, CPUsMax: 1600},
-}
-
 // seeds lets a longer search be asked for: GARNETHITCH_SEEDS=500.
 func seeds(n int) int {
 	if v, err := strconv.Atoi(os.Getenv("GARNETHITCH_SEEDS")); err == nil && v > 0 {
@@ -40,82 +20,11 @@
 // TestRules plays days with troubles and checks every rule at every step, and
 // that all work is done once the troubles are over.
 func TestRules(t *testing.T) {
-	type run struct {
-		name  string
-		teams []core.Team
-		plan  Plan
-		seeds int
-	}
-	for _, r := range []run{
-		{"quiet, jobs parted", oneTeam, Plan{Nodes: 3, Machines: 8, Jobs: 20}, 2},
-		{"quiet, teams parted", fourTeam, Plan{Nodes: 3, Machines: 10, Jobs: 25}, 2},
-		{"troubles, jobs parted", oneTeam, Plan{Nodes: 3, Machines: 8, Jobs: 20, Faults: true}, 24},
-		{"troubles, teams parted", fourTeam, Plan{Nodes: 3, Machines: 10, Jobs: 25, Faults: true}, 24},
-		{"troubles, two nodes", fourTeam, Plan{Nodes: 2, Machines: 6, Jobs: 12, Faults: true}, 8},
-		{"troubles, one node", oneTeam, Plan{Nodes: 1, Machines: 6, Jobs: 12, Faults: true}, 6},
-		{"grown, jobs parted", oneTeam, Plan{Nodes: 3, Machines: 300, Jobs: 60, Grown: true, Faults: true}, 2},
-		{"grown, teams parted", grownTeam, Plan{Nodes: 3, Machines: 300, Jobs: 60, Grown: true, Faults: true}, 2},
-		{"many at a time, jobs parted", oneTeam, Plan{Nodes: 3, Machines: 20, Jobs: 30, Faults: true, Fleet: true}, 12},
-		{"many at a time, teams parted", fourTeam, Plan{Nodes: 3, Machines: 20, Jobs: 30, Faults: true, Fleet: true}, 12},
-		{"fleet, jobs parted", oneTeam, Plan{Nodes: 3, Machines: 1200, Jobs: 120, Grown: true, Faults: true, Fleet: true}, 2},
-		{"fleet, teams parted", fleetTeam, Plan{Nodes: 3, Machines: 1200, Jobs: 120, Grown: true, Faults: true, Fleet: true}, 2},
-		// A step takes so long that inputs come twice, and ten times, as fast as they
-		// can be dealt with.
-		{"slow, jobs parted", oneTeam, Plan{Nodes: 3, Machines: 8, Jobs: 20, Slow: 30 * ms}, 4},
-		{"slow, teams parted", fourTeam, Plan{Nodes: 3, Machines: 10, Jobs: 25, Slow: 30 * ms}, 4},
-		{"ten times too slow, jobs parted", oneTeam, Plan{Nodes: 3, Machines: 8, Jobs: 20, Slow: 300 * ms}, 4},
-		{"ten times too slow, teams parted", fourTeam, Plan{Nodes: 3, Machines: 10, Jobs: 25, Slow: 300 * ms}, 4},
-		// Meetings of two troubles.
-		{"the gap, jobs parted", oneTeam, Plan{Nodes: 3, Machines: 14, Jobs: 40, Gap: true}, 6},
-		{"the gap, teams parted", fourTeam, Plan{Nodes: 3, Machines: 14, Jobs: 40, Gap: true}, 6},
-		{"meetings, jobs parted", oneTeam, Plan{Nodes: 3, Machines: 12, Jobs: 30, Meet: true}, 16},
-		{"meetings, teams parted", fourTeam, Plan{Nodes: 3, Machines: 12, Jobs: 30, Meet: true}, 16},
-		{"meetings and troubles, jobs parted", oneTeam, Plan{Nodes: 3, Machines: 12, Jobs: 30, Meet: true, Faults: true}, 8},
-		{"meetings and troubles, teams parted", fourTeam, Plan{Nodes: 3, Machines: 12, Jobs: 30, Meet: true, Faults: true}, 8},
-		{"stale, jobs parted", oneTeam, Plan{Nodes: 3, Machines: 14, Jobs: 40, Stale: true}, 24},
-		{"stale, teams parted", fourTeam, Plan{Nodes: 3, Machines: 14, Jobs: 40, Stale: true}, 8},
-		{"stale, few ends kept", oneTeam, Plan{Nodes: 3, Machines: 14, Jobs: 40, Stale: true, FinalJobs: 1}, 24},
-		{"stale and troubles, few ends kept", fourTeam, Plan{Nodes: 3, Machines: 14, Jobs: 40, Stale: true, FinalJobs: 1, Faults: true}, 12},
-		{"a roll while controllers know little, few ends kept", fourTeam, Plan{Nodes: 3, Machines: 14, Jobs: 40, Stale: true, FinalJobs: 1, Roll: Production}, 8},
-		// Users ask more than the state service takes.
-		{"questions, jobs parted", oneTeam, Plan{Nodes: 3, Machines: 14, Jobs: 40, Questions: 50, StateRPS: 60, WriteRPS: 20}, 4},
-		{"questions and troubles, teams parted", fourTeam, Plan{Nodes: 3, Machines: 14, Jobs: 40, Questions: 50, StateRPS: 60, WriteRPS: 20, Faults: true}, 8},
-		{"questions while controllers know little", oneTeam, Plan{Nodes: 3, Machines: 14, Jobs: 40, Questions: 50, StateRPS: 60, WriteRPS: 20, Stale: true}, 8},
-		{"churn, jobs parted", oneTeam, Plan{Nodes: 3, Machines: 20, Jobs: 240, Churn: true}, 2},
-		{"churn and meetings, teams parted", fourTeam, Plan{Nodes: 3, Machines: 20, Jobs: 240, Churn: true, Meet: true}, 3},
-		// Pipelines, and a roll from the version in production.
-		{"pipelines, jobs parted", oneTeam, Plan{Nodes: 3, Machines: 12, Jobs: 12, Pipelines: 4}, 3},
-		{"pipelines, teams parted", fourTeam, Plan{Nodes: 3, Machines: 12, Jobs: 12, Pipelines: 4}, 3},
-		{"pipelines and troubles, jobs parted", oneTeam, Plan{Nodes: 3, Machines: 12, Jobs: 12, Pipelines: 4, Faults: true}, 12},
-		{"pipelines and troubles, teams parted", fourTeam, Plan{Nodes: 3, Machines: 12, Jobs: 12, Pipelines: 4, Faults: true}, 12},
-		{"pipelines and meetings, jobs parted", oneTeam, Plan{Nodes: 3, Machines: 12, Jobs: 12, Pipelines: 4, Meet: true}, 10},
-		{"pipelines and meetings, teams parted", fourTeam, Plan{Nodes: 3, Machines: 12, Jobs: 12, Pipelines: 4, Meet: true}, 10},
-		{"a roll, jobs parted", oneTeam, Plan{Nodes: 3, Machines: 12, Jobs: 16, Pipelines: 4, Roll: Production}, 4},
-		{"a roll and troubles, jobs parted", oneTeam, Plan{Nodes: 3, Machines: 12, Jobs: 16, Pipelines: 4, Roll: Production, Faults: true}, 12},
-		{"a roll and troubles, teams parted", fourTeam, Plan{Nodes: 3, Machines: 12, Jobs: 16, Pipelines: 4, Roll: Production, Faults: true}, 12},
-		{"a roll of a grown deployment", grownTeam, Plan{Nodes: 3, Machines: 300, Jobs: 40, Pipelines: 6, Grown: true, Roll: Production, Faults: true}, 2},
-		{"a roll from the last landing, jobs parted", oneTeam, Plan{Nodes: 3, Machines: 12, Jobs: 16, Pipelines: 4, Roll: LastLanded, Faults: true}, 6},
-		{"a roll from the last landing, teams parted", fourTeam, Plan{Nodes: 3, Machines: 12, Jobs: 16, Pipelines: 4, Roll: LastLanded, Faults: true}, 6},
-		{"a roll from the last landing and meetings", fourTeam, Plan{Nodes: 3, Machines: 12, Jobs: 16, Pipelines: 4, Roll: LastLanded, Meet: true}, 4},
-		// Groups of teams, whose limits operators change meanwhile.
-		{"groups, jobs parted", oneTeam, Plan{Nodes: 3, Machines: 10, Jobs: 25, Groups: groupsOver(oneTeam, 16), Faults: true}, 12},
-		{"groups, teams parted", fourTeam, Plan{Nodes: 3, Machines: 10, Jobs: 25, Groups: groupsOver(fourTeam, 20), Faults: true}, 16},
-		{"groups, one team in none", fourTeam, Plan{Nodes: 3, Machines: 10, Jobs: 25, Groups: groupsOver(fourTeam[:3], 16), Faults: true}, 4},
-		{"groups and meetings, jobs parted", oneTeam, Plan{Nodes: 3, Machines: 12, Jobs: 25, Groups: groupsOver(oneTeam, 16), Meet: true}, 8},
-		{"groups and meetings, teams parted", fourTeam, Plan{Nodes: 3, Machines: 12, Jobs: 25, Groups: groupsOver(fourTeam, 20), Meet: true, Faults: true}, 8},
-		{"groups, many at a time", fourTeam, Plan{Nodes: 3, Machines: 20, Jobs: 30, Groups: groupsOver(fourTeam, 24), Faults: true, Fleet: true}, 6},
-		{"groups, a roll", fourTeam, Plan{Nodes: 3, Machines: 12, Jobs: 16, Groups: groupsOver(fourTeam, 20), Roll: Production, Faults: true}, 6},
-		{"groups, a roll from the last landing", oneTeam, Plan{Nodes: 3, Machines: 12, Jobs: 16, Groups: groupsOver(oneTeam, 16), Roll: LastLanded, Faults: true}, 4},
-		{"groups, a roll from the version before and back", fourTeam, Plan{Nodes: 3, Machines: 12, Jobs: 16, Pipelines: 2, Groups: groupsOver(fourTeam, 20), Roll: WithoutGroups, RollBack: true, Faults: true}, 6},
-		{"groups, a roll and back, jobs parted", oneTeam, Plan{Nodes: 3, Machines: 12, Jobs: 16, Groups: groupsOver(oneTeam, 16), Roll: Production, RollBack: true, Meet: true}, 4},
-		{"ten times too slow, troubles", fourTeam, Plan{Nodes: 3, Machines: 10, Jobs: 25, Faults: true, Slow: 300 * ms}, 6},
-	} {
-		for seed := range seeds(r.seeds) {
-			t.Run(fmt.Sprintf("%s/%d", r.name, seed), func(t *testing.T) {
+	for _, r := range RulePlans() {
+		for seed := range seeds(r.Seeds) {
+			t.Run(fmt.Sprintf("%s/%d", r.Name, seed), func(t *testing.T) {
 				t.Parallel()
-				p := r.plan
-				p.Teams, p.Seed, p.Length, p.Rest = r.teams, uint64(seed)+1, 90*sec, 300*sec
-				playByTheRules(t, p)
+				playByTheRules(t, r.WithSeed(uint64(seed)+1))
 			})
 		}
 	}
