--- a/garnethitch.go
+++ b/garnethitch.go
@@ -19,7 +19,7 @@
 	"garnethitch/internal/tracing"
 )
 
-// Version of the program.
+// Version is the version of the program.
 const Version = "0.1.0"
 
 // Config says what to run.
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -108,8 +108,8 @@
 	}
 	fmt.Fprintln(t, "\nGROUP\tSHARE\tOWNER\tALLOWANCE\tUSED\tWANTED\tSEEN EPOCH")
 	for _, g := range resp.Groups {
-		for _, s := range g.Shares {
-			fmt.Fprintf(t, "%s\t%d\t%s\t%s\t%s\t%s\t%d\n", g.Name, s.Share, dash(s.Owner), amount(s.Allowance), amount(s.Used), amount(s.Want), s.Seen)
+		for _, s := range g.Shards {
+			fmt.Fprintf(t, "%s\t%d\t%s\t%s\t%s\t%s\t%d\n", g.Name, s.Shard, dash(s.Owner), amount(s.Allowance), amount(s.Used), amount(s.Want), s.Seen)
 		}
 	}
 	if err := t.Flush(); err != nil {
@@ -117,7 +117,7 @@
 	}
 	for _, g := range resp.Groups {
 		for _, h := range g.HeldUp {
-			fmt.Fprintf(w, "%s is held up by share %d (%s): %s\n", g.Name, h.Share, dash(h.Owner), h.Reason)
+			fmt.Fprintf(w, "%s is held up by share %d (%s): %s\n", g.Name, h.Shard, dash(h.Owner), h.Reason)
 		}
 	}
 	for _, label := range resp.Without {
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -14,14 +14,14 @@
 	"garnethitch/internal/admin"
 	"garnethitch/internal/config"
 	"garnethitch/internal/peer"
-	"garnethitch/internal/standin"
+	"garnethitch/internal/simulation"
 	"garnethitch/quota"
 )
 
 // TestShowAndSet asks running controllers as the command line does: what an operator sets
 // at one is shown by another.
 func TestShowAndSet(t *testing.T) {
-	c, err := standin.NewCluster(standin.ClusterPlan{Seed: 1, Nodes: 2, Machines: 4, Teams: []string{"kigali", "rubavu", "karongi"}, Groups: standin.GrantGroups()})
+	c, err := simulation.NewCluster(simulation.ClusterPlan{Seed: 1, Nodes: 2, Machines: 4, Teams: []string{"kigali", "rubavu", "karongi"}, Groups: simulation.GrantGroups()})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/core/dependents.go
+++ b/internal/controller/cancellation_cascade.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"slices"
@@ -51,7 +51,7 @@
 	underWay  int
 	retryAt   micros.Micros
 	nextAt    micros.Micros // when the writes of before have taken their part
-	// generation rises when this node lets a share go: transactions of before are
+	// generation rises when this node lets a shard go: transactions of before are
 	// waited for no more.
 	generation int
 }
@@ -86,28 +86,28 @@
 func CancellableDependents(cfg Config, away int, outage micros.Micros) int {
 	nodes := len(cfg.Peers) + 1
 	// The others learn of the cancellation and are asked within some two statuses; the
-	// shares of a controller that is away wait for its lease and for a claim.
-	available := cfg.Cancel - outage - 3*statusEvery
+	// shards of a controller that is away wait for its lease and for a claim.
+	available := cfg.Cancel - outage - 3*statusInterval
 	if away > 0 {
 		available -= 2 * cfg.Lease
 	}
 	if available <= 0 || away >= nodes {
 		return 0
 	}
-	rate := cfg.WriteRPS * usedPart * dependentsPart * float64(nodes-away) / float64(nodes)
+	rate := cfg.WriteRPS * usableFraction * dependentsPart * float64(nodes-away) / float64(nodes)
 	return int(rate * available.Seconds())
 }
 
 // recorderOf is the controller that is to record a dependent, where all take part. It
-// does not follow the share of the job, which comes of the same hash.
-func (c *Core) recorderOf(id string) string {
-	return c.nodes[hashOf(id)/uint64(c.cfg.Shares)%uint64(len(c.nodes))]
+// does not follow the shard of the job, which comes of the same hash.
+func (c *Controller) recorderOf(id string) string {
+	return c.nodes[hashOf(id)/uint64(c.cfg.Shards)%uint64(len(c.nodes))]
 }
 
 // recordDependents records the next dependents, as far as the limits allow.
-func (c *Core) recordDependents() {
+func (c *Controller) recordDependents() {
 	w := &c.cascade
-	if len(w.jobs) == 0 || w.underWay >= maxCascadeTransactions || !c.canAnswer() {
+	if len(w.jobs) == 0 || w.underWay >= maxCascadeTransactions || !c.leaseValid() {
 		return
 	}
 	if at := max(w.nextAt, w.retryAt); c.now < at {
@@ -120,21 +120,21 @@
 		return
 	}
 	first := todo[0]
-	mark := c.claimFor(first)
-	most := min(c.cfg.TxnOps, int(c.stateq.writes.rate)/cascadeWritesPart+1)
+	ownerEpoch := c.claimFor(first)
+	most := min(c.cfg.TxnOps, int(c.stateQueue.writes.rate)/cascadeWritesPart+1)
 	n := 1
-	for n < len(todo) && n < most && todo[n].share == first.share && c.claimFor(todo[n]) == mark {
+	for n < len(todo) && n < most && todo[n].shard == first.shard && c.claimFor(todo[n]) == ownerEpoch {
 		n++
 	}
 	// What was missed since the last one, up to some transactions' worth, is made up for.
-	w.nextAt = max(w.nextAt, c.now-micros.Second/2) + micros.FromSeconds(float64(n)/(c.stateq.writes.rate*dependentsPart))
-	c.recordCancelled(first.share, mark, todo[:n])
+	w.nextAt = max(w.nextAt, c.now-micros.Second/2) + micros.FromSeconds(float64(n)/(c.stateQueue.writes.rate*dependentsPart))
+	c.recordCancelled(first.shard, ownerEpoch, todo[:n])
 }
 
 // claimFor is the mark of the claim under which this node records a dependent.
-func (c *Core) claimFor(j *job) uint64 {
+func (c *Controller) claimFor(j *job) uint64 {
 	if c.Owns(j.id) {
-		return c.own.shares[j.share].mark
+		return c.ownership.shards[j.shard].ownerEpoch
 	}
 	return c.cascade.asked[j.id]
 }
@@ -142,7 +142,7 @@
 // dependentsToRecord lists the dependents that this node is to record: its part of its
 // own, then what others ask of it, then the rest of its own. The rest comes in reverse
 // order, so that it meets the controllers that were asked for it only at the end.
-func (c *Core) dependentsToRecord() []*job {
+func (c *Controller) dependentsToRecord() []*job {
 	var own, asked, rest []*job
 	w := &c.cascade
 	for _, id := range sortedKeys(w.jobs) {
@@ -153,7 +153,7 @@
 			if _, ok := w.asked[id]; ok && j.run == nil {
 				asked = append(asked, j)
 			}
-		case j.run.ending || c.now < j.run.endNext:
+		case j.run.endInFlight || c.now < j.run.nextEndAttemptAt:
 		case c.recorderOf(id) == c.cfg.Label:
 			own = append(own, j)
 		default:
@@ -164,9 +164,9 @@
 	return slices.Concat(own, asked, rest)
 }
 
-// recordCancelled records dependents of one share as cancelled, in one transaction.
-func (c *Core) recordCancelled(share int, mark uint64, jobs []*job) {
-	txn := wire.Txn{If: []wire.Condition{{Key: ownerKey(share), Version: mark}}}
+// recordCancelled records dependents of one shard as cancelled, in one transaction.
+func (c *Controller) recordCancelled(shard int, ownerEpoch uint64, jobs []*job) {
+	txn := wire.Txn{If: []wire.Condition{{Key: ownerKey(shard), ModRevision: ownerEpoch}}}
 	endMS := c.wall.Millis()
 	for _, j := range jobs {
 		value, err := wire.Encode(wire.JobRecord{AcceptedMS: j.rec.AcceptedMS, State: wire.StateCancelled, Tasks: j.sub.Tasks, EndMS: endMS})
@@ -174,7 +174,7 @@
 			c.log(Error, "job record not encoded", "job", j.id, "error", err)
 			return
 		}
-		txn.If = append(txn.If, wire.Condition{Key: wire.JobKey(j.id), Version: j.mark})
+		txn.If = append(txn.If, wire.Condition{Key: wire.JobKey(j.id), ModRevision: j.modRevision})
 		txn.Then = append(txn.Then, wire.Change{Put: wire.JobKey(j.id), Value: value})
 	}
 	w := &c.cascade
@@ -185,7 +185,7 @@
 		runs[i] = j.run
 		w.recording[j.id] = true
 		if j.run != nil {
-			j.run.ending, j.run.endNext = true, micros.Never
+			j.run.endInFlight, j.run.nextEndAttemptAt = true, micros.Never
 		}
 	}
 	generation := w.generation
@@ -213,7 +213,7 @@
 				c.finishJob(j.id, finalJob{state: wire.StateCancelled, tasks: j.sub.Tasks, recorded: true, endMS: endMS})
 				continue
 			}
-			c.dependentNotRecorded(j, res, slices.Contains(failed, wire.JobKey(j.id)), slices.Contains(failed, ownerKey(share)))
+			c.dependentNotRecorded(j, res, slices.Contains(failed, wire.JobKey(j.id)), slices.Contains(failed, ownerKey(shard)))
 		}
 		c.recordDependents()
 	})
@@ -229,7 +229,7 @@
 
 // dependentNotRecorded deals with a dependent whose transaction did not succeed, or
 // may not have: jobChanged and claimLost say which conditions were not met.
-func (c *Core) dependentNotRecorded(j *job, res Result, jobChanged, claimLost bool) {
+func (c *Controller) dependentNotRecorded(j *job, res Result, jobChanged, claimLost bool) {
 	w := &c.cascade
 	r := j.run
 	if r == nil {
@@ -238,23 +238,23 @@
 		}
 		return
 	}
-	r.ending, r.endNext = false, c.now
+	r.endInFlight, r.nextEndAttemptAt = false, c.now
 	c.failWaiters(j)
 	switch {
 	case jobChanged:
-		r.ending, r.unsure = true, true
-		c.settleEnd(j, r)
+		r.endInFlight, r.endInDoubt = true, true
+		c.resolveEnd(j, r)
 	case claimLost:
-		r.endNext = c.now + c.jitter(micros.Second) // the watch tells the rest
+		r.nextEndAttemptAt = c.now + c.jitter(micros.Second) // the watch tells the rest
 	case res.Status == 0 && !res.NotSent:
-		r.unsure = true // a late copy may yet be carried out
+		r.endInDoubt = true // a late copy may yet be carried out
 	}
 }
 
 // askedOf are the dependents that another controller is asked to record. None where
 // this one is done with all of them soon.
-func (c *Core) askedOf(p *peerView) (ids []string) {
-	if len(c.cascade.jobs) == 0 || !c.canAnswer() {
+func (c *Controller) askedOf(p *peerView) (ids []string) {
+	if len(c.cascade.jobs) == 0 || !c.leaseValid() {
 		return nil
 	}
 	own := 0
@@ -268,23 +268,23 @@
 			ids = append(ids, id)
 		}
 	}
-	if float64(own) < c.stateq.writes.rate*dependentsPart*helpFrom.Seconds() {
+	if float64(own) < c.stateQueue.writes.rate*dependentsPart*helpFrom.Seconds() {
 		return nil
 	}
 	return ids
 }
 
-// askedToRecord takes the dependents that an owner wants recorded, with the shares
+// askedToRecord takes the dependents that an owner wants recorded, with the shards
 // that it owns. What this node does not know to need a cancelled job is left alone.
-func (c *Core) askedToRecord(ids []string, owns []peer.Owned) {
+func (c *Controller) askedToRecord(ids []string, owns []peer.ShardClaim) {
 	for _, id := range ids {
 		j := c.cascade.jobs[id]
 		if j == nil || j.run != nil {
 			continue
 		}
 		for _, o := range owns {
-			if o.Share == j.share {
-				c.cascade.asked[id] = o.Mark
+			if o.Shard == j.shard {
+				c.cascade.asked[id] = o.OwnerEpoch
 			}
 		}
 	}
--- a/internal/core/dependents_test.go
+++ b/internal/controller/cancellation_cascade_test.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"fmt"
@@ -46,11 +46,11 @@
 func TestDependentsAreRecorded(t *testing.T) {
 	const n = 90
 	h := cascade(t, n, 30) // some 10 a second of its own
-	h.told, h.done = nil, nil
+	h.statusesSent, h.done = nil, nil
 	h.recordEnd("job-000100", wire.StateCancelled, 0)
 	h.run(2 * sec)
 	asked := map[string]bool{}
-	for _, s := range h.told {
+	for _, s := range h.statusesSent {
 		for _, id := range s.Record {
 			asked[id] = true
 		}
@@ -80,10 +80,10 @@
 // A short list is no matter for others.
 func TestFewDependentsAreNotAskedFor(t *testing.T) {
 	h := cascade(t, 6, 30)
-	h.told = nil
+	h.statusesSent = nil
 	h.recordEnd("job-000100", wire.StateCancelled, 0)
 	h.run(3 * sec)
-	for _, s := range h.told {
+	for _, s := range h.statusesSent {
 		if len(s.Record) > 0 {
 			t.Errorf("asked for %v", s.Record)
 		}
@@ -105,27 +105,27 @@
 	}
 	for _, tc := range []struct {
 		name string
-		play func(h *harness, ask func(mark uint64))
+		play func(h *harness, ask func(modRevision uint64))
 		want int
 	}{
 		{"asked", func(h *harness, ask func(uint64)) {
 			h.recordEnd("job-000100", wire.StateCancelled, 0)
-			ask(h.keys[ownerKey(0)].Version)
+			ask(h.keys[ownerKey(0)].ModRevision)
 		}, n},
 		{"not asked", func(h *harness, _ func(uint64)) {
 			h.recordEnd("job-000100", wire.StateCancelled, 0)
 		}, 0},
 		{"asked, does not know of the cancellation", func(h *harness, ask func(uint64)) {
-			ask(h.keys[ownerKey(0)].Version)
+			ask(h.keys[ownerKey(0)].ModRevision)
 		}, 0},
 		{"asked again once it knows", func(h *harness, ask func(uint64)) {
-			ask(h.keys[ownerKey(0)].Version)
+			ask(h.keys[ownerKey(0)].ModRevision)
 			h.recordEnd("job-000100", wire.StateCancelled, 0)
-			ask(h.keys[ownerKey(0)].Version)
+			ask(h.keys[ownerKey(0)].ModRevision)
 		}, n},
 		{"asked by a former owner", func(h *harness, ask func(uint64)) {
 			h.recordEnd("job-000100", wire.StateCancelled, 0)
-			old := h.keys[ownerKey(0)].Version
+			old := h.keys[ownerKey(0)].ModRevision
 			h.put(ownerKey(0), wire.OwnerRecord{Label: "n-2", Incarnation: 98})
 			ask(old)
 		}, 0},
@@ -137,14 +137,14 @@
 			h.recordEnd("job-000100", wire.StateCancelled, 0)
 			h.watchBlocked = wire.PrefixJob
 			h.put(wire.JobKey(dependentID(2)), wire.JobRecord{State: wire.StateCancelled, Tasks: 1})
-			ask(h.keys[ownerKey(0)].Version)
+			ask(h.keys[ownerKey(0)].ModRevision)
 			h.run(2 * sec)
-			ask(h.keys[ownerKey(0)].Version)
+			ask(h.keys[ownerKey(0)].ModRevision)
 		}, n},
 		{"answers are lost", func(h *harness, ask func(uint64)) {
 			h.recordEnd("job-000100", wire.StateCancelled, 0)
 			h.lose = wire.PrefixJob
-			ask(h.keys[ownerKey(0)].Version)
+			ask(h.keys[ownerKey(0)].ModRevision)
 			h.run(sec)
 			h.lose = ""
 			h.giveUp()
@@ -152,22 +152,22 @@
 		{"the state service refuses for a while", func(h *harness, ask func(uint64)) {
 			h.recordEnd("job-000100", wire.StateCancelled, 0)
 			h.stateDown, h.refused = true, true
-			ask(h.keys[ownerKey(0)].Version)
+			ask(h.keys[ownerKey(0)].ModRevision)
 			h.run(sec)
 			h.stateDown, h.refused = false, false
 		}, n},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := cascade(t, n, 1000)
-			// Another controller owns the share.
+			// Another controller owns the shard.
 			h.put(ownerKey(0), wire.OwnerRecord{Label: "n-1", Incarnation: 99})
 			h.done = nil
-			tc.play(h, func(mark uint64) {
+			tc.play(h, func(modRevision uint64) {
 				st := &peer.Status{About: peer.About{StateOK: true}, Record: append(all(), "job-000777", "no id")}
-				if mark != 0 {
-					st.Owns = []peer.Owned{{Share: 0, Mark: mark}}
+				if modRevision != 0 {
+					st.Claims = []peer.ShardClaim{{Shard: 0, OwnerEpoch: modRevision}}
 				}
-				h.ask(func(r ReplyID) Input { return PeerMessage{Reply: r, Req: peer.Request{From: "n-1", Status: st}} })
+				h.ask(func(r ReplyID) Input { return PeerRequest{Reply: r, Req: peer.Request{From: "n-1", Status: st}} })
 				h.run(sec)
 			})
 			h.run(4 * sec)
@@ -200,7 +200,7 @@
 func (h *harness) checkRecordedUnderAClaim() {
 	for _, txn := range h.done {
 		if len(txn.Then) > 0 && strings.HasPrefix(txn.Then[0].Put, wire.PrefixJob) &&
-			!slices.ContainsFunc(txn.If, func(c wire.Condition) bool { return c.Key == ownerKey(0) && c.Version != 0 }) {
+			!slices.ContainsFunc(txn.If, func(c wire.Condition) bool { return c.Key == ownerKey(0) && c.ModRevision != 0 }) {
 			h.t.Errorf("recorded without the owner's claim: %v", txn.If)
 		}
 	}
@@ -215,20 +215,20 @@
 	h.run(sec)
 	for i := range 5 {
 		id := fmt.Sprintf("job-%06d", 500+i)
-		h.ask(func(r ReplyID) Input { return Submit{Reply: r, Job: jobOf(id, 1)} })
+		h.ask(func(r ReplyID) Input { return SubmitRequest{Reply: r, Job: jobOf(id, 1)} })
 		reply := h.reply
 		h.run(sec)
 		if a := h.answers[reply]; a.Status != 201 {
 			t.Fatalf("submission beside the list: %d", a.Status)
 		}
-		h.withdraw(id)
+		h.cancel(id)
 		reply = h.reply
 		h.run(sec)
 		if a := h.answers[reply]; stateOf(a) != wire.StateCancelled {
 			t.Fatalf("withdrawal beside the list: %d %s", a.Status, stateOf(a))
 		}
 	}
-	if !h.c.canAnswer() {
+	if !h.c.leaseValid() {
 		t.Error("the lease was not renewed")
 	}
 	if got := h.recorded(n); got == 0 || got == n {
@@ -266,10 +266,10 @@
 	for _, tc := range []struct {
 		name string
 		key  string
-		play func(h *harness, token uint64)
+		play func(h *harness, fencingToken uint64)
 	}{
-		{"the end of a job", wire.JobKey("job-000001"), func(h *harness, _ uint64) { h.withdraw("job-000001") }},
-		{"a Version", wire.PrefixVersion, func(h *harness, _ uint64) {
+		{"the end of a job", wire.JobKey("job-000001"), func(h *harness, _ uint64) { h.cancel("job-000001") }},
+		{"a Version", wire.PrefixCheckpoint, func(h *harness, _ uint64) {
 			j := h.c.jobs.open["job-000001"]
 			h.c.taskDone(j, 0, nil)
 		}},
@@ -277,12 +277,12 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := meet(t, withPeer)
-			token := h.settle("vm-1")
+			fencingToken := h.reconcile("vm-1")
 			h.submit(jobOf("job-000001", 3))
 			h.submit(after("job-000002", 1, "job-000001"))
 			h.dropCalls()
 			h.tooLarge = tc.key
-			tc.play(h, token)
+			tc.play(h, fencingToken)
 			h.run(20 * sec)
 			if h.refusals == 0 || h.refusals > 3 {
 				t.Errorf("sent %d times in 20 s, want once to three times", h.refusals)
@@ -290,17 +290,17 @@
 			if a := h.submit(jobOf("job-000003", 1)); a.Status != 201 {
 				t.Errorf("another job is answered %d meanwhile", a.Status)
 			}
-			if a := h.withdraw("job-000003"); stateOf(a) != wire.StateCancelled {
+			if a := h.cancel("job-000003"); stateOf(a) != wire.StateCancelled {
 				t.Errorf("its cancellation is answered %d %q", a.Status, stateOf(a))
 			}
 			h.tooLarge = ""
 			h.run(20 * sec)
 			for _, id := range []string{"job-000001", "job-000002"} {
-				if s := h.state(id); tc.key != wire.PrefixVersion && s != wire.StateCancelled {
+				if s := h.state(id); tc.key != wire.PrefixCheckpoint && s != wire.StateCancelled {
 					t.Errorf("%s is called %q once the state service takes it", id, s)
 				}
 			}
-			if tc.key == wire.PrefixVersion && h.keys[wire.VersionKey("job-000001")].Version == 0 {
+			if tc.key == wire.PrefixCheckpoint && h.keys[wire.CheckpointKey("job-000001")].ModRevision == 0 {
 				t.Error("no Version stands once the state service takes it")
 			}
 		})
@@ -319,12 +319,12 @@
 	if got := h.state(dependentID(0)); got != wire.StateCancelled {
 		t.Errorf("called %q, want what the record says", got)
 	}
-	if a := h.poll(dependentID(1)); a.Status != 503 {
+	if a := h.jobStatus(dependentID(1)); a.Status != 503 {
 		t.Errorf("one that is not recorded yet is answered %d %q", a.Status, stateOf(a))
 	}
-	h.c.stateq.requests.level = 1
+	h.c.stateQueue.requests.tokens = 1
 	before := h.reads
-	if a := h.poll(dependentID(2)); a.Status != 503 || h.reads != before {
+	if a := h.jobStatus(dependentID(2)); a.Status != 503 || h.reads != before {
 		t.Errorf("without requests to spare: %d after %d reads", a.Status, h.reads-before)
 	}
 }
@@ -343,8 +343,8 @@
 			machines := 0
 			h.recordEnd("job-000100", wire.StateCancelled, 0)
 			for range 100 {
-				for len(h.c.stateq.queues[classFleet]) < 20 {
-					txn := wire.Txn{Then: []wire.Change{{Put: wire.BatchKey(0, "x"), Value: encoded(t, wire.BatchRecord{})}}}
+				for len(h.c.stateQueue.queues[classFleet]) < 20 {
+					txn := wire.Txn{Then: []wire.Change{{Put: wire.MachineRecordSetKey(0, "x"), Value: encoded(t, wire.MachineRecordSet{})}}}
 					h.c.askState(classFleet, txn, sec, func(r Result) {
 						if r.Status == 200 {
 							machines++
--- a/internal/core/candidates.go
+++ b/internal/controller/candidates.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"cmp"
@@ -34,32 +34,32 @@
 
 // zonesOf counts a job's tasks by zone, those that may be there included; nil
 // if it does not matter to the job.
-func (c *Core) zonesOf(j *job) map[string]int {
-	if !j.sub.OneZone && !j.sub.Apart {
+func (c *Controller) zonesOf(j *job) map[string]int {
+	if !j.sub.SameZone && !j.sub.Spread {
 		return nil
 	}
 	zones := map[string]int{}
 	for _, att := range j.run.active {
-		zones[att.m.rec.Zone]++
+		zones[att.machine.rec.Zone]++
 	}
 	return zones
 }
 
 // allowed tells whether a job's task may start on a machine, given where the
 // job's other tasks are.
-func (c *Core) allowed(j *job, m *machine, zones map[string]int) bool {
+func (c *Controller) allowed(j *job, m *machine, zones map[string]int) bool {
 	sub := j.sub
 	if m.rec.Spot && !sub.Spot || !typeAllowed(sub, m.rec.Type) || sub.Zone != "" && sub.Zone != m.rec.Zone {
 		return false
 	}
-	if sub.OneZone {
+	if sub.SameZone {
 		for z, n := range zones {
 			if n > 0 && z != m.rec.Zone {
 				return false
 			}
 		}
 	}
-	if sub.Apart && zones[m.rec.Zone]+1 > (sub.Tasks+1)/2 {
+	if sub.Spread && zones[m.rec.Zone]+1 > (sub.Tasks+1)/2 {
 		return false
 	}
 	return true
@@ -67,10 +67,10 @@
 
 // candidates gives the machines with room for a job's tasks, the best first:
 // those that have the image or are fetching it, then the fullest.
-func (c *Core) candidates(j *job, free []*machine) []scored {
+func (c *Controller) candidates(j *job, free []*machine) []scored {
 	list := c.scratch[:0]
 	for _, m := range free {
-		c.looks++
+		c.visited++
 		if c.fits(m, j) && c.allowed(j, m, nil) {
 			list = append(list, scored{m, c.score(j, m)})
 		}
@@ -86,8 +86,8 @@
 	score float64
 }
 
-func (c *Core) score(j *job, m *machine) float64 {
-	mt, v := c.types[m.rec.Type], m.v
+func (c *Controller) score(j *job, m *machine) float64 {
+	mt, v := c.types[m.rec.Type], m.view
 	score := 0.0
 	switch {
 	case v.images[j.sub.Image]:
@@ -96,15 +96,15 @@
 		score += 2
 	}
 	// Failed here before, this job or others: rather elsewhere.
-	if j.run.fails[m.id] > 0 {
+	if j.run.failuresByMachine[m.id] > 0 {
 		score -= 6
 	}
-	if len(v.failJobs) > 0 {
+	if len(v.failuresByJob) > 0 {
 		score -= 4
 	}
 	score -= 6 * c.slowness(m)
 	if mt.CPUs > 0 {
-		score += 1 - (mt.CPUs-v.sum.cpus-j.sub.CPUs)/mt.CPUs
+		score += 1 - (mt.CPUs-v.usage.cpus-j.sub.CPUs)/mt.CPUs
 	}
 	return score
 }
--- a/internal/core/room.go
+++ b/internal/controller/capacity.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import "garnethitch/internal/wire"
 
@@ -23,29 +23,29 @@
 	u.gpus += sub.GPUs
 }
 
-// over: one more task would pass the team's limit.
-func (u *usage) over(t Team, sub *wire.Submission) bool {
+// exceeds: one more task would pass the team's limit.
+func (u *usage) exceeds(t Team, sub *wire.Submission) bool {
 	return t.CPUsMax > 0 && u.cpus+sub.CPUs > t.CPUsMax+eps || t.GPUsMax > 0 && u.gpus+sub.GPUs > t.GPUsMax+eps
 }
 
 const eps = 1e-6
 
 // count tallies a machine's attempts anew.
-func (c *Core) count(m *machine) {
-	v := m.v
-	v.stale = false
-	used := v.sum.used
+func (c *Controller) count(m *machine) {
+	v := m.view
+	v.usageStale = false
+	used := v.usage.used
 	if used == nil {
 		used = make([]usage, len(c.cfg.Teams))
 	}
 	clear(used)
-	v.sum = tally{used: used}
+	v.usage = machineUsage{used: used}
 	for _, att := range v.list {
-		c.looks++
-		c.addTo(&v.sum, att)
+		c.visited++
+		c.addTo(&v.usage, att)
 	}
-	if v.doubt || v.sum.unknown {
-		// It may hold anything that fits, of any team of the share.
+	if v.unreconciledFromPredecessor || v.usage.unknown {
+		// It may hold anything that fits, of any team of the shard.
 		mt := c.types[m.rec.Type]
 		for i := range used {
 			used[i].cpus += mt.CPUs
@@ -55,7 +55,7 @@
 }
 
 // addTo adds an attempt to a tally.
-func (c *Core) addTo(t *tally, att *attempt) {
+func (c *Controller) addTo(t *machineUsage, att *attempt) {
 	if att.state == attemptExited {
 		return
 	}
@@ -69,69 +69,69 @@
 	t.gpus += sub.GPUs
 	t.mem += sub.MemGB
 	t.tasks++
-	if att.halt != haltNone {
+	if att.stopMode != stopNone {
 		t.soonCPUs += sub.CPUs
 		t.soonGPUs += sub.GPUs
 		t.soonMem += sub.MemGB
 	}
 }
 
-// refresh brings a share's sums up to date: what its teams could be using at
+// refresh brings a shard's sums up to date: what its teams could be using at
 // most. Only machines that have changed are counted again.
-func (c *Core) refresh(s *share) {
-	if s.recount {
-		s.recount = false
-		s.touched = s.touched[:0]
-		s.used = make([]usage, len(c.cfg.Teams))
+func (c *Controller) refresh(s *shard) {
+	if s.recountAll {
+		s.recountAll = false
+		s.dirtyMachines = s.dirtyMachines[:0]
+		s.usage = make([]usage, len(c.cfg.Teams))
 		for _, m := range s.machines {
-			if m.v == nil {
+			if m.view == nil {
 				continue
 			}
 			c.count(m)
-			sumUp(s.used, m.v.sum.used, 1)
+			sumUp(s.usage, m.view.usage.used, 1)
 		}
 		return
 	}
-	for _, m := range s.touched {
-		v := m.v
-		if v == nil || !v.stale || m.rec.Share != s.id {
+	for _, m := range s.dirtyMachines {
+		v := m.view
+		if v == nil || !v.usageStale || m.rec.Shard != s.id {
 			continue
 		}
-		sumUp(s.used, v.sum.used, -1)
+		sumUp(s.usage, v.usage.used, -1)
 		c.count(m)
-		sumUp(s.used, v.sum.used, 1)
+		sumUp(s.usage, v.usage.used, 1)
 	}
-	s.touched = s.touched[:0]
+	s.dirtyMachines = s.dirtyMachines[:0]
 }
 
 // usable: a machine may be given tasks.
-func (c *Core) usable(m *machine) bool {
-	v := m.v
-	return v.settled && v.known && !v.gone && !m.returned && !v.sum.unknown && !v.releasing && c.now >= v.plannedUntil && v.takenAt == 0 &&
-		c.now >= v.quarantinedUntil && c.now >= v.restUntil && c.unheard(v) <= c.late() && !c.outOfReach(m) && !c.leaseRunningOut(v) &&
-		v.sum.tasks < maxTasksPerMachine && c.types[m.rec.Type].CPUs > 0
+func (c *Controller) usable(m *machine) bool {
+	v := m.view
+	return v.reconciled && v.sequenceKnown && !v.leaseExpired && !m.returned && !v.usage.unknown && !v.releasing && c.now >= v.plannedUntil && v.reclaimAt == 0 &&
+		c.now >= v.cordonedUntil && c.now >= v.backoffUntil && c.sinceLastHeartbeat(v) <= c.heartbeatOverdueAfter() && !c.unreachable(m) && !c.leaseRunningOut(v) &&
+		v.usage.tasks < maxTasksPerMachine && c.types[m.rec.Type].CPUs > 0
 }
 
 // free is what a machine has left for a job: room that is kept for another job
 // does not count.
-func (c *Core) free(m *machine, j *job) shape {
-	v, room := m.v, c.room(m)
-	if h := &v.reserved; h.job != nil && h.job != j {
+func (c *Controller) free(m *machine, j *job) shape {
+	v, capacity := m.view, c.freeCapacity(m)
+	if h := &v.reservation; h.job != nil && h.job != j {
 		if c.now >= h.until || h.job.run == nil || h.job.pending() <= 0 {
-			v.reserved = reservation{}
-			return room
+			v.reservation = reservation{}
+			return capacity
 		}
 		// What is being made free serves the hold first.
-		room.cpus -= max(h.cpus-v.sum.soonCPUs, 0)
-		room.gpus -= max(h.gpus-v.sum.soonGPUs, 0)
-		room.mem -= max(h.mem-v.sum.soonMem, 0)
+		capacity.cpus -= max(h.cpus-v.usage.soonCPUs, 0)
+		capacity.gpus -= max(h.gpus-v.usage.soonGPUs, 0)
+		capacity.mem -= max(h.mem-v.usage.soonMem, 0)
 	}
-	return room
+	return capacity
 }
 
 // fits: one of a job's tasks finds room on a machine now.
-func (c *Core) fits(m *machine, j *job) bool {
-	return shapeOf(j.sub).covers(c.free(m, j)) && m.v.sum.tasks < maxTasksPerMachine
+func (c *Controller) fits(m *machine, j *job) bool {
+	return shapeOf(j.sub).covers(c.free(m, j)) && m.view.usage.tasks < maxTasksPerMachine
 }
 
 // shape is what a task takes, all that placing a plain one depends on, or what a
@@ -147,8 +147,8 @@
 
 func (a shape) plus(b shape) shape { return shape{a.cpus + b.cpus, a.gpus + b.gpus, a.mem + b.mem} }
 
-// room is what a machine's attempts leave of it.
-func (c *Core) room(m *machine) shape {
-	mt, sum := c.types[m.rec.Type], &m.v.sum
+// freeCapacity is what a machine's attempts leave of it.
+func (c *Controller) freeCapacity(m *machine) shape {
+	mt, sum := c.types[m.rec.Type], &m.view.usage
 	return shape{mt.CPUs - sum.cpus, mt.GPUs - sum.gpus, mt.MemGB - sum.mem}
 }
--- a/internal/core/collections.go
+++ b/internal/controller/collections.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 // bitset is a set of small integers.
 type bitset []uint64
--- a/internal/core/compat_test.go
+++ b/internal/controller/compat_test.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"encoding/hex"
@@ -59,8 +59,8 @@
 		ImageGB     float64  `cbor:"sizeGb"`
 		Types       []string `cbor:"breeds"`
 		Zone        string   `cbor:"paddock,omitempty"`
-		OneZone     bool     `cbor:"oneZone"`
-		Apart       bool     `cbor:"apart"`
+		SameZone    bool     `cbor:"oneZone"`
+		Spread      bool     `cbor:"apart"`
 		Spot        bool     `cbor:"strays"`
 		EstimateS   float64  `cbor:"haulS"`
 		CheckpointS float64  `cbor:"restS"`
@@ -97,7 +97,7 @@
 	samples := samplesOf(t, version)
 	if version == lastLanded {
 		var rec wire.JobRecord
-		if err := wire.Decode(samples["records"]["job chained"], &rec); err != nil || rec.Chained == nil || len(rec.Chained.Dependencies) != 2 {
+		if err := wire.Decode(samples["records"]["job chained"], &rec); err != nil || rec.WithDependencies == nil || len(rec.WithDependencies.DependsOn) != 2 {
 			t.Errorf("a chained job is read as %+v, %v", rec, err)
 		}
 		if again := encoded(t, rec); string(again) != string(samples["records"]["job chained"]) {
@@ -106,9 +106,9 @@
 		delete(samples["records"], "job chained")
 	}
 	for name, into := range map[string]any{
-		"owner": &wire.OwnerRecord{}, "types": &wire.MachineTypes{}, "batch": &wire.BatchRecord{},
+		"owner": &wire.OwnerRecord{}, "types": &wire.MachineTypes{}, "batch": &wire.MachineRecordSet{},
 		"job pending": &wire.JobRecord{}, "job pending plain": &wire.JobRecord{}, "job done": &wire.JobRecord{}, "job cancelled": &wire.JobRecord{},
-		"version ranges": &wire.VersionRecord{}, "version set": &wire.VersionRecord{},
+		"version ranges": &wire.CheckpointRecord{}, "version set": &wire.CheckpointRecord{},
 	} {
 		b := samples["records"][name]
 		if err := wire.Decode(b, into); err != nil || len(b) == 0 {
@@ -141,7 +141,7 @@
 	}
 }
 
-// A node of this version takes over what an older one left: its jobs, Versions and
+// A node of this version takes over what an older one left: its jobs, checkpoints and
 // machines, the ends of its jobs as dependencies among them.
 func TestOlderVersionsAreTakenOver(t *testing.T) {
 	for _, version := range []string{production, lastLanded} {
@@ -161,25 +161,25 @@
 	}
 	store(wire.JobKey("job-000413"), samples["records"]["job pending plain"])
 	store(wire.JobKey("job-000412"), samples["records"]["job pending"])
-	store(wire.VersionKey("job-000412"), samples["records"]["version ranges"])
+	store(wire.CheckpointKey("job-000412"), samples["records"]["version ranges"])
 	store(wire.JobKey("job-000001"), samples["records"]["job done"])
 	store(wire.JobKey("job-000002"), samples["records"]["job cancelled"])
-	store(wire.BatchKey(0, "h-1-1"), samples["records"]["batch"])
+	store(wire.MachineRecordSetKey(0, "h-1-1"), samples["records"]["batch"])
 	if version == lastLanded {
 		store(wire.JobKey("job-000414"), samples["records"]["job chained"])
 	}
 	h.txn(wire.Txn{Then: []wire.Change{{Delete: ownerKey(0)}}}) // claimed anew
 	h.run(3 * sec)
 	c := h.c
-	if j := c.jobs.open["job-000414"]; version == lastLanded && (j == nil || !j.held() || len(j.needs) != 2) {
+	if j := c.jobs.open["job-000414"]; version == lastLanded && (j == nil || !j.blocked() || len(j.needs) != 2) {
 		t.Errorf("its chained job is taken as %+v", j)
 	}
 	j := c.jobs.open["job-000412"]
-	if j == nil || j.run == nil || j.run.count != 6 || !j.run.done.has(9) {
+	if j == nil || j.run == nil || j.run.doneCount != 6 || !j.run.done.has(9) {
 		t.Fatalf("its job or Version was not taken over: %+v", j)
 	}
-	if len(c.mach) != 50 || !c.mach["vm-000103"].rec.Retiring {
-		t.Errorf("%d machines, want 50", len(c.mach))
+	if len(c.machines) != 50 || !c.machines["vm-000103"].rec.Cordoned {
+		t.Errorf("%d machines, want 50", len(c.machines))
 	}
 	if a := h.submit(after("job-000500", 1, "job-000001", "job-000413")); a.Status != 201 {
 		t.Errorf("depends on its jobs: %d", a.Status)
@@ -187,10 +187,10 @@
 	if a := h.submit(after("job-000501", 1, "job-000002")); a.Status != 201 || stateOf(a) != wire.StateCancelled {
 		t.Errorf("depends on one that it cancelled: %d %s", a.Status, stateOf(a))
 	}
-	if j := c.jobs.open["job-000500"]; j == nil || !j.held() || j.needs["job-000001"] {
+	if j := c.jobs.open["job-000500"]; j == nil || !j.blocked() || j.needs["job-000001"] {
 		t.Errorf("%+v: want held by job-000413 alone", j)
 	}
-	h.withdraw("job-000413")
+	h.cancel("job-000413")
 	h.run(2 * sec)
 	if s := h.state("job-000414"); version == lastLanded && s != wire.StateCancelled {
 		t.Errorf("its chained job is called %q after the job before it was cancelled", s)
@@ -201,11 +201,11 @@
 	// Its messages are answered.
 	for name, b := range samples["messages"] {
 		var req peer.Request
-		if peer.Decode(b, &req) != nil || req.Status == nil && req.Ask == nil && req.Hint == nil && req.Release == nil {
+		if peer.Decode(b, &req) != nil || req.Status == nil && req.Ask == nil && req.JobRecordHint == nil && req.Release == nil {
 			continue
 		}
 		req.From = "n-1"
-		if a := h.ask(func(r ReplyID) Input { return PeerMessage{Reply: r, Req: req} }); a.Status != 200 {
+		if a := h.ask(func(r ReplyID) Input { return PeerRequest{Reply: r, Req: req} }); a.Status != 200 {
 			t.Errorf("%s is answered %d", name, a.Status)
 		}
 	}
@@ -214,7 +214,7 @@
 // A request to record dependents is lost on an older version, and nothing else of the
 // message is.
 func TestOlderVersionsReadRequestsToRecord(t *testing.T) {
-	about := peer.About{UptimeUS: 5, StateOK: true, Owns: []peer.Owned{{Share: 1, Mark: 77}}}
+	about := peer.About{UptimeUS: 5, StateOK: true, Claims: []peer.ShardClaim{{Shard: 1, OwnerEpoch: 77}}}
 	sent, err := peer.Encode(peer.Request{From: "n-1", Status: &peer.Status{About: about, Cancelled: []string{"job-000412"}, Record: []string{"job-000413"}}})
 	if err != nil {
 		t.Fatal(err)
@@ -234,7 +234,7 @@
 	due := 900.0
 	sub := wire.Submission{ID: "job-000412", Class: "c", Team: "t", Kind: "sweep", Priority: "high", Tasks: 16, CPUs: 8, Image: "i", Types: []string{"m"}, DeadlineS: &due}
 	chained := sub
-	chained.Dependencies = []string{"job-000001"}
+	chained.DependsOn = []string{"job-000001"}
 	for _, tc := range []struct {
 		name string
 		rec  wire.JobRecord
@@ -261,13 +261,13 @@
 	if err := wire.Decode(plain, &old); err != nil || string(encoded(t, old)) != string(plain) {
 		t.Errorf("written again as %x, %v", encoded(t, old), err)
 	}
-	// Splits of batches are batches like any other.
+	// Splits of record sets are record sets like any other.
 	var list []*machine
 	for i := range 24 {
 		list = append(list, &machine{id: fmt.Sprintf("vm-%06d", i)})
 	}
-	var b wire.BatchRecord
-	if err := wire.Decode(encoded(t, recordOf(list, nil, nil)), &b); err != nil || len(b.Machines) != 24 {
+	var b wire.MachineRecordSet
+	if err := wire.Decode(encoded(t, recordSetOf(list, nil, nil)), &b); err != nil || len(b.Machines) != 24 {
 		t.Errorf("%d machines, %v", len(b.Machines), err)
 	}
 }
--- a/internal/core/meetings_test.go
+++ b/internal/controller/concurrent_faults_test.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"fmt"
@@ -13,21 +13,21 @@
 // guard of each.
 
 // runOne has job-000001 of one task running on vm-1, at a node with a peer; it gives
-// the token and the attempt.
-func (h *harness) runOne() (token, attempt uint64) {
-	token = h.settle("vm-1")
-	attempt = h.startOne(token)
-	h.checkin(h.running(11, token, attempt))
-	return token, attempt
+// the fencing token and the attempt.
+func (h *harness) runOne() (fencingToken, attempt uint64) {
+	fencingToken = h.reconcile("vm-1")
+	attempt = h.startOne(fencingToken)
+	h.heartbeat(h.running(11, fencingToken, attempt))
+	return fencingToken, attempt
 }
 
-func (h *harness) running(seq, token, attempt uint64) wire.Report {
-	return report("vm-1", 1, seq, token, wire.TaskReport{Task: "job-000001/0", Attempt: attempt, State: wire.TaskRunning})
+func (h *harness) running(seq, fencingToken, attempt uint64) wire.Heartbeat {
+	return heartbeatFrom("vm-1", 1, seq, fencingToken, wire.TaskStatus{Task: "job-000001/0", Attempt: attempt, State: wire.TaskRunning})
 }
 
 func withPeer(c *Config) { c.Peers = []string{"n-1"} }
 
-// meet is a harness whose node has had the time to take its duties beside others.
+// meet is a harness whose node has had the time to take its locks beside others.
 func meet(t *testing.T, change func(*Config)) *harness {
 	h := newHarness(t, change)
 	h.run(2 * sec)
@@ -41,9 +41,9 @@
 func TestCancellationRequestIsEnough(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		// trouble comes before the withdrawal, after later.
-		trouble func(h *harness)
-		later   func(h *harness)
+		// fault comes before the withdrawal, after later.
+		fault func(h *harness)
+		later func(h *harness)
 	}{
 		{"refused before the record", func(h *harness) { h.stateDown, h.refused = true, true }, nil},
 		{"no answer at all", func(h *harness) { h.stateDown = true }, nil},
@@ -54,18 +54,18 @@
 			func(h *harness) { h.stateDown, h.refused = true, true }},
 		{"withdrawn once the lease is over", func(h *harness) {
 			h.stateDown = true
-			for seq := uint64(100); h.now < h.c.own.renewed+h.c.bounds.Answer+sec/2; seq++ {
+			for seq := uint64(100); h.now < h.c.ownership.renewedAt+h.c.bounds.LeaseValidity+sec/2; seq++ {
 				h.run(100 * ms)
 			}
 		}, nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := meet(t, withPeer)
-			token, a := h.runOne()
+			fencingToken, a := h.runOne()
 			h.submit(jobOf("job-000002", 1))
 			h.dropCalls()
-			tc.trouble(h)
-			if got := h.withdraw("job-000001"); got.Status == 200 {
+			tc.fault(h)
+			if got := h.cancel("job-000001"); got.Status == 200 {
 				t.Fatalf("called cancelled without a record")
 			}
 			if tc.later != nil {
@@ -73,7 +73,7 @@
 			}
 			h.open = nil
 			h.step(Tick{})
-			status, body := h.checkin(h.running(1000, token, a))
+			status, body := h.heartbeat(h.running(1000, fencingToken, a))
 			if status != 200 || stops(body.Commands) != 1 {
 				t.Errorf("report answered %d, %v; want the task stopped", status, body.Commands)
 			}
@@ -87,10 +87,10 @@
 				t.Errorf("called %q while nobody can know", s)
 			}
 			// What has exited is not tried again, and counts until it is seen gone.
-			if n := h.c.own.shares[0].used[0].cpus; n < 1 {
+			if n := h.c.ownership.shards[0].usage[0].cpus; n < 1 {
 				t.Errorf("a task that is not seen gone counts %v CPUs", n)
 			}
-			_, body = h.checkin(report("vm-1", 1, 1001, token, wire.TaskReport{Task: "job-000001/0", Attempt: a, State: wire.TaskExited, Why: wire.WhyStopped}))
+			_, body = h.heartbeat(heartbeatFrom("vm-1", 1, 1001, fencingToken, wire.TaskStatus{Task: "job-000001/0", Attempt: a, State: wire.TaskExited, ExitReason: wire.ExitStopped}))
 			for _, c := range starts(body.Commands) {
 				if c.Task == "job-000001/0" {
 					t.Errorf("started again")
@@ -120,15 +120,15 @@
 
 // Another controller's word ends a cancelled job at once, whatever the state service
 // says; and who has told a user goes on telling the others until they have heard.
-func TestCancellationIsSpread(t *testing.T) {
+func TestCancellationIsBroadcast(t *testing.T) {
 	t.Run("heard", func(t *testing.T) {
 		h := meet(t, withPeer)
-		token, a := h.runOne()
+		fencingToken, a := h.runOne()
 		h.stateDown, h.refused = true, true
 		h.run(sec / 2)
-		h.step(PeerMessage{Reply: 900, Req: peer.Request{From: "n-1", Status: &peer.Status{
+		h.step(PeerRequest{Reply: 900, Req: peer.Request{From: "n-1", Status: &peer.Status{
 			About: peer.About{StateOK: true}, Cancelled: []string{"job-000001", "nonsense", "job-000777"}}}})
-		if _, body := h.checkin(h.running(12, token, a)); stops(body.Commands) != 1 {
+		if _, body := h.heartbeat(h.running(12, fencingToken, a)); stops(body.Commands) != 1 {
 			t.Errorf("commands %v, want the task stopped", body.Commands)
 		}
 		if s := h.state("job-000001"); s != wire.StateCancelled {
@@ -139,7 +139,7 @@
 		name string
 		tell func(h *harness)
 	}{
-		{"told by this node", func(h *harness) { h.withdraw("job-000001") }},
+		{"told by this node", func(h *harness) { h.cancel("job-000001") }},
 		{"learned by the watch", func(h *harness) {
 			h.put(wire.JobKey("job-000001"), wire.JobRecord{State: wire.StateCancelled, Tasks: 1})
 		}},
@@ -161,10 +161,10 @@
 					h.step(Result{ID: id})
 				}
 			}
-			h.told = nil
+			h.statusesSent = nil
 			h.run(4 * sec)
 			times := 0
-			for _, st := range h.told {
+			for _, st := range h.statusesSent {
 				times += len(st.Cancelled)
 			}
 			if times != 1 {
@@ -177,11 +177,11 @@
 // A transaction that ends a job may be carried out at any time once its answer is
 // missing, also after newer ones of the same controller were refused: its owner must
 // not speak from memory of a job that another node may call cancelled.
-func TestUnsureEnd(t *testing.T) {
+func TestInDoubtEnd(t *testing.T) {
 	h := meet(t, withPeer)
 	h.runOne()
 	h.late = wire.JobKey("job-000001")
-	h.withdraw("job-000001")
+	h.cancel("job-000001")
 	for range 4 { // unanswered, read as pending, sent again: again unanswered
 		h.run(sec)
 		for _, c := range h.lateOut {
@@ -222,18 +222,18 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := meet(t, withPeer)
-			token, a := h.runOne()
+			fencingToken, a := h.runOne()
 			if tc.lose {
 				h.lose, h.watchBlocked = wire.JobKey("job-000001"), wire.PrefixJob
 			}
 			var first Answer
 			var asked ReplyID
 			if tc.cancelFirst {
-				first, asked = h.withdraw("job-000001"), h.reply
+				first, asked = h.cancel("job-000001"), h.reply
 			}
-			h.checkin(report("vm-1", 1, 12, token, wire.TaskReport{Task: "job-000001/0", Attempt: a, State: wire.TaskExited, Why: wire.WhyDone}))
+			h.heartbeat(heartbeatFrom("vm-1", 1, 12, fencingToken, wire.TaskStatus{Task: "job-000001/0", Attempt: a, State: wire.TaskExited, ExitReason: wire.ExitDone}))
 			if !tc.cancelFirst {
-				first, asked = h.withdraw("job-000001"), h.reply
+				first, asked = h.cancel("job-000001"), h.reply
 			}
 			if s := h.state("job-000001"); s != tc.want {
 				t.Errorf("a question in between: %q, want %s", s, tc.want)
@@ -249,7 +249,7 @@
 			if b, _ := first.Body.(wire.JobAnswer); first.Status == 200 && b.State != tc.want {
 				t.Errorf("withdrawal answered %q, want %s", b.State, tc.want)
 			}
-			if b, _ := h.withdraw("job-000001").Body.(wire.JobAnswer); b.State != tc.want {
+			if b, _ := h.cancel("job-000001").Body.(wire.JobAnswer); b.State != tc.want {
 				t.Errorf("withdrawn again: %q, want %s", b.State, tc.want)
 			}
 		})
@@ -259,51 +259,51 @@
 // A new owner that can't learn which jobs its predecessor ended stops answering
 // reports in time for their tasks to be gone: the former one may have told its users
 // right before.
-func TestBlindOwner(t *testing.T) {
+func TestOwnerWithStaleView(t *testing.T) {
 	h := meet(t, func(c *Config) {
 		withPeer(c)
 		c.Cancel = 40 * sec
 	})
-	token := h.settle("vm-1")
+	fencingToken := h.reconcile("vm-1")
 	h.submit(jobOf("job-000001", 1))
 	h.watchBlocked = wire.PrefixJob
 	h.txn(wire.Txn{Then: []wire.Change{{Delete: ownerKey(0)}}})
 	h.run(2 * sec)
-	s := h.c.own.shares[0]
-	if !s.active || s.current {
-		t.Fatalf("active %v, current %v: the case is not what it should be", s.active, s.current)
+	s := h.c.ownership.shards[0]
+	if !s.active || s.jobsViewCurrent {
+		t.Fatalf("active %v, current %v: the case is not what it should be", s.active, s.jobsViewCurrent)
 	}
-	complete := h.c.own.job.completeAt
-	for seq := uint64(20); h.now < complete+h.c.bounds.Blind+4*sec; seq++ { // it can renew all the time
+	complete := h.c.ownership.jobWatch.completeAsOf
+	for seq := uint64(20); h.now < complete+h.c.bounds.StaleViewGrace+4*sec; seq++ { // it can renew all the time
 		h.run(sec / 2)
-		status, body := h.checkin(report("vm-1", 1, seq, token))
-		token = max(token, body.Token)
-		if want := h.now < complete+h.c.bounds.Blind; (status == 200) != want {
+		status, body := h.heartbeat(heartbeatFrom("vm-1", 1, seq, fencingToken))
+		fencingToken = max(fencingToken, body.FencingToken)
+		if want := h.now < complete+h.c.bounds.StaleViewGrace; (status == 200) != want {
 			t.Fatalf("%v s after its view of jobs was complete a report got %d", (h.now - complete).Seconds(), status)
 		}
 	}
 	h.watchBlocked = ""
 	h.run(2 * sec)
-	if status, _ := h.checkin(report("vm-1", 1, 100, token)); status != 200 {
+	if status, _ := h.heartbeat(heartbeatFrom("vm-1", 1, 100, fencingToken)); status != 200 {
 		t.Errorf("a report got %d once the view of jobs was brought up", status)
 	}
 }
 
 // What can't be taken gets 400 or 422 only where the job is surely unknown, and a
-// job that is known elsewhere never does, on any node and during any trouble.
+// job that is known elsewhere never does, on any node and during any fault.
 func TestOddRequests(t *testing.T) {
 	bad := func(r ReplyID) Input {
-		return Submit{Reply: r, Err: &wire.SubmissionError{ID: "job-000001", Reason: "x"}}
+		return SubmitRequest{Reply: r, Err: &wire.SubmissionError{ID: "job-000001", Reason: "x"}}
 	}
 	unfit := func(r ReplyID) Input {
 		s := jobOf("job-000001", 1)
 		s.CPUs = 1000
-		return Submit{Reply: r, Job: s}
+		return SubmitRequest{Reply: r, Job: s}
 	}
 	noTeam := func(r ReplyID) Input {
 		s := jobOf("job-000001", 1)
 		s.Team = "x"
-		return Submit{Reply: r, Job: s}
+		return SubmitRequest{Reply: r, Job: s}
 	}
 	for _, tc := range []struct {
 		name  string
@@ -322,7 +322,7 @@
 		{"malformed, no state service", func(h *harness) { h.stateDown, h.refused = true, true }, bad, 503, ""},
 		{"fits nothing, no state service", func(h *harness) { h.stateDown, h.refused = true, true }, unfit, 503, ""},
 		{"fits nothing, types not known", func(h *harness) { h.c.types = nil }, unfit, 503, ""},
-		{"cancelled though done", over, func(r ReplyID) Input { return Withdraw{Reply: r, ID: "job-000001"} }, 200, wire.StateDone},
+		{"cancelled though done", over, func(r ReplyID) Input { return CancelRequest{Reply: r, ID: "job-000001"} }, 200, wire.StateDone},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := meet(t, withPeer)
@@ -352,26 +352,26 @@
 	h.put(wire.JobKey("job-000001"), wire.JobRecord{State: wire.StateDone, Tasks: 1})
 }
 
-// A direct order is held up, and its machine can't report: stops still go out, starts
-// don't, and the raised token that makes it clear is sent rather than waited for.
-func TestOrderHeldUp(t *testing.T) {
+// A direct command is held up, and its machine can't report: stops still go out, starts
+// don't, and the raised fencing token that makes it clear is sent rather than waited for.
+func TestDelayedCommand(t *testing.T) {
 	h := meet(t, withPeer)
-	token, a := h.runOne()
+	fencingToken, a := h.runOne()
 	h.run(2 * sec) // orders have their pace
 	h.submit(jobOf("job-000002", 1))
-	held := h.orders()
+	held := h.directCommands()
 	if len(held) != 1 {
 		t.Fatalf("%d orders, want the start", len(held))
 	}
 	h.open = nil
-	h.late = wire.PrefixFleet // the record that raises the token is slow
+	h.late = wire.PrefixFleet // the record that raises the fencing token is slow
 	h.step(Result{ID: held[0].ID})
-	h.withdraw("job-000001")
+	h.cancel("job-000001")
 	h.submit(jobOf("job-000003", 1))
 	h.run(3 * sec)
 	halts := 0
-	for _, c := range h.orders() {
-		o := c.Req.(wire.Orders)
+	for _, c := range h.directCommands() {
+		o := c.Req.(wire.DirectCommand)
 		halts += stops(o.Commands)
 		if len(starts(o.Commands)) > 0 {
 			t.Errorf("a start follows an order that is unclear: %v", o.Commands)
@@ -382,7 +382,7 @@
 	}
 	// The halting order is answered; the unclear one still may act.
 	for _, c := range h.open {
-		h.step(Result{ID: c.ID, Status: 200, Body: new(report("vm-1", 1, 20, token, wire.TaskReport{Task: "job-000001/0", Attempt: a, State: wire.TaskExited, Why: wire.WhyStopped}))})
+		h.step(Result{ID: c.ID, Status: 200, Body: new(heartbeatFrom("vm-1", 1, 20, fencingToken, wire.TaskStatus{Task: "job-000001/0", Attempt: a, State: wire.TaskExited, ExitReason: wire.ExitStopped}))})
 	}
 	h.open = nil
 	h.late = ""
@@ -393,45 +393,45 @@
 	h.run(4 * sec)
 	var raised uint64
 	for _, c := range h.open {
-		if o, ok := c.Req.(wire.Orders); ok {
-			raised = max(raised, o.Token)
+		if o, ok := c.Req.(wire.DirectCommand); ok {
+			raised = max(raised, o.FencingToken)
 		}
 	}
-	if raised <= token {
-		t.Fatalf("token %d never raised beyond %d", raised, token)
+	if raised <= fencingToken {
+		t.Fatalf("token %d never raised beyond %d", raised, fencingToken)
 	}
 	for _, c := range h.open {
-		if _, ok := c.Req.(wire.Orders); ok {
-			h.step(Result{ID: c.ID, Status: 200, Body: new(report("vm-1", 1, 21, raised))})
+		if _, ok := c.Req.(wire.DirectCommand); ok {
+			h.step(Result{ID: c.ID, Status: 200, Body: new(heartbeatFrom("vm-1", 1, 21, raised))})
 			break
 		}
 	}
-	if v := h.c.mach["vm-1"].v; v.unclear != 0 {
+	if v := h.c.machines["vm-1"].view; v.inDoubtToken != 0 {
 		t.Error("still unclear after the machine has shown the raised token")
 	}
 }
 
 // A late copy of a message about a new job does not bring back one whose end has
 // left memory.
-func TestLateHint(t *testing.T) {
+func TestLateJobRecordHint(t *testing.T) {
 	h := meet(t, func(c *Config) {
 		withPeer(c)
-		c.FinalJobs = 1
+		c.MaxFinalJobs = 1
 	})
-	h.settle("vm-1")
+	h.reconcile("vm-1")
 	sub := jobOf("job-000001", 1)
 	rec := wire.JobRecord{Submission: &sub, State: wire.StatePending, Tasks: 1}
-	mark := h.put(wire.JobKey("job-000001"), rec)
+	modRevision := h.put(wire.JobKey("job-000001"), rec)
 	value, err := wire.Encode(rec)
 	if err != nil {
 		t.Fatal(err)
 	}
-	h.withdraw("job-000001")
+	h.cancel("job-000001")
 	h.submit(jobOf("job-000002", 1))
-	h.withdraw("job-000002") // takes its place in memory
+	h.cancel("job-000002") // takes its place in memory
 	h.run(sec)
-	hint := peer.Request{From: "n-1", Hint: &peer.Hint{ID: "job-000001", Mark: mark, Record: value}}
-	h.step(PeerMessage{Reply: 900, Req: hint})
+	hint := peer.Request{From: "n-1", JobRecordHint: &peer.JobRecordHint{ID: "job-000001", ModRevision: modRevision, Record: value}}
+	h.step(PeerRequest{Reply: 900, Req: hint})
 	h.run(sec)
 	if h.c.jobs.open["job-000001"] != nil {
 		t.Error("a cancelled job is open again")
@@ -441,44 +441,44 @@
 	}
 }
 
-// A machine that reaches no controller while direct orders reach it gets no more
+// A machine that reaches no controller while direct commands reach it gets no more
 // tasks, since they would end with its lease; its done tasks count, and it is not
 // lost as long as it has work that may be completed.
-func TestReportsUnanswered(t *testing.T) {
+func TestHeartbeatsUnanswered(t *testing.T) {
 	h := meet(t, func(c *Config) {
 		withPeer(c)
 		c.WorkerLease = 30 * sec
 		c.Cancel = 60 * sec
 	})
-	token, a := h.runOne()
+	fencingToken, a := h.runOne()
 	seq := uint64(20)
-	answer := func(tasks ...wire.TaskReport) {
+	answer := func(tasks ...wire.TaskStatus) {
 		open := h.open
 		h.open = nil
 		for _, c := range open {
-			if _, ok := c.Req.(Show); ok || len(c.Req.(wire.Orders).Commands) == 0 {
+			if _, ok := c.Req.(GetHeartbeat); ok || len(c.Req.(wire.DirectCommand).Commands) == 0 {
 				seq++
-				h.step(Result{ID: c.ID, Status: 200, Body: new(report("vm-1", 1, seq, token, tasks...))})
+				h.step(Result{ID: c.ID, Status: 200, Body: new(heartbeatFrom("vm-1", 1, seq, fencingToken, tasks...))})
 			} else {
 				h.open = append(h.open, c)
 			}
 		}
 	}
-	for until := h.now + h.c.silence() + 2*sec; h.now < until; {
+	for until := h.now + h.c.heartbeatTimeout() + 2*sec; h.now < until; {
 		h.run(sec / 2)
-		answer(wire.TaskReport{Task: "job-000001/0", Attempt: a, State: wire.TaskRunning})
+		answer(wire.TaskStatus{Task: "job-000001/0", Attempt: a, State: wire.TaskRunning})
 	}
 	h.submit(jobOf("job-000002", 1))
-	if n := len(h.orders()); n != 0 {
+	if n := len(h.directCommands()); n != 0 {
 		t.Errorf("%d orders with a start to a machine whose lease is running out", n)
 	}
-	m := h.c.mach["vm-1"]
+	m := h.c.machines["vm-1"]
 	if st := h.c.stateOf(m); st == peer.MachineSilent {
 		t.Error("taken for silent with a task on it that may be completed")
 	}
 	for range 12 {
 		h.run(sec / 2)
-		answer(wire.TaskReport{Task: "job-000001/0", Attempt: a, State: wire.TaskExited, Why: wire.WhyDone})
+		answer(wire.TaskStatus{Task: "job-000001/0", Attempt: a, State: wire.TaskExited, ExitReason: wire.ExitDone})
 	}
 	if s := h.state("job-000001"); s != wire.StateDone {
 		t.Errorf("called %q, its task is done", s)
@@ -486,14 +486,14 @@
 	if st := h.c.stateOf(m); st != peer.MachineSilent {
 		t.Errorf("state %d: an empty machine that can't report is of no use", st)
 	}
-	if status, body := h.checkin(report("vm-1", 1, 2000, token)); status != 200 || len(starts(body.Commands)) != 1 {
+	if status, body := h.heartbeat(heartbeatFrom("vm-1", 1, 2000, fencingToken)); status != 200 || len(starts(body.Commands)) != 1 {
 		t.Errorf("heard again: %d %v, want a start", status, body.Commands)
 	}
 }
 
 // A task whose job is unknown here, since its end has left memory, is looked up and
 // stopped; one that nobody submitted is stopped as well.
-func TestStray(t *testing.T) {
+func TestTaskOfUnknownJob(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		rec  *wire.JobRecord
@@ -503,14 +503,14 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := meet(t, withPeer)
-			token := h.settle("vm-1")
+			fencingToken := h.reconcile("vm-1")
 			h.watchBlocked = wire.PrefixJob
 			if tc.rec != nil {
 				h.put(wire.JobKey("job-000009"), tc.rec)
 			}
 			halted := 0
 			for seq := uint64(20); seq < 28; seq++ {
-				_, body := h.checkin(report("vm-1", 1, seq, token, wire.TaskReport{Task: "job-000009/0", Attempt: 5, State: wire.TaskRunning}))
+				_, body := h.heartbeat(heartbeatFrom("vm-1", 1, seq, fencingToken, wire.TaskStatus{Task: "job-000009/0", Attempt: 5, State: wire.TaskRunning}))
 				halted += stops(body.Commands)
 				h.run(sec)
 			}
@@ -521,29 +521,29 @@
 	}
 }
 
-// A batch older than the claim may have been used by the former owner, also when it
+// A record set older than the claim may have been used by the former owner, also when it
 // becomes known only after the claim: its machines are not taken for untouched.
-func TestOldBatchAfterClaim(t *testing.T) {
+func TestOldMachineRecordSetAfterClaim(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		after bool
 	}{{"older than the claim", false}, {"newer", true}} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := meet(t, withPeer)
-			s := h.c.own.shares[0]
-			mark := s.mark - 1
+			s := h.c.ownership.shards[0]
+			modRevision := s.ownerEpoch - 1
 			if tc.after {
-				mark = s.mark + 1
+				modRevision = s.ownerEpoch + 1
 			}
-			key := wire.BatchKey(0, "h-1-1")
-			rec := wire.BatchRecord{Kinds: []wire.MachineKind{{Type: "m", Zone: "a"}}, Machines: []wire.BatchMachine{{ID: "vm-1", Addr: "vm-1"}}}
+			key := wire.MachineRecordSetKey(0, "h-1-1")
+			rec := wire.MachineRecordSet{Kinds: []wire.MachineKind{{Type: "m", Zone: "a"}}, Machines: []wire.MachineRecord{{ID: "vm-1", Addr: "vm-1"}}}
 			value, err := wire.Encode(rec)
 			if err != nil {
 				t.Fatal(err)
 			}
-			h.c.applyPut(key, value, mark)
-			if m := h.c.mach["vm-1"]; m.v.settled != tc.after {
-				t.Errorf("settled %v, want %v", m.v.settled, tc.after)
+			h.c.applyPut(key, value, modRevision)
+			if m := h.c.machines["vm-1"]; m.view.reconciled != tc.after {
+				t.Errorf("settled %v, want %v", m.view.reconciled, tc.after)
 			}
 		})
 	}
@@ -558,21 +558,21 @@
 	}
 	t.Run("same owner", func(t *testing.T) {
 		h := meet(t, limit)
-		token := h.settle("vm-1")
-		h.settle("vm-2")
+		fencingToken := h.reconcile("vm-1")
+		h.reconcile("vm-2")
 		h.submit(jobOf("job-000001", 2))
 		h.dropCalls()
-		_, body := h.checkin(report("vm-1", 1, 10, token))
+		_, body := h.heartbeat(heartbeatFrom("vm-1", 1, 10, fencingToken))
 		cmds := starts(body.Commands)
 		if len(cmds) != 2 {
 			t.Fatalf("%d starts, want 2", len(cmds))
 		}
-		if a := h.withdraw("job-000001"); a.Status != 200 {
+		if a := h.cancel("job-000001"); a.Status != 200 {
 			t.Fatalf("withdrawal got %d", a.Status)
 		}
 		h.submit(jobOf("job-000002", 2))
 		h.open = nil
-		if _, body := h.checkin(report("vm-2", 1, 11, token)); len(starts(body.Commands)) != 0 {
+		if _, body := h.heartbeat(heartbeatFrom("vm-2", 1, 11, fencingToken)); len(starts(body.Commands)) != 0 {
 			t.Errorf("%v: started beyond the limit", body.Commands)
 		}
 	})
@@ -589,15 +589,15 @@
 		h.run(sec)
 		h.put(wire.JobKey("job-000002"), wire.JobRecord{Submission: &sub, State: wire.StatePending, Tasks: 2})
 		h.open = nil
-		s := h.c.own.shares[0]
-		token := h.c.token(s, h.c.mach["vm-2"])
+		s := h.c.ownership.shards[0]
+		fencingToken := h.c.fencingToken(s, h.c.machines["vm-2"])
 		seq := uint64(20)
-		for h.now < s.freeAt+2*sec {
+		for h.now < s.machinesFreeAt+2*sec {
 			seq++
-			_, body := h.checkin(report("vm-2", 1, seq, token))
+			_, body := h.heartbeat(heartbeatFrom("vm-2", 1, seq, fencingToken))
 			if n := len(starts(body.Commands)); n > 0 {
-				if h.now < s.freeAt {
-					t.Errorf("%d started %v s after the claim, vm-1 may hold cancelled tasks until %v s", n, (h.now - s.claimedAt).Seconds(), (s.freeAt - s.claimedAt).Seconds())
+				if h.now < s.machinesFreeAt {
+					t.Errorf("%d started %v s after the claim, vm-1 may hold cancelled tasks until %v s", n, (h.now - s.claimedAt).Seconds(), (s.machinesFreeAt - s.claimedAt).Seconds())
 				}
 				return
 			}
@@ -608,9 +608,9 @@
 	})
 }
 
-// Old reports reach a controller that has just begun to own: they settle nothing, and
+// Old heartbeats reach a controller that has just begun to own: they settle nothing, and
 // nothing of what they list is taken for the machine's present state.
-func TestOldReportsAtNewOwner(t *testing.T) {
+func TestOldHeartbeatsAtNewOwner(t *testing.T) {
 	h := meet(t, withPeer)
 	sub := jobOf("job-000001", 3)
 	h.put(wire.JobKey("job-000001"), wire.JobRecord{Submission: &sub, State: wire.StatePending, Tasks: 3})
@@ -618,15 +618,15 @@
 	h.txn(wire.Txn{Then: []wire.Change{{Delete: ownerKey(0)}}})
 	h.run(sec)
 	h.open = nil
-	m := h.c.mach["vm-1"]
-	s := h.c.own.shares[0]
-	token := h.c.token(s, m)
-	task := func(i string, attempt uint64, state, why string) wire.TaskReport {
-		return wire.TaskReport{Task: "job-000001/" + i, Attempt: attempt, State: state, Why: why}
+	m := h.c.machines["vm-1"]
+	s := h.c.ownership.shards[0]
+	fencingToken := h.c.fencingToken(s, m)
+	task := func(i string, attempt uint64, state, exitReason string) wire.TaskStatus {
+		return wire.TaskStatus{Task: "job-000001/" + i, Attempt: attempt, State: state, ExitReason: exitReason}
 	}
 	// A copy from under the former owner, kept for this one.
-	h.checkin(report("vm-1", 1, 5, token-1, task("0", 7, wire.TaskExited, wire.WhyDone), task("1", 7, wire.TaskRunning, ""), task("2", 7, wire.TaskExited, wire.WhyStopped)))
-	if m.v.settled || !m.v.doubt {
+	h.heartbeat(heartbeatFrom("vm-1", 1, 5, fencingToken-1, task("0", 7, wire.TaskExited, wire.ExitDone), task("1", 7, wire.TaskRunning, ""), task("2", 7, wire.TaskExited, wire.ExitStopped)))
+	if m.view.reconciled || !m.view.unreconciledFromPredecessor {
 		t.Fatal("a copy from before the claim has settled the machine")
 	}
 	j := h.c.jobs.open["job-000001"]
@@ -634,21 +634,21 @@
 		t.Errorf("active %v: taken from a copy", j.run.active)
 	}
 	// The machine itself, a session later: nothing of the copy is there any more.
-	h.checkin(report("vm-1", 2, 1, token))
-	if !m.v.settled || len(j.run.active) > 0 && j.run.active[1] != nil && j.run.active[1].key.attempt == 7 {
-		t.Errorf("settled %v, active %v", m.v.settled, j.run.active)
+	h.heartbeat(heartbeatFrom("vm-1", 2, 1, fencingToken))
+	if !m.view.reconciled || len(j.run.active) > 0 && j.run.active[1] != nil && j.run.active[1].key.attempt == 7 {
+		t.Errorf("settled %v, active %v", m.view.reconciled, j.run.active)
 	}
 	// An older one again changes nothing.
-	h.checkin(report("vm-1", 1, 6, token, task("1", 7, wire.TaskExited, wire.WhyDone)))
+	h.heartbeat(heartbeatFrom("vm-1", 1, 6, fencingToken, task("1", 7, wire.TaskExited, wire.ExitDone)))
 	if j.run.done.has(1) {
 		t.Error("a report of an earlier session changed the view")
 	}
 }
 
-// commandsOut gives the commands of open direct orders.
+// commandsOut gives the commands of open direct commands.
 func (h *harness) commandsOut() (out []wire.Command) {
-	for _, c := range h.orders() {
-		out = append(out, c.Req.(wire.Orders).Commands...)
+	for _, c := range h.directCommands() {
+		out = append(out, c.Req.(wire.DirectCommand).Commands...)
 	}
 	return out
 }
@@ -657,23 +657,23 @@
 // about leaves a job that its next owner runs.
 func TestCancellationRequestEndsWithItsOwner(t *testing.T) {
 	h := meet(t, withPeer)
-	token, a := h.runOne()
+	fencingToken, a := h.runOne()
 	h.stateDown = true
-	h.withdraw("job-000001")
-	h.checkin(report("vm-1", 1, 20, token, wire.TaskReport{Task: "job-000001/0", Attempt: a, State: wire.TaskExited, Why: wire.WhyStopped}))
+	h.cancel("job-000001")
+	h.heartbeat(heartbeatFrom("vm-1", 1, 20, fencingToken, wire.TaskStatus{Task: "job-000001/0", Attempt: a, State: wire.TaskExited, ExitReason: wire.ExitStopped}))
 	h.held = nil
 	h.stateDown = false
 	h.c.loseLease() // as after a 404
 	h.txn(wire.Txn{Then: []wire.Change{{Delete: ownerKey(0)}, {Delete: wire.KeyLeader}}})
 	h.run(3 * sec)
-	if j := h.c.jobs.open["job-000001"]; j == nil || j.run == nil || j.run.want != "" {
+	if j := h.c.jobs.open["job-000001"]; j == nil || j.run == nil || j.run.endState != "" {
 		t.Fatalf("the job is stuck: %+v", j)
 	}
-	token = h.c.token(h.c.own.shares[0], h.c.mach["vm-1"])
+	fencingToken = h.c.fencingToken(h.c.ownership.shards[0], h.c.machines["vm-1"])
 	h.dropCalls()
 	started := false
 	for seq := uint64(30); seq < 40 && !started; seq++ {
-		_, body := h.checkin(report("vm-1", 1, seq, token))
+		_, body := h.heartbeat(heartbeatFrom("vm-1", 1, seq, fencingToken))
 		started = len(starts(body.Commands)) > 0
 		h.run(sec / 2)
 		h.dropCalls()
@@ -688,16 +688,16 @@
 
 // One-task jobs come four a second, a quarter of them cancelled: ends and
 // cancellations keep up within this node's part of the budget, a job that ends before
-// its first Version never writes one, and nothing grows.
+// its first checkpoint never writes one, and nothing grows.
 func TestChurn(t *testing.T) {
 	h := meet(t, func(c *Config) {
 		c.WriteRPS, c.StateRPS = 25, 150
 		c.Peers = nil
 	})
-	h.settle("vm-1")
-	token := h.c.token(h.c.own.shares[0], h.c.mach["vm-1"])
+	h.reconcile("vm-1")
+	fencingToken := h.c.fencingToken(h.c.ownership.shards[0], h.c.machines["vm-1"])
 	seq, n := uint64(100), 0
-	var list []wire.TaskReport
+	var list []wire.TaskStatus
 	slowest := micros.Micros(0)
 	type open struct {
 		id    string
@@ -710,23 +710,23 @@
 		id := fmt.Sprintf("job-%06d", n)
 		h.submit(jobOf(id, 1))
 		if n%4 == 0 {
-			h.withdraw(id)
+			h.cancel(id)
 			waits = append(waits, open{id, h.reply, h.now})
 		}
 		h.dropCalls()
 		seq++
-		_, body := h.checkin(report("vm-1", 1, seq, token, list...))
-		var keep []wire.TaskReport
+		_, body := h.heartbeat(heartbeatFrom("vm-1", 1, seq, fencingToken, list...))
+		var keep []wire.TaskStatus
 		for _, tr := range list {
 			gone := false
 			for _, c := range body.Commands {
 				gone = gone || c.Op == wire.OpForget && c.Task == tr.Task
 				if c.Op == wire.OpStop && c.Task == tr.Task {
-					tr.State, tr.Why = wire.TaskExited, wire.WhyStopped
+					tr.State, tr.ExitReason = wire.TaskExited, wire.ExitStopped
 				}
 			}
 			if tr.State == wire.TaskRunning {
-				tr.State, tr.Why = wire.TaskExited, wire.WhyDone
+				tr.State, tr.ExitReason = wire.TaskExited, wire.ExitDone
 			}
 			if !gone {
 				keep = append(keep, tr)
@@ -734,7 +734,7 @@
 		}
 		list = keep
 		for _, c := range starts(body.Commands) {
-			list = append(list, wire.TaskReport{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning})
+			list = append(list, wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning})
 		}
 		h.run(190 * ms)
 		for _, w := range waits {
@@ -752,7 +752,7 @@
 	versions := 0
 	for _, tx := range h.done {
 		for _, ch := range tx.Then {
-			if len(ch.Put) > 8 && ch.Put[:8] == wire.PrefixVersion {
+			if len(ch.Put) > 8 && ch.Put[:8] == wire.PrefixCheckpoint {
 				versions++
 			}
 		}
@@ -762,16 +762,16 @@
 	}
 }
 
-// A Version that is carried out after its job's end leaves nothing behind.
-func TestLateVersion(t *testing.T) {
+// A checkpoint that is carried out after its job's end leaves nothing behind.
+func TestLateCheckpoint(t *testing.T) {
 	h := meet(t, withPeer)
-	token := h.settle("vm-1")
+	fencingToken := h.reconcile("vm-1")
 	h.submit(jobOf("job-000001", 2))
 	h.dropCalls()
-	_, body := h.checkin(report("vm-1", 1, 10, token))
+	_, body := h.heartbeat(heartbeatFrom("vm-1", 1, 10, fencingToken))
 	cmds := starts(body.Commands)
-	h.late = wire.PrefixVersion
-	h.checkin(report("vm-1", 1, 11, token, wire.TaskReport{Task: cmds[0].Task, Attempt: cmds[0].Attempt, State: wire.TaskExited, Why: wire.WhyDone}))
+	h.late = wire.PrefixCheckpoint
+	h.heartbeat(heartbeatFrom("vm-1", 1, 11, fencingToken, wire.TaskStatus{Task: cmds[0].Task, Attempt: cmds[0].Attempt, State: wire.TaskExited, ExitReason: wire.ExitDone}))
 	h.run(3 * sec)
 	if len(h.lateOut) == 0 {
 		t.Fatal("no Version was sent")
@@ -782,7 +782,7 @@
 		h.step(Result{ID: c.ID}) // given up
 	}
 	h.run(sec / 2) // read: nothing stands there
-	if a := h.withdraw("job-000001"); a.Status != 200 {
+	if a := h.cancel("job-000001"); a.Status != 200 {
 		t.Fatalf("withdrawal got %d", a.Status)
 	}
 	h.lateOut = late
@@ -793,25 +793,25 @@
 
 // A machine reports for the first time just as the leader's lease is over; the leader
 // leads again under the same key. The machine must find a home then.
-func TestReporterAcrossOutage(t *testing.T) {
+func TestRegistrationAcrossOutage(t *testing.T) {
 	h := meet(t, withPeer)
 	h.c.fleet.rented["vm-7"] = &rented{kind: kind{"m", "a", false}, at: h.now}
 	h.stateDown, h.refused = true, true
-	for h.now < h.c.own.renewed+h.c.bounds.Answer-200*ms {
+	for h.now < h.c.ownership.renewedAt+h.c.bounds.LeaseValidity-200*ms {
 		h.run(20 * ms)
 	}
-	h.ask(func(r ReplyID) Input { return Checkin{Reply: r, Report: report("vm-7", 1, 1, 0)} })
+	h.ask(func(r ReplyID) Input { return Heartbeat{Reply: r, Heartbeat: heartbeatFrom("vm-7", 1, 1, 0)} })
 	h.run(2 * sec)
-	if c := h.c; c.leading() || len(c.fleet.reporters) > 0 {
-		t.Fatalf("leading %v, %d reporters: the case is not what it should be", c.leading(), len(c.fleet.reporters))
+	if c := h.c; c.leading() || len(c.fleet.registrations) > 0 {
+		t.Fatalf("leading %v, %d reporters: the case is not what it should be", c.leading(), len(c.fleet.registrations))
 	}
 	h.stateDown, h.refused = false, false
 	h.run(2 * sec)
 	for seq := uint64(2); seq < 6; seq++ {
-		h.ask(func(r ReplyID) Input { return Checkin{Reply: r, Report: report("vm-7", 1, seq, 0)} })
+		h.ask(func(r ReplyID) Input { return Heartbeat{Reply: r, Heartbeat: heartbeatFrom("vm-7", 1, seq, 0)} })
 		h.run(sec)
 	}
-	if h.c.mach["vm-7"] == nil {
+	if h.c.machines["vm-7"] == nil {
 		t.Error("never assigned")
 	}
 }
@@ -832,26 +832,26 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := meet(t, withPeer)
-			token := h.settle("vm-1")
+			fencingToken := h.reconcile("vm-1")
 			h.submit(jobOf("job-000001", 8)) // four fit
 			h.dropCalls()
-			_, body := h.checkin(report("vm-1", 1, 10, token))
+			_, body := h.heartbeat(heartbeatFrom("vm-1", 1, 10, fencingToken))
 			first := starts(body.Commands)
 			h.stateDown, h.peersDown = true, true
-			var list []wire.TaskReport
+			var list []wire.TaskStatus
 			for i, c := range first {
 				if i > 0 {
-					list = append(list, wire.TaskReport{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning})
+					list = append(list, wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning})
 				}
 			}
-			for seq := uint64(11); h.now < h.c.own.renewed+h.c.bounds.Answer+sec; seq++ {
+			for seq := uint64(11); h.now < h.c.ownership.renewedAt+h.c.bounds.LeaseValidity+sec; seq++ {
 				h.run(sec / 2)
 				if !tc.silent {
-					h.step(PeerMessage{Reply: ReplyID(9000 + seq), Req: peer.Request{From: "n-1", Status: &peer.Status{About: peer.About{StateOK: tc.stateOK}}}})
+					h.step(PeerRequest{Reply: ReplyID(9000 + seq), Req: peer.Request{From: "n-1", Status: &peer.Status{About: peer.About{StateOK: tc.stateOK}}}})
 				}
-				h.checkin(report("vm-1", 1, seq, token, append([]wire.TaskReport{{Task: first[0].Task, Attempt: first[0].Attempt, State: wire.TaskRunning}}, list...)...))
+				h.heartbeat(heartbeatFrom("vm-1", 1, seq, fencingToken, append([]wire.TaskStatus{{Task: first[0].Task, Attempt: first[0].Attempt, State: wire.TaskRunning}}, list...)...))
 			}
-			_, body = h.checkin(report("vm-1", 1, 1000, token, append([]wire.TaskReport{{Task: first[0].Task, Attempt: first[0].Attempt, State: wire.TaskExited, Why: wire.WhyDone}}, list...)...))
+			_, body = h.heartbeat(heartbeatFrom("vm-1", 1, 1000, fencingToken, append([]wire.TaskStatus{{Task: first[0].Task, Attempt: first[0].Attempt, State: wire.TaskExited, ExitReason: wire.ExitDone}}, list...)...))
 			if n := len(starts(body.Commands)); n != tc.want {
 				t.Errorf("%d starts beyond the lease, want %d", n, tc.want)
 			}
@@ -859,22 +859,22 @@
 	}
 }
 
-// A machine's move is not answered; before the owner raises its token, the leader
-// rewrites the batch. The move is void then, and the machine is to be used again.
+// A machine's move is not answered; before the owner raises its fencing token, the leader
+// rewrites the record set. The move is void then, and the machine is to be used again.
 func TestVoidMoveEnds(t *testing.T) {
 	h := meet(t, func(c *Config) {
 		withPeer(c)
-		c.Shares = 2
+		c.Shards = 2
 		c.Teams = []Team{{Name: "t", CPUs: 8}, {Name: "u", CPUs: 4}}
 	})
 	h.run(4 * sec)
 	h.list("vm-1")
-	h.checkin(report("vm-1", 1, 1, 0))
-	m := h.c.mach["vm-1"]
-	m.batch.next = 0
+	h.heartbeat(heartbeatFrom("vm-1", 1, 1, 0))
+	m := h.c.machines["vm-1"]
+	m.recordSet.nextWriteAt = 0
 	h.c.fleet.planNext = micros.Never
 	h.late = wire.PrefixFleet
-	if h.c.release(peer.Release{Machines: []string{"vm-1"}, Share: 1 - m.rec.Share}); !m.v.releasing {
+	if h.c.release(peer.Release{Machines: []string{"vm-1"}, Shard: 1 - m.rec.Shard}); !m.view.releasing {
 		t.Fatal("not on its way: the case is not what it should be")
 	}
 	h.step(Tick{})
@@ -883,15 +883,15 @@
 	for _, c := range sent {
 		h.step(Result{ID: c.ID})
 	}
-	h.put(m.batch.key, recordOf(m.batch.list, nil, nil)) // as the leader does
+	h.put(m.recordSet.key, recordSetOf(m.recordSet.machines, nil, nil)) // as the leader does
 	h.dropCalls()
 	for seq := uint64(10); seq < 14; seq++ {
-		h.checkin(report("vm-1", 1, seq, h.c.token(h.c.own.shares[m.rec.Share], m)))
+		h.heartbeat(heartbeatFrom("vm-1", 1, seq, h.c.fencingToken(h.c.ownership.shards[m.rec.Shard], m)))
 		h.run(2 * sec)
 		h.dropCalls()
 	}
-	if m.v == nil || m.v.releasing || m.v.unclear != 0 {
-		t.Errorf("%+v: still on its way, though the move can't be applied any more", m.v)
+	if m.view == nil || m.view.releasing || m.view.inDoubtToken != 0 {
+		t.Errorf("%+v: still on its way, though the move can't be applied any more", m.view)
 	}
 	h.lateOut = sent
 	if n := h.carryOut(); n != 0 {
--- a/internal/core/core_test.go
+++ b/internal/controller/controller_test.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"testing"
@@ -7,11 +7,11 @@
 	"garnethitch/internal/wire"
 )
 
-func TestPartTeams(t *testing.T) {
+func TestAssignTeamsToShards(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		teams  []Team
-		shares int
+		shards int
 		want   []int
 	}{
 		{"one team without a limit: jobs are parted", []Team{{Name: "a"}}, 3, nil},
@@ -20,7 +20,7 @@
 		{"no guarantees: by number", []Team{{}, {}, {}, {}}, 2, []int{0, 1, 0, 1}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			got := PartTeams(tc.teams, tc.shares)
+			got := AssignTeamsToShards(tc.teams, tc.shards)
 			if len(got) != len(tc.want) || (got == nil) != (tc.want == nil) {
 				t.Fatalf("got %v, want %v", got, tc.want)
 			}
@@ -60,15 +60,15 @@
 		}
 	}
 	if a := h.ask(func(r ReplyID) Input {
-		return Submit{Reply: r, Err: &wire.SubmissionError{ID: "job-000001", Reason: "x"}}
+		return SubmitRequest{Reply: r, Err: &wire.SubmissionError{ID: "job-000001", Reason: "x"}}
 	}); a.Status != 200 {
 		t.Errorf("malformed repeat of an accepted job: %d, want 200", a.Status)
 	}
-	if a := h.ask(func(r ReplyID) Input { return Submit{Reply: r, Err: &wire.SubmissionError{Reason: "x"}} }); a.Status != 400 {
+	if a := h.ask(func(r ReplyID) Input { return SubmitRequest{Reply: r, Err: &wire.SubmissionError{Reason: "x"}} }); a.Status != 400 {
 		t.Errorf("malformed: %d, want 400", a.Status)
 	}
 	for id, want := range map[string]int{"job-000001": 200, "job-000002": 404, "nonsense": 404} {
-		if a := h.poll(id); a.Status != want {
+		if a := h.jobStatus(id); a.Status != want {
 			t.Errorf("question about %s: %d, want %d", id, a.Status, want)
 		}
 	}
@@ -90,58 +90,58 @@
 }
 
 // Which reports count, and what a worker is told.
-func TestReportOrder(t *testing.T) {
+func TestHeartbeatOrder(t *testing.T) {
 	h := newHarness(t, nil)
-	token := h.settle("vm-1")
+	fencingToken := h.reconcile("vm-1")
 	for _, tc := range []struct {
-		name                string
-		session, seq, token uint64
-		want                int
+		name                       string
+		session, seq, fencingToken uint64
+		want                       int
 	}{
-		{"newer", 1, 10, token, 200},
-		{"the same again", 1, 10, token, 503},
-		{"older", 1, 9, token, 503},
-		{"token of a successor", 1, 11, token + 1000, 503},
-		{"next session", 2, 1, token, 200},
-		{"older session, larger number", 1, 99, token, 503},
+		{"newer", 1, 10, fencingToken, 200},
+		{"the same again", 1, 10, fencingToken, 503},
+		{"older", 1, 9, fencingToken, 503},
+		{"token of a successor", 1, 11, fencingToken + 1000, 503},
+		{"next session", 2, 1, fencingToken, 200},
+		{"older session, larger number", 1, 99, fencingToken, 503},
 	} {
-		if status, _ := h.checkin(report("vm-1", tc.session, tc.seq, tc.token)); status != tc.want {
+		if status, _ := h.heartbeat(heartbeatFrom("vm-1", tc.session, tc.seq, tc.fencingToken)); status != tc.want {
 			t.Errorf("%s: %d, want %d", tc.name, status, tc.want)
 		}
 	}
 }
 
-// A start in a report's answer that was dropped is known to be so by the next
+// A start in a heartbeat's answer that was dropped is known to be so by the next
 // report, and is made again with a new attempt.
 func TestStartInDroppedAnswer(t *testing.T) {
 	h := newHarness(t, nil)
-	token := h.settle("vm-1")
-	first := h.startOne(token)
-	_, body := h.checkin(report("vm-1", 1, 11, token))
+	fencingToken := h.reconcile("vm-1")
+	first := h.startOne(fencingToken)
+	_, body := h.heartbeat(heartbeatFrom("vm-1", 1, 11, fencingToken))
 	again := starts(body.Commands)
 	if len(again) != 1 || again[0].Attempt <= first {
 		t.Errorf("after a report without the task: %v, want a start with an attempt above %d", body.Commands, first)
 	}
-	_, body = h.checkin(report("vm-1", 1, 12, token, wire.TaskReport{Task: "job-000001/0", Attempt: again[0].Attempt, State: wire.TaskRunning}))
+	_, body = h.heartbeat(heartbeatFrom("vm-1", 1, 12, fencingToken, wire.TaskStatus{Task: "job-000001/0", Attempt: again[0].Attempt, State: wire.TaskRunning}))
 	if len(starts(body.Commands)) != 0 {
 		t.Errorf("started again while it runs: %v", body.Commands)
 	}
 }
 
-// An order that was not answered may act minutes later: its task starts nowhere
-// else before a raised token was seen.
-func TestUnansweredOrder(t *testing.T) {
+// A command that was not answered may act minutes later: its task starts nowhere
+// else before a raised fencing token was seen.
+func TestUnansweredCommand(t *testing.T) {
 	h := newHarness(t, nil)
-	token := h.settle("vm-1")
-	other := h.settle("vm-2")
+	fencingToken := h.reconcile("vm-1")
+	other := h.reconcile("vm-2")
 	h.submit(jobOf("job-000001", 1))
-	orders := h.orders()
+	orders := h.directCommands()
 	if len(orders) != 1 {
 		t.Fatalf("%d orders, want 1", len(orders))
 	}
 	at := orders[0].Addr
 	if at == "vm-2" {
-		token, other = other, token
+		fencingToken, other = other, fencingToken
 	}
 	h.step(Result{ID: orders[0].ID}) // no answer
 	h.open = nil
@@ -152,21 +152,21 @@
 	seq := uint64(20)
 	startedElsewhere := func() bool {
 		seq++
-		_, body := h.checkin(report(elsewhere, 1, seq, other))
-		return len(starts(body.Commands)) > 0 || len(h.orders()) > 0
+		_, body := h.heartbeat(heartbeatFrom(elsewhere, 1, seq, other))
+		return len(starts(body.Commands)) > 0 || len(h.directCommands()) > 0
 	}
 	if startedElsewhere() {
 		t.Fatal("started elsewhere while the order may still act")
 	}
-	h.run(3 * sec) // the token is raised by rewriting the record
-	status, body := h.checkin(report(at, 1, 30, token))
-	if status != 200 || body.Token <= token {
-		t.Fatalf("answered %d with token %d, want one above %d", status, body.Token, token)
+	h.run(3 * sec) // the fencing token is raised by rewriting the record
+	status, body := h.heartbeat(heartbeatFrom(at, 1, 30, fencingToken))
+	if status != 200 || body.FencingToken <= fencingToken {
+		t.Fatalf("answered %d with token %d, want one above %d", status, body.FencingToken, fencingToken)
 	}
 	if startedElsewhere() {
 		t.Fatal("started elsewhere before the raised token was seen")
 	}
-	_, seen := h.checkin(report(at, 1, 31, body.Token))
+	_, seen := h.heartbeat(heartbeatFrom(at, 1, 31, body.FencingToken))
 	if len(starts(seen.Commands)) == 0 && !startedElsewhere() {
 		t.Error("not started again after the raised token was seen")
 	}
@@ -176,17 +176,17 @@
 // and not before.
 func TestSilentMachine(t *testing.T) {
 	h := newHarness(t, nil)
-	token := h.settle("vm-1")
-	a := h.startOne(token)
-	h.checkin(report("vm-1", 1, 11, token, wire.TaskReport{Task: "job-000001/0", Attempt: a, State: wire.TaskRunning}))
+	fencingToken := h.reconcile("vm-1")
+	a := h.startOne(fencingToken)
+	h.heartbeat(heartbeatFrom("vm-1", 1, 11, fencingToken, wire.TaskStatus{Task: "job-000001/0", Attempt: a, State: wire.TaskRunning}))
 	last := h.now
-	other := h.settle("vm-2")
+	other := h.reconcile("vm-2")
 	h.c.fleet.planNext = micros.Never // keep the idle machine
 	for seq := uint64(20); h.now < last+14*sec; seq++ {
 		h.run(sec / 2)
-		_, body := h.checkin(report("vm-2", 1, seq, other))
+		_, body := h.heartbeat(heartbeatFrom("vm-2", 1, seq, other))
 		early := h.now < last+10*sec
-		if started := len(starts(body.Commands)) > 0 || len(h.orders()) > 0; started {
+		if started := len(starts(body.Commands)) > 0 || len(h.directCommands()) > 0; started {
 			if early {
 				t.Fatalf("started elsewhere %v s after the last answer", (h.now - last).Seconds())
 			}
@@ -199,21 +199,21 @@
 // A cancellation stops what a start still under way brings up.
 func TestCancelDuringStart(t *testing.T) {
 	h := newHarness(t, nil)
-	token := h.settle("vm-1")
+	fencingToken := h.reconcile("vm-1")
 	h.submit(jobOf("job-000001", 2))
 	h.dropCalls()
-	_, body := h.checkin(report("vm-1", 1, 10, token))
+	_, body := h.heartbeat(heartbeatFrom("vm-1", 1, 10, fencingToken))
 	cmds := starts(body.Commands)
 	if len(cmds) != 2 {
 		t.Fatalf("%d starts, want 2", len(cmds))
 	}
-	if a := h.ask(func(r ReplyID) Input { return Withdraw{Reply: r, ID: "job-000001"} }); a.Status != 200 {
+	if a := h.ask(func(r ReplyID) Input { return CancelRequest{Reply: r, ID: "job-000001"} }); a.Status != 200 {
 		t.Fatalf("withdrawal answered %d", a.Status)
 	}
 	h.open = nil
-	_, body = h.checkin(report("vm-1", 1, 11, token,
-		wire.TaskReport{Task: "job-000001/0", Attempt: cmds[0].Attempt, State: wire.TaskFetching},
-		wire.TaskReport{Task: "job-000001/1", Attempt: cmds[1].Attempt, State: wire.TaskRunning}))
+	_, body = h.heartbeat(heartbeatFrom("vm-1", 1, 11, fencingToken,
+		wire.TaskStatus{Task: "job-000001/0", Attempt: cmds[0].Attempt, State: wire.TaskFetching},
+		wire.TaskStatus{Task: "job-000001/1", Attempt: cmds[1].Attempt, State: wire.TaskRunning}))
 	if again := starts(body.Commands); len(again) > 0 {
 		t.Errorf("a cancelled job's tasks are started: %v", again)
 	}
@@ -226,7 +226,7 @@
 }
 
 // A limit counts what may be on machines that were not heard of yet.
-func TestLimitCountsUnsettled(t *testing.T) {
+func TestLimitCountsUnreconciledMachines(t *testing.T) {
 	for _, tc := range []struct {
 		name      string
 		unsettled bool
@@ -236,17 +236,17 @@
 		{"one may hold four CPUs' worth", true, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			h := newHarness(t, func(c *Config) { c.Teams = []Team{{Name: "t", CPUsMax: 4}, {Name: "u"}}; c.Shares = 1 })
-			token := h.settle("vm-1")
+			h := newHarness(t, func(c *Config) { c.Teams = []Team{{Name: "t", CPUsMax: 4}, {Name: "u"}}; c.Shards = 1 })
+			fencingToken := h.reconcile("vm-1")
 			if tc.unsettled {
-				// It stood on record when the share was claimed.
+				// It stood on record when the shard was claimed.
 				h.putMachines("m-1-1", "vm-9")
-				h.c.mach["vm-9"].v.doubt = true
-				h.c.touch(h.c.mach["vm-9"])
+				h.c.machines["vm-9"].view.unreconciledFromPredecessor = true
+				h.c.markDirty(h.c.machines["vm-9"])
 			}
 			h.submit(jobOf("job-000001", 6))
 			h.dropCalls()
-			_, body := h.checkin(report("vm-1", 1, 10, token))
+			_, body := h.heartbeat(heartbeatFrom("vm-1", 1, 10, fencingToken))
 			if n := len(starts(body.Commands)); n != tc.want {
 				t.Errorf("%d tasks started, want %d", n, tc.want)
 			}
@@ -255,38 +255,38 @@
 }
 
 // Jobs that a former owner may have started wait until every machine of the
-// share is settled; jobs accepted after the claim need not.
+// shard is settled; jobs accepted after the claim need not.
 func TestTakeover(t *testing.T) {
-	h := newHarness(t, func(c *Config) { c.Peers = []string{"n-1"}; c.Shares = 1 })
-	// n-1 held the share; its job and machine stand on record.
+	h := newHarness(t, func(c *Config) { c.Peers = []string{"n-1"}; c.Shards = 1 })
+	// n-1 held the shard; its job and machine stand on record.
 	old := jobOf("job-000001", 1)
 	h.putMachines("l-1-1", "vm-1", "vm-2")
 	h.put(wire.JobKey("job-000001"), wire.JobRecord{Submission: &old, State: wire.StatePending, Tasks: 1})
 	h.txn(wire.Txn{Then: []wire.Change{{Delete: ownerKey(0)}}})
 	h.run(3 * sec)
-	s := h.c.own.shares[0]
+	s := h.c.ownership.shards[0]
 	if !s.active {
 		t.Fatal("the share was not taken over")
 	}
 	h.dropCalls()
-	token := h.c.token(s, h.c.mach["vm-1"])
-	_, body := h.checkin(report("vm-1", 1, 5, token))
+	fencingToken := h.c.fencingToken(s, h.c.machines["vm-1"])
+	_, body := h.heartbeat(heartbeatFrom("vm-1", 1, 5, fencingToken))
 	if n := len(starts(body.Commands)); n != 0 {
 		t.Fatalf("%d old tasks started while vm-2 may hold them", n)
 	}
 	h.submit(jobOf("job-000002", 1))
 	h.dropCalls()
-	_, body = h.checkin(report("vm-1", 1, 6, token))
+	_, body = h.heartbeat(heartbeatFrom("vm-1", 1, 6, fencingToken))
 	if got := starts(body.Commands); len(got) != 1 || got[0].Task != "job-000002/0" {
 		t.Errorf("starts %v, want the new job's only", got)
 	}
 	new := starts(body.Commands)[0]
 	// vm-2 shows the old task: it is adopted, not started again.
-	_, body = h.checkin(report("vm-2", 1, 5, token, wire.TaskReport{Task: "job-000001/0", Attempt: 7, State: wire.TaskRunning}))
+	_, body = h.heartbeat(heartbeatFrom("vm-2", 1, 5, fencingToken, wire.TaskStatus{Task: "job-000001/0", Attempt: 7, State: wire.TaskRunning}))
 	for _, c := range body.Commands {
 		t.Errorf("unexpected command %v", c)
 	}
-	_, body = h.checkin(report("vm-1", 1, 7, token, wire.TaskReport{Task: new.Task, Attempt: new.Attempt, State: wire.TaskRunning}))
+	_, body = h.heartbeat(heartbeatFrom("vm-1", 1, 7, fencingToken, wire.TaskStatus{Task: new.Task, Attempt: new.Attempt, State: wire.TaskRunning}))
 	if n := len(starts(body.Commands)); n != 0 {
 		t.Errorf("the old task was started again")
 	}
@@ -297,20 +297,20 @@
 
 // A job that becomes known only after its machines settled is tied to its
 // running tasks before anything is placed: ran_twice on a day when a node
-// came back from a cut with an old view (Inkingi troubles, seed 182635972162).
+// came back from a cut with an old view (Inkingi faults, seed 182635972162).
 func TestLateJobIsAdopted(t *testing.T) {
 	h := newHarness(t, nil)
-	token := h.settle("vm-1")
-	other := h.settle("vm-2")
-	h.checkin(report("vm-1", 1, 10, token, wire.TaskReport{Task: "job-000001/0", Attempt: 7, State: wire.TaskRunning}))
+	fencingToken := h.reconcile("vm-1")
+	other := h.reconcile("vm-2")
+	h.heartbeat(heartbeatFrom("vm-1", 1, 10, fencingToken, wire.TaskStatus{Task: "job-000001/0", Attempt: 7, State: wire.TaskRunning}))
 	sub := jobOf("job-000001", 1)
 	// As if accepted before our claim: its record has a lower mark.
 	h.c.learnJob("job-000001", wire.JobRecord{Submission: &sub, State: wire.StatePending, Tasks: 1}, 1)
-	h.c.placementDue = true
+	h.c.schedulingDue = true
 	h.run(sec)
-	_, body := h.checkin(report("vm-2", 1, 10, other))
-	if len(starts(body.Commands)) != 0 || len(h.orders()) != 0 {
-		t.Errorf("started again: %v %v", body.Commands, h.orders())
+	_, body := h.heartbeat(heartbeatFrom("vm-2", 1, 10, other))
+	if len(starts(body.Commands)) != 0 || len(h.directCommands()) != 0 {
+		t.Errorf("started again: %v %v", body.Commands, h.directCommands())
 	}
 }
 
@@ -318,20 +318,20 @@
 // nothing is told from memory.
 func TestUnansweredEnd(t *testing.T) {
 	h := newHarness(t, nil)
-	token := h.settle("vm-1")
-	a := h.startOne(token)
+	fencingToken := h.reconcile("vm-1")
+	a := h.startOne(fencingToken)
 	h.lose, h.watchBlocked = wire.JobKey("job-000001"), wire.PrefixJob
-	h.checkin(report("vm-1", 1, 11, token, wire.TaskReport{Task: "job-000001/0", Attempt: a, State: wire.TaskExited, Why: wire.WhyDone}))
+	h.heartbeat(heartbeatFrom("vm-1", 1, 11, fencingToken, wire.TaskStatus{Task: "job-000001/0", Attempt: a, State: wire.TaskExited, ExitReason: wire.ExitDone}))
 	// Applied, not answered: the store says done, and so must every answer.
 	if s := h.state("job-000001"); s != wire.StateDone {
 		t.Errorf("called %q while its end stands on record", s)
 	}
 }
 
-// A node that has just claimed a share with an old view of jobs must not speak
+// A node that has just claimed a shard with an old view of jobs must not speak
 // for one that is long over (found by the simulation: done was called pending).
-func TestOldViewOfJobs(t *testing.T) {
-	h := newHarness(t, func(c *Config) { c.Peers = []string{"n-1"}; c.Shares = 1 })
+func TestStaleViewOfJobs(t *testing.T) {
+	h := newHarness(t, func(c *Config) { c.Peers = []string{"n-1"}; c.Shards = 1 })
 	sub := jobOf("job-000001", 1)
 	h.put(wire.JobKey("job-000001"), wire.JobRecord{Submission: &sub, State: wire.StatePending, Tasks: 1})
 	h.watchBlocked = wire.PrefixJob // from here on it hears of no job
@@ -342,16 +342,16 @@
 	}
 	h.txn(wire.Txn{Then: []wire.Change{{Put: wire.JobKey("job-000001"), Value: value}}})
 	h.run(2 * sec)
-	if s := h.c.own.shares[0]; !s.active || s.current || h.c.jobs.open["job-000001"] == nil {
-		t.Fatalf("active %v, current %v: the case is not what it should be", s.active, s.current)
+	if s := h.c.ownership.shards[0]; !s.active || s.jobsViewCurrent || h.c.jobs.open["job-000001"] == nil {
+		t.Fatalf("active %v, current %v: the case is not what it should be", s.active, s.jobsViewCurrent)
 	}
 	if s := h.state("job-000001"); s != wire.StateDone {
 		t.Errorf("called %q, done on record", s)
 	}
 }
 
-// Versions cover the done tasks as ranges, within the size of a value.
-func TestVersion(t *testing.T) {
+// checkpoints cover the done tasks as ranges, within the size of a value.
+func TestCheckpoint(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		tasks  int
@@ -367,7 +367,7 @@
 		{"every other of 2,000: more ranges than fit", 2000, func(i int) bool { return i%2 == 0 }, nil, 1000, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			c := New(Config{Shares: 1, Teams: []Team{{Name: "t"}}, ValueBytes: 8 << 10, StateRPS: 1, WriteRPS: 1, CloudRPS: 1}, 1)
+			c := New(Config{Shards: 1, Teams: []Team{{Name: "t"}}, ValueBytes: 8 << 10, StateRPS: 1, WriteRPS: 1, CloudRPS: 1}, 1)
 			sub := jobOf("job-000001", tc.tasks)
 			j := &job{id: sub.ID, sub: &sub, run: &run{done: newBitset(tc.tasks)}}
 			for i := range tc.tasks {
@@ -375,17 +375,17 @@
 					j.run.done.set(i)
 				}
 			}
-			j.run.count = tc.count
-			rec, _ := c.version(j)
+			j.run.doneCount = tc.count
+			rec, _ := c.buildCheckpoint(j)
 			if tc.set {
 				if rec.Count != tc.count || len(rec.Ranges) != 0 {
 					t.Fatalf("%d done in %d ranges, want %d in a set", rec.Count, len(rec.Ranges)/2, tc.count)
 				}
 				// A new owner reads the same from it.
-				again := &job{id: sub.ID, sub: &sub, run: &run{done: newBitset(tc.tasks), saved: newBitset(tc.tasks), fresh: true}}
-				c.applyVersion(&share{versions: map[string]wire.VersionRecord{sub.ID: rec}}, again)
-				if again.run.count != tc.count {
-					t.Errorf("read as %d done", again.run.count)
+				again := &job{id: sub.ID, sub: &sub, run: &run{done: newBitset(tc.tasks), checkpointed: newBitset(tc.tasks), acceptedUnderClaim: true}}
+				c.applyCheckpoint(&shard{checkpoints: map[string]wire.CheckpointRecord{sub.ID: rec}}, again)
+				if again.run.doneCount != tc.count {
+					t.Errorf("read as %d done", again.run.doneCount)
 				}
 				return
 			}
@@ -399,7 +399,7 @@
 			}
 		})
 	}
-	c := New(Config{Shares: 1, Teams: []Team{{Name: "t"}}, ValueBytes: 8 << 10, StateRPS: 1, WriteRPS: 1, CloudRPS: 1}, 1)
+	c := New(Config{Shards: 1, Teams: []Team{{Name: "t"}}, ValueBytes: 8 << 10, StateRPS: 1, WriteRPS: 1, CloudRPS: 1}, 1)
 	sub := jobOf("job-000001", wire.MaxTasks)
 	j := &job{id: sub.ID, sub: &sub, run: &run{done: newBitset(wire.MaxTasks)}}
 	for i := 0; i < wire.MaxTasks; i += 2 {
@@ -408,7 +408,7 @@
 	for range maxSteps {
 		j.run.steps = append(j.run.steps, wire.Step{Task: 99_999, Machine: "vm-000000000", StartMS: 1 << 41, EndMS: 1 << 41})
 	}
-	rec, covered := c.version(j)
+	rec, covered := c.buildCheckpoint(j)
 	value, err := wire.Encode(rec)
 	if err != nil || len(value) > 8<<10 || rec.Count == 0 {
 		t.Errorf("the worst Version has %d bytes for %d tasks, %v", len(value), rec.Count, err)
@@ -438,7 +438,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t, nil)
 			for _, id := range []string{"vm-1", "vm-2", "vm-3"} {
-				h.settle(id)
+				h.reconcile(id)
 			}
 			for _, id := range []string{"job-000001", "job-000002"} {
 				h.submit(jobOf(id, 5))
@@ -448,15 +448,15 @@
 				h.c.jobs.open["job-000001"].run.active[100+i] = &attempt{runAt: h.now - 6*sec}
 			}
 			for _, f := range tc.failures {
-				j, m := h.c.jobs.open[f[0]], h.c.mach[f[1]]
-				h.c.noteFailure(&attempt{job: j, m: m, idx: 0})
+				j, m := h.c.jobs.open[f[0]], h.c.machines[f[1]]
+				h.c.noteFailure(&attempt{job: j, machine: m, index: 0})
 			}
 			for _, id := range []string{"vm-1", "vm-2", "vm-3"} {
 				want := false
 				for _, s := range tc.faulty {
 					want = want || s == id
 				}
-				if v := h.c.mach[id].v; v.faulty != want || (v.quarantinedUntil > h.c.now) != want {
+				if v := h.c.machines[id].view; v.faulty != want || (v.cordonedUntil > h.c.now) != want {
 					t.Errorf("%s set aside: %v, want %v", id, v.faulty, want)
 				}
 			}
@@ -465,7 +465,7 @@
 				for _, s := range tc.slowed {
 					want = want || s == id
 				}
-				if got := h.c.jobs.open[id].run.probeAt > 0; got != want {
+				if got := h.c.jobs.open[id].run.nextRetryAt > 0; got != want {
 					t.Errorf("%s throttled: %v, want %v", id, got, want)
 				}
 			}
@@ -477,66 +477,66 @@
 // end of its lease, and commanding at the end of the extra time.
 func TestLosingTheStateService(t *testing.T) {
 	h := newHarness(t, nil)
-	token := h.settle("vm-1")
+	fencingToken := h.reconcile("vm-1")
 	h.submit(jobOf("job-000001", 1))
 	h.stateDown = true
-	last := h.c.own.renewed
+	last := h.c.ownership.renewedAt
 	seq := uint64(10)
-	for h.now < last+h.c.bounds.Command+2*sec {
+	for h.now < last+h.c.bounds.CommandValidity+2*sec {
 		h.run(sec / 2)
 		seq++
-		status, _ := h.checkin(report("vm-1", 1, seq, token))
-		if want := h.now < last+h.c.bounds.Command; (status == 200) != want {
+		status, _ := h.heartbeat(heartbeatFrom("vm-1", 1, seq, fencingToken))
+		if want := h.now < last+h.c.bounds.CommandValidity; (status == 200) != want {
 			t.Fatalf("%v s after the last renewal a report got %d", (h.now - last).Seconds(), status)
 		}
-		a := h.poll("job-000001")
-		if want := h.now < last+h.c.bounds.Answer; (a.Status == 200) != want {
+		a := h.jobStatus("job-000001")
+		if want := h.now < last+h.c.bounds.LeaseValidity; (a.Status == 200) != want {
 			t.Fatalf("%v s after the last renewal a question got %d", (h.now - last).Seconds(), a.Status)
 		}
 	}
-	if h.c.bounds.Command <= h.c.bounds.Answer+micros.Second {
+	if h.c.bounds.CommandValidity <= h.c.bounds.LeaseValidity+micros.Second {
 		t.Error("the case has no extra time to look at")
 	}
 }
 
-// A repeat of a direct order can follow the end of the process that sent it. It
-// must find the attempt still known, unless a higher token has been seen since
+// A repeat of a direct command can follow the end of the process that sent it. It
+// must find the attempt still known, unless a higher fencing token has been seen since
 // (found by the simulation: the repeat ran a task that had moved on).
-func TestOrderedAttemptStaysKnown(t *testing.T) {
+func TestCommandedAttemptStaysKnown(t *testing.T) {
 	for _, tc := range []struct {
-		name    string
-		why     string
-		ordered bool
-		raised  bool
-		clear   bool
+		name       string
+		exitReason string
+		ordered    bool
+		raised     bool
+		clear      bool
 	}{
-		{"stopped, started by an order", wire.WhyStopped, true, false, false},
-		{"failed, started by an order", wire.WhyError, true, false, false},
-		{"stopped, token raised since", wire.WhyStopped, true, true, true},
-		{"stopped, started in a report's answer", wire.WhyStopped, false, false, true},
+		{"stopped, started by an order", wire.ExitStopped, true, false, false},
+		{"failed, started by an order", wire.ExitError, true, false, false},
+		{"stopped, token raised since", wire.ExitStopped, true, true, true},
+		{"stopped, started in a report's answer", wire.ExitStopped, false, false, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t, nil)
-			token := h.settle("vm-1")
+			fencingToken := h.reconcile("vm-1")
 			h.submit(jobOf("job-000001", 1))
 			var attempt uint64
 			if tc.ordered {
-				o := h.orders()[0]
-				attempt = starts(o.Req.(wire.Orders).Commands)[0].Attempt
+				o := h.directCommands()[0]
+				attempt = starts(o.Req.(wire.DirectCommand).Commands)[0].Attempt
 				h.open = nil
-				r := report("vm-1", 1, 10, token, wire.TaskReport{Task: "job-000001/0", Attempt: attempt, State: wire.TaskRunning})
+				r := heartbeatFrom("vm-1", 1, 10, fencingToken, wire.TaskStatus{Task: "job-000001/0", Attempt: attempt, State: wire.TaskRunning})
 				h.step(Result{ID: o.ID, Status: 200, Body: &r})
 			} else {
 				h.dropCalls()
-				_, body := h.checkin(report("vm-1", 1, 10, token))
+				_, body := h.heartbeat(heartbeatFrom("vm-1", 1, 10, fencingToken))
 				attempt = starts(body.Commands)[0].Attempt
 			}
-			shown := token
+			shown := fencingToken
 			if tc.raised {
 				shown++ // as after a rewrite of the machine's record
-				h.c.mach["vm-1"].batch.mark = shown
+				h.c.machines["vm-1"].recordSet.modRevision = shown
 			}
-			_, body := h.checkin(report("vm-1", 1, 20, shown, wire.TaskReport{Task: "job-000001/0", Attempt: attempt, State: wire.TaskExited, Why: tc.why}))
+			_, body := h.heartbeat(heartbeatFrom("vm-1", 1, 20, shown, wire.TaskStatus{Task: "job-000001/0", Attempt: attempt, State: wire.TaskExited, ExitReason: tc.exitReason}))
 			cleared := false
 			for _, c := range body.Commands {
 				cleared = cleared || c.Op == wire.OpForget && c.Attempt == attempt
@@ -550,9 +550,9 @@
 
 // Room that is being made for one job is not given to another meanwhile, which
 // would only be stopped in its turn (found by the simulation: forty stops a second).
-func TestRoomBeingMadeIsKept(t *testing.T) {
+func TestPreemptedCapacityIsReserved(t *testing.T) {
 	h := newHarness(t, nil)
-	token := h.settle("vm-1") // four CPUs
+	fencingToken := h.reconcile("vm-1") // four CPUs
 	job := func(id, priority string, tasks int, cpus float64) {
 		s := jobOf(id, tasks)
 		s.Priority, s.CPUs = priority, cpus
@@ -561,21 +561,21 @@
 	job("job-000001", "standard", 1, 2)
 	job("job-000002", "best_effort", 2, 2) // the second task waits
 	h.dropCalls()
-	_, body := h.checkin(report("vm-1", 1, 10, token))
-	running := map[string]wire.TaskReport{}
+	_, body := h.heartbeat(heartbeatFrom("vm-1", 1, 10, fencingToken))
+	running := map[string]wire.TaskStatus{}
 	for _, c := range starts(body.Commands) {
-		running[c.Task] = wire.TaskReport{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning}
+		running[c.Task] = wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning}
 	}
 	first, second := running["job-000001/0"], running["job-000002/0"]
 	if first.Attempt == 0 || second.Attempt == 0 {
 		t.Fatalf("running %v", running)
 	}
-	h.checkin(report("vm-1", 1, 11, token, first, second))
+	h.heartbeat(heartbeatFrom("vm-1", 1, 11, fencingToken, first, second))
 	job("job-000003", "standard", 1, 3) // may stop job-000002, which is not enough
 	h.run(2 * sec)
 	// The first ends: what it leaves and what job-000002 holds are enough.
-	first.State, first.Why = wire.TaskExited, wire.WhyDone
-	_, body = h.checkin(report("vm-1", 1, 12, token, first, second))
+	first.State, first.ExitReason = wire.TaskExited, wire.ExitDone
+	_, body = h.heartbeat(heartbeatFrom("vm-1", 1, 12, fencingToken, first, second))
 	stops := 0
 	for _, c := range body.Commands {
 		if c.Op == wire.OpStop {
@@ -593,7 +593,7 @@
 // Readiness: users go elsewhere if a node alone has lost the state service, but
 // not if all have, also when they were started in the outage.
 func TestReady(t *testing.T) {
-	ready := func(h *harness) int { return h.ask(func(r ReplyID) Input { return Ready{Reply: r} }).Status }
+	ready := func(h *harness) int { return h.ask(func(r ReplyID) Input { return ReadinessRequest{Reply: r} }).Status }
 	for _, tc := range []struct {
 		name              string
 		before, peerState bool // it had the state service before; a peer has it now
@@ -617,7 +617,7 @@
 			for range 12 {
 				h.run(sec / 2)
 				p := h.c.peers["n-1"]
-				p.heardAt, p.stateOK = h.now, tc.peerState
+				p.lastHeardAt, p.stateOK = h.now, tc.peerState
 			}
 			if got := ready(h); got != tc.want {
 				t.Errorf("ready: %d, want %d", got, tc.want)
@@ -628,7 +628,7 @@
 
 // A job that can only just be in time has others stopped at once, without time
 // to save; one that has time, or can't be in time any more, has not.
-func TestPressed(t *testing.T) {
+func TestDeadlineNear(t *testing.T) {
 	deadline := func(s float64) *float64 { return &s }
 	for _, tc := range []struct {
 		name     string
@@ -644,19 +644,19 @@
 		{"too late already", deadline(5), 0, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			h := newHarness(t, func(c *Config) { c.Finished = map[string]micros.Micros{"c": tc.within} })
+			h := newHarness(t, func(c *Config) { c.FinishWithin = map[string]micros.Micros{"c": tc.within} })
 			s := jobOf("job-000001", 1)
 			s.DeadlineS = tc.deadline
 			h.submit(s)
 			j := h.c.jobs.open["job-000001"]
-			if got := h.c.pressed(j); got != tc.want {
+			if got := h.c.deadlineNear(j); got != tc.want {
 				t.Errorf("pressed: %v, want %v", got, tc.want)
 			}
 			low := jobOf("job-000002", 1)
 			low.Priority, low.CheckpointS, low.SaveS = "best_effort", 5, 2
 			h.submit(low)
 			victim := &attempt{job: h.c.jobs.open["job-000002"], state: attemptRunning}
-			if got := h.c.haltFor(victim, j) == haltHard; got != tc.want {
+			if got := h.c.stopModeFor(victim, j) == stopImmediate; got != tc.want {
 				t.Errorf("stopped without saving: %v, want %v", got, tc.want)
 			}
 		})
--- a/internal/core/demand.go
+++ b/internal/controller/demand.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"cmp"
@@ -11,7 +11,7 @@
 )
 
 const (
-	// maxBusyRows bounds how many busy machines of a share the leader hears of: it
+	// maxBusyRows bounds how many busy machines of a shard the leader hears of: it
 	// moves and empties only those that are soon or nearly empty.
 	maxBusyRows = 40
 	// maxRowBytes bounds the rows of all other machines of this controller, so that a
@@ -22,43 +22,43 @@
 	rowBytes = 60
 )
 
-// demands tells what the shares of this node want.
-func (c *Core) demands() []peer.Demand {
+// demands tells what the shards of this node want.
+func (c *Controller) demands() []peer.Demand {
 	var out []peer.Demand
-	room := maxRowBytes
-	for _, s := range c.own.shares {
-		if c.acting(s.id) != nil {
+	remainingBytes := maxRowBytes
+	for _, s := range c.ownership.shards {
+		if c.activeShard(s.id) != nil {
 			var d peer.Demand
-			d, room = c.demandOf(s, room)
+			d, remainingBytes = c.demandOf(s, remainingBytes)
 			out = append(out, d)
 		}
 	}
 	return out
 }
 
-// logRooms tells of every share of this node; its callers have their pace.
-func (c *Core) logRooms() {
-	for _, s := range c.own.shares {
-		if c.acting(s.id) != nil {
-			c.logRoom(s)
+// logFreeCapacities tells of every shard of this node; its callers have their pace.
+func (c *Controller) logFreeCapacities() {
+	for _, s := range c.ownership.shards {
+		if c.activeShard(s.id) != nil {
+			c.logFreeCapacity(s)
 		}
 	}
 }
 
-// demandOf is what a share wants of the fleet, and what stands in it. Rows of machines
+// demandOf is what a shard wants of the fleet, and what stands in it. Rows of machines
 // that are not busy take at most room bytes; it gives what is left of that.
-func (c *Core) demandOf(s *share, room int) (peer.Demand, int) {
+func (c *Controller) demandOf(s *shard, remainingBytes int) (peer.Demand, int) {
 	c.refresh(s)
-	d := peer.Demand{Share: s.id, ArrivalCPUs: s.arrivals.rate(c.now), All: len(s.machines)}
+	d := peer.Demand{Shard: s.id, ArrivalCPUs: s.arrivals.rate(c.now), All: len(s.machines)}
 	for _, j := range c.queue(s) {
-		if j.within && j.run != nil {
-			d.Guarantee += float64(j.sub.Tasks-j.run.count) * j.sub.CPUs
+		if j.withinGuarantee && j.run != nil {
+			d.Guarantee += float64(j.sub.Tasks-j.run.doneCount) * j.sub.CPUs
 		}
 	}
 	var busy []peer.Machine
 	zones := map[string]*peer.Zone{}
 	for _, m := range s.machines {
-		if m.v == nil || m.returned {
+		if m.view == nil || m.returned {
 			continue
 		}
 		z := zones[m.rec.Zone]
@@ -73,8 +73,8 @@
 		c.countAttempts(m, &d, &row)
 		if row.State == peer.MachineBusy {
 			busy = append(busy, row)
-		} else if size := rowBytes + len(row.ID); size <= room {
-			room -= size
+		} else if size := rowBytes + len(row.ID); size <= remainingBytes {
+			remainingBytes -= size
 			d.Machines = append(d.Machines, row)
 		}
 	}
@@ -83,27 +83,27 @@
 		d.Zones = append(d.Zones, *zones[name])
 	}
 	d.Groups = c.groups(s)
-	return d, room
+	return d, remainingBytes
 }
 
-// countMachine adds a machine to its share's sums and its zone's, by its state, and
+// countMachine adds a machine to its shard's sums and its zone's, by its state, and
 // gives its row.
-func (c *Core) countMachine(s *share, m *machine, d *peer.Demand, z *peer.Zone) peer.Machine {
-	v, cpus := m.v, c.types[m.rec.Type].CPUs
-	used := min(v.sum.cpus, cpus)
+func (c *Controller) countMachine(s *shard, m *machine, d *peer.Demand, z *peer.Zone) peer.Machine {
+	v, cpus := m.view, c.types[m.rec.Type].CPUs
+	used := min(v.usage.cpus, cpus)
 	row := peer.Machine{ID: m.id, State: c.stateOf(m), Busy: used, Movable: true}
 	z.All++
 	switch row.State {
 	case peer.MachineBooting:
 		d.Booting += cpus
 		z.All--
-	case peer.MachineDoubt:
-		if v.unanswered >= 2 {
+	case peer.MachineUnreconciled:
+		if v.unansweredReconciliations >= 2 {
 			row.SinceUS = int64(c.now - s.claimedAt)
 		}
-		d.Doubt++
-		d.HeldUS = max(int64(s.freeAt-c.now), 0)
-		if c.now-s.claimedAt > doubtReturn {
+		d.Unreconciled++
+		d.BlockedUS = max(int64(s.machinesFreeAt-c.now), 0)
+		if c.now-s.claimedAt > unreconciledReturnAfter {
 			z.Silent++
 		}
 	case peer.MachineIdle:
@@ -112,11 +112,11 @@
 	case peer.MachineSilent:
 		d.Silent++
 		z.Silent++
-		row.SinceUS = int64(c.unheard(v))
+		row.SinceUS = int64(c.sinceLastHeartbeat(v))
 		if c.leaseRunningOut(v) {
-			row.SinceUS = max(row.SinceUS, int64(c.unanswered(v)))
+			row.SinceUS = max(row.SinceUS, int64(c.sinceLastReply(v)))
 		}
-		if r := &v.reach; r.unshown > 0 {
+		if r := &v.reachability; r.unconfirmedReplies > 0 {
 			row.SinceUS = max(row.SinceUS, int64(c.now-r.since))
 		}
 	case peer.MachineBusy:
@@ -128,8 +128,8 @@
 
 // countAttempts adds what a machine's attempts have left to do, and what moving them
 // would lose.
-func (c *Core) countAttempts(m *machine, d *peer.Demand, row *peer.Machine) {
-	for _, att := range m.v.list {
+func (c *Controller) countAttempts(m *machine, d *peer.Demand, row *peer.Machine) {
+	for _, att := range m.view.list {
 		if att.job == nil || att.state == attemptExited {
 			continue
 		}
@@ -146,7 +146,7 @@
 
 // busyRows are the busy machines that the leader is told of: those that are empty
 // soonest, and those of the others that stand most unused.
-func (c *Core) busyRows(busy []peer.Machine) []peer.Machine {
+func (c *Controller) busyRows(busy []peer.Machine) []peer.Machine {
 	slices.SortFunc(busy, func(a, b peer.Machine) int { return cmp.Or(cmp.Compare(a.LeftUS, b.LeftUS), cmp.Compare(a.ID, b.ID)) })
 	n := min(len(busy), maxBusyRows)
 	rest := busy[n:]
@@ -158,8 +158,8 @@
 
 // unusedFor is how much of a machine stands unused until it is empty, in CPU
 // seconds.
-func (c *Core) unusedFor(row peer.Machine) float64 {
-	m := c.mach[row.ID]
+func (c *Controller) unusedFor(row peer.Machine) float64 {
+	m := c.machines[row.ID]
 	if m == nil {
 		return 0
 	}
@@ -169,45 +169,45 @@
 // movable: a running task may be stopped so that its machine can be returned. It
 // can save, or its job is late already by what its class or its user wants, it
 // has not been stopped before, and most of its work is still ahead.
-func (c *Core) movable(att *attempt) bool {
-	if !att.owned || att.state != attemptRunning || att.job.run == nil {
+func (c *Controller) movable(att *attempt) bool {
+	if !att.tracked || att.state != attemptRunning || att.job.run == nil {
 		return false
 	}
 	if att.job.sub.CheckpointS > 0 {
 		return true
 	}
 	ran := c.now - att.runAt
-	if att.job.run.stopped[att.idx] > 0 || 3*ran > c.runs.expect(att.job.sub) {
+	if att.job.run.stopsByTask[att.index] > 0 || 3*ran > c.estimates.expect(att.job.sub) {
 		return false
 	}
 	due := c.dueOf(att.job)
 	return due < micros.Never && c.wall > due
 }
 
-// logRoom tells, at debug, where a share's unused CPUs are.
-func (c *Core) logRoom(s *share) {
-	var free, held, unsettled, late, notice, aside, going, other float64
+// logFreeCapacity tells, at debug, where a shard's unused CPUs are.
+func (c *Controller) logFreeCapacity(s *shard) {
+	var free, held, unsettled, overdue, notice, aside, releasing, other float64
 	for _, m := range s.machines {
-		v := m.v
-		if v == nil || m.returned || v.fresh {
+		v := m.view
+		if v == nil || m.returned || v.neverCommanded {
 			continue
 		}
-		unused := c.types[m.rec.Type].CPUs - v.sum.cpus
+		unused := c.types[m.rec.Type].CPUs - v.usage.cpus
 		switch {
-		case c.usable(m) && v.reserved.job != nil && c.now < v.reserved.until:
+		case c.usable(m) && v.reservation.job != nil && c.now < v.reservation.until:
 			held += unused
 		case c.usable(m):
 			free += unused
-		case !v.settled || !v.known:
+		case !v.reconciled || !v.sequenceKnown:
 			unsettled += unused
-		case c.unheard(v) > c.late() || c.outOfReach(m) || c.leaseRunningOut(v):
-			late += unused
-		case v.takenAt != 0:
+		case c.sinceLastHeartbeat(v) > c.heartbeatOverdueAfter() || c.unreachable(m) || c.leaseRunningOut(v):
+			overdue += unused
+		case v.reclaimAt != 0:
 			notice += unused
-		case c.now < v.quarantinedUntil || c.now < v.restUntil:
+		case c.now < v.cordonedUntil || c.now < v.backoffUntil:
 			aside += unused
 		case v.releasing || c.now < v.plannedUntil:
-			going += unused
+			releasing += unused
 		default:
 			other += unused
 		}
@@ -222,37 +222,37 @@
 			blocked += n
 		}
 	}
-	args := []any{"share", s.id, "wanted", open, "blocked", blocked}
+	args := []any{"shard", s.id, "wanted", open, "blocked", blocked}
 	if c.quota.ledger != nil {
 		args = append(args, "quota", quota)
 	}
-	c.log(Debug, "unused CPUs", append(args, "free", free, "held", held, "unsettled", unsettled, "late", late,
-		"notice", notice, "aside", aside, "going", going, "other", other, "orders", len(c.orders.wait), "in_flight", c.orders.inFlight)...)
+	c.log(Debug, "unused CPUs", append(args, "free", free, "reserved", held, "unreconciled", unsettled, "overdue", overdue,
+		"notice", notice, "cordoned", aside, "releasing", releasing, "other", other, "queued_commands", len(c.commandQueue.waiting), "in_flight", c.commandQueue.inFlight)...)
 }
 
 // stateOf says how a machine counts for the leader.
-func (c *Core) stateOf(m *machine) int {
-	v := m.v
+func (c *Controller) stateOf(m *machine) int {
+	v := m.view
 	switch {
-	case v.doubt:
-		return peer.MachineDoubt
-	case v.fresh && c.now-v.since < 4*micros.Minute:
+	case v.unreconciledFromPredecessor:
+		return peer.MachineUnreconciled
+	case v.neverCommanded && c.now-v.since < 4*micros.Minute:
 		return peer.MachineBooting
-	case !v.known && v.settled || v.gone || c.unheard(v) > c.silence() || c.outOfReach(m) || c.leaseRunningOut(v) && v.empty():
+	case !v.sequenceKnown && v.reconciled || v.leaseExpired || c.sinceLastHeartbeat(v) > c.heartbeatTimeout() || c.unreachable(m) || c.leaseRunningOut(v) && v.empty():
 		return peer.MachineSilent
-	case v.faulty && c.now < v.quarantinedUntil || v.takenAt != 0 || c.slowness(m) > 0.4 && v.slowN > 3:
-		return peer.MachineBad
+	case v.faulty && c.now < v.cordonedUntil || v.reclaimAt != 0 || c.slowness(m) > 0.4 && v.slowCount > 3:
+		return peer.MachineUnhealthy
 	case v.releasing || c.now < v.plannedUntil:
 		return peer.MachineDraining
-	case v.settled && v.empty():
+	case v.reconciled && v.empty():
 		return peer.MachineIdle
 	}
 	return peer.MachineBusy
 }
 
-// groups gathers a share's waiting tasks by what they need. A team's tasks
+// groups gathers a shard's waiting tasks by what they need. A team's tasks
 // beyond its limit are not counted: machines would not help them.
-func (c *Core) groups(s *share) []peer.Group {
+func (c *Controller) groups(s *shard) []peer.Group {
 	type key struct {
 		zone, types string
 		spot        bool
@@ -265,12 +265,12 @@
 	for i, t := range c.cfg.Teams {
 		rooms[i] = math.Inf(1)
 		if t.CPUsMax > 0 {
-			rooms[i] = t.CPUsMax - s.used[i].cpus
+			rooms[i] = t.CPUsMax - s.usage[i].cpus
 		}
 	}
 	quotas := quotaRoom{}
 	for _, j := range c.queue(s) {
-		if j.run == nil || !j.run.ready || j.run.want != "" || j.run.probeAt != 0 {
+		if j.run == nil || !j.run.checkpointApplied || j.run.endState != "" || j.run.nextRetryAt != 0 {
 			continue
 		}
 		n := j.pending()
@@ -279,8 +279,8 @@
 		}
 		fit := n
 		if j.sub.CPUs > 0 {
-			if room := rooms[j.team] / j.sub.CPUs; room < float64(n) {
-				fit = max(int(room), 0)
+			if headroom := rooms[j.team] / j.sub.CPUs; headroom < float64(n) {
+				fit = max(int(headroom), 0)
 			}
 			rooms[j.team] -= float64(fit) * j.sub.CPUs
 		}
@@ -297,7 +297,7 @@
 				CPUs: j.sub.CPUs, GPUs: j.sub.GPUs, MemGB: j.sub.MemGB, Priority: j.priority})
 		}
 		out[i].Waiting += fit
-		out[i].WorkUS += int64(n) * int64(c.runs.expect(j.sub))
+		out[i].WorkUS += int64(n) * int64(c.estimates.expect(j.sub))
 		out[i].MemGB = max(out[i].MemGB, j.sub.MemGB)
 	}
 	return out
--- a/internal/core/pipelines.go
+++ b/internal/controller/dependencies.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"slices"
@@ -14,26 +14,26 @@
 // when it learns of the job, takes it over, or learns of an end.
 
 // storable: the value fits the limits of the state service, those to come included.
-func (c *Core) storable(value wire.Raw) bool {
+func (c *Controller) storable(value wire.Raw) bool {
 	return wire.StoredSize(value, c.cfg.ValueBytes) <= c.cfg.ValueBytes
 }
 
-// held: not all that the job needs is done.
-func (j *job) held() bool { return len(j.needs) > 0 }
+// blocked: not all that the job needs is done.
+func (j *job) blocked() bool { return len(j.needs) > 0 }
 
 // linkDependencies puts a job that has become known beside those that it needs and those that need
 // it, and finds out what it inherits from either.
-func (c *Core) linkDependencies(j *job) {
+func (c *Controller) linkDependencies(j *job) {
 	c.updatePriority(j)
 	t := &c.jobs
 	delete(t.unknown, j.id)
-	for _, id := range j.sub.Dependencies {
+	for _, id := range j.sub.DependsOn {
 		f, over := t.final(id)
 		switch {
 		case over && f.state == wire.StateCancelled:
 			c.markDependencyCancelled(j)
 		case over && f.recorded:
-			j.heldMS = max(j.heldMS, f.endMS)
+			j.unblockedMS = max(j.unblockedMS, f.endMS)
 			continue
 		}
 		if j.needs == nil {
@@ -51,9 +51,9 @@
 }
 
 // unlinkDependencies takes a job that is over away from those that it needed.
-func (c *Core) unlinkDependencies(j *job) {
+func (c *Controller) unlinkDependencies(j *job) {
 	t := &c.jobs
-	for _, id := range j.sub.Dependencies {
+	for _, id := range j.sub.DependsOn {
 		if !j.needs[id] {
 			continue
 		}
@@ -69,7 +69,7 @@
 }
 
 // dependencyEnded lets those go on that waited for a job, or cancels them with it.
-func (c *Core) dependencyEnded(id string, f finalJob) {
+func (c *Controller) dependencyEnded(id string, f finalJob) {
 	t := &c.jobs
 	delete(t.unknown, id)
 	if f.state == wire.StateCancelled {
@@ -91,27 +91,27 @@
 		if end == 0 {
 			end = c.wall.Millis() // recorded by a version that does not tell
 		}
-		d.heldMS = max(d.heldMS, end)
-		if d.held() || d.dependencyCancelled || d.run == nil {
+		d.unblockedMS = max(d.unblockedMS, end)
+		if d.blocked() || d.dependencyCancelled || d.run == nil {
 			continue
 		}
-		s := c.own.shares[d.share]
-		s.queueStale, c.placementDue = true, true
-		d.run.arrival = c.now
+		s := c.ownership.shards[d.shard]
+		s.queueStale, c.schedulingDue = true, true
+		d.run.arrivedAt = c.now
 		c.noteArrival(s, d)
-		c.log(Info, "job may start, all that it needs is done", "job", d.id, "after_ms", c.wall.Millis()-end, "class", d.sub.Class, "priority", d.priority)
+		c.log(Info, "job unblocked, all its dependencies are done", "job", d.id, "after_ms", c.wall.Millis()-end, "class", d.sub.Class, "priority", d.priority)
 	}
 }
 
 // noteArrival counts work that may start from now on.
-func (c *Core) noteArrival(s *share, j *job) {
-	s.arrivals.add(c.now, float64(j.sub.Tasks)*j.sub.CPUs*c.runs.expect(j.sub).Seconds())
+func (c *Controller) noteArrival(s *shard, j *job) {
+	s.arrivals.add(c.now, float64(j.sub.Tasks)*j.sub.CPUs*c.estimates.expect(j.sub).Seconds())
 }
 
 // markDependencyCancelled marks jobs as to be cancelled, since one that they need is, and with them all
 // that need them, however deep: none of them can ever start. Each is recorded by its
 // own owner, and called cancelled only then.
-func (c *Core) markDependencyCancelled(jobs ...*job) {
+func (c *Controller) markDependencyCancelled(jobs ...*job) {
 	n, first := 0, ""
 	for stack := slices.Clone(jobs); len(stack) > 0; {
 		d := stack[len(stack)-1]
@@ -121,9 +121,9 @@
 		}
 		d.dependencyCancelled = true
 		c.cascade.add(d)
-		if d.run != nil && d.run.want == "" {
-			d.run.want = wire.StateCancelled // recordDependents records it
-			c.own.shares[d.share].queueStale = true
+		if d.run != nil && d.run.endState == "" {
+			d.run.endState = wire.StateCancelled // recordDependents records it
+			c.ownership.shards[d.shard].queueStale = true
 			if n++; n == 1 {
 				first = d.id
 			}
@@ -131,35 +131,35 @@
 		stack = append(stack, c.jobs.dependents[d.id]...)
 	}
 	if n > 0 {
-		c.log(Info, "jobs to be cancelled with one that they need", "first", first, "count", n)
+		c.log(Info, "cancelling dependents of a cancelled job", "first", first, "count", n)
 		c.wakeIn(0)
 	}
 }
 
 // namesCancelled: a job that is to be accepted needs one that is cancelled, directly
 // or through others, as far as this node knows.
-func (c *Core) namesCancelled(sub *wire.Submission) bool {
-	return slices.ContainsFunc(sub.Dependencies, func(id string) bool {
+func (c *Controller) namesCancelled(sub *wire.Submission) bool {
+	return slices.ContainsFunc(sub.DependsOn, func(id string) bool {
 		f, over := c.jobs.final(id)
 		d := c.jobs.open[id]
 		return over && f.state == wire.StateCancelled || d != nil && d.dependencyCancelled
 	})
 }
 
-// maxHeldViewAge is how old the view of jobs may be by which a held job is called pending,
+// maxBlockedViewAge is how old the view of jobs may be by which a held job is called pending,
 // counted from when what brought it was asked for.
-const maxHeldViewAge = 10 * micros.Second
+const maxBlockedViewAge = 10 * micros.Second
 
 // mayWait: a job may be called pending as far as those go that it needs. Of one that
 // needs a cancelled job nobody is told so, and of a held one only while this node's
 // view of jobs is new enough to know: after an outage of the state service a
 // cancellation that its user was told of long ago may not have come here yet.
-func (c *Core) mayWait(j *job) bool {
-	if j.dependencyCancelled || !j.held() {
+func (c *Controller) mayWait(j *job) bool {
+	if j.dependencyCancelled || !j.blocked() {
 		return !j.dependencyCancelled
 	}
-	w := &c.own.job
-	if !w.ready || c.now-w.completeAt > min(maxHeldViewAge, c.cfg.Cancel/2) {
+	w := &c.ownership.jobWatch
+	if !w.ready || c.now-w.completeAsOf > min(maxBlockedViewAge, c.cfg.Cancel/2) {
 		return false
 	}
 	return c.knowsAllNeeded(j)
@@ -167,7 +167,7 @@
 
 // knowsAllNeeded: of everything that a held job needs, directly or through others, this
 // node knows how it stands. A cancelled one that has left memory may be far above.
-func (c *Core) knowsAllNeeded(j *job) bool {
+func (c *Controller) knowsAllNeeded(j *job) bool {
 	seen := map[string]bool{}
 	for stack := []*job{j}; len(stack) > 0; {
 		at := stack[len(stack)-1]
@@ -188,7 +188,7 @@
 // updatePriority sets a job's effective priority and deadline by those that need it, and tells
 // whether they have changed. It may be treated as having the priority of any of them;
 // and where one is due, it must be done as much earlier as that one takes.
-func (c *Core) updatePriority(j *job) bool {
+func (c *Controller) updatePriority(j *job) bool {
 	prio, _ := wire.PriorityOf(j.sub.Priority)
 	due := micros.Never
 	if j.sub.DeadlineS != nil {
@@ -196,20 +196,20 @@
 	}
 	for _, d := range c.jobs.dependents[j.id] {
 		prio = max(prio, d.priority)
-		if d.due < micros.Never {
-			due = min(due, d.due-c.runs.expect(d.sub))
+		if d.deadline < micros.Never {
+			due = min(due, d.deadline-c.estimates.expect(d.sub))
 		}
 	}
-	if prio == j.priority && due == j.due {
+	if prio == j.priority && due == j.deadline {
 		return false
 	}
-	j.priority, j.due = prio, due
-	c.own.shares[j.share].queueStale = true
+	j.priority, j.deadline = prio, due
+	c.ownership.shards[j.shard].queueStale = true
 	return true
 }
 
 // propagatePriority lets a job's priority and deadline flow up to all that it needs.
-func (c *Core) propagatePriority(j *job) {
+func (c *Controller) propagatePriority(j *job) {
 	for stack := []*job{j}; len(stack) > 0; {
 		d := stack[len(stack)-1]
 		stack = stack[:len(stack)-1]
@@ -221,18 +221,18 @@
 	}
 }
 
-// mostReads bounds the reads of unknown dependencies under way.
-const mostReads = 4
+// maxDependencyReads bounds the reads of unknown dependencies under way.
+const maxDependencyReads = 4
 
 // readUnknown reads dependencies of jobs of this node that are not known here: their
 // ends may have left memory.
-func (c *Core) readUnknown() {
+func (c *Controller) readUnknown() {
 	t := &c.jobs
 	if len(t.unknown) == 0 {
 		return
 	}
 	for _, id := range sortedKeys(t.unknown) {
-		if t.reads >= mostReads {
+		if t.reads >= maxDependencyReads {
 			return
 		}
 		if c.now < t.unknown[id] || !slices.ContainsFunc(t.dependents[id], func(d *job) bool { return d.run != nil && !d.dependencyCancelled }) {
@@ -246,9 +246,9 @@
 
 // lookUpDependencies finds out whether all that a submission names was accepted: 200,
 // 404 if one surely was not, 0 if that can't be said now.
-func (c *Core) lookUpDependencies(sub wire.Submission, done func(status int)) {
+func (c *Controller) lookUpDependencies(sub wire.Submission, done func(status int)) {
 	var ask []string
-	for _, id := range sub.Dependencies {
+	for _, id := range sub.DependsOn {
 		if !c.knows(id) { // as the job itself is not
 			ask = append(ask, id)
 		}
--- a/internal/core/pipelines_test.go
+++ b/internal/controller/dependencies_test.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"fmt"
@@ -14,7 +14,7 @@
 // after is a plain submission that depends on others.
 func after(id string, tasks int, dependencies ...string) wire.Submission {
 	s := jobOf(id, tasks)
-	s.Dependencies = dependencies
+	s.DependsOn = dependencies
 	return s
 }
 
@@ -123,28 +123,28 @@
 
 // pipeline is a harness with a machine, and jobs that need each other as a diamond:
 // 2 and 3 need 1, 4 needs both.
-func diamond(t *testing.T) (h *harness, token uint64) {
+func diamond(t *testing.T) (h *harness, fencingToken uint64) {
 	h = meet(t, withPeer)
-	token = h.settle("vm-1")
+	fencingToken = h.reconcile("vm-1")
 	h.submit(jobOf("job-000001", 1))
 	h.submit(after("job-000002", 1, "job-000001"))
 	h.submit(after("job-000003", 1, "job-000001"))
 	h.submit(after("job-000004", 1, "job-000002", "job-000003"))
 	h.dropCalls()
-	return h, token
+	return h, fencingToken
 }
 
-// started gives the names of the tasks that a report's answer starts; those before
+// started gives the names of the tasks that a heartbeat's answer starts; those before
 // are reported as done.
-func (h *harness) finishAndStart(seq uint64, token uint64, before []wire.Command) []wire.Command {
+func (h *harness) finishAndStart(seq uint64, fencingToken uint64, before []wire.Command) []wire.Command {
 	h.dropCalls()
-	_, body := h.checkin(report("vm-1", 1, seq, token, shownDone(before)...))
+	_, body := h.heartbeat(heartbeatFrom("vm-1", 1, seq, fencingToken, shownDone(before)...))
 	return starts(body.Commands)
 }
 
-func shownDone(cmds []wire.Command) (out []wire.TaskReport) {
+func shownDone(cmds []wire.Command) (out []wire.TaskStatus) {
 	for _, c := range cmds {
-		out = append(out, wire.TaskReport{Task: c.Task, Attempt: c.Attempt, State: wire.TaskExited, Why: wire.WhyDone})
+		out = append(out, wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskExited, ExitReason: wire.ExitDone})
 	}
 	return out
 }
@@ -159,15 +159,15 @@
 }
 
 // A pipeline runs in order, each job once all that it needs is done on record.
-func TestPipelineRuns(t *testing.T) {
-	h, token := diamond(t)
+func TestDAGRuns(t *testing.T) {
+	h, fencingToken := diamond(t)
 	seq := uint64(20)
 	var running []wire.Command
 	for _, want := range []string{"job-000001/0", "job-000002/0 job-000003/0", "job-000004/0"} {
 		var got []wire.Command
 		for range 20 {
 			seq++
-			if got = h.finishAndStart(seq, token, running); len(got) > 0 {
+			if got = h.finishAndStart(seq, fencingToken, running); len(got) > 0 {
 				break
 			}
 			h.run(200 * ms)
@@ -179,7 +179,7 @@
 	}
 	for range 5 {
 		seq++
-		h.finishAndStart(seq, token, running)
+		h.finishAndStart(seq, fencingToken, running)
 		h.run(sec)
 	}
 	for _, id := range []string{"job-000001", "job-000004"} {
@@ -191,20 +191,20 @@
 
 // A held job is pending and takes nothing of its team's limit, guarantee or demand,
 // and nothing but a record lets it go.
-func TestHeld(t *testing.T) {
+func TestBlocked(t *testing.T) {
 	h := meet(t, func(c *Config) { withPeer(c); c.Teams = []Team{{Name: "t", CPUs: 3, CPUsMax: 4}} })
-	token := h.settle("vm-1")
+	fencingToken := h.reconcile("vm-1")
 	other := jobOf("job-000001", 1)
 	h.record(other)
 	h.submit(after("job-000002", 2, "job-000001"))
 	h.submit(jobOf("job-000003", 2))
 	c := h.c
-	s := c.own.shares[0]
+	s := c.ownership.shards[0]
 	held, free := c.jobs.open["job-000002"], c.jobs.open["job-000003"]
-	if !held.held() || slices.Contains(c.queue(s), held) {
+	if !held.blocked() || slices.Contains(c.queue(s), held) {
 		t.Error("a held job stands in the queue")
 	}
-	if !free.within {
+	if !free.withinGuarantee {
 		t.Error("a held job takes of its team's guarantee")
 	}
 	if d, _ := c.demandOf(s, maxRowBytes); waitingCPUs(&d)+d.Busy > 3+eps {
@@ -216,7 +216,7 @@
 	noStart := func(when string) {
 		t.Helper()
 		h.dropCalls()
-		_, body := h.checkin(report("vm-1", 1, h.c.mach["vm-1"].v.seq+1, token))
+		_, body := h.heartbeat(heartbeatFrom("vm-1", 1, h.c.machines["vm-1"].view.sequence+1, fencingToken))
 		for _, cmd := range starts(body.Commands) {
 			if strings.HasPrefix(cmd.Task, "job-000002/") {
 				t.Fatalf("started %s", when)
@@ -224,17 +224,17 @@
 		}
 	}
 	noStart("while held")
-	// Its dependency's task is done by a report; another controller says that the job
+	// Its dependency's task is done by a heartbeat; another controller says that the job
 	// is; the record does not.
 	c.finishJob("job-000001", finalJob{state: wire.StateDone, tasks: 1})
 	h.run(100 * ms)
-	if !held.held() {
+	if !held.blocked() {
 		t.Error("let go on another controller's word")
 	}
 	noStart("on another controller's word")
 	h.recordEnd("job-000001", wire.StateDone, 0)
 	h.run(3 * sec) // read, since it had left the list of open jobs
-	if held.held() || !slices.Contains(c.queue(s), held) {
+	if held.blocked() || !slices.Contains(c.queue(s), held) {
 		t.Error("still held, though its dependency is done on record")
 	}
 }
@@ -270,7 +270,7 @@
 			h.recordEnd("job-000001", wire.StateDone, 9_000_000)
 			h.recordEnd("job-000002", wire.StateDone, 8_000_000)
 			h.submit(sub)
-			if j := h.c.jobs.open["job-000009"]; j == nil || !j.held() {
+			if j := h.c.jobs.open["job-000009"]; j == nil || !j.blocked() {
 				h.t.Error("nothing is unknown: the case is not what it should be")
 			}
 			h.run(4 * sec)
@@ -280,7 +280,7 @@
 			h := meet(t, withPeer)
 			tc.turn(h, after("job-000009", 1, "job-000001", "job-000002"))
 			j := h.c.jobs.open["job-000009"]
-			if j == nil || j.held() {
+			if j == nil || j.blocked() {
 				t.Fatalf("%+v: held, or not known", j)
 			}
 			if j.since() != 9_000_000 {
@@ -311,11 +311,11 @@
 		name string
 		play func(h *harness)
 	}{
-		{"withdrawn here", func(h *harness) { chain(h, n); h.withdraw("job-000100") }},
+		{"withdrawn here", func(h *harness) { chain(h, n); h.cancel("job-000100") }},
 		{"recorded by another owner", func(h *harness) { chain(h, n); h.recordEnd("job-000100", wire.StateCancelled, 0) }},
 		{"told by another controller first", func(h *harness) {
 			chain(h, n)
-			h.step(PeerMessage{Reply: 900, Req: peer.Request{From: "n-1", Status: &peer.Status{Cancelled: []string{"job-000100"}}}})
+			h.step(PeerRequest{Reply: 900, Req: peer.Request{From: "n-1", Status: &peer.Status{Cancelled: []string{"job-000100"}}}})
 			h.recordEnd("job-000100", wire.StateCancelled, 0)
 		}},
 		{"cancelled before its dependents are submitted", func(h *harness) {
@@ -337,7 +337,7 @@
 			for i := 1; i < n; i++ {
 				h.record(after(fmt.Sprintf("job-%06d", 100+i), 1, "job-000100"))
 			}
-			h.withdraw("job-000100")
+			h.cancel("job-000100")
 		}},
 		{"learned by a node that has just begun, dependents first", func(h *harness) {
 			h.record(after("job-000101", 1, "job-000100"))
@@ -374,7 +374,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := meet(t, withPeer)
-			h.settle("vm-1")
+			h.reconcile("vm-1")
 			tc.play(h)
 			h.run(6 * sec)
 			if got := all(h, n); got[wire.StateCancelled] != n {
@@ -391,14 +391,14 @@
 		h := meet(t, withPeer)
 		chain(h, 3)
 		h.recordEnd("job-000100", wire.StateDone, 0)
-		if a := h.withdraw("job-000100"); stateOf(a) != wire.StateDone {
+		if a := h.cancel("job-000100"); stateOf(a) != wire.StateDone {
 			t.Fatalf("withdrawal answered %q", stateOf(a))
 		}
 		h.run(3 * sec)
 		if got := all(h, 3); got[wire.StatePending] != 2 {
 			t.Errorf("states %v, want two pending", got)
 		}
-		if h.c.jobs.open["job-000101"].held() {
+		if h.c.jobs.open["job-000101"].blocked() {
 			t.Error("still held")
 		}
 	})
@@ -414,7 +414,7 @@
 
 // Priority and deadline of the last job work for all that it needs, from when it is
 // submitted until it is gone.
-func TestUrgencyFlowsUp(t *testing.T) {
+func TestPriorityPropagatesUp(t *testing.T) {
 	h := meet(t, withPeer)
 	low := func(id string, dependencies ...string) wire.Submission {
 		s := after(id, 1, dependencies...)
@@ -426,7 +426,7 @@
 	h.record(low("job-000003", "job-000001"))
 	at := func(id string) (int, micros.Micros) {
 		j := h.c.jobs.open[id]
-		return j.priority, j.due
+		return j.priority, j.deadline
 	}
 	if p, due := at("job-000001"); p != wire.PriorityLow || due != micros.Never {
 		t.Errorf("priority %d, due %v before anything urgent needs it", p, due)
@@ -449,7 +449,7 @@
 	if p, d := at("job-000004"); p != wire.PriorityHigh || d != due {
 		t.Errorf("priority %d, due %v: a laxer dependent changed it", p, d)
 	}
-	h.withdraw("job-000004")
+	h.cancel("job-000004")
 	h.run(2 * sec)
 	if p, d := at("job-000001"); p != wire.PriorityLow || d != micros.Never {
 		t.Errorf("priority %d, due %v after what needed it is cancelled", p, d)
@@ -459,7 +459,7 @@
 // Priority and deadline reach a job through others of any team and any owner, in
 // whatever order they become known, and count from the submission of the last job however
 // long it waits; nothing is left of them once that one is over.
-func TestUrgencyAcrossTeamsAndOwners(t *testing.T) {
+func TestPriorityAcrossTeamsAndOwners(t *testing.T) {
 	const ids = 4 // job-000004 needs 3, 3 needs 2, 2 needs 1
 	for _, tc := range []struct {
 		name  string
@@ -474,7 +474,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			h := meet(t, func(c *Config) {
 				withPeer(c)
-				c.Shares = 2
+				c.Shards = 2
 				c.Teams = []Team{{Name: "t", CPUs: 8, CPUsMax: 8}, {Name: "other", CPUs: 8, CPUsMax: 8}}
 			})
 			var acceptedMS int64
@@ -482,7 +482,7 @@
 				sub := jobOf(fmt.Sprintf("job-%06d", i), 1)
 				sub.Priority = "best_effort"
 				if i > 1 {
-					sub.Dependencies = []string{fmt.Sprintf("job-%06d", i-1)}
+					sub.DependsOn = []string{fmt.Sprintf("job-%06d", i-1)}
 				}
 				if i%2 == 0 {
 					sub.Team = "other"
@@ -497,16 +497,16 @@
 			due := micros.Micros(acceptedMS)*ms + 100*sec
 			for i := ids; i >= 1; i-- {
 				j := h.c.jobs.open[fmt.Sprintf("job-%06d", i)]
-				if want := due - micros.Micros(ids-i)*10*sec; j.priority != wire.PriorityHigh || j.due != want {
-					t.Errorf("%s: priority %d, due %v, want high and %v", j.id, j.priority, j.due, want)
+				if want := due - micros.Micros(ids-i)*10*sec; j.priority != wire.PriorityHigh || j.deadline != want {
+					t.Errorf("%s: priority %d, due %v, want high and %v", j.id, j.priority, j.deadline, want)
 				}
 			}
 			h.recordEnd("job-000004", tc.ends, 0)
 			h.run(sec)
 			for i := 1; i < ids; i++ {
 				j := h.c.jobs.open[fmt.Sprintf("job-%06d", i)]
-				if j.priority != wire.PriorityLow || j.due != micros.Never {
-					t.Errorf("%s keeps priority %d, due %v", j.id, j.priority, j.due)
+				if j.priority != wire.PriorityLow || j.deadline != micros.Never {
+					t.Errorf("%s keeps priority %d, due %v", j.id, j.priority, j.deadline)
 				}
 			}
 		})
@@ -524,27 +524,27 @@
 		t.Run(tc.name, func(t *testing.T) {
 			h := meet(t, func(c *Config) {
 				withPeer(c)
-				c.ValueBytes, c.TxnOps, c.MaxMachines, c.Asks = 2<<10, 4, 100, 200
+				c.ValueBytes, c.TxnOps, c.MaxMachines, c.MaxWorkerRequests = 2<<10, 4, 100, 200
 			})
 			var ids []string
 			for i := range 50 {
 				ids = append(ids, machineName(i))
 			}
-			h.c.splitAt = micros.Never
+			h.c.nextSplitAt = micros.Never
 			h.putMachines("h-1-1", ids...)
-			s := h.c.own.shares[0]
-			token := h.c.token(s, h.c.mach[ids[0]])
+			s := h.c.ownership.shards[0]
+			fencingToken := h.c.fencingToken(s, h.c.machines[ids[0]])
 			for _, id := range ids {
-				h.checkin(report(id, 1, 2, token))
+				h.heartbeat(heartbeatFrom(id, 1, 2, fencingToken))
 			}
 			h.submit(jobOf("job-000001", 200))
 			h.dropCalls()
-			running := map[string][]wire.TaskReport{}
+			running := map[string][]wire.TaskStatus{}
 			n := 0
 			for _, id := range ids {
-				_, body := h.checkin(report(id, 1, 3, token))
+				_, body := h.heartbeat(heartbeatFrom(id, 1, 3, fencingToken))
 				running[id] = shown(starts(body.Commands), wire.TaskRunning)
-				h.checkin(report(id, 1, 4, token, running[id]...))
+				h.heartbeat(heartbeatFrom(id, 1, 4, fencingToken, running[id]...))
 				n += len(running[id])
 			}
 			if n != 200 {
@@ -557,7 +557,7 @@
 				h.watchBlocked = wire.PrefixControl
 			}
 			from := len(h.log)
-			h.c.splitAt = 0
+			h.c.nextSplitAt = 0
 			h.run(sec)
 			if tc.reverse {
 				slices.Reverse(h.log[from:])
@@ -566,24 +566,24 @@
 			h.giveUp()
 			h.run(sec)
 			in := map[string]int{}
-			for key, o := range h.c.batches {
+			for key, o := range h.c.recordSets {
 				if value := h.keys[key].Value; wire.StoredSize(value, 2<<10) > 2<<10 {
 					t.Errorf("%s takes %d bytes", key, len(value))
 				}
-				for _, m := range o.list {
+				for _, m := range o.machines {
 					in[m.id]++
 				}
 			}
 			active := len(h.c.jobs.open["job-000001"].run.active)
-			if len(h.c.batches) < 3 || len(in) != 50 || active != 200 {
-				t.Errorf("%d batches with %d machines, %d tasks active; want 3, 50, 200", len(h.c.batches), len(in), active)
+			if len(h.c.recordSets) < 3 || len(in) != 50 || active != 200 {
+				t.Errorf("%d batches with %d machines, %d tasks active; want 3, 50, 200", len(h.c.recordSets), len(in), active)
 			}
 			for id, times := range in {
-				m := h.c.mach[id]
-				if times != 1 || m == nil || m.v == nil || len(m.v.list) != 4 {
+				m := h.c.machines[id]
+				if times != 1 || m == nil || m.view == nil || len(m.view.list) != 4 {
 					t.Fatalf("%s stands in %d batches, or its tasks are gone", id, times)
 				}
-				if h.c.token(s, m) <= token {
+				if h.c.fencingToken(s, m) <= fencingToken {
 					t.Errorf("the token of %s did not rise", id)
 				}
 			}
@@ -595,24 +595,24 @@
 func TestEverythingFits(t *testing.T) {
 	const limit = 2 << 10
 	h := meet(t, func(c *Config) { withPeer(c); c.ValueBytes = limit; c.TxnOps = 4 })
-	h.settle("vm-1")
+	h.reconcile("vm-1")
 	for name, tasks := range map[string]int{"job-000001": 2000, "job-000002": 100_000, "job-000003": 1} {
 		for pattern, every := range map[string]int{"alternating": 2, "in threes": 3, "all but the last": 1} {
 			h.submit(jobOf(name, tasks))
 			j := h.c.jobs.open[name]
-			j.run.done, j.run.count = newBitset(tasks), 0
+			j.run.done, j.run.doneCount = newBitset(tasks), 0
 			for i := 0; i < tasks-1; i += every {
 				j.run.done.set(i)
-				j.run.count++
+				j.run.doneCount++
 			}
-			j.run.steps, j.run.re = nil, nil
+			j.run.steps, j.run.recoveries = nil, nil
 			for i := range maxSteps {
 				j.run.steps = append(j.run.steps, wire.Step{Task: 99_000 + i, Machine: "vm-123456", StartMS: 1_800_000_000_000, EndMS: 1_800_000_000_000})
 			}
 			for range maxRecoveries {
-				j.run.re = append(j.run.re, 1_800_000_000_000)
+				j.run.recoveries = append(j.run.recoveries, 1_800_000_000_000)
 			}
-			rec, _ := h.c.version(j)
+			rec, _ := h.c.buildCheckpoint(j)
 			value := encoded(t, rec)
 			if n := wire.StoredSize(value, limit); n > limit {
 				t.Errorf("a Version of %d tasks, %s, counts %d bytes", tasks, pattern, n)
@@ -623,12 +623,12 @@
 		}
 	}
 	var list []*machine
-	for i := range h.c.batchLimit() {
+	for i := range h.c.recordSetLimit() {
 		m := &machine{id: fmt.Sprintf("vm-%06d", 123456+i)}
-		m.rec = machineRecord{Addr: "10.201.230.231:9000", Type: "a-long-name-of-a-type", Zone: "birmingham", Spot: i%2 == 0, Retiring: true}
+		m.rec = machineRecord{Addr: "10.201.230.231:9000", Type: "a-long-name-of-a-type", Zone: "birmingham", Spot: i%2 == 0, Cordoned: true}
 		list = append(list, m)
 	}
-	if n := wire.StoredSize(encoded(t, recordOf(list, nil, nil)), limit); n > limit {
+	if n := wire.StoredSize(encoded(t, recordSetOf(list, nil, nil)), limit); n > limit {
 		t.Errorf("a batch of %d machines counts %d bytes", len(list), n)
 	}
 }
@@ -637,7 +637,7 @@
 // user was told of long ago: it calls no held job pending before its view is new
 // enough (found by the simulation: a node back from an outage longer than a
 // cancellation may take).
-func TestHeldIsPendingOnlyWithNewView(t *testing.T) {
+func TestBlockedIsPendingOnlyWithNewView(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		lose func(h *harness)
@@ -660,7 +660,7 @@
 		}},
 		{"it is listing anew", func(h *harness) {
 			h.watchBlocked = wire.PrefixJob
-			h.c.own.job.ready, h.c.own.job.busy = false, true
+			h.c.ownership.jobWatch.ready, h.c.ownership.jobWatch.inFlight = false, true
 		}},
 		{"the dependency's end is not in memory", func(h *harness) {
 			h.c.jobs.unknown["job-000001"] = micros.Never
@@ -680,7 +680,7 @@
 				t.Fatalf("called %q in calm", s)
 			}
 			tc.lose(h)
-			if a := h.poll("job-000002"); a.Status != 503 {
+			if a := h.jobStatus("job-000002"); a.Status != 503 {
 				t.Errorf("answered %d %q with an old view", a.Status, stateOf(a))
 			}
 			if b := h.askAs("n-1", "job-000002"); b.Status != 503 {
@@ -696,7 +696,7 @@
 // askAs puts another controller's question.
 func (h *harness) askAs(label, id string) peer.Answer {
 	a := h.ask(func(r ReplyID) Input {
-		return PeerMessage{Reply: r, Req: peer.Request{From: label, Ask: &peer.Ask{ID: id}}}
+		return PeerRequest{Reply: r, Req: peer.Request{From: label, Ask: &peer.Ask{ID: id}}}
 	})
 	return *a.Body.(*peer.Response).Answer
 }
--- a/internal/core/estimates.go
+++ b/internal/controller/estimates.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"math"
--- a/internal/core/trouble_test.go
+++ b/internal/controller/faults_test.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"strings"
@@ -12,7 +12,7 @@
 // A controller without the state service and the others, but with its workers:
 // a machine unheard here may report to a successor, which renews its lease, so
 // its tasks are not started elsewhere (ran_twice in the grown simulation).
-func TestUnheardBySuccessorsGrace(t *testing.T) {
+func TestSilentMachineWithinSuccessorWait(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		alone bool // it has lost the state service
@@ -23,20 +23,20 @@
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t, func(c *Config) { c.Cancel = 40 * sec; c.SilentReturn = 0; c.Peers = []string{"n-1"} })
 			h.run(2 * sec)
-			token := h.settle("vm-1")
-			a := h.startOne(token)
-			h.checkin(report("vm-1", 1, 11, token, wire.TaskReport{Task: "job-000001/0", Attempt: a, State: wire.TaskRunning}))
-			other := h.settle("vm-2")
+			fencingToken := h.reconcile("vm-1")
+			a := h.startOne(fencingToken)
+			h.heartbeat(heartbeatFrom("vm-1", 1, 11, fencingToken, wire.TaskStatus{Task: "job-000001/0", Attempt: a, State: wire.TaskRunning}))
+			other := h.reconcile("vm-2")
 			h.c.fleet.planNext = micros.Never // keep the idle machine
 			h.stateDown, h.peersDown = tc.alone, tc.alone
 			started := false
 			for seq := uint64(20); seq < 50; seq++ {
 				h.run(sec / 2)
-				status, body := h.checkin(report("vm-2", 1, seq, other))
+				status, body := h.heartbeat(heartbeatFrom("vm-2", 1, seq, other))
 				if status != 200 {
 					t.Fatalf("report answered %d: the stretch for commands is over too early", status)
 				}
-				started = started || len(starts(body.Commands)) > 0 || len(h.orders()) > 0
+				started = started || len(starts(body.Commands)) > 0 || len(h.directCommands()) > 0
 			}
 			if started == tc.alone {
 				t.Errorf("started elsewhere: %v", started)
@@ -50,26 +50,26 @@
 func TestAloneWithItsWorkers(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.Peers = []string{"n-1"} })
 	h.run(2 * sec)
-	token := h.settle("vm-1")
+	fencingToken := h.reconcile("vm-1")
 	h.submit(jobOf("job-000001", 1))
 	h.submit(jobOf("job-000002", 1))
-	h.ask(func(r ReplyID) Input { return Withdraw{Reply: r, ID: "job-000002"} })
+	h.ask(func(r ReplyID) Input { return CancelRequest{Reply: r, ID: "job-000002"} })
 	h.stateDown, h.peersDown = true, true
 	last := h.now
 	b := h.c.bounds
 	seq := uint64(20)
-	for h.now < last+b.Command+2*sec {
+	for h.now < last+b.CommandValidity+2*sec {
 		h.run(sec / 2)
 		seq++
-		status, _ := h.checkin(report("vm-1", 1, seq, token))
-		if h.now > last+b.Command && status == 200 {
-			t.Fatalf("report answered 200 %v s after the last renewal, bound %v s", (h.now - last).Seconds(), b.Command.Seconds())
+		status, _ := h.heartbeat(heartbeatFrom("vm-1", 1, seq, fencingToken))
+		if h.now > last+b.CommandValidity && status == 200 {
+			t.Fatalf("report answered 200 %v s after the last renewal, bound %v s", (h.now - last).Seconds(), b.CommandValidity.Seconds())
 		}
 	}
-	if a := h.ask(func(r ReplyID) Input { return Ready{Reply: r} }); a.Status != 503 {
+	if a := h.ask(func(r ReplyID) Input { return ReadinessRequest{Reply: r} }); a.Status != 503 {
 		t.Errorf("ready: %d, want 503: users must find the others", a.Status)
 	}
-	if a := h.poll("job-000001"); a.Status == 200 {
+	if a := h.jobStatus("job-000001"); a.Status == 200 {
 		t.Errorf("tells of an open job from memory: %v", a.Body)
 	}
 	if s := h.state("job-000002"); s != wire.StateCancelled {
@@ -77,20 +77,20 @@
 	}
 }
 
-// A machine whose reports arrive while answers and commands don't reach it gets
+// A machine whose heartbeats arrive while answers and commands don't reach it gets
 // no more tasks and no more answers. What it holds counts until its lease has
 // provably ended.
-func TestHeardButNotReached(t *testing.T) {
+func TestHeartbeatsFromUnreachableMachine(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		session bool // it reports a new session
 	}{{"until the bound since the last answer", false}, {"until a new session shows", true}} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t, func(c *Config) { c.SilentReturn = 0 })
-			token := h.settle("vm-1")
-			a := h.startOne(token)
-			running := wire.TaskReport{Task: "job-000001/0", Attempt: a, State: wire.TaskRunning}
-			h.checkin(report("vm-1", 1, 11, token, running))
+			fencingToken := h.reconcile("vm-1")
+			a := h.startOne(fencingToken)
+			running := wire.TaskStatus{Task: "job-000001/0", Attempt: a, State: wire.TaskRunning}
+			h.heartbeat(heartbeatFrom("vm-1", 1, 11, fencingToken, running))
 			h.submit(jobOf("job-000002", 8)) // three find room beside the first
 			h.dropCalls()
 			seq, last := uint64(11), h.now
@@ -99,7 +99,7 @@
 				h.run(sec / 2)
 				h.dropCalls()
 				seq++
-				status, body := h.checkin(report("vm-1", 1, seq, token, running)) // never shows the starts
+				status, body := h.heartbeat(heartbeatFrom("vm-1", 1, seq, fencingToken, running)) // never shows the starts
 				statuses[status]++
 				if status == 200 {
 					last = h.now
@@ -107,23 +107,23 @@
 					t.Errorf("commands with %d", status)
 				}
 			}
-			if statuses[200] != maxUnshown || statuses[503] != 8-maxUnshown {
-				t.Fatalf("answers %v, want %d of 200 and then 503 only", statuses, maxUnshown)
+			if statuses[200] != maxUnconfirmedReplies || statuses[503] != 8-maxUnconfirmedReplies {
+				t.Fatalf("answers %v, want %d of 200 and then 503 only", statuses, maxUnconfirmedReplies)
 			}
-			other := h.settle("vm-2")
+			other := h.reconcile("vm-2")
 			h.submit(jobOf("job-000003", 8)) // vm-2 is never empty
-			bound := last + h.c.bounds.WorkerGone
+			bound := last + h.c.bounds.WorkerExpiry
 			if tc.session {
 				bound = h.now
-				h.checkin(report("vm-1", 2, seq+1, token))
-				if h.c.outOfReach(h.c.mach["vm-1"]) {
+				h.heartbeat(heartbeatFrom("vm-1", 2, seq+1, fencingToken))
+				if h.c.unreachable(h.c.machines["vm-1"]) {
 					t.Error("still out of reach in a new session")
 				}
 			}
 			for s := uint64(20); h.now < bound+5*sec; s++ {
 				h.run(sec / 4)
 				h.dropCalls()
-				_, body := h.checkin(report("vm-2", 1, s, other))
+				_, body := h.heartbeat(heartbeatFrom("vm-2", 1, s, other))
 				for _, c := range starts(body.Commands) {
 					if c.Task != running.Task {
 						continue
@@ -139,79 +139,79 @@
 	}
 }
 
-// What a report must show of the answer before it.
-func TestReach(t *testing.T) {
+// What a heartbeat must show of the answer before it.
+func TestReachability(t *testing.T) {
 	run := wire.Command{Op: wire.OpStart, Task: "job-000001/0", Attempt: 5}
 	clear := wire.Command{Op: wire.OpForget, Task: "job-000001/0", Attempt: 5}
-	halt := wire.Command{Op: wire.OpStop, Task: "job-000001/0", Attempt: 5}
-	listed := func(state string) []wire.TaskReport {
-		return []wire.TaskReport{{Task: "job-000001/0", Attempt: 5, State: state}}
+	stop := wire.Command{Op: wire.OpStop, Task: "job-000001/0", Attempt: 5}
+	listed := func(state string) []wire.TaskStatus {
+		return []wire.TaskStatus{{Task: "job-000001/0", Attempt: 5, State: state}}
 	}
 	for _, tc := range []struct {
-		name        string
-		token       uint64 // told, not shown before
-		cmd         wire.Command
-		rep         wire.Report
-		shown, sure bool
+		name         string
+		fencingToken uint64 // told, not shown before
+		cmd          wire.Command
+		rep          wire.Heartbeat
+		shown, sure  bool
 	}{
-		{"nothing to show", 0, wire.Command{}, wire.Report{Token: 7}, false, false},
-		{"new token shown", 9, wire.Command{}, wire.Report{Token: 9}, true, true},
-		{"new token not shown", 9, run, wire.Report{Token: 7}, false, true},
-		{"start shown", 0, run, wire.Report{Tasks: listed(wire.TaskFetching)}, true, true},
-		{"start missing", 0, run, wire.Report{}, false, true},
-		{"cleared", 0, clear, wire.Report{}, true, true},
-		{"not cleared", 0, clear, wire.Report{Tasks: listed(wire.TaskExited)}, false, true},
-		{"halted", 0, halt, wire.Report{Tasks: listed(wire.TaskSaving)}, true, true},
-		{"goes on", 0, halt, wire.Report{Tasks: listed(wire.TaskRunning)}, false, true},
+		{"nothing to show", 0, wire.Command{}, wire.Heartbeat{FencingToken: 7}, false, false},
+		{"new token shown", 9, wire.Command{}, wire.Heartbeat{FencingToken: 9}, true, true},
+		{"new token not shown", 9, run, wire.Heartbeat{FencingToken: 7}, false, true},
+		{"start shown", 0, run, wire.Heartbeat{Tasks: listed(wire.TaskFetching)}, true, true},
+		{"start missing", 0, run, wire.Heartbeat{}, false, true},
+		{"cleared", 0, clear, wire.Heartbeat{}, true, true},
+		{"not cleared", 0, clear, wire.Heartbeat{Tasks: listed(wire.TaskExited)}, false, true},
+		{"halted", 0, stop, wire.Heartbeat{Tasks: listed(wire.TaskSaving)}, true, true},
+		{"goes on", 0, stop, wire.Heartbeat{Tasks: listed(wire.TaskRunning)}, false, true},
 	} {
-		r := reach{token: tc.token, cmd: tc.cmd}
-		if shown, sure := r.shows(&tc.rep); shown != tc.shown || sure != tc.sure {
+		r := reachability{fencingToken: tc.fencingToken, command: tc.cmd}
+		if shown, sure := r.confirmedBy(&tc.rep); shown != tc.shown || sure != tc.sure {
 			t.Errorf("%s: %v %v, want %v %v", tc.name, shown, sure, tc.shown, tc.sure)
 		}
 	}
 }
 
-// Late copies of reports change nothing: no state, no lease arithmetic, no sign
+// Late copies of heartbeats change nothing: no state, no lease arithmetic, no sign
 // of life, no settling, no assignment.
 func TestLateCopies(t *testing.T) {
 	h := newHarness(t, nil)
-	token := h.settle("vm-1")
-	a := h.startOne(token)
-	running := wire.TaskReport{Task: "job-000001/0", Attempt: a, State: wire.TaskRunning}
-	h.checkin(report("vm-1", 1, 11, token, running))
-	v := h.c.mach["vm-1"].v
-	heard, answered := v.heard, v.answered
+	fencingToken := h.reconcile("vm-1")
+	a := h.startOne(fencingToken)
+	running := wire.TaskStatus{Task: "job-000001/0", Attempt: a, State: wire.TaskRunning}
+	h.heartbeat(heartbeatFrom("vm-1", 1, 11, fencingToken, running))
+	v := h.c.machines["vm-1"].view
+	heard, answered := v.lastHeartbeatAt, v.lastReplyAt
 	for _, tc := range []struct {
 		name string
-		rep  wire.Report
+		rep  wire.Heartbeat
 	}{
-		{"a copy of the newest", report("vm-1", 1, 11, token, running)},
-		{"an older one, from before the start", report("vm-1", 1, 3, token)},
-		{"one that showed no token yet", report("vm-1", 1, 1, 0)},
+		{"a copy of the newest", heartbeatFrom("vm-1", 1, 11, fencingToken, running)},
+		{"an older one, from before the start", heartbeatFrom("vm-1", 1, 3, fencingToken)},
+		{"one that showed no token yet", heartbeatFrom("vm-1", 1, 1, 0)},
 	} {
 		h.run(sec)
-		if status, _ := h.checkin(tc.rep); status != 503 {
+		if status, _ := h.heartbeat(tc.rep); status != 503 {
 			t.Errorf("%s: answered %d, want 503", tc.name, status)
 		}
-		if v.heard != heard || v.answered != answered || v.list[0].state != attemptRunning {
+		if v.lastHeartbeatAt != heard || v.lastReplyAt != answered || v.list[0].state != attemptRunning {
 			t.Errorf("%s: changed something", tc.name)
 		}
 	}
-	// The answer to a direct order that is overtaken by a newer report.
+	// The answer to a direct command that is overtaken by a newer heartbeat.
 	h.submit(jobOf("job-000002", 1))
-	order := h.orders()[0]
+	order := h.directCommands()[0]
 	h.open = nil
-	h.checkin(report("vm-1", 1, 40, token, running, wire.TaskReport{Task: "job-000002/0", Attempt: order.Req.(wire.Orders).Commands[0].Attempt, State: wire.TaskRunning}))
-	overtaken := report("vm-1", 1, 39, token)
+	h.heartbeat(heartbeatFrom("vm-1", 1, 40, fencingToken, running, wire.TaskStatus{Task: "job-000002/0", Attempt: order.Req.(wire.DirectCommand).Commands[0].Attempt, State: wire.TaskRunning}))
+	overtaken := heartbeatFrom("vm-1", 1, 39, fencingToken)
 	if h.step(Result{ID: order.ID, Status: 200, Body: &overtaken}); len(v.list) != 2 || v.list[0].key.attempt != a || v.list[0].state != attemptRunning {
 		t.Errorf("an overtaken answer changed what runs: %d tasks", len(v.list))
 	}
 	// A new owner has no view. A copy from before its claim settles nothing.
 	h.putMachines("m-1-1", "vm-3")
 	h.run(sec)
-	old := h.c.token(h.c.own.shares[0], h.c.mach["vm-3"]) - 1
-	h.checkin(report("vm-3", 1, 50, old, wire.TaskReport{Task: "job-000009/0", Attempt: 3, State: wire.TaskRunning}))
-	if v := h.c.mach["vm-3"].v; v.settled || len(v.list) != 0 {
+	old := h.c.fencingToken(h.c.ownership.shards[0], h.c.machines["vm-3"]) - 1
+	h.heartbeat(heartbeatFrom("vm-3", 1, 50, old, wire.TaskStatus{Task: "job-000009/0", Attempt: 3, State: wire.TaskRunning}))
+	if v := h.c.machines["vm-3"].view; v.reconciled || len(v.list) != 0 {
 		t.Error("settled by a report from before the claim")
 	}
 	// A machine that was returned does not come back to the record by a copy,
@@ -221,26 +221,26 @@
 			h.c.fleet.returned["vm-8"] = h.now
 		}
 		h.dropCalls()
-		h.checkin(report("vm-8", 1, 4, 3))
+		h.heartbeat(heartbeatFrom("vm-8", 1, 4, 3))
 		for range 4 {
 			h.run(sec)
 			h.dropCalls() // nobody answers at its address
 		}
-		if h.c.mach["vm-8"] != nil {
+		if h.c.machines["vm-8"] != nil {
 			t.Error("a copy brought a returned machine back to the record")
 		}
 		delete(h.c.fleet.returned, "vm-8")
 	}
 	// An unlisted machine that answers for itself is assigned.
-	h.checkin(report("vm-8", 1, 5, 0))
+	h.heartbeat(heartbeatFrom("vm-8", 1, 5, 0))
 	for _, call := range h.open {
-		if _, ok := call.Req.(Show); ok && call.Addr == "vm-8" {
-			rep := report("vm-8", 1, 6, 0)
-			h.step(Result{ID: call.ID, Status: 200, Body: &rep})
+		if _, ok := call.Req.(GetHeartbeat); ok && call.Addr == "vm-8" {
+			heartbeat := heartbeatFrom("vm-8", 1, 6, 0)
+			h.step(Result{ID: call.ID, Status: 200, Body: &heartbeat})
 		}
 	}
 	h.run(2 * sec)
-	if h.c.mach["vm-8"] == nil {
+	if h.c.machines["vm-8"] == nil {
 		t.Error("a machine that answers for itself was not assigned")
 	}
 }
@@ -248,10 +248,10 @@
 // A process that is back within a moment finds keys of its former self: it
 // replaces them, and what that one had sent does nothing when it arrives.
 func TestBackAtOnce(t *testing.T) {
-	h := newHarness(t, func(c *Config) { c.Peers = []string{"n-1"}; c.Shares = 1 })
+	h := newHarness(t, func(c *Config) { c.Peers = []string{"n-1"}; c.Shards = 1 })
 	key := ownerKey(0)
-	stale := h.keys[key].Version - 1
-	lease := h.c.own.lease
+	stale := h.keys[key].ModRevision - 1
+	lease := h.c.ownership.lease
 	// The former process's claim arrives only now, on a free key's condition.
 	value, err := wire.Encode(wire.OwnerRecord{Label: "n-0", Incarnation: 999})
 	if err != nil {
@@ -263,46 +263,46 @@
 	// It got there first: the key names our label, but another incarnation.
 	h.put(key, wire.OwnerRecord{Label: "n-0", Incarnation: 999})
 	h.run(sec)
-	s := h.c.own.shares[0]
-	if !s.active || s.rec.Incarnation != lease || s.mark <= stale {
-		t.Fatalf("holds %+v, active %v", s.rec, s.active)
+	s := h.c.ownership.shards[0]
+	if !s.active || s.owner.Incarnation != lease || s.ownerEpoch <= stale {
+		t.Fatalf("holds %+v, active %v", s.owner, s.active)
 	}
-	if got := h.keys[key].Version; got != s.mark {
-		t.Errorf("the key's mark is %d, ours %d", got, s.mark)
+	if got := h.keys[key].ModRevision; got != s.ownerEpoch {
+		t.Errorf("the key's mark is %d, ours %d", got, s.ownerEpoch)
 	}
 	// A late write of the former self's, under its own mark, can't apply.
-	if status, _ := h.txn(wire.Txn{If: []wire.Condition{{Key: key, Version: stale}}, Then: []wire.Change{{Delete: key}}}); status != 409 {
+	if status, _ := h.txn(wire.Txn{If: []wire.Condition{{Key: key, ModRevision: stale}}, Then: []wire.Change{{Delete: key}}}); status != 409 {
 		t.Errorf("a late write under an old mark got %d", status)
 	}
 }
 
 // Thresholds of silence follow from the settings: where reports come 10 s apart,
 // one that was lost makes no machine look dead.
-func TestSilence(t *testing.T) {
+func TestHeartbeatTimeout(t *testing.T) {
 	for _, tc := range []struct {
-		name          string
-		report, lease micros.Micros
-		given         micros.Micros
-		want          micros.Micros
+		name                 string
+		heartbeatFrom, lease micros.Micros
+		given                micros.Micros
+		want                 micros.Micros
 	}{
 		{"small settings", 3 * sec, 19 * sec, -1, 13250 * ms},
 		{"grown settings", 10 * sec, 45 * sec, -1, 22 * sec},
 		{"slow reports", 30 * sec, 120 * sec, -1, 47 * sec},
 		{"the operators' own", 10 * sec, 45 * sec, 30 * sec, 30 * sec},
 	} {
-		c := New(Config{Label: "a", Shares: 1, Teams: []Team{{Name: "t"}}, ReportEvery: tc.report, WorkerLease: tc.lease, SilentReturn: tc.given, StateRPS: 10, WriteRPS: 10, CloudRPS: 10}, 1)
-		if got := c.silentReturn(); got != tc.want {
+		c := New(Config{Label: "a", Shards: 1, Teams: []Team{{Name: "t"}}, HeartbeatInterval: tc.heartbeatFrom, WorkerLease: tc.lease, SilentReturn: tc.given, StateRPS: 10, WriteRPS: 10, CloudRPS: 10}, 1)
+		if got := c.silentReturnAfter(); got != tc.want {
 			t.Errorf("%s: returned after %v s, want %v s", tc.name, got.Seconds(), tc.want.Seconds())
 		}
-		longest := tc.report * 5 / 4
-		if c.late() <= longest {
-			t.Errorf("%s: late after %v s, a report may take %v s", tc.name, c.late().Seconds(), longest.Seconds())
+		longest := tc.heartbeatFrom * 5 / 4
+		if c.heartbeatOverdueAfter() <= longest {
+			t.Errorf("%s: late after %v s, a report may take %v s", tc.name, c.heartbeatOverdueAfter().Seconds(), longest.Seconds())
 		}
 		// The next node is tried 1 s after an answer was missed for 4 s.
-		if lost := longest + 5*sec; c.silentReturn() <= lost {
+		if lost := longest + 5*sec; c.silentReturnAfter() <= lost {
 			t.Errorf("%s: one lost report makes a machine look dead", tc.name)
 		}
-		if c.silentReturn() >= tc.lease {
+		if c.silentReturnAfter() >= tc.lease {
 			t.Errorf("%s: a lease runs out first", tc.name)
 		}
 	}
@@ -310,44 +310,44 @@
 
 // Batches: machines move in one transaction that drops them from one and adds
 // them to another, and an unanswered one is settled before anything starts.
-func TestBatchMove(t *testing.T) {
+func TestMachineRecordSetMove(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		lose bool
 	}{{"answered", false}, {"applied, the answer lost", true}} {
 		t.Run(tc.name, func(t *testing.T) {
-			h := newHarness(t, func(c *Config) { c.Shares = 2; c.Teams = []Team{{Name: "t", CPUs: 8}, {Name: "u", CPUs: 4}} })
+			h := newHarness(t, func(c *Config) { c.Shards = 2; c.Teams = []Team{{Name: "t", CPUs: 8}, {Name: "u", CPUs: 4}} })
 			for _, id := range []string{"vm-1", "vm-2", "vm-3"} {
 				h.list(id)
-				h.checkin(report(id, 1, 1, 0))
+				h.heartbeat(heartbeatFrom(id, 1, 1, 0))
 			}
-			m := h.c.mach["vm-1"]
-			from := m.rec.Share
-			m.batch.next = 0
+			m := h.c.machines["vm-1"]
+			from := m.rec.Shard
+			m.recordSet.nextWriteAt = 0
 			if tc.lose {
 				h.lose = wire.PrefixFleet
 				h.watchBlocked = wire.PrefixControl
 			}
 			h.c.fleet.planNext = micros.Never
-			h.c.release(peer.Release{Machines: []string{"vm-1"}, Share: 1 - from})
+			h.c.release(peer.Release{Machines: []string{"vm-1"}, Shard: 1 - from})
 			h.step(Tick{})
 			if tc.lose {
-				if v := m.v; !v.releasing {
+				if v := m.view; !v.releasing {
 					t.Error("may be given tasks while its move is open")
 				}
 				h.giveUp()
-				if v := m.v; v == nil || v.unclear == 0 {
+				if v := m.view; v == nil || v.inDoubtToken == 0 {
 					t.Error("given up as settled although the move may stand")
 				}
 				h.lose, h.watchBlocked = "", ""
 				h.run(sec)
 			}
-			if got := h.c.mach["vm-1"]; got == nil || got.rec.Share != 1-from {
+			if got := h.c.machines["vm-1"]; got == nil || got.rec.Shard != 1-from {
 				t.Fatalf("not moved: %+v", got)
 			}
 			in := 0
-			for _, b := range h.c.batches {
-				for _, o := range b.list {
+			for _, b := range h.c.recordSets {
+				for _, o := range b.machines {
 					if o.id == "vm-1" {
 						in++
 					}
@@ -362,8 +362,8 @@
 
 // Machines are recorded in as few writes as possible, while they boot, and an
 // unanswered record is sent again under its own key only.
-func TestBatchCreation(t *testing.T) {
-	h := newHarness(t, func(c *Config) { c.MaxMachines = 1000; c.Shares = 1 })
+func TestMachineRecordSetCreation(t *testing.T) {
+	h := newHarness(t, func(c *Config) { c.MaxMachines = 1000; c.Shards = 1 })
 	var ids []string
 	for i := range 120 {
 		ids = append(ids, "vm-x"+string(rune('a'+i/26))+string(rune('a'+i%26)))
@@ -378,7 +378,7 @@
 	}
 	var waiting []ReplyID
 	for _, id := range ids {
-		if a := h.ask(func(r ReplyID) Input { return Checkin{Reply: r, Report: report(id, 1, 1, 0)} }); a.Status != 0 {
+		if a := h.ask(func(r ReplyID) Input { return Heartbeat{Reply: r, Heartbeat: heartbeatFrom(id, 1, 1, 0)} }); a.Status != 0 {
 			t.Fatalf("report of a machine without a record answered %d", a.Status)
 		}
 		waiting = append(waiting, h.reply)
@@ -390,34 +390,34 @@
 	h.lose = ""
 	h.giveUp()
 	h.run(4 * sec)
-	if len(h.c.fleet.creating) != 0 || len(h.c.mach) != 120 {
-		t.Errorf("%d records open, %d machines", len(h.c.fleet.creating), len(h.c.mach))
+	if len(h.c.fleet.pendingCreations) != 0 || len(h.c.machines) != 120 {
+		t.Errorf("%d records open, %d machines", len(h.c.fleet.pendingCreations), len(h.c.machines))
 	}
-	if len(h.c.batches) != 3 {
-		t.Errorf("%d batches, want 3", len(h.c.batches))
+	if len(h.c.recordSets) != 3 {
+		t.Errorf("%d batches, want 3", len(h.c.recordSets))
 	}
 	for i, r := range waiting {
 		if h.answers[r].Status == 0 {
 			t.Fatalf("report of %s was never answered", ids[i])
 		}
 	}
-	// Commanded by nobody else: its first report to its owner is answered with
+	// Commanded by nobody else: its first heartbeat to its owner is answered with
 	// tasks at once.
 	h.submit(jobOf("job-000001", 2))
-	_, body := h.checkin(report(ids[0], 1, 1, 0))
+	_, body := h.heartbeat(heartbeatFrom(ids[0], 1, 1, 0))
 	if len(starts(body.Commands)) != 2 {
 		t.Errorf("first report answered with %v", body.Commands)
 	}
 	// Unless it shows that somebody has commanded it.
 	h.submit(jobOf("job-000002", 2))
 	h.dropCalls()
-	_, body = h.checkin(report(ids[1], 1, 1, 1))
+	_, body = h.heartbeat(heartbeatFrom(ids[1], 1, 1, 1))
 	if len(starts(body.Commands)) != 0 {
 		t.Errorf("a machine that shows a foreign token is given %v", body.Commands)
 	}
 }
 
-// The order in which a share's waiting jobs are served.
+// The order in which a shard's waiting jobs are served.
 func TestQueue(t *testing.T) {
 	type jb struct {
 		id, priority string
@@ -444,7 +444,7 @@
 					c.Teams[0].CPUs, c.GuaranteeWithin = 30, 100*sec
 				}
 			})
-			h.settle("vm-1")
+			h.reconcile("vm-1")
 			for _, j := range tc.jobs {
 				sub := jobOf("job-00000"+j.id, j.tasks)
 				sub.Priority = j.priority
@@ -453,7 +453,7 @@
 			}
 			got := ""
 			h.c.wall = 1000 * sec
-			for _, j := range h.c.queue(h.c.own.shares[0]) {
+			for _, j := range h.c.queue(h.c.ownership.shards[0]) {
 				got += j.id[len(j.id)-1:]
 			}
 			if got != tc.want {
@@ -465,13 +465,13 @@
 
 // What is stopped for a job of higher priority: the loss counts work, priority,
 // length and earlier stops.
-func TestLoss(t *testing.T) {
+func TestPreemptionLoss(t *testing.T) {
 	h := newHarness(t, nil)
 	newAttempt := func(priority string, ran, estimate micros.Micros, stops int) *attempt {
 		sub := jobOf("job-000001", 1)
 		sub.Priority, sub.EstimateS = priority, estimate.Seconds()
 		prio, _ := wire.PriorityOf(priority)
-		return &attempt{job: &job{sub: &sub, priority: prio, run: &run{stopped: map[int]int{0: stops}}}, runAt: h.now - ran}
+		return &attempt{job: &job{sub: &sub, priority: prio, run: &run{stopsByTask: map[int]int{0: stops}}}, runAt: h.now - ran}
 	}
 	h.c.now = h.now
 	for _, tc := range []struct {
@@ -483,7 +483,7 @@
 		{"shorter", newAttempt("standard", 5*sec, 10*sec, 0), newAttempt("standard", 5*sec, 200*sec, 0)},
 		{"never stopped before, though it ran for longer", newAttempt("standard", 20*sec, 40*sec, 0), newAttempt("standard", 3*sec, 40*sec, 1)},
 	} {
-		if a, b := h.c.lossOf(tc.less), h.c.lossOf(tc.more); a >= b {
+		if a, b := h.c.preemptionLoss(tc.less), h.c.preemptionLoss(tc.more); a >= b {
 			t.Errorf("%s: %v and %v", tc.name, a, b)
 		}
 	}
@@ -495,7 +495,7 @@
 	h := newHarness(t, nil)
 	h.c.fleet.rented["vm-1"] = &rented{kind: kind{"m", "a", true}, at: h.now}
 	call := func(seq uint64) {
-		h.ask(func(r ReplyID) Input { return Checkin{Reply: r, Report: report("vm-1", 1, seq, 0)} })
+		h.ask(func(r ReplyID) Input { return Heartbeat{Reply: r, Heartbeat: heartbeatFrom("vm-1", 1, seq, 0)} })
 		h.run(500 * ms)
 	}
 	h.stateDown = true
@@ -513,7 +513,7 @@
 	}
 	call(2)
 	h.run(2 * sec)
-	if h.c.mach["vm-1"] == nil {
+	if h.c.machines["vm-1"] == nil {
 		t.Fatal("never recorded")
 	}
 	if status, _ := h.txn(first); status != 409 {
@@ -523,7 +523,7 @@
 
 // Which running tasks may be stopped so that their machine can be returned.
 func TestMovable(t *testing.T) {
-	h := newHarness(t, func(c *Config) { c.Finished = map[string]micros.Micros{"late": sec, "early": 60 * micros.Minute} })
+	h := newHarness(t, func(c *Config) { c.FinishWithin = map[string]micros.Micros{"late": sec, "early": 60 * micros.Minute} })
 	for _, tc := range []struct {
 		name, class string
 		state       attemptState
@@ -543,12 +543,12 @@
 	} {
 		sub := jobOf("job-000001", 1)
 		sub.Class, sub.CheckpointS, sub.EstimateS = tc.class, tc.checkpoint, 100
-		j := &job{sub: &sub, due: micros.Never, run: &run{stopped: map[int]int{0: tc.stops}}}
+		j := &job{sub: &sub, deadline: micros.Never, run: &run{stopsByTask: map[int]int{0: tc.stops}}}
 		if tc.over {
 			j.run = nil
 		}
 		h.c.now, h.c.wall = 200*sec, 200*sec
-		if got := h.c.movable(&attempt{job: j, state: tc.state, owned: true, runAt: h.c.now - tc.ran}); got != tc.want {
+		if got := h.c.movable(&attempt{job: j, state: tc.state, tracked: true, runAt: h.c.now - tc.ran}); got != tc.want {
 			t.Errorf("%s: %v, want %v", tc.name, got, tc.want)
 		}
 	}
@@ -556,8 +556,8 @@
 
 // What may be lost for a task that waits: little at first, all once room has not
 // come free by itself for a while.
-func TestMostLoss(t *testing.T) {
-	h := newHarness(t, func(c *Config) { c.Urgent = map[string]micros.Micros{"now": 6 * sec, "soon": 40 * sec} })
+func TestMaxPreemptionLoss(t *testing.T) {
+	h := newHarness(t, func(c *Config) { c.StartWithin = map[string]micros.Micros{"now": 6 * sec, "soon": 40 * sec} })
 	for _, tc := range []struct {
 		class  string
 		waited micros.Micros
@@ -570,8 +570,8 @@
 		sub := jobOf("job-000001", 1)
 		sub.Class = tc.class
 		h.c.now = h.now
-		j := &job{sub: &sub, due: micros.Never, run: &run{arrival: h.now - tc.waited}}
-		if got := h.c.mostLoss(j) == littleLoss; got != tc.little {
+		j := &job{sub: &sub, deadline: micros.Never, run: &run{arrivedAt: h.now - tc.waited}}
+		if got := h.c.maxPreemptionLoss(j) == smallLoss; got != tc.little {
 			t.Errorf("%s after %v s: little only: %v, want %v", tc.class, tc.waited.Seconds(), got, tc.little)
 		}
 	}
@@ -595,20 +595,20 @@
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t, func(c *Config) { c.Peers = []string{"n-1"} })
 			h.run(5 * sec)
-			token := h.settle("vm-1")
+			fencingToken := h.reconcile("vm-1")
 			h.submit(jobOf("job-000001", 1))
-			_, body := h.checkin(report("vm-1", 1, 4, token))
+			_, body := h.heartbeat(heartbeatFrom("vm-1", 1, 4, fencingToken))
 			h.dropCalls()
 			run := shown(starts(body.Commands), wire.TaskRunning)
 			if len(run) == 0 {
-				_, body = h.checkin(report("vm-1", 1, 5, token))
+				_, body = h.heartbeat(heartbeatFrom("vm-1", 1, 5, fencingToken))
 				run = shown(starts(body.Commands), wire.TaskRunning)
 			}
-			h.checkin(report("vm-1", 1, 6, token, run...))
+			h.heartbeat(heartbeatFrom("vm-1", 1, 6, fencingToken, run...))
 			h.peersDown = true
-			p, v := h.c.peers["n-1"], h.c.mach["vm-1"].v
-			p.heardAt = h.now
-			v.reach = reach{}
+			p, v := h.c.peers["n-1"], h.c.machines["vm-1"].view
+			p.lastHeardAt = h.now
+			v.reachability = reachability{}
 			began := h.now
 			pass := func(until micros.Micros) {
 				for h.now < began+until {
@@ -618,16 +618,16 @@
 			}
 			pass(5 * sec)
 			for _, att := range v.each() {
-				if att.owned && att.state == attemptRunning {
-					att.state, att.why = attemptExited, wire.WhyDone
-					h.c.exited(att)
+				if att.tracked && att.state == attemptRunning {
+					att.state, att.exitReason = attemptExited, wire.ExitDone
+					h.c.handleExit(att)
 				}
 			}
-			if got := len(h.c.runs.byClass) > 0; got != tc.learns {
+			if got := len(h.c.estimates.byClass) > 0; got != tc.learns {
 				t.Errorf("the run time is believed: %v, want %v", got, tc.learns)
 			}
 			pass(20 * sec)
-			if got := h.c.unheard(v) > h.c.silence(); got != tc.silent {
+			if got := h.c.sinceLastHeartbeat(v) > h.c.heartbeatTimeout(); got != tc.silent {
 				t.Errorf("the machine counts as silent: %v, want %v", got, tc.silent)
 			}
 			if got := h.c.alive(p); got != tc.alive {
@@ -641,7 +641,7 @@
 // with a time to come back, a known one is answered as ever, and a final state
 // that was let go of is read again.
 func TestFullTables(t *testing.T) {
-	h := newHarness(t, func(c *Config) { c.OpenJobs, c.FinalJobs = 3, 2 })
+	h := newHarness(t, func(c *Config) { c.MaxOpenJobs, c.MaxFinalJobs = 3, 2 })
 	ids := []string{"job-000001", "job-000002", "job-000003", "job-000004"}
 	for i, id := range ids {
 		a := h.submit(jobOf(id, 1))
@@ -656,7 +656,7 @@
 		t.Errorf("a known job's submission past the bound: %d, want 200", a.Status)
 	}
 	for _, id := range ids[:3] {
-		if a := h.ask(func(r ReplyID) Input { return Withdraw{Reply: r, ID: id} }); a.Status != 200 {
+		if a := h.ask(func(r ReplyID) Input { return CancelRequest{Reply: r, ID: id} }); a.Status != 200 {
 			t.Errorf("cancelling %s: %d", id, a.Status)
 		}
 	}
@@ -684,31 +684,31 @@
 	}{
 		{"asked, leading", true, func(*harness) {}, false},
 		{"not asked", false, func(*harness) {}, true},
-		{"asked, with returned machines to tell of", true, func(h *harness) { h.c.peers["n-1"].gone = []string{"vm-9"} }, true},
-		{"asked, but it has not said that it is quiet", true, func(h *harness) { clear(h.c.own.shares[0].quiet) }, true},
-		{"asked by the leader", true, func(h *harness) { h.c.own.leader.rec.Label = "n-1" }, true},
-		{"asked by one that is later by name, a third leads", true, func(h *harness) { h.c.own.leader.rec.Label = "n-2" }, true},
+		{"asked, with returned machines to tell of", true, func(h *harness) { h.c.peers["n-1"].returnedMachines = []string{"vm-9"} }, true},
+		{"asked, but it has not said that it is quiet", true, func(h *harness) { clear(h.c.ownership.shards[0].quiescedPeers) }, true},
+		{"asked by the leader", true, func(h *harness) { h.c.ownership.leader.owner.Label = "n-1" }, true},
+		{"asked by one that is later by name, a third leads", true, func(h *harness) { h.c.ownership.leader.owner.Label = "n-2" }, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t, func(c *Config) { c.Peers = []string{"n-1"} })
 			h.run(5 * sec)
 			if tc.asked {
 				h.ask(func(r ReplyID) Input {
-					return PeerMessage{Reply: r, Req: peer.Request{From: "n-1", Status: &peer.Status{About: peer.About{StateOK: true}}}}
+					return PeerRequest{Reply: r, Req: peer.Request{From: "n-1", Status: &peer.Status{About: peer.About{StateOK: true}}}}
 				})
 			}
 			tc.change(h)
-			if got := !h.c.toldEnough(h.c.peers["n-1"]); got != tc.sends {
+			if got := !h.c.peerUpToDate(h.c.peers["n-1"]); got != tc.sends {
 				t.Errorf("sends its own: %v, want %v", got, tc.sends)
 			}
 		})
 	}
 }
 
-// TestHandBack: a share goes back to its home once that has been up for a while,
+// TestReleaseShard: a shard goes back to its home once that has been up for a while,
 // whatever is under way to machines; not while a machine is in doubt, whose wait
 // would begin anew.
-func TestHandBack(t *testing.T) {
+func TestReleaseShard(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		uptime micros.Micros
@@ -716,57 +716,57 @@
 		goes   bool
 	}{
 		{"nothing under way", 20 * sec, func(*view) {}, true},
-		{"an order under way", 20 * sec, func(v *view) { v.orderBusy = true }, true},
-		{"an order not answered", 20 * sec, func(v *view) { v.unclear = 1 << 40 }, true},
-		{"a machine in doubt", 20 * sec, func(v *view) { v.doubt = true }, false},
+		{"an order under way", 20 * sec, func(v *view) { v.commandInFlight = true }, true},
+		{"an order not answered", 20 * sec, func(v *view) { v.inDoubtToken = 1 << 40 }, true},
+		{"a machine in doubt", 20 * sec, func(v *view) { v.unreconciledFromPredecessor = true }, false},
 		{"its home has just come up", sec, func(*view) {}, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t, func(c *Config) { c.Label, c.Peers = "n-1", []string{"n-0"} })
 			h.run(14 * sec)
-			h.settle("vm-1")
-			s := h.c.own.shares[0]
+			h.reconcile("vm-1")
+			s := h.c.ownership.shards[0]
 			if !s.active {
 				t.Fatal("the share is not ours")
 			}
-			tc.change(h.c.mach["vm-1"].v)
+			tc.change(h.c.machines["vm-1"].view)
 			h.ask(func(r ReplyID) Input {
-				return PeerMessage{Reply: r, Req: peer.Request{From: "n-0", Status: &peer.Status{About: peer.About{StateOK: true, UptimeUS: int64(tc.uptime)}}}}
+				return PeerRequest{Reply: r, Req: peer.Request{From: "n-0", Status: &peer.Status{About: peer.About{StateOK: true, UptimeUS: int64(tc.uptime)}}}}
 			})
-			h.c.handBack()
-			if s.handing != tc.goes {
-				t.Errorf("handed back: %v, want %v", s.handing, tc.goes)
+			h.c.releaseShards()
+			if s.releasing != tc.goes {
+				t.Errorf("handed back: %v, want %v", s.releasing, tc.goes)
 			}
 		})
 	}
 }
 
 // Found by the simulation at 4,000 machines and a state service that takes few requests
-// (docs/incidents/2026-12-share-stood-still.md). Seen: a share was being handed back for
+// (docs/incidents/2026-12-share-stood-still.md). Seen: a shard was being handed back for
 // 100 s, its machines unanswered. How: nobody speaks for its jobs meanwhile, so that each
 // question of a user takes a read, and the deletion of the owner key waited behind these,
 // which went on for as long as it did: "state requests" said 8,309 sent and 10,715 expired
 // in the class of the reads, 45 and 261 in that of the deletion. Proof: beside more questions
 // than can be read, the key is deleted within a few seconds.
-func TestHandBackBesideQuestions(t *testing.T) {
+func TestReleaseShardBesideQuestions(t *testing.T) {
 	h := meet(t, func(c *Config) {
 		withPeer(c)
 		c.StateRPS = 60
 	})
-	s := h.c.own.shares[0]
+	s := h.c.ownership.shards[0]
 	ask := func(d micros.Micros) {
 		for until := h.now + d; h.now < until; {
 			for range 2 {
-				h.poll("job-000777")
+				h.jobStatus("job-000777")
 			}
 			h.run(20 * ms)
 		}
 	}
 	ask(sec)
-	mark := s.mark
-	h.c.releaseShare(s)
+	modRevision := s.ownerEpoch
+	h.c.releaseShard(s)
 	ask(5 * sec)
-	if h.keys[ownerKey(0)].Version == mark {
+	if h.keys[ownerKey(0)].ModRevision == modRevision {
 		t.Error("the owner key still stands 5 s after the share was to be handed back")
 	}
 }
--- a/internal/core/fence.go
+++ b/internal/controller/fence.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import "garnethitch/internal/micros"
 
@@ -9,23 +9,23 @@
 // Bounds are the times that keep an old owner and its successor apart. They
 // are worked out here and nowhere else, from settings alone.
 type Bounds struct {
-	// Answer: after the last successful renewal was sent, an owner may answer
+	// LeaseValidity: after the last successful renewal was sent, an owner may answer
 	// users from memory, take on jobs and record for this long.
-	Answer micros.Micros
-	// Command: for this long it may answer reports and command its machines.
-	Command micros.Micros
-	// Blind: for this long after its view of jobs was last complete an owner may do so
+	LeaseValidity micros.Micros
+	// CommandValidity: for this long it may answer heartbeats and command its machines.
+	CommandValidity micros.Micros
+	// StaleViewGrace: for this long after its view of jobs was last complete an owner may do so
 	// without knowing which jobs its predecessors have ended since.
-	Blind micros.Micros
-	// LateStart: for this long after a task was to be stopped whose start may yet be carried
+	StaleViewGrace micros.Micros
+	// LateStartGrace: for this long after a task was to be stopped whose start may yet be carried
 	// out, the lease of its machine may be renewed.
-	LateStart micros.Micros
-	// WorkerGone: a machine whose last answered report was answered this long
+	LateStartGrace micros.Micros
+	// WorkerExpiry: a machine whose last answered report was answered this long
 	// ago holds no task any more.
-	WorkerGone micros.Micros
-	// SuccessorFree: a machine that a new owner has not heard of since its
+	WorkerExpiry micros.Micros
+	// SuccessorWait: a machine that a new owner has not heard of since its
 	// claim was confirmed this long ago holds no task any more.
-	SuccessorFree micros.Micros
+	SuccessorWait micros.Micros
 }
 
 // addDrift adds what drift can take away over a span, for both clocks involved.
@@ -58,15 +58,15 @@
 		answer = 0
 	}
 	return Bounds{
-		Answer:  answer,
-		Command: max(answer, extra),
+		LeaseValidity:   answer,
+		CommandValidity: max(answer, extra),
 		// Whoever it was that ended a job unknown to this owner, its user was told after
 		// the view was complete. Counted from a claim, the times of owners that follow
 		// one another would add up.
-		Blind: extra,
+		StaleViewGrace: extra,
 		// With the machine's session the order ends that may start the task.
-		LateStart:     extra,
-		WorkerGone:    addDrift(workerLease) + slip,
-		SuccessorFree: addDrift(extra+workerLease) + 3*slip,
+		LateStartGrace: extra,
+		WorkerExpiry:   addDrift(workerLease) + slip,
+		SuccessorWait:  addDrift(extra+workerLease) + 3*slip,
 	}
 }
--- a/internal/core/fence_test.go
+++ b/internal/controller/fence_test.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"testing"
@@ -23,32 +23,32 @@
 			lease, worker, cancel := micros.FromSeconds(tc.lease), micros.FromSeconds(tc.worker), micros.FromSeconds(tc.cancel)
 			b := NewBounds(lease, worker, cancel)
 			slow := func(d micros.Micros) micros.Micros { return d + d/1000 } // true time over d of a slow clock
-			if slow(b.Answer) >= lease {
-				t.Errorf("answers until %v, but the lease may end at %v", b.Answer, lease)
+			if slow(b.LeaseValidity) >= lease {
+				t.Errorf("answers until %v, but the lease may end at %v", b.LeaseValidity, lease)
 			}
-			if b.Command < b.Answer {
-				t.Errorf("commands end at %v, before answers at %v", b.Command, b.Answer)
+			if b.CommandValidity < b.LeaseValidity {
+				t.Errorf("commands end at %v, before answers at %v", b.CommandValidity, b.LeaseValidity)
 			}
 			// Told "cancelled" at the earliest right after the last renewal: the record was
 			// carried out, its answer lost, and another node has read it.
-			if last := slow(b.Command) + slow(worker); b.Command > b.Answer && last > cancel {
+			if last := slow(b.CommandValidity) + slow(worker); b.CommandValidity > b.LeaseValidity && last > cancel {
 				t.Errorf("a machine may keep a cancelled job until %v, allowed is %v", last, cancel)
 			}
 			// Told at the earliest right after the blind owner's view of jobs was complete.
-			if last := slow(b.Blind) + slow(worker); b.Blind > 0 && last > cancel {
+			if last := slow(b.StaleViewGrace) + slow(worker); b.StaleViewGrace > 0 && last > cancel {
 				t.Errorf("a blind owner's machine may keep a cancelled job until %v, allowed is %v", last, cancel)
 			}
 			// Told at the earliest right after the task was to be stopped.
-			if last := slow(b.LateStart) + slow(worker); b.LateStart > 0 && last > cancel {
+			if last := slow(b.LateStartGrace) + slow(worker); b.LateStartGrace > 0 && last > cancel {
 				t.Errorf("a start of a cancelled job may be carried out until %v, allowed is %v", last, cancel)
 			}
-			if b.WorkerGone < slow(worker) {
-				t.Errorf("a machine counts as free after %v, its lease may last %v", b.WorkerGone, slow(worker))
+			if b.WorkerExpiry < slow(worker) {
+				t.Errorf("a machine counts as free after %v, its lease may last %v", b.WorkerExpiry, slow(worker))
 			}
 			// The old owner may answer until Command after a renewal that was sent
 			// no later than lease before the claim.
-			if need := slow(b.Command) - lease + slow(worker); b.SuccessorFree < need {
-				t.Errorf("a successor waits %v, a machine may last %v", b.SuccessorFree, need)
+			if need := slow(b.CommandValidity) - lease + slow(worker); b.SuccessorWait < need {
+				t.Errorf("a successor waits %v, a machine may last %v", b.SuccessorWait, need)
 			}
 		})
 	}
--- a/internal/core/fleet.go
+++ b/internal/controller/fleet.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"maps"
@@ -15,10 +15,10 @@
 type fleet struct {
 	budget bucket
 
-	typesAt   micros.Micros
-	typesBusy bool
-	typesRaw  []byte // as last written
-	typesMark uint64 // of the record's key, as the watch has it
+	typesAt          micros.Micros
+	typesBusy        bool
+	typesRaw         []byte // as last written
+	typesModRevision uint64 // of the record's key, as the watch has it
 
 	ledAt    micros.Micros
 	first    bool // nothing was on record when this node began to lead
@@ -32,22 +32,22 @@
 	listedAt micros.Micros // when the last whole listing began; 0: none yet
 	missing  map[string]micros.Micros
 
-	hireSeq uint64
-	hires   []*hire
-	refused map[kind]*refusal
-
-	rented      map[string]*rented   // rented by this leader, and not on record yet
-	creating    map[string]*creating // batches being recorded, by key
-	assigning   map[string]bool      // machines in them, or about to be
-	reporters   []reporter           // machines without a record that have reported
-	reportersAt micros.Micros        // when they are recorded
-
-	returning    map[string]bool
-	returned     map[string]micros.Micros // the cloud has confirmed it
-	asked        map[string]micros.Micros // releases asked for
-	requests     []releaseRequest
-	plannedMoves map[string]plannedMove
-	planNext     micros.Micros
+	scaleOutSequence uint64
+	scaleOuts        []*scaleOutRequest
+	refused          map[kind]*refusal
+
+	rented             map[string]*rented            // rented by this leader, and not on record yet
+	pendingCreations   map[string]*recordSetCreation // record sets being recorded, by key
+	assigning          map[string]bool               // machines in them, or about to be
+	registrations      []registration                // machines without a record that have reported
+	registrationsDueAt micros.Micros                 // when they are recorded
+
+	returning          map[string]bool
+	returned           map[string]micros.Micros // the cloud has confirmed it
+	releaseRequestedAt map[string]micros.Micros // releases asked for
+	releaseRequests    []releaseRequest
+	plannedMoves       map[string]plannedMove
+	planNext           micros.Micros
 }
 
 // kind is what capacity is counted by.
@@ -66,74 +66,74 @@
 	f.pages, f.listed, f.order, f.listedAt, f.after, f.listBusy = nil, nil, nil, 0, "", false
 	f.missing = map[string]micros.Micros{}
 	f.refused = map[kind]*refusal{}
-	f.creating = map[string]*creating{}
+	f.pendingCreations = map[string]*recordSetCreation{}
 	f.assigning = map[string]bool{}
 	f.rented = map[string]*rented{}
-	f.reporters = nil
+	f.registrations = nil
 	f.returning = map[string]bool{}
 	f.returned = map[string]micros.Micros{}
-	f.asked = map[string]micros.Micros{}
+	f.releaseRequestedAt = map[string]micros.Micros{}
 	f.plannedMoves = map[string]plannedMove{}
-	f.requests, f.hires = nil, nil
+	f.releaseRequests, f.scaleOuts = nil, nil
 }
 
-func (c *Core) startLeading() {
-	for _, cl := range c.fleet.reporters {
+func (c *Controller) startLeading() {
+	for _, cl := range c.fleet.registrations {
 		c.answer(cl.in.Reply, 503, nil, 0)
 	}
 	c.fleet.reset()
 	c.fleet.ledAt = c.now
 	c.fleet.planNext = c.now
-	c.fleet.first = len(c.batches) == 0
+	c.fleet.first = len(c.recordSets) == 0
 	for _, label := range c.cfg.Peers {
-		c.peers[label].gone = nil
+		c.peers[label].returnedMachines = nil
 	}
-	c.log(Info, "leading the fleet", "mark", c.own.leader.mark, "machines", len(c.mach))
+	c.log(Info, "leader lock acquired", "epoch", c.ownership.leader.ownerEpoch, "machines", len(c.machines))
 }
 
 // askCloud sends a request if the budget allows; false if not now.
-func (c *Core) askCloud(req any, timeout micros.Micros, done func(Result)) bool {
+func (c *Controller) askCloud(req any, timeout micros.Micros, done func(Result)) bool {
 	b := &c.fleet.budget
-	b.fill(c.now)
-	if b.level < 1 {
+	b.refill(c.now)
+	if b.tokens < 1 {
 		return false
 	}
-	b.level--
+	b.tokens--
 	c.call(Call{To: ToCloud, Req: req, Timeout: timeout}, done)
 	return true
 }
 
 const cloudTimeout = 4 * micros.Second
 
-func (c *Core) maintainFleet() {
+func (c *Controller) maintainFleet() {
 	c.refreshTypes()
 	f := &c.fleet
 	if !c.leading() {
 		// It may lead again under the same mark: the machines must be free to report
 		// again (one stood idle for ever after an outage, found by the simulation).
-		for _, cl := range f.reporters {
-			delete(f.assigning, cl.in.Report.Machine)
+		for _, cl := range f.registrations {
+			delete(f.assigning, cl.in.Heartbeat.Machine)
 			c.answer(cl.in.Reply, 503, nil, 0)
 		}
-		f.reporters = nil
+		f.registrations = nil
 		return
 	}
-	for _, h := range slices.Clone(f.hires) {
-		c.sendHire(h)
+	for _, h := range slices.Clone(f.scaleOuts) {
+		c.sendScaleOut(h)
 	}
 	c.refreshList()
-	c.recordReporters()
+	c.recordRegistrations()
 	c.maintainCreations()
 	if c.now < f.planNext {
 		return
 	}
 	f.planNext = c.now + micros.Second
 	demand := c.allDemand()
-	c.logRooms()
+	c.logFreeCapacities()
 	if f.listedAt != 0 && len(c.types) > 0 {
 		c.assignListed(demand)
 	}
-	c.collect(demand)
+	c.scaleInUnusable(demand)
 	c.dropGone()
 	if f.listedAt != 0 && len(c.types) > 0 {
 		c.plan(demand)
@@ -144,43 +144,43 @@
 // listPageSize is the largest page that the cloud gives.
 const listPageSize = 500
 
-// allDemand is the newest demand of every share.
-func (c *Core) allDemand() map[int]*peer.Demand {
+// allDemand is the newest demand of every shard.
+func (c *Controller) allDemand() map[int]*peer.Demand {
 	out := map[int]*peer.Demand{}
 	for _, label := range c.cfg.Peers {
 		p := c.peers[label]
-		if c.now-p.demAt > 5*micros.Second {
+		if c.now-p.demandAt > 5*micros.Second {
 			continue
 		}
 		for i := range p.demand {
-			if s := p.demand[i].Share; s >= 0 && s < len(c.own.shares) && c.own.shares[s].rec.Label == label {
+			if s := p.demand[i].Shard; s >= 0 && s < len(c.ownership.shards) && c.ownership.shards[s].owner.Label == label {
 				out[s] = &p.demand[i]
 			}
 		}
 	}
 	own := c.demands()
 	for i := range own {
-		out[own[i].Share] = &own[i]
+		out[own[i].Shard] = &own[i]
 	}
 	return out
 }
 
-func shareIDs(demand map[int]*peer.Demand) []int { return slices.Sorted(maps.Keys(demand)) }
+func shardIDs(demand map[int]*peer.Demand) []int { return slices.Sorted(maps.Keys(demand)) }
 
 // plan moves idle machines to where work waits, rents what is missing, and
 // returns what is too much.
-func (c *Core) plan(demand map[int]*peer.Demand) {
+func (c *Controller) plan(demand map[int]*peer.Demand) {
 	f := &c.fleet
-	if len(demand) < len(c.own.shares) && c.now < f.ledAt+20*micros.Second {
+	if len(demand) < len(c.ownership.shards) && c.now < f.ledAt+20*micros.Second {
 		return // some owner has not spoken yet
 	}
-	count, booting := len(c.mach), 0.0
-	for _, h := range f.hires {
+	count, booting := len(c.machines), 0.0
+	for _, h := range f.scaleOuts {
 		count += h.req.Count
 		booting += float64(h.req.Count) * c.types[h.req.Type].CPUs
 	}
 	for _, id := range sortedKeys(f.rented) {
-		if r := f.rented[id]; c.mach[id] != nil || f.returned[id] != 0 || c.now-r.at > 5*micros.Minute {
+		if r := f.rented[id]; c.machines[id] != nil || f.returned[id] != 0 || c.now-r.at > 5*micros.Minute {
 			delete(f.rented, id)
 		} else if !f.assigning[id] {
 			count++
@@ -188,26 +188,26 @@
 		}
 	}
 	for _, id := range f.order {
-		if l := f.listed[id]; c.mach[id] == nil && f.rented[id] == nil && !f.assigning[id] && f.returned[id] == 0 && l.State != wire.MachineFailed {
+		if l := f.listed[id]; c.machines[id] == nil && f.rented[id] == nil && !f.assigning[id] && f.returned[id] == 0 && l.State != wire.MachineFailed {
 			count++
 			booting += c.types[l.Type].CPUs
 		}
 	}
-	for _, cr := range f.creating {
+	for _, cr := range f.pendingCreations {
 		count += len(cr.rec.Machines)
 		for _, m := range cr.rec.Machines {
 			booting += c.types[cr.rec.Kinds[m.Kind].Type].CPUs
 		}
 	}
-	w := want{}
+	w := fleetDemand{}
 	busy := 0.0
 	var groups []peer.Group
-	for _, id := range shareIDs(demand) {
+	for _, id := range shardIDs(demand) {
 		d := demand[id]
 		w.have += d.CPUs
 		booting += d.Booting
 		for _, m := range d.Machines {
-			if rec := c.mach[m.ID]; rec != nil && m.State == peer.MachineDraining && !rec.rec.Retiring {
+			if rec := c.machines[m.ID]; rec != nil && m.State == peer.MachineDraining && !rec.rec.Cordoned {
 				w.have += c.types[rec.rec.Type].CPUs
 			}
 		}
@@ -216,15 +216,15 @@
 		w.parallel += d.Busy + waitingCPUs(d)
 		w.arrival += d.ArrivalCPUs
 		groups = append(groups, d.Groups...)
-		c.log(Debug, "share demand", "share", id, "cpus", d.CPUs, "busy", d.Busy, "booting", d.Booting, "waiting", waitingCPUs(d), "work", workOf(d))
+		c.log(Debug, "shard demand", "shard", id, "cpus", d.CPUs, "busy", d.Busy, "booting", d.Booting, "waiting", waitingCPUs(d), "work", workOf(d))
 	}
 	c.log(Debug, "fleet", "have", w.have, "busy", busy, "booting", booting, "work", w.work, "arrival", w.arrival, "parallel", w.parallel)
 	w.have += booting
-	c.rent(demand, groups, w, c.cfg.MaxMachines-count)
-	c.level(demand)
-	c.returnIdle(demand, w, count >= c.cfg.MaxMachines)
+	c.scaleOut(demand, groups, w, c.cfg.MaxMachines-count)
+	c.rebalance(demand)
+	c.scaleInIdle(demand, w, count >= c.cfg.MaxMachines)
 	c.consolidate(demand, w)
-	c.replaceBad(demand)
+	c.replaceUnhealthy(demand)
 }
 
 // cpuPrice is the price of a CPU for an hour.
@@ -236,7 +236,7 @@
 }
 
 // hosts tells whether a group's tasks could run on a machine.
-func (c *Core) hosts(g peer.Group, typ, zone string, spot bool) bool {
+func (c *Controller) hosts(g peer.Group, typ, zone string, spot bool) bool {
 	mt, ok := c.types[typ]
 	return ok && (g.Any || slices.Contains(g.Types, typ)) && (g.Zone == "" || g.Zone == zone) && (g.Spot || !spot) &&
 		mt.CPUs+eps >= g.CPUs && mt.GPUs+eps >= g.GPUs && mt.MemGB+eps >= g.MemGB
