--- a/internal/core/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"fmt"
@@ -11,10 +11,10 @@
 
 // A zone counts as cut off only if hardly any of its machines is heard while
 // another zone's are, however many rows the owners name.
-func TestDarkZones(t *testing.T) {
+func TestPartitionedZones(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
-		shares [][]peer.Zone
+		shards [][]peer.Zone
 		dark   string
 	}{
 		{"all heard", [][]peer.Zone{{{Name: "a", All: 100}, {Name: "b", All: 100, Silent: 3}}}, ""},
@@ -25,14 +25,14 @@
 		{"two machines say nothing of a zone", [][]peer.Zone{{{Name: "a", All: 2, Silent: 2}, {Name: "b", All: 8}}}, ""},
 		{"nobody is heard: it is not the zone", [][]peer.Zone{{{Name: "a", All: 100, Silent: 95}, {Name: "b", All: 100, Silent: 96}}}, ""},
 	} {
-		c := New(Config{Label: "a", Shares: len(tc.shares), Teams: []Team{{Name: "t"}}, StateRPS: 10, WriteRPS: 10, CloudRPS: 10}, 1)
+		c := New(Config{Label: "a", Shards: len(tc.shards), Teams: []Team{{Name: "t"}}, StateRPS: 10, WriteRPS: 10, CloudRPS: 10}, 1)
 		demand := map[int]*peer.Demand{}
-		for i, zones := range tc.shares {
-			demand[i] = &peer.Demand{Share: i, Zones: zones}
+		for i, zones := range tc.shards {
+			demand[i] = &peer.Demand{Shard: i, Zones: zones}
 		}
-		dark := c.darkZones(demand)
-		if len(dark) > 1 || (tc.dark != "") != (len(dark) == 1) || tc.dark != "" && !dark[tc.dark] {
-			t.Errorf("%s: %v are dark, want %q", tc.name, dark, tc.dark)
+		partitioned := c.partitionedZones(demand)
+		if len(partitioned) > 1 || (tc.dark != "") != (len(partitioned) == 1) || tc.dark != "" && !partitioned[tc.dark] {
+			t.Errorf("%s: %v are dark, want %q", tc.name, partitioned, tc.dark)
 		}
 	}
 }
@@ -52,53 +52,53 @@
 		{"another zone is", "b", 30 * sec, []peer.Zone{{Name: "a", All: 20, Silent: 20}, {Name: "b", All: 80, Silent: 1}}, true},
 		{"its zone is, for minutes", "a", 140 * sec, []peer.Zone{{Name: "a", All: 20, Silent: 20}, {Name: "b", All: 80}}, true},
 	} {
-		c := New(Config{Label: "a", Shares: 1, Teams: []Team{{Name: "t"}}, StateRPS: 10, WriteRPS: 10, CloudRPS: 10,
-			ReportEvery: 10 * sec, WorkerLease: 45 * sec, SilentReturn: -1}, 1)
-		c.mach["vm-1"] = &machine{id: "vm-1", rec: machineRecord{Zone: tc.zone}}
+		c := New(Config{Label: "a", Shards: 1, Teams: []Team{{Name: "t"}}, StateRPS: 10, WriteRPS: 10, CloudRPS: 10,
+			HeartbeatInterval: 10 * sec, WorkerLease: 45 * sec, SilentReturn: -1}, 1)
+		c.machines["vm-1"] = &machine{id: "vm-1", rec: machineRecord{Zone: tc.zone}}
 		d := &peer.Demand{All: 100, Silent: 21, Zones: tc.zones, Machines: []peer.Machine{{ID: "vm-1", State: peer.MachineSilent, SinceUS: int64(tc.since)}}}
-		c.fleet.budget.level = 10
-		c.replaceBad(map[int]*peer.Demand{0: d})
+		c.fleet.budget.tokens = 10
+		c.replaceUnhealthy(map[int]*peer.Demand{0: d})
 		if got := c.fleet.returning["vm-1"]; got != tc.want {
 			t.Errorf("%s: returned %v, want %v", tc.name, got, tc.want)
 		}
 	}
 }
 
-// A controller names to another all machines of that one's shares that try it,
+// A controller names to another all machines of that one's shards that try it,
 // and no others: past a fixed bound those that matter went unnamed.
 func TestHeardByOwner(t *testing.T) {
 	h := newHarness(t, func(c *Config) {
-		c.Shares = 2
+		c.Shards = 2
 		c.Peers = []string{"n-1"}
 		c.Teams = []Team{{Name: "t", CPUs: 8}, {Name: "u", CPUs: 4}}
 	})
 	h.put(ownerKey(1), wire.OwnerRecord{Label: "n-1", Incarnation: 77})
-	rec := wire.BatchRecord{Kinds: []wire.MachineKind{{Type: "m", Zone: "a"}}}
+	rec := wire.MachineRecordSet{Kinds: []wire.MachineKind{{Type: "m", Zone: "a"}}}
 	const machines = 3100
 	for i := 0; i < machines; i += 100 {
 		rec.Machines = nil
 		for k := range 100 {
-			rec.Machines = append(rec.Machines, wire.BatchMachine{ID: machineName(i + k), Addr: machineName(i + k)})
+			rec.Machines = append(rec.Machines, wire.MachineRecord{ID: machineName(i + k), Addr: machineName(i + k)})
 		}
-		h.put(wire.BatchKey(1, fmt.Sprintf("m-1-%d", i)), rec)
+		h.put(wire.MachineRecordSetKey(1, fmt.Sprintf("m-1-%d", i)), rec)
 	}
-	h.settle("vm-mine")
+	h.reconcile("vm-mine")
 	for i := range machines {
-		if status, _ := h.checkin(report(machineName(i), 1, 1, 0)); status != 421 {
+		if status, _ := h.heartbeat(heartbeatFrom(machineName(i), 1, 1, 0)); status != 421 {
 			t.Fatalf("report of another's machine answered %d", status)
 		}
 	}
 	a := h.ask(func(r ReplyID) Input {
-		return PeerMessage{Reply: r, Req: peer.Request{From: "n-1", Status: &peer.Status{}}}
+		return PeerRequest{Reply: r, Req: peer.Request{From: "n-1", Status: &peer.Status{}}}
 	})
-	if got := len(a.Body.(*peer.Response).Status.Heard); got != machines {
+	if got := len(a.Body.(*peer.Response).Status.MisdirectedMachines); got != machines {
 		t.Errorf("%d machines named, want %d", got, machines)
 	}
 }
 
 // A watch whose answer is too large to take leads to a fresh listing, not to the
 // same request for ever.
-func TestOutgrownWatch(t *testing.T) {
+func TestWatchMustListAgain(t *testing.T) {
 	for _, status := range []int{410, TooLarge} {
 		h := newHarness(t, nil)
 		h.watchBlocked = wire.PrefixJob
@@ -140,14 +140,14 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t, func(c *Config) { c.BeginWithin = tc.within })
-			token := h.settle("vm-1")
+			fencingToken := h.reconcile("vm-1")
 			h.submit(jobOf("job-000001", 4000)) // and more of the same to come
 			big := jobOf("job-000002", 50)
 			big.CPUs, big.MemGB, big.Priority = tc.cpus, 4, "best_effort"
 			h.submit(big)
 			h.dropCalls()
 			seq := uint64(10)
-			var running []wire.TaskReport
+			var running []wire.TaskStatus
 			begun := 0
 			for range 120 { // each half second some tasks end
 				h.run(sec / 2)
@@ -155,12 +155,12 @@
 				seq++
 				ends := min(tc.ends, len(running))
 				for i := range ends {
-					running[i].State, running[i].Why = wire.TaskExited, wire.WhyDone
+					running[i].State, running[i].ExitReason = wire.TaskExited, wire.ExitDone
 				}
-				_, body := h.checkin(report("vm-1", 1, seq, token, running...))
+				_, body := h.heartbeat(heartbeatFrom("vm-1", 1, seq, fencingToken, running...))
 				running = running[ends:]
 				for _, cmd := range starts(body.Commands) {
-					running = append(running, wire.TaskReport{Task: cmd.Task, Attempt: cmd.Attempt, State: wire.TaskRunning})
+					running = append(running, wire.TaskStatus{Task: cmd.Task, Attempt: cmd.Attempt, State: wire.TaskRunning})
 					if id, _, _ := wire.ParseTask(cmd.Task); id == big.ID {
 						begun++
 					}
@@ -181,18 +181,18 @@
 	h := newHarness(t, func(c *Config) { c.BeginWithin = 30 * sec })
 	newAttempt := func(waited micros.Micros, others int) *attempt {
 		sub := jobOf("job-000001", 10)
-		j := &job{sub: &sub, rec: wire.JobRecord{AcceptedMS: (h.now - waited).Millis()}, run: &run{stopped: map[int]int{}, active: map[int]*attempt{}}}
-		att := &attempt{job: j, runAt: h.now - sec, owned: true}
+		j := &job{sub: &sub, rec: wire.JobRecord{AcceptedMS: (h.now - waited).Millis()}, run: &run{stopsByTask: map[int]int{}, active: map[int]*attempt{}}}
+		att := &attempt{job: j, runAt: h.now - sec, tracked: true}
 		for i := range 1 + others {
 			j.run.active[i] = att
 		}
 		return att
 	}
 	h.c.now, h.c.wall = h.now, h.now
-	if a, b := h.c.lossOf(newAttempt(sec, 0)), h.c.lossOf(newAttempt(40*sec, 0)); a >= b {
+	if a, b := h.c.preemptionLoss(newAttempt(sec, 0)), h.c.preemptionLoss(newAttempt(40*sec, 0)); a >= b {
 		t.Errorf("loss %v of a young job's only task, %v of an overdue one's", a, b)
 	}
-	if a, b := h.c.lossOf(newAttempt(40*sec, 0)), h.c.lossOf(newAttempt(40*sec, 3)); a <= b {
+	if a, b := h.c.preemptionLoss(newAttempt(40*sec, 0)), h.c.preemptionLoss(newAttempt(40*sec, 3)); a <= b {
 		t.Errorf("loss %v of an only task, %v of one of several", a, b)
 	}
 }
@@ -214,19 +214,19 @@
 		rounds, walks := 0, 0
 		for end := h.now + 20*sec; h.now < end; {
 			h.now += 20 * ms
-			h.c.placementDue = true
+			h.c.schedulingDue = true
 			for _, e := range h.c.Step(Instant{Steady: h.now, Wall: h.now, Took: tc.took}, Tick{}) {
 				if call, ok := e.(Call); ok {
 					h.call(call)
 				}
 			}
-			if h.c.placed {
+			if h.c.scheduledLastStep {
 				rounds++
 			}
-			if h.c.walked {
+			if h.c.walkedLastStep {
 				walks++
 			}
-			if h.now-h.c.own.renewed > h.c.cfg.Lease/2 {
+			if h.now-h.c.ownership.renewedAt > h.c.cfg.Lease/2 {
 				t.Fatalf("steps of %v s: the lease was not renewed", tc.took.Seconds())
 			}
 		}
@@ -236,7 +236,7 @@
 	}
 }
 
-// A controller that has lost the workers lets its duties go; one that is behind
+// A controller that has lost the workers lets its locks go; one that is behind
 // itself, or in a fleet that has lost some machines, does not.
 func TestWorkersOutOfReach(t *testing.T) {
 	for _, tc := range []struct {
@@ -260,7 +260,7 @@
 			h.run(8 * sec)                      // it comes to lead as well, and lists lag
 			tokens := map[string]uint64{}
 			for i := range 10 {
-				tokens[machineName(i)] = h.settle(machineName(i))
+				tokens[machineName(i)] = h.reconcile(machineName(i))
 			}
 			h.peersDown, h.stateDown = tc.peersDown, tc.stateDown
 			seq := uint64(10)
@@ -272,7 +272,7 @@
 				h.dropCalls()
 				seq++
 				for i := range 10 - tc.silent {
-					h.checkin(report(machineName(i), 1, seq, tokens[machineName(i)]))
+					h.heartbeat(heartbeatFrom(machineName(i), 1, seq, tokens[machineName(i)]))
 				}
 			}
 			if h.c.contact.lost != tc.want {
@@ -303,28 +303,28 @@
 			h.step(Result{ID: sent[0].ID, Status: 200})
 			sent, at = sent[1:], at[1:]
 		}
-		if len(sent) > mostRenewals {
+		if len(sent) > maxRenewalsInFlight {
 			t.Fatalf("%d renewals under way", len(sent))
 		}
-		if !h.c.canAnswer() {
-			t.Fatalf("may not answer, %v s after the last renewal that counts", (h.now - h.c.own.renewed).Seconds())
+		if !h.c.leaseValid() {
+			t.Fatalf("may not answer, %v s after the last renewal that counts", (h.now - h.c.ownership.renewedAt).Seconds())
 		}
 	}
 }
 
-// Machines that can't be reached hold up a takeover: they are returned if what
+// Machines that can't be reached hold up a failover: they are returned if what
 // stands still meanwhile is worth more than they are, and not if it is rather the
 // owner that can't reach them.
-func TestDoubtReturn(t *testing.T) {
+func TestUnreconciledReturn(t *testing.T) {
 	for _, tc := range []struct {
-		name  string
-		doubt int // of 100 machines with 4 CPUs
-		held  micros.Micros
-		busy  float64
-		wait  int
-		since micros.Micros // for those asked twice
-		dark  bool
-		want  bool
+		name         string
+		unreconciled int // of 100 machines with 4 CPUs
+		held         micros.Micros
+		busy         float64
+		wait         int
+		since        micros.Micros // for those asked twice
+		dark         bool
+		want         bool
 	}{
 		{"one of many", 1, 40 * sec, 300, 1000, 6 * sec, false, true},
 		{"a fifth, for long", 20, 40 * sec, 200, 1000, 6 * sec, false, true},
@@ -334,34 +334,34 @@
 		{"most of them: rather the owner's network", 60, 60 * sec, 0, 1000, 6 * sec, false, false},
 		{"most of them, in a zone that is cut off", 60, 60 * sec, 0, 10000, 6 * sec, true, true},
 	} {
-		c := New(Config{Label: "a", Shares: 1, Teams: []Team{{Name: "t"}}, StateRPS: 10, WriteRPS: 10, CloudRPS: 10,
-			ReportEvery: 10 * sec, WorkerLease: 45 * sec, SilentReturn: -1}, 1)
+		c := New(Config{Label: "a", Shards: 1, Teams: []Team{{Name: "t"}}, StateRPS: 10, WriteRPS: 10, CloudRPS: 10,
+			HeartbeatInterval: 10 * sec, WorkerLease: 45 * sec, SilentReturn: -1}, 1)
 		c.types = map[string]wire.MachineType{"m": {Name: "m", CPUs: 4, BootS: 5}}
-		d := &peer.Demand{All: 100, Doubt: tc.doubt, HeldUS: int64(tc.held), CPUs: float64(4 * (100 - tc.doubt)), Busy: tc.busy,
+		d := &peer.Demand{All: 100, Unreconciled: tc.unreconciled, BlockedUS: int64(tc.held), CPUs: float64(4 * (100 - tc.unreconciled)), Busy: tc.busy,
 			RunLeftUS: int64(tc.busy * 20e6), Groups: []peer.Group{{Any: true, CPUs: 1, Waiting: tc.wait}},
-			Zones: []peer.Zone{{Name: "a", All: tc.doubt}, {Name: "b", All: 100 - tc.doubt}}}
+			Zones: []peer.Zone{{Name: "a", All: tc.unreconciled}, {Name: "b", All: 100 - tc.unreconciled}}}
 		if tc.dark {
-			d.Zones[0].Silent = tc.doubt
+			d.Zones[0].Silent = tc.unreconciled
 		}
-		for i := range tc.doubt {
+		for i := range tc.unreconciled {
 			id := machineName(i)
-			c.mach[id] = &machine{id: id, rec: machineRecord{Zone: "a", Type: "m"}}
-			d.Machines = append(d.Machines, peer.Machine{ID: id, State: peer.MachineDoubt, SinceUS: int64(tc.since)})
+			c.machines[id] = &machine{id: id, rec: machineRecord{Zone: "a", Type: "m"}}
+			d.Machines = append(d.Machines, peer.Machine{ID: id, State: peer.MachineUnreconciled, SinceUS: int64(tc.since)})
 		}
-		c.fleet.budget.level = 10
-		c.replaceBad(map[int]*peer.Demand{0: d})
-		if got := len(c.fleet.returning) == tc.doubt; got != tc.want || !tc.want && len(c.fleet.returning) > 0 {
+		c.fleet.budget.tokens = 10
+		c.replaceUnhealthy(map[int]*peer.Demand{0: d})
+		if got := len(c.fleet.returning) == tc.unreconciled; got != tc.want || !tc.want && len(c.fleet.returning) > 0 {
 			t.Errorf("%s: %d returned, want it: %v", tc.name, len(c.fleet.returning), tc.want)
 		}
 	}
 }
 
 // A new owner does not know what was returned before its claim: it is told as
-// long as it names the machine as silent or in doubt. (A share was held up for 12 s
+// long as it names the machine as silent or in doubt. (A shard was held up for 12 s
 // by three machines that had long been returned.)
 func TestReturnedIsToldAgain(t *testing.T) {
 	h := newHarness(t, func(c *Config) {
-		c.Shares = 2
+		c.Shards = 2
 		c.Peers = []string{"n-1"}
 		c.MaxMachines = 100
 		c.SilentReturn = -1
@@ -369,19 +369,19 @@
 	})
 	h.run(8 * sec)
 	h.put(ownerKey(1), wire.OwnerRecord{Label: "n-1", Incarnation: 77})
-	h.put(wire.BatchKey(1, "l-1-1"), wire.BatchRecord{Kinds: []wire.MachineKind{{Type: "m", Zone: "a"}}, Machines: []wire.BatchMachine{{ID: "vm-1", Addr: "vm-1"}}})
+	h.put(wire.MachineRecordSetKey(1, "l-1-1"), wire.MachineRecordSet{Kinds: []wire.MachineKind{{Type: "m", Zone: "a"}}, Machines: []wire.MachineRecord{{ID: "vm-1", Addr: "vm-1"}}})
 	if !h.c.leading() {
 		t.Fatal("does not lead")
 	}
 	h.c.fleet.returned["vm-1"] = h.now
-	for _, state := range []int{peer.MachineDoubt, peer.MachineSilent} {
+	for _, state := range []int{peer.MachineUnreconciled, peer.MachineSilent} {
 		p := h.c.peers["n-1"]
-		p.gone = nil
-		d := &peer.Demand{Share: 1, All: 1, Machines: []peer.Machine{{ID: "vm-1", State: state}}}
-		h.c.replaceBad(map[int]*peer.Demand{1: d})
-		h.c.replaceBad(map[int]*peer.Demand{1: d})
-		if len(p.gone) != 1 || p.gone[0] != "vm-1" {
-			t.Errorf("state %d: the new owner is told of %v", state, p.gone)
+		p.returnedMachines = nil
+		d := &peer.Demand{Shard: 1, All: 1, Machines: []peer.Machine{{ID: "vm-1", State: state}}}
+		h.c.replaceUnhealthy(map[int]*peer.Demand{1: d})
+		h.c.replaceUnhealthy(map[int]*peer.Demand{1: d})
+		if len(p.returnedMachines) != 1 || p.returnedMachines[0] != "vm-1" {
+			t.Errorf("state %d: the new owner is told of %v", state, p.returnedMachines)
 		}
 	}
 }
@@ -398,10 +398,10 @@
 	}{
 		{"young", 20 * sec, run{}, false},
 		{"nothing started", 40 * sec, run{}, true},
-		{"its only start was stopped", 40 * sec, run{firstRun: sec}, true},
+		{"its only start was stopped", 40 * sec, run{firstRunAt: sec}, true},
 		{"one is running", 40 * sec, run{active: map[int]*attempt{0: {}}}, false},
-		{"one is done", 40 * sec, run{count: 1}, false},
-		{"it fails everywhere", 40 * sec, run{probeAt: sec}, false},
+		{"one is done", 40 * sec, run{doneCount: 1}, false},
+		{"it fails everywhere", 40 * sec, run{nextRetryAt: sec}, false},
 	} {
 		j := &job{rec: wire.JobRecord{AcceptedMS: (h.c.wall - tc.waited).Millis()}, run: &tc.run}
 		if got := h.c.overdue(j); got != tc.want {
--- a/internal/core/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"encoding/hex"
@@ -51,16 +51,16 @@
 func goldenSamples() []goldenSample {
 	return []goldenSample{
 		sample[wire.OwnerRecord]("owner record", cborCodec),
-		sample[wire.BatchRecord]("machine batch record", cborCodec),
+		sample[wire.MachineRecordSet]("machine batch record", cborCodec),
 		sample[wire.JobRecord]("job record", cborCodec),
-		sample[wire.VersionRecord]("job version record", cborCodec),
+		sample[wire.CheckpointRecord]("job version record", cborCodec),
 		sample[quota.Record]("quota record", cborCodec),
 		sample[wire.Submission]("submission", cborCodec),
 		sample[wire.JobAnswer]("job answer", cborCodec),
-		sample[wire.Report]("report", cborCodec),
-		sample[wire.ReportAnswer]("report answer", cborCodec),
+		sample[wire.Heartbeat]("report", cborCodec),
+		sample[wire.HeartbeatReply]("report answer", cborCodec),
 		sample[wire.Redirect]("report redirect", cborCodec),
-		sample[wire.Orders]("worker commands", cborCodec),
+		sample[wire.DirectCommand]("worker commands", cborCodec),
 		sample[wire.MachineTypes]("machine types", cborCodec),
 		sample[wire.Rental]("machine request", cborCodec),
 		sample[wire.MachineNames]("machine names", cborCodec),
@@ -108,7 +108,7 @@
 	t.Helper()
 	v := reflect.New(s.typ)
 	f := filler{tag: s.codec.name}
-	if err := f.fill(v.Elem()); err != nil {
+	if err := f.packMachine(v.Elem()); err != nil {
 		t.Fatalf("%s: %v", s.label, err)
 	}
 	return v
@@ -174,7 +174,7 @@
 	return f.counter
 }
 
-func (f *filler) fill(v reflect.Value) error {
+func (f *filler) packMachine(v reflect.Value) error {
 	if v.Type() == reflect.TypeFor[wire.Raw]() {
 		return f.fillRaw(v)
 	}
@@ -191,7 +191,7 @@
 		v.SetFloat(float64(f.next()) + 0.5)
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
-		return f.fill(v.Elem())
+		return f.packMachine(v.Elem())
 	case reflect.Slice:
 		return f.fillSlice(v)
 	case reflect.Struct:
@@ -213,7 +213,7 @@
 	const elements = 2
 	v.Set(reflect.MakeSlice(v.Type(), elements, elements))
 	for i := range elements {
-		if err := f.fill(v.Index(i)); err != nil {
+		if err := f.packMachine(v.Index(i)); err != nil {
 			return err
 		}
 	}
@@ -226,7 +226,7 @@
 		if !field.IsExported() || strings.Split(field.Tag.Get(f.tag), ",")[0] == "-" {
 			continue
 		}
-		if err := f.fill(v.Field(i)); err != nil {
+		if err := f.packMachine(v.Field(i)); err != nil {
 			return fmt.Errorf("%s: %w", field.Name, err)
 		}
 	}
--- a/internal/core/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"fmt"
@@ -21,7 +21,7 @@
 // them stay open until the test answers.
 type harness struct {
 	t       *testing.T
-	c       *Core
+	c       *Controller
 	now     micros.Micros
 	rev     uint64
 	keys    map[string]wire.KeyValue
@@ -45,9 +45,9 @@
 	held    []Call
 	// asked are the questions that were sent to the other controllers.
 	asked []peer.Ask
-	// told are the Status messages that reached the other controllers.
-	told []peer.Status
-	done []wire.Txn // carried out
+	// statusesSent are the Status messages that reached the other controllers.
+	statusesSent []peer.Status
+	done         []wire.Txn // carried out
 	// reads counts reads of single keys.
 	reads int
 	// refusals counts transactions refused as too large.
@@ -56,19 +56,19 @@
 	listed []wire.ListedMachine
 	// logs are the lines logged so far.
 	logs []Log
-	// unlisted is a prefix whose listings are refused, unread one whose keys can't be read.
-	unlisted, unread string
+	// unlistablePrefix is a prefix whose listings are refused, unread one whose keys can't be read.
+	unlistablePrefix, unreadablePrefix string
 	// watchBlocked is a prefix whose watches bring nothing.
 	watchBlocked string
 }
 
 func newHarness(t *testing.T, change func(*Config)) *harness {
 	cfg := Config{
-		Label: "n-0", Shares: 1, Teams: []Team{{Name: "t"}},
-		Lease: 4 * sec, ReportEvery: 2 * sec, WorkerLease: 10 * sec, Cancel: 20 * sec,
-		StateRPS: 1000, WriteRPS: 1000, ValueBytes: 8 << 10, TxnOps: 8, Asks: 8, CloudRPS: 100, ListLag: sec,
-		DrainHorizon: 30 * sec, IdleReturn: micros.Minute, Quarantine: 30 * sec, MaxMachines: 10,
-		Urgent: map[string]micros.Micros{},
+		Label: "n-0", Shards: 1, Teams: []Team{{Name: "t"}},
+		Lease: 4 * sec, HeartbeatInterval: 2 * sec, WorkerLease: 10 * sec, Cancel: 20 * sec,
+		StateRPS: 1000, WriteRPS: 1000, ValueBytes: 8 << 10, TxnOps: 8, MaxWorkerRequests: 8, CloudRPS: 100, ListLag: sec,
+		DrainHorizon: 30 * sec, IdleReturn: micros.Minute, CordonFor: 30 * sec, MaxMachines: 10,
+		StartWithin: map[string]micros.Micros{},
 	}
 	if change != nil {
 		change(&cfg)
@@ -108,7 +108,7 @@
 		}
 		var events []wire.Event
 		for _, ev := range h.log {
-			if ev.Version > req.Since && (strings.HasPrefix(ev.Put, req.Prefix) || ev.Delete != "" && strings.HasPrefix(ev.Delete, req.Prefix)) {
+			if ev.ModRevision > req.Since && (strings.HasPrefix(ev.Put, req.Prefix) || ev.Delete != "" && strings.HasPrefix(ev.Delete, req.Prefix)) {
 				events = append(events, ev)
 			}
 		}
@@ -147,10 +147,10 @@
 	}
 	resp := &peer.Response{From: c.Addr}
 	if req := c.Req.(peer.Request); req.Status != nil {
-		h.told = append(h.told, *req.Status)
+		h.statusesSent = append(h.statusesSent, *req.Status)
 		resp.Status = &peer.StatusAck{About: peer.About{StateOK: true}}
-		for _, o := range req.Status.Owns {
-			resp.Status.Quiet = append(resp.Status.Quiet, o.Share)
+		for _, o := range req.Status.Claims {
+			resp.Status.QuiescedShards = append(resp.Status.QuiescedShards, o.Shard)
 		}
 	}
 	h.result(c, 200, resp)
@@ -190,7 +190,7 @@
 		h.result(c, 200, nil)
 	case GetKey:
 		h.reads++
-		if h.unread != "" && strings.HasPrefix(r.Key, h.unread) {
+		if h.unreadablePrefix != "" && strings.HasPrefix(r.Key, h.unreadablePrefix) {
 			h.result(c, 429, nil)
 			return
 		}
@@ -200,7 +200,7 @@
 			h.result(c, 404, nil)
 		}
 	case ListKeys:
-		if h.unlisted != "" && strings.HasPrefix(r.Prefix, h.unlisted) {
+		if h.unlistablePrefix != "" && strings.HasPrefix(r.Prefix, h.unlistablePrefix) {
 			h.result(c, 429, nil)
 			return
 		}
@@ -235,18 +235,18 @@
 
 func (h *harness) txn(t wire.Txn) (int, any) {
 	for _, c := range t.If {
-		if h.keys[c.Key].Version != c.Version {
+		if h.keys[c.Key].ModRevision != c.ModRevision {
 			return 409, &wire.Revision{Revision: h.rev, Failed: []string{c.Key}}
 		}
 	}
 	h.rev++
 	for _, c := range t.Then {
 		if c.Put != "" {
-			h.keys[c.Put] = wire.KeyValue{Key: c.Put, Value: c.Value, Version: h.rev}
-			h.log = append(h.log, wire.Event{Put: c.Put, Value: c.Value, Version: h.rev})
+			h.keys[c.Put] = wire.KeyValue{Key: c.Put, Value: c.Value, ModRevision: h.rev}
+			h.log = append(h.log, wire.Event{Put: c.Put, Value: c.Value, ModRevision: h.rev})
 		} else {
 			delete(h.keys, c.Delete)
-			h.log = append(h.log, wire.Event{Delete: c.Delete, Version: h.rev})
+			h.log = append(h.log, wire.Event{Delete: c.Delete, ModRevision: h.rev})
 		}
 	}
 	return 200, &wire.Revision{Revision: h.rev}
@@ -284,15 +284,15 @@
 }
 
 func (h *harness) submit(s wire.Submission) Answer {
-	a := h.ask(func(r ReplyID) Input { return Submit{Reply: r, Job: s} })
+	a := h.ask(func(r ReplyID) Input { return SubmitRequest{Reply: r, Job: s} })
 	if a.Status == 201 {
 		h.run(60 * ms) // placing has its pace
 	}
 	return a
 }
 
-func (h *harness) poll(id string) Answer {
-	return h.ask(func(r ReplyID) Input { return Poll{Reply: r, ID: id} })
+func (h *harness) jobStatus(id string) Answer {
+	return h.ask(func(r ReplyID) Input { return JobStatusRequest{Reply: r, ID: id} })
 }
 
 // jobOf is a plain submission.
@@ -300,15 +300,15 @@
 	return wire.Submission{ID: id, Class: "c", Team: "t", Kind: "sweep", Priority: "standard", Tasks: tasks, CPUs: 1, MemGB: 1, Image: "i", ImageGB: 1, Spot: true, EstimateS: 10}
 }
 
-// report builds a worker's report.
-func report(id string, session, seq, token uint64, tasks ...wire.TaskReport) wire.Report {
-	return wire.Report{Machine: id, Addr: id, Type: "m", Zone: "a", Session: session, Seq: seq, Token: token, Tasks: tasks}
+// heartbeatFrom builds a worker's heartbeat.
+func heartbeatFrom(id string, agentEpoch, seq, fencingToken uint64, tasks ...wire.TaskStatus) wire.Heartbeat {
+	return wire.Heartbeat{Machine: id, Addr: id, Type: "m", Zone: "a", AgentEpoch: agentEpoch, Sequence: seq, FencingToken: fencingToken, Tasks: tasks}
 }
 
-// checkin sends a report; the commands are nil unless the status is 200.
-func (h *harness) checkin(r wire.Report) (int, wire.ReportAnswer) {
-	a := h.ask(func(id ReplyID) Input { return Checkin{Reply: id, Report: r} })
-	body, _ := a.Body.(wire.ReportAnswer)
+// heartbeat sends a heartbeat; the commands are nil unless the status is 200.
+func (h *harness) heartbeat(r wire.Heartbeat) (int, wire.HeartbeatReply) {
+	a := h.ask(func(id ReplyID) Input { return Heartbeat{Reply: id, Heartbeat: r} })
+	body, _ := a.Body.(wire.HeartbeatReply)
 	return a.Status, body
 }
 
@@ -321,26 +321,26 @@
 
 // putMachines records machines as another node would.
 func (h *harness) putMachines(name string, ids ...string) {
-	rec := wire.BatchRecord{Kinds: []wire.MachineKind{{Type: "m", Zone: "a"}}}
+	rec := wire.MachineRecordSet{Kinds: []wire.MachineKind{{Type: "m", Zone: "a"}}}
 	for _, id := range ids {
-		rec.Machines = append(rec.Machines, wire.BatchMachine{ID: id, Addr: id})
+		rec.Machines = append(rec.Machines, wire.MachineRecord{ID: id, Addr: id})
 	}
-	h.put(wire.BatchKey(0, name), rec)
+	h.put(wire.MachineRecordSetKey(0, name), rec)
 }
 
-// settle brings a machine into the fleet: the answer to its first report shows
-// the token, its second report carries it.
-func (h *harness) settle(id string) uint64 {
+// reconcile brings a machine into the fleet: the answer to its first heartbeat shows
+// the fencing token, its second report carries it.
+func (h *harness) reconcile(id string) uint64 {
 	h.list(id)
-	status, body := h.checkin(report(id, 1, 2, 0))
-	if status != 200 || body.Token == 0 {
-		h.t.Fatalf("report of %s answered %d with token %d", id, status, body.Token)
+	status, body := h.heartbeat(heartbeatFrom(id, 1, 2, 0))
+	if status != 200 || body.FencingToken == 0 {
+		h.t.Fatalf("report of %s answered %d with token %d", id, status, body.FencingToken)
 	}
 	h.dropCalls()
-	if status, _ = h.checkin(report(id, 1, 3, body.Token)); status != 200 {
+	if status, _ = h.heartbeat(heartbeatFrom(id, 1, 3, body.FencingToken)); status != 200 {
 		h.t.Fatalf("second report of %s answered %d", id, status)
 	}
-	return body.Token
+	return body.FencingToken
 }
 
 // dropCalls ends all open calls to workers unanswered and unsent.
@@ -352,11 +352,11 @@
 	}
 }
 
-// orders gives the open direct orders that hold starts.
-func (h *harness) orders() []Call {
+// directCommands gives the open direct commands that hold starts.
+func (h *harness) directCommands() []Call {
 	var out []Call
 	for _, c := range h.open {
-		if o, ok := c.Req.(wire.Orders); ok && len(o.Commands) > 0 {
+		if o, ok := c.Req.(wire.DirectCommand); ok && len(o.Commands) > 0 {
 			out = append(out, c)
 		}
 	}
@@ -373,7 +373,7 @@
 }
 
 func (h *harness) state(id string) string {
-	a := h.poll(id)
+	a := h.jobStatus(id)
 	if b, ok := a.Body.(wire.JobAnswer); ok {
 		return b.State
 	}
@@ -404,9 +404,9 @@
 	return values
 }
 
-// withdraw asks to cancel a job.
-func (h *harness) withdraw(id string) Answer {
-	return h.ask(func(r ReplyID) Input { return Withdraw{Reply: r, ID: id} })
+// cancel asks to cancel a job.
+func (h *harness) cancel(id string) Answer {
+	return h.ask(func(r ReplyID) Input { return CancelRequest{Reply: r, ID: id} })
 }
 
 // stops counts the halts without grace.
@@ -420,12 +420,12 @@
 }
 
 // startOne submits job-000001 with one task and has it started on vm-1 by the
-// answer to a report; it gives the attempt.
-func (h *harness) startOne(token uint64) uint64 {
+// answer to a heartbeat; it gives the attempt.
+func (h *harness) startOne(fencingToken uint64) uint64 {
 	h.t.Helper()
 	h.submit(jobOf("job-000001", 1))
-	h.dropCalls() // the direct order never left: the start waits again
-	_, body := h.checkin(report("vm-1", 1, 10, token))
+	h.dropCalls() // the direct command never left: the start waits again
+	_, body := h.heartbeat(heartbeatFrom("vm-1", 1, 10, fencingToken))
 	cmds := starts(body.Commands)
 	if len(cmds) != 1 {
 		h.t.Fatalf("commands %v, want a start", body.Commands)
--- a/internal/core/repeats_test.go
+++ b/internal/controller/idempotency_test.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"fmt"
@@ -12,46 +12,46 @@
 	"garnethitch/internal/wire"
 )
 
-// marksOf is what stands in the store: every key with its mark.
-func (h *harness) marksOf() map[string]uint64 {
+// modRevisionsOf is what stands in the store: every key with its mark.
+func (h *harness) modRevisionsOf() map[string]uint64 {
 	out := map[string]uint64{}
 	for k, kv := range h.keys {
-		out[k] = kv.Version
+		out[k] = kv.ModRevision
 	}
 	return out
 }
 
 // A transaction that was carried out may be carried out again at any later time,
-// also after its sender has ended. Whatever the core writes has conditions under
+// also after its sender has ended. Whatever the controller writes has conditions under
 // which a repeat does nothing: each of its writes, in a life with every kind of
 // them, is repeated after each later one.
 func TestRepeatedWrites(t *testing.T) {
 	h := newHarness(t, func(c *Config) {
-		c.Shares, c.MaxMachines = 2, 100
+		c.Shards, c.MaxMachines = 2, 100
 		c.Teams = []Team{{Name: "t", CPUs: 8}, {Name: "u", CPUs: 4}}
 	})
 	check := func(after string) {
 		t.Helper()
-		before := h.marksOf()
+		before := h.modRevisionsOf()
 		for _, txn := range slices.Clone(h.done) {
 			if status, _ := h.txn(txn); status != 200 {
 				continue
 			}
-			id, isVersion := strings.CutPrefix(txn.Then[0].Put, wire.PrefixVersion)
+			id, isVersion := strings.CutPrefix(txn.Then[0].Put, wire.PrefixCheckpoint)
 			if _, over := h.c.jobs.final(id); isVersion && len(txn.Then) == 1 && over {
-				delete(h.keys, txn.Then[0].Put) // nobody asks for the Version of a job that is over
+				delete(h.keys, txn.Then[0].Put) // nobody asks for the checkpoint of a job that is over
 				continue
 			}
 			t.Errorf("after %s: a repeat of %v is applied", after, txn.Then)
 		}
-		if !maps.Equal(before, h.marksOf()) {
+		if !maps.Equal(before, h.modRevisionsOf()) {
 			t.Fatalf("after %s the store has changed", after)
 		}
 	}
 	check("the claims")
 	tokens := map[string]uint64{}
 	for i := range 3 {
-		tokens[machineName(i)] = h.settle(machineName(i))
+		tokens[machineName(i)] = h.reconcile(machineName(i))
 	}
 	check("assignment")
 	h.c.fleet.planNext = micros.Never // idle machines stay for now
@@ -61,61 +61,61 @@
 	h.dropCalls()
 	for i := range 3 { // the first job's tasks run and end
 		id := machineName(i)
-		_, body := h.checkin(report(id, 1, 10, tokens[id]))
+		_, body := h.heartbeat(heartbeatFrom(id, 1, 10, tokens[id]))
 		cmds := starts(body.Commands)
-		h.checkin(report(id, 1, 11, tokens[id], shown(cmds, wire.TaskRunning)...))
-		var ends []wire.TaskReport
+		h.heartbeat(heartbeatFrom(id, 1, 11, tokens[id], shown(cmds, wire.TaskRunning)...))
+		var ends []wire.TaskStatus
 		for _, r := range shown(cmds, wire.TaskExited) {
-			r.Why = wire.WhyDone
+			r.ExitReason = wire.ExitDone
 			ends = append(ends, r)
 		}
 		h.run(sec)
 		h.dropCalls()
-		h.checkin(report(id, 1, 12, tokens[id], ends...))
-		h.run(3 * sec) // Versions
+		h.heartbeat(heartbeatFrom(id, 1, 12, tokens[id], ends...))
+		h.run(3 * sec) // checkpoints
 		h.dropCalls()
 	}
 	if h.state("job-000001") != wire.StateDone {
 		t.Fatalf("the first job is %q", h.state("job-000001"))
 	}
-	if len(slices.DeleteFunc(sortedKeys(h.keys), func(k string) bool { return len(k) < 8 || k[:8] != wire.PrefixVersion })) == 0 {
+	if len(slices.DeleteFunc(sortedKeys(h.keys), func(k string) bool { return len(k) < 8 || k[:8] != wire.PrefixCheckpoint })) == 0 {
 		t.Fatal("no Version was recorded")
 	}
 	check("an end and Versions")
-	if a := h.ask(func(r ReplyID) Input { return Withdraw{Reply: r, ID: "job-000002"} }); a.Status != 200 {
+	if a := h.ask(func(r ReplyID) Input { return CancelRequest{Reply: r, ID: "job-000002"} }); a.Status != 200 {
 		t.Fatalf("cancelled: %d", a.Status)
 	}
 	check("a cancellation")
-	// One machine moves, one retires, and the batch of the third is rewritten.
+	// One machine moves, one retires, and the record set of the third is rewritten.
 	h.run(3 * sec)
-	moved, retired := h.c.mach[machineName(0)], h.c.mach[machineName(1)]
+	moved, retired := h.c.machines[machineName(0)], h.c.machines[machineName(1)]
 	for i := range 3 { // empty again
-		h.checkin(report(machineName(i), 1, 30, tokens[machineName(i)]))
+		h.heartbeat(heartbeatFrom(machineName(i), 1, 30, tokens[machineName(i)]))
 	}
 	h.dropCalls()
-	from := moved.rec.Share
-	h.c.release(peer.Release{Machines: []string{moved.id}, Share: 1 - from})
+	from := moved.rec.Shard
+	h.c.release(peer.Release{Machines: []string{moved.id}, Shard: 1 - from})
 	h.run(2 * sec)
 	h.c.release(peer.Release{Machines: []string{retired.id}, Retire: true})
 	h.run(2 * sec)
-	if h.c.mach[moved.id].rec.Share == from || !retired.rec.Retiring {
-		t.Fatalf("moved %v, retired %v", h.c.mach[moved.id].rec.Share != from, retired.rec.Retiring)
+	if h.c.machines[moved.id].rec.Shard == from || !retired.rec.Cordoned {
+		t.Fatalf("moved %v, retired %v", h.c.machines[moved.id].rec.Shard != from, retired.rec.Cordoned)
 	}
-	third := h.c.mach[machineName(2)]
-	h.c.raise(h.c.own.shares[third.rec.Share], third)
+	third := h.c.machines[machineName(2)]
+	h.c.raiseFencingToken(h.c.ownership.shards[third.rec.Shard], third)
 	h.run(sec)
 	check("moves, a retirement and a rewrite")
 	h.c.fleet.planNext = h.now
 	for seq := uint64(40); seq < 80; seq++ { // what idles is returned and leaves the record
 		h.run(sec)
 		h.dropCalls()
-		for _, id := range sortedKeys(h.c.mach) {
-			m := h.c.mach[id]
-			h.checkin(report(id, 1, seq, h.c.token(h.c.own.shares[m.rec.Share], m)))
+		for _, id := range sortedKeys(h.c.machines) {
+			m := h.c.machines[id]
+			h.heartbeat(heartbeatFrom(id, 1, seq, h.c.fencingToken(h.c.ownership.shards[m.rec.Shard], m)))
 		}
 	}
-	if len(h.c.mach) != 0 {
-		t.Fatalf("%d machines are left", len(h.c.mach))
+	if len(h.c.machines) != 0 {
+		t.Fatalf("%d machines are left", len(h.c.machines))
 	}
 	check("the end of all machines")
 	kinds := map[string]bool{}
@@ -133,15 +133,15 @@
 // Requests to us that were carried out and come again, late: what they find, and
 // what they get.
 func TestRepeatedRequests(t *testing.T) {
-	submit := func(r ReplyID) Input { return Submit{Reply: r, Job: jobOf("job-000001", 1)} }
-	withdraw := func(r ReplyID) Input { return Withdraw{Reply: r, ID: "job-000001"} }
+	submit := func(r ReplyID) Input { return SubmitRequest{Reply: r, Job: jobOf("job-000001", 1)} }
+	cancel := func(r ReplyID) Input { return CancelRequest{Reply: r, ID: "job-000001"} }
 	broken := func(r ReplyID) Input {
-		return Submit{Reply: r, Err: &wire.SubmissionError{ID: "job-000001"}}
+		return SubmitRequest{Reply: r, Err: &wire.SubmissionError{ID: "job-000001"}}
 	}
 	misfit := func(r ReplyID) Input {
 		s := jobOf("job-000001", 1)
 		s.CPUs = 1000
-		return Submit{Reply: r, Job: s}
+		return SubmitRequest{Reply: r, Job: s}
 	}
 	for _, tc := range []struct {
 		since  string
@@ -152,38 +152,38 @@
 		{"running", submit, "200 running"},
 		{"done", submit, "200 done"},
 		{"cancelled", submit, "200 cancelled"},
-		{"done", withdraw, "200 done"},
-		{"cancelled", withdraw, "200 cancelled"},
+		{"done", cancel, "200 done"},
+		{"cancelled", cancel, "200 cancelled"},
 		{"cancelled", broken, "200 cancelled"},
 		{"running", broken, "200 running"},
 		{"done", misfit, "200 done"},
-		{"nothing", withdraw, "404 "},
+		{"nothing", cancel, "404 "},
 		{"nothing", broken, "400 "},
 	} {
 		t.Run(fmt.Sprintf("%s, %T", tc.since, tc.repeat(0)), func(t *testing.T) {
 			h := newHarness(t, nil)
-			token := h.settle("vm-1")
+			fencingToken := h.reconcile("vm-1")
 			if tc.since != "nothing" {
 				h.submit(jobOf("job-000001", 1))
 			}
 			switch tc.since {
 			case "running", "done":
 				h.dropCalls()
-				_, body := h.checkin(report("vm-1", 1, 10, token))
-				h.checkin(report("vm-1", 1, 11, token, shown(starts(body.Commands), wire.TaskRunning)...))
+				_, body := h.heartbeat(heartbeatFrom("vm-1", 1, 10, fencingToken))
+				h.heartbeat(heartbeatFrom("vm-1", 1, 11, fencingToken, shown(starts(body.Commands), wire.TaskRunning)...))
 				if tc.since == "done" {
 					end := shown(starts(body.Commands), wire.TaskExited)
-					end[0].Why = wire.WhyDone
-					h.checkin(report("vm-1", 1, 12, token, end...))
+					end[0].ExitReason = wire.ExitDone
+					h.heartbeat(heartbeatFrom("vm-1", 1, 12, fencingToken, end...))
 					h.run(sec)
 				}
 			case "cancelled":
-				h.ask(withdraw)
+				h.ask(cancel)
 				h.run(sec)
 			}
 			tasks, rev := 0, h.rev
-			if m := h.c.mach["vm-1"]; m.v != nil {
-				tasks = len(m.v.list)
+			if m := h.c.machines["vm-1"]; m.view != nil {
+				tasks = len(m.view.list)
 			}
 			a := h.ask(tc.repeat)
 			state := ""
@@ -193,7 +193,7 @@
 			if got := fmt.Sprintf("%d %s", a.Status, state); got != tc.want {
 				t.Errorf("got %q, want %q", got, tc.want)
 			}
-			if h.rev != rev || len(h.c.mach["vm-1"].v.list) != tasks {
+			if h.rev != rev || len(h.c.machines["vm-1"].view.list) != tasks {
 				t.Error("the repeat has changed something")
 			}
 		})
@@ -207,10 +207,10 @@
 	h := newHarness(t, func(c *Config) { c.Peers = []string{"n-1"}; c.MaxMachines = 100 })
 	h.submit(jobOf("job-000009", 4000))
 	h.run(8 * sec)
-	token := h.settle("vm-1")
-	h.settle("vm-2")
-	h.startOneOf("vm-1", token)
-	s := h.c.own.shares[0]
+	fencingToken := h.reconcile("vm-1")
+	h.reconcile("vm-2")
+	h.startOneOf("vm-1", fencingToken)
+	s := h.c.ownership.shards[0]
 	done := wire.JobRecord{State: wire.StateDone, Tasks: 1}
 	h.put(wire.JobKey("job-000001"), done)
 	sub := jobOf("job-000001", 1)
@@ -222,19 +222,19 @@
 		name string
 		req  peer.Request
 	}{
-		{"a status from before our claim", peer.Request{Status: &peer.Status{About: peer.About{Owns: []peer.Owned{{Share: 0, Mark: s.mark - 1}}}}}},
+		{"a status from before our claim", peer.Request{Status: &peer.Status{About: peer.About{Claims: []peer.ShardClaim{{Shard: 0, OwnerEpoch: s.ownerEpoch - 1}}}}}},
 		{"a release of a busy machine", peer.Request{Release: &peer.Release{Machines: []string{"vm-1"}, Retire: true}}},
 		{"a release of a machine that is gone", peer.Request{Release: &peer.Release{Machines: []string{"vm-8"}, Retire: true}}},
-		{"a hint of a job that is over", peer.Request{Hint: &peer.Hint{ID: "job-000001", Mark: 1, Record: record}}},
-		{"the return of a machine that is gone", peer.Request{Status: &peer.Status{Gone: []string{"vm-8"}}}},
+		{"a hint of a job that is over", peer.Request{JobRecordHint: &peer.JobRecordHint{ID: "job-000001", ModRevision: 1, Record: record}}},
+		{"the return of a machine that is gone", peer.Request{Status: &peer.Status{ReturnedMachines: []string{"vm-8"}}}},
 	} {
 		tc.req.From = "n-1"
-		h.ask(func(r ReplyID) Input { return PeerMessage{Reply: r, Req: tc.req} })
+		h.ask(func(r ReplyID) Input { return PeerRequest{Reply: r, Req: tc.req} })
 		h.run(sec)
 		switch {
-		case h.c.acting(0) == nil:
+		case h.c.activeShard(0) == nil:
 			t.Errorf("%s: the share was given up", tc.name)
-		case h.c.mach["vm-1"] == nil || h.c.mach["vm-1"].rec.Retiring || len(h.c.mach["vm-1"].v.list) == 0:
+		case h.c.machines["vm-1"] == nil || h.c.machines["vm-1"].rec.Cordoned || len(h.c.machines["vm-1"].view.list) == 0:
 			t.Errorf("%s: a machine in use was let go", tc.name)
 		case h.c.jobs.open["job-000001"] != nil || h.state("job-000001") != wire.StateDone:
 			t.Errorf("%s: a job that is over came back", tc.name)
@@ -242,14 +242,14 @@
 	}
 }
 
-// startOneOf has a waiting task started by the answer to a machine's report.
-func (h *harness) startOneOf(id string, token uint64) {
+// startOneOf has a waiting task started by the answer to a machine's heartbeat.
+func (h *harness) startOneOf(id string, fencingToken uint64) {
 	h.t.Helper()
 	h.dropCalls()
-	_, body := h.checkin(report(id, 1, 10, token))
+	_, body := h.heartbeat(heartbeatFrom(id, 1, 10, fencingToken))
 	cmds := starts(body.Commands)
 	if len(cmds) == 0 {
 		h.t.Fatal("nothing was started")
 	}
-	h.checkin(report(id, 1, 11, token, shown(cmds, wire.TaskRunning)...))
+	h.heartbeat(heartbeatFrom(id, 1, 11, fencingToken, shown(cmds, wire.TaskRunning)...))
 }
--- a/internal/core/inventory.go
+++ b/internal/controller/inventory.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"slices"
@@ -12,12 +12,12 @@
 // refreshTypes keeps the machine types known: the leader asks the cloud and
 // leaves them in the state service for the others, so that a node that starts
 // during an outage of the cloud knows them too.
-func (c *Core) refreshTypes() {
+func (c *Controller) refreshTypes() {
 	f := &c.fleet
 	every := 30 * micros.Second
 	if len(c.types) == 0 {
 		every = micros.Second
-		if !c.own.ctl.ready {
+		if !c.ownership.controlWatch.ready {
 			return
 		}
 	} else if !c.leading() {
@@ -36,7 +36,7 @@
 }
 
 // learnTypes takes machine types; ones that make no sense are left out.
-func (c *Core) learnTypes(mt wire.MachineTypes, fromCloud bool) {
+func (c *Controller) learnTypes(mt wire.MachineTypes, fromCloud bool) {
 	types := map[string]wire.MachineType{}
 	for _, t := range mt.Types {
 		if t.Name == "" || !(t.CPUs >= 0) || !(t.GPUs >= 0) || !(t.MemGB >= 0) || !(t.Price >= 0) || !(t.SpotPrice >= 0) || len(types) >= 1000 {
@@ -50,10 +50,10 @@
 		return
 	}
 	c.types = types
-	c.index.names = sortedKeys(types)
-	c.placementDue = true
-	for _, s := range c.own.shares {
-		s.recount = true
+	c.typeIndex.names = sortedKeys(types)
+	c.schedulingDue = true
+	for _, s := range c.ownership.shards {
+		s.recountAll = true
 	}
 	if !fromCloud || !c.leading() {
 		return
@@ -63,7 +63,7 @@
 		return
 	}
 	txn := wire.Txn{
-		If:   []wire.Condition{{Key: wire.KeyLeader, Version: c.own.leader.mark}, {Key: wire.KeyTypes, Version: c.fleet.typesMark}},
+		If:   []wire.Condition{{Key: wire.KeyLeader, ModRevision: c.ownership.leader.ownerEpoch}, {Key: wire.KeyTypes, ModRevision: c.fleet.typesModRevision}},
 		Then: []wire.Change{{Put: wire.KeyTypes, Value: value}},
 	}
 	c.askState(classFleet, txn, 2*micros.Second, func(r Result) {
@@ -75,7 +75,7 @@
 
 // refreshList keeps the cloud's list of machines. A long list is read less often:
 // it may take a quarter of the budget, or it would crowd out rentals.
-func (c *Core) refreshList() {
+func (c *Controller) refreshList() {
 	f := &c.fleet
 	if f.listBusy || c.now < f.listNext {
 		return
@@ -83,9 +83,9 @@
 	if f.after == "" {
 		f.pages, f.listFrom = f.pages[:0], c.now
 	}
-	mark := c.own.leader.mark
+	ownerEpoch := c.ownership.leader.ownerEpoch
 	f.listBusy = c.askCloud(ListMachines{After: f.after, Limit: listPageSize}, cloudTimeout, func(r Result) {
-		if c.own.leader.mark != mark {
+		if c.ownership.leader.ownerEpoch != ownerEpoch {
 			return
 		}
 		f.listBusy = false
@@ -116,9 +116,9 @@
 
 // compareList notes which machines on record the cloud no longer lists, and
 // learns addresses from it.
-func (c *Core) compareList() {
+func (c *Controller) compareList() {
 	f := &c.fleet
-	for _, s := range c.own.shares {
+	for _, s := range c.ownership.shards {
 		for _, m := range s.machines {
 			if l, ok := f.listed[m.id]; ok {
 				delete(f.missing, m.id)
@@ -131,18 +131,18 @@
 		}
 	}
 	for id := range f.missing {
-		if c.mach[id] == nil {
+		if c.machines[id] == nil {
 			delete(f.missing, id)
 		}
 	}
 	for id, at := range f.returned {
-		if c.now-at > 10*micros.Minute && c.mach[id] == nil {
+		if c.now-at > 10*micros.Minute && c.machines[id] == nil {
 			delete(f.returned, id)
 		}
 	}
-	for id, at := range f.asked {
+	for id, at := range f.releaseRequestedAt {
 		if c.now-at > micros.Minute {
-			delete(f.asked, id)
+			delete(f.releaseRequestedAt, id)
 		}
 	}
 }
--- a/internal/core/ends.go
+++ b/internal/controller/job_end.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"maps"
@@ -12,14 +12,14 @@
 // How jobs end: done or cancelled, by one record, of which users hear only after it stands.
 
 // cancelJob records a cancellation and answers once it stands.
-func (c *Core) cancelJob(j *job, done func(peer.Answer)) {
+func (c *Controller) cancelJob(j *job, done func(peer.Answer)) {
 	if len(j.run.waiters) >= 64 {
 		done(peer.Answer{Status: 503})
 		return
 	}
 	j.run.waiters = append(j.run.waiters, done)
 	c.requestCancellation(j)
-	if !j.run.ending && j.run.want == wire.StateCancelled {
+	if !j.run.endInFlight && j.run.endState == wire.StateCancelled {
 		c.endJob(j, wire.StateCancelled)
 	}
 }
@@ -29,61 +29,61 @@
 // they do from now on, and another node may tell "cancelled" before this one knows
 // that its record was carried out. The tasks count until they are seen gone, and the
 // owner goes on trying to record.
-func (c *Core) requestCancellation(j *job) {
-	if j.run.want != "" {
+func (c *Controller) requestCancellation(j *job) {
+	if j.run.endState != "" {
 		return
 	}
-	s := c.own.shares[j.share]
-	c.log(Info, "job cancellation requested", "job", j.id, "share", s.id, "mark", s.mark, "tasks", len(j.run.active))
-	j.run.want = wire.StateCancelled
-	c.haltAll(j)
-	c.own.shares[j.share].queueStale = true
-	c.placementDue = true
+	s := c.ownership.shards[j.shard]
+	c.log(Info, "job cancellation requested", "job", j.id, "shard", s.id, "epoch", s.ownerEpoch, "tasks", len(j.run.active))
+	j.run.endState = wire.StateCancelled
+	c.stopAllTasks(j)
+	c.ownership.shards[j.shard].queueStale = true
+	c.schedulingDue = true
 }
 
-// haltAll stops all of a job's tasks.
-func (c *Core) haltAll(j *job) {
+// stopAllTasks stops all of a job's tasks.
+func (c *Controller) stopAllTasks(j *job) {
 	for _, idx := range slices.Sorted(maps.Keys(j.run.active)) {
-		c.stop(j.run.active[idx], haltHard)
+		c.stop(j.run.active[idx], stopImmediate)
 	}
 }
 
 // cancelled: a user has been told, or may be at any moment, that a job is cancelled.
-func (c *Core) cancelled(id string) bool {
+func (c *Controller) cancelled(id string) bool {
 	if f, over := c.jobs.final(id); over {
 		return f.state == wire.StateCancelled
 	}
 	j := c.jobs.open[id]
-	return j != nil && j.run != nil && j.run.want == wire.StateCancelled
+	return j != nil && j.run != nil && j.run.endState == wire.StateCancelled
 }
 
-// owesStop: a cancelled task is on its machine, and is not to be stopped at once yet.
-func (c *Core) owesStop(att *attempt) bool {
-	return att.halt != haltHard && att.onMachine() && c.cancelled(att.key.job)
+// stopPending: a cancelled task is on its machine, and is not to be stopped at once yet.
+func (c *Controller) stopPending(att *attempt) bool {
+	return att.stopMode != stopImmediate && att.onMachine() && c.cancelled(att.key.job)
 }
 
-// stopsBefore sees to it that the answer to a report stops each cancelled task that the
+// stopsForCancelledTasks sees to it that the answer to a heartbeat stops each cancelled task that the
 // report lists. An answer renews the machine's lease, so the stop goes with every one, the
 // first after a claim too: the machine may not hear the next before it changes hands again.
 // It gives the stops for a machine whose list is not believed yet; its age does not matter
 // to them, since no attempt comes twice. A job that has ended and left memory may have been
 // cancelled.
-func (c *Core) stopsBefore(s *share, m *machine, rep *wire.Report) (stops []wire.Command) {
-	if m.v.settled {
-		for _, att := range m.v.list {
-			if c.owesStop(att) {
-				c.stop(att, haltHard)
+func (c *Controller) stopsForCancelledTasks(s *shard, m *machine, heartbeat *wire.Heartbeat) (stops []wire.Command) {
+	if m.view.reconciled {
+		for _, att := range m.view.list {
+			if c.stopPending(att) {
+				c.stop(att, stopImmediate)
 			}
 		}
 		return nil
 	}
-	for i := range rep.Tasks {
-		t := &rep.Tasks[i]
+	for i := range heartbeat.Tasks {
+		t := &heartbeat.Tasks[i]
 		id, _, err := wire.ParseTask(t.Task)
 		if err != nil || t.State == wire.TaskExited {
 			continue
 		}
-		forgotten := !c.knows(id) && c.standingOf(s, id, t.Attempt, c.now) == standingOver
+		forgotten := !c.knows(id) && c.jobStatusOf(s, id, t.Attempt, c.now) == jobEnded
 		if forgotten {
 			c.logEndedTask(s, m, t.Task, id, t.Attempt)
 		}
@@ -99,29 +99,29 @@
 const refusedPause = 15 * micros.Second
 
 // endJob records a job as done or cancelled. Users hear of it only after.
-func (c *Core) endJob(j *job, state string) {
+func (c *Controller) endJob(j *job, state string) {
 	r := j.run
-	if r.ending || !c.canAnswer() {
-		if r.want == "" {
-			r.want = state
+	if r.endInFlight || !c.leaseValid() {
+		if r.endState == "" {
+			r.endState = state
 		}
 		return
 	}
-	s := c.own.shares[j.share]
+	s := c.ownership.shards[j.shard]
 	rec := wire.JobRecord{AcceptedMS: j.rec.AcceptedMS, State: state, Tasks: j.sub.Tasks, EndMS: c.wall.Millis()}
 	value, err := wire.Encode(rec)
 	if err != nil {
 		c.log(Error, "job record not encoded", "job", j.id, "error", err)
 		return
 	}
-	r.want, r.ending = state, true
-	r.endNext = micros.Never
+	r.endState, r.endInFlight = state, true
+	r.nextEndAttemptAt = micros.Never
 	txn := wire.Txn{
-		If:   []wire.Condition{{Key: wire.JobKey(j.id), Version: j.mark}, {Key: ownerKey(s.id), Version: s.mark}},
+		If:   []wire.Condition{{Key: wire.JobKey(j.id), ModRevision: j.modRevision}, {Key: ownerKey(s.id), ModRevision: s.ownerEpoch}},
 		Then: []wire.Change{{Put: wire.JobKey(j.id), Value: value}},
 	}
-	if r.verMark != 0 || r.verBusy {
-		txn.Then = append(txn.Then, wire.Change{Delete: wire.VersionKey(j.id)})
+	if r.checkpointModRevision != 0 || r.checkpointInFlight {
+		txn.Then = append(txn.Then, wire.Change{Delete: wire.CheckpointKey(j.id)})
 	}
 	c.askState(classEnd, txn, 1500*micros.Millisecond, func(res Result) {
 		if j.run != r {
@@ -131,27 +131,27 @@
 		case res.Status == 200:
 			c.finishJob(j.id, finalJob{state: state, tasks: j.sub.Tasks, recorded: true, endMS: rec.EndMS})
 		case res.NotSent || res.Status == 503 || res.Status == 429:
-			r.ending = false // not executed
-			r.endNext = c.now + c.jitter(400*micros.Millisecond)
+			r.endInFlight = false // not executed
+			r.nextEndAttemptAt = c.now + c.jitter(400*micros.Millisecond)
 			c.failWaiters(j)
 		case res.Status == 400:
 			// Not executed, and not to be had soon: the state service takes less than the
 			// settings say. Tried again seldom, so that no other write waits behind it.
 			c.log(Error, "end of a job refused by the state service", "job", j.id, "bytes", len(value), "changes", txn.Writes())
-			r.ending = false
-			r.endNext = c.now + c.jitter(refusedPause)
+			r.endInFlight = false
+			r.nextEndAttemptAt = c.now + c.jitter(refusedPause)
 			c.failWaiters(j)
 		default:
 			// Unclear, or something has changed: a read settles it. Until then
 			// nothing is told from memory.
-			r.unsure = true
-			c.settleEnd(j, r)
+			r.endInDoubt = true
+			c.resolveEnd(j, r)
 		}
 	})
 }
 
-// settleEnd reads a job whose end is unclear.
-func (c *Core) settleEnd(j *job, r *run) {
+// resolveEnd reads a job whose end is unclear.
+func (c *Controller) resolveEnd(j *job, r *run) {
 	c.readJob(classEnd, j.id, func(status int) {
 		if j.run != r {
 			return // final, or no longer ours
@@ -159,17 +159,17 @@
 		if status == 200 {
 			// Not ended; a late copy can still end it, so that it stays unsure. j.mark
 			// is as read.
-			r.ending = false
-			r.endNext = c.now
+			r.endInFlight = false
+			r.nextEndAttemptAt = c.now
 			c.failWaiters(j)
 			return
 		}
-		r.endNext = c.now + c.jitter(500*micros.Millisecond)
+		r.nextEndAttemptAt = c.now + c.jitter(500*micros.Millisecond)
 		c.failWaiters(j)
 	})
 }
 
-func (c *Core) failWaiters(j *job) {
+func (c *Controller) failWaiters(j *job) {
 	waiters := j.run.waiters
 	j.run.waiters = nil
 	for _, w := range waiters {
@@ -178,13 +178,13 @@
 }
 
 // finishJob takes notice that a job is over.
-func (c *Core) finishJob(id string, f finalJob) {
+func (c *Controller) finishJob(id string, f finalJob) {
 	delete(c.jobs.unusable, id)
 	if old, ok := c.jobs.final(id); ok {
 		if old.recorded || !f.recorded {
 			return
 		}
-		f.spread = old.spread
+		f.broadcast = old.broadcast
 		c.jobs.finals[id] = f // what a controller told now stands on record
 	} else {
 		c.jobs.addFinal(id, f)
@@ -199,7 +199,7 @@
 	c.unlinkDependencies(j)
 	if f.state == wire.StateCancelled {
 		c.logCancelled(j, f)
-		c.spreadCancelled(id)
+		c.broadcastCancellation(id)
 	}
 	if f.state == wire.StateDone {
 		c.notePrefetchImage(j)
@@ -214,10 +214,10 @@
 		c.later(func() { w(finalAnswer(f)) })
 	}
 	if f.state == wire.StateDone {
-		c.log(Info, "job done", "job", id, "class", j.sub.Class, "team", j.sub.Team, "tasks", f.tasks, "waited_s", max(r.firstRun-r.arrival, 0).Seconds(), "seconds", (c.now - r.arrival).Seconds())
+		c.log(Info, "job done", "job", id, "class", j.sub.Class, "team", j.sub.Team, "tasks", f.tasks, "waited_s", max(r.firstRunAt-r.arrivedAt, 0).Seconds(), "seconds", (c.now - r.arrivedAt).Seconds())
 	}
-	c.haltAll(j)
+	c.stopAllTasks(j)
 	j.run = nil
-	c.own.shares[j.share].queueStale = true
-	c.placementDue = true
+	c.ownership.shards[j.shard].queueStale = true
+	c.schedulingDue = true
 }
--- a/internal/core/jobreads.go
+++ b/internal/controller/job_reads.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"cmp"
@@ -85,11 +85,11 @@
 }
 
 // readForUser reads a job's record for a user's question.
-func (c *Core) readForUser(id string, done func(status int)) {
+func (c *Controller) readForUser(id string, done func(status int)) {
 	r := &c.reads
 	read := r.byJob[id]
 	if read == nil {
-		if len(r.byJob) >= c.cfg.OpenJobs {
+		if len(r.byJob) >= c.cfg.MaxOpenJobs {
 			done(0) // no place is kept for it
 			return
 		}
@@ -109,8 +109,8 @@
 }
 
 // refuseQuestions tells those who ask about a job that it can't be read now.
-func (c *Core) refuseQuestions(read *jobRead) {
-	c.stateq.counters[classQuestion].rejected += uint64(len(read.questions))
+func (c *Controller) refuseQuestions(read *jobRead) {
+	c.stateQueue.counters[classQuestion].rejected += uint64(len(read.questions))
 	for _, q := range read.questions {
 		c.later(func() { q.done(0) })
 	}
@@ -118,14 +118,14 @@
 }
 
 // waitForTurn puts a job with questions among those that wait.
-func (c *Core) waitForTurn(read *jobRead) {
+func (c *Controller) waitForTurn(read *jobRead) {
 	if dropped := c.reads.wait(read); dropped != nil {
 		c.refuseQuestions(dropped)
 	}
 }
 
 // offerRead queues the read whose turn it is.
-func (c *Core) offerRead() {
+func (c *Controller) offerRead() {
 	r := &c.reads
 	c.expireQuestions()
 	var first *jobRead
@@ -135,13 +135,13 @@
 	if first == r.offered {
 		return
 	}
-	c.stateq.clear(classQuestion)
+	c.stateQueue.clear(classQuestion)
 	r.offered = first
 	if first == nil {
 		return
 	}
 	var answered []question
-	c.stateq.push(classQuestion, queued{
+	c.stateQueue.push(classQuestion, queued{
 		req: GetKey{Key: wire.JobKey(first.id)}, timeout: readTimeout,
 		queuedAt: first.questions[0].askedAt, expires: micros.Never,
 		sent: func() {
@@ -155,7 +155,7 @@
 }
 
 // readAnswered passes on what a read found.
-func (c *Core) readAnswered(read *jobRead, answered []question, res Result) {
+func (c *Controller) readAnswered(read *jobRead, answered []question, res Result) {
 	r := &c.reads
 	r.underWay = slices.DeleteFunc(r.underWay, func(other *jobRead) bool { return other == read })
 	status := c.learnRead(res)
@@ -175,7 +175,7 @@
 
 // expireQuestions refuses those that have waited for too long, and gives up the places of
 // jobs that nobody asks about any more.
-func (c *Core) expireQuestions() {
+func (c *Controller) expireQuestions() {
 	r := &c.reads
 	if c.now > r.nextExpiry {
 		r.nextExpiry = micros.Never
@@ -195,14 +195,14 @@
 }
 
 // expireQuestionsOf refuses the oldest questions about a job.
-func (c *Core) expireQuestionsOf(read *jobRead) {
+func (c *Controller) expireQuestionsOf(read *jobRead) {
 	n := 0
 	for n < len(read.questions) && c.now > read.questions[n].askedAt+readTimeout {
 		done := read.questions[n].done
 		c.later(func() { done(0) })
 		n++
 	}
-	c.stateq.counters[classQuestion].expired += uint64(n)
+	c.stateQueue.counters[classQuestion].expired += uint64(n)
 	read.questions = read.questions[n:]
 	if len(read.questions) > 0 {
 		c.reads.nextExpiry = min(c.reads.nextExpiry, read.questions[0].askedAt+readTimeout)
@@ -211,7 +211,7 @@
 
 // retryAfter is after how many seconds a user is to come back who is refused now: when all
 // jobs that wait for an answer can have been read.
-func (c *Core) retryAfter() int {
-	rate := promises[classQuestion].requests * c.stateq.requests.rate
+func (c *Controller) retryAfter() int {
+	rate := minimumRates[classQuestion].requests * c.stateQueue.requests.rate
 	return min(1+int(float64(len(c.reads.byJob))/rate), longestRetryAfter)
 }
--- a/internal/core/questions_test.go
+++ b/internal/controller/job_reads_test.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"fmt"
@@ -9,15 +9,15 @@
 	"garnethitch/internal/wire"
 )
 
-// A share stood still beside users' questions (docs/incidents/2026-12-share-stood-still.md).
+// A shard stood still beside users' questions (docs/incidents/2026-12-share-stood-still.md).
 //
 // At 4,000 machines and a state service that takes 60 requests a second, jobs waited for
-// over 90 s after all troubles, and one was unanswered for 78 s. Each question about a job
+// over 90 s after all faults, and one was unanswered for 78 s. Each question about a job
 // for which nobody speaks takes a read of its record. The reads stood in one class with
 // acceptances, above all but leases, and a class with anything left in it stopped all below.
 // "state requests" of seed 1: accept_sent 8,309 and accept_expired 10,715, fleet_sent 45 and
 // fleet_expired 261. The deletion of the owner key was among the 261, and until it is
-// carried out nobody speaks for the share, so that questions go on to take reads.
+// carried out nobody speaks for the shard, so that questions go on to take reads.
 
 // questions are polls from users, more than can be read.
 type questions struct {
@@ -31,7 +31,7 @@
 	for until := q.h.now + d; q.h.now < until; {
 		for range 2 {
 			q.next++
-			q.h.poll(questionID(q.next % q.ids))
+			q.h.jobStatus(questionID(q.next % q.ids))
 		}
 		q.h.run(20 * ms)
 	}
@@ -44,7 +44,7 @@
 	c.StateRPS, c.WriteRPS = 60, 20
 }
 
-// goesOnWithin is how long work of any class may wait beside questions: a batch of TxnOps
+// goesOnWithin is how long work of any class may wait beside questions: a record set of TxnOps
 // changes at the least part of the writes that its class is promised, and what else is due.
 const goesOnWithin = 10 * sec
 
@@ -58,26 +58,26 @@
 		done  func(h *harness) bool
 	}{
 		{"an owner key is deleted", func(h *harness) {
-			h.c.releaseShare(h.c.own.shares[0])
+			h.c.releaseShard(h.c.ownership.shards[0])
 		}, func(h *harness) bool {
-			return h.keys[ownerKey(0)].Version != h.c.own.shares[0].mark || !h.c.own.shares[0].handing
+			return h.keys[ownerKey(0)].ModRevision != h.c.ownership.shards[0].ownerEpoch || !h.c.ownership.shards[0].releasing
 		}},
 		{"a cancellation is recorded", func(h *harness) {
-			h.withdraw("job-000001")
+			h.cancel("job-000001")
 		}, func(h *harness) bool { return h.stored("job-000001").State == wire.StateCancelled }},
 		{"a job is accepted", func(h *harness) {
 			h.submit(jobOf("job-000002", 1))
-		}, func(h *harness) bool { return h.keys[wire.JobKey("job-000002")].Version > 0 }},
+		}, func(h *harness) bool { return h.keys[wire.JobKey("job-000002")].ModRevision > 0 }},
 		{"a machine is recorded", func(h *harness) {
 			h.listed = append(h.listed, wire.ListedMachine{ID: "vm-9", Addr: "vm-9", Type: "m", Zone: "a", State: wire.MachineRunning, AgeS: 1})
 			h.c.fleet.listNext, h.c.fleet.planNext = h.now, h.now+400*ms
-		}, func(h *harness) bool { return h.c.mach["vm-9"] != nil }},
+		}, func(h *harness) bool { return h.c.machines["vm-9"] != nil }},
 		{"a Version is recorded", func(h *harness) {
-			h.c.jobs.open["job-000001"].run.verDirty = true
-		}, func(h *harness) bool { return h.keys[wire.VersionKey("job-000001")].Version > 0 }},
+			h.c.jobs.open["job-000001"].run.checkpointDirty = true
+		}, func(h *harness) bool { return h.keys[wire.CheckpointKey("job-000001")].ModRevision > 0 }},
 		{"Versions are read after a claim", func(h *harness) {
 			h.txn(wire.Txn{Then: []wire.Change{{Delete: ownerKey(0)}}})
-		}, func(h *harness) bool { s := h.c.own.shares[0]; return s.active && s.loaded }},
+		}, func(h *harness) bool { s := h.c.ownership.shards[0]; return s.active && s.checkpointsLoaded }},
 	} {
 		for _, ids := range []int{1, 5000} {
 			t.Run(fmt.Sprintf("%s, questions about %d", tc.name, ids), func(t *testing.T) {
@@ -100,19 +100,19 @@
 
 // The deletion of an owner key goes with leases: it does not wait for a turn of any other
 // class, though their queues are full of work of their own.
-func TestLettingGoBeforeAllElse(t *testing.T) {
+func TestLockReleaseBeforeAllElse(t *testing.T) {
 	h := meet(t, fewRequests)
 	for class := classAccept; class < classCount; class++ {
 		for range 100 {
 			h.c.askState(class, GetKey{Key: "x"}, 5*sec, func(Result) {})
 		}
 	}
-	s := h.c.own.shares[0]
-	mark := s.mark
+	s := h.c.ownership.shards[0]
+	modRevision := s.ownerEpoch
 	h.run(sec) // the burst is used up
-	h.c.releaseShare(s)
+	h.c.releaseShard(s)
 	h.run(200 * ms)
-	if h.keys[ownerKey(0)].Version == mark {
+	if h.keys[ownerKey(0)].ModRevision == modRevision {
 		t.Error("the owner key still stands 200 ms after the share was to be handed back")
 	}
 }
@@ -138,11 +138,11 @@
 	asked := map[ReplyID]int{} // questions without an answer, and the jobs that they are about
 	for began := h.now; h.now < began+within && len(answered) < jobs; {
 		for range 2 {
-			h.poll(questionID(jobs + 1))
+			h.jobStatus(questionID(jobs + 1))
 		}
 		step := int((h.now - began) / (20 * ms))
 		for i := step % 100; i < jobs; i += 100 {
-			h.poll(questionID(i))
+			h.jobStatus(questionID(i))
 			asked[h.reply] = i
 		}
 		h.run(20 * ms)
@@ -166,8 +166,8 @@
 func TestQuestionWaitsForItsOwnRead(t *testing.T) {
 	h := meet(t, withPeer)
 	h.stateDown = true // what is sent is held
-	first := h.poll("job-000777")
-	second := h.poll("job-000777")
+	first := h.jobStatus("job-000777")
+	second := h.jobStatus("job-000777")
 	if first.Status != 0 || second.Status != 0 {
 		t.Fatalf("answered %d and %d at once", first.Status, second.Status)
 	}
@@ -201,12 +201,12 @@
 	const stateCalls, peerAsks = 6, 4
 	limits := func(c *Config) {
 		withPeer(c)
-		c.StateCalls, c.PeerAsks = stateCalls, peerAsks
+		c.MaxStateRequests, c.MaxPeerQuestions = stateCalls, peerAsks
 	}
 	ask := func(h *harness, id string, d micros.Micros) {
 		for until := h.now + d; h.now < until; {
 			for range 5 {
-				h.poll(id)
+				h.jobStatus(id)
 			}
 			h.run(20 * ms)
 		}
@@ -215,7 +215,7 @@
 		h := meet(t, limits)
 		h.stateDown = true // what is sent is held, without an answer
 		for i := range 100 {
-			h.poll(questionID(i))
+			h.jobStatus(questionID(i))
 		}
 		h.run(sec)
 		reads, renewals := 0, 0
@@ -235,7 +235,7 @@
 		h := meet(t, limits)
 		h.submit(jobOf("job-000001", 1))
 		h.put(ownerKey(0), wire.OwnerRecord{Label: "n-1", Incarnation: 99})
-		h.step(PeerMessage{Reply: 900, Req: peer.Request{From: "n-1", Status: &peer.Status{About: peer.About{StateOK: true}}}})
+		h.step(PeerRequest{Reply: 900, Req: peer.Request{From: "n-1", Status: &peer.Status{About: peer.About{StateOK: true}}}})
 		h.peersDown = true
 		before := len(h.asked)
 		ask(h, "job-000001", sec/5)
@@ -260,9 +260,9 @@
 			h := meet(t, fewRequests)
 			h.stateDown = true // nothing is answered
 			for i := range tc.waiting {
-				h.poll(questionID(i))
+				h.jobStatus(questionID(i))
 			}
-			h.poll(questionID(tc.waiting))
+			h.jobStatus(questionID(tc.waiting))
 			reply := h.reply
 			h.run(readTimeout + 300*ms)
 			if a := h.answers[reply]; tc.waiting > 100 && (a.Status != 503 || a.RetryAfterS < tc.least || a.RetryAfterS > tc.most) {
@@ -278,14 +278,14 @@
 // A submission that can't be taken in an outage is not told to wait for the backlog of
 // questions: its user tries for a minute in all, and each try counts. Found by reading once more:
 // with 300 jobs asked about in vain it was told to come back after 10 s, not 1.
-func TestSubmissionComesBackSoon(t *testing.T) {
+func TestSubmissionRetriesSoon(t *testing.T) {
 	h := meet(t, fewRequests)
 	h.stateDown, h.refused = true, true
 	for i := range 300 {
-		h.poll(questionID(i))
+		h.jobStatus(questionID(i))
 		h.run(20 * ms)
 	}
-	a := h.ask(func(r ReplyID) Input { return Submit{Reply: r, Job: jobOf("job-000002", 1)} })
+	a := h.ask(func(r ReplyID) Input { return SubmitRequest{Reply: r, Job: jobOf("job-000002", 1)} })
 	reply := h.reply
 	h.run(2 * sec)
 	if a = h.answers[reply]; a.Status != 503 || a.RetryAfterS != 1 {
@@ -294,15 +294,15 @@
 }
 
 // Nor is a cancellation that can't be recorded: the same, of the job's owner.
-func TestWithdrawalComesBackSoon(t *testing.T) {
+func TestCancelRequestRetriesSoon(t *testing.T) {
 	h := meet(t, fewRequests)
 	h.submit(jobOf("job-000002", 1))
 	h.stateDown, h.refused = true, true
 	for i := range 100 { // not for so long that the lease is over
-		h.poll(questionID(i))
+		h.jobStatus(questionID(i))
 		h.run(20 * ms)
 	}
-	h.withdraw("job-000002")
+	h.cancel("job-000002")
 	reply := h.reply
 	h.run(sec)
 	if a := h.answers[reply]; a.Status != 503 || a.RetryAfterS != 1 {
--- a/internal/core/lease.go
+++ b/internal/controller/lease.go
@@ -1,22 +1,22 @@
-package core
+package controller
 
 import (
 	"garnethitch/internal/micros"
 	"garnethitch/internal/wire"
 )
 
-// The lease in the state service on which a node's duties hang.
+// The lease in the state service on which a node's locks hang.
 
-func (c *Core) newLease() {
-	o := &c.own
-	o.asking = true
+func (c *Controller) newLease() {
+	o := &c.ownership
+	o.acquiringLease = true
 	asked := c.now
 	c.askState(classLease, wire.NewLease{TTLMS: c.cfg.Lease.Millis()}, micros.Second, func(r Result) {
-		o.asking = false
+		o.acquiringLease = false
 		if l, ok := r.Body.(*wire.Lease); ok && r.Status == 200 && l.Lease != 0 {
-			o.lease, o.renewed = l.Lease, asked
-			o.nextRenew = c.now + c.cfg.Lease/4
-			o.contact = c.now
+			o.lease, o.renewedAt = l.Lease, asked
+			o.nextRenewalAt = c.now + c.cfg.Lease/4
+			o.lastStateReplyAt = c.now
 			c.log(Info, "lease granted", "lease", l.Lease)
 		}
 	})
@@ -28,41 +28,41 @@
 // more than a second; with one renewal at a time, given up after a second, three
 // controllers lost their leases to each other, each taking over more than it could
 // bear.)
-func (c *Core) renewLease() {
-	o := &c.own
-	o.renewals++
+func (c *Controller) renewLease() {
+	o := &c.ownership
+	o.renewalsInFlight++
 	asked, lease := c.now, o.lease
-	o.nextRenew = asked + c.cfg.Lease/4
+	o.nextRenewalAt = asked + c.cfg.Lease/4
 	c.askState(classLease, RenewLease{Lease: lease}, c.cfg.Lease, func(r Result) {
-		o.renewals--
+		o.renewalsInFlight--
 		if o.lease != lease {
 			return
 		}
 		switch r.Status {
 		case 200:
-			if c.now >= o.renewed+c.bounds.Answer {
-				c.log(Info, "lease renewed after a gap", "gap_ms", (c.now - o.renewed).Millis())
+			if c.now >= o.renewedAt+c.bounds.LeaseValidity {
+				c.log(Info, "lease renewed after a gap", "gap_ms", (c.now - o.renewedAt).Millis())
 			}
-			o.renewed = max(o.renewed, asked)
-			o.contact = c.now
-			c.placementDue = true
+			o.renewedAt = max(o.renewedAt, asked)
+			o.lastStateReplyAt = c.now
+			c.schedulingDue = true
 		case 404:
-			c.log(Info, "lease lost, giving up all duties", "lease", lease)
-			o.contact = c.now
+			c.log(Info, "lease lost, giving up all locks", "lease", lease)
+			o.lastStateReplyAt = c.now
 			c.loseLease()
 		default:
-			o.nextRenew = min(o.nextRenew, c.now+c.jitter(150*micros.Millisecond))
+			o.nextRenewalAt = min(o.nextRenewalAt, c.now+c.jitter(150*micros.Millisecond))
 		}
 	})
 }
 
-// mostRenewals bounds those under way.
-const mostRenewals = 4
+// maxRenewalsInFlight bounds those under way.
+const maxRenewalsInFlight = 4
 
-// loseLease forgets every duty that hung on the lease.
-func (c *Core) loseLease() {
-	c.own.lease = 0
-	for _, s := range c.own.shares {
+// loseLease forgets every lock that hung on the lease.
+func (c *Controller) loseLease() {
+	c.ownership.lease = 0
+	for _, s := range c.ownership.shards {
 		if s.active {
 			c.deactivate(s)
 		}
--- a/internal/core/messages.go
+++ b/internal/controller/messages.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"garnethitch/internal/micros"
@@ -24,31 +24,31 @@
 type (
 	// Tick says that time has passed.
 	Tick struct{}
-	// Submit is a user's submission, parsed; Err is set if it is malformed.
-	Submit struct {
+	// SubmitRequest is a user's submission, parsed; Err is set if it is malformed.
+	SubmitRequest struct {
 		Reply ReplyID
 		Job   wire.Submission
 		Err   *wire.SubmissionError
 	}
-	// Poll asks for a job's state.
-	Poll struct {
+	// JobStatusRequest asks for a job's state.
+	JobStatusRequest struct {
 		Reply ReplyID
 		ID    string
 	}
-	// Withdraw cancels a job.
-	Withdraw struct {
+	// CancelRequest cancels a job.
+	CancelRequest struct {
 		Reply ReplyID
 		ID    string
 	}
-	// Ready asks whether this node can take requests.
-	Ready struct{ Reply ReplyID }
-	// Checkin is a worker's report.
-	Checkin struct {
-		Reply  ReplyID
-		Report wire.Report
+	// ReadinessRequest asks whether this node can take requests.
+	ReadinessRequest struct{ Reply ReplyID }
+	// Heartbeat is a worker's heartbeat.
+	Heartbeat struct {
+		Reply     ReplyID
+		Heartbeat wire.Heartbeat
 	}
-	// PeerMessage is a request of another controller.
-	PeerMessage struct {
+	// PeerRequest is a request of another controller.
+	PeerRequest struct {
 		Reply ReplyID
 		Req   peer.Request
 	}
@@ -103,8 +103,8 @@
 	}
 	// ReturnMachines gives machines back.
 	ReturnMachines struct{ Machines []string }
-	// Show asks a worker for its report.
-	Show struct{}
+	// GetHeartbeat asks a worker for its heartbeat.
+	GetHeartbeat struct{}
 )
 
 // Effects of Step.
--- a/internal/core/peers.go
+++ b/internal/controller/peers.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"slices"
@@ -10,25 +10,25 @@
 
 // peerView is what this node knows of another controller.
 type peerView struct {
-	label   string
-	heardAt micros.Micros
+	label       string
+	lastHeardAt micros.Micros
 	// statusAt is when its last own Status came, beside answers to ours.
-	statusAt       micros.Micros
-	uptime         micros.Micros
-	stateOK        bool
-	withoutWorkers bool
-	quota          bool // it keeps groups
-	busy           bool
-	nextAt         micros.Micros
-	demand         []peer.Demand
-	demAt          micros.Micros
-	heard          map[string]bool // machines that tried it of late
-	gone           []string        // returned machines that it has not been told of
+	statusAt              micros.Micros
+	uptime                micros.Micros
+	stateOK               bool
+	withoutWorkers        bool
+	quota                 bool // it keeps groups
+	busy                  bool
+	nextAt                micros.Micros
+	demand                []peer.Demand
+	demandAt              micros.Micros
+	misdirectedHeartbeats map[string]bool // machines that tried it of late
+	returnedMachines      []string        // returned machines that it has not been told of
 	// cancelled are jobs of whose cancellation it has not been told.
 	cancelled []string
 }
 
-const statusEvery = micros.Second
+const statusInterval = micros.Second
 
 // maxNamed bounds how many returned machines, and how many cancelled jobs, one message
 // names; the rest stands in the next.
@@ -41,19 +41,19 @@
 // maxCancelled bounds the cancellations that a controller out of reach is yet to be told
 // of: as many as the state service records within the time that a cancellation has. Past it
 // the oldest go first: tasks of theirs are gone by then.
-func (c *Core) maxCancelled() int {
+func (c *Controller) maxCancelled() int {
 	return max(10*maxNamed, int(c.cfg.WriteRPS*c.cfg.Cancel.Seconds())+maxNamed)
 }
 
-// spreadCancelled tells the other controllers of a cancellation, until each has
+// broadcastCancellation tells the other controllers of a cancellation, until each has
 // acknowledged: the owner of the job may have lost the state service, and so not know
 // that its own record of it was carried out. No user's answer waits for that.
-func (c *Core) spreadCancelled(id string) {
+func (c *Controller) broadcastCancellation(id string) {
 	f, ok := c.jobs.final(id)
-	if !ok || f.spread {
+	if !ok || f.broadcast {
 		return
 	}
-	f.spread = true
+	f.broadcast = true
 	c.jobs.finals[id] = f
 	for _, label := range c.cfg.Peers {
 		p := c.peers[label]
@@ -64,9 +64,9 @@
 	}
 }
 
-// toldCancelled takes what another controller says of cancellations: they stand on
+// applyBroadcastCancellations takes what another controller says of cancellations: they stand on
 // record, whatever the state service tells this one.
-func (c *Core) toldCancelled(p *peerView, ids []string) {
+func (c *Controller) applyBroadcastCancellations(p *peerView, ids []string) {
 	for _, id := range ids {
 		if !wire.ValidID(id) {
 			continue
@@ -84,123 +84,123 @@
 
 // alive: it was heard of within the last few statuses.
 // Where this node itself was short of time, that is no sign against others.
-func (c *Core) alive(p *peerView) bool {
-	return p.heardAt > -micros.Never && c.now-max(p.heardAt, c.behindAt) < 5*statusEvery/2
+func (c *Controller) alive(p *peerView) bool {
+	return p.lastHeardAt > -micros.Never && c.now-max(p.lastHeardAt, c.lastStalledAt) < 5*statusInterval/2
 }
 
 // stateFresh: the state service answered this node of late.
-func (c *Core) stateFresh() bool { return c.now-c.own.contact < 5*micros.Second/2 }
+func (c *Controller) stateFresh() bool { return c.now-c.ownership.lastStateReplyAt < 5*micros.Second/2 }
 
-func (c *Core) maintainPeers() {
+func (c *Controller) maintainPeers() {
 	for _, label := range c.cfg.Peers {
-		if p := c.peers[label]; c.now >= p.nextAt && !c.toldEnough(p) {
+		if p := c.peers[label]; c.now >= p.nextAt && !c.peerUpToDate(p) {
 			c.sendStatus(p)
 		}
 	}
-	for id, at := range c.heard {
-		if c.now-at > 10*micros.Second || c.mach[id] == nil {
-			delete(c.heard, id)
+	for id, at := range c.misdirectedHeartbeats {
+		if c.now-at > 10*micros.Second || c.machines[id] == nil {
+			delete(c.misdirectedHeartbeats, id)
 		}
 	}
 }
 
-// toldEnough: the other node's own Status keeps coming, and its answers tell it all
+// peerUpToDate: the other node's own Status keeps coming, and its answers tell it all
 // that ours would. Of two nodes one then does the asking: who is not the leader,
 // since it has its demand to tell, else the first by name.
-func (c *Core) toldEnough(p *peerView) bool {
-	leader := c.own.leader.rec.Label
-	if c.now-p.statusAt > statusEvery*6/5 || len(p.gone) > 0 || len(p.cancelled) > 0 || len(c.askedOf(p)) > 0 || leader == p.label || leader != c.cfg.Label && c.cfg.Label < p.label {
+func (c *Controller) peerUpToDate(p *peerView) bool {
+	leader := c.ownership.leader.owner.Label
+	if c.now-p.statusAt > statusInterval*6/5 || len(p.returnedMachines) > 0 || len(p.cancelled) > 0 || len(c.askedOf(p)) > 0 || leader == p.label || leader != c.cfg.Label && c.cfg.Label < p.label {
 		return false
 	}
-	for _, s := range c.own.shares {
-		if _, quiet := s.quiet[p.label]; s.active && !quiet {
+	for _, s := range c.ownership.shards {
+		if _, quiesced := s.quiescedPeers[p.label]; s.active && !quiesced {
 			return false // it has not said yet that it gives no commands there
 		}
 	}
 	return true
 }
 
-// about is what this node tells another of itself: the shares for which it acts,
-// and the machines of the other's shares that tried it of late, among the rest.
-func (c *Core) about(p *peerView) peer.About {
-	out := peer.About{UptimeUS: int64(c.now - c.began), StateOK: c.stateFresh(), WithoutWorkers: c.contact.lost, Quota: c.quota.ledger != nil}
-	for _, s := range c.own.shares {
-		if c.acting(s.id) != nil {
-			out.Owns = append(out.Owns, peer.Owned{Share: s.id, Mark: s.mark})
+// about is what this node tells another of itself: the shards for which it acts,
+// and the machines of the other's shards that tried it of late, among the rest.
+func (c *Controller) about(p *peerView) peer.About {
+	out := peer.About{UptimeUS: int64(c.now - c.startedAt), StateOK: c.stateFresh(), WithoutWorkers: c.contact.lost, Quota: c.quota.ledger != nil}
+	for _, s := range c.ownership.shards {
+		if c.activeShard(s.id) != nil {
+			out.Claims = append(out.Claims, peer.ShardClaim{Shard: s.id, OwnerEpoch: s.ownerEpoch})
 		}
 	}
-	room := maxHeardBytes
-	for _, id := range sortedKeys(c.heard) {
-		if m := c.mach[id]; m != nil && c.own.shares[m.rec.Share].rec.Label == p.label && room > len(id) {
-			room -= len(id) + 3
-			out.Heard = append(out.Heard, id)
+	remainingBytes := maxHeardBytes
+	for _, id := range sortedKeys(c.misdirectedHeartbeats) {
+		if m := c.machines[id]; m != nil && c.ownership.shards[m.rec.Shard].owner.Label == p.label && remainingBytes > len(id) {
+			remainingBytes -= len(id) + 3
+			out.MisdirectedMachines = append(out.MisdirectedMachines, id)
 		}
 	}
 	return out
 }
 
-// noteAbout takes what another node tells of itself, and gives the shares of its
+// noteAbout takes what another node tells of itself, and gives the shards of its
 // for which this node gives no commands.
-func (c *Core) noteAbout(p *peerView, a *peer.About) (quiet []int) {
-	p.heardAt = c.now
+func (c *Controller) noteAbout(p *peerView, a *peer.About) (quiesced []int) {
+	p.lastHeardAt = c.now
 	p.uptime = micros.Micros(a.UptimeUS)
 	p.stateOK, p.withoutWorkers = a.StateOK, a.WithoutWorkers
 	p.quota = a.Quota
 	if a.Quota {
 		c.enableQuota()
 	}
-	p.heard = map[string]bool{}
-	for _, id := range a.Heard {
-		p.heard[id] = true
+	p.misdirectedHeartbeats = map[string]bool{}
+	for _, id := range a.MisdirectedMachines {
+		p.misdirectedHeartbeats[id] = true
 	}
-	return c.noteOwned(a.Owns)
+	return c.recordPeerClaims(a.Claims)
 }
 
-func (c *Core) sendStatus(p *peerView) {
+func (c *Controller) sendStatus(p *peerView) {
 	if p.busy {
 		p.nextAt = c.now
 		return
 	}
 	p.busy = true
-	p.nextAt = c.now + statusEvery
+	p.nextAt = c.now + statusInterval
 	st := &peer.Status{About: c.about(p)}
-	if c.own.leader.rec.Label == p.label {
+	if c.ownership.leader.owner.Label == p.label {
 		st.Demand = c.demands()
-		c.logRooms()
+		c.logFreeCapacities()
 	}
-	sent := st.Owns
-	st.Gone = p.gone[:min(len(p.gone), maxNamed)]
+	sent := st.Claims
+	st.ReturnedMachines = p.returnedMachines[:min(len(p.returnedMachines), maxNamed)]
 	st.Record = c.askedOf(p)
 	st.Cancelled = slices.Clone(p.cancelled[:min(len(p.cancelled), maxNamed)])
 	if p.quota {
 		st.Traces = c.openTraces()
 	}
-	told := len(st.Gone)
-	c.call(Call{To: ToPeer, Addr: p.label, Req: peer.Request{From: c.cfg.Label, Status: st}, Timeout: statusEvery}, func(r Result) {
+	sentReturned := len(st.ReturnedMachines)
+	c.call(Call{To: ToPeer, Addr: p.label, Req: peer.Request{From: c.cfg.Label, Status: st}, Timeout: statusInterval}, func(r Result) {
 		p.busy = false
 		resp, ok := r.Body.(*peer.Response)
 		if !ok || r.Status != 200 || resp.Status == nil {
 			return
 		}
-		p.gone = p.gone[min(told, len(p.gone)):]
+		p.returnedMachines = p.returnedMachines[min(sentReturned, len(p.returnedMachines)):]
 		acknowledged := make(map[string]bool, len(st.Cancelled))
 		for _, id := range st.Cancelled {
 			acknowledged[id] = true
 		}
 		p.cancelled = slices.DeleteFunc(p.cancelled, func(id string) bool { return acknowledged[id] })
 		c.noteAbout(p, &resp.Status.About)
-		for _, id := range resp.Status.Quiet {
+		for _, id := range resp.Status.QuiescedShards {
 			for _, o := range sent {
-				if o.Share == id && c.own.shares[id].mark == o.Mark {
-					c.noteQuiet(c.own.shares[id], p.label)
+				if o.Shard == id && c.ownership.shards[id].ownerEpoch == o.OwnerEpoch {
+					c.recordQuiescedPeer(c.ownership.shards[id], p.label)
 				}
 			}
 		}
 	})
 }
 
-// peerMessage answers another controller.
-func (c *Core) peerMessage(in PeerMessage) {
+// handlePeerRequest answers another controller.
+func (c *Controller) handlePeerRequest(in PeerRequest) {
 	req, resp := in.Req, &peer.Response{From: c.cfg.Label}
 	if req.Quota != nil {
 		c.quotaRequest(in.Reply, *req.Quota)
@@ -214,27 +214,27 @@
 	switch {
 	case req.Status != nil:
 		p.statusAt = c.now
-		quiet := c.noteAbout(p, &req.Status.About)
+		quiesced := c.noteAbout(p, &req.Status.About)
 		if req.Status.Demand != nil || c.leading() {
-			p.demand, p.demAt = req.Status.Demand, c.now
+			p.demand, p.demandAt = req.Status.Demand, c.now
 		}
-		for _, id := range req.Status.Gone {
+		for _, id := range req.Status.ReturnedMachines {
 			c.machineReturned(id)
 		}
-		c.toldCancelled(p, req.Status.Cancelled)
+		c.applyBroadcastCancellations(p, req.Status.Cancelled)
 		c.noteTraces(req.Status.Traces)
-		c.askedToRecord(req.Status.Record, req.Status.Owns)
-		resp.Status = &peer.StatusAck{About: c.about(p), Quiet: quiet}
+		c.askedToRecord(req.Status.Record, req.Status.Claims)
+		resp.Status = &peer.StatusAck{About: c.about(p), QuiescedShards: quiesced}
 	case req.Ask != nil:
 		c.askedAbout(*req.Ask, func(a peer.Answer) {
 			resp.Answer = &a
 			c.answer(in.Reply, 200, resp, 0)
 		})
 		return
-	case req.Hint != nil:
+	case req.JobRecordHint != nil:
 		var rec wire.JobRecord
-		if err := wire.Decode(req.Hint.Record, &rec); err == nil && wire.ValidID(req.Hint.ID) {
-			c.learnJob(req.Hint.ID, rec, req.Hint.Mark)
+		if err := wire.Decode(req.JobRecordHint.Record, &rec); err == nil && wire.ValidID(req.JobRecordHint.ID) {
+			c.learnJob(req.JobRecordHint.ID, rec, req.JobRecordHint.ModRevision)
 			resp.OK = true
 		}
 	case req.Release != nil:
@@ -244,13 +244,13 @@
 }
 
 // askedAbout answers as the owner of a job, or with 503 if this node is not.
-func (c *Core) askedAbout(a peer.Ask, done func(peer.Answer)) {
+func (c *Controller) askedAbout(a peer.Ask, done func(peer.Answer)) {
 	if f, ok := c.jobs.final(a.ID); ok {
 		done(finalAnswer(f))
 		return
 	}
 	j := c.jobs.open[a.ID]
-	if j == nil || !c.speaksFor(j) {
+	if j == nil || !c.mayAnswerFromMemory(j) {
 		if j != nil && a.Cancel {
 			c.stopCancelledTasks(j)
 		}
@@ -273,7 +273,7 @@
 		c.cancelJob(j, done)
 		return
 	}
-	if j.run.ending || j.run.unsure || !c.mayWait(j) {
+	if j.run.endInFlight || j.run.endInDoubt || !c.mayWait(j) {
 		done(peer.Answer{Status: 503})
 		return
 	}
--- a/internal/core/peers_test.go
+++ b/internal/controller/peers_test.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"fmt"
@@ -13,7 +13,7 @@
 // machines, however many there are. Which are forgotten was decided by a count, 5,000, on the
 // assumption that the oldest are over by then: where the state service takes 200 writes a
 // second that many come about in 25 s, and a cancellation has 49.
-func TestToldOfAllCancellations(t *testing.T) {
+func TestPeersLearnAllCancellations(t *testing.T) {
 	for _, limits := range []struct {
 		writeRPS float64
 		cancel   micros.Micros
@@ -22,29 +22,29 @@
 			h := meet(t, func(c *Config) {
 				withPeer(c)
 				c.WriteRPS, c.Cancel = limits.writeRPS, limits.cancel
-				c.FinalJobs = 40_000
+				c.MaxFinalJobs = 40_000
 			})
 			h.peersDown = true
 			all := int(limits.writeRPS * limits.cancel.Seconds())
 			for i := range all {
 				id := fmt.Sprintf("job-%06d", i)
 				h.c.finishJob(id, finalJob{state: wire.StateCancelled, recorded: true})
-				h.c.spreadCancelled(id)
+				h.c.broadcastCancellation(id)
 			}
-			told := map[string]bool{}
+			informed := map[string]bool{}
 			for range 2*all/maxNamed + 4 { // one message a second, about
-				h.step(PeerMessage{Reply: 900, Req: peer.Request{From: "n-1", Status: &peer.Status{About: peer.About{StateOK: true}}}})
+				h.step(PeerRequest{Reply: 900, Req: peer.Request{From: "n-1", Status: &peer.Status{About: peer.About{StateOK: true}}}})
 				h.peersDown = false
-				before := len(h.told)
-				h.run(statusEvery + 100*ms)
-				for _, st := range h.told[before:] {
+				before := len(h.statusesSent)
+				h.run(statusInterval + 100*ms)
+				for _, st := range h.statusesSent[before:] {
 					for _, id := range st.Cancelled {
-						told[id] = true
+						informed[id] = true
 					}
 				}
 			}
-			if len(told) != all {
-				t.Errorf("told of %d of %d cancellations", len(told), all)
+			if len(informed) != all {
+				t.Errorf("told of %d of %d cancellations", len(informed), all)
 			}
 		})
 	}
--- a/internal/core/prefetch.go
+++ b/internal/controller/prefetch.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"garnethitch/internal/micros"
@@ -23,8 +23,8 @@
 )
 
 // notePrefetchImage remembers the image of a job that is done, if its class is urgent.
-func (c *Core) notePrefetchImage(j *job) {
-	if _, urgent := c.cfg.Urgent[j.sub.Class]; !urgent || j.sub.OneZone || j.sub.Apart {
+func (c *Controller) notePrefetchImage(j *job) {
+	if _, urgent := c.cfg.StartWithin[j.sub.Class]; !urgent || j.sub.SameZone || j.sub.Spread {
 		return // where its other attempts are would matter
 	}
 	for i := range c.prefetchImages {
@@ -51,19 +51,19 @@
 
 // prefetch fetches urgent images on machines that lack them: first on empty
 // ones, before they are filled, later wherever there is room.
-func (c *Core) prefetch(s *share, free []*machine, empty bool) {
-	if !c.canAnswer() || len(c.prefetchImages) == 0 {
+func (c *Controller) prefetch(s *shard, free []*machine, empty bool) {
+	if !c.leaseValid() || len(c.prefetchImages) == 0 {
 		return
 	}
 	for _, w := range c.prefetchImages {
 		sub := w.job.sub
-		within := c.cfg.Urgent[sub.Class]
-		if c.now-w.at > prefetchSpan || w.job.share != s.id && c.shareOf != nil {
+		within := c.cfg.StartWithin[sub.Class]
+		if c.now-w.at > prefetchSpan || w.job.shard != s.id && c.shardOfTeam != nil {
 			continue
 		}
 		for _, m := range free {
-			mt, v := c.types[m.rec.Type], m.v
-			if v.prefetchNext > c.now || v.images[sub.Image] || empty && v.sum.tasks > 0 || !c.fits(m, w.job) ||
+			mt, v := c.types[m.rec.Type], m.view
+			if v.nextPrefetchAt > c.now || v.images[sub.Image] || empty && v.usage.tasks > 0 || !c.fits(m, w.job) ||
 				mt.FetchGBPerS <= 0 || micros.FromSeconds(sub.ImageGB/mt.FetchGBPerS) < within/4 ||
 				!c.allowed(w.job, m, nil) || v.fetches(sub.Image) {
 				continue
@@ -72,19 +72,19 @@
 				break
 			}
 			c.newAttempt(s, w.job, 0, m).prefetch = true
-			v.prefetchNext = c.now + 10*micros.Second
+			v.nextPrefetchAt = c.now + 10*micros.Second
 		}
 	}
 }
 
 // notePrefetched takes the state of a prefetching attempt.
-func (c *Core) notePrefetched(att *attempt) {
+func (c *Controller) notePrefetched(att *attempt) {
 	if att.state != attemptExited {
 		return
 	}
-	att.acted = true
-	if att.why == wire.WhyDone {
-		att.m.v.images[att.job.sub.Image] = true
-		c.placementDue = true
+	att.outcomeHandled = true
+	if att.exitReason == wire.ExitDone {
+		att.machine.view.images[att.job.sub.Image] = true
+		c.schedulingDue = true
 	}
 }
--- a/internal/core/quota.go
+++ b/internal/controller/quota.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"slices"
@@ -26,36 +26,36 @@
 	// announceNext is when this controller, if it leads, looks at the options again.
 	announceNext micros.Micros
 	reread       map[string]bool
-	stale        map[int]bool // shares for which the records are to be read again
+	stale        map[int]bool // shards for which the records are to be read again
 	sets         map[uint64]func(quota.SetDone)
 	nextSet      uint64
 	tracer       quotaTracer
 }
 
 const (
-	// useEvery is the pace at which the ledger hears what is used and wanted.
-	useEvery = 250 * micros.Millisecond
-	// announceEvery is the pace at which the leader looks at options and schedules.
-	announceEvery = micros.Second
-	quotaTimeout  = 1500 * micros.Millisecond
+	// quotaUsageInterval is the pace at which the ledger hears what is used and wanted.
+	quotaUsageInterval = 250 * micros.Millisecond
+	// announceInterval is the pace at which the leader looks at options and schedules.
+	announceInterval = micros.Second
+	quotaTimeout     = 1500 * micros.Millisecond
 )
 
 // enableQuota starts keeping groups: by this controller's options, or since another one
 // shows that it does.
-func (c *Core) enableQuota() {
+func (c *Controller) enableQuota() {
 	q := &c.quota
 	if q.ledger != nil {
 		return
 	}
-	q.ledger = quota.NewLedger(quota.Config{Shares: c.cfg.Shares, Timing: quota.DefaultTiming()})
-	q.watch = watched{prefix: wire.PrefixQuota, every: c.watchEvery(controlWatchEvery, quotaWatchPart), block: watchBlock, openedAt: -micros.Never}
+	q.ledger = quota.NewLedger(quota.Config{Shards: c.cfg.Shards, Timing: quota.DefaultTiming()})
+	q.watch = watched{prefix: wire.PrefixQuota, interval: c.watchInterval(controlWatchInterval, quotaWatchFraction), blockTimeout: watchTimeout, openedAt: -micros.Never}
 	q.paths = make([][]string, len(c.cfg.Teams))
 	q.members = map[string][]int{}
 	q.tracer = quotaTracer{own: map[traceKey]openTrace{}, remote: map[traceKey]openTrace{}}
 	q.reread = map[string]bool{}
 	q.stale = map[int]bool{}
 	q.sets = map[uint64]func(quota.SetDone){}
-	for _, s := range c.own.shares {
+	for _, s := range c.ownership.shards {
 		if s.active {
 			c.holdQuota(s)
 		}
@@ -63,14 +63,14 @@
 }
 
 // followQuota keeps the records of groups watched.
-func (c *Core) followQuota() {
+func (c *Controller) followQuota() {
 	if c.quota.ledger != nil {
 		c.follow(&c.quota.watch)
 	}
 }
 
 // stepQuota feeds the ledger, and carries out what follows.
-func (c *Core) stepQuota(in quota.Input) {
+func (c *Controller) stepQuota(in quota.Input) {
 	q := &c.quota
 	if q.ledger == nil {
 		return
@@ -82,7 +82,7 @@
 		case quota.Read:
 			q.reread[e.Group] = true
 		case quota.Reclaim:
-			c.reclaimQuota(c.own.shares[e.Share], e)
+			c.reclaimQuota(c.ownership.shards[e.Shard], e)
 		case quota.Changed:
 			c.noteQuotaChange(e)
 		case quota.SetDone:
@@ -95,17 +95,17 @@
 }
 
 // learnQuota takes a group's record from a watch, a listing or a read.
-func (c *Core) learnQuota(group string, rec quota.Record, mark uint64) {
+func (c *Controller) learnQuota(group string, rec quota.Record, modRevision uint64) {
 	q := &c.quota
 	if q.ledger == nil {
 		return
 	}
-	c.stepQuota(quota.Learned{Group: group, Record: rec, Mark: mark})
+	c.stepQuota(quota.Learned{Group: group, Record: rec, ModRevision: modRevision})
 	c.indexQuota()
 }
 
 // indexQuota notes which groups each team is in, after a record has come.
-func (c *Core) indexQuota() {
+func (c *Controller) indexQuota() {
 	q := &c.quota
 	clear(q.members)
 	for i, t := range c.cfg.Teams {
@@ -114,25 +114,25 @@
 			q.members[g] = append(q.members[g], i)
 		}
 	}
-	c.placementDue = true
+	c.schedulingDue = true
 }
 
-// holdQuota has the ledger hold a share that this controller has come to own: nothing is
+// holdQuota has the ledger hold a shard that this controller has come to own: nothing is
 // granted there from any group before all records were read anew, for the former owner
 // may have given up more than is known here.
-func (c *Core) holdQuota(s *share) {
+func (c *Controller) holdQuota(s *shard) {
 	if c.quota.ledger == nil {
 		return
 	}
-	c.stepQuota(quota.Held{Share: s.id})
-	c.refreshQuota(s, s.mark, "")
+	c.stepQuota(quota.Held{Shard: s.id})
+	c.refreshQuota(s, s.ownerEpoch, "")
 }
 
 // refreshQuota reads all records, page by page.
-func (c *Core) refreshQuota(s *share, mark uint64, after string) {
+func (c *Controller) refreshQuota(s *shard, ownerEpoch uint64, after string) {
 	const page = 200
 	c.askState(classLease, ListKeys{Prefix: wire.PrefixQuota, After: after, Limit: page}, c.cfg.Lease, func(r Result) {
-		if !s.active || s.mark != mark {
+		if !s.active || s.ownerEpoch != ownerEpoch {
 			return
 		}
 		body, ok := r.Body.(*wire.KeyList)
@@ -141,56 +141,56 @@
 			return
 		}
 		for _, kv := range body.Items {
-			c.applyPut(kv.Key, kv.Value, kv.Version)
+			c.applyPut(kv.Key, kv.Value, kv.ModRevision)
 			after = kv.Key
 		}
 		if body.More && len(body.Items) > 0 {
-			c.refreshQuota(s, mark, after)
+			c.refreshQuota(s, ownerEpoch, after)
 			return
 		}
-		c.stepQuota(quota.Refreshed{Share: s.id})
+		c.stepQuota(quota.Refreshed{Shard: s.id})
 		c.quota.useNext = 0
-		c.placementDue = true
+		c.schedulingDue = true
 	})
 }
 
-// dropQuota has the ledger let a share go.
-func (c *Core) dropQuota(s *share) { c.stepQuota(quota.Dropped{Share: s.id}) }
+// dropQuota has the ledger let a shard go.
+func (c *Controller) dropQuota(s *shard) { c.stepQuota(quota.Dropped{Shard: s.id}) }
 
 // maintainQuota does what time brings.
-func (c *Core) maintainQuota() {
+func (c *Controller) maintainQuota() {
 	q := &c.quota
-	if q.ledger == nil || c.now < q.useNext || !c.canAnswer() {
+	if q.ledger == nil || c.now < q.useNext || !c.leaseValid() {
 		return
 	}
-	q.useNext = c.now + useEvery
+	q.useNext = c.now + quotaUsageInterval
 	for _, group := range sortedKeys(q.reread) {
 		delete(q.reread, group)
 		c.readQuota(group)
 	}
-	for _, s := range c.own.shares {
+	for _, s := range c.ownership.shards {
 		if q.stale[s.id] && s.active {
 			delete(q.stale, s.id)
-			c.refreshQuota(s, s.mark, "")
+			c.refreshQuota(s, s.ownerEpoch, "")
 		}
-		if c.acting(s.id) != nil {
-			c.tellQuotaUse(s)
+		if c.activeShard(s.id) != nil {
+			c.notifyQuotaUse(s)
 		}
 	}
 	if q.tree != nil && c.leading() && c.now >= q.announceNext {
-		q.announceNext = c.now + announceEvery
+		q.announceNext = c.now + announceInterval
 		c.stepQuota(quota.Announce{Definitions: q.tree.Definitions(time.UnixMicro(int64(c.wall)))})
 	}
 	c.stepQuota(quota.Tick{})
 }
 
 // readQuota reads a group's record anew; until that has come about, again and again.
-func (c *Core) readQuota(group string) {
+func (c *Controller) readQuota(group string) {
 	c.askState(classFleet, GetKey{Key: wire.QuotaKey(group)}, quotaTimeout, func(r Result) {
 		switch kv, ok := r.Body.(*wire.KeyValue); {
 		case r.Status == 404:
 		case ok && r.Status == 200:
-			c.applyPut(kv.Key, kv.Value, kv.Version)
+			c.applyPut(kv.Key, kv.Value, kv.ModRevision)
 		default:
 			c.quota.reread[group] = true
 		}
@@ -198,20 +198,22 @@
 }
 
 // writeQuota sends a record, under the keys by which this controller may write it.
-func (c *Core) writeQuota(w quota.Write) {
-	done := func(o quota.Outcome, mark uint64) { c.stepQuota(quota.Wrote{ID: w.ID, Outcome: o, Mark: mark}) }
+func (c *Controller) writeQuota(w quota.Write) {
+	done := func(o quota.Outcome, modRevision uint64) {
+		c.stepQuota(quota.Wrote{ID: w.ID, Outcome: o, ModRevision: modRevision})
+	}
 	value, err := wire.Encode(w.Record)
 	if err != nil || !c.storable(value) {
 		c.log(Error, "record of a group not stored", "group", w.Group, "bytes", len(value), "error", err)
 		c.later(func() { done(quota.NotSent, 0) })
 		return
 	}
-	txn := wire.Txn{If: []wire.Condition{{Key: wire.QuotaKey(w.Group), Version: w.Mark}}}
+	txn := wire.Txn{If: []wire.Condition{{Key: wire.QuotaKey(w.Group), ModRevision: w.ModRevision}}}
 	if w.Leader {
-		txn.If = append(txn.If, wire.Condition{Key: wire.KeyLeader, Version: c.own.leader.mark})
+		txn.If = append(txn.If, wire.Condition{Key: wire.KeyLeader, ModRevision: c.ownership.leader.ownerEpoch})
 	}
-	for _, id := range w.Shares {
-		txn.If = append(txn.If, wire.Condition{Key: ownerKey(id), Version: c.own.shares[id].mark})
+	for _, id := range w.Shards {
+		txn.If = append(txn.If, wire.Condition{Key: ownerKey(id), ModRevision: c.ownership.shards[id].ownerEpoch})
 	}
 	txn.Then = []wire.Change{{Put: wire.QuotaKey(w.Group), Value: value}}
 	c.askState(classFleet, txn, quotaTimeout, func(r Result) {
@@ -232,12 +234,12 @@
 
 // overLimit: one more of a job's tasks would pass its team's limit, or the allowance of a
 // group that the team is in.
-func (c *Core) overLimit(s *share, j *job) bool {
-	return s.used[j.team].over(c.cfg.Teams[j.team], j.sub) || c.overQuota(s, j) != ""
+func (c *Controller) overLimit(s *shard, j *job) bool {
+	return s.usage[j.team].exceeds(c.cfg.Teams[j.team], j.sub) || c.overQuota(s, j) != ""
 }
 
 // overQuota names the group whose allowance one more task would pass; empty: none.
-func (c *Core) overQuota(s *share, j *job) string {
+func (c *Controller) overQuota(s *shard, j *job) string {
 	if c.quota.ledger == nil {
 		return ""
 	}
@@ -255,11 +257,11 @@
 
 func (u usage) amount() quota.Amount { return quota.Amount{CPUs: u.cpus, GPUs: u.gpus} }
 
-// groupUse is what a group's tasks could be using of a share at most. A machine in doubt
+// groupUse is what a group's tasks could be using of a shard at most. A machine in doubt
 // counts in full for each of its teams, as it does for the teams' own limits.
-func (c *Core) groupUse(s *share, group string) (sum quota.Amount) {
+func (c *Controller) groupUse(s *shard, group string) (sum quota.Amount) {
 	for _, i := range c.quota.members[group] {
-		sum = sum.Plus(s.used[i].amount())
+		sum = sum.Plus(s.usage[i].amount())
 	}
 	return sum
 }
@@ -267,7 +269,7 @@
 // noteQuotaGrant tells the ledger of a start at once: a record that comes before the next
 // look at what is used must not lead to giving up what has just been granted (a task ran
 // beside a lowered limit for an instant, 1 of 100,000 grants on loopback).
-func (c *Core) noteQuotaGrant(s *share, j *job) {
+func (c *Controller) noteQuotaGrant(s *shard, j *job) {
 	if c.quota.ledger == nil {
 		return
 	}
@@ -276,11 +278,11 @@
 	}
 }
 
-// quotaRoom is how much more of a job's groups a share may use, or should come to have.
+// quotaRoom is how much more of a job's groups a shard may use, or should come to have.
 type quotaRoom map[string]quota.Amount
 
 // take gives how many of a job's tasks find quota, of that many, and takes it.
-func (r quotaRoom) take(c *Core, s *share, j *job, count int) int {
+func (r quotaRoom) take(c *Controller, s *shard, j *job, count int) int {
 	if c.quota.ledger == nil {
 		return count
 	}
@@ -297,16 +299,16 @@
 	return count
 }
 
-// tellQuotaUse tells the ledger what a share uses, and what waits in it.
-func (c *Core) tellQuotaUse(s *share) {
-	settled, known := c.useSettled(s)
+// notifyQuotaUse tells the ledger what a shard uses, and what waits in it.
+func (c *Controller) notifyQuotaUse(s *shard) {
+	reconciled, known := c.useSettled(s)
 	if !known {
 		return
 	}
 	c.refresh(s)
 	teams := make([]quota.TeamDemand, len(c.cfg.Teams))
 	for i, t := range c.cfg.Teams {
-		teams[i] = quota.TeamDemand{Groups: c.quota.paths[i], Used: s.used[i].amount(), Guarantee: quota.Amount{CPUs: t.CPUs, GPUs: t.GPUs}}
+		teams[i] = quota.TeamDemand{Groups: c.quota.paths[i], Used: s.usage[i].amount(), Guarantee: quota.Amount{CPUs: t.CPUs, GPUs: t.GPUs}}
 	}
 	for _, j := range c.queue(s) {
 		if len(c.quota.paths[j.team]) == 0 || !c.runnable(s, j) {
@@ -317,74 +319,74 @@
 		}
 		c.noteQuotaWait(s, j)
 	}
-	c.stepQuota(quota.Used{Share: s.id, Groups: c.quota.ledger.Claims(s.id, settled, teams)})
+	c.stepQuota(quota.Used{Shard: s.id, Groups: c.quota.ledger.Claims(s.id, reconciled, teams)})
 }
 
-// useSettled tells whether what a share uses is exact, and else whether the most that it
+// useSettled tells whether what a shard uses is exact, and else whether the most that it
 // could be using is known: a process that has just begun does not know how large the
 // machines are, and took them for empty (a successor gave up an allowance that was in
 // use, found by the simulation).
-func (c *Core) useSettled(s *share) (settled, known bool) {
+func (c *Controller) useSettled(s *shard) (reconciled, known bool) {
 	if len(c.types) == 0 {
 		return false, false
 	}
-	settled = s.settled
+	reconciled = s.reconciled
 	for _, m := range s.machines {
-		if m.v == nil || !m.v.doubt && !m.v.sum.unknown {
+		if m.view == nil || !m.view.unreconciledFromPredecessor && !m.view.usage.unknown {
 			continue
 		}
-		settled = false
+		reconciled = false
 		if _, ok := c.types[m.rec.Type]; !ok {
 			return false, false
 		}
 	}
-	return settled, true
+	return reconciled, true
 }
 
 // waitingTasks are a job's tasks that wait, as far as its team's limit allows.
-func (c *Core) waitingTasks(s *share, j *job) quota.WaitingTasks {
+func (c *Controller) waitingTasks(s *shard, j *job) quota.WaitingTasks {
 	r, t := j.run, c.cfg.Teams[j.team]
 	count := j.pending()
-	if r.probeAt != 0 {
+	if r.nextRetryAt != 0 {
 		count = min(count, 1)
 	}
 	if t.CPUsMax > 0 && j.sub.CPUs > 0 {
-		count = min(count, int((t.CPUsMax-s.used[j.team].cpus)/j.sub.CPUs+eps))
+		count = min(count, int((t.CPUsMax-s.usage[j.team].cpus)/j.sub.CPUs+eps))
 	}
 	if t.GPUsMax > 0 && j.sub.GPUs > 0 {
-		count = min(count, int((t.GPUsMax-s.used[j.team].gpus)/j.sub.GPUs+eps))
+		count = min(count, int((t.GPUsMax-s.usage[j.team].gpus)/j.sub.GPUs+eps))
 	}
 	return quota.WaitingTasks{Size: sizeOf(j.sub), Count: count, SinceMS: max(j.since(), r.startedMS, 1)}
 }
 
 // noteQuotaWait tells of a job whose tasks have waited for quota for a while.
-func (c *Core) noteQuotaWait(s *share, j *job) {
+func (c *Controller) noteQuotaWait(s *shard, j *job) {
 	const long = 2 * micros.Second
 	group := c.overQuota(s, j)
 	switch {
 	case group == "":
-		j.run.quotaWait = 0
-	case j.run.quotaWait == 0:
-		j.run.quotaWait = c.now
-	case !j.run.quotaTold && c.now-j.run.quotaWait > long:
-		j.run.quotaTold = true
+		j.run.quotaWaitSince = 0
+	case j.run.quotaWaitSince == 0:
+		j.run.quotaWaitSince = c.now
+	case !j.run.quotaWaitLogged && c.now-j.run.quotaWaitSince > long:
+		j.run.quotaWaitLogged = true
 		c.log(Info, "job waits for quota", "job", j.id, "group", group, "tasks", j.pending())
 	}
 }
 
 // reclaimQuota stops tasks of a group that are beyond their teams' guarantees, beside a
 // guarantee that waits: those of least priority first, of these the latest ones.
-func (c *Core) reclaimQuota(s *share, e quota.Reclaim) {
-	if c.acting(s.id) == nil {
+func (c *Controller) reclaimQuota(s *shard, e quota.Reclaim) {
+	if c.activeShard(s.id) == nil {
 		return
 	}
 	var list []*attempt
 	for _, m := range s.machines {
-		if m.v == nil {
+		if m.view == nil {
 			continue
 		}
-		for _, att := range m.v.list {
-			if att.owned && att.job != nil && att.job.run != nil && !att.job.within && att.halt == haltNone && att.state != attemptExited &&
+		for _, att := range m.view.list {
+			if att.tracked && att.job != nil && att.job.run != nil && !att.job.withinGuarantee && att.stopMode == stopNone && att.state != attemptExited &&
 				slices.Contains(c.quota.members[e.Group], att.job.team) {
 				list = append(list, att)
 			}
@@ -401,33 +403,33 @@
 		if over.IsZero() {
 			break
 		}
-		att.job.run.stopped[att.idx]++
-		how := haltHard
+		att.job.run.stopsByTask[att.index]++
+		how := stopImmediate
 		if att.job.sub.CheckpointS > 0 {
-			how = haltSave
+			how = stopGraceful
 		}
 		c.stop(att, how)
 		over = over.Minus(sizeOf(att.job.sub))
 		stopped++
 	}
-	c.log(Info, "tasks stopped for a guarantee that was lent", "group", e.Group, "share", s.id, "tasks", stopped, "cpus", e.Over.CPUs)
+	c.log(Info, "tasks stopped for a guarantee that was lent", "group", e.Group, "shard", s.id, "tasks", stopped, "cpus", e.Over.CPUs)
 }
 
 // noteQuotaChange logs what has changed in a group.
-func (c *Core) noteQuotaChange(e quota.Changed) {
+func (c *Controller) noteQuotaChange(e quota.Changed) {
 	switch e.Kind {
 	case quota.Announced:
 		c.log(Info, "limit of a group announced", "group", e.Group, "limit", e.Limit.String(), "source", string(e.Source), "epoch", e.Epoch)
 	case quota.InForce:
 		c.log(Info, "limit of a group in force", "group", e.Group, "limit", e.Limit.String(), "epoch", e.Epoch)
 	default:
-		c.log(Debug, "allowance of a share", "change", string(e.Kind), "group", e.Group, "share", e.Share, "from", e.From.CPUs, "to", e.To.CPUs)
+		c.log(Debug, "allowance of a shard", "change", string(e.Kind), "group", e.Group, "shard", e.Shard, "from", e.From.CPUs, "to", e.To.CPUs)
 	}
 	c.traceQuota(e)
 }
 
 // quotaRequest answers the command line.
-func (c *Core) quotaRequest(reply ReplyID, req peer.QuotaRequest) {
+func (c *Controller) quotaRequest(reply ReplyID, req peer.QuotaRequest) {
 	resp := &peer.Response{From: c.cfg.Label, Quota: &peer.QuotaResponse{}}
 	answer := func(problem string) {
 		resp.Quota.Problem = problem
@@ -469,21 +471,21 @@
 	quota.SetBusy:     "not set: the state service can't be reached, or others change the group all the time; try again",
 }
 
-// quotaStatus tells how all groups stand, with the shares' owners.
-func (c *Core) quotaStatus() []quota.GroupStatus {
+// quotaStatus tells how all groups stand, with the shards' owners.
+func (c *Controller) quotaStatus() []quota.GroupStatus {
 	groups := c.quota.ledger.Status()
-	owner := func(share int) string {
-		if share < len(c.own.shares) {
-			return c.own.shares[share].rec.Label
+	owner := func(shard int) string {
+		if shard < len(c.ownership.shards) {
+			return c.ownership.shards[shard].owner.Label
 		}
 		return ""
 	}
 	for i := range groups {
-		for k := range groups[i].Shares {
-			groups[i].Shares[k].Owner = owner(groups[i].Shares[k].Share)
+		for k := range groups[i].Shards {
+			groups[i].Shards[k].Owner = owner(groups[i].Shards[k].Shard)
 		}
 		for k := range groups[i].HeldUp {
-			groups[i].HeldUp[k].Owner = owner(groups[i].HeldUp[k].Share)
+			groups[i].HeldUp[k].Owner = owner(groups[i].HeldUp[k].Shard)
 		}
 	}
 	return groups
--- a/internal/core/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"reflect"
@@ -26,7 +26,7 @@
 }
 
 func (h *harness) quotaAsk(req peer.QuotaRequest) *peer.QuotaResponse {
-	a := h.ask(func(r ReplyID) Input { return PeerMessage{Reply: r, Req: peer.Request{Quota: &req}} })
+	a := h.ask(func(r ReplyID) Input { return PeerRequest{Reply: r, Req: peer.Request{Quota: &req}} })
 	resp, ok := a.Body.(*peer.Response)
 	if !ok || resp.Quota == nil {
 		h.t.Fatalf("answered %d %+v", a.Status, a.Body)
@@ -48,13 +48,13 @@
 // once, also where its tasks can't be seen gone; cleared, the options count again.
 func TestGroupBindsStarts(t *testing.T) {
 	h := newHarness(t, withGroup(t, 3))
-	token := h.settle("vm-1")
+	fencingToken := h.reconcile("vm-1")
 	h.submit(jobOf("job-000001", 10))
 	h.run(3 * sec)
-	_, body := h.checkin(report("vm-1", 1, 4, token))
+	_, body := h.heartbeat(heartbeatFrom("vm-1", 1, 4, fencingToken))
 	started := starts(body.Commands)
-	for _, o := range h.orders() {
-		started = append(started, starts(o.Req.(wire.Orders).Commands)...)
+	for _, o := range h.directCommands() {
+		started = append(started, starts(o.Req.(wire.DirectCommand).Commands)...)
 	}
 	if len(started) != 3 {
 		t.Fatalf("%d tasks started, the group's limit is 3", len(started))
@@ -62,10 +62,10 @@
 	if rec := h.group(); rec.Applied == nil || *rec.Applied.CPUs != 3 {
 		t.Errorf("in force is %v", rec.Applied)
 	}
-	// Rows are written under the share's owner key, definitions under the leader's.
+	// Rows are written under the shard's owner key, definitions under the leader's.
 	under := map[string]int{}
 	for _, txn := range h.done {
-		if txn.Then[0].Put == wire.QuotaKey("all") && len(txn.If) == 2 && txn.If[1].Version != 0 {
+		if txn.Then[0].Put == wire.QuotaKey("all") && len(txn.If) == 2 && txn.If[1].ModRevision != 0 {
 			under[txn.If[1].Key]++
 		}
 	}
@@ -82,7 +82,7 @@
 		t.Errorf("shown as %+v", g)
 	}
 	// The job is cancelled, its machine says nothing: what could run there counts.
-	h.withdraw("job-000001")
+	h.cancel("job-000001")
 	h.submit(jobOf("job-000002", 2))
 	h.run(2 * sec)
 	if got := h.c.jobs.open["job-000002"].run; len(got.active) != 0 {
@@ -128,14 +128,14 @@
 			t.Error("without the option, groups are watched")
 		}
 	}
-	for _, st := range off.told {
+	for _, st := range off.statusesSent {
 		if st.Quota || st.Traces != nil {
 			t.Errorf("without the option, others are told %+v", st)
 		}
 	}
 	// Another controller shows that it keeps groups: this one follows.
 	off.ask(func(r ReplyID) Input {
-		return PeerMessage{Reply: r, Req: peer.Request{From: "n-1", Status: &peer.Status{About: peer.About{StateOK: true, Quota: true}}}}
+		return PeerRequest{Reply: r, Req: peer.Request{From: "n-1", Status: &peer.Status{About: peer.About{StateOK: true, Quota: true}}}}
 	})
 	off.run(sec)
 	if resp := off.quotaAsk(peer.QuotaRequest{}); resp.Problem != "" {
@@ -152,33 +152,33 @@
 	})
 	trace, span := [16]byte{1, 2}, [8]byte{3}
 	h.ask(func(r ReplyID) Input {
-		return PeerMessage{Reply: r, Req: peer.Request{From: "n-1", Status: &peer.Status{About: peer.About{StateOK: true, Quota: true},
-			Traces: []peer.TraceContext{{Group: "all", Share: 1, Trace: trace[:], Span: span[:], BeganUS: 1}, {Group: "all", Share: 2, Trace: []byte("short")}}}}}
+		return PeerRequest{Reply: r, Req: peer.Request{From: "n-1", Status: &peer.Status{About: peer.About{StateOK: true, Quota: true},
+			Traces: []peer.TraceContext{{Group: "all", Shard: 1, Trace: trace[:], Span: span[:], BeganUS: 1}, {Group: "all", Shard: 2, Trace: []byte("short")}}}}}
 	})
-	h.c.out = nil
-	h.c.traceQuota(quota.Changed{Kind: quota.Shrunk, Group: "all", Share: 0, From: quota.Amount{CPUs: 2}, To: quota.Amount{CPUs: 1}})
-	if s, ok := h.c.out[0].(Span); !ok || s.Trace != trace || s.Parent != span || s.Name != "quota.shrinking" {
-		t.Errorf("%+v", h.c.out)
+	h.c.effects = nil
+	h.c.traceQuota(quota.Changed{Kind: quota.Shrunk, Group: "all", Shard: 0, From: quota.Amount{CPUs: 2}, To: quota.Amount{CPUs: 1}})
+	if s, ok := h.c.effects[0].(Span); !ok || s.Trace != trace || s.Parent != span || s.Name != "quota.shrinking" {
+		t.Errorf("%+v", h.c.effects)
 	}
-	h.c.traceQuota(quota.Changed{Kind: quota.Asked, Group: "all", Share: 0})
-	asked := h.c.out[1].(Span)
-	if told := h.c.openTraces(); len(told) != 1 || [16]byte(told[0].Trace) != asked.Trace || [8]byte(told[0].Span) != asked.ID {
-		t.Errorf("others are told %+v of %+v", told, asked)
+	h.c.traceQuota(quota.Changed{Kind: quota.Asked, Group: "all", Shard: 0})
+	asked := h.c.effects[1].(Span)
+	if contexts := h.c.openTraces(); len(contexts) != 1 || [16]byte(contexts[0].Trace) != asked.Trace || [8]byte(contexts[0].Span) != asked.ID {
+		t.Errorf("others are told %+v of %+v", contexts, asked)
 	}
 }
 
 // TestOlderVersionsReadStatusWithGroups: an older version reads of a message what it knows.
 func TestOlderVersionsReadStatusWithGroups(t *testing.T) {
-	st := &peer.Status{About: peer.About{UptimeUS: 5, StateOK: true, Owns: []peer.Owned{{Share: 1, Mark: 7}}, Quota: true}, Gone: []string{"vm-1"},
+	st := &peer.Status{About: peer.About{UptimeUS: 5, StateOK: true, Claims: []peer.ShardClaim{{Shard: 1, OwnerEpoch: 7}}, Quota: true}, ReturnedMachines: []string{"vm-1"},
 		Traces: []peer.TraceContext{{Group: "all", Trace: make([]byte, 16), Span: make([]byte, 8)}}}
 	sent, err := peer.Encode(peer.Request{From: "n-1", Status: st})
 	if err != nil {
 		t.Fatal(err)
 	}
 	type about struct {
-		UptimeUS int64        `msgpack:"u"`
-		StateOK  bool         `msgpack:"k"`
-		Owns     []peer.Owned `msgpack:"o,omitempty"`
+		UptimeUS int64             `msgpack:"u"`
+		StateOK  bool              `msgpack:"k"`
+		Owns     []peer.ShardClaim `msgpack:"o,omitempty"`
 	}
 	type status struct {
 		about `msgpack:",inline"`
@@ -193,7 +193,7 @@
 	}
 }
 
-// BenchmarkQuota compares a report's way with groups and spans, with groups, and without
+// BenchmarkQuota compares a heartbeat's way with groups and spans, with groups, and without
 // either: without, nothing may be added.
 func BenchmarkQuota(b *testing.B) {
 	for _, tc := range []struct {
@@ -223,7 +223,7 @@
 // FuzzQuotaRecord: whatever stands under a group's key, a controller goes on.
 func FuzzQuotaRecord(f *testing.F) {
 	limit := quota.CPULimit(3)
-	for _, rec := range []quota.Record{{}, {Epoch: 3, Definition: quota.Definition{Parent: "all", Teams: []string{"t"}, Members: []string{"t"}, Limit: limit}, Rows: []quota.Row{{Share: 9}, {Share: -1}}}} {
+	for _, rec := range []quota.Record{{}, {Epoch: 3, Definition: quota.Definition{Parent: "all", Teams: []string{"t"}, Members: []string{"t"}, Limit: limit}, Rows: []quota.Row{{Shard: 9}, {Shard: -1}}}} {
 		value, err := wire.Encode(rec)
 		if err != nil {
 			f.Fatal(err)
@@ -235,7 +235,7 @@
 		h.txn(wire.Txn{Then: []wire.Change{{Put: wire.QuotaKey("all"), Value: value}}})
 		h.run(600 * ms)
 		h.quotaAsk(peer.QuotaRequest{})
-		if h.poll("job-000001").Status != 404 {
+		if h.jobStatus("job-000001").Status != 404 {
 			t.Error("no answer to a user")
 		}
 	})
--- a/internal/core/quotatrace.go
+++ b/internal/controller/quota_trace.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"cmp"
@@ -18,25 +18,25 @@
 	ID, Parent [8]byte // no Parent: the trace begins here
 	Start, End micros.Micros
 	Group      string
-	Share      int
+	Shard      int
 	From, To   quota.Amount
 	Epoch      uint64
 	Job        string // of a grant
 }
 
-// quotaTracer makes spans of what happens to groups. A trace begins where a share asks
+// quotaTracer makes spans of what happens to groups. A trace begins where a shard asks
 // for more, or where a limit is announced; its context goes to the other controllers with
 // the status messages, and what they give up for it belongs to the same trace.
 type quotaTracer struct {
-	// own are the contexts of this controller's shares that ask, and of the limits that
+	// own are the contexts of this controller's shards that ask, and of the limits that
 	// it has announced, remote those of the others.
 	own, remote map[traceKey]openTrace
 }
 
-// traceKey is a share of a group that asks; share announcement: a limit is announced.
+// traceKey is a shard of a group that asks; shard announcement: a limit is announced.
 type traceKey struct {
 	group string
-	share int
+	shard int
 }
 
 const (
@@ -54,22 +54,22 @@
 	until micros.Micros
 }
 
-func (o openTrace) newer(than openTrace) bool {
+func (o openTrace) newerThan(than openTrace) bool {
 	return cmp.Or(cmp.Compare(o.began, than.began), slices.Compare(o.span[:], than.span[:])) > 0
 }
 
 // traceQuota makes a span of a change.
-func (c *Core) traceQuota(e quota.Changed) {
+func (c *Controller) traceQuota(e quota.Changed) {
 	t := &c.quota.tracer
 	if !c.cfg.Trace || e.Kind == quota.InForce {
 		return
 	}
-	key := traceKey{e.Group, e.Share}
-	span := Span{Name: "quota." + string(e.Kind), Group: e.Group, Share: e.Share, From: e.From, To: e.To, Epoch: e.Epoch, Start: c.wall, End: c.wall, ID: c.spanID()}
+	key := traceKey{e.Group, e.Shard}
+	span := Span{Name: "quota." + string(e.Kind), Group: e.Group, Shard: e.Shard, From: e.From, To: e.To, Epoch: e.Epoch, Start: c.wall, End: c.wall, ID: c.spanID()}
 	switch e.Kind {
 	case quota.Asked, quota.Announced:
 		if e.Kind == quota.Announced {
-			key.share = announcement
+			key.shard = announcement
 		}
 		span.Trace = c.traceID()
 		t.own[key] = openTrace{span.Trace, span.ID, c.wall, c.now + traceFor}
@@ -86,15 +86,15 @@
 			span.Trace, span.Parent = open.trace, open.span
 		}
 	}
-	c.out = append(c.out, span)
+	c.effects = append(c.effects, span)
 }
 
-// causeOf is the newest context for which a share of a group may be giving something up.
-func (c *Core) causeOf(group string) (newest openTrace, found bool) {
+// causeOf is the newest context for which a shard of a group may be giving something up.
+func (c *Controller) causeOf(group string) (newest openTrace, found bool) {
 	t := &c.quota.tracer
 	for _, contexts := range []map[traceKey]openTrace{t.own, t.remote} {
 		for key, open := range contexts {
-			if key.group == group && c.now < open.until && (!found || open.newer(newest)) {
+			if key.group == group && c.now < open.until && (!found || open.newerThan(newest)) {
 				newest, found = open, true
 			}
 		}
@@ -103,8 +103,8 @@
 }
 
 // traceGrant makes a span of a start that waited for quota.
-func (c *Core) traceGrant(s *share, j *job) {
-	if !c.cfg.Trace || j.run.quotaWait == 0 {
+func (c *Controller) traceGrant(s *shard, j *job) {
+	if !c.cfg.Trace || j.run.quotaWaitSince == 0 {
 		return
 	}
 	for _, g := range c.quota.paths[j.team] {
@@ -113,14 +113,14 @@
 			continue
 		}
 		delete(c.quota.tracer.own, traceKey{g, s.id})
-		c.out = append(c.out, Span{Name: "quota.granting", Trace: open.trace, ID: c.spanID(), Parent: open.span, Group: g, Share: s.id, Job: j.id,
-			Start: c.wall - (c.now - j.run.quotaWait), End: c.wall, To: sizeOf(j.sub)})
+		c.effects = append(c.effects, Span{Name: "quota.granting", Trace: open.trace, ID: c.spanID(), Parent: open.span, Group: g, Shard: s.id, Job: j.id,
+			Start: c.wall - (c.now - j.run.quotaWaitSince), End: c.wall, To: sizeOf(j.sub)})
 	}
-	j.run.quotaWait = 0
+	j.run.quotaWaitSince = 0
 }
 
 // openTraces are the contexts that the other controllers are told of.
-func (c *Core) openTraces() (out []peer.TraceContext) {
+func (c *Controller) openTraces() (out []peer.TraceContext) {
 	if !c.cfg.Trace {
 		return nil
 	}
@@ -128,17 +128,17 @@
 		if c.now >= open.until {
 			delete(c.quota.tracer.own, key)
 		} else {
-			out = append(out, peer.TraceContext{Group: key.group, Share: key.share, Trace: open.trace[:], Span: open.span[:], BeganUS: int64(open.began)})
+			out = append(out, peer.TraceContext{Group: key.group, Shard: key.shard, Trace: open.trace[:], Span: open.span[:], BeganUS: int64(open.began)})
 		}
 	}
 	slices.SortFunc(out, func(a, b peer.TraceContext) int {
-		return cmp.Or(cmp.Compare(a.Group, b.Group), cmp.Compare(a.Share, b.Share))
+		return cmp.Or(cmp.Compare(a.Group, b.Group), cmp.Compare(a.Shard, b.Shard))
 	})
 	return out[:min(len(out), maxTraces)]
 }
 
 // noteTraces takes the contexts of another controller.
-func (c *Core) noteTraces(contexts []peer.TraceContext) {
+func (c *Controller) noteTraces(contexts []peer.TraceContext) {
 	t := &c.quota.tracer
 	if !c.cfg.Trace || c.quota.ledger == nil || len(contexts) > maxTraces {
 		return
@@ -150,18 +150,18 @@
 	}
 	for _, ctx := range contexts {
 		if len(ctx.Trace) == 16 && len(ctx.Span) == 8 && len(t.remote) < maxTraces {
-			t.remote[traceKey{ctx.Group, ctx.Share}] = openTrace{[16]byte(ctx.Trace), [8]byte(ctx.Span), micros.Micros(ctx.BeganUS), c.now + traceFor}
+			t.remote[traceKey{ctx.Group, ctx.Shard}] = openTrace{[16]byte(ctx.Trace), [8]byte(ctx.Span), micros.Micros(ctx.BeganUS), c.now + traceFor}
 		}
 	}
 }
 
-func (c *Core) traceID() (id [16]byte) {
+func (c *Controller) traceID() (id [16]byte) {
 	binary.BigEndian.PutUint64(id[:8], c.rng.Uint64())
 	binary.BigEndian.PutUint64(id[8:], c.rng.Uint64()|1) // never zero
 	return id
 }
 
-func (c *Core) spanID() (id [8]byte) {
+func (c *Controller) spanID() (id [8]byte) {
 	binary.BigEndian.PutUint64(id[:], c.rng.Uint64()|1)
 	return id
 }
--- a/internal/core/level.go
+++ b/internal/controller/rebalancing.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"cmp"
@@ -8,9 +8,9 @@
 	"garnethitch/internal/peer"
 )
 
-// plannedMove is a machine on its way to another share, or out.
+// plannedMove is a machine on its way to another shard, or out.
 type plannedMove struct {
-	share  int
+	shard  int
 	retire bool
 	until  micros.Micros
 }
@@ -21,73 +21,73 @@
 	peer.Release
 }
 
-// askRelease notes that a machine's owner is to be asked to let it go.
-func (c *Core) askRelease(id string, r peer.Release) {
+// requestMachineRelease notes that a machine's owner is to be asked to let it go.
+func (c *Controller) requestMachineRelease(id string, r peer.Release) {
 	f := &c.fleet
-	m := c.mach[id]
-	if m == nil || f.asked[id] != 0 && c.now < f.asked[id]+2*micros.Second {
+	m := c.machines[id]
+	if m == nil || f.releaseRequestedAt[id] != 0 && c.now < f.releaseRequestedAt[id]+2*micros.Second {
 		return
 	}
-	f.asked[id] = c.now
+	f.releaseRequestedAt[id] = c.now
 	if r.Retire {
-		r.Share = m.rec.Share
+		r.Shard = m.rec.Shard
 	}
-	f.requests = append(f.requests, releaseRequest{id, r})
+	f.releaseRequests = append(f.releaseRequests, releaseRequest{id, r})
 }
 
 // sendReleases asks the owners, those alike in one message.
-func (c *Core) sendReleases() {
+func (c *Controller) sendReleases() {
 	type key struct {
 		from, to            int
 		retire, drain, save bool
 	}
 	byKey := map[key]*peer.Release{}
 	var keys []key
-	for _, q := range c.fleet.requests {
-		m := c.mach[q.machine]
+	for _, q := range c.fleet.releaseRequests {
+		m := c.machines[q.machine]
 		if m == nil {
 			continue
 		}
-		k := key{m.rec.Share, q.Share, q.Retire, q.Drain, q.Save}
+		k := key{m.rec.Shard, q.Shard, q.Retire, q.Drain, q.Save}
 		r := byKey[k]
 		if r == nil {
-			r = &peer.Release{Retire: q.Retire, Drain: q.Drain, Save: q.Save, Share: q.Share}
+			r = &peer.Release{Retire: q.Retire, Drain: q.Drain, Save: q.Save, Shard: q.Shard}
 			byKey[k] = r
 			keys = append(keys, k)
 		}
 		r.Machines = append(r.Machines, q.machine)
 	}
-	c.fleet.requests = nil
+	c.fleet.releaseRequests = nil
 	for _, k := range keys {
-		r, s := byKey[k], c.own.shares[k.from]
-		if c.acting(s.id) != nil {
+		r, s := byKey[k], c.ownership.shards[k.from]
+		if c.activeShard(s.id) != nil {
 			c.release(*r)
-		} else if p := c.peers[s.rec.Label]; p != nil {
+		} else if p := c.peers[s.owner.Label]; p != nil {
 			c.call(Call{To: ToPeer, Addr: p.label, Req: peer.Request{From: c.cfg.Label, Release: r}, Timeout: micros.Second}, func(Result) {})
 		}
 	}
 }
 
-// leveling is one round of moving machines between shares, in CPUs by share.
-type leveling struct {
-	part  map[int]float64 // what each should have
-	has   map[int]float64 // what it has, moves under way counted where they go
-	lack  map[int]float64 // what its waiting tasks want beyond what stands free
-	spare map[int]float64 // where nothing waits: what may be drained without loss
-	rows  []levelRow
-	// draining counts the machines that are emptied for another share.
+// rebalancing is one round of moving machines between shards, in CPUs by shard.
+type rebalancing struct {
+	target    map[int]float64 // what each should have
+	has       map[int]float64 // what it has, moves under way counted where they go
+	shortfall map[int]float64 // what its waiting tasks want beyond what stands free
+	spare     map[int]float64 // where nothing waits: what may be drained without loss
+	rows      []rebalanceRow
+	// draining counts the machines that are emptied for another shard.
 	draining int
 }
 
-// levelRow is a machine that may be moved.
-type levelRow struct {
+// rebalanceRow is a machine that may be moved.
+type rebalanceRow struct {
 	peer.Machine
 	from int
 	cpus float64
 }
 
 const (
-	// maxDraining bounds machines drained for other shares at a time, beyond what may
+	// maxDraining bounds machines drained for other shards at a time, beyond what may
 	// be drained without loss: one that empties slowly stands half used meanwhile.
 	maxDraining = 2
 	// drainWithin is how soon such a machine must be empty.
@@ -98,10 +98,10 @@
 	leastMove = 0.5
 )
 
-// level moves machines to the shares whose queues wait: idle ones at once, busy
-// ones as they empty, where a share has more than its part of the fleet.
-func (c *Core) level(demand map[int]*peer.Demand) {
-	l := c.newLeveling(demand)
+// rebalance moves machines to the shards whose queues wait: idle ones at once, busy
+// ones as they empty, where a shard has more than its part of the fleet.
+func (c *Controller) rebalance(demand map[int]*peer.Demand) {
+	l := c.newRebalancing(demand)
 	for _, r := range l.rows {
 		to, most := c.destination(demand, l, r)
 		if to < 0 || !c.mayMove(demand[r.from], l, r, most) {
@@ -110,98 +110,98 @@
 		idle := r.State == peer.MachineIdle
 		l.has[r.from] -= r.cpus
 		l.has[to] += r.cpus
-		l.lack[to] -= r.cpus
+		l.shortfall[to] -= r.cpus
 		if !idle {
-			c.fleet.plannedMoves[r.ID] = plannedMove{share: to, until: c.now + plannedFor}
+			c.fleet.plannedMoves[r.ID] = plannedMove{shard: to, until: c.now + plannedFor}
 		}
-		c.askRelease(r.ID, peer.Release{Share: to, Drain: !idle})
+		c.requestMachineRelease(r.ID, peer.Release{Shard: to, Drain: !idle})
 	}
 }
 
-// newLeveling adds up what shares have and lack, and lists the machines that may be
+// newRebalancing adds up what shards have and lack, and lists the machines that may be
 // moved: idle ones first, then those that are empty soonest.
-func (c *Core) newLeveling(demand map[int]*peer.Demand) *leveling {
+func (c *Controller) newRebalancing(demand map[int]*peer.Demand) *rebalancing {
 	total := 0.0
 	for _, d := range demand {
 		total += d.CPUs
 	}
-	l := &leveling{part: c.parts(demand, total), has: map[int]float64{}, lack: map[int]float64{}, spare: map[int]float64{}}
+	l := &rebalancing{target: c.targetCPUs(demand, total), has: map[int]float64{}, shortfall: map[int]float64{}, spare: map[int]float64{}}
 	for id, d := range demand {
 		l.has[id] = d.CPUs
-		l.lack[id] = max(0, waitingCPUs(d)-(d.CPUs-d.Busy))
+		l.shortfall[id] = max(0, waitingCPUs(d)-(d.CPUs-d.Busy))
 		if waitingCPUs(d) == 0 {
 			l.spare[id] = (d.CPUs - d.Busy) - d.CPUs/20
 		}
 	}
-	for _, id := range shareIDs(demand) {
+	for _, id := range shardIDs(demand) {
 		for _, m := range demand[id].Machines {
-			rec := c.mach[m.ID]
+			rec := c.machines[m.ID]
 			if rec == nil {
 				continue
 			}
 			cpus := c.types[rec.rec.Type].CPUs
 			switch m.State {
 			case peer.MachineDraining:
-				c.goOnDraining(demand[id], l, levelRow{m, id, cpus})
+				c.continueDraining(demand[id], l, rebalanceRow{m, id, cpus})
 			case peer.MachineIdle, peer.MachineBusy:
-				l.rows = append(l.rows, levelRow{m, id, cpus})
+				l.rows = append(l.rows, rebalanceRow{m, id, cpus})
 			}
 		}
 	}
-	slices.SortStableFunc(l.rows, func(a, b levelRow) int {
+	slices.SortStableFunc(l.rows, func(a, b rebalanceRow) int {
 		return cmp.Or(cmp.Compare(a.State, b.State), cmp.Compare(a.LeftUS, b.LeftUS), cmp.Compare(a.ID, b.ID))
 	})
 	return l
 }
 
-// goOnDraining repeats the request for a machine that is on its way out, unless its
-// share needs it again. It counts where it goes.
-func (c *Core) goOnDraining(own *peer.Demand, l *leveling, r levelRow) {
+// continueDraining repeats the request for a machine that is on its way out, unless its
+// shard needs it again. It counts where it goes.
+func (c *Controller) continueDraining(own *peer.Demand, l *rebalancing, r rebalanceRow) {
 	to, ok := c.fleet.plannedMoves[r.ID]
 	switch {
 	case !ok || c.now >= to.until:
-	case !to.retire && waitingCPUs(own) > 0 && l.has[r.from] < l.part[r.from]:
+	case !to.retire && waitingCPUs(own) > 0 && l.has[r.from] < l.target[r.from]:
 		delete(c.fleet.plannedMoves, r.ID)
 	case to.retire:
-		c.askRelease(r.ID, peer.Release{Retire: true, Drain: true})
+		c.requestMachineRelease(r.ID, peer.Release{Retire: true, Drain: true})
 	default:
 		l.draining++
-		l.has[to.share] += r.cpus
-		l.lack[to.share] = max(0, l.lack[to.share]-r.cpus)
-		c.askRelease(r.ID, peer.Release{Share: to.share, Drain: true})
+		l.has[to.shard] += r.cpus
+		l.shortfall[to.shard] = max(0, l.shortfall[to.shard]-r.cpus)
+		c.requestMachineRelease(r.ID, peer.Release{Shard: to.shard, Drain: true})
 	}
 }
 
-// destination is the share that a machine would help most, and by how many CPUs; -1 if
+// destination is the shard that a machine would help most, and by how many CPUs; -1 if
 // there is none.
-func (c *Core) destination(demand map[int]*peer.Demand, l *leveling, r levelRow) (to int, most float64) {
+func (c *Controller) destination(demand map[int]*peer.Demand, l *rebalancing, r rebalanceRow) (to int, most float64) {
 	idle := r.State == peer.MachineIdle
 	to, most = -1, leastMove
-	for _, id := range shareIDs(demand) {
-		if id == r.from || !c.useful(demand[id], c.mach[r.ID]) {
+	for _, id := range shardIDs(demand) {
+		if id == r.from || !c.useful(demand[id], c.machines[r.ID]) {
 			continue
 		}
-		gap := l.part[id] - l.has[id]
+		gap := l.target[id] - l.has[id]
 		if idle {
 			gap = max(gap, 0) + 0.01 // any queue is better than none
 		}
-		if v := min(l.lack[id], gap); v > most || idle && l.lack[id] > leastMove && to < 0 {
+		if v := min(l.shortfall[id], gap); v > most || idle && l.shortfall[id] > leastMove && to < 0 {
 			to, most = id, v
 		}
 	}
 	return to, most
 }
 
-// mayMove tells whether a machine may leave its share for one that it helps by most
+// mayMove tells whether a machine may leave its shard for one that it helps by most
 // CPUs, and notes what that takes.
-func (c *Core) mayMove(own *peer.Demand, l *leveling, r levelRow, most float64) bool {
+func (c *Controller) mayMove(own *peer.Demand, l *rebalancing, r rebalanceRow, most float64) bool {
 	if r.State == peer.MachineIdle {
-		// Its own share may be about to use it.
-		return waitingCPUs(own) == 0 || !c.useful(own, c.mach[r.ID])
+		// Its own shard may be about to use it.
+		return waitingCPUs(own) == 0 || !c.useful(own, c.machines[r.ID])
 	}
 	unused := r.cpus - r.Busy
 	switch {
-	case most < r.cpus/2 || l.has[r.from]-l.part[r.from] < r.cpus/2:
+	case most < r.cpus/2 || l.has[r.from]-l.target[r.from] < r.cpus/2:
 		return false
 	case l.spare[r.from] >= unused && unused > 0:
 		l.spare[r.from] -= unused
@@ -213,8 +213,8 @@
 	return true
 }
 
-// useful tells whether a share's waiting tasks could use a machine.
-func (c *Core) useful(d *peer.Demand, m *machine) bool {
+// useful tells whether a shard's waiting tasks could use a machine.
+func (c *Controller) useful(d *peer.Demand, m *machine) bool {
 	for _, g := range d.Groups {
 		if g.Waiting > 0 && c.hosts(g, m.rec.Type, m.rec.Zone, m.rec.Spot) {
 			return true
@@ -223,10 +223,10 @@
 	return false
 }
 
-// returnIdle returns machines that idle, the dearest first, as long as there is
+// scaleInIdle returns machines that idle, the dearest first, as long as there is
 // more than is needed. pressed: the fleet may not grow, so that an idle machine
 // of no use keeps out one that is of use.
-func (c *Core) returnIdle(demand map[int]*peer.Demand, w want, pressed bool) {
+func (c *Controller) scaleInIdle(demand map[int]*peer.Demand, w fleetDemand, atMaxMachines bool) {
 	type idle struct {
 		id          string
 		cpus, price float64
@@ -240,7 +240,7 @@
 	var list []idle
 	for _, d := range demand {
 		for _, m := range d.Machines {
-			rec := c.mach[m.ID]
+			rec := c.machines[m.ID]
 			if m.State != peer.MachineIdle || rec == nil {
 				continue
 			}
@@ -264,19 +264,19 @@
 		if surplus-i.cpus >= reserve {
 			keep = min(keep, 2*micros.Second)
 		}
-		if (surplus >= i.cpus || i.useless) && i.since >= keep || pressed && i.since >= 5*micros.Second {
+		if (surplus >= i.cpus || i.useless) && i.since >= keep || atMaxMachines && i.since >= 5*micros.Second {
 			w.have -= i.cpus
-			c.askRelease(i.id, peer.Release{Retire: true})
+			c.requestMachineRelease(i.id, peer.Release{Retire: true})
 		}
 	}
 }
 
-// consolidate empties machines of a share where nothing waits, if their tasks
-// may go on in the room that the share's other machines have, and if they would
+// consolidate empties machines of a shard where nothing waits, if their tasks
+// may go on in the room that the shard's other machines have, and if they would
 // otherwise keep mostly unused machines for long.
-func (c *Core) consolidate(demand map[int]*peer.Demand, w want) {
+func (c *Controller) consolidate(demand map[int]*peer.Demand, w fleetDemand) {
 	needed := max(w.parallel, c.reserve(w))
-	for _, id := range shareIDs(demand) {
+	for _, id := range shardIDs(demand) {
 		d := demand[id]
 		if waitingCPUs(d) > 0 {
 			continue
@@ -293,7 +293,7 @@
 			if m.State == peer.MachineDraining {
 				most--
 			}
-			rec := c.mach[m.ID]
+			rec := c.machines[m.ID]
 			if rec == nil || m.State != peer.MachineBusy || !m.Movable {
 				continue
 			}
@@ -311,9 +311,9 @@
 			most--
 			w.have -= o.cpus
 			free -= o.cpus // what it leaves goes into others' room
-			c.log(Info, "emptying a mostly unused machine", "machine", o.ID, "share", id, "busy", o.Busy)
+			c.log(Info, "draining a mostly unused machine", "machine", o.ID, "shard", id, "busy", o.Busy)
 			c.fleet.plannedMoves[o.ID] = plannedMove{retire: true, until: c.now + 30*micros.Second}
-			c.askRelease(o.ID, peer.Release{Retire: true, Drain: true, Save: true})
+			c.requestMachineRelease(o.ID, peer.Release{Retire: true, Drain: true, Save: true})
 		}
 	}
 }
@@ -329,12 +329,12 @@
 // reserve is how many CPUs are kept although nothing waits. Where tasks are
 // wanted started sooner than a machine boots, that is what arrives while one
 // would boot; elsewhere nothing.
-func (c *Core) reserve(w want) float64 {
+func (c *Controller) reserve(w fleetDemand) float64 {
 	boot := micros.Micros(0)
 	for _, mt := range c.types {
 		boot = max(boot, micros.FromSeconds(mt.BootS))
 	}
-	for _, within := range c.cfg.Urgent {
+	for _, within := range c.cfg.StartWithin {
 		if within < boot/2 {
 			return max(w.arrival, w.parallel)
 		}
@@ -342,10 +342,10 @@
 	return 0
 }
 
-// darkZones tells in which zones hardly a machine is heard while others are: the
+// partitionedZones tells in which zones hardly a machine is heard while others are: the
 // zone is cut off, and its machines are up all the same. What is rented there
 // could not report either.
-func (c *Core) darkZones(demand map[int]*peer.Demand) map[string]bool {
+func (c *Controller) partitionedZones(demand map[int]*peer.Demand) map[string]bool {
 	all, silent := map[string]int{}, map[string]int{}
 	for _, d := range demand {
 		for _, z := range d.Zones {
@@ -353,10 +353,10 @@
 			silent[z.Name] += z.Silent
 		}
 	}
-	dark, heard := map[string]bool{}, false
+	partitioned, heard := map[string]bool{}, false
 	for name, n := range all {
-		if silent[name] >= fewSilent && 4*silent[name] >= 3*n {
-			dark[name] = true
+		if silent[name] >= minSilentForPartition && 4*silent[name] >= 3*n {
+			partitioned[name] = true
 		} else if 2*silent[name] <= n && n > 0 {
 			heard = true
 		}
@@ -364,68 +364,68 @@
 	if !heard {
 		return nil // it is not the zone, then
 	}
-	return dark
+	return partitioned
 }
 
-// replaceBad retires machines that fail or slow tasks once they are empty,
+// replaceUnhealthy retires machines that fail or slow tasks once they are empty,
 // returns silent ones if the operators want that, and those that hold up a
-// takeover.
-func (c *Core) replaceBad(demand map[int]*peer.Demand) {
-	c.retireBad(demand)
+// failover.
+func (c *Controller) replaceUnhealthy(demand map[int]*peer.Demand) {
+	c.retireUnhealthy(demand)
 	if c.cfg.SilentReturn == 0 {
 		return
 	}
-	dark := c.darkZones(demand)
+	partitioned := c.partitionedZones(demand)
 	var back []string
-	for _, id := range shareIDs(demand) {
+	for _, id := range shardIDs(demand) {
 		d := demand[id]
-		var doubt []string
+		var unreconciled []string
 		cost := 0.0 // of returning those in doubt, in CPU seconds
 		for _, m := range d.Machines {
-			rec := c.mach[m.ID]
+			rec := c.machines[m.ID]
 			if rec == nil {
 				continue
 			}
 			if c.fleet.returned[m.ID] != 0 {
-				if m.State == peer.MachineDoubt || m.State == peer.MachineSilent {
-					c.tellReturned(m.ID) // its owner may have changed since it was told
+				if m.State == peer.MachineUnreconciled || m.State == peer.MachineSilent {
+					c.notifyReturned(m.ID) // its owner may have changed since it was told
 				}
 				continue
 			}
 			if c.fleet.returning[m.ID] {
 				continue
 			}
-			since, limit := micros.Micros(m.SinceUS), c.silentReturn()
-			if dark[rec.rec.Zone] {
+			since, limit := micros.Micros(m.SinceUS), c.silentReturnAfter()
+			if partitioned[rec.rec.Zone] {
 				// One by one they look dead. What a return gains is what is left of their
 				// leases; what it costs is the fleet of a whole zone, once the cut is over.
-				limit = max(limit, darkReturn*c.cfg.WorkerLease)
+				limit = max(limit, partitionedReturnLeases*c.cfg.WorkerLease)
 			}
 			switch {
 			case m.State == peer.MachineSilent && since > limit && 2*d.Silent <= d.All:
 				// If most are silent, the fault is rather the owner's network.
 				back = append(back, m.ID)
-			case m.State == peer.MachineDoubt && since > doubtReturn && (2*d.Doubt <= d.All || dark[rec.rec.Zone]):
-				// What can't be reached holds up all older jobs of its share. The cloud's
+			case m.State == peer.MachineUnreconciled && since > unreconciledReturnAfter && (2*d.Unreconciled <= d.All || partitioned[rec.rec.Zone]):
+				// What can't be reached holds up all older jobs of its shard. The cloud's
 				// answer to its return settles it.
-				doubt = append(doubt, m.ID)
+				unreconciled = append(unreconciled, m.ID)
 				cost += c.types[rec.rec.Type].CPUs * (c.types[rec.rec.Type].BootS + rentDelay)
 			}
 		}
-		if held := heldUp(d); len(doubt) > 0 && held > cost {
-			c.log(Info, "returning machines that hold up a takeover", "share", id, "machines", len(doubt), "cpu_s_held_up", held, "cpu_s_to_replace", cost)
-			back = append(back, doubt...)
+		if held := heldUp(d); len(unreconciled) > 0 && held > cost {
+			c.log(Info, "scaling in machines that block a failover", "shard", id, "machines", len(unreconciled), "cpu_s_held_up", held, "cpu_s_to_replace", cost)
+			back = append(back, unreconciled...)
 		}
 	}
-	c.returnMachines(back)
+	c.scaleIn(back)
 }
 
 // heldUp is what stands unused, in CPU seconds, until the machines in doubt are
 // free by themselves: what is free now, and what comes free meanwhile, as far as
-// work waits for it. (A share of 800 machines stood still for 47 s after a takeover
+// work waits for it. (A shard of 800 machines stood still for 47 s after a failover
 // while 160 of them were in a zone that was cut off.)
 func heldUp(d *peer.Demand) float64 {
-	held, waiting := micros.Micros(d.HeldUS).Seconds(), waitingCPUs(d)
+	held, waiting := micros.Micros(d.BlockedUS).Seconds(), waitingCPUs(d)
 	unused := (d.CPUs - d.Busy) * held
 	if d.Busy > 0 {
 		unused += d.Busy * max(0, held-micros.Micros(d.RunLeftUS).Seconds()/d.Busy)
@@ -433,27 +433,27 @@
 	return min(unused, waiting*held)
 }
 
-// retireBad asks for machines that fail or slow tasks, once they are empty.
-func (c *Core) retireBad(demand map[int]*peer.Demand) {
-	for _, id := range shareIDs(demand) {
+// retireUnhealthy asks for machines that fail or slow tasks, once they are empty.
+func (c *Controller) retireUnhealthy(demand map[int]*peer.Demand) {
+	for _, id := range shardIDs(demand) {
 		for _, m := range demand[id].Machines {
-			if m.State == peer.MachineBad {
-				c.askRelease(m.ID, peer.Release{Retire: true})
+			if m.State == peer.MachineUnhealthy {
+				c.requestMachineRelease(m.ID, peer.Release{Retire: true})
 			}
 		}
 	}
 }
 
 const (
-	// doubtReturn is how long after a claim a machine may stay unsettled. Those
+	// unreconciledReturnAfter is how long after a claim a machine may stay unreconciled. Those
 	// that can be reached are settled within a few seconds.
-	doubtReturn = 5 * micros.Second
+	unreconciledReturnAfter = 5 * micros.Second
 	// rentDelay is what renting a machine takes beside its boot time, in seconds.
 	rentDelay = 10
-	// fewSilent is how many machines of a zone must be silent before that says
+	// minSilentForPartition is how many machines of a zone must be silent before that says
 	// anything about the zone.
-	fewSilent = 4
-	// darkReturn is for how many leases the machines of a zone that is cut off are
+	minSilentForPartition = 4
+	// partitionedReturnLeases is for how many leases the machines of a zone that is cut off are
 	// left before they are returned after all.
-	darkReturn = 3
+	partitionedReturnLeases = 3
 )
--- a/internal/core/returns.go
+++ b/internal/controller/scale_in.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"slices"
@@ -10,8 +10,8 @@
 
 // Machines that go back to the cloud, and who is told of it.
 
-// collect returns machines that are of no use any more.
-func (c *Core) collect(demand map[int]*peer.Demand) {
+// scaleInUnusable returns machines that are of no use any more.
+func (c *Controller) scaleInUnusable(demand map[int]*peer.Demand) {
 	f := &c.fleet
 	silent := map[string]bool{}
 	for _, d := range demand {
@@ -22,14 +22,14 @@
 		}
 	}
 	var back []string
-	for _, s := range c.own.shares {
+	for _, s := range c.ownership.shards {
 		for _, m := range s.machines {
 			if f.returned[m.id] != 0 {
 				continue
 			}
 			l, ok := f.listed[m.id]
 			switch {
-			case m.rec.Retiring, ok && l.State == wire.MachineFailed:
+			case m.rec.Cordoned, ok && l.State == wire.MachineFailed:
 				back = append(back, m.id)
 			case !ok && f.listedAt != 0 && f.missing[m.id] != 0 && c.now-f.missing[m.id] > 2*c.cfg.ListLag+micros.Second && silent[m.id]:
 				back = append(back, m.id)
@@ -44,24 +44,24 @@
 		boot := micros.FromSeconds(c.types[l.Type].BootS)
 		age := micros.FromSeconds(l.AgeS) + (c.now - f.listedAt)
 		switch {
-		case l.State == wire.MachineFailed && c.mach[id] == nil:
+		case l.State == wire.MachineFailed && c.machines[id] == nil:
 			back = append(back, id)
 		case l.State == wire.MachineBooting && age > max(4*boot, boot+45*micros.Second) && !c.heardOf(id):
 			c.log(Info, "machine does not come up, returned", "machine", id)
 			back = append(back, id)
 		}
 	}
-	c.returnMachines(back)
+	c.scaleIn(back)
 }
 
 // heardOf: a machine of ours has reported, so the list that calls it starting
 // lags.
-func (c *Core) heardOf(id string) bool {
-	m := c.mach[id]
-	return m != nil && m.v != nil && m.v.known
+func (c *Controller) heardOf(id string) bool {
+	m := c.machines[id]
+	return m != nil && m.view != nil && m.view.sequenceKnown
 }
 
-func (c *Core) returnMachines(ids []string) {
+func (c *Controller) scaleIn(ids []string) {
 	f := &c.fleet
 	var wait []string
 	for _, id := range ids {
@@ -70,29 +70,29 @@
 		}
 	}
 	for send := range slices.Chunk(wait, 100) {
-		if !c.sendReturn(send) {
+		if !c.sendScaleIn(send) {
 			return
 		}
 	}
 }
 
-func (c *Core) sendReturn(send []string) bool {
+func (c *Controller) sendScaleIn(send []string) bool {
 	f := &c.fleet
-	mark := c.own.leader.mark
+	ownerEpoch := c.ownership.leader.ownerEpoch
 	sent := c.askCloud(ReturnMachines{Machines: send}, cloudTimeout, func(r Result) {
-		if c.own.leader.mark != mark {
+		if c.ownership.leader.ownerEpoch != ownerEpoch {
 			return
 		}
 		for _, id := range send {
 			delete(f.returning, id)
 			if r.Status == 200 {
 				f.returned[id] = c.now
-				c.tellReturned(id)
+				c.notifyReturned(id)
 			}
 		}
 	})
 	if sent {
-		c.log(Info, "returning machines", "count", len(send), "machines", send[:min(len(send), 20)])
+		c.log(Info, "scaling in", "count", len(send), "machines", send[:min(len(send), 20)])
 		for _, id := range send {
 			f.returning[id] = true
 		}
@@ -100,67 +100,67 @@
 	return sent
 }
 
-// tellReturned lets the owner of a returned machine know at once: its tasks
+// notifyReturned lets the owner of a returned machine know at once: its tasks
 // need not wait for the record, or for the end of a lease.
-func (c *Core) tellReturned(id string) {
-	m := c.mach[id]
+func (c *Controller) notifyReturned(id string) {
+	m := c.machines[id]
 	if m == nil {
 		return
 	}
 	c.machineReturned(id)
 	// Past the bound it is told later: its owner goes on naming it as silent.
-	if p := c.peers[c.own.shares[m.rec.Share].rec.Label]; p != nil && len(p.gone) < c.cfg.MaxMachines && !slices.Contains(p.gone, id) {
-		p.gone = append(p.gone, id)
+	if p := c.peers[c.ownership.shards[m.rec.Shard].owner.Label]; p != nil && len(p.returnedMachines) < c.cfg.MaxMachines && !slices.Contains(p.returnedMachines, id) {
+		p.returnedMachines = append(p.returnedMachines, id)
 	}
 }
 
 // machineReturned takes notice that the cloud has confirmed a machine's return:
 // everything on it is gone, and it never comes back.
-func (c *Core) machineReturned(id string) {
-	m := c.mach[id]
+func (c *Controller) machineReturned(id string) {
+	m := c.machines[id]
 	if m == nil || m.returned {
 		return
 	}
 	m.returned = true
-	if v := m.v; v != nil {
+	if v := m.view; v != nil {
 		c.freeAll(m, "returned to the cloud", true)
-		v.unclear = 0
-		v.gone, v.settled, v.doubt = true, false, false
-		c.touch(m)
-		c.placementDue = true
+		v.inDoubtToken = 0
+		v.leaseExpired, v.reconciled, v.unreconciledFromPredecessor = true, false, false
+		c.markDirty(m)
+		c.schedulingDue = true
 	}
 }
 
-// dropGone takes returned machines off the record, a batch at a time and not
+// dropGone takes returned machines off the record, a record set at a time and not
 // for each of them: all others in it report once more when it is rewritten.
-func (c *Core) dropGone() {
+func (c *Controller) dropGone() {
 	f := &c.fleet
-	var parts []rewrite
-	for _, key := range sortedKeys(c.batches) {
-		b := c.batches[key]
-		if b.busy || c.now < b.next {
+	var writes []recordSetWrite
+	for _, key := range sortedKeys(c.recordSets) {
+		b := c.recordSets[key]
+		if b.writeInFlight || c.now < b.nextWriteAt {
 			continue
 		}
 		gone, oldest := 0, c.now
-		for _, m := range b.list {
+		for _, m := range b.machines {
 			if at := f.returned[m.id]; at != 0 {
 				gone++
 				oldest = min(oldest, at)
 			}
 		}
-		if len(b.list) == 0 && !c.deletable(b) || gone == 0 && len(b.list) > 0 || gone < len(b.list) && 4*gone < len(b.list) && c.now-oldest < 20*micros.Second {
+		if len(b.machines) == 0 && !c.deletable(b) || gone == 0 && len(b.machines) > 0 || gone < len(b.machines) && 4*gone < len(b.machines) && c.now-oldest < 20*micros.Second {
 			continue
 		}
-		rec := recordOf(b.list, func(m *machine) bool { return f.returned[m.id] != 0 }, nil)
-		if len(rec.Machines) > c.batchLimit() {
+		rec := recordSetOf(b.machines, func(m *machine) bool { return f.returned[m.id] != 0 }, nil)
+		if len(rec.Machines) > c.recordSetLimit() {
 			continue // its owner splits it first
 		}
-		parts = append(parts, rewrite{key: key, b: b, rec: rec, drop: gone == len(b.list) && c.deletable(b)})
-		if len(parts) >= max(c.cfg.TxnOps, 1) {
+		writes = append(writes, recordSetWrite{key: key, recordSet: b, record: rec, deleteKey: gone == len(b.machines) && c.deletable(b)})
+		if len(writes) >= max(c.cfg.TxnOps, 1) {
 			break // the rest in a moment
 		}
 	}
-	if len(parts) > 0 {
-		c.writeBatches(wire.KeyLeader, c.own.leader.mark, parts, func(bool, bool) {})
+	if len(writes) > 0 {
+		c.writeRecordSets(wire.KeyLeader, c.ownership.leader.ownerEpoch, writes, func(bool, bool) {})
 	}
 }
--- a/internal/core/rent.go
+++ b/internal/controller/scale_out.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"cmp"
@@ -11,12 +11,12 @@
 	"garnethitch/internal/wire"
 )
 
-// want sums up what the shares want and have, in CPUs and CPU seconds.
-type want struct{ work, arrival, parallel, have float64 }
+// fleetDemand sums up what the shards want and have, in CPUs and CPU seconds.
+type fleetDemand struct{ work, arrival, parallel, have float64 }
 
-// hire is a rental under way. It is sent again, under the same name, until the
+// rental is a rental under way. It is sent again, under the same name, until the
 // cloud has answered: it may have been carried out.
-type hire struct {
+type scaleOutRequest struct {
 	req  wire.Rental
 	next micros.Micros
 	busy bool
@@ -26,20 +26,20 @@
 	until, pause micros.Micros
 }
 
-// maxHires bounds the rentals under way, maxHire the machines of each.
+// maxScaleOuts bounds the rentals under way, maxScaleOutMachines the machines of each.
 const (
-	maxHires = 4
-	maxHire  = 50
+	maxScaleOuts        = 4
+	maxScaleOutMachines = 50
 )
 
 // need is how many CPUs are worth having at a price that is ratio times the
 // lowest: the dearer a machine, the longer the work would have to wait without it.
-func (c *Core) need(w want, ratio float64) float64 {
+func (c *Controller) need(w fleetDemand, ratio float64) float64 {
 	return min(max(w.work/(c.cfg.DrainHorizon.Seconds()*ratio), w.arrival/ratio), w.parallel)
 }
 
 // lowestPrice of a CPU over all types and kinds.
-func (c *Core) lowestPrice() float64 {
+func (c *Controller) lowestPrice() float64 {
 	lowest := math.Inf(1)
 	for _, mt := range c.types {
 		for _, spot := range []bool{true, false} {
@@ -51,9 +51,9 @@
 	return lowest
 }
 
-// choosy tells whether a group's tasks can't run on every kind of machine.
-func (c *Core) choosy(g peer.Group) bool {
-	for _, name := range c.index.names {
+// constrained tells whether a group's tasks can't run on every kind of machine.
+func (c *Controller) constrained(g peer.Group) bool {
+	for _, name := range c.typeIndex.names {
 		for _, zone := range c.types[name].Zones {
 			if !c.hosts(g, name, zone, true) || !c.hosts(g, name, zone, false) {
 				return true
@@ -63,9 +63,9 @@
 	return false
 }
 
-// lackOf is how many CPUs are wanted for a choosy group alone: the fleet may be
+// shortfallOf is how many CPUs are wanted for a choosy group alone: the fleet may be
 // large enough and yet have none that its tasks can use.
-func (c *Core) lackOf(g peer.Group, free map[kind]float64) float64 {
+func (c *Controller) shortfallOf(g peer.Group, free map[kind]float64) float64 {
 	waiting := float64(g.Waiting) * g.CPUs
 	lack := min(waiting, max(micros.Micros(g.WorkUS).Seconds()*g.CPUs/c.cfg.DrainHorizon.Seconds(), g.CPUs))
 	for k, cpus := range free {
@@ -77,27 +77,27 @@
 }
 
 // freeKinds sums up the CPUs of machines that idle or are on their way, by kind.
-func (c *Core) freeKinds(demand map[int]*peer.Demand) map[kind]float64 {
+func (c *Controller) freeKinds(demand map[int]*peer.Demand) map[kind]float64 {
 	f := &c.fleet
 	free := map[kind]float64{}
 	for _, d := range demand {
 		for _, m := range d.Machines {
-			if rec := c.mach[m.ID]; rec != nil && m.State == peer.MachineIdle {
+			if rec := c.machines[m.ID]; rec != nil && m.State == peer.MachineIdle {
 				free[rec.kind()] += c.types[rec.rec.Type].CPUs
 			}
 		}
 	}
 	for id, r := range f.rented {
-		if c.mach[id] == nil {
+		if c.machines[id] == nil {
 			free[r.kind] += c.types[r.typ].CPUs
 		}
 	}
 	for id, l := range f.listed {
-		if c.mach[id] == nil && f.rented[id] == nil && f.returned[id] == 0 && l.State != wire.MachineFailed {
+		if c.machines[id] == nil && f.rented[id] == nil && f.returned[id] == 0 && l.State != wire.MachineFailed {
 			free[kind{l.Type, l.Zone, l.Spot}] += c.types[l.Type].CPUs
 		}
 	}
-	for _, h := range f.hires {
+	for _, h := range f.scaleOuts {
 		free[kind{h.req.Type, h.req.Zone, h.req.Spot}] += float64(h.req.Count) * c.types[h.req.Type].CPUs
 	}
 	return free
@@ -105,34 +105,34 @@
 
 func (m *machine) kind() kind { return kind{m.rec.Type, m.rec.Zone, m.rec.Spot} }
 
-// rent orders the cheapest machines that the waiting work can use, as long as
+// scaleOut orders the cheapest machines that the waiting work can use, as long as
 // there are fewer than are worth their price.
-func (c *Core) rent(demand map[int]*peer.Demand, groups []peer.Group, w want, most int) {
+func (c *Controller) scaleOut(demand map[int]*peer.Demand, groups []peer.Group, w fleetDemand, most int) {
 	f := &c.fleet
-	free, dark := c.freeKinds(demand), c.darkZones(demand)
+	free, partitioned := c.freeKinds(demand), c.partitionedZones(demand)
 	inZone := map[string]int{}
-	for _, m := range c.mach {
+	for _, m := range c.machines {
 		inZone[m.rec.Zone]++
 	}
-	for len(f.hires) < maxHires && most > 0 {
-		req, ok := c.nextHire(groups, w, most, inZone, free, dark)
+	for len(f.scaleOuts) < maxScaleOuts && most > 0 {
+		req, ok := c.nextScaleOut(groups, w, most, inZone, free, partitioned)
 		if !ok {
 			return
 		}
-		f.hireSeq++
-		req.Request = fmt.Sprintf("r-%d-%d", c.own.leader.mark, f.hireSeq)
-		h := &hire{req: req}
-		f.hires = append(f.hires, h)
+		f.scaleOutSequence++
+		req.Request = fmt.Sprintf("r-%d-%d", c.ownership.leader.ownerEpoch, f.scaleOutSequence)
+		h := &scaleOutRequest{req: req}
+		f.scaleOuts = append(f.scaleOuts, h)
 		w.have += float64(req.Count) * c.types[req.Type].CPUs
 		free[kind{req.Type, req.Zone, req.Spot}] += float64(req.Count) * c.types[req.Type].CPUs
 		most -= req.Count
 		inZone[req.Zone] += req.Count
-		c.sendHire(h)
+		c.sendScaleOut(h)
 	}
 }
 
-// nextHire chooses one rental.
-func (c *Core) nextHire(groups []peer.Group, w want, most int, inZone map[string]int, free map[kind]float64, dark map[string]bool) (wire.Rental, bool) {
+// nextScaleOut chooses one rental.
+func (c *Controller) nextScaleOut(groups []peer.Group, w fleetDemand, most int, inZone map[string]int, free map[kind]float64, partitioned map[string]bool) (wire.Rental, bool) {
 	f := &c.fleet
 	// The largest waiting work decides what is rented.
 	slices.SortStableFunc(groups, func(a, b peer.Group) int {
@@ -148,20 +148,20 @@
 			continue
 		}
 		lack, own := w.parallel-w.have, 0.0
-		if c.choosy(g) || w.have+eps < g.CPUs { // or there is hardly anything at all
-			own = c.lackOf(g, free)
+		if c.constrained(g) || w.have+eps < g.CPUs { // or there is hardly anything at all
+			own = c.shortfallOf(g, free)
 			lack = max(lack, own)
 		}
 		if lack <= 0 {
 			continue
 		}
 		var options []option
-		for _, name := range c.index.names {
+		for _, name := range c.typeIndex.names {
 			mt := c.types[name]
 			for _, zone := range mt.Zones {
 				for _, spot := range []bool{true, false} {
 					k := kind{typ: name, zone: zone, spot: spot}
-					if mt.CPUs <= 0 || dark[zone] || !c.hosts(g, name, zone, spot) || f.refused[k] != nil && c.now < f.refused[k].until {
+					if mt.CPUs <= 0 || partitioned[zone] || !c.hosts(g, name, zone, spot) || f.refused[k] != nil && c.now < f.refused[k].until {
 						continue
 					}
 					unit := cpuPrice(mt, spot)
@@ -178,26 +178,26 @@
 			if deficit < 0.5 {
 				continue
 			}
-			n := max(1, min(int(math.Ceil(deficit/o.cpus-0.25)), maxHire, most))
+			n := max(1, min(int(math.Ceil(deficit/o.cpus-0.25)), maxScaleOutMachines, most))
 			return wire.Rental{Type: o.typ, Zone: o.zone, Spot: o.spot, Count: n}, true
 		}
 	}
 	return wire.Rental{}, false
 }
 
-func (c *Core) sendHire(h *hire) {
+func (c *Controller) sendScaleOut(h *scaleOutRequest) {
 	f := &c.fleet
 	if h.busy || c.now < h.next {
 		return
 	}
-	mark := c.own.leader.mark
+	ownerEpoch := c.ownership.leader.ownerEpoch
 	h.busy = c.askCloud(h.req, cloudTimeout, func(r Result) {
-		if c.own.leader.mark != mark {
+		if c.ownership.leader.ownerEpoch != ownerEpoch {
 			return
 		}
 		h.busy = false
 		over := func() {
-			f.hires = slices.DeleteFunc(f.hires, func(o *hire) bool { return o == h })
+			f.scaleOuts = slices.DeleteFunc(f.scaleOuts, func(o *scaleOutRequest) bool { return o == h })
 			f.planNext = c.now
 		}
 		k := kind{typ: h.req.Type, zone: h.req.Zone, spot: h.req.Spot}
@@ -205,7 +205,7 @@
 		switch {
 		case ok && r.Status == 200:
 			over()
-			c.log(Info, "machines rented", "type", k.typ, "zone", k.zone, "spot", k.spot, "wanted", h.req.Count, "got", len(body.Machines))
+			c.log(Info, "scaled out", "type", k.typ, "zone", k.zone, "spot", k.spot, "wanted", h.req.Count, "got", len(body.Machines))
 			if len(body.Machines) < h.req.Count {
 				c.refuse(k)
 			} else {
@@ -237,7 +237,7 @@
 // RefusedRental is the Body to give with a 503 that says "no capacity".
 const RefusedRental = noCapacity
 
-func (c *Core) refuse(k kind) {
+func (c *Controller) refuse(k kind) {
 	r := c.fleet.refused[k]
 	if r == nil {
 		r = &refusal{}
--- a/internal/core/rent_test.go
+++ b/internal/controller/scale_out_test.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"testing"
@@ -8,7 +8,7 @@
 )
 
 // What is rented, from what waits and what is there.
-func TestNextHire(t *testing.T) {
+func TestNextScaleOut(t *testing.T) {
 	any := func(waiting int, cpus, seconds float64) peer.Group {
 		return peer.Group{Any: true, Spot: true, CPUs: cpus, MemGB: 1, Waiting: waiting, WorkUS: int64(float64(waiting) * seconds * 1e6)}
 	}
@@ -17,27 +17,27 @@
 	for _, tc := range []struct {
 		name   string
 		group  peer.Group
-		want   want
+		want   fleetDemand
 		free   map[kind]float64
 		refuse bool // no spot machines for now
 		spot   bool
 		count  int    // 0: nothing
 		dark   string // a zone that is cut off
 	}{
-		{"nothing waits", any(0, 1, 10), want{}, nil, false, false, 0, ""},
-		{"a large backlog: as many as one call takes", any(10_000, 1, 100), want{work: 1e6, parallel: 10_000}, nil, false, true, 50, ""},
-		{"enough is on its way", any(100, 1, 100), want{work: 1e4, parallel: 100, have: 400}, nil, false, false, 0, ""},
-		{"little work and no machine at all (stuck for 300 s in the simulation)", any(2, 1, 6), want{work: 12, parallel: 2}, nil, false, true, 1, ""},
-		{"dear machines only for work that would wait long", any(100, 1, 60), want{work: 6000, parallel: 100, have: 100}, nil, true, false, 0, ""},
-		{"dear machines for a long backlog", any(400, 1, 600), want{work: 240_000, parallel: 400, have: 100}, nil, true, false, 50, ""},
-		{"the fleet is large, but none of it can be used (stuck for 300 s)", ordinary, want{work: 1200, parallel: 304, have: 400}, nil, false, false, 1, ""},
-		{"a zone is cut off: what is rented there could not report", any(100, 1, 100), want{work: 1e4, parallel: 100}, nil, false, false, 0, "a"},
-		{"another zone is cut off", any(100, 1, 100), want{work: 1e4, parallel: 100}, nil, false, true, 25, "b"},
-		{"one that can be used idles", ordinary, want{work: 1200, parallel: 304, have: 400}, map[kind]float64{{"m", "a", false}: 40}, false, false, 0, ""},
+		{"nothing waits", any(0, 1, 10), fleetDemand{}, nil, false, false, 0, ""},
+		{"a large backlog: as many as one call takes", any(10_000, 1, 100), fleetDemand{work: 1e6, parallel: 10_000}, nil, false, true, 50, ""},
+		{"enough is on its way", any(100, 1, 100), fleetDemand{work: 1e4, parallel: 100, have: 400}, nil, false, false, 0, ""},
+		{"little work and no machine at all (stuck for 300 s in the simulation)", any(2, 1, 6), fleetDemand{work: 12, parallel: 2}, nil, false, true, 1, ""},
+		{"dear machines only for work that would wait long", any(100, 1, 60), fleetDemand{work: 6000, parallel: 100, have: 100}, nil, true, false, 0, ""},
+		{"dear machines for a long backlog", any(400, 1, 600), fleetDemand{work: 240_000, parallel: 400, have: 100}, nil, true, false, 50, ""},
+		{"the fleet is large, but none of it can be used (stuck for 300 s)", ordinary, fleetDemand{work: 1200, parallel: 304, have: 400}, nil, false, false, 1, ""},
+		{"a zone is cut off: what is rented there could not report", any(100, 1, 100), fleetDemand{work: 1e4, parallel: 100}, nil, false, false, 0, "a"},
+		{"another zone is cut off", any(100, 1, 100), fleetDemand{work: 1e4, parallel: 100}, nil, false, true, 25, "b"},
+		{"one that can be used idles", ordinary, fleetDemand{work: 1200, parallel: 304, have: 400}, map[kind]float64{{"m", "a", false}: 40}, false, false, 0, ""},
 	} {
-		c := New(Config{Label: "a", Shares: 1, Teams: []Team{{Name: "t"}}, StateRPS: 10, WriteRPS: 10, CloudRPS: 10, DrainHorizon: 30 * sec}, 1)
+		c := New(Config{Label: "a", Shards: 1, Teams: []Team{{Name: "t"}}, StateRPS: 10, WriteRPS: 10, CloudRPS: 10, DrainHorizon: 30 * sec}, 1)
 		c.types = map[string]wire.MachineType{"m": {Name: "m", CPUs: 4, MemGB: 8, Price: 2, SpotPrice: 1, Zones: []string{"a"}}}
-		c.index.names = []string{"m"}
+		c.typeIndex.names = []string{"m"}
 		if tc.refuse {
 			c.fleet.refused[kind{"m", "a", true}] = &refusal{until: sec}
 		}
@@ -45,7 +45,7 @@
 		if free == nil {
 			free = map[kind]float64{}
 		}
-		req, ok := c.nextHire([]peer.Group{tc.group}, tc.want, 1000, map[string]int{}, free, map[string]bool{tc.dark: true})
+		req, ok := c.nextScaleOut([]peer.Group{tc.group}, tc.want, 1000, map[string]int{}, free, map[string]bool{tc.dark: true})
 		if ok != (tc.count > 0) || ok && (req.Count != tc.count || req.Spot != tc.spot) {
 			t.Errorf("%s: %v %+v, want %d, spot %v", tc.name, ok, req, tc.count, tc.spot)
 		}
--- a/internal/core/scale_test.go
+++ b/internal/controller/scale_test.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"fmt"
@@ -11,16 +11,16 @@
 	"garnethitch/internal/wire"
 )
 
-// bigHarness is an owner of one share with many machines, all of them full, and
+// bigHarness is an owner of one shard with many machines, all of them full, and
 // many open jobs that wait.
 func bigHarness(tb testing.TB, machines, jobs, tasks int) *harness {
 	h := &harness{now: sec, keys: map[string]wire.KeyValue{}, answers: map[ReplyID]Answer{}}
 	cfg := Config{
-		Label: "n-0", Shares: 1, Teams: []Team{{Name: "t"}, {Name: "u"}},
-		Lease: 4 * sec, ReportEvery: 10 * sec, WorkerLease: 45 * sec, Cancel: 70 * sec,
-		StateRPS: 10_000, WriteRPS: 10_000, ValueBytes: 32 << 10, TxnOps: 24, Asks: 64, CloudRPS: 100, ListLag: sec,
-		DrainHorizon: 30 * sec, IdleReturn: micros.Minute, Quarantine: 30 * sec, MaxMachines: machines,
-		Urgent: map[string]micros.Micros{},
+		Label: "n-0", Shards: 1, Teams: []Team{{Name: "t"}, {Name: "u"}},
+		Lease: 4 * sec, HeartbeatInterval: 10 * sec, WorkerLease: 45 * sec, Cancel: 70 * sec,
+		StateRPS: 10_000, WriteRPS: 10_000, ValueBytes: 32 << 10, TxnOps: 24, MaxWorkerRequests: 64, CloudRPS: 100, ListLag: sec,
+		DrainHorizon: 30 * sec, IdleReturn: micros.Minute, CordonFor: 30 * sec, MaxMachines: machines,
+		StartWithin: map[string]micros.Micros{},
 	}
 	h.c = New(cfg, 1)
 	h.run(sec)
@@ -29,8 +29,8 @@
 	}
 	h.c.fleet.listNext, h.c.fleet.planNext = h.now, h.now+400*ms
 	h.run(sec)
-	if len(h.c.mach) != machines {
-		tb.Fatalf("%d machines on record, want %d", len(h.c.mach), machines)
+	if len(h.c.machines) != machines {
+		tb.Fatalf("%d machines on record, want %d", len(h.c.machines), machines)
 	}
 	h.c.fleet.planNext, h.c.fleet.listNext = micros.Never, micros.Never
 	for i := range jobs {
@@ -47,48 +47,48 @@
 
 func machineName(i int) string { return fmt.Sprintf("vm-%06d", i) }
 
-// fill brings a machine's first report, and the one that shows its starts.
+// fill brings a machine's first heartbeat, and the one that shows its starts.
 func (h *harness) fill(i int) {
-	_, body := h.checkin(report(machineName(i), 1, 1, 0))
-	h.checkin(report(machineName(i), 1, 2, body.Token, shown(starts(body.Commands), wire.TaskRunning)...))
+	_, body := h.heartbeat(heartbeatFrom(machineName(i), 1, 1, 0))
+	h.heartbeat(heartbeatFrom(machineName(i), 1, 2, body.FencingToken, shown(starts(body.Commands), wire.TaskRunning)...))
 }
 
-func shown(cmds []wire.Command, state string) (out []wire.TaskReport) {
+func shown(cmds []wire.Command, state string) (out []wire.TaskStatus) {
 	for _, c := range cmds {
-		out = append(out, wire.TaskReport{Task: c.Task, Attempt: c.Attempt, State: state})
+		out = append(out, wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: state})
 	}
 	return out
 }
 
 // turn is one task's end on a machine and the start that follows.
 func (h *harness) turn(i int) {
-	m := h.c.mach[machineName(i)]
-	v := m.v
-	var tasks []wire.TaskReport
+	m := h.c.machines[machineName(i)]
+	v := m.view
+	var tasks []wire.TaskStatus
 	for _, att := range v.list {
-		t := wire.TaskReport{Task: wire.TaskName(att.key.job, att.idx), Attempt: att.key.attempt, State: wire.TaskRunning}
+		t := wire.TaskStatus{Task: wire.TaskName(att.key.job, att.index), Attempt: att.key.attempt, State: wire.TaskRunning}
 		if len(tasks) == 0 && att.state != attemptExited {
-			t.State, t.Why = wire.TaskExited, wire.WhyDone
+			t.State, t.ExitReason = wire.TaskExited, wire.ExitDone
 		} else if att.state == attemptExited {
 			continue
 		}
 		tasks = append(tasks, t)
 	}
-	h.checkin(report(m.id, v.session, v.seq+1, v.token, tasks...))
+	h.heartbeat(heartbeatFrom(m.id, v.agentEpoch, v.sequence+1, v.fencingToken, tasks...))
 }
 
-// TestWorkPerReport: the work of a report does not grow with machines or jobs.
+// TestWorkPerHeartbeat: the work of a heartbeat does not grow with machines or jobs.
 // It counts what is looked at, not time.
-func TestWorkPerReport(t *testing.T) {
+func TestWorkPerHeartbeat(t *testing.T) {
 	work := func(machines, jobs, tasks int) float64 {
 		h := bigHarness(t, machines, jobs, tasks)
-		before := h.c.looks
+		before := h.c.visited
 		const turns = 200
 		for i := range turns {
 			h.c.lastMaintenance = h.now // what time alone brings is counted below
 			h.turn(i % machines)
 		}
-		return float64(h.c.looks-before) / turns
+		return float64(h.c.visited-before) / turns
 	}
 	small := work(50, 20, 500)
 	for _, tc := range []struct {
@@ -109,22 +109,22 @@
 	}
 }
 
-// TestQuietReport: a report that lists what the last one did costs a compare,
+// TestUnchangedHeartbeat: a heartbeat that lists what the last one did costs a compare,
 // however many tasks it has; and one that lists less, or comes after something
 // was sent, is taken in whole.
-func TestQuietReport(t *testing.T) {
+func TestUnchangedHeartbeat(t *testing.T) {
 	h := bigHarness(t, 50, 20, 500)
-	m := h.c.mach[machineName(7)]
-	v := m.v
-	var tasks []wire.TaskReport
+	m := h.c.machines[machineName(7)]
+	v := m.view
+	var tasks []wire.TaskStatus
 	for _, att := range v.list {
-		tasks = append(tasks, wire.TaskReport{Task: wire.TaskName(att.key.job, att.idx), Attempt: att.key.attempt, State: wire.TaskRunning})
+		tasks = append(tasks, wire.TaskStatus{Task: wire.TaskName(att.key.job, att.index), Attempt: att.key.attempt, State: wire.TaskRunning})
 	}
-	say := func(tasks []wire.TaskReport) uint64 {
-		h.c.lastMaintenance, h.c.placementDue = h.now, false
-		before := h.c.looks
-		h.checkin(report(m.id, v.session, v.seq+1, v.token, tasks...))
-		return h.c.looks - before
+	say := func(tasks []wire.TaskStatus) uint64 {
+		h.c.lastMaintenance, h.c.schedulingDue = h.now, false
+		before := h.c.visited
+		h.heartbeat(heartbeatFrom(m.id, v.agentEpoch, v.sequence+1, v.fencingToken, tasks...))
+		return h.c.visited - before
 	}
 	say(tasks)
 	if n := say(tasks); n > 1 { // the first job that waits
@@ -139,15 +139,15 @@
 	if v.attempts[gone.key] == nil {
 		t.Error("an attempt that was forgotten here, and is still listed, was not taken in")
 	}
-	kept := len(v.list)
+	unclearedAttempts := len(v.list)
 	say(tasks[1:])
-	if v.attempts[gone.key] != nil || len(v.list) == kept+1 {
+	if v.attempts[gone.key] != nil || len(v.list) == unclearedAttempts+1 {
 		t.Error("an attempt that is listed no more is still counted")
 	}
 }
 
 // TestWakeUps: where nothing happens, time alone wakes a controller seldom; while
-// a share waits for its machines, or has no owner, often.
+// a shard waits for its machines, or has no owner, often.
 func TestWakeUps(t *testing.T) {
 	wakes := func(h *harness) int {
 		n := 0
@@ -158,18 +158,18 @@
 		return n
 	}
 	calm := newHarness(t, nil)
-	calm.settle("vm-1")
-	calm.settle("vm-2")
+	calm.reconcile("vm-1")
+	calm.reconcile("vm-2")
 	if n := wakes(calm); n > 60 {
 		t.Errorf("%d wake-ups in 10 s of calm", n)
 	}
 	busy := newHarness(t, nil)
-	busy.settle("vm-1")
-	busy.c.own.shares[0].settled = false
+	busy.reconcile("vm-1")
+	busy.c.ownership.shards[0].reconciled = false
 	if pace := busy.c.maintenanceInterval(); pace != busyInterval {
 		t.Errorf("looks every %v while a share is not settled", pace)
 	}
-	busy.c.own.shares[0].settled, busy.c.own.shares[0].mark = true, 0
+	busy.c.ownership.shards[0].reconciled, busy.c.ownership.shards[0].ownerEpoch = true, 0
 	if pace := busy.c.maintenanceInterval(); pace != busyInterval {
 		t.Errorf("looks every %v while a share has no owner", pace)
 	}
@@ -180,11 +180,11 @@
 func TestWorkPerRound(t *testing.T) {
 	for _, tc := range []struct{ machines, jobs, tasks int }{{200, 20, 500}, {2200, 20, 500}, {2200, 300, 500}, {3100, 150, 2000}, {1900, 500, 90}, {700, 20, 20_000}, {4000, 150, 500}, {6000, 150, 500}} {
 		h := bigHarness(t, tc.machines, tc.jobs, tc.tasks)
-		before := h.c.looks
+		before := h.c.visited
 		h.now += micros.Second
-		h.c.placementDue = true
+		h.c.schedulingDue = true
 		h.step(Tick{})
-		if got, most := h.c.looks-before, uint64(10*tc.machines+3*tc.jobs+100); got > most {
+		if got, most := h.c.visited-before, uint64(10*tc.machines+3*tc.jobs+100); got > most {
 			t.Errorf("%d machines, %d jobs of %d tasks: a step looks at %d, want at most %d", tc.machines, tc.jobs, tc.tasks, got, most)
 		}
 	}
@@ -202,28 +202,28 @@
 	h.submit(filler)
 	h.open = h.open[:0]
 	for i := range machines { // one CPU of four is left on each
-		token := h.c.mach[machineName(i)].v.token
-		_, body := h.checkin(report(machineName(i), 1, 3, token))
-		h.checkin(report(machineName(i), 1, 4, token, shown(starts(body.Commands), wire.TaskRunning)...))
+		fencingToken := h.c.machines[machineName(i)].view.fencingToken
+		_, body := h.heartbeat(heartbeatFrom(machineName(i), 1, 3, fencingToken))
+		h.heartbeat(heartbeatFrom(machineName(i), 1, 4, fencingToken, shown(starts(body.Commands), wire.TaskRunning)...))
 	}
 	for i := range zoned {
 		sub := jobOf(fmt.Sprintf("job-%06d", 1000+i), 2)
-		sub.OneZone, sub.CPUs, sub.Priority = true, 2, "high"
-		h.ask(func(r ReplyID) Input { return Submit{Reply: r, Job: sub} })
+		sub.SameZone, sub.CPUs, sub.Priority = true, 2, "high"
+		h.ask(func(r ReplyID) Input { return SubmitRequest{Reply: r, Job: sub} })
 	}
 	last := jobOf("job-002000", 1)
 	last.Priority = "best_effort"
-	h.ask(func(r ReplyID) Input { return Submit{Reply: r, Job: last} })
+	h.ask(func(r ReplyID) Input { return SubmitRequest{Reply: r, Job: last} })
 	most := uint64(0)
 	j := h.c.jobs.open[last.ID]
 	for began := h.now; len(j.run.active) == 0; {
 		if h.now > began+10*sec {
 			t.Fatal("the job behind those that are bound to one zone has not begun after 10 s")
 		}
-		before := h.c.looks
-		h.now += placeEvery
+		before := h.c.visited
+		h.now += schedulingInterval
 		h.step(Tick{})
-		most = max(most, h.c.looks-before)
+		most = max(most, h.c.visited-before)
 	}
 	if most > 10*machines {
 		t.Errorf("a step looks at %d machines, jobs and attempts, want at most %d", most, 10*machines)
@@ -236,18 +236,18 @@
 func TestMessageOfLargeFleet(t *testing.T) {
 	const machines = 6000
 	h := bigHarness(t, machines, 1, 1)
-	for _, m := range h.c.mach {
+	for _, m := range h.c.machines {
 		m.id += strings.Repeat("x", 36-len(m.id))
 	}
 	c := h.c
 	for i := range machines {
-		c.heard[machineName(i)] = h.now
+		c.misdirectedHeartbeats[machineName(i)] = h.now
 	}
-	c.own.leader.rec.Label = "n-1"
-	told := func() (*peer.Status, int) {
+	c.ownership.leader.owner.Label = "n-1"
+	demandStatus := func() (*peer.Status, int) {
 		st := &peer.Status{About: c.about(&peerView{label: "n-0"}), Demand: c.demands()}
 		for i := range maxNamed {
-			st.Gone = append(st.Gone, machineName(i))
+			st.ReturnedMachines = append(st.ReturnedMachines, machineName(i))
 			st.Cancelled = append(st.Cancelled, machineName(i))
 		}
 		b, err := peer.Encode(peer.Request{From: "n-0", Status: st})
@@ -256,17 +256,17 @@
 		}
 		return st, len(b)
 	}
-	st, size := told()
-	if d := st.Demand[0]; len(d.Machines) < machines-1 || d.All != machines || len(st.Heard) != machines {
-		t.Errorf("%d machines told of, %d heard, %d counted, of %d", len(d.Machines), len(st.Heard), d.All, machines)
+	st, size := demandStatus()
+	if d := st.Demand[0]; len(d.Machines) < machines-1 || d.All != machines || len(st.MisdirectedMachines) != machines {
+		t.Errorf("%d machines told of, %d heard, %d counted, of %d", len(d.Machines), len(st.MisdirectedMachines), d.All, machines)
 	}
 	if size > peer.MaxMessage*9/10 {
 		t.Errorf("a message of %d bytes, %d are taken", size, peer.MaxMessage)
 	}
-	for _, m := range c.mach {
+	for _, m := range c.machines {
 		m.id += strings.Repeat("x", 200-len(m.id))
 	}
-	st, size = told()
+	st, size = demandStatus()
 	if d := st.Demand[0]; len(d.Machines) == 0 || len(d.Machines) == machines || d.All != machines {
 		t.Errorf("past the bound %d machines are told of, %d counted, of %d", len(d.Machines), d.All, machines)
 	}
@@ -275,9 +275,9 @@
 	}
 }
 
-// BenchmarkReport shows how a report's cost grows; read allocations and the
+// BenchmarkHeartbeat shows how a heartbeat's cost grows; read allocations and the
 // ratio between sizes, not the time.
-func BenchmarkReport(b *testing.B) {
+func BenchmarkHeartbeat(b *testing.B) {
 	for _, size := range []struct{ machines, jobs, tasks int }{{50, 20, 2000}, {700, 100, 1000}, {2200, 300, 1000}, {3100, 150, 2000}} {
 		b.Run(fmt.Sprintf("%d machines %d jobs", size.machines, size.jobs), func(b *testing.B) {
 			h := bigHarness(b, size.machines, size.jobs, size.tasks)
@@ -299,7 +299,7 @@
 			b.ResetTimer()
 			for range b.N {
 				h.now += 100 * ms
-				h.c.placementDue = true
+				h.c.schedulingDue = true
 				h.step(Tick{})
 			}
 		})
@@ -328,9 +328,9 @@
 	}
 }
 
-// TestWorkOfPipelines: hundreds of pipelines that wait cost a report and a look at
+// TestWorkOfDAGs: hundreds of pipelines that wait cost a heartbeat and a look at
 // everything hardly more than none, and the end of one job only what depends on it.
-func TestWorkOfPipelines(t *testing.T) {
+func TestWorkOfDAGs(t *testing.T) {
 	work := func(pipelines int) (perReport, walk float64) {
 		h := bigHarness(t, 50, 20, 500)
 		for p := range pipelines {
@@ -338,17 +338,17 @@
 			h.submit(first)
 			for stage := 1; stage < 5; stage++ {
 				s := jobOf(fmt.Sprintf("job-%06d", 500_000+10*p+stage), 50)
-				s.Dependencies = []string{fmt.Sprintf("job-%06d", 500_000+10*p+stage-1)}
+				s.DependsOn = []string{fmt.Sprintf("job-%06d", 500_000+10*p+stage-1)}
 				h.submit(s)
 			}
 			h.open = h.open[:0]
 		}
-		before := h.c.looks
+		before := h.c.visited
 		for i := range 100 {
 			h.c.lastMaintenance = h.now
 			h.turn(i % 50)
 		}
-		return float64(h.c.looks-before) / 100, float64(len(h.c.queue(h.c.own.shares[0])))
+		return float64(h.c.visited-before) / 100, float64(len(h.c.queue(h.c.ownership.shards[0])))
 	}
 	none, _ := work(0)
 	many, queue := work(300)
--- a/internal/core/partition.go
+++ b/internal/controller/sharding.go
@@ -1,14 +1,14 @@
-package core
+package controller
 
 import (
 	"slices"
 )
 
-// PartTeams gives each team's share, or nil if jobs are parted instead: there
+// AssignTeamsToShards gives each team's shard, or nil if jobs are parted instead: there
 // is just one team, and it has no limit (a limit can be kept only in one
-// place). Teams go to shares by size of guarantee, the largest first, each to
-// the share with the least so far, so that every node parts them alike.
-func PartTeams(teams []Team, shares int) []int {
+// place). Teams go to shards by size of guarantee, the largest first, each to
+// the shard with the least so far, so that every node parts them alike.
+func AssignTeamsToShards(teams []Team, shards int) []int {
 	if len(teams) == 1 && teams[0].CPUsMax == 0 && teams[0].GPUsMax == 0 {
 		return nil
 	}
@@ -26,11 +26,11 @@
 		}
 		return 0
 	})
-	load, count := make([]float64, shares), make([]int, shares)
+	load, count := make([]float64, shards), make([]int, shards)
 	out := make([]int, len(teams))
 	for _, t := range order {
 		best := 0
-		for s := 1; s < shares; s++ {
+		for s := 1; s < shards; s++ {
 			if load[s] < load[best] || (load[s] == load[best] && count[s] < count[best]) {
 				best = s
 			}
--- a/internal/core/statemetrics.go
+++ b/internal/controller/state_metrics.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import "garnethitch/internal/micros"
 
@@ -25,10 +25,10 @@
 
 // StateRequests gives the metrics of the requests to the state service, the most urgent
 // class first.
-func (c *Core) StateRequests() []RequestClassMetrics {
+func (c *Controller) StateRequests() []RequestClassMetrics {
 	out := make([]RequestClassMetrics, 0, classCount)
-	for class, queue := range c.stateq.queues {
-		count := c.stateq.counters[class]
+	for class, queue := range c.stateQueue.queues {
+		count := c.stateQueue.counters[class]
 		m := RequestClassMetrics{
 			Class: classNames[class], Depth: len(queue),
 			Sent: count.sent, Expired: count.expired, Rejected: count.rejected, LongestWait: count.longestWait,
@@ -45,7 +45,7 @@
 }
 
 // logStateRequests logs the metrics, for all to see while requests are given up unsent.
-func (c *Core) logStateRequests() {
+func (c *Controller) logStateRequests() {
 	level, unsent := Debug, uint64(0)
 	var args []any
 	for _, m := range c.StateRequests() {
@@ -56,8 +56,8 @@
 		args = append(args, m.Class+"_sent", m.Sent, m.Class+"_waiting", m.Depth, m.Class+"_oldest_ms", m.Oldest.Millis(),
 			m.Class+"_longest_ms", m.LongestWait.Millis(), m.Class+"_expired", m.Expired, m.Class+"_rejected", m.Rejected)
 	}
-	if unsent > c.stateq.unsentLogged {
-		c.stateq.unsentLogged = unsent
+	if unsent > c.stateQueue.unsentLogged {
+		c.stateQueue.unsentLogged = unsent
 		level = Info
 	}
 	c.log(level, "state requests", args...)
--- a/internal/core/statequeue.go
+++ b/internal/controller/state_queue.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"cmp"
@@ -12,14 +12,14 @@
 type requestClass int
 
 const (
-	// classLease is what authority hangs on: renewals, claims, letting go of a role, and
+	// classLease is what authority hangs on: renewals, claims, letting go of a lock, and
 	// the watches and listings by which this node follows them.
 	classLease requestClass = iota
 	classAccept
 	classEnd
 	classDependents
 	classFleet
-	classVersion
+	classCheckpoint
 	// classQuestion is reads of job records for users, whose number nobody here bounds.
 	classQuestion
 	classCount
@@ -32,23 +32,23 @@
 	classEnd:        "end",
 	classDependents: "dependents",
 	classFleet:      "fleet",
-	classVersion:    "version",
+	classCheckpoint: "checkpoint",
 	classQuestion:   "question",
 }
 
-// promise is the least part of this node's requests and writes that a class gets, whatever
+// minimumRate is the least part of this node's requests and writes that a class gets, whatever
 // waits in the classes above it.
-type promise struct{ requests, writes float64 }
+type minimumRate struct{ requests, writes float64 }
 
-// promises of the classes below leases, which go first always. They add up to half of the
+// minimumRates of the classes below leases, which go first always. They add up to half of the
 // requests, since leases and watches may take the other half (see watchParts), and to nine
 // tenths of the writes, since claims take few. What is promised and not used goes by urgency.
-var promises = [classCount]promise{
+var minimumRates = [classCount]minimumRate{
 	classAccept:     {requests: 0.08, writes: 0.35},
 	classEnd:        {requests: 0.10, writes: 0.20},
 	classDependents: {requests: 0.04, writes: 0.05},
 	classFleet:      {requests: 0.08, writes: 0.20},
-	classVersion:    {requests: 0.05, writes: 0.10},
+	classCheckpoint: {requests: 0.05, writes: 0.10},
 	classQuestion:   {requests: 0.15},
 }
 
@@ -67,19 +67,19 @@
 	done func(Result)
 }
 
-// bucket is a token bucket.
+// bucket is a fencing token bucket.
 type bucket struct {
-	rate, burst, level float64
-	at                 micros.Micros
+	rate, burst, tokens float64
+	at                  micros.Micros
 }
 
 func newBucket(rate float64) bucket {
-	return bucket{rate: rate, burst: max(rate, 1), level: max(rate, 1)}
+	return bucket{rate: rate, burst: max(rate, 1), tokens: max(rate, 1)}
 }
 
-func (b *bucket) fill(now micros.Micros) {
+func (b *bucket) refill(now micros.Micros) {
 	if now > b.at {
-		b.level = min(b.burst, b.level+b.rate*(now-b.at).Seconds())
+		b.tokens = min(b.burst, b.tokens+b.rate*(now-b.at).Seconds())
 		b.at = now
 	}
 }
@@ -88,10 +88,10 @@
 // full bucket has to do).
 func (b *bucket) until(n float64) micros.Micros {
 	n = min(n, b.burst)
-	if b.level >= n {
+	if b.tokens >= n {
 		return 0
 	}
-	return micros.FromSeconds((n-b.level)/b.rate) + 1
+	return micros.FromSeconds((n-b.tokens)/b.rate) + 1
 }
 
 // stateQueue keeps this node to its part of the state service's limits, and divides that
@@ -155,8 +155,8 @@
 // next takes off the request that is to be sent now. If there is none, wait says how long
 // until there may be; 0 if nothing waits, or nothing may go before an answer comes.
 func (q *stateQueue) next(now micros.Micros) (item queued, ok bool, wait micros.Micros) {
-	q.requests.fill(now)
-	q.writes.fill(now)
+	q.requests.refill(now)
+	q.writes.refill(now)
 	order := q.order(now)
 	if len(order) == 0 {
 		return queued{}, false, 0
@@ -232,8 +232,8 @@
 			done(res)
 		}
 	}
-	q.requests.level--
-	q.writes.level -= item.writes
+	q.requests.tokens--
+	q.writes.tokens -= item.writes
 	if i == 0 {
 		q.dueAt[class] = now + q.turnaround(class, item.writes)
 	}
@@ -251,7 +251,7 @@
 
 // turnaround is how long a request with so many writes takes of what its class is promised.
 func (q *stateQueue) turnaround(class requestClass, writes float64) micros.Micros {
-	p := promises[class]
+	p := minimumRates[class]
 	var seconds float64
 	if p.requests > 0 {
 		seconds = 1 / (p.requests * q.requests.rate)
@@ -262,47 +262,47 @@
 	return micros.FromSeconds(seconds)
 }
 
-// leasePart is the part of the requests that leases and watches take at most.
-const leasePart = 0.5
+// leaseFraction is the part of the requests that leases and watches take at most.
+const leaseFraction = 0.5
 
 // worstWait is how long the first request of a class below leases waits at most, whatever
 // the other classes hold, if no transaction has more than so many changes: until its class
 // is due again, and for one request of each other class that is due before.
 func (q *stateQueue) worstWait(class requestClass, changes float64) micros.Micros {
-	if promises[class].writes == 0 {
+	if minimumRates[class].writes == 0 {
 		changes = 0 // reads wait for no writes
 	}
 	writers := 0.0
-	for _, p := range promises {
+	for _, p := range minimumRates {
 		if p.writes > 0 {
 			writers++
 		}
 	}
-	requests := micros.FromSeconds(float64(classCount) / (q.requests.rate * (1 - leasePart)))
+	requests := micros.FromSeconds(float64(classCount) / (q.requests.rate * (1 - leaseFraction)))
 	return q.turnaround(class, changes) + requests + micros.FromSeconds(writers*changes/q.writes.rate)
 }
 
 // askState queues a request to the state service. done is called exactly
 // once, with status 0 if no answer came or the request was never sent.
-func (c *Core) askState(class requestClass, req any, timeout micros.Micros, done func(Result)) {
+func (c *Controller) askState(class requestClass, req any, timeout micros.Micros, done func(Result)) {
 	item := queued{req: req, timeout: timeout, queuedAt: c.now, expires: c.now + timeout, done: done}
 	if txn, ok := req.(wire.Txn); ok {
 		item.writes = float64(txn.Writes())
 	}
-	if !c.stateq.push(class, item) {
+	if !c.stateQueue.push(class, item) {
 		c.later(func() { done(Result{NotSent: true}) })
 	}
 }
 
 // drainState sends what the limits allow.
-func (c *Core) drainState() {
+func (c *Controller) drainState() {
 	for {
 		c.offerRead()
-		if item, ok := c.stateq.expire(c.now); ok {
+		if item, ok := c.stateQueue.expire(c.now); ok {
 			c.later(func() { item.done(Result{NotSent: true}) })
 			continue
 		}
-		item, ok, wait := c.stateq.next(c.now)
+		item, ok, wait := c.stateQueue.next(c.now)
 		if !ok {
 			if wait > 0 {
 				c.wakeIn(wait)
@@ -318,8 +318,8 @@
 
 // hasSpareRequests: half of a second's requests to the state service are left, and
 // nothing waits for its turn.
-func (c *Core) hasSpareRequests() bool {
-	q := &c.stateq
-	q.requests.fill(c.now)
-	return q.empty() && len(c.reads.waiting) == 0 && q.requests.level >= q.requests.burst/2
+func (c *Controller) hasSpareRequests() bool {
+	q := &c.stateQueue
+	q.requests.refill(c.now)
+	return q.empty() && len(c.reads.waiting) == 0 && q.requests.tokens >= q.requests.burst/2
 }
--- a/internal/core/statequeue_test.go
+++ b/internal/controller/state_queue_test.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"fmt"
@@ -48,39 +48,39 @@
 			for class := classCount - 1; class >= classLease; class-- {
 				q.pushTest(class, classNames[class], 0, never)
 			}
-		}, 0, "lease accept end dependents fleet version question"},
+		}, 0, "lease accept end dependents fleet checkpoint question"},
 		{"leases before all else", func(q *stateQueue) {
-			q.requests.level = 2
+			q.requests.tokens = 2
 			q.pushTest(classQuestion, "question", 0, never)
 			for range 2 {
 				q.pushTest(classLease, "lease", 0, never)
 			}
 		}, 0, "lease lease"},
 		{"what is promised first, then by urgency", func(q *stateQueue) {
-			q.requests.level = 4
+			q.requests.tokens = 4
 			for range 3 {
 				q.pushTest(classAccept, "accept", 0, never)
 				q.pushTest(classQuestion, "question", 0, never)
 			}
 		}, 0, "accept question accept accept"},
 		{"a renewal passes a claim that waits for the write limit", func(q *stateQueue) {
-			q.writes.level = 0
+			q.writes.tokens = 0
 			q.pushTest(classLease, "claim", 1, never)
 			q.pushTest(classLease, "renewal", 0, never)
 		}, 0, "renewal"},
 		{"reads pass a transaction that waits, writes do not", func(q *stateQueue) {
-			q.writes.level = 1
+			q.writes.tokens = 1
 			q.pushTest(classAccept, "large", 5, never)
 			q.pushTest(classEnd, "small", 1, never)
 			q.pushTest(classQuestion, "question", 0, never)
 		}, 0, "question"},
 		{"a transaction larger than the burst goes with a full bucket", func(q *stateQueue) {
-			q.writes.level = 0
+			q.writes.tokens = 0
 			q.pushTest(classFleet, "large", 40, never)
 			q.pushTest(classAccept, "accept", 1, never)
 		}, 6 * sec, "accept large"},
 		{"what has waited for too long is not sent", func(q *stateQueue) {
-			q.requests.level = 0
+			q.requests.tokens = 0
 			q.pushTest(classEnd, "old", 0, -1)
 			q.pushTest(classEnd, "new", 0, never)
 		}, sec, "new"},
@@ -104,14 +104,14 @@
 func TestStateQueueFull(t *testing.T) {
 	q := testQueue(30, 10)
 	for range maxQueued {
-		if !q.pushTest(classVersion, "v", 1, micros.Never) {
+		if !q.pushTest(classCheckpoint, "v", 1, micros.Never) {
 			t.Fatal("refused before the queue is full")
 		}
 	}
-	if q.pushTest(classVersion, "v", 1, micros.Never) || !q.pushTest(classEnd, "e", 1, micros.Never) {
+	if q.pushTest(classCheckpoint, "v", 1, micros.Never) || !q.pushTest(classEnd, "e", 1, micros.Never) {
 		t.Error("taken beyond the bound, or another class refused")
 	}
-	if got := q.counters[classVersion].rejected; got != 1 {
+	if got := q.counters[classCheckpoint].rejected; got != 1 {
 		t.Errorf("%d counted as rejected", got)
 	}
 }
@@ -132,20 +132,20 @@
 	for _, limits := range stateLimits {
 		for class := classLease + 1; class < classCount; class++ {
 			t.Run(fmt.Sprintf("%v/%s", limits, classNames[class]), func(t *testing.T) {
-				part := usedPart / float64(limits.nodes)
+				part := usableFraction / float64(limits.nodes)
 				q := testQueue(limits.rps*part, limits.writeRPS*part)
 				most := q.worstWait(class, limits.changes)
 				last, longest, sent := micros.Micros(0), micros.Micros(0), 0
 				leases := 0.0
 				for now := micros.Micros(0); now < 10*most; now += 10 * ms {
-					if leases += q.requests.rate * leasePart * 0.01; leases >= 1 {
+					if leases += q.requests.rate * leaseFraction * 0.01; leases >= 1 {
 						leases--
 						q.pushTest(classLease, "lease", 0, micros.Never)
 					}
 					for other := classLease + 1; other < classCount; other++ {
 						for q.waiting(other) < 20 {
 							writes := limits.changes
-							if promises[other].writes == 0 {
+							if minimumRates[other].writes == 0 {
 								writes = 0
 							}
 							q.pushTest(other, classNames[other], writes, micros.Never)
@@ -169,17 +169,17 @@
 	}
 }
 
-// TestPromisesFit: what is promised does not come to more than there is beside leases.
-func TestPromisesFit(t *testing.T) {
-	var sum promise
-	for _, p := range promises {
+// TestMinimumRatesFit: what is promised does not come to more than there is beside leases.
+func TestMinimumRatesFit(t *testing.T) {
+	var sum minimumRate
+	for _, p := range minimumRates {
 		sum.requests += p.requests
 		sum.writes += p.writes
 	}
-	if sum.requests > 1-leasePart+eps || sum.writes > 0.9+eps || controlWatchPart+jobWatchPart > leasePart {
-		t.Errorf("promised are %.2f of the requests and %.2f of the writes, watches take %.2f", sum.requests, sum.writes, controlWatchPart+jobWatchPart)
+	if sum.requests > 1-leaseFraction+eps || sum.writes > 0.9+eps || controlWatchFraction+jobWatchFraction > leaseFraction {
+		t.Errorf("promised are %.2f of the requests and %.2f of the writes, watches take %.2f", sum.requests, sum.writes, controlWatchFraction+jobWatchFraction)
 	}
-	if slices.ContainsFunc(promises[classAccept:], func(p promise) bool { return p.requests <= 0 }) {
+	if slices.ContainsFunc(minimumRates[classAccept:], func(p minimumRate) bool { return p.requests <= 0 }) {
 		t.Error("a class is promised nothing")
 	}
 }
--- a/internal/core/unknown_jobs_test.go
+++ b/internal/controller/unknown_jobs_test.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"fmt"
@@ -12,8 +12,8 @@
 // A cancelled task lived on at an owner with a current view of jobs. Its job's end had left
 // the bounded memory of ends when the machine reported after a claim, and the job's record
 // was to be read before anything was done: one read at a time, 5 s after the task had come
-// up, begun only by a report. Where reads were refused, each report was answered, which
-// renewed the machine's lease, with no stop; in TestStrayUnread for 40 s and more. The
+// up, begun only by a heartbeat. Where reads were refused, each heartbeat was answered, which
+// renewed the machine's lease, with no stop; in TestUnknownJobUnreadable for 40 s and more. The
 // simulation broke ran_cancelled or "renewed" in the same way with the ends of four jobs kept.
 
 // A claim with a current view, after which a machine shows the task of a job that is over
@@ -21,7 +21,7 @@
 func TestEndedTaskIsStoppedWithoutRead(t *testing.T) {
 	few := func(c *Config) {
 		withPeer(c)
-		c.FinalJobs, c.Cancel, c.MaxMachines = 1, 40*sec, 400
+		c.MaxFinalJobs, c.Cancel, c.MaxMachines = 1, 40*sec, 400
 	}
 	end := func(h *harness, id string) {
 		h.put(wire.JobKey(id), wire.JobRecord{State: wire.StateCancelled, Tasks: 1})
@@ -30,18 +30,18 @@
 		h.txn(wire.Txn{Then: []wire.Change{{Delete: ownerKey(0)}}})
 		h.run(2 * sec)
 	}
-	shows := func(machine string, seq, token uint64, job string, attempt uint64) wire.Report {
-		return report(machine, 1, seq, token, wire.TaskReport{Task: job + "/0", Attempt: attempt, State: wire.TaskRunning})
+	shows := func(machine string, seq, fencingToken uint64, job string, attempt uint64) wire.Heartbeat {
+		return heartbeatFrom(machine, 1, seq, fencingToken, wire.TaskStatus{Task: job + "/0", Attempt: attempt, State: wire.TaskRunning})
 	}
 
 	t.Run("with the first answer after the claim", func(t *testing.T) {
 		h := meet(t, few)
-		token, attempt := h.runOne()
+		fencingToken, attempt := h.runOne()
 		end(h, "job-000001")
 		end(h, "job-000002")
-		h.unread = wire.PrefixJob
+		h.unreadablePrefix = wire.PrefixJob
 		claimAnew(h)
-		if status, body := h.checkin(h.running(20, token, attempt)); status == 200 && stops(body.Commands) != 1 {
+		if status, body := h.heartbeat(h.running(20, fencingToken, attempt)); status == 200 && stops(body.Commands) != 1 {
 			t.Errorf("answered 200 with %v, want the task stopped", body.Commands)
 		}
 	})
@@ -54,15 +54,15 @@
 		}
 		h.c.fleet.listNext, h.c.fleet.planNext = h.now, h.now+400*ms
 		h.run(2 * sec)
-		old := h.c.own.shares[0].mark
+		old := h.c.ownership.shards[0].ownerEpoch
 		for i := range machines {
 			end(h, fmt.Sprintf("job-%06d", i))
 		}
-		h.unread = wire.PrefixJob
+		h.unreadablePrefix = wire.PrefixJob
 		claimAnew(h)
-		token := h.c.own.shares[0].mark
+		fencingToken := h.c.ownership.shards[0].ownerEpoch
 		for i := range machines {
-			if status, body := h.checkin(shows(machineName(i), 5, token, fmt.Sprintf("job-%06d", i), old<<32|uint64(i))); status != 200 || stops(body.Commands) != 1 {
+			if status, body := h.heartbeat(shows(machineName(i), 5, fencingToken, fmt.Sprintf("job-%06d", i), old<<32|uint64(i))); status != 200 || stops(body.Commands) != 1 {
 				t.Fatalf("machine %d of %d: answered %d with %v, want the task stopped", i, machines, status, body.Commands)
 			}
 		}
@@ -70,15 +70,15 @@
 
 	t.Run("started by another share's owner, under a later claim", func(t *testing.T) {
 		h := meet(t, few)
-		token, _ := h.runOne()
+		fencingToken, _ := h.runOne()
 		end(h, "job-000007")
 		end(h, "job-000008")
-		h.unread = wire.PrefixJob
+		h.unreadablePrefix = wire.PrefixJob
 		later := uint64(1000)
-		h.checkin(shows("vm-1", 20, token, "job-000007", later<<32|1))
+		h.heartbeat(shows("vm-1", 20, fencingToken, "job-000007", later<<32|1))
 		h.put(wire.JobKey("job-000009"), wire.JobRecord{State: wire.StateDone, Tasks: 1}) // the view goes on
 		h.run(sec)
-		if status, body := h.checkin(shows("vm-1", 21, token, "job-000007", later<<32|1)); status == 200 && stops(body.Commands) != 1 {
+		if status, body := h.heartbeat(shows("vm-1", 21, fencingToken, "job-000007", later<<32|1)); status == 200 && stops(body.Commands) != 1 {
 			t.Errorf("answered 200 with %v, want the task stopped", body.Commands)
 		}
 	})
@@ -89,7 +89,7 @@
 // long ago, and nothing tells when its user was told: the machine's lease is not renewed,
 // and the task is not stopped either, since it may be of a job that has just been accepted.
 // If it was started under a later claim, the job was not over when the view was complete.
-func TestUnknownJobAtBlindOwner(t *testing.T) {
+func TestUnknownJobAtOwnerWithStaleView(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
 		later    bool // started under a claim that the view does not include
@@ -98,27 +98,27 @@
 		t.Run(tc.name, func(t *testing.T) {
 			h := meet(t, func(c *Config) {
 				withPeer(c)
-				c.FinalJobs, c.Cancel = 1, 40*sec
+				c.MaxFinalJobs, c.Cancel = 1, 40*sec
 			})
-			token, _ := h.runOne()
-			before := h.c.own.shares[0].mark
-			h.watchBlocked, h.unlisted, h.unread = wire.PrefixJob, wire.PrefixJob, wire.PrefixJob
+			fencingToken, _ := h.runOne()
+			before := h.c.ownership.shards[0].ownerEpoch
+			h.watchBlocked, h.unlistablePrefix, h.unreadablePrefix = wire.PrefixJob, wire.PrefixJob, wire.PrefixJob
 			claim := h.put(ownerKey(0), wire.OwnerRecord{Label: "n-1", Incarnation: 99})
 			if !tc.later {
 				claim = before
 			}
 			h.txn(wire.Txn{Then: []wire.Change{{Delete: ownerKey(0)}}})
 			h.run(2 * sec)
-			s := h.c.own.shares[0]
-			if !s.active || s.current {
+			s := h.c.ownership.shards[0]
+			if !s.active || s.jobsViewCurrent {
 				t.Fatal("not a blind owner: the case is not what it should be")
 			}
 			for seq := uint64(20); seq < 23; seq++ {
-				status, body := h.checkin(report("vm-1", 1, seq, token, wire.TaskReport{Task: "job-000007/0", Attempt: claim<<32 | 1, State: wire.TaskRunning}))
+				status, body := h.heartbeat(heartbeatFrom("vm-1", 1, seq, fencingToken, wire.TaskStatus{Task: "job-000007/0", Attempt: claim<<32 | 1, State: wire.TaskRunning}))
 				if (status == 200) != tc.answered || stops(body.Commands) > 0 {
 					t.Errorf("report %d: answered %d with %v, want it answered: %v, and nothing stopped", seq, status, body.Commands, tc.answered)
 				}
-				token = max(token, body.Token)
+				fencingToken = max(fencingToken, body.FencingToken)
 				h.run(sec)
 			}
 		})
@@ -146,14 +146,14 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := meet(t, withPeer)
-			token := h.settle("vm-1")
+			fencingToken := h.reconcile("vm-1")
 			tc.record(h)
-			attempt := h.c.own.shares[0].mark<<32 | 1
+			attempt := h.c.ownership.shards[0].ownerEpoch<<32 | 1
 			if tc.later {
 				attempt = (h.rev+1)<<32 | 1
 			}
 			for seq := uint64(20); seq < 24; seq++ {
-				if _, body := h.checkin(report("vm-1", 1, seq, token, wire.TaskReport{Task: "job-000007/0", Attempt: attempt, State: wire.TaskRunning})); stops(body.Commands) > 0 {
+				if _, body := h.heartbeat(heartbeatFrom("vm-1", 1, seq, fencingToken, wire.TaskStatus{Task: "job-000007/0", Attempt: attempt, State: wire.TaskRunning})); stops(body.Commands) > 0 {
 					t.Errorf("report %d: stopped by %v", seq, body.Commands)
 				}
 				h.run(sec)
@@ -164,23 +164,23 @@
 
 // Nor is it fed for ever: where the view of jobs does not go on, nothing vouches for the
 // task any more once the view is so old that its user may have been told in the meantime.
-func TestUnknownJobIsFedForBoundedTime(t *testing.T) {
+func TestUnknownJobIsRenewedForBoundedTime(t *testing.T) {
 	h := meet(t, withPeer)
-	token := h.settle("vm-1")
+	fencingToken := h.reconcile("vm-1")
 	h.watchBlocked = wire.PrefixJob
 	shows := func(seq uint64) int {
-		status, _ := h.checkin(report("vm-1", 1, seq, token, wire.TaskReport{Task: "job-000007/0", Attempt: (h.rev+1)<<32 | 1, State: wire.TaskRunning}))
+		status, _ := h.heartbeat(heartbeatFrom("vm-1", 1, seq, fencingToken, wire.TaskStatus{Task: "job-000007/0", Attempt: (h.rev+1)<<32 | 1, State: wire.TaskRunning}))
 		return status
 	}
 	if got := shows(20); got != 200 {
 		t.Errorf("answered %d at first, want 200", got)
 	}
-	h.run(h.c.own.job.completeAt + h.c.bounds.Blind - h.now)
+	h.run(h.c.ownership.jobWatch.completeAsOf + h.c.bounds.StaleViewGrace - h.now)
 	if got := shows(21); got == 200 {
 		t.Error("its machine's lease is renewed beyond the bound")
 	}
 	h.run(11 * sec) // until refused reports are counted
-	if got := h.logged("reports refused", "unknown_job"); len(got) == 0 {
+	if got := h.logged("heartbeats refused", "unknown_job"); len(got) == 0 {
 		t.Error("nothing says why the report was refused")
 	}
 }
@@ -190,13 +190,13 @@
 func TestLateReadOfEndedJob(t *testing.T) {
 	h := meet(t, func(c *Config) {
 		withPeer(c)
-		c.FinalJobs = 1
+		c.MaxFinalJobs = 1
 	})
 	h.put(wire.JobKey("job-000001"), wire.NewJobRecord(new(jobOf("job-000001", 1)), 1))
 	stands := h.keys[wire.JobKey("job-000001")]
-	h.c.jobs.open["job-000001"].run.unsure = true // so that a question is answered by a read
+	h.c.jobs.open["job-000001"].run.endInDoubt = true // so that a question is answered by a read
 	h.stateDown = true
-	h.poll("job-000001")
+	h.jobStatus("job-000001")
 	held := h.held
 	h.held, h.stateDown = nil, false
 	h.put(wire.JobKey("job-000001"), wire.JobRecord{State: wire.StateCancelled, Tasks: 1})
