--- a/internal/core/users.go
+++ b/internal/controller/user_requests.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"garnethitch/internal/micros"
@@ -6,20 +6,20 @@
 	"garnethitch/internal/wire"
 )
 
-// creation is a submission whose record is being written.
-type creation struct {
+// jobCreation is a submission whose record is being written.
+type jobCreation struct {
 	waiters []func(status int, state string)
 }
 
-func (c *Core) ready(in Ready) {
+func (c *Controller) handleReadiness(in ReadinessRequest) {
 	status := 503
 	switch {
-	case c.own.job.ready && c.own.ctl.ready && len(c.types) > 0:
+	case c.ownership.jobWatch.ready && c.ownership.controlWatch.ready && len(c.types) > 0:
 		if c.servesUsers() {
 			status = 200
 		}
-	case c.now-c.began > 2*micros.Second && !c.stateFresh() && !c.peerHasState():
-		// Started in an outage of the state service that all share. Users are
+	case c.now-c.startedAt > 2*micros.Second && !c.stateFresh() && !c.peerHasState():
+		// Started in an outage of the state service that all shard. Users are
 		// better off with a 503 and a time to come back than with no node at all,
 		// which the balancer would also remember for a while afterwards.
 		status = 200
@@ -28,7 +28,7 @@
 }
 
 // peerHasState: another controller is up and has the state service.
-func (c *Core) peerHasState() bool {
+func (c *Controller) peerHasState() bool {
 	for _, p := range c.peers {
 		if c.alive(p) && p.stateOK {
 			return true
@@ -39,8 +39,8 @@
 
 // servesUsers: users are better off elsewhere if this node has lost the state
 // service while another has not. If all have lost it, they are not.
-func (c *Core) servesUsers() bool {
-	if c.now-c.own.contact < 3*micros.Second {
+func (c *Controller) servesUsers() bool {
+	if c.now-c.ownership.lastStateReplyAt < 3*micros.Second {
 		return true
 	}
 	if c.peerHasState() {
@@ -48,10 +48,10 @@
 	}
 	// Nobody can be asked: alone without the state service is no place for users
 	// once the lease has run out, unless there is nobody else.
-	return len(c.cfg.Peers) == 0 || c.anyPeerAlive() || c.canAnswer()
+	return len(c.cfg.Peers) == 0 || c.anyPeerAlive() || c.leaseValid()
 }
 
-func (c *Core) anyPeerAlive() bool {
+func (c *Controller) anyPeerAlive() bool {
 	for _, p := range c.peers {
 		if c.alive(p) {
 			return true
@@ -62,7 +62,7 @@
 
 // answerQuestion answers a user who asks about a job; who is refused waits for the backlog of
 // reads.
-func (c *Core) answerQuestion(r ReplyID, id string, a peer.Answer) {
+func (c *Controller) answerQuestion(r ReplyID, id string, a peer.Answer) {
 	c.answerJob(r, id, a, c.retryAfter())
 }
 
@@ -72,11 +72,11 @@
 
 // answerJob answers a user about a job; one who is refused is to come back after so many
 // seconds.
-func (c *Core) answerJob(r ReplyID, id string, a peer.Answer, retryAfter int) {
+func (c *Controller) answerJob(r ReplyID, id string, a peer.Answer, retryAfter int) {
 	switch a.Status {
 	case 200, 201:
 		if a.State == wire.StateCancelled {
-			c.spreadCancelled(id)
+			c.broadcastCancellation(id)
 		}
 		body := wire.JobAnswer{ID: id, State: a.State}
 		done, running := a.Done, a.Running
@@ -89,7 +89,7 @@
 	}
 }
 
-func (c *Core) poll(in Poll) {
+func (c *Controller) handleJobStatus(in JobStatusRequest) {
 	if !wire.ValidID(in.ID) {
 		// Only ids of the protocol's form exist.
 		c.answer(in.Reply, 404, nil, 0)
@@ -100,7 +100,7 @@
 
 // jobState finds out how a job stands: a final state from anywhere, all else
 // from its owner, or from a fresh read.
-func (c *Core) jobState(id string, done func(peer.Answer)) {
+func (c *Controller) jobState(id string, done func(peer.Answer)) {
 	if f, ok := c.jobs.final(id); ok {
 		done(finalAnswer(f))
 		return
@@ -117,17 +117,17 @@
 		done(peer.Answer{Status: 503})
 		return
 	}
-	s := c.own.shares[j.share]
-	if c.speaksFor(j) {
-		if j.run.ending || j.run.unsure || !c.mayWait(j) {
+	s := c.ownership.shards[j.shard]
+	if c.mayAnswerFromMemory(j) {
+		if j.run.endInFlight || j.run.endInDoubt || !c.mayWait(j) {
 			fresh()
 			return
 		}
 		done(c.memoryAnswer(j))
 		return
 	}
-	p := c.peers[s.rec.Label]
-	if s.mark == 0 || p == nil || !c.alive(p) {
+	p := c.peers[s.owner.Label]
+	if s.ownerEpoch == 0 || p == nil || !c.alive(p) {
 		fresh()
 		return
 	}
@@ -141,14 +141,14 @@
 }
 
 // askPeer asks the owner of a job for a user.
-func (c *Core) askPeer(p *peerView, ask peer.Ask, timeout micros.Micros, done func(peer.Answer)) {
-	if c.cfg.PeerAsks > 0 && c.peerAsks >= c.cfg.PeerAsks {
+func (c *Controller) askPeer(p *peerView, ask peer.Ask, timeout micros.Micros, done func(peer.Answer)) {
+	if c.cfg.MaxPeerQuestions > 0 && c.peerQuestionsInFlight >= c.cfg.MaxPeerQuestions {
 		done(peer.Answer{Status: 503})
 		return
 	}
-	c.peerAsks++
+	c.peerQuestionsInFlight++
 	c.call(Call{To: ToPeer, Addr: p.label, Req: peer.Request{From: c.cfg.Label, Ask: &ask}, Timeout: timeout}, func(r Result) {
-		c.peerAsks--
+		c.peerQuestionsInFlight--
 		resp, ok := r.Body.(*peer.Response)
 		if !ok || r.Status != 200 || resp.Answer == nil {
 			done(peer.Answer{Status: 503})
@@ -164,32 +164,32 @@
 
 // readJob reads a job's record on behalf of other work; status is 200 (and the job is known
 // from then on), 404, or 0 when there was no answer. For users there is readForUser.
-func (c *Core) readJob(class requestClass, id string, done func(status int)) {
+func (c *Controller) readJob(class requestClass, id string, done func(status int)) {
 	c.askState(class, GetKey{Key: wire.JobKey(id)}, readTimeout, func(r Result) { done(c.learnRead(r)) })
 }
 
 // learnRead takes what the read of a job's record brought: 200, 404, or 0 for no answer.
-func (c *Core) learnRead(r Result) (status int) {
+func (c *Controller) learnRead(r Result) (status int) {
 	switch r.Status {
 	case 200:
 		kv, ok := r.Body.(*wire.KeyValue)
 		if !ok {
 			return 0
 		}
-		c.own.contact = c.now
-		c.applyPut(kv.Key, kv.Value, kv.Version)
+		c.ownership.lastStateReplyAt = c.now
+		c.applyPut(kv.Key, kv.Value, kv.ModRevision)
 		if id := kv.Key[len(wire.PrefixJob):]; !c.knows(id) && !c.jobs.unusable[id] {
 			return 0 // it has ended since; see outdated
 		}
 		return 200
 	case 404:
-		c.own.contact = c.now
+		c.ownership.lastStateReplyAt = c.now
 		return 404
 	}
 	return 0
 }
 
-func (c *Core) freshState(id string, done func(peer.Answer)) {
+func (c *Controller) freshState(id string, done func(peer.Answer)) {
 	c.readForUser(id, func(status int) {
 		if f, ok := c.jobs.final(id); ok {
 			done(finalAnswer(f))
@@ -209,15 +209,15 @@
 	})
 }
 
-func (c *Core) withdraw(in Withdraw) {
+func (c *Controller) handleCancel(in CancelRequest) {
 	if !wire.ValidID(in.ID) {
 		c.answer(in.Reply, 404, nil, 0)
 		return
 	}
-	c.withdrawJob(in.ID, true, func(a peer.Answer) { c.answerJob(in.Reply, in.ID, a, soon) })
+	c.cancelForUser(in.ID, true, func(a peer.Answer) { c.answerJob(in.Reply, in.ID, a, soon) })
 }
 
-func (c *Core) withdrawJob(id string, look bool, done func(peer.Answer)) {
+func (c *Controller) cancelForUser(id string, look bool, done func(peer.Answer)) {
 	if f, ok := c.jobs.final(id); ok {
 		done(finalAnswer(f))
 		return
@@ -230,7 +230,7 @@
 		}
 		c.readForUser(id, func(status int) {
 			if status == 200 {
-				c.withdrawJob(id, false, done)
+				c.cancelForUser(id, false, done)
 				return
 			}
 			if status == 404 {
@@ -241,14 +241,14 @@
 		})
 		return
 	}
-	s := c.own.shares[j.share]
-	if c.speaksFor(j) {
+	s := c.ownership.shards[j.shard]
+	if c.mayAnswerFromMemory(j) {
 		c.cancelJob(j, done)
 		return
 	}
 	c.stopCancelledTasks(j)
-	p := c.peers[s.rec.Label]
-	if s.mark == 0 || p == nil {
+	p := c.peers[s.owner.Label]
+	if s.ownerEpoch == 0 || p == nil {
 		done(peer.Answer{Status: 503})
 		return
 	}
@@ -262,8 +262,8 @@
 
 // stopCancelledTasks stops the tasks of a job that its user wants cancelled, at an owner that may
 // still command but can't record or speak.
-func (c *Core) stopCancelledTasks(j *job) {
-	if j.run != nil && c.acting(j.share) != nil {
+func (c *Controller) stopCancelledTasks(j *job) {
+	if j.run != nil && c.activeShard(j.shard) != nil {
 		c.requestCancellation(j)
 	}
 }
@@ -272,8 +272,8 @@
 // written in time.
 const maxAccepting = 40
 
-// submit takes a user's job.
-func (c *Core) submit(in Submit) {
+// handleSubmit takes a user's job.
+func (c *Controller) handleSubmit(in SubmitRequest) {
 	if in.Err != nil {
 		// An accepted job never gets 400, whatever its repeat says now, and this node
 		// may not have heard of it yet: only a read can tell.
@@ -289,7 +289,7 @@
 		c.jobState(id, func(a peer.Answer) { c.answerQuestion(in.Reply, id, a) })
 		return
 	}
-	if len(c.types) == 0 || !c.own.job.ready {
+	if len(c.types) == 0 || !c.ownership.jobWatch.ready {
 		c.answer(in.Reply, 503, nil, 1)
 		return
 	}
@@ -302,7 +302,7 @@
 		c.refuseSubmission(in.Reply, id, 400)
 		return
 	}
-	if len(c.jobs.open) >= c.cfg.OpenJobs || c.stateq.waiting(classAccept) > maxAccepting {
+	if len(c.jobs.open) >= c.cfg.MaxOpenJobs || c.stateQueue.waiting(classAccept) > maxAccepting {
 		c.answer(in.Reply, 429, nil, 2)
 		return
 	}
@@ -322,18 +322,18 @@
 
 // fitsRecord: the record of a job, dependencies and all, is no larger than the state
 // service takes.
-func (c *Core) fitsRecord(sub *wire.Submission) bool {
+func (c *Controller) fitsRecord(sub *wire.Submission) bool {
 	value, err := wire.Encode(wire.NewJobRecord(sub, c.wall.Millis()))
 	if err == nil && c.storable(value) {
 		return true
 	}
-	c.log(Info, "job record does not fit, refused", "job", sub.ID, "bytes", len(value), "dependencies", len(sub.Dependencies), "error", err)
+	c.log(Info, "job record does not fit, refused", "job", sub.ID, "bytes", len(value), "dependencies", len(sub.DependsOn), "error", err)
 	return false
 }
 
 // refuseSubmission answers a submission that can't be taken, unless its job was accepted
 // before: then it says how that stands.
-func (c *Core) refuseSubmission(r ReplyID, id string, status int) {
+func (c *Controller) refuseSubmission(r ReplyID, id string, status int) {
 	c.jobState(id, func(a peer.Answer) {
 		if a.Status == 404 {
 			c.answer(r, status, nil, 0)
@@ -343,14 +343,14 @@
 	})
 }
 
-func (c *Core) knows(id string) bool {
+func (c *Controller) knows(id string) bool {
 	_, over := c.jobs.final(id)
 	return over || c.jobs.open[id] != nil
 }
 
 // canRun tells whether a job could ever run: its team is known, and a task fits
 // an allowed machine type in an allowed zone and its team's limit.
-func (c *Core) canRun(sub *wire.Submission) bool {
+func (c *Controller) canRun(sub *wire.Submission) bool {
 	team, ok := c.teamOf[sub.Team]
 	if !ok {
 		return false
@@ -359,7 +359,7 @@
 	if t.CPUsMax > 0 && sub.CPUs > t.CPUsMax || t.GPUsMax > 0 && sub.GPUs > t.GPUsMax {
 		return false
 	}
-	for _, name := range c.index.names {
+	for _, name := range c.typeIndex.names {
 		mt := c.types[name]
 		if typeAllowed(sub, name) && sub.CPUs <= mt.CPUs && sub.GPUs <= mt.GPUs && sub.MemGB <= mt.MemGB {
 			if sub.Zone == "" {
@@ -388,9 +388,9 @@
 }
 
 // create writes the record of a new job. 201 is told only once that stands.
-func (c *Core) create(sub wire.Submission, done func(status int, state string)) {
+func (c *Controller) create(sub wire.Submission, done func(status int, state string)) {
 	id := sub.ID
-	if cr := c.jobs.creating[id]; cr != nil {
+	if cr := c.jobs.pendingCreations[id]; cr != nil {
 		if len(cr.waiters) >= 16 {
 			done(503, "")
 			return
@@ -410,23 +410,23 @@
 		done(503, "")
 		return
 	}
-	cr := &creation{waiters: []func(int, string){done}}
-	c.jobs.creating[id] = cr
+	cr := &jobCreation{waiters: []func(int, string){done}}
+	c.jobs.pendingCreations[id] = cr
 	finish := func(status int, state string) {
-		delete(c.jobs.creating, id)
+		delete(c.jobs.pendingCreations, id)
 		for _, w := range cr.waiters {
 			w(status, state)
 		}
 	}
 	txn := wire.Txn{
-		If:   []wire.Condition{{Key: wire.JobKey(id), Version: 0}},
+		If:   []wire.Condition{{Key: wire.JobKey(id), ModRevision: 0}},
 		Then: []wire.Change{{Put: wire.JobKey(id), Value: value}},
 	}
 	c.askState(classAccept, txn, 1200*micros.Millisecond, func(r Result) {
 		if body, ok := r.Body.(*wire.Revision); ok && r.Status == 200 {
-			c.own.contact = c.now
+			c.ownership.lastStateReplyAt = c.now
 			c.learnJob(id, rec, body.Revision)
-			c.hint(id, body.Revision, value)
+			c.sendJobRecordHint(id, body.Revision, value)
 			finish(201, rec.State)
 			return
 		}
@@ -445,16 +445,16 @@
 	})
 }
 
-// hint tells the owner of a new job at once; the watch would in a moment.
-func (c *Core) hint(id string, mark uint64, record []byte) {
+// sendJobRecordHint tells the owner of a new job at once; the watch would in a moment.
+func (c *Controller) sendJobRecordHint(id string, modRevision uint64, record []byte) {
 	j := c.jobs.open[id]
 	if j == nil || j.run != nil {
 		return
 	}
-	p := c.peers[c.own.shares[j.share].rec.Label]
+	p := c.peers[c.ownership.shards[j.shard].owner.Label]
 	if p == nil || !c.alive(p) {
 		return
 	}
-	req := peer.Request{From: c.cfg.Label, Hint: &peer.Hint{ID: id, Mark: mark, Record: record}}
+	req := peer.Request{From: c.cfg.Label, JobRecordHint: &peer.JobRecordHint{ID: id, ModRevision: modRevision, Record: record}}
 	c.call(Call{To: ToPeer, Addr: p.label, Req: req, Timeout: micros.Second}, func(Result) {})
 }
--- a/internal/core/worker_contact.go
+++ b/internal/controller/worker_contact.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"garnethitch/internal/micros"
@@ -6,21 +6,21 @@
 )
 
 // A controller that has lost the workers, but not the state service, would hold
-// its shares for as long as that lasts while their machines' leases run out.
+// its shards for as long as that lasts while their machines' leases run out.
 // What tells it from machines that are gone is that the machines try the other
-// controllers. It then lets its duties go, and takes none on before it reaches
+// controllers. It then lets its locks go, and takes none on before it reaches
 // machines again.
 
 // workerContact is whether this node hears the workers.
 type workerContact struct {
-	lost   bool
-	next   micros.Micros
-	busy   bool
-	good   int // probes answered in a row
-	lookAt int
+	lost       bool
+	next       micros.Micros
+	busy       bool
+	good       int // probes answered in a row
+	probeIndex int
 }
 
-func (c *Core) checkWorkerContact() {
+func (c *Controller) checkWorkerContact() {
 	e := &c.contact
 	if c.now < e.next {
 		return
@@ -31,21 +31,21 @@
 		return
 	}
 	silent, elsewhere, all := 0, 0, 0
-	for _, s := range c.own.shares {
-		if c.acting(s.id) == nil {
+	for _, s := range c.ownership.shards {
+		if c.activeShard(s.id) == nil {
 			continue
 		}
 		for _, m := range s.machines {
-			if m.v == nil || m.v.fresh {
+			if m.view == nil || m.view.neverCommanded {
 				continue
 			}
 			all++
-			if c.unheard(m.v) <= c.silence() {
+			if c.sinceLastHeartbeat(m.view) <= c.heartbeatTimeout() {
 				continue
 			}
 			silent++
 			for _, label := range c.cfg.Peers {
-				if p := c.peers[label]; c.alive(p) && !p.withoutWorkers && p.heard[m.id] {
+				if p := c.peers[label]; c.alive(p) && !p.withoutWorkers && p.misdirectedHeartbeats[m.id] {
 					elsewhere++
 					break
 				}
@@ -63,27 +63,27 @@
 		// No peer can be asked. That nearly all machines have fallen silent while the
 		// state service answers is rather this node's network than all of theirs; and
 		// if it is not, nothing is lost (peers refused and workers lost at a time: a
-		// node held its share for 50 s while 10,000 tasks ended with their machines'
+		// node held its shard for 50 s while 10,000 tasks ended with their machines'
 		// leases).
 		return
 	}
-	c.log(Info, "workers are out of reach here, letting duties go", "silent", silent, "machines", all, "elsewhere", elsewhere)
+	c.log(Info, "workers are unreachable from here, releasing locks", "silent", silent, "machines", all, "elsewhere", elsewhere)
 	e.lost, e.good = true, 0
-	for _, s := range c.own.shares {
-		if s.active && !s.handing && c.isMine(&s.role) {
-			c.releaseShare(s)
+	for _, s := range c.ownership.shards {
+		if s.active && !s.releasing && c.isMine(&s.lock) {
+			c.releaseShard(s)
 		}
 	}
-	if l := &c.own.leader; c.isMine(l) {
-		c.own.stepped = l.mark
-		c.dropRole(l, wire.KeyLeader)
+	if l := &c.ownership.leader; c.isMine(l) {
+		c.ownership.steppedDownEpoch = l.ownerEpoch
+		c.releaseLock(l, wire.KeyLeader)
 	}
 }
 
 // probe asks one machine after the other whether it can be reached again.
-func (c *Core) probe() {
+func (c *Controller) probe() {
 	e := &c.contact
-	ids := sortedKeys(c.mach)
+	ids := sortedKeys(c.machines)
 	if e.busy {
 		return
 	}
@@ -91,9 +91,9 @@
 		e.lost = false
 		return
 	}
-	e.lookAt = (e.lookAt + 1) % len(ids)
+	e.probeIndex = (e.probeIndex + 1) % len(ids)
 	e.busy = true
-	c.call(Call{To: ToWorker, Addr: c.mach[ids[e.lookAt]].rec.Addr, Req: Show{}, Timeout: micros.Second}, func(r Result) {
+	c.call(Call{To: ToWorker, Addr: c.machines[ids[e.probeIndex]].rec.Addr, Req: GetHeartbeat{}, Timeout: micros.Second}, func(r Result) {
 		e.busy = false
 		if r.Status != 200 {
 			e.good = 0
@@ -101,7 +101,7 @@
 		}
 		if e.good++; e.good >= 3 {
 			e.lost = false
-			c.log(Info, "workers are within reach again")
+			c.log(Info, "workers are reachable again")
 		}
 	})
 }
--- a/internal/digest/digest.go
+++ b/internal/digest/digest.go
@@ -12,10 +12,10 @@
 	"hash"
 	"strings"
 
-	"garnethitch/internal/core"
+	"garnethitch/internal/controller"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/runtime"
-	"garnethitch/internal/standin"
+	"garnethitch/internal/simulation"
 )
 
 // Head is the first line of a file of digests.
@@ -26,7 +26,7 @@
 
 // Run names one run of the simulation.
 type Run struct {
-	Plan standin.NamedPlan
+	Plan simulation.NamedPlan
 	Seed uint64
 }
 
@@ -46,7 +46,7 @@
 // Play plays one run.
 func Play(run Run) (Digest, error) {
 	recorder := newRecorder()
-	sim := standin.New(run.Plan.WithSeed(run.Seed))
+	sim := simulation.New(run.Plan.WithSeed(run.Seed))
 	sim.Sent = recorder.record
 	sim.Run()
 	if recorder.err != nil {
@@ -75,21 +75,21 @@
 	return hex.EncodeToString(r.hash.Sum(nil)[:hashBytes])
 }
 
-func (r *recorder) record(at micros.Micros, from string, effect core.Effect) {
+func (r *recorder) record(at micros.Micros, from string, effect controller.Effect) {
 	r.messages++
 	r.number(int64(at))
 	r.text(from)
 	switch e := effect.(type) {
-	case core.Answer:
+	case controller.Answer:
 		r.answer(e)
-	case core.Call:
+	case controller.Call:
 		r.call(e)
 	default:
 		r.fail(fmt.Errorf("effect of unknown type %T", effect))
 	}
 }
 
-func (r *recorder) answer(answer core.Answer) {
+func (r *recorder) answer(answer controller.Answer) {
 	contentType, body, err := runtime.EncodeAnswer(answer.Body)
 	r.fail(err)
 	r.text("answer")
@@ -100,7 +100,7 @@
 	r.bytes(body)
 }
 
-func (r *recorder) call(call core.Call) {
+func (r *recorder) call(call controller.Call) {
 	encoded, err := runtime.EncodeCall(call)
 	r.fail(err)
 	r.text(r.target(call.To))
@@ -112,15 +112,15 @@
 }
 
 // target returns a fixed word for each kind of target.
-func (r *recorder) target(to core.Target) string {
+func (r *recorder) target(to controller.Target) string {
 	switch to {
-	case core.ToState:
+	case controller.ToState:
 		return "state"
-	case core.ToCloud:
+	case controller.ToCloud:
 		return "cloud"
-	case core.ToWorker:
+	case controller.ToWorker:
 		return "worker"
-	case core.ToPeer:
+	case controller.ToPeer:
 		return "peer"
 	}
 	r.fail(fmt.Errorf("unknown target %d", to))
@@ -163,7 +163,7 @@
 
 // Runs lists the runs of the plans whose names contain pattern, ordered by plan, then by
 // seed. With seeds 0 it lists few seeds of each plan, and fewer of large ones.
-func Runs(plans []standin.NamedPlan, pattern string, seeds int) []Run {
+func Runs(plans []simulation.NamedPlan, pattern string, seeds int) []Run {
 	var runs []Run
 	for _, plan := range plans {
 		if !strings.Contains(plan.Name, pattern) {
@@ -176,7 +176,7 @@
 	return runs
 }
 
-func seedsOf(plan standin.NamedPlan, wanted int) int {
+func seedsOf(plan simulation.NamedPlan, wanted int) int {
 	switch {
 	case wanted > 0:
 		return wanted
--- a/internal/digest/digest_test.go
+++ b/internal/digest/digest_test.go
@@ -8,7 +8,7 @@
 	"testing"
 
 	"garnethitch/internal/micros"
-	"garnethitch/internal/standin"
+	"garnethitch/internal/simulation"
 )
 
 // recorded reads the lines of the file that "go run ./internal/measure digest" prints.
@@ -29,7 +29,7 @@
 // messages with the recorded ones. The whole file is compared with what the command prints.
 func TestBehaviourIsPreserved(t *testing.T) {
 	lines := recorded(t)
-	plans := standin.RulePlans()
+	plans := simulation.RulePlans()
 	for _, name := range []string{
 		"quiet, jobs parted",
 		"troubles, teams parted",
@@ -43,7 +43,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			i := slices.IndexFunc(plans, func(p standin.NamedPlan) bool { return p.Name == name })
+			i := slices.IndexFunc(plans, func(p simulation.NamedPlan) bool { return p.Name == name })
 			if i < 0 {
 				t.Fatal("no such plan")
 			}
@@ -62,7 +62,7 @@
 func TestEveryRunIsRecorded(t *testing.T) {
 	t.Parallel()
 	lines := recorded(t)
-	runs := Runs(standin.RulePlans(), "", 0)
+	runs := Runs(simulation.RulePlans(), "", 0)
 	if len(lines) != len(runs) {
 		t.Fatalf("%d digests are recorded, want %d", len(lines), len(runs))
 	}
@@ -78,10 +78,10 @@
 // TestHookChangesNothing: a run goes the same way with and without a recorder.
 func TestHookChangesNothing(t *testing.T) {
 	t.Parallel()
-	for _, plan := range standin.RulePlans()[:4] {
-		plain := standin.New(plan.WithSeed(1))
+	for _, plan := range simulation.RulePlans()[:4] {
+		plain := simulation.New(plan.WithSeed(1))
 		plain.Run()
-		recorded := standin.New(plan.WithSeed(1))
+		recorded := simulation.New(plan.WithSeed(1))
 		recorded.Sent = newRecorder().record
 		recorded.Run()
 		if outcomeOf(plain) != outcomeOf(recorded) {
@@ -101,7 +101,7 @@
 	requests string
 }
 
-func outcomeOf(sim *standin.Sim) outcome {
+func outcomeOf(sim *simulation.Simulation) outcome {
 	return outcome{
 		started:  sim.Started,
 		finished: sim.Finished,
--- a/internal/timeline/timeline.go
+++ b/internal/eventqueue/eventqueue.go
@@ -1,5 +1,5 @@
-// Package timeline is the queue of events of a simulation.
-package timeline
+// Package eventqueue is the queue of events of a simulation.
+package eventqueue
 
 import (
 	"container/heap"
--- a/internal/joblog/joblog.go
+++ b/internal/joblog/joblog.go
@@ -50,19 +50,19 @@
 	return b.String()
 }
 
-// Messages that belong to a share or to a whole controller.
+// Messages that belong to a shard or to a whole controller.
 const (
-	messageEntitlement = "share entitlement"
+	messageEntitlement = "shard entitlement"
 	messageLeaseGrant  = "lease granted"
-	messageLeaseLoss   = "lease lost, giving up all duties"
+	messageLeaseLoss   = "lease lost, giving up all locks"
 )
 
-// subjects are the machines and the shares that a job has to do with.
+// subjects are the machines and the shards that a job has to do with.
 type subjects struct {
 	job      string
 	machine  string // only this one; empty: all
 	machines map[string]bool
-	shares   map[string]bool
+	shards   map[string]bool
 }
 
 // names: the line is about the job itself.
@@ -71,7 +71,7 @@
 	return l.value("job") == s.job || strings.HasPrefix(task, s.job+"/")
 }
 
-// note takes the machine and the share of a line about the job.
+// note takes the machine and the shard of a line about the job.
 func (s *subjects) note(l line) {
 	if !s.names(l) {
 		return
@@ -79,8 +79,8 @@
 	if m := l.value("machine"); m != "" {
 		s.machines[m] = true
 	}
-	if share := l.value("share"); share != "" {
-		s.shares[share] = true
+	if shard := l.value("shard"); shard != "" {
+		s.shards[shard] = true
 	}
 }
 
@@ -88,7 +88,7 @@
 func (s *subjects) concerns(l line) bool {
 	switch l.message {
 	case messageEntitlement:
-		return s.shares[l.value("share")]
+		return s.shards[l.value("shard")]
 	case messageLeaseGrant, messageLeaseLoss:
 		return true
 	}
@@ -105,7 +105,7 @@
 // Write writes the course of a job in order of time; where a machine is named, only what
 // concerns that one of the job's machines.
 func Write(out io.Writer, job, machine string, logs []Log) error {
-	s := &subjects{job: job, machine: machine, machines: map[string]bool{}, shares: map[string]bool{}}
+	s := &subjects{job: job, machine: machine, machines: map[string]bool{}, shards: map[string]bool{}}
 	for _, log := range logs {
 		if err := read(log, s.note); err != nil {
 			return err
--- a/internal/joblog/joblog_test.go
+++ b/internal/joblog/joblog_test.go
@@ -6,20 +6,20 @@
 	"testing"
 )
 
-// The course of a job holds what was said of it by all controllers, the reports of
+// The course of a job holds what was said of it by all controllers, the heartbeats of
 // machines that held its tasks, and who might command them; nothing of other jobs.
 func TestWrite(t *testing.T) {
 	logs := map[string]string{
 		"n-0": `time=2026-12-03T10:00:01.000Z level=INFO msg="lease granted" lease=4
-time=2026-12-03T10:00:02.000Z level=INFO msg="share entitlement" share=1 mark=9 may_command=true why=current_view
-time=2026-12-03T10:00:02.000Z level=INFO msg="share entitlement" share=2 mark=9 may_command=true why=current_view
-time=2026-12-03T10:00:05.000Z level=INFO msg="job cancelled" job=job-000001 from=record share=1
-time=2026-12-03T10:00:07.000Z level=DEBUG msg="task exited" task=job-000001/3 machine=vm-1 why=halted
+time=2026-12-03T10:00:02.000Z level=INFO msg="shard entitlement" shard=1 epoch=9 may_command=true reason=current_view
+time=2026-12-03T10:00:02.000Z level=INFO msg="shard entitlement" shard=2 epoch=9 may_command=true reason=current_view
+time=2026-12-03T10:00:05.000Z level=INFO msg="job cancelled" job=job-000001 from=record shard=1
+time=2026-12-03T10:00:07.000Z level=DEBUG msg="task exited" task=job-000001/3 machine=vm-1 reason=halted
 `,
-		"n-1": `time=2026-12-03T10:00:04.000Z level=INFO msg="job cancellation requested" job=job-000001 share=1
+		"n-1": `time=2026-12-03T10:00:04.000Z level=INFO msg="job cancellation requested" job=job-000001 shard=1
 time=2026-12-03T10:00:06.000Z level=DEBUG msg=report machine=vm-1 answered=true
 time=2026-12-03T10:00:06.000Z level=DEBUG msg=report machine=vm-2 answered=true
-time=2026-12-03T10:00:06.500Z level=DEBUG msg="task exited" task=job-000012/3 machine=vm-1 why=done
+time=2026-12-03T10:00:06.500Z level=DEBUG msg="task exited" task=job-000012/3 machine=vm-1 reason=done
 a line of something else
 `,
 	}
@@ -32,11 +32,11 @@
 		t.Fatal(err)
 	}
 	want := `10:00:01.000  n-0  lease granted lease=4
-10:00:02.000  n-0  share entitlement share=1 mark=9 may_command=true why=current_view
-10:00:04.000  n-1  job cancellation requested job=job-000001 share=1
-10:00:05.000  n-0  job cancelled job=job-000001 from=record share=1
+10:00:02.000  n-0  shard entitlement shard=1 epoch=9 may_command=true reason=current_view
+10:00:04.000  n-1  job cancellation requested job=job-000001 shard=1
+10:00:05.000  n-0  job cancelled job=job-000001 from=record shard=1
 10:00:06.000  n-1  report machine=vm-1 answered=true
-10:00:07.000  n-0  task exited task=job-000001/3 machine=vm-1 why=halted
+10:00:07.000  n-0  task exited task=job-000001/3 machine=vm-1 reason=halted
 `
 	if out.String() != want {
 		t.Errorf("got\n%s\nwant\n%s", out.String(), want)
--- a/internal/measure/digest.go
+++ b/internal/measure/digest.go
@@ -4,7 +4,7 @@
 	"fmt"
 
 	"garnethitch/internal/digest"
-	"garnethitch/internal/standin"
+	"garnethitch/internal/simulation"
 )
 
 // digestCommand plays the plans of the simulation's rules and prints a hash of all
@@ -15,9 +15,9 @@
 	Parallel int    `default:"4" help:"How many runs at a time."`
 }
 
-// Run plays the plans and prints one line per run, in an order that is always the same.
+// Run plays the plans and prints one line per run, in a command that is always the same.
 func (d *digestCommand) Run() error {
-	runs := digest.Runs(standin.RulePlans(), d.Plan, d.Seeds)
+	runs := digest.Runs(simulation.RulePlans(), d.Plan, d.Seeds)
 	if len(runs) == 0 {
 		return fmt.Errorf("no plan's name contains %q", d.Plan)
 	}
--- a/internal/measure/main.go
+++ b/internal/measure/main.go
@@ -1,5 +1,5 @@
 // Command measure takes measurements that are too long for the tests. Each prints its
-// figures, writes one report, and stops by itself.
+// figures, writes one heartbeat, and stops by itself.
 //
 //	go run ./internal/measure digest --plan quiet
 //	go run ./internal/measure grants --seeds 50 --grants 2000
--- a/internal/measure/quota.go
+++ b/internal/measure/quota.go
@@ -5,8 +5,8 @@
 	"image/color"
 	"math/rand/v2"
 
+	"garnethitch/internal/eventqueue"
 	"garnethitch/internal/micros"
-	"garnethitch/internal/timeline"
 	"garnethitch/quota"
 
 	"gonum.org/v1/plot"
@@ -32,7 +32,7 @@
 	taskMean    = 4 * sec
 	// writeRate is the store's, for all controllers together.
 	writeRate = 40.0
-	ownerEnds = 40 * sec // and is replaced after takeover
+	ownerEnds = 40 * sec // and is replaced after failover
 	takeover  = 6 * sec
 	lowerAt   = 80 * sec
 	cutFor    = 10 * sec
@@ -58,7 +58,7 @@
 type bench struct {
 	rng     *rand.Rand
 	now     micros.Micros
-	queue   timeline.Queue
+	queue   eventqueue.Queue
 	way     way
 	running [controllers]int
 	dead    int           // the controller that has ended; -1: none
@@ -255,26 +255,26 @@
 
 // allowances: package quota over a simulated store.
 type allowances struct {
-	b       *bench
-	rec     quota.Record
-	mark    uint64
-	count   int
-	ledgers [controllers]*quota.Ledger
-	queues  [controllers][]func()
-	used    [controllers]float64
+	b           *bench
+	rec         quota.Record
+	modRevision uint64
+	count       int
+	ledgers     [controllers]*quota.Ledger
+	queues      [controllers][]func()
+	used        [controllers]float64
 }
 
 const group = "all"
 
 func newAllowances(b *bench) way {
-	a := &allowances{b: b, mark: 1}
+	a := &allowances{b: b, modRevision: 1}
 	a.rec = quota.Record{Definition: quota.Definition{Name: group, Teams: []string{"t"}, Limit: quota.CPULimit(limitBefore)}, Epoch: 1}
 	for i := range a.ledgers {
-		a.ledgers[i] = quota.NewLedger(quota.Config{Shares: controllers, Timing: quota.DefaultTiming()})
-		a.step(i, quota.Held{Share: i})
-		a.step(i, quota.Learned{Group: group, Record: a.rec, Mark: a.mark})
-		a.step(i, quota.Refreshed{Share: i})
-		a.tell(i)
+		a.ledgers[i] = quota.NewLedger(quota.Config{Shards: controllers, Timing: quota.DefaultTiming()})
+		a.step(i, quota.Held{Shard: i})
+		a.step(i, quota.Learned{Group: group, Record: a.rec, ModRevision: a.modRevision})
+		a.step(i, quota.Refreshed{Shard: i})
+		a.reportUsage(i)
 	}
 	return a
 }
@@ -299,9 +299,9 @@
 	}
 }
 
-// tell is what the core does four times a second.
-func (a *allowances) tell(node int) {
-	a.b.after(250*ms, func() { a.tell(node) })
+// reportUsage is what the controller does four times a second.
+func (a *allowances) reportUsage(node int) {
+	a.b.after(250*ms, func() { a.reportUsage(node) })
 	if a.b.dead == node {
 		return
 	}
@@ -309,7 +309,7 @@
 	if n := len(a.queues[node]); n > 0 {
 		team.Waiting = []quota.WaitingTasks{{Size: quota.Amount{CPUs: 1}, Count: n, SinceMS: 1}}
 	}
-	a.step(node, quota.Used{Share: node, Groups: a.ledgers[node].Claims(node, true, []quota.TeamDemand{team})})
+	a.step(node, quota.Used{Shard: node, Groups: a.ledgers[node].Claims(node, true, []quota.TeamDemand{team})})
 }
 
 func (a *allowances) step(node int, in quota.Input) {
@@ -331,10 +331,10 @@
 		switch {
 		case a.b.dead == node || a.b.cut == node || !a.b.mayWrite():
 			out.Outcome = quota.NotSent
-		case a.mark == w.Mark:
-			a.mark++
+		case a.modRevision == w.ModRevision:
+			a.modRevision++
 			a.count++
-			a.rec, out.Outcome, out.Mark = w.Record, quota.Applied, a.mark
+			a.rec, out.Outcome, out.ModRevision = w.Record, quota.Applied, a.modRevision
 			for other := range a.ledgers {
 				a.deliver(other)
 			}
@@ -345,13 +345,13 @@
 
 // deliver brings the record by a read or a watch.
 func (a *allowances) deliver(node int) {
-	rec, mark := a.rec, a.mark
+	rec, modRevision := a.rec, a.modRevision
 	a.b.after(a.b.span(5*ms, 100*ms), func() {
 		if a.b.cut == node || a.b.dead == node {
 			a.b.after(500*ms, func() { a.deliver(node) })
 			return
 		}
-		a.step(node, quota.Learned{Group: group, Record: rec, Mark: mark})
+		a.step(node, quota.Learned{Group: group, Record: rec, ModRevision: modRevision})
 	})
 }
 
--- a/internal/measure/size.go
+++ b/internal/measure/size.go
@@ -3,9 +3,9 @@
 import (
 	"fmt"
 
-	"garnethitch/internal/core"
+	"garnethitch/internal/controller"
 	"garnethitch/internal/micros"
-	"garnethitch/internal/standin"
+	"garnethitch/internal/simulation"
 )
 
 // sizeCommand plays the simulation at production size, beyond what fits into the tests.
@@ -25,12 +25,12 @@
 func (s *sizeCommand) Run() error {
 	breaks := 0
 	for i := range s.Seeds {
-		p := standin.Plan{
+		p := simulation.Plan{
 			Seed: s.First + uint64(i), Nodes: 3, Machines: s.Machines, Up: s.Machines, Jobs: s.Machines / 8, Grown: true, Stale: true,
 			Faults: s.Faults, Fleet: s.Fleet, Slow: s.Slow, StateRPS: s.StateRPS, WriteRPS: s.WriteRPS, Questions: s.Questions,
-			Teams: []core.Team{{Name: "solo"}}, Length: 90 * micros.Second, Rest: 300 * micros.Second,
+			Teams: []controller.Team{{Name: "solo"}}, Length: 90 * micros.Second, Rest: 300 * micros.Second,
 		}
-		sim := standin.New(p)
+		sim := simulation.New(p)
 		sim.Run()
 		fmt.Printf("seed %d: %d tasks started, %d restarts, %d times with little knowledge, %d breaks\n", p.Seed, sim.Started, sim.Restarts, sim.Stale, len(sim.Broken))
 		if s.Questions > 0 {
--- a/internal/measure/soak.go
+++ b/internal/measure/soak.go
@@ -8,7 +8,7 @@
 	"path/filepath"
 	"time"
 
-	"garnethitch/internal/standin"
+	"garnethitch/internal/simulation"
 )
 
 // soakCommand plays soaks of real processes.
@@ -37,7 +37,7 @@
 	}
 	if s.Plan {
 		for _, seed := range seeds {
-			for i, t := range s.plan(seed).Troubles() {
+			for i, t := range s.plan(seed).Faults() {
 				fmt.Printf("seed %d, trouble %d: %s\n", seed, i, t)
 			}
 		}
@@ -47,7 +47,7 @@
 		return err
 	}
 	breaks, cancelled, tasks := 0, 0, 0
-	err := playSeeds(seeds, s.Parallel, s.play, func(seed uint64, r standin.SoakResult) {
+	err := playSeeds(seeds, s.Parallel, s.play, func(seed uint64, r simulation.SoakResult) {
 		fmt.Printf("seed %d, %d controllers: %s\n", seed, s.plan(seed).Nodes, r)
 		for _, line := range r.Broken {
 			fmt.Printf("seed %d: %s\n", seed, line)
@@ -67,21 +67,21 @@
 }
 
 // plan is what a seed is played with.
-func (s *soakCommand) plan(seed uint64) standin.SoakPlan {
-	return standin.SoakPlan{Seed: seed, Nodes: cmp.Or(s.Nodes, nodesFor(seed)), Workers: s.Workers, Questions: s.Questions, StateRPS: s.StateRPS, WriteRPS: s.WriteRPS, Length: time.Duration(s.Minutes * float64(time.Minute)),
+func (s *soakCommand) plan(seed uint64) simulation.SoakPlan {
+	return simulation.SoakPlan{Seed: seed, Nodes: cmp.Or(s.Nodes, nodesFor(seed)), Workers: s.Workers, Questions: s.Questions, StateRPS: s.StateRPS, WriteRPS: s.WriteRPS, Length: time.Duration(s.Minutes * float64(time.Minute)),
 		Binary: s.Binary, Dir: filepath.Join(s.Dir, fmt.Sprintf("seed-%d", seed)), Only: s.Only}
 }
 
 // play plays one seed; what an earlier play left in its directory goes.
-func (s *soakCommand) play(seed uint64) (standin.SoakResult, error) {
+func (s *soakCommand) play(seed uint64) (simulation.SoakResult, error) {
 	p := s.plan(seed)
 	if err := os.RemoveAll(p.Dir); err != nil {
-		return standin.SoakResult{}, err
+		return simulation.SoakResult{}, err
 	}
 	if err := os.MkdirAll(p.Dir, 0o755); err != nil {
-		return standin.SoakResult{}, err
+		return simulation.SoakResult{}, err
 	}
-	return standin.PlaySoak(p)
+	return simulation.PlaySoak(p)
 }
 
 // build builds the program that is to be tried, unless one was named.
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -18,11 +18,11 @@
 // Request is one message to another controller. Exactly one part is set
 // beside From.
 type Request struct {
-	From    string   `msgpack:"f"`
-	Status  *Status  `msgpack:"s,omitempty"`
-	Ask     *Ask     `msgpack:"a,omitempty"`
-	Hint    *Hint    `msgpack:"h,omitempty"`
-	Release *Release `msgpack:"r,omitempty"`
+	From          string         `msgpack:"f"`
+	Status        *Status        `msgpack:"s,omitempty"`
+	Ask           *Ask           `msgpack:"a,omitempty"`
+	JobRecordHint *JobRecordHint `msgpack:"h,omitempty"`
+	Release       *Release       `msgpack:"r,omitempty"`
 	// Quota is asked by the command line, whose From is empty.
 	Quota *QuotaRequest `msgpack:"q,omitempty"`
 }
@@ -59,25 +59,25 @@
 
 // About is what two controllers tell each other in a Status and in its answer.
 type About struct {
-	UptimeUS       int64   `msgpack:"u"`
-	StateOK        bool    `msgpack:"k"`           // the state service answered it of late
-	WithoutWorkers bool    `msgpack:"e,omitempty"` // it does not hear the workers
-	Quota          bool    `msgpack:"y,omitempty"` // it keeps groups of teams
-	Owns           []Owned `msgpack:"o,omitempty"`
-	// Heard are machines of the other node's shares that tried this one of late.
-	Heard []string `msgpack:"h,omitempty"`
+	UptimeUS       int64        `msgpack:"u"`
+	StateOK        bool         `msgpack:"k"`           // the state service answered it of late
+	WithoutWorkers bool         `msgpack:"e,omitempty"` // it does not hear the workers
+	Quota          bool         `msgpack:"y,omitempty"` // it keeps groups of teams
+	Claims         []ShardClaim `msgpack:"o,omitempty"`
+	// MisdirectedMachines are machines of the other node's shards that tried this one of late.
+	MisdirectedMachines []string `msgpack:"h,omitempty"`
 }
 
 // Status is what a controller tells the others about itself, regularly and
-// after it has taken a share.
+// after it has taken a shard.
 type Status struct {
 	About  `msgpack:",inline"`
 	Demand []Demand `msgpack:"d,omitempty"`
-	// Gone are machines whose return the cloud has confirmed to the sender.
-	Gone []string `msgpack:"g,omitempty"`
+	// ReturnedMachines are machines whose return the cloud has confirmed to the sender.
+	ReturnedMachines []string `msgpack:"g,omitempty"`
 	// Cancelled are jobs that the sender knows, by their record, to be cancelled.
 	Cancelled []string `msgpack:"x,omitempty"`
-	// Record are jobs of the sender's shares that need a cancelled one, which it wants
+	// Record are jobs of the sender's shards that need a cancelled one, which it wants
 	// the receiver to record as cancelled. A version that does not know the field
 	// records none, and the sender records them by itself.
 	Record []string `msgpack:"r,omitempty"`
@@ -86,48 +86,48 @@
 	Traces []TraceContext `msgpack:"t,omitempty"`
 }
 
-// TraceContext names the span that others' work belongs under. Share -1: a limit was
-// announced; else that share asks for more.
+// TraceContext names the span that others' work belongs under. Shard -1: a limit was
+// announced; else that shard asks for more.
 type TraceContext struct {
 	Group   string `msgpack:"g"`
-	Share   int    `msgpack:"s"`
+	Shard   int    `msgpack:"s"`
 	Trace   []byte `msgpack:"t"`
 	Span    []byte `msgpack:"p"`
 	BeganUS int64  `msgpack:"b"`
 }
 
-// StatusAck answers a Status. Quiet lists the shares of the Status for which
+// StatusAck answers a Status. Quiet lists the shards of the Status for which
 // the answering node gives no commands and will give none.
 type StatusAck struct {
-	About `msgpack:",inline"`
-	Quiet []int `msgpack:"q,omitempty"`
+	About          `msgpack:",inline"`
+	QuiescedShards []int `msgpack:"q,omitempty"`
 }
 
-// Owned names a share and the mark of its owner key.
-type Owned struct {
-	Share int    `msgpack:"s"`
-	Mark  uint64 `msgpack:"m"`
+// ShardClaim names a shard and the mark of its owner key.
+type ShardClaim struct {
+	Shard      int    `msgpack:"s"`
+	OwnerEpoch uint64 `msgpack:"m"`
 }
 
-// Demand is what a share wants of the fleet.
+// Demand is what a shard wants of the fleet.
 type Demand struct {
-	Share int `msgpack:"s"`
+	Shard int `msgpack:"s"`
 	// Groups are the tasks that wait, alike ones together.
 	Groups []Group `msgpack:"g,omitempty"`
-	// CPUs are all CPUs of the share's usable machines, Busy those in use.
+	// CPUs are all CPUs of the shard's usable machines, Busy those in use.
 	CPUs float64 `msgpack:"c"`
 	Busy float64 `msgpack:"b"`
 	// Booting are the CPUs of machines that have not reported yet.
 	Booting float64 `msgpack:"o,omitempty"`
-	// All counts the share's machines on record, Silent and Doubt those in these
+	// All counts the shard's machines on record, Silent and Doubt those in these
 	// states: the rows of Machines are bounded.
-	All    int `msgpack:"l,omitempty"`
-	Silent int `msgpack:"k,omitempty"`
-	Doubt  int `msgpack:"q,omitempty"`
-	// HeldUS is for how long machines in doubt will hold up older jobs yet, if
+	All          int `msgpack:"l,omitempty"`
+	Silent       int `msgpack:"k,omitempty"`
+	Unreconciled int `msgpack:"q,omitempty"`
+	// BlockedUS is for how long machines in doubt will hold up older jobs yet, if
 	// nothing is heard of them.
-	HeldUS int64  `msgpack:"h,omitempty"`
-	Zones  []Zone `msgpack:"z,omitempty"`
+	BlockedUS int64  `msgpack:"h,omitempty"`
+	Zones     []Zone `msgpack:"z,omitempty"`
 	// RunLeftUS is the work left in running tasks, in CPU microseconds.
 	RunLeftUS int64 `msgpack:"w"`
 	// Guarantee is what its unfinished jobs within their team's guarantee can use.
@@ -137,7 +137,7 @@
 	Machines    []Machine `msgpack:"m,omitempty"`
 }
 
-// Zone counts a share's machines in one zone: all that have been up, and those
+// Zone counts a shard's machines in one zone: all that have been up, and those
 // that are not heard (any more).
 type Zone struct {
 	Name   string `msgpack:"n"`
@@ -161,16 +161,16 @@
 
 // Machine states that an owner reports to the leader.
 const (
-	MachineIdle     = 1 // nothing on it
-	MachineSilent   = 2 // not heard of for a while
-	MachineBad      = 3 // to be replaced: it fails or slows tasks, or is being taken away
-	MachineBusy     = 4
-	MachineDraining = 5 // it takes no more tasks and leaves once it is empty
-	MachineBooting  = 6 // rented, and has not reported yet
-	MachineDoubt    = 7 // on record at a takeover and not settled yet: others' tasks wait for it
+	MachineIdle         = 1 // nothing on it
+	MachineSilent       = 2 // not heard of for a while
+	MachineUnhealthy    = 3 // to be replaced: it fails or slows tasks, or is being taken away
+	MachineBusy         = 4
+	MachineDraining     = 5 // it takes no more tasks and leaves once it is empty
+	MachineBooting      = 6 // rented, and has not reported yet
+	MachineUnreconciled = 7 // on record at a failover and not settled yet: others' tasks wait for it
 )
 
-// Machine is one machine of a share that the leader should know about.
+// Machine is one machine of a shard that the leader should know about.
 type Machine struct {
 	ID      string `msgpack:"i"`
 	State   int    `msgpack:"s"`
@@ -199,14 +199,14 @@
 	Running int    `msgpack:"r,omitempty"`
 }
 
-// Hint tells the owner of a job that was just accepted.
-type Hint struct {
-	ID     string `msgpack:"i"`
-	Mark   uint64 `msgpack:"m"`
-	Record []byte `msgpack:"r"` // the record as stored
+// JobRecordHint tells the owner of a job that was just accepted.
+type JobRecordHint struct {
+	ID          string `msgpack:"i"`
+	ModRevision uint64 `msgpack:"m"`
+	Record      []byte `msgpack:"r"` // the record as stored
 }
 
-// Release asks an owner to let machines go: to another share, or for good. One
+// Release asks an owner to let machines go: to another shard, or for good. One
 // that is not idle is let go only if Drain is set, once it is empty; until then
 // it takes no more tasks, as long as the leader goes on asking.
 type Release struct {
@@ -214,7 +214,7 @@
 	Retire   bool     `msgpack:"r,omitempty"`
 	Drain    bool     `msgpack:"d,omitempty"`
 	Save     bool     `msgpack:"v,omitempty"` // with Drain: stop tasks that can save
-	Share    int      `msgpack:"s"`
+	Shard    int      `msgpack:"s"`
 }
 
 // Encode gives the msgpack form.
--- a/internal/runtime/encoding.go
+++ b/internal/runtime/encoding.go
@@ -6,7 +6,7 @@
 	"net/url"
 	"strconv"
 
-	"garnethitch/internal/core"
+	"garnethitch/internal/controller"
 	"garnethitch/internal/peer"
 	"garnethitch/internal/wire"
 )
@@ -24,8 +24,8 @@
 }
 
 // EncodeCall returns the HTTP form of a call. It is a pure function.
-func EncodeCall(call core.Call) (EncodedCall, error) {
-	if call.To == core.ToPeer {
+func EncodeCall(call controller.Call) (EncodedCall, error) {
+	if call.To == controller.ToPeer {
 		body, err := peer.Encode(call.Req)
 		return EncodedCall{Method: http.MethodPost, Target: "/peer", Body: body}, err
 	}
@@ -79,31 +79,31 @@
 		return post("/multi", r), nil
 	case wire.NewLease:
 		return post("/grants", r), nil
-	case core.RenewLease:
+	case controller.RenewLease:
 		return post("/grants/"+strconv.FormatUint(r.Lease, 10)+"/extend", nil), nil
-	case core.GetKey:
+	case controller.GetKey:
 		return get("/keys/" + r.Key), nil
-	case core.ListKeys:
+	case controller.ListKeys:
 		return get(listKeysTarget(r)), nil
-	case core.Watch:
+	case controller.Watch:
 		return get(watchTarget(r)), nil
-	case core.GetTypes:
+	case controller.GetTypes:
 		return get("/flavors"), nil
-	case core.ListMachines:
+	case controller.ListMachines:
 		return get(listMachinesTarget(r)), nil
-	case core.ReturnMachines:
+	case controller.ReturnMachines:
 		return post("/rentals/return", wire.MachineNames{Machines: r.Machines}), nil
 	case wire.Rental:
 		return post("/rentals", r), nil
-	case wire.Orders:
+	case wire.DirectCommand:
 		return post("/orders", r), nil
-	case core.Show:
+	case controller.GetHeartbeat:
 		return get("/show"), nil
 	}
 	return requestForm{}, fmt.Errorf("runtime: request of unknown type %T", request)
 }
 
-func listKeysTarget(r core.ListKeys) string {
+func listKeysTarget(r controller.ListKeys) string {
 	target := "/keys?starts=" + url.QueryEscape(r.Prefix) + "&most=" + strconv.Itoa(r.Limit)
 	if r.After != "" {
 		target += "&since=" + url.QueryEscape(r.After)
@@ -111,13 +111,13 @@
 	return target
 }
 
-func watchTarget(r core.Watch) string {
+func watchTarget(r controller.Watch) string {
 	return "/watch?starts=" + url.QueryEscape(r.Prefix) +
 		"&since=" + strconv.FormatUint(r.Since, 10) +
 		"&blockMs=" + strconv.FormatInt(r.WaitMS, 10)
 }
 
-func listMachinesTarget(r core.ListMachines) string {
+func listMachinesTarget(r controller.ListMachines) string {
 	target := "/rentals?most=" + strconv.Itoa(r.Limit)
 	if r.After != "" {
 		target += "&since=" + url.QueryEscape(r.After)
--- a/internal/runtime/meter.go
+++ b/internal/runtime/meter.go
@@ -7,7 +7,7 @@
 	"maps"
 	"slices"
 
-	"garnethitch/internal/core"
+	"garnethitch/internal/controller"
 	"garnethitch/internal/micros"
 )
 
@@ -27,7 +27,7 @@
 
 const meterEvery = 10 * micros.Second
 
-func (m *meter) add(in core.Input, at, took micros.Micros, open func() int, log *slog.Logger) {
+func (m *meter) add(in controller.Input, at, took micros.Micros, open func() int, log *slog.Logger) {
 	if !log.Enabled(context.Background(), slog.LevelDebug) {
 		return
 	}
@@ -36,17 +36,17 @@
 	}
 	kind := ""
 	switch in.(type) {
-	case core.Tick:
+	case controller.Tick:
 		kind = "tick"
-	case core.Submit:
+	case controller.SubmitRequest:
 		kind = "submit"
-	case core.Poll:
+	case controller.JobStatusRequest:
 		kind = "poll"
-	case core.Checkin:
+	case controller.Heartbeat:
 		kind = "report"
-	case core.PeerMessage:
+	case controller.PeerRequest:
 		kind = "peer"
-	case core.Result:
+	case controller.Result:
 		kind = "result"
 	default:
 		kind = "other"
--- a/internal/runtime/runtime.go
+++ b/internal/runtime/runtime.go
@@ -1,5 +1,5 @@
-// Package runtime carries out what the core decides: it feeds requests, results
-// and time into the core, sends its calls, writes its answers and logs.
+// Package runtime carries out what the controller decides: it feeds requests, results
+// and time into the controller, sends its calls, writes its answers and logs.
 package runtime
 
 import (
@@ -12,7 +12,7 @@
 
 	"garnethitch/internal/client"
 	"garnethitch/internal/config"
-	"garnethitch/internal/core"
+	"garnethitch/internal/controller"
 	"garnethitch/internal/http1"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/peer"
@@ -29,31 +29,31 @@
 	log   *slog.Logger
 	start time.Time
 
-	mu      sync.Mutex
-	core    *core.Core
-	wakeAt  micros.Micros // what the timer is set to
-	took    micros.Micros // by the step before
-	meter   meter
-	replies map[core.ReplyID]waiting
-	nextID  core.ReplyID
+	mu         sync.Mutex
+	controller *controller.Controller
+	wakeAt     micros.Micros // what the timer is set to
+	took       micros.Micros // by the step before
+	meter      meter
+	replies    map[controller.ReplyID]waitingRequest
+	nextID     controller.ReplyID
 	// calls are under way, by core.Target, and most bounds them: what one side
 	// does not answer must not keep a lease from being renewed.
 	calls, most [4]int
 	timer       *time.Timer
 
-	srv     *server.Server
-	reports *wire.ReportReader // used on the serving goroutine only
-	out     *client.Client     // state, cloud and peers
-	workers *client.Client
-	peers   map[string]string
-	ctx     context.Context
-	tracer  *tracing.Tracer // nil: spans are not wanted
+	srv        *server.Server
+	heartbeats *wire.HeartbeatReader // used on the serving goroutine only
+	out        *client.Client        // state, cloud and peers
+	workers    *client.Client
+	peers      map[string]string
+	ctx        context.Context
+	tracer     *tracing.Tracer // nil: spans are not wanted
 }
 
-// waiting is a request that waits for its answer; report: it is a worker's.
-type waiting struct {
+// waitingRequest is a request that waits for its answer; report: it is a worker's.
+type waitingRequest struct {
 	*server.Reply
-	report bool
+	heartbeat bool
 }
 
 // WithTracer has spans exported.
@@ -64,19 +64,19 @@
 
 // New prepares a controller.
 func New(set config.Settings, opt config.Options, log *slog.Logger, seed uint64) *Runtime {
-	cfg := CoreConfig(set, opt)
-	cfg.LogReports = log != nil && log.Enabled(context.Background(), slog.LevelDebug)
+	cfg := ControllerConfig(set, opt)
+	cfg.LogHeartbeats = log != nil && log.Enabled(context.Background(), slog.LevelDebug)
 	rt := &Runtime{
 		set: set, log: log, start: time.Now(),
-		core:    core.New(cfg, seed),
-		replies: map[core.ReplyID]waiting{},
-		peers:   map[string]string{},
+		controller: controller.New(cfg, seed),
+		replies:    map[controller.ReplyID]waitingRequest{},
+		peers:      map[string]string{},
 	}
 	for _, s := range set.Seeds {
 		rt.peers[s.Label] = s.Address
 	}
 	sz := SizesOf(set)
-	rt.reports = wire.NewReportReader(sz.Lists)
+	rt.heartbeats = wire.NewHeartbeatReader(sz.Lists)
 	outbound := client.Config{
 		MaxIdle: 8, MaxConns: sz.Services, MaxBody: sz.StateBody,
 		IdleTimeout: 20 * time.Second, DialTimeout: 700 * time.Millisecond,
@@ -85,7 +85,7 @@
 	outbound.MaxIdle, outbound.MaxBody, outbound.MaxConns = 1, maxBody, sz.Workers
 	outbound.IdleTimeout = time.Minute // about as long as a task runs
 	rt.workers = client.New(outbound)
-	rt.most = [...]int{core.ToState: sz.StateCalls, core.ToCloud: sz.Services / 8, core.ToWorker: 2 * sz.Asks, core.ToPeer: sz.PeerCalls}
+	rt.most = [...]int{controller.ToState: sz.StateCalls, controller.ToCloud: sz.Services / 8, controller.ToWorker: 2 * sz.Asks, controller.ToPeer: sz.PeerCalls}
 	rt.srv = server.New(server.Config{
 		Addrs:    []string{set.ServeOn, set.InternalAddr},
 		MaxConns: sz.Serve,
@@ -100,37 +100,37 @@
 	return rt
 }
 
-// CoreConfig gives the core what it needs of the settings.
-func CoreConfig(set config.Settings, opt config.Options) core.Config {
+// ControllerConfig gives the controller what it needs of the settings.
+func ControllerConfig(set config.Settings, opt config.Options) controller.Config {
 	cl, sz := set.Cluster, SizesOf(set)
 	state := cl.State.Lowest()
-	cfg := core.Config{
-		Label: set.Label, Shares: cl.Nodes,
-		Lease:       micros.Micros(opt.LeaseMS) * micros.Millisecond,
-		ReportEvery: micros.FromSeconds(cl.Workers.ReportS),
-		WorkerLease: micros.FromSeconds(cl.Workers.LeaseS),
-		Cancel:      micros.FromSeconds(cl.Workers.CancelS),
-		StateRPS:    state.RPS, WriteRPS: state.WriteRPS,
+	cfg := controller.Config{
+		Label: set.Label, Shards: cl.Nodes,
+		Lease:             micros.Micros(opt.LeaseMS) * micros.Millisecond,
+		HeartbeatInterval: micros.FromSeconds(cl.Workers.ReportS),
+		WorkerLease:       micros.FromSeconds(cl.Workers.LeaseS),
+		Cancel:            micros.FromSeconds(cl.Workers.CancelS),
+		StateRPS:          state.RPS, WriteRPS: state.WriteRPS,
 		ValueBytes: int(state.ValueKB * 1024), TxnOps: state.TxnOps,
-		StateCalls: sz.StateCalls * 3 / 4, PeerAsks: sz.PeerCalls * 3 / 4,
-		Asks: sz.Asks, OpenJobs: sz.OpenJobs, FinalJobs: sz.FinalJobs, Reporters: sz.Serve,
+		MaxStateRequests: sz.StateCalls * 3 / 4, MaxPeerQuestions: sz.PeerCalls * 3 / 4,
+		MaxWorkerRequests: sz.Asks, MaxOpenJobs: sz.OpenJobs, MaxFinalJobs: sz.FinalJobs, MaxRegistrations: sz.Serve,
 		CloudRPS: cl.Cloud.RPS, ListLag: micros.FromSeconds(cl.Cloud.ListLagS),
 		SilentReturn: silentReturn(opt),
 		DrainHorizon: micros.FromSeconds(opt.DrainHorizonS),
 		BeginWithin:  micros.FromSeconds(opt.BeginS),
 		IdleReturn:   micros.FromSeconds(opt.IdleReturnS),
-		Quarantine:   micros.FromSeconds(opt.QuarantineS),
+		CordonFor:    micros.FromSeconds(opt.QuarantineS),
 		MaxMachines:  opt.MaxMachines,
 		Quota:        opt.Groups,
 		Trace:        opt.Trace.On(),
-		Urgent:       map[string]micros.Micros{},
-		Finished:     map[string]micros.Micros{},
+		StartWithin:  map[string]micros.Micros{},
+		FinishWithin: map[string]micros.Micros{},
 	}
 	for _, s := range set.Seeds {
 		cfg.Peers = append(cfg.Peers, s.Label)
 	}
 	for _, t := range cl.Teams {
-		cfg.Teams = append(cfg.Teams, core.Team(t))
+		cfg.Teams = append(cfg.Teams, controller.Team(t))
 	}
 	for _, o := range cl.Objectives {
 		switch {
@@ -141,9 +141,9 @@
 			}
 		case o.Class == "":
 		case o.Kind == "wait":
-			strictest(cfg.Urgent, o)
+			strictest(cfg.StartWithin, o)
 		case o.Kind == "finished":
-			strictest(cfg.Finished, o)
+			strictest(cfg.FinishWithin, o)
 		}
 	}
 	return cfg
@@ -157,7 +157,7 @@
 	}
 }
 
-// silentReturn gives the operators' choice, or says that the core is to derive it.
+// silentReturnAfter gives the operators' choice, or says that the controller is to derive it.
 func silentReturn(opt config.Options) micros.Micros {
 	if opt.SilentReturnS == nil {
 		return -1
@@ -171,10 +171,10 @@
 	defer cancel()
 	rt.ctx = ctx
 	rt.mu.Lock()
-	rt.timer = time.AfterFunc(time.Hour, func() { rt.step(core.Tick{}) })
+	rt.timer = time.AfterFunc(time.Hour, func() { rt.step(controller.Tick{}) })
 	rt.mu.Unlock()
 	defer rt.timer.Stop()
-	rt.step(core.Tick{})
+	rt.step(controller.Tick{})
 	go rt.sweep(ctx)
 	return rt.srv.Run(ctx)
 }
@@ -194,9 +194,9 @@
 }
 
 // instant reads both clocks.
-func (rt *Runtime) instant() core.Instant {
+func (rt *Runtime) instant() controller.Instant {
 	now := time.Now()
-	return core.Instant{
+	return controller.Instant{
 		Steady: micros.FromDuration(now.Sub(rt.start)) + micros.Second,
 		Wall:   micros.Micros(now.UnixMicro()),
 	}
@@ -204,24 +204,24 @@
 
 // step feeds one input and carries out what follows. The clock is read under
 // the lock: a process that was frozen must not act on an old reading.
-func (rt *Runtime) step(in core.Input) {
+func (rt *Runtime) step(in controller.Input) {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
 	rt.stepLocked(in)
 }
 
-func (rt *Runtime) stepLocked(in core.Input) {
+func (rt *Runtime) stepLocked(in controller.Input) {
 	at := rt.instant()
 	at.Took = rt.took
-	for _, e := range rt.core.Step(at, in) {
+	for _, e := range rt.controller.Step(at, in) {
 		switch e := e.(type) {
-		case core.Answer:
+		case controller.Answer:
 			rt.answer(e)
-		case core.Call:
+		case controller.Call:
 			rt.call(e)
-		case core.Log:
+		case controller.Log:
 			rt.logLine(e)
-		case core.Span:
+		case controller.Span:
 			if rt.tracer != nil {
 				rt.tracer.Export(e)
 			}
@@ -232,18 +232,18 @@
 	rt.meter.add(in, at.Steady, rt.took, rt.srv.Open, rt.log)
 	// Setting the timer wakes whoever waits for it, which costs system calls: it is
 	// left alone while it is right. After a Tick it has fired and is to be set again.
-	_, fired := in.(core.Tick)
-	if wake := rt.core.Wake(); rt.timer != nil && (fired || wake != rt.wakeAt) {
+	_, fired := in.(controller.Tick)
+	if wake := rt.controller.Wake(); rt.timer != nil && (fired || wake != rt.wakeAt) {
 		rt.wakeAt = wake
 		rt.timer.Reset(max((wake - end).Duration(), time.Millisecond))
 	}
 }
 
-func (rt *Runtime) logLine(e core.Log) {
+func (rt *Runtime) logLine(e controller.Log) {
 	switch e.Level {
-	case core.Debug:
+	case controller.Debug:
 		rt.log.Debug(e.Text, e.Args...)
-	case core.Info:
+	case controller.Info:
 		rt.log.Info(e.Text, e.Args...)
 	default:
 		rt.log.Error(e.Text, e.Args...)
@@ -251,23 +251,23 @@
 }
 
 // ask feeds a request that waits for an answer.
-func (rt *Runtime) ask(r *server.Reply, make func(core.ReplyID) core.Input) {
+func (rt *Runtime) ask(r *server.Reply, make func(controller.ReplyID) controller.Input) {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
 	rt.nextID++
 	in := make(rt.nextID)
-	_, report := in.(core.Checkin)
-	rt.replies[rt.nextID] = waiting{r, report}
+	_, heartbeat := in.(controller.Heartbeat)
+	rt.replies[rt.nextID] = waitingRequest{r, heartbeat}
 	rt.stepLocked(in)
 }
 
-func (rt *Runtime) answer(a core.Answer) {
+func (rt *Runtime) answer(a controller.Answer) {
 	w, ok := rt.replies[a.Reply]
 	if !ok {
 		return
 	}
 	delete(rt.replies, a.Reply)
-	out := server.Answer{Status: a.Status, RetryAfterS: a.RetryAfterS, Spare: w.report}
+	out := server.Answer{Status: a.Status, RetryAfterS: a.RetryAfterS, Spare: w.heartbeat}
 	var err error
 	out.ContentType, out.Body, err = EncodeAnswer(a.Body)
 	if err != nil {
@@ -300,28 +300,32 @@
 		// Users find another node at once; a worker that is turned away from one after
 		// the other loses its lease.
 		req.Keep()
-		rep, err := rt.reports.Parse(msg.Body)
+		heartbeat, err := rt.heartbeats.Parse(msg.Body)
 		if err != nil {
-			rt.log.Debug("report not readable", "error", err)
+			rt.log.Debug("heartbeat not readable", "error", err)
 			r.Send(server.Answer{Status: 400})
 			return
 		}
-		rt.ask(r, func(id core.ReplyID) core.Input { return core.Checkin{Reply: id, Report: rep} })
+		rt.ask(r, func(id controller.ReplyID) controller.Input {
+			return controller.Heartbeat{Reply: id, Heartbeat: heartbeat}
+		})
 	case path == "/ready":
 		if only("GET") {
-			rt.ask(r, func(id core.ReplyID) core.Input { return core.Ready{Reply: id} })
+			rt.ask(r, func(id controller.ReplyID) controller.Input { return controller.ReadinessRequest{Reply: id} })
 		}
 	case path == "/submissions":
 		if !only("POST") {
 			return
 		}
 		sub, serr := wire.ParseSubmission(msg.Body)
-		rt.ask(r, func(id core.ReplyID) core.Input { return core.Submit{Reply: id, Job: sub, Err: serr} })
+		rt.ask(r, func(id controller.ReplyID) controller.Input {
+			return controller.SubmitRequest{Reply: id, Job: sub, Err: serr}
+		})
 	case strings.HasPrefix(path, "/submissions/"):
 		rest := path[len("/submissions/"):]
 		if id, ok := strings.CutSuffix(rest, "/withdraw"); ok && !strings.Contains(id, "/") {
 			if only("POST") {
-				rt.ask(r, func(rid core.ReplyID) core.Input { return core.Withdraw{Reply: rid, ID: id} })
+				rt.ask(r, func(rid controller.ReplyID) controller.Input { return controller.CancelRequest{Reply: rid, ID: id} })
 			}
 			return
 		}
@@ -330,7 +334,9 @@
 			return
 		}
 		if only("GET") {
-			rt.ask(r, func(rid core.ReplyID) core.Input { return core.Poll{Reply: rid, ID: rest} })
+			rt.ask(r, func(rid controller.ReplyID) controller.Input {
+				return controller.JobStatusRequest{Reply: rid, ID: rest}
+			})
 		}
 	default:
 		r.Send(server.Answer{Status: 404})
@@ -352,13 +358,13 @@
 		r.Send(server.Answer{Status: 400})
 		return
 	}
-	rt.ask(r, func(id core.ReplyID) core.Input { return core.PeerMessage{Reply: id, Req: req} })
+	rt.ask(r, func(id controller.ReplyID) controller.Input { return controller.PeerRequest{Reply: id, Req: req} })
 }
 
 // call sends one request in the background and feeds its result back.
-func (rt *Runtime) call(call core.Call) {
+func (rt *Runtime) call(call controller.Call) {
 	if rt.calls[call.To] >= rt.most[call.To] {
-		go rt.step(core.Result{ID: call.ID, NotSent: true})
+		go rt.step(controller.Result{ID: call.ID, NotSent: true})
 		return
 	}
 	rt.calls[call.To]++
@@ -373,41 +379,41 @@
 }
 
 // do makes a call. Anything that is not a well-formed answer counts as none.
-func (rt *Runtime) do(call core.Call) core.Result {
+func (rt *Runtime) do(call controller.Call) controller.Result {
 	out, err := rt.request(call)
 	if err != nil {
 		rt.log.Error("request not encoded", "error", err)
-		return core.Result{NotSent: true}
+		return controller.Result{NotSent: true}
 	}
 	out.Timeout = call.Timeout.Duration()
 	if len(out.Body) > 0 {
 		out.ContentType = cborType
 	}
 	cl := rt.out
-	if call.To == core.ToWorker {
+	if call.To == controller.ToWorker {
 		cl = rt.workers
 	}
 	msg, err := cl.Do(rt.ctx, out)
 	if err != nil {
 		rt.log.Debug("no answer", "method", out.Method, "target", out.Target, "addr", out.Addr, "error", err)
 		if errors.Is(err, http1.ErrBodyLarge) {
-			return core.Result{Status: core.TooLarge}
+			return controller.Result{Status: controller.TooLarge}
 		}
 		if !errors.Is(err, client.ErrBusy) {
 			cl.Forget(out.Addr)
 		}
-		return core.Result{NotSent: errors.Is(err, client.ErrNotSent)}
+		return controller.Result{NotSent: errors.Is(err, client.ErrNotSent)}
 	}
 	res, err := decode(call, msg)
 	if err != nil {
 		rt.log.Error("answer not readable", "method", out.Method, "target", out.Target, "status", msg.Status, "error", err)
-		return core.Result{}
+		return controller.Result{}
 	}
 	return res
 }
 
 // request gives the HTTP form of a call.
-func (rt *Runtime) request(call core.Call) (client.Call, error) {
+func (rt *Runtime) request(call controller.Call) (client.Call, error) {
 	encoded, err := EncodeCall(call)
 	if err != nil {
 		return client.Call{}, err
@@ -416,36 +422,36 @@
 }
 
 // address is where a call is sent to.
-func (rt *Runtime) address(call core.Call) string {
+func (rt *Runtime) address(call controller.Call) string {
 	switch call.To {
-	case core.ToState:
+	case controller.ToState:
 		return rt.set.Endpoints.State
-	case core.ToCloud:
+	case controller.ToCloud:
 		return rt.set.Endpoints.Cloud
-	case core.ToPeer:
+	case controller.ToPeer:
 		return rt.peers[call.Addr]
 	default:
 		return call.Addr
 	}
 }
 
-// decode reads an answer into the type that the core expects for the request.
-func decode(call core.Call, msg http1.Message) (core.Result, error) {
-	res := core.Result{Status: msg.Status}
-	into := func(v any) (core.Result, error) {
+// decode reads an answer into the type that the controller expects for the request.
+func decode(call controller.Call, msg http1.Message) (controller.Result, error) {
+	res := controller.Result{Status: msg.Status}
+	into := func(v any) (controller.Result, error) {
 		if err := wire.Decode(msg.Body, v); err != nil {
-			return core.Result{}, err
+			return controller.Result{}, err
 		}
 		res.Body = v
 		return res, nil
 	}
-	if call.To == core.ToPeer {
+	if call.To == controller.ToPeer {
 		if msg.Status != 200 {
 			return res, nil
 		}
 		var resp peer.Response
 		if err := peer.Decode(msg.Body, &resp); err != nil {
-			return core.Result{}, err
+			return controller.Result{}, err
 		}
 		res.Body = &resp
 		return res, nil
@@ -456,14 +462,14 @@
 			var e struct {
 				Error string `cbor:"error"`
 			}
-			if wire.Decode(msg.Body, &e) == nil && e.Error == string(core.RefusedRental) {
-				res.Body = core.RefusedRental
+			if wire.Decode(msg.Body, &e) == nil && e.Error == string(controller.RefusedRental) {
+				res.Body = controller.RefusedRental
 			}
 			return res, nil
 		}
-	case wire.Orders:
+	case wire.DirectCommand:
 		if msg.Status == 409 {
-			return into(&wire.Report{})
+			return into(&wire.Heartbeat{})
 		}
 	case wire.Txn:
 		if msg.Status == 409 {
@@ -478,24 +484,24 @@
 		return into(&wire.Revision{})
 	case wire.NewLease:
 		return into(&wire.Lease{})
-	case core.GetKey:
+	case controller.GetKey:
 		return into(&wire.KeyValue{})
-	case core.ListKeys:
+	case controller.ListKeys:
 		return into(&wire.KeyList{})
-	case core.Watch:
+	case controller.Watch:
 		return into(&wire.Events{})
-	case core.GetTypes:
+	case controller.GetTypes:
 		return into(&wire.MachineTypes{})
-	case core.ListMachines:
+	case controller.ListMachines:
 		return into(&wire.MachineList{})
 	case wire.Rental:
 		return into(&wire.MachineNames{})
-	case wire.Orders, core.Show:
-		rep, err := wire.ParseReport(msg.Body)
+	case wire.DirectCommand, controller.GetHeartbeat:
+		heartbeat, err := wire.ParseHeartbeat(msg.Body)
 		if err != nil {
-			return core.Result{}, err
+			return controller.Result{}, err
 		}
-		res.Body = &rep
+		res.Body = &heartbeat
 		return res, nil
 	}
 	return res, nil
--- a/internal/runtime/runtime_test.go
+++ b/internal/runtime/runtime_test.go
@@ -11,7 +11,7 @@
 
 // Of several objectives for a class the strictest counts; and what follows from
 // settings does so at any size.
-func TestCoreConfig(t *testing.T) {
+func TestControllerConfig(t *testing.T) {
 	set := config.Settings{Label: "a"}
 	set.Cluster.Nodes = 3
 	set.Cluster.Objectives = []config.Objective{
@@ -32,15 +32,15 @@
 		set.Cluster.Resources.Sockets = tc.sockets
 		opt := config.Defaults()
 		opt.SilentReturnS = tc.silent
-		cfg := CoreConfig(set, opt)
-		if cfg.Asks != tc.asks || cfg.SilentReturn != tc.want {
-			t.Errorf("%d sockets: %d requests to workers, silent machines returned after %d", tc.sockets, cfg.Asks, cfg.SilentReturn)
+		cfg := ControllerConfig(set, opt)
+		if cfg.MaxWorkerRequests != tc.asks || cfg.SilentReturn != tc.want {
+			t.Errorf("%d sockets: %d requests to workers, silent machines returned after %d", tc.sockets, cfg.MaxWorkerRequests, cfg.SilentReturn)
 		}
 		if cfg.GuaranteeWithin != 150*micros.Second {
 			t.Errorf("work within a guarantee is wanted started within %v", cfg.GuaranteeWithin)
 		}
-		if len(cfg.Urgent) != 1 || cfg.Urgent["x"] != 6*micros.Second || len(cfg.Finished) != 1 || cfg.Finished["x"] != 250*micros.Second {
-			t.Errorf("aims %v %v", cfg.Urgent, cfg.Finished)
+		if len(cfg.StartWithin) != 1 || cfg.StartWithin["x"] != 6*micros.Second || len(cfg.FinishWithin) != 1 || cfg.FinishWithin["x"] != 250*micros.Second {
+			t.Errorf("aims %v %v", cfg.StartWithin, cfg.FinishWithin)
 		}
 	}
 }
@@ -100,9 +100,9 @@
 			}
 			// Nothing that stands for a number of machines stands below half as many again.
 			opt := config.Defaults()
-			cfg := CoreConfig(set, opt)
-			if need := tc.machines * 3 / 2; cfg.Reporters < need || cfg.MaxMachines < need {
-				t.Errorf("%d machines may wait for a record and %d be known, of %d", cfg.Reporters, cfg.MaxMachines, need)
+			cfg := ControllerConfig(set, opt)
+			if need := tc.machines * 3 / 2; cfg.MaxRegistrations < need || cfg.MaxMachines < need {
+				t.Errorf("%d machines may wait for a record and %d be known, of %d", cfg.MaxRegistrations, cfg.MaxMachines, need)
 			}
 			if tc.machines > 0 && sz.OpenJobs < 3000 {
 				t.Errorf("%d open jobs at most", sz.OpenJobs)
--- a/internal/runtime/sizes.go
+++ b/internal/runtime/sizes.go
@@ -13,7 +13,7 @@
 // may be left alone with every worker and user.
 type Sizes struct {
 	Services int // connections to the state service, the cloud and the other controllers
-	// StateCalls and PeerCalls bound the calls to the state service and to the other
+	// MaxStateRequests and PeerCalls bound the calls to the state service and to the other
 	// controllers that are under way, out of Services.
 	StateCalls, PeerCalls int
 	Workers               int // connections to workers, kept ones included
@@ -23,7 +23,7 @@
 	// its own. A larger one leads to a fresh listing. Held bounds unparsed input.
 	StateBody int
 	Held      int64
-	// OpenJobs bounds the unfinished jobs, FinalJobs the final states that are kept.
+	// MaxOpenJobs bounds the unfinished jobs, MaxFinalJobs the final states that are kept.
 	OpenJobs, FinalJobs int
 	// Lists bounds the workers' task lists that are remembered, in bytes.
 	Lists int
--- a/internal/standin/cascade.go
+++ b/internal/simulation/cascade.go
@@ -1,9 +1,9 @@
-package standin
+package simulation
 
 import (
 	"slices"
 
-	"garnethitch/internal/core"
+	"garnethitch/internal/controller"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/wire"
 )
@@ -24,12 +24,12 @@
 	Diamonds
 )
 
-// CascadeTrouble is what happens to the owner of most of the jobs at the cancellation.
-type CascadeTrouble int
+// CascadeFault is what happens to the owner of most of the jobs at the cancellation.
+type CascadeFault int
 
-// Troubles of a cascade.
+// Faults of a cascade.
 const (
-	NoTrouble CascadeTrouble = iota
+	NoFault CascadeFault = iota
 	// OwnerEnds: it is away for longer than its lease.
 	OwnerEnds
 	// OwnerReturns: it ends and is back at once.
@@ -47,17 +47,17 @@
 	Shape      CascadeShape
 	Dependents int
 	// Middle cancels a job half-way down instead of the first.
-	Middle  bool
-	Trouble CascadeTrouble
+	Middle bool
+	Fault  CascadeFault
 	// Limited lowers the limits before the jobs are submitted.
 	Limited bool
 	// Roll is the version that a roll begins with, the cancellation coming while it lasts.
 	Roll Release
 }
 
-// away is how many controllers the trouble takes away for longer than a lease.
+// away is how many controllers the fault takes away for longer than a lease.
 func (w Cascade) away() int {
-	switch w.Trouble {
+	switch w.Fault {
 	case OwnerEnds, OwnerCutOff, OwnerRefused:
 		return 1
 	}
@@ -65,7 +65,7 @@
 }
 
 // newCascade submits the jobs, and cancels one of them once all are accepted.
-func (s *Sim) newCascade(w Cascade) {
+func (s *Simulation) newCascade(w Cascade) {
 	s.State.writes = newWriteLimit(s.cfg.WriteRPS)
 	if w.Limited {
 		s.lowerLimits()
@@ -74,11 +74,11 @@
 	add := func(needs ...*user) *user {
 		u := newUser(s, len(s.users))
 		u.sub.Class, u.sub.Team, u.sub.Priority, u.sub.Tasks = "plain", team, "standard", 1
-		u.sub.CPUs, u.sub.OneZone, u.sub.Apart, u.sub.Types, u.sub.Spot = 1, false, false, nil, true
+		u.sub.CPUs, u.sub.SameZone, u.sub.Spread, u.sub.Types, u.sub.Spot = 1, false, false, nil, true
 		u.bad, u.cancels, u.needs = false, false, needs
 		u.runs, u.progress = []micros.Micros{4 * sec}, make([]micros.Micros, 1)
 		for _, d := range needs {
-			u.sub.Dependencies = append(u.sub.Dependencies, d.sub.ID)
+			u.sub.DependsOn = append(u.sub.DependsOn, d.sub.ID)
 		}
 		s.users = append(s.users, u)
 		s.byJob[u.sub.ID] = u
@@ -108,8 +108,8 @@
 	s.after(20*sec, func() { s.startCascade(w, members, target) })
 }
 
-// startCascade cancels a job once all are accepted, and brings the trouble about.
-func (s *Sim) startCascade(w Cascade, members []*user, target *user) {
+// startCascade cancels a job once all are accepted, and brings the fault about.
+func (s *Simulation) startCascade(w Cascade, members []*user, target *user) {
 	for _, u := range members {
 		if !u.accepted {
 			s.after(200*ms, func() { s.startCascade(w, members, target) })
@@ -118,14 +118,14 @@
 	}
 	s.trace("all accepted, %s is cancelled", target.sub.ID)
 	owner := s.ownerOf(members[len(members)-1])
-	target.withdraw()
-	s.after(s.span(0, 300*ms), func() { s.bringAbout(w.Trouble, owner) })
+	target.requestCancel()
+	s.after(s.span(0, 300*ms), func() { s.bringAbout(w.Fault, owner) })
 	s.checkCascade(members, target)
 }
 
-// bringAbout lets a cascade's trouble happen to a controller.
-func (s *Sim) bringAbout(trouble CascadeTrouble, n *Node) {
-	switch trouble {
+// bringAbout lets a cascade's fault happen to a controller.
+func (s *Simulation) bringAbout(fault CascadeFault, n *Node) {
+	switch fault {
 	case OwnerEnds:
 		n.crash(15 * sec)
 	case OwnerReturns:
@@ -142,7 +142,7 @@
 }
 
 // lowerLimits gives the state service its lower limits.
-func (s *Sim) lowerLimits() {
+func (s *Simulation) lowerLimits() {
 	s.trace("the state service lowers its limits")
 	s.State.valueBytes, s.State.txnOps = lowerValue, lowerOps
 	if s.State.writes != nil {
@@ -150,10 +150,10 @@
 	}
 }
 
-// ownerOf is the controller that owns a job's share, as far as the state service knows.
-func (s *Sim) ownerOf(u *user) *Node {
+// ownerOf is the controller that owns a job's shard, as far as the state service knows.
+func (s *Simulation) ownerOf(u *user) *Node {
 	for _, n := range s.Nodes {
-		if n.core != nil && n.core.Owns(u.sub.ID) {
+		if n.controller != nil && n.controller.Owns(u.sub.ID) {
 			return n
 		}
 	}
@@ -162,12 +162,12 @@
 
 // checkCascade: when the time of the cancellation is over, all that need the job stand as
 // cancelled, and nothing else does.
-func (s *Sim) checkCascade(members []*user, target *user) {
-	if target.cancelTold == 0 {
+func (s *Simulation) checkCascade(members []*user, target *user) {
+	if target.cancelConfirmed == 0 {
 		s.after(100*ms, func() { s.checkCascade(members, target) })
 		return
 	}
-	s.after(target.cancelTold+s.cfg.Cancel-s.now, func() {
+	s.after(target.cancelConfirmed+s.cfg.Cancel-s.now, func() {
 		late := 0
 		for _, u := range members {
 			cancelled := s.recordOf(u).State == wire.StateCancelled
@@ -185,12 +185,12 @@
 		if late > 0 {
 			s.broken("orphaned: %d of %d jobs are not cancelled %v s after the one that they need", late, len(members), s.cfg.Cancel.Seconds())
 		}
-		members[0].withdraw() // what is left would take hours to run in order
+		members[0].requestCancel() // what is left would take hours to run in order
 	})
 }
 
-// recordOf is a job's record in the state service.
-func (s *Sim) recordOf(u *user) (rec wire.JobRecord) {
+// recordSetOf is a job's record in the state service.
+func (s *Simulation) recordOf(u *user) (rec wire.JobRecord) {
 	if e := s.State.keys[wire.JobKey(u.sub.ID)]; e != nil {
 		if err := wire.Decode(e.value, &rec); err != nil {
 			s.broken("record of %s: %v", u.sub.ID, err)
@@ -219,8 +219,8 @@
 }
 
 // bound is how many dependents the settings allow for a cascade.
-func (s *Sim) bound(w Cascade) int {
+func (s *Simulation) bound(w Cascade) int {
 	cfg := s.config(true)
 	cfg.Peers = make([]string, s.plan.Nodes-1)
-	return core.CancellableDependents(cfg, w.away(), 0)
+	return controller.CancellableDependents(cfg, w.away(), 0)
 }
--- a/internal/standin/checks.go
+++ b/internal/simulation/checks.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"cmp"
@@ -11,7 +11,7 @@
 
 // The rules that the simulation checks.
 
-// knownFor is how long, once troubles are over, no question about an accepted
+// knownFor is how long, once faults are over, no question about an accepted
 // job may go unanswered; startWithin is when the largest jobs must have begun.
 const (
 	knownFor    = 75 * sec
@@ -19,7 +19,7 @@
 )
 
 // checkKnown: an accepted job that was not cancelled stays known.
-func (s *Sim) checkKnown() {
+func (s *Simulation) checkKnown() {
 	for _, u := range s.users {
 		if u.accepted && !u.wasAsked() && s.now > s.plan.Length+knownFor && s.now-max(u.answeredAt, s.plan.Length) > knownFor {
 			s.broken("forgotten: no question about %s was answered for %v s", u.sub.ID, (s.now - u.answeredAt).Seconds())
@@ -31,15 +31,15 @@
 }
 
 // checkServed: at least half of each class, of each team and of each class's
-// largest jobs has been done within a minute after the troubles, or two where
+// largest jobs has been done within a minute after the faults, or two where
 // they come as thick as in a plan of the fleet.
-func (s *Sim) checkServed() {
+func (s *Simulation) checkServed() {
 	within := micros.Minute
 	if s.plan.Fleet {
 		within *= 2
 	}
-	if s.plan.Meet || s.plan.Gap || s.plan.Stale {
-		// Tasks last up to a minute there, not 12 s, and the last trouble may end a
+	if s.plan.ConcurrentFaults || s.plan.Gap || s.plan.Stale {
+		// Tasks last up to a minute there, not 12 s, and the last fault may end a
 		// cancellation's time after Length.
 		within += s.cfg.Cancel + micros.Minute
 	}
@@ -77,7 +77,7 @@
 }
 
 // markLargest finds each class's largest jobs: a quarter, at least one.
-func (s *Sim) markLargest() {
+func (s *Simulation) markLargest() {
 	byClass := map[string][]*user{}
 	for _, u := range s.users {
 		byClass[u.sub.Class] = append(byClass[u.sub.Class], u)
@@ -91,24 +91,24 @@
 }
 
 // here tells whether a worker's task is on its machine.
-func (s *Sim) here(w *Worker, t *task) bool {
+func (s *Simulation) here(w *Worker, t *task) bool {
 	return t.onMachine() && !w.dead && w.clock() <= w.began+s.cfg.WorkerLease // a hanging machine's tasks end with its lease, though it tells later
 }
 
 // starting checks the rules at the moment when a task has its image.
-func (s *Sim) starting(w *Worker, t *task) {
+func (s *Simulation) starting(w *Worker, t *task) {
 	s.Started++
 	if u := s.userOf(t.job); u != nil {
 		u.started++
 	}
-	s.trace("start %s attempt %x on %s session %d", t.name, t.attempt, w.id, w.session)
+	s.trace("start %s attempt %x on %s session %d", t.name, t.attempt, w.id, w.agentEpoch)
 	u := s.userOf(t.job)
 	if u == nil {
 		s.broken("invented: %s started, nobody submitted it", t.name)
 		return
 	}
 	s.checkEarly(u, t)
-	if u.cancelTold != 0 && s.now > u.cancelTold+s.cfg.Cancel {
+	if u.cancelConfirmed != 0 && s.now > u.cancelConfirmed+s.cfg.Cancel {
 		s.broken("ran_cancelled: %s starts long after its cancellation", t.name)
 	}
 	zones := s.checkOnce(w, t)
@@ -122,21 +122,21 @@
 
 // checkRenewed: an answer that renews a machine's lease past the time of a cancelled task
 // brings the task's stop. Else the task is gone in time only if all goes well from then on.
-func (s *Sim) checkRenewed(w *Worker) {
+func (s *Simulation) checkRenewed(w *Worker) {
 	ends := s.now + w.began + s.cfg.WorkerLease - w.clock()
-	for _, key := range w.order() {
+	for _, key := range w.directCommand() {
 		t := w.tasks[key]
 		u := s.userOf(t.job)
-		if t.state == wire.TaskExited || u == nil || u.cancelTold == 0 || ends <= u.cancelTold+s.cfg.Cancel+renewalMargin {
+		if t.state == wire.TaskExited || u == nil || u.cancelConfirmed == 0 || ends <= u.cancelConfirmed+s.cfg.Cancel+renewalMargin {
 			continue
 		}
-		s.broken("renewed: the lease of %s, which ends %v s after %s was called cancelled, and %s has not been stopped", w.id, (ends - u.cancelTold).Seconds(), t.job, t.name)
+		s.broken("renewed: the lease of %s, which ends %v s after %s was called cancelled, and %s has not been stopped", w.id, (ends - u.cancelConfirmed).Seconds(), t.job, t.name)
 	}
 }
 
 // checkEndedStop: what a controller stops since its job has ended is of a job that has, or
 // that nobody submitted.
-func (s *Sim) checkEndedStop(n *Node, args []any) {
+func (s *Simulation) checkEndedStop(n *Node, args []any) {
 	s.EndedStops++
 	i := slices.Index(args, any("job"))
 	job, _ := args[i+1].(string)
@@ -147,7 +147,7 @@
 }
 
 // checkOnce: a task runs on one machine only. It gives the job's other tasks by zone.
-func (s *Sim) checkOnce(w *Worker, t *task) map[string]int {
+func (s *Simulation) checkOnce(w *Worker, t *task) map[string]int {
 	zones := map[string]int{}
 	for other, o := range s.onJob[t.job] {
 		if !s.here(o, other) {
@@ -164,7 +164,7 @@
 }
 
 // checkTeamLimit: a team's tasks use no more than its limit.
-func (s *Sim) checkTeamLimit(name string) {
+func (s *Simulation) checkTeamLimit(name string) {
 	for _, team := range s.plan.Teams {
 		if team.Name != name || team.CPUsMax <= 0 {
 			continue
@@ -176,7 +176,7 @@
 }
 
 // usedBy is how many CPUs the tasks of some teams use.
-func (s *Sim) usedBy(teams ...string) (used float64) {
+func (s *Simulation) usedBy(teams ...string) (used float64) {
 	for _, u := range s.users {
 		if !slices.Contains(teams, u.sub.Team) {
 			continue
@@ -191,16 +191,16 @@
 }
 
 // checkPlace: a task starts only where its job allows, given the job's others.
-func (s *Sim) checkPlace(w *Worker, t *task, sub *wire.Submission, zones map[string]int) {
+func (s *Simulation) checkPlace(w *Worker, t *task, sub *wire.Submission, zones map[string]int) {
 	if sub.Types != nil && !slices.Contains(sub.Types, w.typ) || sub.Zone != "" && sub.Zone != w.zone || w.spot && !sub.Spot {
 		s.broken("wrong_place: %s on %s", t.name, w.id)
 	}
 	for z, n := range zones {
-		if sub.OneZone && n > 0 && z != w.zone {
+		if sub.SameZone && n > 0 && z != w.zone {
 			s.broken("wrong_place: %s in %s, others are in %s", t.name, w.zone, z)
 		}
 	}
-	if sub.Apart && zones[w.zone]+1 > (sub.Tasks+1)/2 {
+	if sub.Spread && zones[w.zone]+1 > (sub.Tasks+1)/2 {
 		s.broken("wrong_place: %s is one too many in %s", t.name, w.zone)
 	}
 }
--- a/internal/standin/cluster.go
+++ b/internal/simulation/cluster.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"cmp"
@@ -22,7 +22,7 @@
 	"garnethitch/quota"
 )
 
-// Cluster is several real controllers on loopback sockets, with stand-ins for the state
+// Cluster is several real controllers on loopback sockets, with fakes for the state
 // service, the cloud and the workers, in real time. Each controller reaches the state
 // service by an address of its own, so that it alone can be cut off, or lose answers.
 // What workers run and what the state service says is recorded, to be checked apart.
@@ -68,14 +68,14 @@
 
 // ClusterTimes are the intervals of a cluster's workers; zero values are filled in.
 type ClusterTimes struct {
-	Report, WorkerLease, Cancel, ControllerLease time.Duration
+	HeartbeatInterval, WorkerLease, Cancel, ControllerLease time.Duration
 	// TaskFrom and TaskTo are how long a task runs.
 	TaskFrom, TaskTo time.Duration
 }
 
 // fill sets what was left out.
 func (t *ClusterTimes) fill() {
-	t.Report = cmp.Or(t.Report, 400*time.Millisecond)
+	t.HeartbeatInterval = cmp.Or(t.HeartbeatInterval, 400*time.Millisecond)
 	t.WorkerLease = cmp.Or(t.WorkerLease, 3*time.Second)
 	t.Cancel = cmp.Or(t.Cancel, 10*time.Second)
 	t.ControllerLease = cmp.Or(t.ControllerLease, time.Second)
@@ -89,9 +89,9 @@
 	Team string  // of a task
 	CPUs float64 // of a task: above 0 where it starts, below where it ends
 	// Group, and the record as it was stored.
-	Group  string
-	Record quota.Record
-	Mark   uint64
+	Group       string
+	Record      quota.Record
+	ModRevision uint64
 }
 
 type clusterNode struct {
@@ -124,7 +124,7 @@
 	}
 	_, port, _ := net.SplitHostPort(workers)
 	for i := range p.Machines {
-		m := &clusterMachine{cluster: c, id: fmt.Sprintf("vm-%06d", i), addr: fmt.Sprintf("127.1.%d.%d:%s", i/200, i%200+1, port), session: 1, answeredAt: time.Now(), wake: make(chan struct{}, 1)}
+		m := &clusterMachine{cluster: c, id: fmt.Sprintf("vm-%06d", i), addr: fmt.Sprintf("127.1.%d.%d:%s", i/200, i%200+1, port), agentEpoch: 1, answeredAt: time.Now(), wake: make(chan struct{}, 1)}
 		c.machines = append(c.machines, m)
 		c.byHost[m.addr] = m
 		c.world.machines = append(c.world.machines, &worldMachine{id: m.id, addr: m.addr}) // what the cloud lists
@@ -182,7 +182,7 @@
 		cl := &n.set.Cluster
 		cl.Nodes, cl.Teams, cl.Zones = c.plan.Nodes, teams, zones[:]
 		times := c.plan.Times
-		cl.Workers = config.Workers{ReportS: times.Report.Seconds(), LeaseS: times.WorkerLease.Seconds(), CancelS: times.Cancel.Seconds()}
+		cl.Workers = config.Workers{ReportS: times.HeartbeatInterval.Seconds(), LeaseS: times.WorkerLease.Seconds(), CancelS: times.Cancel.Seconds()}
 		cl.State = config.StateLimits{RPS: cmp.Or(c.plan.StateRPS, 2000), WriteRPS: cmp.Or(c.plan.WriteRPS, 400), ValueKB: 8, TxnOps: 8}
 		cl.Cloud = config.CloudLimits{RPS: 10, ListLagS: 0.2}
 		cl.Resources = config.Resources{CoreShare: 0.5, RAMMB: 128, Sockets: 1024}
@@ -265,14 +265,14 @@
 }
 
 // stored notes a record of a group as the state service takes it.
-func (c *Cluster) stored(key string, value wire.Raw, mark uint64) {
+func (c *Cluster) stored(key string, value wire.Raw, modRevision uint64) {
 	name, ok := strings.CutPrefix(key, wire.PrefixQuota)
 	if !ok {
 		return
 	}
 	var rec quota.Record
 	if wire.Decode(value, &rec) == nil {
-		c.note(HistoryEvent{Group: name, Record: rec, Mark: mark})
+		c.note(HistoryEvent{Group: name, Record: rec, ModRevision: modRevision})
 	}
 }
 
--- a/internal/standin/cluster_faults.go
+++ b/internal/simulation/cluster_faults.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"io"
@@ -11,17 +11,17 @@
 	"garnethitch/internal/wire"
 )
 
-// Troubles of a cluster's parts, in real time.
+// Faults of a cluster's parts, in real time.
 
-// answerTimeout is how long a worker waits for the answer to a report.
+// answerTimeout is how long a worker waits for the answer to a heartbeat.
 const answerTimeout = time.Second
 
 // machineFaults say until when a machine hangs, hears nothing, or reaches no controller.
 type machineFaults struct {
 	mu                               sync.Mutex
 	hungUntil, deafUntil, mutedUntil time.Time
-	copies                           time.Time // until then copies of its reports come late
-	// seldomUntil: until then no order reaches it, and after each answer to a report nothing
+	copies                           time.Time // until then copies of its heartbeats come late
+	// seldomUntil: until then no order reaches it, and after each answer to a heartbeat nothing
 	// does for seldomEvery, so that it is heard about once in a lease.
 	seldomUntil time.Time
 }
@@ -29,7 +29,7 @@
 // seldomEvery is less than a worker's lease in a soak.
 const seldomEvery = 3500 * time.Millisecond
 
-// heardNow notes that a report was answered.
+// heardNow notes that a heartbeat was answered.
 func (f *machineFaults) heardNow() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -70,7 +70,7 @@
 func (m *clusterMachine) deaf() bool { return m.faults.until(&m.faults.deafUntil) > 0 }
 func (m *clusterMachine) mute() bool { return m.faults.until(&m.faults.mutedUntil) > 0 }
 
-// copyLater has a copy of a report arrive again, at any controller; nobody hears the answer.
+// copyLater has a copy of a heartbeat arrive again, at any controller; nobody hears the answer.
 func (m *clusterMachine) copyLater(body []byte) {
 	c := m.cluster
 	if m.faults.until(&m.faults.copies) <= 0 || !c.chance(0.2) {
--- a/internal/standin/cluster_machine.go
+++ b/internal/simulation/cluster_machine.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"io"
@@ -12,21 +12,21 @@
 
 // clusterMachine is a worker that reports to one controller at a time.
 type clusterMachine struct {
-	mu           sync.Mutex
-	cluster      *Cluster
-	id, addr     string
-	node         int
-	links        []*link
-	session, seq uint64
-	token        uint64
-	answeredAt   time.Time // when the last answered report was sent
-	tasks        []clusterTask
-	wake         chan struct{}
-	faults       machineFaults
+	mu                   sync.Mutex
+	cluster              *Cluster
+	id, addr             string
+	node                 int
+	links                []*link
+	agentEpoch, sequence uint64
+	fencingToken         uint64
+	answeredAt           time.Time // when the last answered report was sent
+	tasks                []clusterTask
+	wake                 chan struct{}
+	faults               machineFaults
 }
 
 type clusterTask struct {
-	wire.TaskReport
+	wire.TaskStatus
 	team string
 	stay *Stay // where stays are recorded
 }
@@ -47,27 +47,27 @@
 	m.mu.Lock()
 	m.lapseIfOver(time.Now())
 	status := 200
-	var orders wire.Orders
+	var orders wire.DirectCommand
 	if r.URL.Path == "/orders" {
 		status = 409
-		if wire.Decode(body, &orders) == nil && orders.Token >= m.token && orders.Session == m.session {
+		if wire.Decode(body, &orders) == nil && orders.FencingToken >= m.fencingToken && orders.AgentEpoch == m.agentEpoch {
 			status = 200
-			m.obey(orders.Token, orders.Commands)
+			m.obey(orders.FencingToken, orders.Commands)
 		}
 	}
-	rep := m.report()
+	heartbeat := m.heartbeat()
 	m.mu.Unlock()
-	reply(rw, status, rep)
+	reply(rw, status, heartbeat)
 }
 
-// report is what the machine says; its lock is held.
-func (m *clusterMachine) report() wire.Report {
-	m.seq++
-	rep := wire.Report{Machine: m.id, Addr: m.addr, Type: offer[0].Name, Zone: offer[0].Zones[0], Session: m.session, Seq: m.seq, Token: m.token}
+// heartbeat is what the machine says; its lock is held.
+func (m *clusterMachine) heartbeat() wire.Heartbeat {
+	m.sequence++
+	heartbeat := wire.Heartbeat{Machine: m.id, Addr: m.addr, Type: offer[0].Name, Zone: offer[0].Zones[0], AgentEpoch: m.agentEpoch, Sequence: m.sequence, FencingToken: m.fencingToken}
 	for _, t := range m.tasks {
-		rep.Tasks = append(rep.Tasks, t.TaskReport)
+		heartbeat.Tasks = append(heartbeat.Tasks, t.TaskStatus)
 	}
-	return rep
+	return heartbeat
 }
 
 // run reports until the cluster ends, and lets tasks go with the lease.
@@ -78,12 +78,12 @@
 		m.mu.Lock()
 		sent := time.Now()
 		m.lapseIfOver(sent)
-		rep := m.report()
+		heartbeat := m.heartbeat()
 		m.mu.Unlock()
-		m.checkin(rep, sent)
+		m.sendHeartbeat(heartbeat, sent)
 		select {
 		case <-m.wake:
-		case <-time.After(m.cluster.plan.Times.Report):
+		case <-time.After(m.cluster.plan.Times.HeartbeatInterval):
 		case <-m.cluster.ctx.Done():
 		}
 	}
@@ -103,11 +103,11 @@
 		m.ends(i, "")
 	}
 	m.tasks, m.answeredAt = nil, time.Now()
-	m.session++
+	m.agentEpoch++
 }
 
-func (m *clusterMachine) checkin(rep wire.Report, sent time.Time) {
-	body, err := wire.Encode(rep)
+func (m *clusterMachine) sendHeartbeat(heartbeat wire.Heartbeat, sent time.Time) {
+	body, err := wire.Encode(heartbeat)
 	if err != nil {
 		return
 	}
@@ -122,7 +122,7 @@
 	if m.deaf() || time.Since(sent) > answerTimeout {
 		return // the answer is lost, or too late
 	}
-	var answer wire.ReportAnswer
+	var answer wire.HeartbeatReply
 	if err != nil || msg.Status != 200 || wire.Decode(msg.Body, &answer) != nil {
 		next := (m.node + 1) % len(m.links)
 		var to wire.Redirect
@@ -130,7 +130,7 @@
 			for i, n := range m.cluster.nodes {
 				if n.set.Label == to.ReportTo {
 					next = i
-					m.reportSoon() // sent to it, it reports at once
+					m.heartbeatSoon() // sent to it, it reports at once
 				}
 			}
 		}
@@ -141,24 +141,24 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.lapseIfOver(time.Now())
-	if answer.Token < m.token || rep.Session != m.session {
+	if answer.FencingToken < m.fencingToken || heartbeat.AgentEpoch != m.agentEpoch {
 		return
 	}
 	m.answeredAt = sent
 	m.faults.heardNow()
-	m.obey(answer.Token, answer.Commands)
+	m.obey(answer.FencingToken, answer.Commands)
 }
 
 // obey carries commands out; the machine's lock is held.
-func (m *clusterMachine) obey(token uint64, commands []wire.Command) {
-	m.token = max(m.token, token)
+func (m *clusterMachine) obey(fencingToken uint64, commands []wire.Command) {
+	m.fencingToken = max(m.fencingToken, fencingToken)
 	for _, c := range commands {
 		at := slices.IndexFunc(m.tasks, func(t clusterTask) bool { return t.Task == c.Task && t.Attempt == c.Attempt })
 		switch {
 		case c.Op == wire.OpStart && at < 0:
 			m.begin(c)
 		case c.Op == wire.OpStop && at >= 0:
-			m.ends(at, wire.WhyStopped)
+			m.ends(at, wire.ExitStopped)
 		case c.Op == wire.OpForget && at >= 0:
 			m.tasks = slices.Delete(m.tasks, at, at+1)
 		}
@@ -173,16 +173,16 @@
 			running++
 		}
 	}
-	t := clusterTask{TaskReport: wire.TaskReport{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning}, team: m.cluster.teamOf(c.Task)}
+	t := clusterTask{TaskStatus: wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning}, team: m.cluster.teamOf(c.Task)}
 	if running >= clusterCPUs {
-		t.State, t.Why = wire.TaskExited, wire.WhyNoRoom
+		t.State, t.ExitReason = wire.TaskExited, wire.ExitNoCapacity
 		m.tasks = append(m.tasks, t)
 		return
 	}
 	m.tasks = append(m.tasks, t)
 	m.cluster.note(HistoryEvent{Team: t.team, CPUs: 1})
 	m.tasks[len(m.tasks)-1].stay = m.cluster.stays.begin(c.Task, m.id)
-	session, times := m.session, m.cluster.plan.Times
+	agentEpoch, times := m.agentEpoch, m.cluster.plan.Times
 	runs := times.TaskFrom + time.Duration(m.cluster.draw(int(max((times.TaskTo-times.TaskFrom).Milliseconds(), 1))))*time.Millisecond
 	time.AfterFunc(runs, func() {
 		m.awaitAwake()
@@ -190,15 +190,15 @@
 		defer m.mu.Unlock()
 		m.lapseIfOver(time.Now()) // nothing is completed after the lease
 		at := slices.IndexFunc(m.tasks, func(t clusterTask) bool { return t.Task == c.Task && t.Attempt == c.Attempt })
-		if m.session == session && at >= 0 {
-			m.ends(at, wire.WhyDone)
-			m.reportSoon()
+		if m.agentEpoch == agentEpoch && at >= 0 {
+			m.ends(at, wire.ExitDone)
+			m.heartbeatSoon()
 		}
 	})
 }
 
-// reportSoon has the next report not wait for its time.
-func (m *clusterMachine) reportSoon() {
+// heartbeatSoon has the next heartbeat not wait for its time.
+func (m *clusterMachine) heartbeatSoon() {
 	select {
 	case m.wake <- struct{}{}:
 	default:
@@ -206,12 +206,12 @@
 }
 
 // ends notes a task's end.
-func (m *clusterMachine) ends(at int, why string) {
+func (m *clusterMachine) ends(at int, exitReason string) {
 	t := &m.tasks[at]
 	if t.State != wire.TaskRunning {
 		return
 	}
-	t.State, t.Why = wire.TaskExited, why
+	t.State, t.ExitReason = wire.TaskExited, exitReason
 	m.cluster.note(HistoryEvent{Team: t.team, CPUs: -1})
 	m.cluster.stays.end(t.stay, time.Now())
 }
--- a/internal/standin/cluster_test.go
+++ b/internal/simulation/cluster_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"fmt"
@@ -15,7 +15,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			nodes := []int{3, 2, 5}[seed%3]
-			r, err := PlayGrants(GrantsPlan{Seed: seed + 1, Nodes: nodes, Grants: 600, Most: 25 * time.Second, Troubles: true})
+			r, err := PlayGrants(GrantsPlan{Seed: seed + 1, Nodes: nodes, Grants: 600, Most: 25 * time.Second, Faults: true})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/standin/meetings.go
+++ b/internal/simulation/concurrent_faults.go
@@ -1,29 +1,29 @@
-package standin
+package simulation
 
 import (
 	"fmt"
 	"slices"
 
-	"garnethitch/internal/core"
+	"garnethitch/internal/controller"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/wire"
 )
 
-// Meetings of two troubles: docs/meetings.md lists them. What a plan with Meet adds
-// overlaps with the troubles of single parts.
+// concurrent faults: docs/meetings.md lists them. What a plan with Meet adds
+// overlaps with the faults of single parts.
 
-// meetings is what the troubles of this file leave behind while they last.
-type meetings struct {
-	// lateShare of transactions get no answer until lateUntil: with atOnce they are
+// concurrentFaults is what the faults of this file leave behind while they last.
+type concurrentFaults struct {
+	// lateFraction of transactions get no answer until lateUntil: with atOnce they are
 	// carried out when they come, else 2 to 12 s later. only, if set, is the one
 	// controller that it happens to.
-	lateShare float64
-	lateUntil micros.Micros
-	atOnce    bool
-	only      *Node
-	// kept are copies of reports for the next leader or owner.
+	lateFraction float64
+	lateUntil    micros.Micros
+	atOnce       bool
+	only         *Node
+	// kept are copies of heartbeats for the next leader or owner.
 	keepUntil micros.Micros
-	kept      []*wire.Report
+	kept      []*wire.Heartbeat
 	// closeUntil and endUntil: users look closely, and call jobs off at their end.
 	closeUntil micros.Micros
 	endUntil   micros.Micros
@@ -34,9 +34,9 @@
 }
 
 // lateWrite carries out a transaction without an answer, if it is one of those.
-func (s *Sim) lateWrite(n *Node, call core.Call) bool {
-	m := &s.meet
-	if _, isTxn := call.Req.(wire.Txn); !isTxn || s.now >= m.lateUntil || m.only != nil && m.only != n || !s.chance(m.lateShare) {
+func (s *Simulation) lateWrite(n *Node, call controller.Call) bool {
+	m := &s.concurrent
+	if _, isTxn := call.Req.(wire.Txn); !isTxn || s.now >= m.lateUntil || m.only != nil && m.only != n || !s.chance(m.lateFraction) {
 		return false
 	}
 	m.Late++
@@ -44,34 +44,34 @@
 	if !m.atOnce {
 		d = s.span(2*sec, 12*sec)
 	}
-	s.after(d, func() { s.serve(call, func(core.Result) {}) })
+	s.after(d, func() { s.serve(call, func(controller.Result) {}) })
 	return true
 }
 
-// keepReport keeps a copy of a report for the next leader or owner.
-func (s *Sim) keepReport(rep *wire.Report) {
-	if m := &s.meet; s.now < m.keepUntil && len(m.kept) < 400 && s.chance(0.3) {
-		m.kept = append(m.kept, rep)
+// keepHeartbeat keeps a copy of a heartbeat for the next leader or owner.
+func (s *Simulation) keepHeartbeat(heartbeat *wire.Heartbeat) {
+	if m := &s.concurrent; s.now < m.keepUntil && len(m.kept) < 400 && s.chance(0.3) {
+		m.kept = append(m.kept, heartbeat)
 	}
 }
 
 // releaseKept delivers what was kept to every controller, just as a new leader or
 // owner begins, before and after it knows of that. Nobody hears the answers.
-func (s *Sim) releaseKept() {
-	m := &s.meet
+func (s *Simulation) releaseKept() {
+	m := &s.concurrent
 	kept := m.kept
 	m.kept = nil
-	for _, rep := range kept {
+	for _, heartbeat := range kept {
 		for _, n := range s.Nodes {
 			m.Kept++
-			s.after(s.span(0, 60*ms), func() { n.checkin(rep, func(core.Answer) {}) })
+			s.after(s.span(0, 60*ms), func() { n.heartbeat(heartbeat, func(controller.Answer) {}) })
 		}
 	}
 }
 
 // boot is how long a rented machine takes to come up.
-func (s *Sim) boot() micros.Micros {
-	if s.now < s.meet.quickUntil {
+func (s *Simulation) boot() micros.Micros {
+	if s.now < s.concurrent.quickUntil {
 		return s.span(200*ms, 2*sec)
 	}
 	return s.span(sec, 10*sec)
@@ -79,7 +79,7 @@
 
 // cancelNow has users call off jobs that run and have long to go, within a fifth of a
 // second; some of their machines hang for a while from then on.
-func (s *Sim) cancelNow(count int, hang micros.Micros) {
+func (s *Simulation) cancelNow(count int, hang micros.Micros) {
 	left := 3 * sec
 	if s.plan.Gap {
 		left = s.cfg.Cancel + 2*sec
@@ -89,7 +89,7 @@
 		if count == 0 {
 			break
 		}
-		if !u.accepted || u.asked || u.told != "" || len(u.done) == u.sub.Tasks {
+		if !u.accepted || u.asked || u.finalState != "" || len(u.done) == u.sub.Tasks {
 			continue
 		}
 		running := false
@@ -101,8 +101,8 @@
 		}
 		if running {
 			count--
-			s.meet.Cancelled++
-			s.after(s.span(0, 200*ms), u.withdraw)
+			s.concurrent.Cancelled++
+			s.after(s.span(0, 200*ms), u.requestCancel)
 		}
 	}
 	if hang > 0 {
@@ -115,10 +115,10 @@
 }
 
 // maybeCancelAtEnd calls a job off at the moment at which its last task ends.
-func (s *Sim) maybeCancelAtEnd(u *user) {
-	if s.now < s.meet.endUntil && len(u.done) == u.sub.Tasks && !u.asked && s.chance(0.6) {
-		s.meet.AtEnd++
-		u.withdraw()
+func (s *Simulation) maybeCancelAtEnd(u *user) {
+	if s.now < s.concurrent.endUntil && len(u.done) == u.sub.Tasks && !u.asked && s.chance(0.6) {
+		s.concurrent.AtEnd++
+		u.requestCancel()
 		s.after(s.span(0, 5*ms), func() { u.ask(u.node(), nil) })
 		s.after(s.span(0, 5*ms), u.again)
 	}
@@ -129,26 +129,26 @@
 // submission; some cancel at once. No node may answer anything older.
 func (u *user) lookClosely() {
 	s := u.sim
-	if s.now >= s.meet.closeUntil {
+	if s.now >= s.concurrent.closeUntil {
 		return
 	}
 	for i := range 4 {
 		for _, n := range s.Nodes {
-			s.meet.Looks++
+			s.concurrent.Looks++
 			s.after(micros.Micros(i)*ms+s.span(0, ms), func() { u.ask(n, nil) })
 			if i%2 == 0 {
 				s.after(micros.Micros(i)*ms+s.span(0, ms), func() { u.repeat(n) })
 			}
 		}
 	}
-	if u.told == "" && !u.asked && s.chance(0.15) {
-		s.after(s.span(0, 3*ms), u.withdraw)
+	if u.finalState == "" && !u.asked && s.chance(0.15) {
+		s.after(s.span(0, 3*ms), u.requestCancel)
 	}
 }
 
 // oddRequests: submissions that lack a field or fit no machine, repeats that are
 // malformed, cancellations of jobs that are done.
-func (s *Sim) oddRequests(d micros.Micros) {
+func (s *Simulation) oddRequests(d micros.Micros) {
 	until := s.now + d
 	var next func()
 	next = func() {
@@ -156,7 +156,7 @@
 			return
 		}
 		s.after(s.span(200*ms, 800*ms), next)
-		s.meet.Odd++
+		s.concurrent.Odd++
 		u := s.users[s.rng.IntN(len(s.users))]
 		n := s.Nodes[s.rng.IntN(len(s.Nodes))]
 		unknown := fmt.Sprintf("job-%06d", 700000+s.rng.IntN(1000))
@@ -168,25 +168,25 @@
 			id = u.sub.ID
 		}
 		sub.ID = id
-		told := u.told
-		u.requestAt(n, func(r core.ReplyID) core.Input {
+		finalState := u.finalState
+		u.requestAt(n, func(r controller.ReplyID) controller.Input {
 			if lacking {
-				return core.Submit{Reply: r, Err: &wire.SubmissionError{ID: id, Reason: "a field is missing"}}
+				return controller.SubmitRequest{Reply: r, Err: &wire.SubmissionError{ID: id, Reason: "a field is missing"}}
 			}
-			return core.Submit{Reply: r, Job: sub}
-		}, 5*sec, func(a core.Answer, ok bool) {
+			return controller.SubmitRequest{Reply: r, Job: sub}
+		}, 5*sec, func(a controller.Answer, ok bool) {
 			switch {
 			case !ok:
 			case repeats && (a.Status == 400 || a.Status == 422 || a.Status == 404):
 				s.broken("forgotten: an odd repeat of %s got %d", id, a.Status)
 			case repeats:
-				u.hear(a, told)
+				u.hear(a, finalState)
 			case a.Status == 200 || a.Status == 201:
 				s.broken("accepted though it can't run: %s got %d", id, a.Status)
 			}
 		})
-		if u.told == wire.StateDone {
-			u.requestAt(n, func(r core.ReplyID) core.Input { return core.Withdraw{Reply: r, ID: u.sub.ID} }, 5*sec, func(a core.Answer, ok bool) {
+		if u.finalState == wire.StateDone {
+			u.requestAt(n, func(r controller.ReplyID) controller.Input { return controller.CancelRequest{Reply: r, ID: u.sub.ID} }, 5*sec, func(a controller.Answer, ok bool) {
 				if ok {
 					u.hear(a, wire.StateDone)
 				}
@@ -198,29 +198,29 @@
 
 // checkStarts: no start is sent once the job's user has been told that it is
 // cancelled.
-func (s *Sim) checkStarts(n *Node, commands []wire.Command) {
+func (s *Simulation) checkStarts(n *Node, commands []wire.Command) {
 	for _, c := range commands {
 		if c.Op != wire.OpStart {
 			continue
 		}
 		job, _, err := wire.ParseTask(c.Task)
-		if u := s.userOf(job); err == nil && u != nil && u.cancelTold != 0 {
-			s.broken("%s sends a start of %s %v s after its user was told that it is cancelled", n.label, c.Task, (s.now - u.cancelTold).Seconds())
+		if u := s.userOf(job); err == nil && u != nil && u.cancelConfirmed != 0 {
+			s.broken("%s sends a start of %s %v s after its user was told that it is cancelled", n.label, c.Task, (s.now - u.cancelConfirmed).Seconds())
 		}
 	}
 }
 
-// leftWaiting is how long, once troubles are over, a job may wait beside room.
+// leftWaiting is how long, once faults are over, a job may wait beside room.
 const leftWaiting = 90 * sec
 
 // checkWaiting: no fitting job is left waiting beside a machine that fits and has
 // room, its team under its limit.
-func (s *Sim) checkWaiting() {
+func (s *Simulation) checkWaiting() {
 	if s.now < s.plan.Length+10*sec {
 		return
 	}
 	for _, u := range s.users {
-		if !u.accepted || u.wasAsked() || u.bad || u.told != "" {
+		if !u.accepted || u.wasAsked() || u.bad || u.finalState != "" {
 			continue
 		}
 		if at, ok := u.ready(); !ok || s.now < at+10*sec {
@@ -238,7 +238,7 @@
 }
 
 // waitsBesideRoom: a task of the job is nowhere, and would fit now.
-func (s *Sim) waitsBesideRoom(u *user) bool {
+func (s *Simulation) waitsBesideRoom(u *user) bool {
 	placed, zones := map[int]bool{}, map[string]int{}
 	for t, w := range s.onJob[u.sub.ID] {
 		if t.state != wire.TaskExited && !w.dead {
@@ -263,9 +263,9 @@
 		}
 		elsewhere := false
 		for z, n := range zones {
-			elsewhere = elsewhere || u.sub.OneZone && n > 0 && z != w.zone
+			elsewhere = elsewhere || u.sub.SameZone && n > 0 && z != w.zone
 		}
-		if !elsewhere && (!u.sub.Apart || zones[w.zone]+1 <= (u.sub.Tasks+1)/2) {
+		if !elsewhere && (!u.sub.Spread || zones[w.zone]+1 <= (u.sub.Tasks+1)/2) {
 			return true
 		}
 	}
@@ -273,7 +273,7 @@
 }
 
 // underLimit: the job's team could use one more of its tasks.
-func (s *Sim) underLimit(u *user) bool {
+func (s *Simulation) underLimit(u *user) bool {
 	for _, team := range s.plan.Teams {
 		if team.Name != u.sub.Team || team.CPUsMax <= 0 {
 			continue
@@ -291,26 +291,26 @@
 	return true
 }
 
-// cutReports keeps a part of the machines from reaching any controller, makeUnreachable keeps
+// cutHeartbeats keeps a part of the machines from reaching any controller, makeUnreachable keeps
 // what is sent to them from arriving.
-func (s *Sim) cutReports(part float64, d micros.Micros) {
+func (s *Simulation) cutHeartbeats(part float64, d micros.Micros) {
 	for _, w := range s.some(part) {
 		w.cutOffUntil = s.now + d
-		s.meet.CutReports++
+		s.concurrent.CutReports++
 	}
 }
 
-func (s *Sim) makeUnreachable(part float64, d micros.Micros) {
+func (s *Simulation) makeUnreachable(part float64, d micros.Micros) {
 	for _, w := range s.some(part) {
 		w.unreachableUntil = s.now + d
 		s.Unreachable++
 	}
 }
 
-// owner is the controller that owns most shares and leads, as far as the state
+// owner is the controller that owns most shards and leads, as far as the state
 // service knows.
-func (s *Sim) owner() *Node {
-	holds := s.State.duties()
+func (s *Simulation) owner() *Node {
+	holds := s.State.locksByController()
 	best := s.Nodes[0]
 	for _, n := range s.Nodes {
 		if holds[n.label] > holds[best.label] {
@@ -320,24 +320,24 @@
 	return best
 }
 
-func (s *Sim) lateWrites(share float64, atOnce bool, d micros.Micros) {
-	m := &s.meet
-	m.lateShare, m.atOnce, m.lateUntil, m.only = share, atOnce, s.now+d, nil
+func (s *Simulation) lateWrites(fraction float64, atOnce bool, d micros.Micros) {
+	m := &s.concurrent
+	m.lateFraction, m.atOnce, m.lateUntil, m.only = fraction, atOnce, s.now+d, nil
 }
 
-// scheduleMeetings lets meetings of troubles happen one after the other, in an order
+// scheduleConcurrentFaults lets concurrent faults happen one after the other, in an order
 // that the seed draws.
-func (s *Sim) scheduleMeetings() {
-	list := append(s.meetingsOfOwners(), s.meetingsOfMessages()...)
+func (s *Simulation) scheduleConcurrentFaults() {
+	list := append(s.faultsOfOwners(), s.faultsOfMessages()...)
 	s.rng.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	for i, f := range list[:9] {
 		s.after(s.span(5*sec, 9*sec)+micros.Micros(i)*(s.plan.Length-10*sec)/9, f)
 	}
 }
 
-// meetingsOfOwners are those in which controllers end or change.
-func (s *Sim) meetingsOfOwners() []func() {
-	m := &s.meet
+// faultsOfOwners are those in which controllers end or change.
+func (s *Simulation) faultsOfOwners() []func() {
+	m := &s.concurrent
 	lease := s.cfg.WorkerLease
 	all := func(down micros.Micros) {
 		for _, n := range s.Nodes {
@@ -345,7 +345,7 @@
 		}
 	}
 	return []func(){
-		// A report is held back until a new leader has acted; an old one reaches every
+		// A heartbeat is held back until a new leader has acted; an old one reaches every
 		// controller just as it begins; copies come after newer ones.
 		func() {
 			m.keepUntil = s.now + 20*sec
@@ -368,7 +368,7 @@
 		},
 		// Workers reach no controller, while orders reach them; a leader changes.
 		func() {
-			s.cutReports(0.5, s.span(lease/2, 2*lease))
+			s.cutHeartbeats(0.5, s.span(lease/2, 2*lease))
 			s.after(s.span(0, lease), func() { s.owner().crash(s.span(20*ms, 4*sec)) })
 		},
 		// New machines are up at once while writes lag, and the leader ends.
@@ -400,9 +400,9 @@
 	}
 }
 
-// meetingsOfMessages are those in which messages are late, lost or odd.
-func (s *Sim) meetingsOfMessages() []func() {
-	m := &s.meet
+// faultsOfMessages are those in which messages are late, lost or odd.
+func (s *Simulation) faultsOfMessages() []func() {
+	m := &s.concurrent
 	lease := s.cfg.WorkerLease
 	return []func(){
 		// A leader ends while machines can't be reached, or don't hear the new one's answer.
@@ -437,11 +437,11 @@
 // scheduleGap plays the gap twice. What the owner writes is carried out, but its
 // answers are lost and its watches bring nothing; a moment later it is refused; then
 // the state service is away for all for longer than cancelled tasks may last.
-func (s *Sim) scheduleGap() {
+func (s *Simulation) scheduleGap() {
 	play := func() {
 		n := s.owner()
-		s.meet.Gaps++
-		s.meet.lateShare, s.meet.atOnce, s.meet.lateUntil, s.meet.only = 1, true, s.now+600*ms, n
+		s.concurrent.Gaps++
+		s.concurrent.lateFraction, s.concurrent.atOnce, s.concurrent.lateUntil, s.concurrent.only = 1, true, s.now+600*ms, n
 		s.State.watchCutOff[n.label] = s.now + 10*sec
 		s.after(600*ms, func() { s.State.refuse[n.label] = s.now + s.span(3*sec, 8*sec) })
 		s.cancelNow(6, 0)
--- a/internal/standin/pipelines.go
+++ b/internal/simulation/dags.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"slices"
@@ -9,8 +9,8 @@
 
 // Pipelines of jobs that depend on each other.
 
-// newPipelines adds users whose jobs need each other.
-func (s *Sim) newPipelines() {
+// newDAGs adds users whose jobs need each other.
+func (s *Simulation) newDAGs() {
 	ordinary := slices.Clone(s.users)
 	begin := 5 * sec
 	if s.plan.Roll != Current {
@@ -28,11 +28,11 @@
 			u.sub.Priority = "best_effort"
 		}
 		for _, d := range needs {
-			u.sub.Dependencies = append(u.sub.Dependencies, d.sub.ID)
+			u.sub.DependsOn = append(u.sub.DependsOn, d.sub.ID)
 		}
 		if len(needs) > 0 && s.chance(0.2) {
-			u.sub.Dependencies = append(u.sub.Dependencies, u.sub.Dependencies[0])
-			u.sub.Dependencies = slices.Compact(u.sub.Dependencies)
+			u.sub.DependsOn = append(u.sub.DependsOn, u.sub.DependsOn[0])
+			u.sub.DependsOn = slices.Compact(u.sub.DependsOn)
 		}
 		s.users = append(s.users, u)
 		s.byJob[u.sub.ID] = u
@@ -40,7 +40,7 @@
 		s.after(at, func() { u.submitAfter(late) })
 		return u
 	}
-	for range s.plan.Pipelines {
+	for range s.plan.DAGs {
 		at := s.span(begin, max(begin, s.plan.Length*3/4))
 		var members []*user
 		switch s.rng.IntN(4) {
@@ -76,7 +76,7 @@
 		case d.gaveUp:
 			u.gaveUp = true
 			return
-		case !d.accepted || late && d.told == "":
+		case !d.accepted || late && d.finalState == "":
 			u.sim.after(200*ms, func() { u.submitAfter(late) })
 			return
 		}
@@ -119,14 +119,14 @@
 }
 
 // checkEarly: no task starts before all that its job needs is done.
-func (s *Sim) checkEarly(u *user, t *task) {
+func (s *Simulation) checkEarly(u *user, t *task) {
 	for _, d := range u.needs {
 		if len(d.done) < d.sub.Tasks {
 			s.broken("too_early: %s starts, %d of %d tasks of %s are done", t.name, len(d.done), d.sub.Tasks, d.sub.ID)
 		}
 	}
 	if len(u.needs) > 0 {
-		s.Chained++
+		s.DependentStarts++
 	}
 }
 
@@ -138,8 +138,8 @@
 		return
 	}
 	for _, d := range u.ancestors() {
-		if d.cancelTold != 0 && s.now > d.cancelTold+s.cfg.Cancel {
-			s.broken("orphaned: %s is called %s %v s after %s was called cancelled", u.sub.ID, state, (s.now - d.cancelTold).Seconds(), d.sub.ID)
+		if d.cancelConfirmed != 0 && s.now > d.cancelConfirmed+s.cfg.Cancel {
+			s.broken("orphaned: %s is called %s %v s after %s was called cancelled", u.sub.ID, state, (s.now - d.cancelConfirmed).Seconds(), d.sub.ID)
 		}
 	}
 }
--- a/internal/standin/faults.go
+++ b/internal/simulation/faults.go
@@ -1,13 +1,13 @@
-package standin
+package simulation
 
 import (
 	"garnethitch/internal/micros"
 )
 
-// Troubles that hit single parts, drawn by the seed.
+// Faults that hit single parts, drawn by the seed.
 
 // pause is how long a machine is away: often it is back within a moment.
-func (s *Sim) pause() micros.Micros {
+func (s *Simulation) pause() micros.Micros {
 	if s.chance(0.3) {
 		return s.span(50*ms, 800*ms)
 	}
@@ -15,14 +15,14 @@
 }
 
 // scheduleFaults draws what goes wrong, overlapping as it comes.
-func (s *Sim) scheduleFaults() {
+func (s *Simulation) scheduleFaults() {
 	n := 6 + s.rng.IntN(9)
 	for range n {
 		s.after(s.span(5*sec, s.plan.Length), s.fault)
 	}
 }
 
-// faultKind is one of the troubles that fault draws, each as often as it is listed.
+// faultKind is one of the faults that fault draws, each as often as it is listed.
 type faultKind int
 
 const (
@@ -39,9 +39,9 @@
 	faultMachine
 	faultMachineAgain
 	faultRefused
-	faultLateOrders
+	faultLateCommands
 	faultLosesState
-	faultLostOrders
+	faultLostCommandReplies
 	faultUnreachableMachines
 	faultOnlyWorkersLeft
 	faultBackAtOnce
@@ -49,8 +49,8 @@
 	faultKinds
 )
 
-// fault brings one trouble about.
-func (s *Sim) fault() {
+// fault brings one fault about.
+func (s *Simulation) fault() {
 	n := s.Nodes[s.rng.IntN(len(s.Nodes))]
 	mode := cutHold
 	if s.chance(0.4) {
@@ -62,9 +62,9 @@
 	switch what {
 	case faultMachine, faultMachineAgain:
 		s.machineFault(mode)
-	case faultLostOrders, faultUnreachableMachines, faultLateReports:
+	case faultLostCommandReplies, faultUnreachableMachines, faultLateReports:
 		s.messageFault(what, d)
-	case faultCutFromState, faultCutFromWorkers, faultCutFromAll, faultCutFromPeers, faultLateOrders, faultLosesState, faultOnlyWorkersLeft:
+	case faultCutFromState, faultCutFromWorkers, faultCutFromAll, faultCutFromPeers, faultLateCommands, faultLosesState, faultOnlyWorkersLeft:
 		s.cutFault(what, n, mode, d)
 	default:
 		s.processFault(what, n, d)
@@ -72,7 +72,7 @@
 }
 
 // processFault ends controllers, or takes a service away.
-func (s *Sim) processFault(what faultKind, n *Node, d micros.Micros) {
+func (s *Simulation) processFault(what faultKind, n *Node, d micros.Micros) {
 	switch what {
 	case faultCrash, faultCrashAgain:
 		n.crash(s.span(50*ms, 6*sec))
@@ -84,7 +84,7 @@
 		for i, o := range s.Nodes {
 			s.after(micros.Micros(i)*8*sec, func() { o.crash(s.span(50*ms, 4*sec)) })
 		}
-	case faultBackAtOnce: // and so are the others while its duties are being taken
+	case faultBackAtOnce: // and so are the others while its locks are being taken
 		n.crash(s.span(20*ms, 400*ms))
 		for _, o := range s.Nodes {
 			if o != n {
@@ -101,7 +101,7 @@
 }
 
 // cutFault cuts a controller off.
-func (s *Sim) cutFault(what faultKind, n *Node, mode cutMode, d micros.Micros) {
+func (s *Simulation) cutFault(what faultKind, n *Node, mode cutMode, d micros.Micros) {
 	state := n.label + "-state"
 	switch what {
 	case faultCutFromState:
@@ -112,7 +112,7 @@
 		s.cut(append(append(n.workerLinks(), n.peerLinks()...), state, n.label+"-cloud"), mode, d)
 	case faultCutFromPeers:
 		s.cut(n.peerLinks(), mode, d)
-	case faultLateOrders: // its messages to workers are held back, it ends, and they arrive after a successor's
+	case faultLateCommands: // its messages to workers are held back, it ends, and they arrive after a successor's
 		s.cut(n.workerLinks(), cutHold, s.span(4*sec, 14*sec))
 		s.after(s.span(100*ms, 3*sec), func() { n.crash(s.span(4*sec, 20*sec)) })
 	case faultLosesState: // for good; it comes back with an old view, and soon owns again
@@ -123,7 +123,7 @@
 }
 
 // machineFault is something that happens to one machine.
-func (s *Sim) machineFault(mode cutMode) {
+func (s *Simulation) machineFault(mode cutMode) {
 	if len(s.names) == 0 {
 		return
 	}
@@ -147,20 +147,20 @@
 }
 
 // messageFault loses or delays messages of machines.
-func (s *Sim) messageFault(what faultKind, d micros.Micros) {
+func (s *Simulation) messageFault(what faultKind, d micros.Micros) {
 	switch what {
-	case faultUnreachableMachines: // their reports arrive; answers and commands don't reach them
+	case faultUnreachableMachines: // their heartbeats arrive; answers and commands don't reach them
 		for range min(len(s.names), 1+s.rng.IntN(4)) {
 			w := s.workers[s.names[s.rng.IntN(len(s.names))]]
 			w.unreachableUntil = s.now + s.span(4*sec, 30*sec)
 			s.Unreachable++
 		}
-	case faultLateReports: // copies of reports come late, to any node
+	case faultLateReports: // copies of heartbeats come late, to any node
 		s.copiesUntil = s.now + d
-	case faultLostOrders: // answers of one machine are lost for a while
+	case faultLostCommandReplies: // answers of one machine are lost for a while
 		if len(s.names) > 0 {
 			w := s.names[s.rng.IntN(len(s.names))]
-			s.lostOrders[w] = s.now + s.span(2*sec, 10*sec)
+			s.lostCommandReplies[w] = s.now + s.span(2*sec, 10*sec)
 		}
 	}
 }
--- a/internal/standin/fleet.go
+++ b/internal/simulation/fleet.go
@@ -1,13 +1,13 @@
-package standin
+package simulation
 
 import (
 	"slices"
 
-	"garnethitch/internal/core"
+	"garnethitch/internal/controller"
 	"garnethitch/internal/micros"
 )
 
-// Troubles that hit many at a time: a zone, a part of the fleet, all controllers.
+// Faults that hit many at a time: a zone, a part of the fleet, all controllers.
 
 var zones = [...]string{"east", "west"}
 
@@ -16,7 +16,7 @@
 // cutZone parts a zone from everything: its machines from the controllers
 // outside, and the controllers inside from the services, the users and the
 // others. What is inside goes on among itself.
-func (s *Sim) cutZone(zone string, mode cutMode, d micros.Micros) {
+func (s *Simulation) cutZone(zone string, mode cutMode, d micros.Micros) {
 	s.trace("zone %s is cut off for %v s, mode %d", zone, d.Seconds(), mode)
 	s.ZoneCuts++
 	var links []string
@@ -41,7 +41,7 @@
 }
 
 // some draws a part of the machines that are up.
-func (s *Sim) some(part float64) (out []*Worker) {
+func (s *Simulation) some(part float64) (out []*Worker) {
 	for _, name := range s.names {
 		if w := s.workers[name]; !w.dead && s.now >= w.upAt && s.chance(part) {
 			out = append(out, w)
@@ -52,21 +52,21 @@
 
 // massDeath ends a part of the fleet in one go, massHang stops it for a while,
 // and massTaken has the cloud take back a part of the cheap machines.
-func (s *Sim) massDeath(part float64) {
+func (s *Simulation) massDeath(part float64) {
 	for _, w := range s.some(part) {
 		w.dead = true
 		s.Died++
 	}
 }
 
-func (s *Sim) massHang(part float64, d micros.Micros) {
+func (s *Simulation) massHang(part float64, d micros.Micros) {
 	for _, w := range s.some(part) {
 		w.hungUntil = s.now + d
 		s.Hung++
 	}
 }
 
-func (s *Sim) massTaken(part float64) {
+func (s *Simulation) massTaken(part float64) {
 	for _, w := range s.some(part) {
 		if w.spot {
 			w.notice(s.span(0, 6*sec))
@@ -77,7 +77,7 @@
 // freeze stops a process while its clocks run on. What comes in meanwhile waits,
 // and is met all at once.
 func (n *Node) freeze(d micros.Micros) {
-	if n.core == nil {
+	if n.controller == nil {
 		return
 	}
 	n.sim.trace("%s stands still for %v s", n.label, d.Seconds())
@@ -91,9 +91,9 @@
 		waiting := n.waiting
 		n.waiting = nil
 		if n.sim.chance(0.5) {
-			waiting = append(waiting, core.Tick{})
+			waiting = append(waiting, controller.Tick{})
 		} else {
-			waiting = slices.Insert(waiting, 0, core.Input(core.Tick{}))
+			waiting = slices.Insert(waiting, 0, controller.Input(controller.Tick{}))
 		}
 		for i, in := range waiting {
 			// A fraction of a core takes its time for thousands of inputs.
@@ -107,15 +107,15 @@
 }
 
 // scheduleFleetFaults lets what hits many happen one upon the other, in an order
-// that the seed draws, beside the troubles of single parts.
-func (s *Sim) scheduleFleetFaults() {
+// that the seed draws, beside the faults of single parts.
+func (s *Simulation) scheduleFleetFaults() {
 	all := func(down micros.Micros) {
 		for _, n := range s.Nodes {
 			n.crash(s.span(20*ms, down))
 		}
 	}
 	someNode := func() *Node { return s.Nodes[s.rng.IntN(len(s.Nodes))] }
-	troubles := []func(){
+	faults := []func(){
 		func() { s.cutZone(s.zone(), cutHold, s.span(8*sec, 30*sec)) },
 		func() { s.cutZone(s.zone(), cutReset, s.span(4*sec, 20*sec)) },
 		func() { s.massDeath(0.1) },
@@ -137,7 +137,7 @@
 			}
 		},
 	}
-	for _, f := range troubles {
+	for _, f := range faults {
 		s.after(s.span(10*sec, s.plan.Length), f)
 	}
 	// A zone is cut off while all controllers are restarted.
--- a/internal/standin/grants.go
+++ b/internal/simulation/grants.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"context"
@@ -17,9 +17,9 @@
 	Grants int // enough
 	// Most is how long it may take.
 	Most time.Duration
-	// Troubles ends and cuts off controllers, loses answers and changes limits; without,
+	// Faults ends and cuts off controllers, loses answers and changes limits; without,
 	// the limit stays.
-	Troubles bool
+	Faults bool
 }
 
 // GrantsResult is what came about.
@@ -42,7 +42,7 @@
 // started, and checks what was recorded.
 func PlayGrants(p GrantsPlan) (GrantsResult, error) {
 	plan := ClusterPlan{Seed: p.Seed, Nodes: p.Nodes, Machines: 24, Teams: []string{"kigali", "rubavu", "karongi"}, Groups: GrantGroups()}
-	if p.Troubles {
+	if p.Faults {
 		plan.LostAnswers = 0.03
 	}
 	c, err := NewCluster(plan)
@@ -55,12 +55,12 @@
 	go func() { feed <- c.feed(p.Grants) }()
 	began := time.Now()
 	for Grants(c.History()) < p.Grants && time.Since(began) < p.Most {
-		if !p.Troubles {
+		if !p.Faults {
 			c.pause(100 * time.Millisecond)
 			continue
 		}
 		c.pause(time.Duration(200+c.draw(500)) * time.Millisecond)
-		c.trouble(&r)
+		c.fault(&r)
 	}
 	r.Took = time.Since(began)
 	history := c.History()
@@ -88,8 +88,8 @@
 	return nil
 }
 
-// trouble brings one trouble about, mostly a limit that changes.
-func (c *Cluster) trouble(r *GrantsResult) {
+// fault brings one fault about, mostly a limit that changes.
+func (c *Cluster) fault(r *GrantsResult) {
 	switch node := c.draw(len(c.nodes)); c.draw(10) {
 	case 0:
 		c.End(node, time.Duration(c.draw(1500))*time.Millisecond)
--- a/internal/standin/groups.go
+++ b/internal/simulation/groups.go
@@ -1,10 +1,10 @@
-package standin
+package simulation
 
 import (
 	"slices"
 	"strings"
 
-	"garnethitch/internal/core"
+	"garnethitch/internal/controller"
 	"garnethitch/internal/peer"
 	"garnethitch/internal/wire"
 	"garnethitch/quota"
@@ -14,7 +14,7 @@
 // is held against the limit that the record in the state service says is in force.
 
 // groupsOver are groups around the teams of a plan.
-func groupsOver(teams []core.Team, cpus float64) []quota.GroupOptions {
+func groupsOver(teams []controller.Team, cpus float64) []quota.GroupOptions {
 	var names []string
 	for _, t := range teams {
 		names = append(names, t.Name)
@@ -31,7 +31,7 @@
 }
 
 // newGroups makes the groups of a plan.
-func (s *Sim) newGroups() {
+func (s *Simulation) newGroups() {
 	if s.plan.Groups == nil {
 		return
 	}
@@ -58,7 +58,7 @@
 
 // changeLimit has an operator set a limit by hand, sometimes two in a row at different
 // controllers.
-func (s *Sim) changeLimit() {
+func (s *Simulation) changeLimit() {
 	g := s.plan.Groups[s.rng.IntN(len(s.plan.Groups))]
 	for range 1 + s.rng.IntN(2) {
 		limit := quota.CPULimit(float64(s.rng.IntN(int(*g.Limit.CPUs) + 4)))
@@ -68,16 +68,18 @@
 
 // setLimit asks a controller to set a limit, or to clear what was set, and again if it
 // could not.
-func (s *Sim) setLimit(group string, limit *quota.Limit, again int) {
+func (s *Simulation) setLimit(group string, limit *quota.Limit, again int) {
 	n := s.Nodes[s.rng.IntN(len(s.Nodes))]
 	req := peer.QuotaRequest{Set: &peer.SetLimit{Group: group, Clear: limit == nil}}
 	if limit != nil {
 		req.Set.Limit = *limit
 	}
 	s.trace("operator sets %s to %v at %s", group, limit, n.label)
-	exchange(s, "user-"+n.label, 5*sec, func(reply func(core.Answer)) {
-		n.ask(func(id core.ReplyID) core.Input { return core.PeerMessage{Reply: id, Req: peer.Request{Quota: &req}} }, reply)
-	}, func(a core.Answer, ok bool) {
+	exchange(s, "user-"+n.label, 5*sec, func(reply func(controller.Answer)) {
+		n.ask(func(id controller.ReplyID) controller.Input {
+			return controller.PeerRequest{Reply: id, Req: peer.Request{Quota: &req}}
+		}, reply)
+	}, func(a controller.Answer, ok bool) {
 		if resp, is := a.Body.(*peer.Response); ok && is && resp.Quota.Problem == "" {
 			s.LimitsSet++
 		} else if again > 0 {
@@ -87,7 +89,7 @@
 }
 
 // noteGroup takes a group's record as it is stored.
-func (s *Sim) noteGroup(key string, value wire.Raw) {
+func (s *Simulation) noteGroup(key string, value wire.Raw) {
 	name, ok := strings.CutPrefix(key, wire.PrefixQuota)
 	if !ok || s.groups == nil {
 		return
@@ -104,7 +106,7 @@
 
 // checkGroup holds what a group's tasks use against the limit in force. Controllers that
 // know no groups are not bound by one.
-func (s *Sim) checkGroup(name string) {
+func (s *Simulation) checkGroup(name string) {
 	rec := s.groups[name]
 	if rec.Applied == nil || rec.Removed || s.plan.Roll != Current {
 		return
@@ -115,14 +117,14 @@
 }
 
 // checkGroupsOf looks at all groups that a team is in.
-func (s *Sim) checkGroupsOf(team string) {
+func (s *Simulation) checkGroupsOf(team string) {
 	for _, g := range s.groupPath(team) {
 		s.checkGroup(g)
 	}
 }
 
 // groupPath gives the groups that a team is in, the innermost first.
-func (s *Sim) groupPath(team string) []string {
+func (s *Simulation) groupPath(team string) []string {
 	for _, g := range s.plan.Groups {
 		if slices.Contains(g.Teams, team) {
 			return groupsAround(s.plan.Groups, g.Name)
@@ -132,12 +134,12 @@
 }
 
 // groupUse is what a group's tasks use.
-func (s *Sim) groupUse(name string) quota.Amount {
+func (s *Simulation) groupUse(name string) quota.Amount {
 	return quota.Amount{CPUs: s.usedBy(membersOf(s.plan.Groups, name)...)}
 }
 
 // underGroups: one more of a job's tasks is within the limits of all its groups.
-func (s *Sim) underGroups(u *user) bool {
+func (s *Simulation) underGroups(u *user) bool {
 	for _, g := range s.groupPath(u.sub.Team) {
 		rec, ok := s.groups[g]
 		if ok && !s.groupUse(g).Plus(quota.Amount{CPUs: u.sub.CPUs}).Within(rec.Limit.Amount()) {
--- a/internal/standin/history.go
+++ b/internal/simulation/history.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"fmt"
--- a/internal/standin/network.go
+++ b/internal/simulation/network.go
@@ -1,7 +1,7 @@
-package standin
+package simulation
 
 import (
-	"garnethitch/internal/core"
+	"garnethitch/internal/controller"
 	"garnethitch/internal/micros"
 )
 
@@ -16,7 +16,7 @@
 )
 
 // delay of one message: mostly short, now and then long.
-func (s *Sim) delay() micros.Micros {
+func (s *Simulation) delay() micros.Micros {
 	if s.plan.Faults && s.chance(0.01) {
 		return s.span(100*ms, 900*ms)
 	}
@@ -25,7 +25,7 @@
 
 // send carries a message over a link named by its ends. Over a link that is
 // cut it vanishes, or is held back and delivered once the cut is over.
-func (s *Sim) send(link string, deliver func()) {
+func (s *Simulation) send(link string, deliver func()) {
 	switch s.cuts[link] {
 	case cutHold:
 		if s.chance(0.8) {
@@ -41,7 +41,7 @@
 	s.after(s.delay(), deliver)
 }
 
-func (s *Sim) cut(links []string, mode cutMode, d micros.Micros) {
+func (s *Simulation) cut(links []string, mode cutMode, d micros.Micros) {
 	for _, l := range links {
 		s.cuts[l] = mode
 	}
@@ -58,7 +58,7 @@
 
 // exchange carries a request and its answer. serve gets a function to answer
 // with; the client gives up after the timeout.
-func exchange[T any](s *Sim, link string, timeout micros.Micros, serve func(reply func(T)), done func(answer T, ok bool)) {
+func exchange[T any](s *Simulation, link string, timeout micros.Micros, serve func(reply func(T)), done func(answer T, ok bool)) {
 	over := false
 	finish := func(v T, ok bool) {
 		if !over {
@@ -74,21 +74,21 @@
 }
 
 // serve lets the called side answer.
-func (s *Sim) serve(call core.Call, reply func(core.Result)) {
+func (s *Simulation) serve(call controller.Call, reply func(controller.Result)) {
 	switch call.To {
-	case core.ToState:
+	case controller.ToState:
 		s.State.serve(call.Req, reply)
-	case core.ToCloud:
+	case controller.ToCloud:
 		s.Cloud.serve(call.Req, reply)
-	case core.ToWorker:
+	case controller.ToWorker:
 		if w := s.workers[call.Addr]; w != nil && s.now >= w.unreachableUntil {
-			w.serve(call.Req, func(r core.Result) {
-				if s.now >= s.lostOrders[w.id] {
+			w.serve(call.Req, func(r controller.Result) {
+				if s.now >= s.lostCommandReplies[w.id] {
 					reply(r)
 				}
 			})
 		}
-	case core.ToPeer:
+	case controller.ToPeer:
 		s.servePeer(call, reply)
 	}
 }
--- a/internal/standin/node.go
+++ b/internal/simulation/node.go
@@ -1,7 +1,7 @@
-package standin
+package simulation
 
 import (
-	"garnethitch/internal/core"
+	"garnethitch/internal/controller"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/wire"
 )
@@ -10,30 +10,30 @@
 
 // Node is one controller.
 type Node struct {
-	sim    *Sim
-	id     int
-	label  string
-	rate   int64 // its steady clock runs this many millionths fast
-	core   *core.Core
-	life   int
-	nextID core.ReplyID
-	answer map[core.ReplyID]func(core.Answer)
-	wake   micros.Micros
-	recent []core.Call
+	sim        *Simulation
+	id         int
+	label      string
+	rate       int64 // its steady clock runs this many millionths fast
+	controller *controller.Controller
+	life       int
+	nextID     controller.ReplyID
+	answer     map[controller.ReplyID]func(controller.Answer)
+	wake       micros.Micros
+	recent     []controller.Call
 	// cost is how long a step takes at present; backlog waits for the one under way.
 	cost    micros.Micros
 	working bool
 	backlog []queuedInput
-	// reports decodes what workers say, as a real controller does.
-	reports *wire.ReportReader
+	// heartbeats decodes what workers say, as a real controller does.
+	heartbeats *wire.HeartbeatReader
 	// frozenUntil: until then the process stands still, and what comes in waits.
 	frozenUntil micros.Micros
-	waiting     []core.Input
+	waiting     []controller.Input
 	release     Release // which version it runs
 }
 
 func (n *Node) start() {
-	if n.core != nil {
+	if n.controller != nil {
 		return
 	}
 	cfg := n.config()
@@ -46,25 +46,25 @@
 	n.life++
 	n.frozenUntil, n.waiting = 0, nil
 	n.working, n.backlog = false, nil
-	n.reports = wire.NewReportReader(1 << 20)
-	n.core = core.New(cfg, n.sim.rng.Uint64())
-	n.answer = map[core.ReplyID]func(core.Answer){}
+	n.heartbeats = wire.NewHeartbeatReader(1 << 20)
+	n.controller = controller.New(cfg, n.sim.rng.Uint64())
+	n.answer = map[controller.ReplyID]func(controller.Answer){}
 	n.wake = micros.Never
-	n.step(core.Tick{})
+	n.step(controller.Tick{})
 }
 
 // crash ends the process without a word. Some of what it sent may be repeated.
 func (n *Node) crash(down micros.Micros) {
-	if n.core == nil {
+	if n.controller == nil {
 		return
 	}
-	n.sim.noteStateRequests(n.core)
-	n.core, n.answer = nil, nil
+	n.sim.noteStateRequests(n.controller)
+	n.controller, n.answer = nil, nil
 	n.sim.Restarts++
 	n.sim.trace("%s crashes for %v s", n.label, down.Seconds())
 	for _, call := range n.recent {
 		if n.sim.chance(0.2) {
-			n.sim.after(n.sim.span(0, 4*sec), func() { n.sim.serve(call, func(core.Result) {}) })
+			n.sim.after(n.sim.span(0, 4*sec), func() { n.sim.serve(call, func(controller.Result) {}) })
 		}
 	}
 	n.recent = nil
@@ -76,8 +76,8 @@
 	return t + micros.Micros(int64(t)*n.rate/1_000_000)
 }
 
-func (n *Node) step(in core.Input) {
-	if n.core == nil {
+func (n *Node) step(in controller.Input) {
+	if n.controller == nil {
 		return
 	}
 	if n.sim.now < n.frozenUntil {
@@ -92,58 +92,58 @@
 	n.carryOut(in, 0)
 }
 
-func (n *Node) carryOut(in core.Input, took micros.Micros) {
-	at := core.Instant{Steady: n.steady(), Wall: n.sim.now + micros.Micros(n.id)*3*ms, Took: took}
-	effects := n.core.Step(at, in)
-	n.sim.countWork(in, n.core.LastWork())
+func (n *Node) carryOut(in controller.Input, took micros.Micros) {
+	at := controller.Instant{Steady: n.steady(), Wall: n.sim.now + micros.Micros(n.id)*3*ms, Took: took}
+	effects := n.controller.Step(at, in)
+	n.sim.countWork(in, n.controller.LastWork())
 	for _, e := range effects {
 		switch e := e.(type) {
-		case core.Answer:
+		case controller.Answer:
 			n.sent(e)
-			if a, ok := e.Body.(wire.ReportAnswer); ok {
+			if a, ok := e.Body.(wire.HeartbeatReply); ok {
 				n.sim.checkStarts(n, a.Commands)
 			}
 			if f := n.answer[e.Reply]; f != nil {
 				delete(n.answer, e.Reply)
 				f(e)
 			}
-		case core.Call:
+		case controller.Call:
 			n.sent(e)
-			if o, ok := e.Req.(wire.Orders); ok {
+			if o, ok := e.Req.(wire.DirectCommand); ok {
 				n.sim.checkStarts(n, o.Commands)
 			}
 			n.call(e)
-		case core.Log:
+		case controller.Log:
 			n.sim.trace("%s %s %v", n.label, e.Text, e.Args)
-			if e.Level == core.Error && e.Text == core.InvariantBroken {
+			if e.Level == controller.Error && e.Text == controller.InvariantBroken {
 				n.sim.broken("%s: %s %v", n.label, e.Text, e.Args)
 			}
-			if e.Text == core.EndedTaskStopped {
+			if e.Text == controller.EndedTaskStopped {
 				n.sim.checkEndedStop(n, e.Args)
 			}
 		}
 	}
-	if w := n.core.Wake(); w < n.wake || n.wake <= at.Steady {
+	if w := n.controller.Wake(); w < n.wake || n.wake <= at.Steady {
 		n.wake = w
 		life := n.life
 		n.sim.after(max(w-at.Steady, ms), func() {
-			if n.life == life && n.core != nil && n.steady() >= n.wake {
-				n.step(core.Tick{})
+			if n.life == life && n.controller != nil && n.steady() >= n.wake {
+				n.step(controller.Tick{})
 			}
 		})
 	}
 }
 
 // sent passes an effect to the hook of the simulation.
-func (n *Node) sent(effect core.Effect) {
+func (n *Node) sent(effect controller.Effect) {
 	if n.sim.Sent != nil {
 		n.sim.Sent(n.sim.now, n.label, effect)
 	}
 }
 
 // ask gives the node a request; f gets the answer, if one comes.
-func (n *Node) ask(make func(core.ReplyID) core.Input, f func(core.Answer)) {
-	if n.core == nil {
+func (n *Node) ask(make func(controller.ReplyID) controller.Input, f func(controller.Answer)) {
+	if n.controller == nil {
 		return
 	}
 	n.nextID++
@@ -151,25 +151,25 @@
 	n.step(make(n.nextID))
 }
 
-// checkin gives the node a worker's report, encoded and decoded as on the wire.
-func (n *Node) checkin(rep *wire.Report, f func(core.Answer)) {
-	if n.core == nil {
+// heartbeat gives the node a worker's heartbeat, encoded and decoded as on the wire.
+func (n *Node) heartbeat(heartbeat *wire.Heartbeat, f func(controller.Answer)) {
+	if n.controller == nil {
 		return
 	}
-	body, err := wire.Encode(rep)
+	body, err := wire.Encode(heartbeat)
 	if err != nil {
 		n.sim.broken("report: %v", err)
 		return
 	}
-	got, err := n.reports.Parse(body)
+	got, err := n.heartbeats.Parse(body)
 	if err != nil {
 		n.sim.broken("report: %v", err)
 		return
 	}
-	n.ask(func(id core.ReplyID) core.Input { return core.Checkin{Reply: id, Report: got} }, f)
+	n.ask(func(id controller.ReplyID) controller.Input { return controller.Heartbeat{Reply: id, Heartbeat: got} }, f)
 }
 
-func (n *Node) call(call core.Call) {
+func (n *Node) call(call controller.Call) {
 	life, release := n.life, n.release
 	if t, ok := call.Req.(wire.Txn); ok {
 		n.checkLimits(t)
@@ -180,31 +180,31 @@
 		n.recent = n.recent[1:]
 	}
 	exchange(n.sim, n.link(call), call.Timeout,
-		func(reply func(core.Result)) {
-			if call.To == core.ToState && n.sim.now < n.sim.State.refuse[n.label] {
-				if _, isWatch := call.Req.(core.Watch); !isWatch {
-					reply(core.Result{Status: 503}) // watches wait, as in an outage
+		func(reply func(controller.Result)) {
+			if call.To == controller.ToState && n.sim.now < n.sim.State.refuse[n.label] {
+				if _, isWatch := call.Req.(controller.Watch); !isWatch {
+					reply(controller.Result{Status: 503}) // watches wait, as in an outage
 				}
 				return
 			}
 			if n.sim.refusesJobs(call) {
-				reply(core.Result{Status: 429})
+				reply(controller.Result{Status: 429})
 				return
 			}
-			if call.To == core.ToState && n.sim.lateWrite(n, call) {
+			if call.To == controller.ToState && n.sim.lateWrite(n, call) {
 				return
 			}
-			if _, isWatch := call.Req.(core.Watch); isWatch && n.sim.now < n.sim.State.watchCutOff[n.label] {
+			if _, isWatch := call.Req.(controller.Watch); isWatch && n.sim.now < n.sim.State.watchCutOff[n.label] {
 				return // what it would bring is lost on the way
 			}
 			n.sim.serve(call, reply)
 		},
-		func(r core.Result, ok bool) {
-			if n.life != life || n.core == nil {
+		func(r controller.Result, ok bool) {
+			if n.life != life || n.controller == nil {
 				return
 			}
 			if !ok {
-				r = core.Result{}
+				r = controller.Result{}
 			}
 			r = release.received(r)
 			r.ID = call.ID
@@ -212,13 +212,13 @@
 		})
 }
 
-func (n *Node) link(call core.Call) string {
+func (n *Node) link(call controller.Call) string {
 	switch call.To {
-	case core.ToState:
+	case controller.ToState:
 		return n.label + "-state"
-	case core.ToCloud:
+	case controller.ToCloud:
 		return n.label + "-cloud"
-	case core.ToPeer:
+	case controller.ToPeer:
 		return n.peerLink(call.Addr)
 	}
 	return n.label + "-" + call.Addr
--- a/internal/standin/plans.go
+++ b/internal/simulation/plans.go
@@ -1,25 +1,25 @@
-package standin
+package simulation
 
-import "garnethitch/internal/core"
+import "garnethitch/internal/controller"
 
 // The plans that every rule of the protocol is checked with.
 
 var (
-	oneTeam  = []core.Team{{Name: "solo"}}
-	fourTeam = []core.Team{
+	oneTeam  = []controller.Team{{Name: "solo"}}
+	fourTeam = []controller.Team{
 		{Name: "red", CPUs: 8, CPUsMax: 14}, {Name: "green", CPUs: 4, CPUsMax: 10},
 		{Name: "blue", CPUs: 8, CPUsMax: 20}, {Name: "grey", CPUs: 4, CPUsMax: 12},
 	}
 )
 
 // grownTeam are the same with room for hundreds of machines.
-var grownTeam = []core.Team{
+var grownTeam = []controller.Team{
 	{Name: "red", CPUs: 300, CPUsMax: 500}, {Name: "green", CPUs: 150, CPUsMax: 400},
 	{Name: "blue", CPUs: 300, CPUsMax: 700}, {Name: "grey", CPUs: 150, CPUsMax: 400},
 }
 
 // fleetTeam have room for over a thousand.
-var fleetTeam = []core.Team{
+var fleetTeam = []controller.Team{
 	{Name: "red", CPUs: 1200, CPUsMax: 2000}, {Name: "green", CPUs: 600, CPUsMax: 1600},
 	{Name: "blue", CPUs: 1200, CPUsMax: 2800}, {Name: "grey", CPUs: 600, CPUsMax: 1600},
 }
@@ -66,13 +66,13 @@
 		{"slow, teams parted", Plan{Teams: fourTeam, Nodes: 3, Machines: 10, Jobs: 25, Slow: 30 * ms, Length: rulesLength, Rest: rulesRest}, 4},
 		{"ten times too slow, jobs parted", Plan{Teams: oneTeam, Nodes: 3, Machines: 8, Jobs: 20, Slow: 300 * ms, Length: rulesLength, Rest: rulesRest}, 4},
 		{"ten times too slow, teams parted", Plan{Teams: fourTeam, Nodes: 3, Machines: 10, Jobs: 25, Slow: 300 * ms, Length: rulesLength, Rest: rulesRest}, 4},
-		// Meetings of two troubles.
+		// concurrent faults.
 		{"the gap, jobs parted", Plan{Teams: oneTeam, Nodes: 3, Machines: 14, Jobs: 40, Gap: true, Length: rulesLength, Rest: rulesRest}, 6},
 		{"the gap, teams parted", Plan{Teams: fourTeam, Nodes: 3, Machines: 14, Jobs: 40, Gap: true, Length: rulesLength, Rest: rulesRest}, 6},
-		{"meetings, jobs parted", Plan{Teams: oneTeam, Nodes: 3, Machines: 12, Jobs: 30, Meet: true, Length: rulesLength, Rest: rulesRest}, 16},
-		{"meetings, teams parted", Plan{Teams: fourTeam, Nodes: 3, Machines: 12, Jobs: 30, Meet: true, Length: rulesLength, Rest: rulesRest}, 16},
-		{"meetings and troubles, jobs parted", Plan{Teams: oneTeam, Nodes: 3, Machines: 12, Jobs: 30, Meet: true, Faults: true, Length: rulesLength, Rest: rulesRest}, 8},
-		{"meetings and troubles, teams parted", Plan{Teams: fourTeam, Nodes: 3, Machines: 12, Jobs: 30, Meet: true, Faults: true, Length: rulesLength, Rest: rulesRest}, 8},
+		{"meetings, jobs parted", Plan{Teams: oneTeam, Nodes: 3, Machines: 12, Jobs: 30, ConcurrentFaults: true, Length: rulesLength, Rest: rulesRest}, 16},
+		{"meetings, teams parted", Plan{Teams: fourTeam, Nodes: 3, Machines: 12, Jobs: 30, ConcurrentFaults: true, Length: rulesLength, Rest: rulesRest}, 16},
+		{"meetings and troubles, jobs parted", Plan{Teams: oneTeam, Nodes: 3, Machines: 12, Jobs: 30, ConcurrentFaults: true, Faults: true, Length: rulesLength, Rest: rulesRest}, 8},
+		{"meetings and troubles, teams parted", Plan{Teams: fourTeam, Nodes: 3, Machines: 12, Jobs: 30, ConcurrentFaults: true, Faults: true, Length: rulesLength, Rest: rulesRest}, 8},
 		{"stale, jobs parted", Plan{Teams: oneTeam, Nodes: 3, Machines: 14, Jobs: 40, Stale: true, Length: rulesLength, Rest: rulesRest}, 24},
 		{"stale, teams parted", Plan{Teams: fourTeam, Nodes: 3, Machines: 14, Jobs: 40, Stale: true, Length: rulesLength, Rest: rulesRest}, 8},
 		{"stale, few ends kept", Plan{Teams: oneTeam, Nodes: 3, Machines: 14, Jobs: 40, Stale: true, FinalJobs: 1, Length: rulesLength, Rest: rulesRest}, 24},
@@ -83,32 +83,32 @@
 		{"questions and troubles, teams parted", Plan{Teams: fourTeam, Nodes: 3, Machines: 14, Jobs: 40, Questions: 50, StateRPS: 60, WriteRPS: 20, Faults: true, Length: rulesLength, Rest: rulesRest}, 8},
 		{"questions while controllers know little", Plan{Teams: oneTeam, Nodes: 3, Machines: 14, Jobs: 40, Questions: 50, StateRPS: 60, WriteRPS: 20, Stale: true, Length: rulesLength, Rest: rulesRest}, 8},
 		{"churn, jobs parted", Plan{Teams: oneTeam, Nodes: 3, Machines: 20, Jobs: 240, Churn: true, Length: rulesLength, Rest: rulesRest}, 2},
-		{"churn and meetings, teams parted", Plan{Teams: fourTeam, Nodes: 3, Machines: 20, Jobs: 240, Churn: true, Meet: true, Length: rulesLength, Rest: rulesRest}, 3},
+		{"churn and meetings, teams parted", Plan{Teams: fourTeam, Nodes: 3, Machines: 20, Jobs: 240, Churn: true, ConcurrentFaults: true, Length: rulesLength, Rest: rulesRest}, 3},
 		// Pipelines, and a roll from the version in production.
-		{"pipelines, jobs parted", Plan{Teams: oneTeam, Nodes: 3, Machines: 12, Jobs: 12, Pipelines: 4, Length: rulesLength, Rest: rulesRest}, 3},
-		{"pipelines, teams parted", Plan{Teams: fourTeam, Nodes: 3, Machines: 12, Jobs: 12, Pipelines: 4, Length: rulesLength, Rest: rulesRest}, 3},
-		{"pipelines and troubles, jobs parted", Plan{Teams: oneTeam, Nodes: 3, Machines: 12, Jobs: 12, Pipelines: 4, Faults: true, Length: rulesLength, Rest: rulesRest}, 12},
-		{"pipelines and troubles, teams parted", Plan{Teams: fourTeam, Nodes: 3, Machines: 12, Jobs: 12, Pipelines: 4, Faults: true, Length: rulesLength, Rest: rulesRest}, 12},
-		{"pipelines and meetings, jobs parted", Plan{Teams: oneTeam, Nodes: 3, Machines: 12, Jobs: 12, Pipelines: 4, Meet: true, Length: rulesLength, Rest: rulesRest}, 10},
-		{"pipelines and meetings, teams parted", Plan{Teams: fourTeam, Nodes: 3, Machines: 12, Jobs: 12, Pipelines: 4, Meet: true, Length: rulesLength, Rest: rulesRest}, 10},
-		{"a roll, jobs parted", Plan{Teams: oneTeam, Nodes: 3, Machines: 12, Jobs: 16, Pipelines: 4, Roll: Production, Length: rulesLength, Rest: rulesRest}, 4},
-		{"a roll and troubles, jobs parted", Plan{Teams: oneTeam, Nodes: 3, Machines: 12, Jobs: 16, Pipelines: 4, Roll: Production, Faults: true, Length: rulesLength, Rest: rulesRest}, 12},
-		{"a roll and troubles, teams parted", Plan{Teams: fourTeam, Nodes: 3, Machines: 12, Jobs: 16, Pipelines: 4, Roll: Production, Faults: true, Length: rulesLength, Rest: rulesRest}, 12},
-		{"a roll of a grown deployment", Plan{Teams: grownTeam, Nodes: 3, Machines: 300, Jobs: 40, Pipelines: 6, Grown: true, Roll: Production, Faults: true, Length: rulesLength, Rest: rulesRest}, 2},
-		{"a roll from the last landing, jobs parted", Plan{Teams: oneTeam, Nodes: 3, Machines: 12, Jobs: 16, Pipelines: 4, Roll: LastLanded, Faults: true, Length: rulesLength, Rest: rulesRest}, 6},
-		{"a roll from the last landing, teams parted", Plan{Teams: fourTeam, Nodes: 3, Machines: 12, Jobs: 16, Pipelines: 4, Roll: LastLanded, Faults: true, Length: rulesLength, Rest: rulesRest}, 6},
-		{"a roll from the last landing and meetings", Plan{Teams: fourTeam, Nodes: 3, Machines: 12, Jobs: 16, Pipelines: 4, Roll: LastLanded, Meet: true, Length: rulesLength, Rest: rulesRest}, 4},
+		{"pipelines, jobs parted", Plan{Teams: oneTeam, Nodes: 3, Machines: 12, Jobs: 12, DAGs: 4, Length: rulesLength, Rest: rulesRest}, 3},
+		{"pipelines, teams parted", Plan{Teams: fourTeam, Nodes: 3, Machines: 12, Jobs: 12, DAGs: 4, Length: rulesLength, Rest: rulesRest}, 3},
+		{"pipelines and troubles, jobs parted", Plan{Teams: oneTeam, Nodes: 3, Machines: 12, Jobs: 12, DAGs: 4, Faults: true, Length: rulesLength, Rest: rulesRest}, 12},
+		{"pipelines and troubles, teams parted", Plan{Teams: fourTeam, Nodes: 3, Machines: 12, Jobs: 12, DAGs: 4, Faults: true, Length: rulesLength, Rest: rulesRest}, 12},
+		{"pipelines and meetings, jobs parted", Plan{Teams: oneTeam, Nodes: 3, Machines: 12, Jobs: 12, DAGs: 4, ConcurrentFaults: true, Length: rulesLength, Rest: rulesRest}, 10},
+		{"pipelines and meetings, teams parted", Plan{Teams: fourTeam, Nodes: 3, Machines: 12, Jobs: 12, DAGs: 4, ConcurrentFaults: true, Length: rulesLength, Rest: rulesRest}, 10},
+		{"a roll, jobs parted", Plan{Teams: oneTeam, Nodes: 3, Machines: 12, Jobs: 16, DAGs: 4, Roll: Production, Length: rulesLength, Rest: rulesRest}, 4},
+		{"a roll and troubles, jobs parted", Plan{Teams: oneTeam, Nodes: 3, Machines: 12, Jobs: 16, DAGs: 4, Roll: Production, Faults: true, Length: rulesLength, Rest: rulesRest}, 12},
+		{"a roll and troubles, teams parted", Plan{Teams: fourTeam, Nodes: 3, Machines: 12, Jobs: 16, DAGs: 4, Roll: Production, Faults: true, Length: rulesLength, Rest: rulesRest}, 12},
+		{"a roll of a grown deployment", Plan{Teams: grownTeam, Nodes: 3, Machines: 300, Jobs: 40, DAGs: 6, Grown: true, Roll: Production, Faults: true, Length: rulesLength, Rest: rulesRest}, 2},
+		{"a roll from the last landing, jobs parted", Plan{Teams: oneTeam, Nodes: 3, Machines: 12, Jobs: 16, DAGs: 4, Roll: LastLanded, Faults: true, Length: rulesLength, Rest: rulesRest}, 6},
+		{"a roll from the last landing, teams parted", Plan{Teams: fourTeam, Nodes: 3, Machines: 12, Jobs: 16, DAGs: 4, Roll: LastLanded, Faults: true, Length: rulesLength, Rest: rulesRest}, 6},
+		{"a roll from the last landing and meetings", Plan{Teams: fourTeam, Nodes: 3, Machines: 12, Jobs: 16, DAGs: 4, Roll: LastLanded, ConcurrentFaults: true, Length: rulesLength, Rest: rulesRest}, 4},
 		// Groups of teams, whose limits operators change meanwhile.
 		{"groups, jobs parted", Plan{Teams: oneTeam, Nodes: 3, Machines: 10, Jobs: 25, Groups: groupsOver(oneTeam, 16), Faults: true, Length: rulesLength, Rest: rulesRest}, 12},
 		{"groups, teams parted", Plan{Teams: fourTeam, Nodes: 3, Machines: 10, Jobs: 25, Groups: groupsOver(fourTeam, 20), Faults: true, Length: rulesLength, Rest: rulesRest}, 16},
 		{"groups, one team in none", Plan{Teams: fourTeam, Nodes: 3, Machines: 10, Jobs: 25, Groups: groupsOver(fourTeam[:3], 16), Faults: true, Length: rulesLength, Rest: rulesRest}, 4},
-		{"groups and meetings, jobs parted", Plan{Teams: oneTeam, Nodes: 3, Machines: 12, Jobs: 25, Groups: groupsOver(oneTeam, 16), Meet: true, Length: rulesLength, Rest: rulesRest}, 8},
-		{"groups and meetings, teams parted", Plan{Teams: fourTeam, Nodes: 3, Machines: 12, Jobs: 25, Groups: groupsOver(fourTeam, 20), Meet: true, Faults: true, Length: rulesLength, Rest: rulesRest}, 8},
+		{"groups and meetings, jobs parted", Plan{Teams: oneTeam, Nodes: 3, Machines: 12, Jobs: 25, Groups: groupsOver(oneTeam, 16), ConcurrentFaults: true, Length: rulesLength, Rest: rulesRest}, 8},
+		{"groups and meetings, teams parted", Plan{Teams: fourTeam, Nodes: 3, Machines: 12, Jobs: 25, Groups: groupsOver(fourTeam, 20), ConcurrentFaults: true, Faults: true, Length: rulesLength, Rest: rulesRest}, 8},
 		{"groups, many at a time", Plan{Teams: fourTeam, Nodes: 3, Machines: 20, Jobs: 30, Groups: groupsOver(fourTeam, 24), Faults: true, Fleet: true, Length: rulesLength, Rest: rulesRest}, 6},
 		{"groups, a roll", Plan{Teams: fourTeam, Nodes: 3, Machines: 12, Jobs: 16, Groups: groupsOver(fourTeam, 20), Roll: Production, Faults: true, Length: rulesLength, Rest: rulesRest}, 6},
 		{"groups, a roll from the last landing", Plan{Teams: oneTeam, Nodes: 3, Machines: 12, Jobs: 16, Groups: groupsOver(oneTeam, 16), Roll: LastLanded, Faults: true, Length: rulesLength, Rest: rulesRest}, 4},
-		{"groups, a roll from the version before and back", Plan{Teams: fourTeam, Nodes: 3, Machines: 12, Jobs: 16, Pipelines: 2, Groups: groupsOver(fourTeam, 20), Roll: WithoutGroups, RollBack: true, Faults: true, Length: rulesLength, Rest: rulesRest}, 6},
-		{"groups, a roll and back, jobs parted", Plan{Teams: oneTeam, Nodes: 3, Machines: 12, Jobs: 16, Groups: groupsOver(oneTeam, 16), Roll: Production, RollBack: true, Meet: true, Length: rulesLength, Rest: rulesRest}, 4},
+		{"groups, a roll from the version before and back", Plan{Teams: fourTeam, Nodes: 3, Machines: 12, Jobs: 16, DAGs: 2, Groups: groupsOver(fourTeam, 20), Roll: WithoutGroups, RollBack: true, Faults: true, Length: rulesLength, Rest: rulesRest}, 6},
+		{"groups, a roll and back, jobs parted", Plan{Teams: oneTeam, Nodes: 3, Machines: 12, Jobs: 16, Groups: groupsOver(oneTeam, 16), Roll: Production, RollBack: true, ConcurrentFaults: true, Length: rulesLength, Rest: rulesRest}, 4},
 		{"ten times too slow, troubles", Plan{Teams: fourTeam, Nodes: 3, Machines: 10, Jobs: 25, Faults: true, Slow: 300 * ms, Length: rulesLength, Rest: rulesRest}, 6},
 	}
 }
--- a/internal/standin/roll.go
+++ b/internal/simulation/roll.go
@@ -1,11 +1,11 @@
-package standin
+package simulation
 
 import (
 	"fmt"
 	"slices"
 	"strings"
 
-	"garnethitch/internal/core"
+	"garnethitch/internal/controller"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/peer"
 	"garnethitch/internal/wire"
@@ -41,7 +41,7 @@
 const rollEvery = 7 * sec
 
 // rollBegins is when the first node is replaced; in a cascade just before its cancellation.
-func (s *Sim) rollBegins() micros.Micros {
+func (s *Simulation) rollBegins() micros.Micros {
 	if s.plan.Cascade != nil {
 		return 24 * sec
 	}
@@ -50,13 +50,13 @@
 
 // rolledAt is when all nodes have the new version, about: crashes beside the roll may
 // delay it.
-func (s *Sim) rolledAt() micros.Micros {
+func (s *Simulation) rolledAt() micros.Micros {
 	return s.rollBegins() + 2*sec + micros.Micros(len(s.Nodes))*rollEvery
 }
 
-// scheduleRoll replaces the nodes one by one, in an order that the seed draws, and
+// scheduleRoll replaces the nodes one by one, in a command that the seed draws, and
 // lowers the state service's limits some time later.
-func (s *Sim) scheduleRoll() {
+func (s *Simulation) scheduleRoll() {
 	order := s.rng.Perm(len(s.Nodes))
 	for _, n := range s.Nodes {
 		n.release = s.plan.Roll
@@ -81,7 +81,7 @@
 // replace ends a node, to start again as another version.
 func (n *Node) replace(by Release) {
 	n.release = by
-	if n.core != nil {
+	if n.controller != nil {
 		if by == Current {
 			n.sim.trace("%s gets the new version", n.label)
 		} else {
@@ -92,7 +92,7 @@
 }
 
 // config is what a node is told.
-func (n *Node) config() core.Config {
+func (n *Node) config() controller.Config {
 	cfg := n.sim.config(n.release != Production)
 	if n.release != Current {
 		cfg.Quota = nil
@@ -102,7 +102,7 @@
 
 // config are the settings as the old version or this one takes them: only this one
 // knows of the limits to come.
-func (s *Sim) config(limitsToCome bool) core.Config {
+func (s *Simulation) config(limitsToCome bool) controller.Config {
 	cfg := s.cfg
 	if (s.plan.Roll != Current || s.plan.Cascade != nil) && limitsToCome {
 		cfg.ValueBytes, cfg.TxnOps, cfg.WriteRPS = lowerValue, lowerOps, lowerWrite
@@ -138,7 +138,7 @@
 		return value
 	}
 	if rec.Submission != nil {
-		rec.Submission.Dependencies = nil
+		rec.Submission.DependsOn = nil
 	}
 	out, err := wire.Encode(rec)
 	if err != nil {
@@ -148,7 +148,7 @@
 }
 
 // sent and received are what a node of a release sends, and makes of an answer.
-func (v Release) sent(call core.Call) core.Call {
+func (v Release) sent(call controller.Call) controller.Call {
 	if req, ok := call.Req.(peer.Request); ok && v != Current && req.Status != nil {
 		status := *req.Status
 		status.Quota, status.Traces = false, nil
@@ -173,7 +173,7 @@
 	return call
 }
 
-func (v Release) received(r core.Result) core.Result {
+func (v Release) received(r controller.Result) controller.Result {
 	if resp, ok := r.Body.(*peer.Response); ok && v != Current && resp.Status != nil {
 		ack := *resp.Status
 		ack.Quota = false
--- a/internal/standin/services.go
+++ b/internal/simulation/services.go
@@ -1,11 +1,11 @@
-package standin
+package simulation
 
 import (
 	"fmt"
 	"slices"
 	"strings"
 
-	"garnethitch/internal/core"
+	"garnethitch/internal/controller"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/peer"
 	"garnethitch/internal/wire"
@@ -13,9 +13,9 @@
 
 // servePeer hands a message to another controller, encoded and decoded as on
 // the wire.
-func (s *Sim) servePeer(call core.Call, reply func(core.Result)) {
+func (s *Simulation) servePeer(call controller.Call, reply func(controller.Result)) {
 	for _, n := range s.Nodes {
-		if n.label != call.Addr || n.core == nil {
+		if n.label != call.Addr || n.controller == nil {
 			continue
 		}
 		var req peer.Request
@@ -28,15 +28,15 @@
 			return
 		}
 		n.release.receivedRequest(&req)
-		n.ask(func(id core.ReplyID) core.Input { return core.PeerMessage{Reply: id, Req: req} }, func(a core.Answer) {
-			reply(core.Result{Status: a.Status, Body: a.Body})
+		n.ask(func(id controller.ReplyID) controller.Input { return controller.PeerRequest{Reply: id, Req: req} }, func(a controller.Answer) {
+			reply(controller.Result{Status: a.Status, Body: a.Body})
 		})
 	}
 }
 
 // State is the state service.
 type State struct {
-	sim       *Sim
+	sim       *Simulation
 	rev       uint64
 	keys      map[string]*entry
 	leases    map[uint64]*lease
@@ -54,13 +54,13 @@
 	// writes bounds the changes in a second; nil: any number.
 	writes *writeLimit
 	// stored, if set, hears of every value that is put.
-	stored func(key string, value wire.Raw, mark uint64)
+	stored func(key string, value wire.Raw, modRevision uint64)
 }
 
 type entry struct {
-	value wire.Raw
-	mark  uint64
-	lease uint64
+	value       wire.Raw
+	modRevision uint64
+	lease       uint64
 }
 
 type lease struct {
@@ -68,12 +68,12 @@
 }
 
 type waiter struct {
-	watch core.Watch
-	reply func(core.Result)
+	watch controller.Watch
+	reply func(controller.Result)
 	done  bool
 }
 
-func newState(s *Sim) *State {
+func newState(s *Simulation) *State {
 	st := &State{sim: s, keys: map[string]*entry{}, leases: map[uint64]*lease{}, refuse: map[string]micros.Micros{}, watchCutOff: map[string]micros.Micros{}}
 	s.after(50*ms, st.expire)
 	return st
@@ -115,8 +115,8 @@
 	return out
 }
 
-// duties counts the duties that each controller holds, by its label.
-func (st *State) duties() map[string]int {
+// locks counts the locks that each controller holds, by its label.
+func (st *State) locksByController() map[string]int {
 	holds := map[string]int{}
 	for key, e := range st.keys {
 		var rec wire.OwnerRecord
@@ -130,7 +130,7 @@
 func (st *State) remove(key string) {
 	if st.keys[key] != nil {
 		delete(st.keys, key)
-		st.log = append(st.log, wire.Event{Delete: key, Version: st.rev})
+		st.log = append(st.log, wire.Event{Delete: key, ModRevision: st.rev})
 	}
 }
 
@@ -150,7 +150,7 @@
 func (st *State) tryWatch(w *waiter) bool {
 	var out []wire.Event
 	for _, e := range st.log {
-		if e.Version > w.watch.Since && (strings.HasPrefix(e.Put, w.watch.Prefix) && e.Put != "" || strings.HasPrefix(e.Delete, w.watch.Prefix) && e.Delete != "") {
+		if e.ModRevision > w.watch.Since && (strings.HasPrefix(e.Put, w.watch.Prefix) && e.Put != "" || strings.HasPrefix(e.Delete, w.watch.Prefix) && e.Delete != "") {
 			out = append(out, e)
 		}
 	}
@@ -158,24 +158,24 @@
 		return false
 	}
 	w.done = true
-	w.reply(core.Result{Status: 200, Body: &wire.Events{Revision: st.rev, Events: out}})
+	w.reply(controller.Result{Status: 200, Body: &wire.Events{Revision: st.rev, Events: out}})
 	return true
 }
 
-func (st *State) serve(req any, reply func(core.Result)) {
-	status := func(code int, body any) { reply(core.Result{Status: code, Body: body}) }
+func (st *State) serve(req any, reply func(controller.Result)) {
+	status := func(code int, body any) { reply(controller.Result{Status: code, Body: body}) }
 	if st.sim.now < st.downUntil {
 		status(503, nil)
 		return
 	}
 	switch r := req.(type) {
-	case core.GetKey:
+	case controller.GetKey:
 		if e := st.keys[r.Key]; e != nil {
-			status(200, &wire.KeyValue{Key: r.Key, Value: e.value, Version: e.mark})
+			status(200, &wire.KeyValue{Key: r.Key, Value: e.value, ModRevision: e.modRevision})
 		} else {
 			status(404, nil)
 		}
-	case core.ListKeys:
+	case controller.ListKeys:
 		body := &wire.KeyList{Revision: st.rev}
 		for _, key := range st.sorted() {
 			if strings.HasPrefix(key, r.Prefix) && key > r.After {
@@ -183,7 +183,7 @@
 					body.More = true
 					break
 				}
-				body.Items = append(body.Items, wire.KeyValue{Key: key, Value: st.keys[key].value, Version: st.keys[key].mark})
+				body.Items = append(body.Items, wire.KeyValue{Key: key, Value: st.keys[key].value, ModRevision: st.keys[key].modRevision})
 			}
 		}
 		status(200, body)
@@ -192,7 +192,7 @@
 		ttl := micros.Micros(r.TTLMS) * ms
 		st.leases[st.nextLease] = &lease{ttl: ttl, ends: st.sim.now + ttl}
 		status(200, &wire.Lease{Lease: st.nextLease})
-	case core.RenewLease:
+	case controller.RenewLease:
 		if l := st.leases[r.Lease]; l != nil {
 			l.ends = st.sim.now + l.ttl
 			status(200, nil)
@@ -201,7 +201,7 @@
 		}
 	case wire.Txn:
 		st.txn(r, status)
-	case core.Watch:
+	case controller.Watch:
 		w := &waiter{watch: r, reply: reply}
 		if st.tryWatch(w) {
 			return
@@ -210,7 +210,7 @@
 		st.sim.after(micros.Micros(r.WaitMS)*ms, func() {
 			if !w.done && st.sim.now >= st.downUntil {
 				w.done = true
-				reply(core.Result{Status: 200, Body: &wire.Events{Revision: st.rev}})
+				reply(controller.Result{Status: 200, Body: &wire.Events{Revision: st.rev}})
 			}
 		})
 	}
@@ -234,9 +234,9 @@
 	for _, c := range t.If {
 		have := uint64(0)
 		if e := st.keys[c.Key]; e != nil {
-			have = e.mark
+			have = e.modRevision
 		}
-		if have != c.Version {
+		if have != c.ModRevision {
 			status(409, &wire.Revision{Revision: st.rev, Failed: []string{c.Key}})
 			return
 		}
@@ -247,8 +247,8 @@
 			st.sim.releaseKept()
 		}
 		if c.Put != "" {
-			st.keys[c.Put] = &entry{value: c.Value, mark: st.rev, lease: c.Lease}
-			st.log = append(st.log, wire.Event{Put: c.Put, Value: c.Value, Version: st.rev})
+			st.keys[c.Put] = &entry{value: c.Value, modRevision: st.rev, lease: c.Lease}
+			st.log = append(st.log, wire.Event{Put: c.Put, Value: c.Value, ModRevision: st.rev})
 			st.sim.noteGroup(c.Put, c.Value)
 			if st.stored != nil {
 				st.stored(c.Put, c.Value, st.rev)
@@ -268,9 +268,9 @@
 
 // Cloud rents machines.
 type Cloud struct {
-	sim       *Sim
+	sim       *Simulation
 	next      int
-	hires     map[string][]string
+	rentals   map[string][]string
 	snaps     []snapshot
 	downUntil micros.Micros
 }
@@ -285,8 +285,8 @@
 	{Name: "large", CPUs: 16, MemGB: 64, CacheGB: 60, FetchGBPerS: 0.5, Price: 0.8, SpotPrice: 0.3, BootS: 8, Zones: []string{"east"}},
 }
 
-func newCloud(s *Sim) *Cloud {
-	c := &Cloud{sim: s, hires: map[string][]string{}}
+func newCloud(s *Simulation) *Cloud {
+	c := &Cloud{sim: s, rentals: map[string][]string{}}
 	s.after(500*ms, c.snap)
 	return c
 }
@@ -322,15 +322,15 @@
 	c.sim.after(500*ms, c.snap)
 }
 
-func (c *Cloud) serve(req any, reply func(core.Result)) {
+func (c *Cloud) serve(req any, reply func(controller.Result)) {
 	if c.sim.now < c.downUntil {
-		reply(core.Result{Status: 503})
+		reply(controller.Result{Status: 503})
 		return
 	}
 	switch r := req.(type) {
-	case core.GetTypes:
-		reply(core.Result{Status: 200, Body: &wire.MachineTypes{Types: slices.Clone(offer)}})
-	case core.ListMachines:
+	case controller.GetTypes:
+		reply(controller.Result{Status: 200, Body: &wire.MachineTypes{Types: slices.Clone(offer)}})
+	case controller.ListMachines:
 		body := &wire.MachineList{}
 		if len(c.snaps) > 0 {
 			sn := c.snaps[c.sim.rng.IntN(len(c.snaps))] // lists go back and forth
@@ -340,9 +340,9 @@
 				}
 			}
 		}
-		reply(core.Result{Status: 200, Body: body})
+		reply(controller.Result{Status: 200, Body: body})
 	case wire.Rental:
-		names, ok := c.hires[r.Request]
+		names, ok := c.rentals[r.Request]
 		if !ok {
 			up := 0
 			for _, w := range c.sim.workers {
@@ -355,22 +355,22 @@
 				up++
 			}
 			if len(names) == 0 {
-				reply(core.Result{Status: 503, Body: core.RefusedRental})
+				reply(controller.Result{Status: 503, Body: controller.RefusedRental})
 				return
 			}
-			c.hires[r.Request] = names
+			c.rentals[r.Request] = names
 		}
-		reply(core.Result{Status: 200, Body: &wire.MachineNames{Machines: names}})
-	case core.ReturnMachines:
+		reply(controller.Result{Status: 200, Body: &wire.MachineNames{Machines: names}})
+	case controller.ReturnMachines:
 		for _, id := range r.Machines {
 			if w := c.sim.workers[id]; w != nil {
-				if !c.sim.plan.Faults && !c.sim.plan.Fleet && !c.sim.plan.Meet && !c.sim.plan.Gap && !c.sim.plan.Stale && !w.dead && c.sim.atWork(w) {
+				if !c.sim.plan.Faults && !c.sim.plan.Fleet && !c.sim.plan.ConcurrentFaults && !c.sim.plan.Gap && !c.sim.plan.Stale && !w.dead && c.sim.atWork(w) {
 					c.sim.Wasted++
 					c.sim.trace("%s returned with work on it", id)
 				}
 				w.dead, w.returned = true, true
 			}
 		}
-		reply(core.Result{Status: 200, Body: nil})
+		reply(controller.Result{Status: 200, Body: nil})
 	}
 }
--- a/internal/standin/sim.go
+++ b/internal/simulation/simulation.go
@@ -1,17 +1,17 @@
-// Package standin holds stand-ins for the state service, the cloud, workers
-// and users, and a deterministic simulation that drives several cores against
+// Package simulation holds fakes for the state service, the cloud, workers
+// and users, and a deterministic simulation that drives several controllers against
 // them through losses, delays, late copies, cuts and crashes. Every rule of the
 // protocol is checked at every step. Equal seeds give equal runs.
-package standin
+package simulation
 
 import (
 	"cmp"
 	"fmt"
 	"math/rand/v2"
 
-	"garnethitch/internal/core"
+	"garnethitch/internal/controller"
+	"garnethitch/internal/eventqueue"
 	"garnethitch/internal/micros"
-	"garnethitch/internal/timeline"
 	"garnethitch/quota"
 )
 
@@ -24,14 +24,14 @@
 type Plan struct {
 	Seed     uint64
 	Nodes    int
-	Teams    []core.Team
+	Teams    []controller.Team
 	Machines int
 	Jobs     int
 	// Grown makes arrays large and machines many, and lets workers look at their
 	// tasks less often.
 	Grown  bool
 	Faults bool
-	// Fleet adds troubles that hit many machines or all controllers at a time.
+	// Fleet adds faults that hit many machines or all controllers at a time.
 	Fleet bool
 	// Up is how many machines are up at the start; 0: as many as suits the rest. Waves ends the
 	// leader, then all controllers, then all but one; see waves.go.
@@ -42,13 +42,13 @@
 	// Slow is how long a step takes, for a while, on one controller and then on all:
 	// it is short of time, and what comes in waits in line.
 	Slow micros.Micros
-	// Meet adds the meetings of two troubles, and users who look closely; see
-	// meetings.go. Gap plays the gap: one controller loses the state service with the
+	// ConcurrentFaults adds the concurrent faults, and users who look closely; see
+	// concurrent_faults.go. Gap plays the gap: one controller loses the state service with the
 	// answers of what it wrote, then all lose it for longer than a cancellation has.
-	Meet, Gap bool
+	ConcurrentFaults, Gap bool
 	// Stale has controllers act on stale knowledge: the state service refuses reads of jobs
-	// while owners end one after the other; see stale.go. FinalJobs is how many final states
-	// a controller keeps; 0: the core's own number.
+	// while owners end one after the other; see stale.go. MaxFinalJobs is how many final states
+	// a controller keeps; 0: the controller's own number.
 	Stale     bool
 	FinalJobs int
 	// StateRPS and WriteRPS are the limits of the state service; 0: large ones.
@@ -58,12 +58,12 @@
 	Questions float64
 	// Churn makes every job one task, four of them a second, a quarter cancelled.
 	Churn bool
-	// Pipelines is how many sets of jobs that need each other are submitted besides.
+	// DAGs is how many sets of jobs that need each other are submitted besides.
 	// Roll begins with nodes of an older version; see roll.go. RollBack has them return to it
 	// later.
-	Pipelines int
-	Roll      Release
-	RollBack  bool
+	DAGs     int
+	Roll     Release
+	RollBack bool
 	// Cascade cancels a job that many others need; see cascade.go.
 	Cascade *Cascade
 	// Length is how long faults and submissions go on; after that all is well
@@ -71,31 +71,31 @@
 	Length, Rest micros.Micros
 }
 
-// Sim is one run.
-type Sim struct {
-	plan       Plan
-	rng        *rand.Rand
-	now        micros.Micros
-	queue      timeline.Queue
-	Nodes      []*Node
-	State      *State
-	Cloud      *Cloud
-	workers    map[string]*Worker
-	names      []string
-	users      []*user
-	byJob      map[string]*user
-	onJob      map[string]map[*task]*Worker // tasks that workers know of, exited ones included
-	cuts       map[string]cutMode
-	held       map[string][]func()
-	lostOrders map[string]micros.Micros // machines whose answers to orders are lost
-	cfg        core.Config
+// Simulation is one run.
+type Simulation struct {
+	plan               Plan
+	rng                *rand.Rand
+	now                micros.Micros
+	queue              eventqueue.Queue
+	Nodes              []*Node
+	State              *State
+	Cloud              *Cloud
+	workers            map[string]*Worker
+	names              []string
+	users              []*user
+	byJob              map[string]*user
+	onJob              map[string]map[*task]*Worker // tasks that workers know of, exited ones included
+	cuts               map[string]cutMode
+	held               map[string][]func()
+	lostCommandReplies map[string]micros.Micros // machines whose answers to orders are lost
+	cfg                controller.Config
 	// Broken lists the rules that were broken, with time and circumstances.
 	Broken []string
 	// Started and Finished count tasks.
 	Started, Finished int
 	Restarts          int
-	// Chained counts starts of tasks whose jobs needed others.
-	Chained int
+	// DependentStarts counts starts of tasks whose jobs needed others.
+	DependentStarts int
 	// CascadeCancelled counts the jobs of a cascade that stand as cancelled at its end.
 	CascadeCancelled int
 	// Questions counts what was asked beside polls, Refused the answers that could not be
@@ -105,7 +105,7 @@
 	EndedStops int
 	// Stale counts the times in which controllers knew little.
 	Stale int
-	// Copies counts late copies of reports, Unreachable machines that were out of reach.
+	// Copies counts late copies of heartbeats, Unreachable machines that were out of reach.
 	Copies, Unreachable int
 	// ZoneCuts, Died, Hung and Frozen count what hits many at a time.
 	ZoneCuts, Died, Hung, Frozen int
@@ -113,45 +113,45 @@
 	// counts machines returned with work on them although nothing was wrong.
 	Waited micros.Micros
 	Wasted int
-	// Reports and Rounds tell what a report and a round, in which a controller looks at
-	// whole shares, cost. MostAlone counts the machines that one controller commanded
+	// Heartbeats and Rounds tell what a heartbeat and a round, in which a controller looks at
+	// whole shards, cost. MostAlone counts the machines that one controller commanded
 	// while it was the only one, UpAlone those that were up then.
-	Reports, Rounds workSum
-	MostAlone       int
-	UpAlone         int
+	Heartbeats, Rounds workSum
+	MostAlone          int
+	UpAlone            int
 	// LimitsSet counts limits of groups that operators have set, GroupWrites writes of
 	// groups' records.
 	LimitsSet, GroupWrites int
 	groups                 map[string]quota.Record
-	stateRequests          []core.RequestClassMetrics // of processes that have ended
+	stateRequests          []controller.RequestClassMetrics // of processes that have ended
 	// Trace, if set, hears what happens.
 	Trace func(string)
 	// Sent, if set, is called with each Answer and Call of each controller, in the order in
 	// which they are sent. It must not change the effect.
-	Sent func(at micros.Micros, from string, effect core.Effect)
+	Sent func(at micros.Micros, from string, effect controller.Effect)
 	// copiesUntil: until then many reports are copied.
 	copiesUntil micros.Micros
 	knownAt     micros.Micros // when checkKnown looks next
-	meet        meetings
+	concurrent  concurrentFaults
 }
 
 // base makes the services and the settings of a run, with nobody to use them.
-func base(p Plan) *Sim {
-	s := &Sim{
+func base(p Plan) *Simulation {
+	s := &Simulation{
 		plan: p, rng: rand.New(rand.NewPCG(p.Seed, 77)), now: sec,
 		workers: map[string]*Worker{}, cuts: map[string]cutMode{}, held: map[string][]func(){},
-		lostOrders: map[string]micros.Micros{},
-		byJob:      map[string]*user{}, onJob: map[string]map[*task]*Worker{},
+		lostCommandReplies: map[string]micros.Micros{},
+		byJob:              map[string]*user{}, onJob: map[string]map[*task]*Worker{},
 	}
 	s.State = newState(s)
 	s.Cloud = newCloud(s)
-	s.cfg = core.Config{
-		Shares: p.Nodes, Teams: p.Teams,
-		Lease: 3 * sec, ReportEvery: 2 * sec, WorkerLease: 12 * sec, Cancel: 25 * sec,
-		StateRPS: cmp.Or(p.StateRPS, 300), WriteRPS: cmp.Or(p.WriteRPS, 80), ValueBytes: 8 << 10, TxnOps: 8, Asks: 24, StateCalls: 42, PeerAsks: 31, SilentReturn: -1,
+	s.cfg = controller.Config{
+		Shards: p.Nodes, Teams: p.Teams,
+		Lease: 3 * sec, HeartbeatInterval: 2 * sec, WorkerLease: 12 * sec, Cancel: 25 * sec,
+		StateRPS: cmp.Or(p.StateRPS, 300), WriteRPS: cmp.Or(p.WriteRPS, 80), ValueBytes: 8 << 10, TxnOps: 8, MaxWorkerRequests: 24, MaxStateRequests: 42, MaxPeerQuestions: 31, SilentReturn: -1,
 		CloudRPS: 10, ListLag: 2 * sec,
-		DrainHorizon: 30 * sec, IdleReturn: 15 * sec, BeginWithin: 60 * sec, Quarantine: 30 * sec, MaxMachines: p.Machines,
-		Urgent: map[string]micros.Micros{"rush": 3 * sec}, FinalJobs: p.FinalJobs,
+		DrainHorizon: 30 * sec, IdleReturn: 15 * sec, BeginWithin: 60 * sec, CordonFor: 30 * sec, MaxMachines: p.Machines,
+		StartWithin: map[string]micros.Micros{"rush": 3 * sec}, MaxFinalJobs: p.FinalJobs,
 	}
 	s.State.valueBytes, s.State.txnOps = s.cfg.ValueBytes, s.cfg.TxnOps
 	if p.Gap {
@@ -161,7 +161,7 @@
 }
 
 // New prepares a run.
-func New(p Plan) *Sim {
+func New(p Plan) *Simulation {
 	s := base(p)
 	for i := range p.Nodes {
 		s.Nodes = append(s.Nodes, &Node{sim: s, id: i, label: fmt.Sprintf("node-%d", i), rate: s.rng.Int64N(501)})
@@ -187,7 +187,7 @@
 		}
 		s.after(at, u.submit)
 	}
-	s.newPipelines()
+	s.newDAGs()
 	if p.Cascade != nil {
 		s.newCascade(*p.Cascade)
 	}
@@ -208,8 +208,8 @@
 	if p.Slow > 0 {
 		s.scheduleSlowness()
 	}
-	if p.Meet {
-		s.scheduleMeetings()
+	if p.ConcurrentFaults {
+		s.scheduleConcurrentFaults()
 	}
 	if p.Gap {
 		s.scheduleGap()
@@ -224,7 +224,7 @@
 }
 
 // Run plays the run to its end.
-func (s *Sim) Run() {
+func (s *Simulation) Run() {
 	end := s.plan.Length + s.plan.Rest
 	for _, more := s.queue.Due(); more && s.now < end && len(s.Broken) == 0; _, more = s.queue.Due() {
 		at, f := s.queue.Take()
@@ -245,43 +245,43 @@
 	}
 	s.checkServed()
 	for _, u := range s.users {
-		if u.accepted && u.told == "" {
+		if u.accepted && u.finalState == "" {
 			s.broken("stuck: %s (%s) has not ended %v s after the last fault; %d of %d tasks done",
 				u.sub.ID, u.sub.Class, s.plan.Rest.Seconds(), len(u.done), u.sub.Tasks)
 		}
 	}
 }
 
-func (s *Sim) allOver() bool {
+func (s *Simulation) allOver() bool {
 	for _, u := range s.users {
-		if u.told == "" && !u.gaveUp {
+		if u.finalState == "" && !u.gaveUp {
 			return false
 		}
 	}
 	return true
 }
 
-func (s *Sim) broken(format string, args ...any) {
+func (s *Simulation) broken(format string, args ...any) {
 	s.Broken = append(s.Broken, fmt.Sprintf("%.3f s: ", s.now.Seconds())+fmt.Sprintf(format, args...))
 }
 
-func (s *Sim) trace(format string, args ...any) {
+func (s *Simulation) trace(format string, args ...any) {
 	if s.Trace != nil {
 		s.Trace(fmt.Sprintf("%9.3f ", s.now.Seconds()) + fmt.Sprintf(format, args...))
 	}
 }
 
-func (s *Sim) at(t micros.Micros, f func()) { s.queue.Add(max(t, s.now), f) }
+func (s *Simulation) at(t micros.Micros, f func()) { s.queue.Add(max(t, s.now), f) }
 
-func (s *Sim) after(d micros.Micros, f func()) { s.at(s.now+d, f) }
+func (s *Simulation) after(d micros.Micros, f func()) { s.at(s.now+d, f) }
 
 // span draws a length of time.
-func (s *Sim) span(from, to micros.Micros) micros.Micros {
+func (s *Simulation) span(from, to micros.Micros) micros.Micros {
 	return from + micros.Micros(s.rng.Int64N(int64(to-from)+1))
 }
 
-func (s *Sim) chance(p float64) bool { return s.rng.Float64() < p }
+func (s *Simulation) chance(p float64) bool { return s.rng.Float64() < p }
 
-func (s *Sim) zone() string { return zones[s.rng.IntN(len(zones))] }
+func (s *Simulation) zone() string { return zones[s.rng.IntN(len(zones))] }
 
-func (s *Sim) userOf(job string) *user { return s.byJob[job] }
+func (s *Simulation) userOf(job string) *user { return s.byJob[job] }
--- a/internal/standin/sim_test.go
+++ b/internal/simulation/simulation_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"strconv"
 	"testing"
 
-	"garnethitch/internal/core"
+	"garnethitch/internal/controller"
 )
 
 // seeds lets a longer search be asked for: GARNETHITCH_SEEDS=500.
@@ -17,8 +17,8 @@
 	return n
 }
 
-// TestRules plays days with troubles and checks every rule at every step, and
-// that all work is done once the troubles are over.
+// TestRules plays days with faults and checks every rule at every step, and
+// that all work is done once the faults are over.
 func TestRules(t *testing.T) {
 	for _, r := range RulePlans() {
 		for seed := range seeds(r.Seeds) {
@@ -36,7 +36,7 @@
 	s := New(p)
 	if os.Getenv("GARNETHITCH_TRACE") != "" {
 		s.Trace = func(line string) { t.Log(line) }
-		s.cfg.LogReports = true
+		s.cfg.LogHeartbeats = true
 	}
 	s.Run()
 	for _, b := range s.Broken {
@@ -48,13 +48,13 @@
 	if p.Slow > 0 && s.Waited < 3*p.Slow {
 		t.Errorf("nothing had to wait: %v s at most", s.Waited.Seconds())
 	}
-	if p.Stale && len(s.Broken) == 0 && (s.Stale < 2 || s.meet.Cancelled == 0) {
-		t.Errorf("too little happened: controllers knew little %d times, %d jobs cancelled", s.Stale, s.meet.Cancelled)
+	if p.Stale && len(s.Broken) == 0 && (s.Stale < 2 || s.concurrent.Cancelled == 0) {
+		t.Errorf("too little happened: controllers knew little %d times, %d jobs cancelled", s.Stale, s.concurrent.Cancelled)
 	}
 	if p.Questions > 0 && len(s.Broken) == 0 && (s.Questions < 1000 || s.Refused < 100) {
 		t.Errorf("too little happened: %d questions, %d refused", s.Questions, s.Refused)
 	}
-	if p.Pipelines > 0 && !p.Meet && !p.Faults && s.Chained == 0 {
+	if p.DAGs > 0 && !p.ConcurrentFaults && !p.Faults && s.DependentStarts == 0 {
 		t.Error("no task started after others")
 	}
 	if p.Groups != nil && !p.RollBack && (s.LimitsSet == 0 || s.GroupWrites < 10) {
@@ -69,8 +69,8 @@
 }
 
 // TestLargeFleet plays a fleet of four thousand machines through the end of its leader, a
-// wave of reconnections, and a takeover of everything by one controller left alone. What
-// a report costs may not grow with the fleet, nor what a round costs for each machine.
+// wave of reconnections, and a failover of everything by one controller left alone. What
+// a heartbeat costs may not grow with the fleet, nor what a round costs for each machine.
 func TestLargeFleet(t *testing.T) {
 	t.Parallel()
 	type cost struct{ report, round, mostRound float64 } // the latter two for each machine
@@ -91,8 +91,8 @@
 			t.Errorf("nothing ran: %d started, %d finished", s.Started, s.Finished)
 		}
 		t.Logf("%d machines: %d reports, %.1f looked at by each; %d rounds, %.0f by each, %d at most; %d tasks",
-			machines, s.Reports.steps, s.Reports.mean(), s.Rounds.steps, s.Rounds.mean(), s.Rounds.most, s.Finished)
-		return cost{s.Reports.mean(), s.Rounds.mean() / float64(machines), float64(s.Rounds.most) / float64(machines)}
+			machines, s.Heartbeats.steps, s.Heartbeats.mean(), s.Rounds.steps, s.Rounds.mean(), s.Rounds.most, s.Finished)
+		return cost{s.Heartbeats.mean(), s.Rounds.mean() / float64(machines), float64(s.Rounds.most) / float64(machines)}
 	}
 	// The costliest round of one play is chance: with a thousand machines it looks 2.6 to
 	// 7 times at each, so that plays of several seeds are what the large fleet is held to.
@@ -116,7 +116,7 @@
 	}
 }
 
-// maxMoreLooked is how much more a report may look at in a larger fleet: a bounded number
+// maxMoreLooked is how much more a heartbeat may look at in a larger fleet: a bounded number
 // of the jobs that wait, of which there are more.
 const maxMoreLooked = 20
 
@@ -126,26 +126,26 @@
 func TestCascades(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
-		teams   []core.Team
+		teams   []controller.Team
 		cascade Cascade
 	}{
 		{"wide", fourTeam, Cascade{Shape: Wide, Dependents: 900}},
 		{"wide, jobs parted", oneTeam, Cascade{Shape: Wide, Dependents: 900}},
 		{"wide, limits lowered before", fourTeam, Cascade{Shape: Wide, Dependents: 900, Limited: true}},
-		{"wide, limits lowered meanwhile", fourTeam, Cascade{Shape: Wide, Dependents: 900, Trouble: LimitsLowered}},
-		{"wide, the owner ends", fourTeam, Cascade{Shape: Wide, Dependents: 400, Trouble: OwnerEnds}},
-		{"wide, the owner returns at once", fourTeam, Cascade{Shape: Wide, Dependents: 900, Trouble: OwnerReturns}},
-		{"wide, the owner is cut off", fourTeam, Cascade{Shape: Wide, Dependents: 400, Trouble: OwnerCutOff}},
-		{"wide, the owner is refused", fourTeam, Cascade{Shape: Wide, Dependents: 400, Trouble: OwnerRefused, Limited: true}},
+		{"wide, limits lowered meanwhile", fourTeam, Cascade{Shape: Wide, Dependents: 900, Fault: LimitsLowered}},
+		{"wide, the owner ends", fourTeam, Cascade{Shape: Wide, Dependents: 400, Fault: OwnerEnds}},
+		{"wide, the owner returns at once", fourTeam, Cascade{Shape: Wide, Dependents: 900, Fault: OwnerReturns}},
+		{"wide, the owner is cut off", fourTeam, Cascade{Shape: Wide, Dependents: 400, Fault: OwnerCutOff}},
+		{"wide, the owner is refused", fourTeam, Cascade{Shape: Wide, Dependents: 400, Fault: OwnerRefused, Limited: true}},
 		{"deep", fourTeam, Cascade{Shape: Deep, Dependents: 200}},
 		{"deep, jobs parted, from the middle", oneTeam, Cascade{Shape: Deep, Dependents: 200, Middle: true}},
-		{"deep, the owner ends", fourTeam, Cascade{Shape: Deep, Dependents: 200, Trouble: OwnerEnds}},
-		{"deep, the owner is refused", oneTeam, Cascade{Shape: Deep, Dependents: 200, Trouble: OwnerRefused}},
+		{"deep, the owner ends", fourTeam, Cascade{Shape: Deep, Dependents: 200, Fault: OwnerEnds}},
+		{"deep, the owner is refused", oneTeam, Cascade{Shape: Deep, Dependents: 200, Fault: OwnerRefused}},
 		{"diamonds, from the middle", fourTeam, Cascade{Shape: Diamonds, Dependents: 300, Middle: true}},
-		{"diamonds, the owner returns at once", oneTeam, Cascade{Shape: Diamonds, Dependents: 300, Trouble: OwnerReturns, Limited: true}},
+		{"diamonds, the owner returns at once", oneTeam, Cascade{Shape: Diamonds, Dependents: 300, Fault: OwnerReturns, Limited: true}},
 		{"wide, during a roll from the last landing", fourTeam, Cascade{Shape: Wide, Dependents: 300, Roll: LastLanded}},
 		{"deep, during a roll from the last landing", oneTeam, Cascade{Shape: Deep, Dependents: 200, Roll: LastLanded}},
-		{"diamonds, the owner is cut off", fourTeam, Cascade{Shape: Diamonds, Dependents: 300, Trouble: OwnerCutOff}},
+		{"diamonds, the owner is cut off", fourTeam, Cascade{Shape: Diamonds, Dependents: 300, Fault: OwnerCutOff}},
 	} {
 		for seed := range seeds(1) {
 			t.Run(fmt.Sprintf("%s/%d", tc.name, seed), func(t *testing.T) {
@@ -181,17 +181,17 @@
 	}
 }
 
-// TestMeetingsHappen: what a plan of meetings is made of does take place.
-func TestMeetingsHappen(t *testing.T) {
-	var sum meetings
+// TestConcurrentFaultsHappen: what a plan of meetings is made of does take place.
+func TestConcurrentFaultsHappen(t *testing.T) {
+	var sum concurrentFaults
 	for seed := range uint64(8) {
-		p := Plan{Seed: seed + 1, Nodes: 3, Machines: 12, Jobs: 30, Meet: true, Teams: fourTeam, Length: 90 * sec, Rest: 300 * sec}
+		p := Plan{Seed: seed + 1, Nodes: 3, Machines: 12, Jobs: 30, ConcurrentFaults: true, Teams: fourTeam, Length: 90 * sec, Rest: 300 * sec}
 		if seed%4 == 3 {
-			p.Meet, p.Gap = false, true
+			p.ConcurrentFaults, p.Gap = false, true
 		}
 		s := New(p)
 		s.Run()
-		m := s.meet
+		m := s.concurrent
 		for _, n := range []struct{ sum, of *int }{
 			{&sum.Late, &m.Late}, {&sum.Kept, &m.Kept}, {&sum.CutReports, &m.CutReports}, {&sum.Cancelled, &m.Cancelled},
 			{&sum.AtEnd, &m.AtEnd}, {&sum.Looks, &m.Looks}, {&sum.Odd, &m.Odd}, {&sum.Gaps, &m.Gaps},
--- a/internal/standin/slow.go
+++ b/internal/simulation/slow.go
@@ -1,13 +1,13 @@
-package standin
+package simulation
 
 import (
-	"garnethitch/internal/core"
+	"garnethitch/internal/controller"
 	"garnethitch/internal/micros"
 )
 
 // queuedInput waits for a controller that is short of time.
 type queuedInput struct {
-	in core.Input
+	in controller.Input
 	at micros.Micros
 }
 
@@ -19,7 +19,7 @@
 	n.working = true
 	life, cost := n.life, n.cost
 	n.sim.after(cost, func() {
-		if n.life != life || n.core == nil {
+		if n.life != life || n.controller == nil {
 			return
 		}
 		if n.sim.now < n.frozenUntil { // what is under way stands still with the process
@@ -40,7 +40,7 @@
 }
 
 // slowness makes some controllers slow for a while.
-func (s *Sim) slowness(nodes []*Node, d micros.Micros) {
+func (s *Simulation) slowness(nodes []*Node, d micros.Micros) {
 	for _, n := range nodes {
 		s.trace("%s takes %v s a step for %v s", n.label, s.plan.Slow.Seconds(), d.Seconds())
 		n.cost = s.plan.Slow
@@ -49,7 +49,7 @@
 }
 
 // scheduleSlowness slows one controller down, later all of them.
-func (s *Sim) scheduleSlowness() {
+func (s *Simulation) scheduleSlowness() {
 	s.after(s.span(10*sec, s.plan.Length/3), func() {
 		s.slowness([]*Node{s.Nodes[s.rng.IntN(len(s.Nodes))]}, s.span(10*sec, 25*sec))
 	})
@@ -57,7 +57,7 @@
 }
 
 // atWork: a task runs on a machine, whose user has not cancelled it.
-func (s *Sim) atWork(w *Worker) bool {
+func (s *Simulation) atWork(w *Worker) bool {
 	for _, t := range w.tasks {
 		if t.onMachine() && !s.userOf(t.job).asked {
 			return true
--- a/internal/standin/soak.go
+++ b/internal/simulation/soak.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 )
 
 // A soak runs controllers as real processes beside users who cancel, ask and repeat all the
-// time, through troubles drawn from a seed. Its checker reads only what workers and users saw.
+// time, through faults drawn from a seed. Its checker reads only what workers and users saw.
 
 // SoakPlan says what a soak is made of.
 type SoakPlan struct {
@@ -25,14 +25,14 @@
 	Questions, StateRPS, WriteRPS float64
 	Binary                        string
 	Dir                           string // for settings and logs
-	// Only, if not empty, are the numbers of the troubles that are played.
+	// Only, if not empty, are the numbers of the faults that are played.
 	Only []int
 }
 
 // SoakResult is what came about.
 type SoakResult struct {
 	Jobs, Cancelled, Tasks, Answers int
-	Troubles                        int
+	Faults                          int
 	// Questions counts those about jobs that nobody submitted, Refused the answers that
 	// could not be given. Unanswered is the longest that a job was asked about in vain.
 	Questions, Refused int
@@ -42,77 +42,77 @@
 
 func (r SoakResult) String() string {
 	return fmt.Sprintf("%d jobs, %d called cancelled, %d tasks started, %d answers to users, %.1f s unanswered at most, %d other questions, %d refused, %d troubles, %d breaks",
-		r.Jobs, r.Cancelled, r.Tasks, r.Answers, r.Unanswered.Seconds(), r.Questions, r.Refused, r.Troubles, len(r.Broken))
+		r.Jobs, r.Cancelled, r.Tasks, r.Answers, r.Unanswered.Seconds(), r.Questions, r.Refused, r.Faults, len(r.Broken))
 }
 
 // SoakTimes keep about the proportions of the real settings (leases of 4 and 45 s, 70 s to
-// cancel, a report every 10 s), with the fixed margin of 3 s that the bounds take.
+// cancel, a heartbeat every 10 s), with the fixed margin of 3 s that the bounds take.
 func SoakTimes() ClusterTimes {
 	return ClusterTimes{
-		Report: time.Second, WorkerLease: 6 * time.Second, Cancel: 13 * time.Second, ControllerLease: time.Second,
+		HeartbeatInterval: time.Second, WorkerLease: 6 * time.Second, Cancel: 13 * time.Second, ControllerLease: time.Second,
 		TaskFrom: 2 * time.Second, TaskTo: 40 * time.Second,
 	}
 }
 
-// TroubleKind is what goes wrong.
-type TroubleKind int
+// FaultKind is what goes wrong.
+type FaultKind int
 
-// Kinds of troubles.
+// Kinds of faults.
 const (
-	TroubleKill TroubleKind = iota
-	TroubleKillOwner
-	TroubleFreeze
-	TroubleCutFromState
-	TroubleRefused
-	TroubleRefusedJobs
-	TroubleLateWrites
-	TroubleLinkHeld
-	TroubleLinkReset
-	TroubleOutage
-	TroubleMachinesHang
-	TroubleMachinesDeaf
-	TroubleMachinesMute
-	TroubleLateReports
-	TroubleMachinesSeldom
-	troubleKinds
+	FaultKill FaultKind = iota
+	FaultKillOwner
+	FaultFreeze
+	FaultCutFromState
+	FaultRefused
+	FaultRefusedJobs
+	FaultLateWrites
+	FaultLinkHeld
+	FaultLinkReset
+	FaultOutage
+	FaultMachinesHang
+	FaultMachinesDeaf
+	FaultMachinesMute
+	FaultLateReports
+	FaultMachinesSeldom
+	faultKindCount
 )
 
-var troubleNames = [troubleKinds]string{"kill", "kill owner", "freeze", "cut from state", "refused", "refused jobs", "late writes", "link held", "link reset",
+var faultNames = [faultKindCount]string{"kill", "kill owner", "freeze", "cut from state", "refused", "refused jobs", "late writes", "link held", "link reset",
 	"outage", "machines hang", "machines hear nothing", "machines reach nobody", "late reports", "machines are heard seldom"}
 
-// Trouble is one thing that goes wrong.
-type Trouble struct {
-	At, For     time.Duration
-	Kind        TroubleKind
-	Node, Other int
-	Share       float64
+// Fault is one thing that goes wrong.
+type Fault struct {
+	At, Duration time.Duration
+	Kind         FaultKind
+	Node, Other  int
+	Fraction     float64
 }
 
-func (t Trouble) String() string {
-	return fmt.Sprintf("%5.1f s: %s, node %d, other %d, share %.2f, for %.1f s", t.At.Seconds(), troubleNames[t.Kind], t.Node, t.Other, t.Share, t.For.Seconds())
+func (t Fault) String() string {
+	return fmt.Sprintf("%5.1f s: %s, node %d, other %d, share %.2f, for %.1f s", t.At.Seconds(), faultNames[t.Kind], t.Node, t.Other, t.Fraction, t.Duration.Seconds())
 }
 
-// Troubles draws what goes wrong, from the seed alone; two or three overlap, and owners end
+// Faults draws what goes wrong, from the seed alone; two or three overlap, and owners end
 // in series.
-func (p SoakPlan) Troubles() (list []Trouble) {
+func (p SoakPlan) Faults() (list []Fault) {
 	r := rand.New(rand.NewPCG(p.Seed, 11))
 	draw := func(from, to time.Duration) time.Duration { return from + time.Duration(r.Int64N(int64(to-from))) }
-	add := func(at time.Duration, kind TroubleKind, d time.Duration) {
+	add := func(at time.Duration, kind FaultKind, d time.Duration) {
 		node := r.IntN(p.Nodes)
-		list = append(list, Trouble{At: at, For: d, Kind: kind, Node: node, Other: (node + 1 + r.IntN(p.Nodes-1)) % p.Nodes, Share: 0.1 + 0.4*r.Float64()})
+		list = append(list, Fault{At: at, Duration: d, Kind: kind, Node: node, Other: (node + 1 + r.IntN(p.Nodes-1)) % p.Nodes, Fraction: 0.1 + 0.4*r.Float64()})
 	}
 	calm := SoakTimes().Cancel
 	for at := 4 * time.Second; at < p.Length-calm; at += draw(time.Second, 3*time.Second) {
-		add(at, TroubleKind(r.IntN(int(troubleKinds))), draw(300*time.Millisecond, 8*time.Second))
+		add(at, FaultKind(r.IntN(int(faultKindCount))), draw(300*time.Millisecond, 8*time.Second))
 		if r.IntN(8) == 0 {
-			add(at, TroubleMachinesSeldom, draw(12*time.Second, 24*time.Second))
+			add(at, FaultMachinesSeldom, draw(12*time.Second, 24*time.Second))
 			for i := range time.Duration(6) { // owners in series
-				add(at+i*(seldomEvery+500*time.Millisecond), TroubleKillOwner, draw(50*time.Millisecond, 2*time.Second))
+				add(at+i*(seldomEvery+500*time.Millisecond), FaultKillOwner, draw(50*time.Millisecond, 2*time.Second))
 			}
 		}
 	}
-	list = slices.DeleteFunc(list, func(t Trouble) bool { return t.At > p.Length-2*time.Second })
-	slices.SortStableFunc(list, func(a, b Trouble) int { return int(a.At - b.At) })
+	list = slices.DeleteFunc(list, func(t Fault) bool { return t.At > p.Length-2*time.Second })
+	slices.SortStableFunc(list, func(a, b Fault) int { return int(a.At - b.At) })
 	return list
 }
 
@@ -141,7 +141,7 @@
 		}()
 	}
 	played := 0
-	for i, t := range p.Troubles() {
+	for i, t := range p.Faults() {
 		if len(p.Only) > 0 && !slices.Contains(p.Only, i) {
 			continue
 		}
@@ -155,66 +155,66 @@
 	return s.result(played), nil
 }
 
-// bring brings one trouble about.
-func (c *Cluster) bring(t Trouble) {
+// bring brings one fault about.
+func (c *Cluster) bring(t Fault) {
 	n := c.nodes[t.Node]
 	fault := func(set func(f *stateFaults, until time.Time)) {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		set(&n.faults, time.Now().Add(t.For))
+		set(&n.faults, time.Now().Add(t.Duration))
 	}
 	machines := func(of func(f *machineFaults) *time.Time) {
 		for _, m := range c.machines {
-			if c.chance(t.Share) {
-				m.faults.set(of(&m.faults), t.For)
+			if c.chance(t.Fraction) {
+				m.faults.set(of(&m.faults), t.Duration)
 			}
 		}
 	}
 	switch t.Kind {
-	case TroubleKill:
-		c.End(t.Node, t.For/4)
-	case TroubleKillOwner:
-		c.End(c.mostClaims(), t.For)
-	case TroubleFreeze:
+	case FaultKill:
+		c.End(t.Node, t.Duration/4)
+	case FaultKillOwner:
+		c.End(c.mostClaims(), t.Duration)
+	case FaultFreeze:
 		if n.process != nil {
-			n.process.freeze(t.For)
+			n.process.freeze(t.Duration)
 		}
-	case TroubleCutFromState:
-		c.Cut(t.Node, t.For)
-	case TroubleRefused:
+	case FaultCutFromState:
+		c.Cut(t.Node, t.Duration)
+	case FaultRefused:
 		fault(func(f *stateFaults, until time.Time) { f.refuseUntil = until })
-	case TroubleRefusedJobs:
+	case FaultRefusedJobs:
 		for _, o := range c.nodes {
 			n = o
 			fault(func(f *stateFaults, until time.Time) { f.jobsUntil = until })
 		}
-	case TroubleLateWrites:
+	case FaultLateWrites:
 		fault(func(f *stateFaults, until time.Time) { f.lateUntil = until })
-	case TroubleLinkHeld, TroubleLinkReset:
+	case FaultLinkHeld, FaultLinkReset:
 		for _, l := range c.links {
 			if l.from == t.Node && l.to == t.Other {
-				l.cut(t.Kind == TroubleLinkHeld, t.For)
+				l.cut(t.Kind == FaultLinkHeld, t.Duration)
 			}
 		}
-	case TroubleOutage:
-		c.world.with(func() { c.world.sim.State.downUntil = c.world.sim.now + micros.FromDuration(t.For) })
-	case TroubleMachinesHang:
+	case FaultOutage:
+		c.world.with(func() { c.world.sim.State.downUntil = c.world.sim.now + micros.FromDuration(t.Duration) })
+	case FaultMachinesHang:
 		machines(func(f *machineFaults) *time.Time { return &f.hungUntil })
-	case TroubleMachinesDeaf:
+	case FaultMachinesDeaf:
 		machines(func(f *machineFaults) *time.Time { return &f.deafUntil })
-	case TroubleMachinesMute:
+	case FaultMachinesMute:
 		machines(func(f *machineFaults) *time.Time { return &f.mutedUntil })
-	case TroubleMachinesSeldom:
+	case FaultMachinesSeldom:
 		machines(func(f *machineFaults) *time.Time { return &f.seldomUntil })
-	case TroubleLateReports:
+	case FaultLateReports:
 		machines(func(f *machineFaults) *time.Time { return &f.copies })
 	}
 }
 
-// mostClaims is the controller that holds the most duties by the state service.
+// mostClaims is the controller that holds the most locks by the state service.
 func (c *Cluster) mostClaims() (node int) {
 	var holds map[string]int
-	c.world.with(func() { holds = c.world.sim.State.duties() })
+	c.world.with(func() { holds = c.world.sim.State.locksByController() })
 	for i, n := range c.nodes {
 		if holds[n.set.Label] > holds[c.nodes[node].set.Label] {
 			node = i
--- a/internal/standin/soak_check.go
+++ b/internal/simulation/soak_check.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"cmp"
@@ -55,10 +55,10 @@
 
 // CheckStays finds tasks that ran on after their job was called cancelled, and tasks that
 // started on one machine while they were on another. told is by job.
-func CheckStays(list []Stay, told map[string]time.Time, cancel time.Duration) (broken []string) {
+func CheckStays(list []Stay, cancelledAt map[string]time.Time, cancel time.Duration) (broken []string) {
 	for i, stay := range list {
 		job, _, _ := strings.Cut(stay.Task, "/")
-		if at, ok := told[job]; ok && stay.To.Sub(at) > cancel {
+		if at, ok := cancelledAt[job]; ok && stay.To.Sub(at) > cancel {
 			broken = append(broken, fmt.Sprintf("ran_cancelled: %s was on %s until %.1f s after its job was called cancelled", stay.Task, stay.Machine, stay.To.Sub(at).Seconds()))
 		}
 		for _, later := range list[i+1:] {
@@ -74,21 +74,21 @@
 }
 
 // result sums a soak up and checks it.
-func (s *soak) result(troubles int) SoakResult {
+func (s *soak) result(faults int) SoakResult {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r := SoakResult{Jobs: len(s.jobs), Answers: s.answers, Troubles: troubles, Questions: s.questions, Refused: s.refused, Unanswered: s.unanswered, Broken: s.broken}
-	told := map[string]time.Time{}
+	r := SoakResult{Jobs: len(s.jobs), Answers: s.answers, Faults: faults, Questions: s.questions, Refused: s.refused, Unanswered: s.unanswered, Broken: s.broken}
+	cancelledAt := map[string]time.Time{}
 	for _, j := range s.jobs {
 		if !j.cancelled.IsZero() {
-			told[j.id] = j.cancelled
+			cancelledAt[j.id] = j.cancelled
 		}
 	}
-	r.Cancelled = len(told)
+	r.Cancelled = len(cancelledAt)
 	list := s.cluster.stays.all(now)
 	r.Tasks = len(list)
-	r.Broken = append(r.Broken, CheckStays(list, told, s.cluster.plan.Times.Cancel)...)
+	r.Broken = append(r.Broken, CheckStays(list, cancelledAt, s.cluster.plan.Times.Cancel)...)
 	s.cluster.mu.Lock()
 	defer s.cluster.mu.Unlock()
 	r.Broken = append(r.Broken, s.cluster.problems...)
--- a/internal/standin/soak_user.go
+++ b/internal/simulation/soak_user.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"fmt"
@@ -24,12 +24,12 @@
 
 // soakJob is a job as its user knows it.
 type soakJob struct {
-	id        string
-	tasks     int
-	asked     bool      // for cancellation
-	told      string    // the final state that was told
-	cancelled time.Time // when "cancelled" was first told
-	answered  time.Time // when a question about it was last answered, or it was accepted
+	id         string
+	tasks      int
+	asked      bool      // for cancellation
+	finalState string    // the final state that was told
+	cancelled  time.Time // when "cancelled" was first told
+	answered   time.Time // when a question about it was last answered, or it was accepted
 }
 
 // maxUnanswered is how long a job may be asked about in vain.
@@ -107,7 +107,7 @@
 func (s *soak) over(j *soakJob) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return j.told != ""
+	return j.finalState != ""
 }
 
 func (s *soak) setAsked(j *soakJob) {
@@ -180,7 +180,7 @@
 // hear holds an answer against what had been told before its request was sent.
 func (s *soak) hear(j *soakJob, node int, method, what string) {
 	s.mu.Lock()
-	before := j.told
+	before := j.finalState
 	s.mu.Unlock()
 	status, answer := s.ask(node, method, "/submissions/"+j.id+what, nil)
 	if status == 404 {
@@ -205,9 +205,9 @@
 		if j.cancelled.IsZero() {
 			j.cancelled = time.Now()
 		}
-		j.told = answer.State
+		j.finalState = answer.State
 	case wire.StateDone:
-		j.told = answer.State
+		j.finalState = answer.State
 	}
 }
 
--- a/internal/standin/stale.go
+++ b/internal/simulation/stale.go
@@ -1,9 +1,9 @@
-package standin
+package simulation
 
 import (
 	"strings"
 
-	"garnethitch/internal/core"
+	"garnethitch/internal/controller"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/wire"
 )
@@ -12,16 +12,16 @@
 
 // refusesJobs: the state service takes claims, renewals and writes of a controller, and
 // refuses what would tell it of jobs, as one does that is short of requests.
-func (s *Sim) refusesJobs(call core.Call) bool {
-	if call.To != core.ToState || s.now >= s.State.jobsRefusedUntil {
+func (s *Simulation) refusesJobs(call controller.Call) bool {
+	if call.To != controller.ToState || s.now >= s.State.jobsRefusedUntil {
 		return false
 	}
 	switch r := call.Req.(type) {
-	case core.GetKey:
+	case controller.GetKey:
 		return strings.HasPrefix(r.Key, wire.PrefixJob)
-	case core.ListKeys:
+	case controller.ListKeys:
 		return strings.HasPrefix(r.Prefix, wire.PrefixJob)
-	case core.Watch:
+	case controller.Watch:
 		return strings.HasPrefix(r.Prefix, wire.PrefixJob)
 	}
 	return false
@@ -29,7 +29,7 @@
 
 // scheduleStale lets jobs be cancelled just before reads of jobs are refused and owners end
 // one after the other, on machines of which some hang meanwhile.
-func (s *Sim) scheduleStale() {
+func (s *Simulation) scheduleStale() {
 	episode := func() {
 		s.Stale++
 		s.cancelNow(4, s.span(0, s.cfg.WorkerLease))
--- a/internal/standin/staterequests.go
+++ b/internal/simulation/state_requests.go
@@ -1,14 +1,14 @@
-package standin
+package simulation
 
-import "garnethitch/internal/core"
+import "garnethitch/internal/controller"
 
 // Requests to the state service, counted over all controllers and their former processes.
 
 // noteStateRequests adds what a process counted until its end.
-func (s *Sim) noteStateRequests(c *core.Core) {
+func (s *Simulation) noteStateRequests(c *controller.Controller) {
 	for i, m := range c.StateRequests() {
 		if i == len(s.stateRequests) {
-			s.stateRequests = append(s.stateRequests, core.RequestClassMetrics{Class: m.Class})
+			s.stateRequests = append(s.stateRequests, controller.RequestClassMetrics{Class: m.Class})
 		}
 		sum := &s.stateRequests[i]
 		sum.Sent += m.Sent
@@ -19,10 +19,10 @@
 }
 
 // StateRequests gives the sums of a run that is over, by class; call it once.
-func (s *Sim) StateRequests() []core.RequestClassMetrics {
+func (s *Simulation) StateRequests() []controller.RequestClassMetrics {
 	for _, n := range s.Nodes {
-		if n.core != nil {
-			s.noteStateRequests(n.core)
+		if n.controller != nil {
+			s.noteStateRequests(n.controller)
 		}
 	}
 	return s.stateRequests
