--- a/internal/standin/user.go
+++ b/internal/simulation/user.go
@@ -1,9 +1,9 @@
-package standin
+package simulation
 
 import (
 	"fmt"
 
-	"garnethitch/internal/core"
+	"garnethitch/internal/controller"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/wire"
 )
@@ -11,27 +11,27 @@
 // user owns one job: submits it, polls it, perhaps cancels it, and holds the
 // service to what it said.
 type user struct {
-	sim        *Sim
-	sub        wire.Submission
-	runs       []micros.Micros
-	progress   []micros.Micros
-	done       map[int]bool
-	bad        bool // its tasks fail everywhere
-	cancels    bool
-	submitted  bool
-	accepted   bool
-	asked      bool // for cancellation
-	cancelTold micros.Micros
-	told       string
-	gaveUp     bool
-	largest    bool // one of its class's largest
-	acceptedAt micros.Micros
-	answeredAt micros.Micros // when a question about it was last answered
-	startedAt  micros.Micros // when its first task began
-	doneAt     micros.Micros // when a task of it was last completed
-	tries      int
-	needs      []*user // whose jobs this one depends on
-	allNeeded  []*user // see ancestors
+	sim             *Simulation
+	sub             wire.Submission
+	runs            []micros.Micros
+	progress        []micros.Micros
+	done            map[int]bool
+	bad             bool // its tasks fail everywhere
+	cancels         bool
+	submitted       bool
+	accepted        bool
+	asked           bool // for cancellation
+	cancelConfirmed micros.Micros
+	finalState      string
+	gaveUp          bool
+	largest         bool // one of its class's largest
+	acceptedAt      micros.Micros
+	answeredAt      micros.Micros // when a question about it was last answered
+	startedAt       micros.Micros // when its first task began
+	doneAt          micros.Micros // when a task of it was last completed
+	tries           int
+	needs           []*user // whose jobs this one depends on
+	allNeeded       []*user // see ancestors
 	// waits is when a task of it was first seen waiting beside free room, without a
 	// start since; started counts starts.
 	waits   micros.Micros
@@ -39,7 +39,7 @@
 	seen    int
 }
 
-func newUser(s *Sim, i int) *user {
+func newUser(s *Simulation, i int) *user {
 	r := s.rng
 	u := &user{sim: s, done: map[int]bool{}}
 	u.sub = wire.Submission{
@@ -53,9 +53,9 @@
 	case 1:
 		u.sub.Priority, u.sub.CheckpointS, u.sub.SaveS, u.sub.CPUs = "best_effort", 3, 1, 4
 	case 2:
-		u.sub.OneZone = true
+		u.sub.SameZone = true
 	case 3:
-		u.sub.Apart = true
+		u.sub.Spread = true
 	case 4:
 		u.sub.Spot, u.sub.Types = false, []string{"small"}
 	}
@@ -73,14 +73,14 @@
 		u.bad, u.cancels = true, true
 	}
 	if s.plan.Churn {
-		u.sub.Tasks, u.sub.CPUs, u.sub.OneZone, u.sub.Apart = 1, 1, false, false
+		u.sub.Tasks, u.sub.CPUs, u.sub.SameZone, u.sub.Spread = 1, 1, false, false
 		u.bad, u.cancels = false, i%4 == 0
 	}
 	longest := 12 * sec
 	if u.cancels {
 		longest = micros.Minute // or it would be over before its cancellation has to be
 	}
-	if (s.plan.Meet || s.plan.Gap || s.plan.Stale) && !s.plan.Churn && r.IntN(3) == 0 {
+	if (s.plan.ConcurrentFaults || s.plan.Gap || s.plan.Stale) && !s.plan.Churn && r.IntN(3) == 0 {
 		longest = 50 * sec // a few tasks that end far apart, and jobs to call off
 		u.sub.Tasks = min(u.sub.Tasks, 3)
 	}
@@ -104,28 +104,28 @@
 // node picks the node that the balancer sends the user to.
 func (u *user) node() *Node { return u.sim.Nodes[u.sim.rng.IntN(len(u.sim.Nodes))] }
 
-func (u *user) request(make func(core.ReplyID) core.Input, timeout micros.Micros, done func(core.Answer, bool)) {
+func (u *user) request(make func(controller.ReplyID) controller.Input, timeout micros.Micros, done func(controller.Answer, bool)) {
 	u.requestAt(u.node(), make, timeout, done)
 }
 
-func (u *user) requestAt(n *Node, make func(core.ReplyID) core.Input, timeout micros.Micros, done func(core.Answer, bool)) {
-	exchange(u.sim, "user-"+n.label, timeout, func(reply func(core.Answer)) { n.ask(make, reply) }, done)
+func (u *user) requestAt(n *Node, make func(controller.ReplyID) controller.Input, timeout micros.Micros, done func(controller.Answer, bool)) {
+	exchange(u.sim, "user-"+n.label, timeout, func(reply func(controller.Answer)) { n.ask(make, reply) }, done)
 }
 
 func (u *user) submit() {
 	s := u.sim
 	u.submitted = true
 	u.tries++
-	told := u.told
-	u.request(func(id core.ReplyID) core.Input { return core.Submit{Reply: id, Job: u.sub} }, 5*sec, func(a core.Answer, ok bool) {
+	finalState := u.finalState
+	u.request(func(id controller.ReplyID) controller.Input { return controller.SubmitRequest{Reply: id, Job: u.sub} }, 5*sec, func(a controller.Answer, ok bool) {
 		switch {
 		case ok && (a.Status == 201 || a.Status == 200):
 			u.accepted, u.acceptedAt, u.answeredAt = true, s.now, s.now
-			u.hear(a, told)
+			u.hear(a, finalState)
 			u.lookClosely()
-			s.after(s.span(sec, 3*sec), u.poll)
+			s.after(s.span(sec, 3*sec), u.askStatus)
 			if u.cancels {
-				s.after(s.span(sec/10, 25*sec), u.withdraw)
+				s.after(s.span(sec/10, 25*sec), u.requestCancel)
 			}
 			s.after(s.span(2*sec, 60*sec), u.again)
 		case ok && (a.Status == 400 || a.Status == 422):
@@ -145,22 +145,22 @@
 
 // repeat sends the submission again to a node.
 func (u *user) repeat(n *Node) {
-	told := u.told
-	u.requestAt(n, func(id core.ReplyID) core.Input { return core.Submit{Reply: id, Job: u.sub} }, 5*sec, func(a core.Answer, ok bool) {
+	finalState := u.finalState
+	u.requestAt(n, func(id controller.ReplyID) controller.Input { return controller.SubmitRequest{Reply: id, Job: u.sub} }, 5*sec, func(a controller.Answer, ok bool) {
 		if ok && (a.Status == 400 || a.Status == 422 || a.Status == 404) {
 			u.sim.broken("forgotten: a repeated submission of %s got %d", u.sub.ID, a.Status)
 		}
 		if ok {
-			u.hear(a, told)
+			u.hear(a, finalState)
 		}
 	})
 }
 
-func (u *user) poll() {
+func (u *user) askStatus() {
 	s := u.sim
 	if s.chance(0.05) {
 		ghost := fmt.Sprintf("job-%06d", 900000+s.rng.IntN(1000))
-		u.request(func(id core.ReplyID) core.Input { return core.Poll{Reply: id, ID: ghost} }, 2*sec, func(a core.Answer, ok bool) {
+		u.request(func(id controller.ReplyID) controller.Input { return controller.JobStatusRequest{Reply: id, ID: ghost} }, 2*sec, func(a controller.Answer, ok bool) {
 			if ok && a.Status == 200 {
 				s.broken("invented: %s", ghost)
 			}
@@ -168,19 +168,21 @@
 	}
 	u.ask(u.node(), func() {
 		wait := 2 * sec
-		if u.told != "" {
+		if u.finalState != "" {
 			wait = 10 * sec // final answers are asked for again later
 		}
-		s.after(wait, u.poll)
+		s.after(wait, u.askStatus)
 	})
 }
 
 // ask puts one question to a node; then, if set, follows on the answer or on none.
 func (u *user) ask(n *Node, then func()) {
-	told := u.told
-	u.requestAt(n, func(id core.ReplyID) core.Input { return core.Poll{Reply: id, ID: u.sub.ID} }, 2*sec, func(a core.Answer, ok bool) {
+	finalState := u.finalState
+	u.requestAt(n, func(id controller.ReplyID) controller.Input {
+		return controller.JobStatusRequest{Reply: id, ID: u.sub.ID}
+	}, 2*sec, func(a controller.Answer, ok bool) {
 		if ok {
-			u.hear(a, told)
+			u.hear(a, finalState)
 		}
 		if then != nil {
 			then()
@@ -188,19 +190,19 @@
 	})
 }
 
-func (u *user) withdraw() {
+func (u *user) requestCancel() {
 	s := u.sim
-	if u.told != "" {
+	if u.finalState != "" {
 		return
 	}
 	u.asked = true
-	told := u.told
-	u.request(func(id core.ReplyID) core.Input { return core.Withdraw{Reply: id, ID: u.sub.ID} }, 5*sec, func(a core.Answer, ok bool) {
+	finalState := u.finalState
+	u.request(func(id controller.ReplyID) controller.Input { return controller.CancelRequest{Reply: id, ID: u.sub.ID} }, 5*sec, func(a controller.Answer, ok bool) {
 		if ok {
-			u.hear(a, told)
+			u.hear(a, finalState)
 		}
-		if u.told == "" {
-			s.after(sec, u.withdraw)
+		if u.finalState == "" {
+			s.after(sec, u.requestCancel)
 		}
 	})
 }
@@ -208,7 +210,7 @@
 // hear holds an answer against what was said before and what is true.
 // Only what was told before a request was sent binds its answer: answers to
 // requests under way at the same time may overtake each other.
-func (u *user) hear(a core.Answer, told string) {
+func (u *user) hear(a controller.Answer, finalState string) {
 	s := u.sim
 	if a.Status == 404 && u.accepted {
 		s.broken("forgotten: %s got 404", u.sub.ID)
@@ -219,30 +221,30 @@
 		return
 	}
 	u.answeredAt = s.now
-	before := u.told
+	before := u.finalState
 	defer func() {
-		if u.told != before {
+		if u.finalState != before {
 			u.lookClosely()
 		}
 	}()
 	u.checkOrphan(body.State)
-	if told != "" && body.State != told {
-		s.broken("went_back: %s was %s and is now %s", u.sub.ID, told, body.State)
+	if finalState != "" && body.State != finalState {
+		s.broken("went_back: %s was %s and is now %s", u.sub.ID, finalState, body.State)
 	}
 	switch body.State {
 	case wire.StateDone:
 		if len(u.done) < u.sub.Tasks {
 			s.broken("not_done: %s called done, %d of %d tasks are", u.sub.ID, len(u.done), u.sub.Tasks)
 		}
-		u.told = body.State
+		u.finalState = body.State
 	case wire.StateCancelled:
 		if !u.wasAsked() {
 			s.broken("went_back: %s is called cancelled, nobody asked for it", u.sub.ID)
 		}
-		if u.cancelTold == 0 {
-			u.cancelTold = s.now
+		if u.cancelConfirmed == 0 {
+			u.cancelConfirmed = s.now
 		}
-		u.told = body.State
+		u.finalState = body.State
 	}
 	if body.Done != nil && *body.Done > u.sub.Tasks {
 		s.broken("not_done: %s says %d of %d tasks are done", u.sub.ID, *body.Done, u.sub.Tasks)
--- a/internal/standin/waves.go
+++ b/internal/simulation/waves.go
@@ -1,6 +1,6 @@
-package standin
+package simulation
 
-import "garnethitch/internal/core"
+import "garnethitch/internal/controller"
 
 // Waves of a large fleet: all workers turn to another controller at once.
 
@@ -9,10 +9,10 @@
 
 // scheduleWaves ends the leader, later all controllers within a second, later all but
 // one for longer than a worker's lease.
-func (s *Sim) scheduleWaves() {
+func (s *Simulation) scheduleWaves() {
 	s.after(12*sec, func() {
 		for _, n := range s.Nodes {
-			if n.core != nil && n.core.Leads() {
+			if n.controller != nil && n.controller.Leads() {
 				n.crash(8 * sec)
 				return
 			}
@@ -32,14 +32,14 @@
 		}
 	})
 	s.after(45*sec+aloneFor-sec, func() {
-		if left.core != nil {
-			s.MostAlone, s.UpAlone = left.core.Commanded(), s.up()
+		if left.controller != nil {
+			s.MostAlone, s.UpAlone = left.controller.Commanded(), s.up()
 		}
 	})
 }
 
 // up counts the machines that are up.
-func (s *Sim) up() (n int) {
+func (s *Simulation) up() (n int) {
 	for _, w := range s.workers {
 		if !w.dead && s.now >= w.upAt {
 			n++
@@ -63,10 +63,10 @@
 func (w workSum) mean() float64 { return float64(w.looked) / float64(max(w.steps, 1)) }
 
 // countWork notes what one input made a controller look at.
-func (s *Sim) countWork(in core.Input, work core.Work) {
+func (s *Simulation) countWork(in controller.Input, work controller.Work) {
 	if work.Round {
-		s.Rounds.add(work.Looked)
-	} else if _, ok := in.(core.Checkin); ok {
-		s.Reports.add(work.Looked)
+		s.Rounds.add(work.Visited)
+	} else if _, ok := in.(controller.Heartbeat); ok {
+		s.Heartbeats.add(work.Visited)
 	}
 }
--- a/internal/standin/worker.go
+++ b/internal/simulation/worker.go
@@ -1,17 +1,17 @@
-package standin
+package simulation
 
 import (
 	"slices"
 	"strconv"
 
-	"garnethitch/internal/core"
+	"garnethitch/internal/controller"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/wire"
 )
 
 // Worker is a machine with its worker.
 type Worker struct {
-	sim              *Sim
+	sim              *Simulation
 	id               string
 	typ, zone        string
 	spot             bool
@@ -27,34 +27,34 @@
 	unreachableUntil micros.Micros // until then nothing that is sent to it arrives
 	cutOffUntil      micros.Micros // until then it reaches no controller
 
-	session, seq, token uint64
-	began               micros.Micros // of the session, or when the last answered report was sent
-	tasks               map[string]*task
-	images              map[string]bool
-	node                int
-	busy                bool
-	nextReport          micros.Micros
-	lastReport          micros.Micros
-	changed             bool
-	pendingCalls        []func()
+	agentEpoch, sequence, fencingToken uint64
+	began                              micros.Micros // of the session, or when the last answered report was sent
+	tasks                              map[string]*task
+	images                             map[string]bool
+	node                               int
+	busy                               bool
+	nextHeartbeat                      micros.Micros
+	lastHeartbeat                      micros.Micros
+	changed                            bool
+	pendingCalls                       []func()
 }
 
 type task struct {
-	name, job string
-	idx       int
-	attempt   uint64
-	state     string
-	why       string
-	kept      bool
-	until     micros.Micros
+	name, job  string
+	idx        int
+	attempt    uint64
+	state      string
+	exitReason string
+	kept       bool
+	until      micros.Micros
 }
 
 // onMachine: it has its image and has not exited.
 func (t *task) onMachine() bool { return t.state == wire.TaskRunning || t.state == wire.TaskSaving }
 
-func newWorker(s *Sim, id string, k kind, boot micros.Micros) *Worker {
+func newWorker(s *Simulation, id string, k kind, boot micros.Micros) *Worker {
 	w := &Worker{sim: s, id: id, typ: k.typ, zone: k.zone, spot: k.spot, born: s.now, upAt: s.now + boot,
-		session: 1, tasks: map[string]*task{}, images: map[string]bool{}, node: s.rng.IntN(s.plan.Nodes), rate: s.rng.Int64N(501)}
+		agentEpoch: 1, tasks: map[string]*task{}, images: map[string]bool{}, node: s.rng.IntN(s.plan.Nodes), rate: s.rng.Int64N(501)}
 	s.after(boot, func() {
 		w.began = w.clock()
 		w.tick()
@@ -67,7 +67,7 @@
 	return w.sim.now + micros.Micros(int64(w.sim.now)*w.rate/1_000_000)
 }
 
-func (w *Worker) order() []string {
+func (w *Worker) directCommand() []string {
 	var out []string
 	for k := range w.tasks {
 		out = append(out, k)
@@ -107,7 +107,7 @@
 		f()
 	}
 	w.pendingCalls = nil
-	for _, key := range w.order() {
+	for _, key := range w.directCommand() {
 		t := w.tasks[key]
 		u := s.userOf(t.job)
 		if s.now < t.until {
@@ -117,7 +117,7 @@
 		case wire.TaskFetching:
 			w.images[u.sub.Image] = true
 			if u.done[t.idx] {
-				t.state, t.why = wire.TaskExited, wire.WhyDone
+				t.state, t.exitReason = wire.TaskExited, wire.ExitDone
 			} else {
 				t.state = wire.TaskRunning
 				t.until = s.now + u.runs[t.idx] - u.progress[t.idx]
@@ -132,9 +132,9 @@
 			w.changed = true
 		case wire.TaskRunning:
 			if s.now < w.faultyUntil || u.bad {
-				t.state, t.why = wire.TaskExited, wire.WhyError
+				t.state, t.exitReason = wire.TaskExited, wire.ExitError
 			} else {
-				t.state, t.why = wire.TaskExited, wire.WhyDone
+				t.state, t.exitReason = wire.TaskExited, wire.ExitDone
 				u.done[t.idx] = true
 				u.doneAt = s.now
 				s.Finished++
@@ -142,29 +142,29 @@
 			}
 			w.changed = true
 		case wire.TaskSaving:
-			t.state, t.why, t.kept = wire.TaskExited, wire.WhyStopped, true
+			t.state, t.exitReason, t.kept = wire.TaskExited, wire.ExitStopped, true
 			w.changed = true
 		}
-		if t.onMachine() && u.cancelTold != 0 && s.now > u.cancelTold+s.cfg.Cancel {
+		if t.onMachine() && u.cancelConfirmed != 0 && s.now > u.cancelConfirmed+s.cfg.Cancel {
 			s.broken("ran_cancelled: %s is still on %s", t.name, w.id)
 		}
 	}
-	for _, key := range w.order() {
+	for _, key := range w.directCommand() {
 		t := w.tasks[key]
-		if u := s.userOf(t.job); t.onMachine() && u.cancelTold != 0 && s.now > u.cancelTold+s.cfg.Cancel {
+		if u := s.userOf(t.job); t.onMachine() && u.cancelConfirmed != 0 && s.now > u.cancelConfirmed+s.cfg.Cancel {
 			s.broken("ran_cancelled: %s is still on %s", t.name, w.id)
 		}
 	}
-	if !w.busy && (s.now >= w.nextReport || w.changed && s.now >= w.lastReport+500*ms) {
-		w.report()
+	if !w.busy && (s.now >= w.nextHeartbeat || w.changed && s.now >= w.lastHeartbeat+500*ms) {
+		w.heartbeat()
 	}
 }
 
 // lapse ends the session once the lease has run out.
 func (w *Worker) lapse() {
 	if w.clock() > w.began+w.sim.cfg.WorkerLease {
-		w.session++
-		w.sim.trace("%s lease over, session %d, %d tasks killed", w.id, w.session, len(w.tasks))
+		w.agentEpoch++
+		w.sim.trace("%s lease over, session %d, %d tasks killed", w.id, w.agentEpoch, len(w.tasks))
 		for _, t := range w.tasks {
 			delete(w.sim.onJob[t.job], t)
 		}
@@ -174,44 +174,44 @@
 	}
 }
 
-func (w *Worker) reportBody() *wire.Report {
-	w.seq++
-	r := &wire.Report{Machine: w.id, Addr: w.id, Type: w.typ, Zone: w.zone, Spot: w.spot, Session: w.session, Seq: w.seq, Token: w.token}
+func (w *Worker) heartbeatBody() *wire.Heartbeat {
+	w.sequence++
+	r := &wire.Heartbeat{Machine: w.id, Addr: w.id, Type: w.typ, Zone: w.zone, Spot: w.spot, AgentEpoch: w.agentEpoch, Sequence: w.sequence, FencingToken: w.fencingToken}
 	if w.takenAt != 0 {
 		left := (w.takenAt - w.sim.now).Seconds()
 		r.NoticeS = &left
 	}
-	for _, key := range w.order() {
+	for _, key := range w.directCommand() {
 		t := w.tasks[key]
-		r.Tasks = append(r.Tasks, wire.TaskReport{Task: t.name, Attempt: t.attempt, State: t.state, Why: t.why, Saved: t.kept})
+		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: t.name, Attempt: t.attempt, State: t.state, ExitReason: t.exitReason, Saved: t.kept})
 	}
 	return r
 }
 
-func (w *Worker) report() {
+func (w *Worker) heartbeat() {
 	s := w.sim
 	w.busy, w.changed = true, false
-	w.lastReport = s.now
-	w.nextReport = s.now + s.span(s.cfg.ReportEvery*3/4, s.cfg.ReportEvery*5/4)
-	rep, sent, session := w.reportBody(), w.clock(), w.session
+	w.lastHeartbeat = s.now
+	w.nextHeartbeat = s.now + s.span(s.cfg.HeartbeatInterval*3/4, s.cfg.HeartbeatInterval*5/4)
+	heartbeat, sent, agentEpoch := w.heartbeatBody(), w.clock(), w.agentEpoch
 	n := s.Nodes[w.node]
-	w.copyLater(rep)
+	w.copyLater(heartbeat)
 	if s.now < w.cutOffUntil {
-		s.after(300*ms, func() { w.busy = false; w.answered(core.Answer{}, false, sent, session) })
+		s.after(300*ms, func() { w.busy = false; w.answered(controller.Answer{}, false, sent, agentEpoch) })
 		return
 	}
 	exchange(s, n.label+"-"+w.id, 4*sec,
-		func(reply func(core.Answer)) {
-			n.checkin(rep, func(a core.Answer) {
+		func(reply func(controller.Answer)) {
+			n.heartbeat(heartbeat, func(a controller.Answer) {
 				if s.now >= w.unreachableUntil {
 					reply(a)
 				}
 			})
 		},
-		func(a core.Answer, ok bool) {
+		func(a controller.Answer, ok bool) {
 			act := func() {
 				w.busy = false
-				w.answered(a, ok, sent, session)
+				w.answered(a, ok, sent, agentEpoch)
 			}
 			if s.now < w.hungUntil {
 				w.pendingCalls = append(w.pendingCalls, act)
@@ -221,11 +221,11 @@
 		})
 }
 
-// copyLater may deliver a copy of a report again, to any node, from seconds to
+// copyLater may deliver a copy of a heartbeat again, to any node, from seconds to
 // well over a lease later. Nobody hears the answer.
-func (w *Worker) copyLater(rep *wire.Report) {
+func (w *Worker) copyLater(heartbeat *wire.Heartbeat) {
 	s := w.sim
-	s.keepReport(rep)
+	s.keepHeartbeat(heartbeat)
 	if !s.plan.Faults || !s.chance(0.01) && !(s.now < s.copiesUntil && s.chance(0.5)) {
 		return
 	}
@@ -236,11 +236,11 @@
 	n := s.Nodes[s.rng.IntN(len(s.Nodes))]
 	s.Copies++
 	s.after(d, func() {
-		n.checkin(rep, func(core.Answer) {})
+		n.heartbeat(heartbeat, func(controller.Answer) {})
 	})
 }
 
-func (w *Worker) answered(a core.Answer, ok bool, sent micros.Micros, session uint64) {
+func (w *Worker) answered(a controller.Answer, ok bool, sent micros.Micros, agentEpoch uint64) {
 	s := w.sim
 	if w.dead {
 		return
@@ -248,7 +248,7 @@
 	w.lapse()
 	next := func() {
 		w.node = (w.node + 1) % len(s.Nodes)
-		w.nextReport = s.now + sec
+		w.nextHeartbeat = s.now + sec
 	}
 	if !ok {
 		next()
@@ -259,7 +259,7 @@
 			for i, n := range s.Nodes {
 				if n.label == rd.ReportTo && i != w.node {
 					w.node = i
-					w.nextReport = s.now
+					w.nextHeartbeat = s.now
 					return
 				}
 			}
@@ -267,28 +267,28 @@
 		next()
 		return
 	}
-	body, isAnswer := a.Body.(wire.ReportAnswer)
+	body, isAnswer := a.Body.(wire.HeartbeatReply)
 	if a.Status != 200 || !isAnswer {
 		next()
 		return
 	}
-	if session != w.session || body.Token < w.token || s.now-w.lastReport > 4*sec {
+	if agentEpoch != w.agentEpoch || body.FencingToken < w.fencingToken || s.now-w.lastHeartbeat > 4*sec {
 		return
 	}
-	w.raise(body.Token)
+	w.raise(body.FencingToken)
 	w.began = max(w.began, sent)
 	w.execute(body.Commands)
 	s.checkRenewed(w)
 }
 
-func (w *Worker) raise(token uint64) {
-	if token > w.token {
-		w.token = token
+func (w *Worker) raise(fencingToken uint64) {
+	if fencingToken > w.fencingToken {
+		w.fencingToken = fencingToken
 		w.changed = true
 	}
 }
 
-func (w *Worker) serve(req any, reply func(core.Result)) {
+func (w *Worker) serve(req any, reply func(controller.Result)) {
 	if w.dead || w.sim.now < w.upAt {
 		return
 	}
@@ -298,18 +298,18 @@
 		return
 	}
 	w.lapse()
-	o, isOrders := req.(wire.Orders)
+	o, isOrders := req.(wire.DirectCommand)
 	if !isOrders {
-		reply(core.Result{Status: 200, Body: w.reportBody()})
+		reply(controller.Result{Status: 200, Body: w.heartbeatBody()})
 		return
 	}
-	if o.Token < w.token || o.Session != w.session {
-		reply(core.Result{Status: 409, Body: w.reportBody()})
+	if o.FencingToken < w.fencingToken || o.AgentEpoch != w.agentEpoch {
+		reply(controller.Result{Status: 409, Body: w.heartbeatBody()})
 		return
 	}
-	w.raise(o.Token)
+	w.raise(o.FencingToken)
 	w.execute(o.Commands)
-	reply(core.Result{Status: 200, Body: w.reportBody()})
+	reply(controller.Result{Status: 200, Body: w.heartbeatBody()})
 }
 
 func (w *Worker) execute(commands []wire.Command) {
@@ -328,11 +328,11 @@
 			t = &task{name: c.Task, job: job, idx: idx, attempt: c.Attempt, state: wire.TaskFetching}
 			switch {
 			case err != nil || u == nil || idx >= u.sub.Tasks:
-				t.state, t.why = wire.TaskExited, wire.WhyUnknown
+				t.state, t.exitReason = wire.TaskExited, wire.ExitUnknown
 			case w.holds(c.Task):
-				t.state, t.why = wire.TaskExited, wire.WhyInUse
+				t.state, t.exitReason = wire.TaskExited, wire.ExitInUse
 			case !w.fits(u):
-				t.state, t.why = wire.TaskExited, wire.WhyNoRoom
+				t.state, t.exitReason = wire.TaskExited, wire.ExitNoCapacity
 			case !w.images[u.sub.Image]:
 				t.until = s.now + s.span(sec/2, 3*sec)
 			}
@@ -353,7 +353,7 @@
 				u.progress[t.idx] = max(0, u.runs[t.idx]-(t.until-s.now))
 				t.state, t.until = wire.TaskSaving, s.now+micros.FromSeconds(u.sub.SaveS)
 			} else if t.state != wire.TaskSaving || c.GraceS != nil && *c.GraceS == 0 {
-				t.state, t.why = wire.TaskExited, wire.WhyStopped
+				t.state, t.exitReason = wire.TaskExited, wire.ExitStopped
 			}
 			w.changed = true
 		case wire.OpForget:
--- a/internal/standin/world.go
+++ b/internal/simulation/world.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"bufio"
@@ -12,19 +12,19 @@
 	"sync"
 	"time"
 
-	"garnethitch/internal/core"
+	"garnethitch/internal/controller"
 	"garnethitch/internal/http1"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/wire"
 )
 
-// World is the stand-ins served over HTTP in real time, on the loopback, for a
+// World is the fakes served over HTTP in real time, on the loopback, for a
 // real controller: the state service, a cloud with a fixed fleet, its workers and
 // a user. It is driven by lines of text, so that it can live in a process of its
 // own and what the controller's process takes is the controller's alone.
 type World struct {
 	mu       sync.Mutex
-	sim      *Sim
+	sim      *Simulation
 	began    time.Time
 	machines []*worldMachine
 	byHost   map[string]*worldMachine
@@ -36,12 +36,12 @@
 
 // worldMachine is one worker, which reports when it is told to.
 type worldMachine struct {
-	mu           sync.Mutex
-	id, addr     string
-	link         *link
-	session, seq uint64
-	token        uint64
-	tasks        []wire.TaskReport
+	mu                   sync.Mutex
+	id, addr             string
+	link                 *link
+	agentEpoch, sequence uint64
+	fencingToken         uint64
+	tasks                []wire.TaskStatus
 }
 
 // link is a kept connection to the controller.
@@ -150,16 +150,16 @@
 		case "job":
 			err = w.submit(&link{addr: w.serve}, n)
 		case "reports":
-			err = w.each(n, func(_ int, m *worldMachine) error { return m.report(false) })
+			err = w.each(n, func(_ int, m *worldMachine) error { return m.heartbeat(false) })
 		case "apart":
 			for i := range n {
-				if err = w.machines[i%len(w.machines)].report(false); err != nil {
+				if err = w.machines[i%len(w.machines)].heartbeat(false); err != nil {
 					break
 				}
 				time.Sleep(5 * time.Millisecond)
 			}
 		case "turns":
-			err = w.each(n, func(_ int, m *worldMachine) error { return m.report(true) })
+			err = w.each(n, func(_ int, m *worldMachine) error { return m.heartbeat(true) })
 		case "polls":
 			err = w.each(n, func(lane int, _ *worldMachine) error {
 				msg, err := w.users[lane].do("GET", fmt.Sprintf("/submissions/job-%06d", w.jobs), nil)
@@ -197,7 +197,7 @@
 	}
 	for i := range n {
 		host := fmt.Sprintf("127.1.%d.%d:%s", i/200, i%200+1, port)
-		m := &worldMachine{id: fmt.Sprintf("vm-%06d", i), addr: host, link: &link{addr: w.serve}, session: 1}
+		m := &worldMachine{id: fmt.Sprintf("vm-%06d", i), addr: host, link: &link{addr: w.serve}, agentEpoch: 1}
 		w.machines = append(w.machines, m)
 		w.byHost[host] = m
 	}
@@ -264,13 +264,13 @@
 	return first
 }
 
-// report sends a report, with the end of a task if there is one to end, and
+// heartbeat sends a heartbeat, with the end of a task if there is one to end, and
 // carries out what the answer says.
-func (m *worldMachine) report(end bool) error {
+func (m *worldMachine) heartbeat(end bool) error {
 	m.mu.Lock()
 	for i := range m.tasks {
 		if end && m.tasks[i].State == wire.TaskRunning {
-			m.tasks[i].State, m.tasks[i].Why = wire.TaskExited, wire.WhyDone
+			m.tasks[i].State, m.tasks[i].ExitReason = wire.TaskExited, wire.ExitDone
 			break
 		}
 	}
@@ -286,23 +286,23 @@
 	if msg.Status != 200 {
 		return nil // another node's, or not on record yet
 	}
-	var answer wire.ReportAnswer
+	var answer wire.HeartbeatReply
 	if err := wire.Decode(msg.Body, &answer); err != nil {
 		return err
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.obey(answer.Token, answer.Commands)
+	m.obey(answer.FencingToken, answer.Commands)
 	return nil
 }
 
-func (m *worldMachine) shown() wire.Report {
-	m.seq++
-	return wire.Report{Machine: m.id, Addr: m.addr, Type: offer[0].Name, Zone: offer[0].Zones[0], Session: m.session, Seq: m.seq, Token: m.token, Tasks: m.tasks}
+func (m *worldMachine) shown() wire.Heartbeat {
+	m.sequence++
+	return wire.Heartbeat{Machine: m.id, Addr: m.addr, Type: offer[0].Name, Zone: offer[0].Zones[0], AgentEpoch: m.agentEpoch, Sequence: m.sequence, FencingToken: m.fencingToken, Tasks: m.tasks}
 }
 
-func (m *worldMachine) obey(token uint64, commands []wire.Command) {
-	m.token = max(m.token, token)
+func (m *worldMachine) obey(fencingToken uint64, commands []wire.Command) {
+	m.fencingToken = max(m.fencingToken, fencingToken)
 	for _, c := range commands {
 		at := -1
 		for i, t := range m.tasks {
@@ -312,9 +312,9 @@
 		}
 		switch {
 		case c.Op == wire.OpStart && at < 0:
-			m.tasks = append(m.tasks, wire.TaskReport{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning})
+			m.tasks = append(m.tasks, wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning})
 		case c.Op == wire.OpStop && at >= 0:
-			m.tasks[at].State, m.tasks[at].Why = wire.TaskExited, wire.WhyStopped
+			m.tasks[at].State, m.tasks[at].ExitReason = wire.TaskExited, wire.ExitStopped
 		case c.Op == wire.OpForget && at >= 0:
 			m.tasks = append(m.tasks[:at], m.tasks[at+1:]...)
 		}
@@ -347,8 +347,8 @@
 		return n
 	}
 	state := func(req any) {
-		got := make(chan core.Result, 1)
-		w.with(func() { w.sim.State.serve(req, func(res core.Result) { got <- res }) })
+		got := make(chan controller.Result, 1)
+		w.with(func() { w.sim.State.serve(req, func(res controller.Result) { got <- res }) })
 		res := <-got
 		status, answer = res.Status, res.Body
 	}
@@ -356,12 +356,12 @@
 	switch first, rest, _ := strings.Cut(path, "/"); first {
 	case "keys":
 		if rest != "" {
-			state(core.GetKey{Key: rest})
+			state(controller.GetKey{Key: rest})
 		} else {
-			state(core.ListKeys{Prefix: q.Get("starts"), After: q.Get("since"), Limit: int(number("most"))})
+			state(controller.ListKeys{Prefix: q.Get("starts"), After: q.Get("since"), Limit: int(number("most"))})
 		}
 	case "watch":
-		state(core.Watch{Prefix: q.Get("starts"), Since: number("since"), WaitMS: int64(number("blockMs"))})
+		state(controller.Watch{Prefix: q.Get("starts"), Since: number("since"), WaitMS: int64(number("blockMs"))})
 	case "multi":
 		var txn wire.Txn
 		if wire.Decode(body, &txn) == nil {
@@ -371,7 +371,7 @@
 		var lease wire.NewLease
 		if id, ok := strings.CutSuffix(rest, "/extend"); ok {
 			n, _ := strconv.ParseUint(id, 10, 64)
-			state(core.RenewLease{Lease: n})
+			state(controller.RenewLease{Lease: n})
 		} else if wire.Decode(body, &lease) == nil {
 			state(lease)
 		}
@@ -380,13 +380,13 @@
 	case "rentals":
 		status, answer = w.cloud(rest, q.Get("since"), int(number("most")))
 	case "orders":
-		var orders wire.Orders
+		var orders wire.DirectCommand
 		if m := w.byHost[r.Host]; m != nil && wire.Decode(body, &orders) == nil {
 			m.mu.Lock()
 			status = 409
-			if orders.Token >= m.token && orders.Session == m.session {
+			if orders.FencingToken >= m.fencingToken && orders.AgentEpoch == m.agentEpoch {
 				status = 200
-				m.obey(orders.Token, orders.Commands)
+				m.obey(orders.FencingToken, orders.Commands)
 			}
 			answer = m.shown()
 			m.mu.Unlock()
@@ -415,7 +415,7 @@
 		return 503, nil
 	}
 	if most == 0 {
-		return 503, map[string]string{"error": string(core.RefusedRental)}
+		return 503, map[string]string{"error": string(controller.RefusedRental)}
 	}
 	list := wire.MachineList{}
 	for _, m := range w.machines {
--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -8,7 +8,7 @@
 	"io"
 	"os"
 
-	"garnethitch/internal/core"
+	"garnethitch/internal/controller"
 	"garnethitch/internal/micros"
 	"time"
 
@@ -97,14 +97,14 @@
 }
 
 // Export hands a span over; it does not wait for the exporter.
-func (t *Tracer) Export(s core.Span) {
+func (t *Tracer) Export(s controller.Span) {
 	ctx := context.WithValue(context.Background(), idsKey{}, ids{s.Trace, s.ID})
 	if s.Parent != [8]byte{} {
 		ctx = trace.ContextWithRemoteSpanContext(ctx, trace.NewSpanContext(trace.SpanContextConfig{
 			TraceID: s.Trace, SpanID: s.Parent, TraceFlags: trace.FlagsSampled, Remote: true}))
 	}
 	_, span := t.tracer.Start(ctx, s.Name, trace.WithTimestamp(wall(s.Start)), trace.WithAttributes(
-		attribute.String("group", s.Group), attribute.Int("share", s.Share), attribute.Int64("epoch", int64(s.Epoch)), attribute.String("job", s.Job),
+		attribute.String("group", s.Group), attribute.Int("share", s.Shard), attribute.Int64("epoch", int64(s.Epoch)), attribute.String("job", s.Job),
 		attribute.Float64("from.cpus", s.From.CPUs), attribute.Float64("to.cpus", s.To.CPUs),
 		attribute.Float64("from.gpus", s.From.GPUs), attribute.Float64("to.gpus", s.To.GPUs)))
 	span.End(trace.WithTimestamp(wall(s.End)))
--- a/internal/tracing/tracing_test.go
+++ b/internal/tracing/tracing_test.go
@@ -7,7 +7,7 @@
 	"path/filepath"
 	"testing"
 
-	"garnethitch/internal/core"
+	"garnethitch/internal/controller"
 )
 
 // TestExport: a span is written with the core's own names and times, under its parent.
@@ -17,7 +17,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	tr.Export(core.Span{Name: "quota.growing", Trace: [16]byte{0xab}, ID: [8]byte{0xcd}, Parent: [8]byte{0xef}, Start: 5_000_000, End: 6_000_000, Group: "all"})
+	tr.Export(controller.Span{Name: "quota.growing", Trace: [16]byte{0xab}, ID: [8]byte{0xcd}, Parent: [8]byte{0xef}, Start: 5_000_000, End: 6_000_000, Group: "all"})
 	if err := tr.Close(context.Background()); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/wire/report.go
+++ b/internal/wire/heartbeat.go
@@ -7,18 +7,18 @@
 	"strings"
 )
 
-// ParseReport decodes and checks a worker's report.
-func ParseReport(body []byte) (Report, error) {
-	var r ReportReader
+// ParseHeartbeat decodes and checks a worker's heartbeat.
+func ParseHeartbeat(body []byte) (Heartbeat, error) {
+	var r HeartbeatReader
 	return r.Parse(body)
 }
 
-// ReportReader parses reports, and remembers each machine's list of tasks: most
+// HeartbeatReader parses reports, and remembers each machine's list of tasks: most
 // reports list the same as the one before, which then need not be decoded again.
-// Equal lists in a row share one Tasks slice, so nobody may change it. A reader
-// is for one goroutine. The zero value remembers nothing; see NewReportReader.
-type ReportReader struct {
-	raw rawReport
+// Equal lists in a row shard one Tasks slice, so nobody may change it. A reader
+// is for one goroutine. The zero value remembers nothing; see NewHeartbeatReader.
+type HeartbeatReader struct {
+	raw rawHeartbeat
 	// Lists are kept in two halves: what was not asked for while the younger one
 	// filled is dropped with the older one.
 	young, old map[string]taskList
@@ -28,35 +28,35 @@
 // taskList is a list of tasks in both forms.
 type taskList struct {
 	raw   Raw
-	tasks []TaskReport
+	tasks []TaskStatus
 }
 
-// taskBytes is what a TaskReport takes beside its texts.
+// taskBytes is what a TaskStatus takes beside its texts.
 const taskBytes = 64
 
 // bytes is about what a list takes.
 func (l taskList) bytes() int { return 128 + 2*len(l.raw) + taskBytes*len(l.tasks) }
 
-// rawReport is a Report whose list of tasks is not decoded.
-type rawReport struct {
-	Report
+// rawHeartbeat is a Report whose list of tasks is not decoded.
+type rawHeartbeat struct {
+	Heartbeat
 	Tasks Raw `cbor:"loads"` // in the place of Report's own
 }
 
-// NewReportReader makes a reader that remembers lists of at most so many bytes.
-func NewReportReader(most int) *ReportReader {
-	return &ReportReader{young: map[string]taskList{}, old: map[string]taskList{}, most: most / 2}
+// NewHeartbeatReader makes a reader that remembers lists of at most so many bytes.
+func NewHeartbeatReader(most int) *HeartbeatReader {
+	return &HeartbeatReader{young: map[string]taskList{}, old: map[string]taskList{}, most: most / 2}
 }
 
-// Parse decodes and checks a report.
-func (rr *ReportReader) Parse(body []byte) (Report, error) {
+// Parse decodes and checks a heartbeat.
+func (rr *HeartbeatReader) Parse(body []byte) (Heartbeat, error) {
 	raw := &rr.raw
-	*raw = rawReport{Tasks: raw.Tasks[:0]}
+	*raw = rawHeartbeat{Tasks: raw.Tasks[:0]}
 	if err := Decode(body, raw); err != nil {
-		return Report{}, err
+		return Heartbeat{}, err
 	}
-	r := raw.Report
-	if r.Machine == "" || len(r.Machine) > 150 || strings.ContainsAny(r.Machine, " \t\r\n") || r.Session == 0 {
+	r := raw.Heartbeat
+	if r.Machine == "" || len(r.Machine) > 150 || strings.ContainsAny(r.Machine, " \t\r\n") || r.AgentEpoch == 0 {
 		return r, fmt.Errorf("wire: report without a usable machine or session")
 	}
 	if r.NoticeS != nil && (math.IsNaN(*r.NoticeS) || math.IsInf(*r.NoticeS, 0)) {
@@ -93,7 +93,7 @@
 }
 
 // keep remembers a machine's list, as long as there is room.
-func (rr *ReportReader) keep(machine string, l taskList) {
+func (rr *HeartbeatReader) keep(machine string, l taskList) {
 	if l.bytes() > rr.most/4 {
 		return
 	}
--- a/internal/wire/report_test.go
+++ b/internal/wire/heartbeat_test.go
@@ -6,19 +6,19 @@
 	"testing"
 )
 
-func reportOf(machine string, seq uint64, states ...string) Report {
-	r := Report{Machine: machine, Session: 1, Seq: seq}
+func heartbeatOf(machine string, seq uint64, states ...string) Heartbeat {
+	r := Heartbeat{Machine: machine, AgentEpoch: 1, Sequence: seq}
 	for i, s := range states {
-		r.Tasks = append(r.Tasks, TaskReport{Task: TaskName("job-000001", i), Attempt: 7, State: s})
+		r.Tasks = append(r.Tasks, TaskStatus{Task: TaskName("job-000001", i), Attempt: 7, State: s})
 	}
 	return r
 }
 
 // A machine's list is decoded anew just when it has changed, and never taken for
 // another machine's or an older one, whatever the reader has to forget.
-func TestReportReader(t *testing.T) {
-	rr := NewReportReader(8 << 10)
-	var last [3]*TaskReport
+func TestHeartbeatReader(t *testing.T) {
+	rr := NewHeartbeatReader(8 << 10)
+	var last [3]*TaskStatus
 	for i, tc := range []struct {
 		machine int
 		states  []string
@@ -34,7 +34,7 @@
 		{0, nil, false},
 		{0, []string{TaskRunning}, false},
 	} {
-		want := reportOf(fmt.Sprint("vm-", tc.machine), uint64(i+1), tc.states...)
+		want := heartbeatOf(fmt.Sprint("vm-", tc.machine), uint64(i+1), tc.states...)
 		body, err := Encode(want)
 		if err != nil {
 			t.Fatal(err)
@@ -57,7 +57,7 @@
 	}
 	// Past the bound the longest unused are forgotten.
 	for i := range 500 {
-		body, err := Encode(reportOf(fmt.Sprint("vm-", i), 1, TaskRunning, TaskRunning))
+		body, err := Encode(heartbeatOf(fmt.Sprint("vm-", i), 1, TaskRunning, TaskRunning))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -76,18 +76,18 @@
 	}
 }
 
-// TestQuietReportAllocs: a list that says nothing new is not decoded again.
-func TestQuietReportAllocs(t *testing.T) {
+// TestUnchangedHeartbeatAllocs: a list that says nothing new is not decoded again.
+func TestUnchangedHeartbeatAllocs(t *testing.T) {
 	states := bytes.Split(bytes.Repeat([]byte(TaskRunning+" "), 32), []byte(" "))[:32]
-	rep := reportOf("vm-1", 1)
+	rep := heartbeatOf("vm-1", 1)
 	for i := range states {
-		rep.Tasks = append(rep.Tasks, TaskReport{Task: TaskName("job-000001", i), Attempt: 7, State: TaskRunning})
+		rep.Tasks = append(rep.Tasks, TaskStatus{Task: TaskName("job-000001", i), Attempt: 7, State: TaskRunning})
 	}
 	body, err := Encode(rep)
 	if err != nil {
 		t.Fatal(err)
 	}
-	rr := NewReportReader(1 << 20)
+	rr := NewHeartbeatReader(1 << 20)
 	if n := testing.AllocsPerRun(100, func() {
 		if _, err := rr.Parse(body); err != nil {
 			t.Fatal(err)
--- a/internal/wire/records.go
+++ b/internal/wire/records.go
@@ -7,28 +7,28 @@
 
 // Keys of the state service.
 const (
-	PrefixControl = "ctl/"
-	PrefixOwner   = "ctl/owner/"
-	KeyLeader     = "ctl/leader"
-	KeyTypes      = "ctl/types"
-	PrefixFleet   = "ctl/fleet/"
-	PrefixJob     = "job/"
-	PrefixVersion = "version/"
-	PrefixQuota   = "quota/"
+	PrefixControl    = "ctl/"
+	PrefixOwner      = "ctl/owner/"
+	KeyLeader        = "ctl/leader"
+	KeyTypes         = "ctl/types"
+	PrefixFleet      = "ctl/fleet/"
+	PrefixJob        = "job/"
+	PrefixCheckpoint = "version/"
+	PrefixQuota      = "quota/"
 )
 
-// OwnerRecord says which node holds a share, or the leader's duty. Incarnation
+// OwnerRecord says which node holds a shard, or the leader's lock. Incarnation
 // is the lease that the key hangs on, new with every process.
 type OwnerRecord struct {
 	Label       string `cbor:"label"`
 	Incarnation uint64 `cbor:"inc"`
 }
 
-// BatchRecord is a set of machines recorded together, with the share that its
-// key names. Machines that differ in nothing but their name share a kind.
-type BatchRecord struct {
-	Kinds    []MachineKind  `cbor:"kinds"`
-	Machines []BatchMachine `cbor:"machines"`
+// MachineRecordSet is a set of machines recorded together, with the shard that its
+// key names. Machines that differ in nothing but their name shard a kind.
+type MachineRecordSet struct {
+	Kinds    []MachineKind   `cbor:"kinds"`
+	Machines []MachineRecord `cbor:"machines"`
 }
 
 // MachineKind is what many machines have in common.
@@ -39,14 +39,14 @@
 	Spot bool
 }
 
-// BatchMachine is a machine of a batch. The address may be missing until it is
+// MachineRecord is a machine of a record set. The address may be missing until it is
 // known; a retiring machine takes no more tasks and is to be returned.
-type BatchMachine struct {
+type MachineRecord struct {
 	_        struct{} `cbor:",toarray"`
 	ID       string
 	Addr     string
 	Kind     int
-	Retiring bool
+	Cordoned bool
 }
 
 // JobRecord is an accepted job. A finished one keeps only what users may still
@@ -54,11 +54,11 @@
 // a version that does not know of dependencies then takes the record for one without
 // a usable submission, answers that the job is pending, and starts nothing.
 type JobRecord struct {
-	Submission *Submission `cbor:"sub,omitempty"`
-	Chained    *Submission `cbor:"chain,omitempty"`
-	AcceptedMS int64       `cbor:"at"` // time of day
-	State      string      `cbor:"state"`
-	Tasks      int         `cbor:"tasks"`
+	Submission       *Submission `cbor:"sub,omitempty"`
+	WithDependencies *Submission `cbor:"chain,omitempty"`
+	AcceptedMS       int64       `cbor:"at"` // time of day
+	State            string      `cbor:"state"`
+	Tasks            int         `cbor:"tasks"`
 	// EndMS is when the job ended, by the time of day of its owner: what waited for it
 	// counts from then on, at any owner. 0: not told.
 	EndMS int64 `cbor:"end,omitempty"`
@@ -67,8 +67,8 @@
 // NewJobRecord is the record of a job that is being accepted.
 func NewJobRecord(s *Submission, acceptedMS int64) JobRecord {
 	r := JobRecord{AcceptedMS: acceptedMS, State: StatePending, Tasks: s.Tasks}
-	if len(s.Dependencies) > 0 {
-		r.Chained = s
+	if len(s.DependsOn) > 0 {
+		r.WithDependencies = s
 	} else {
 		r.Submission = s
 	}
@@ -77,8 +77,8 @@
 
 // Job is the submission of an unfinished job; nil if the record holds none.
 func (r JobRecord) Job() *Submission {
-	if r.Chained != nil {
-		return r.Chained
+	if r.WithDependencies != nil {
+		return r.WithDependencies
 	}
 	return r.Submission
 }
@@ -86,7 +86,7 @@
 // Final tells whether the job is over.
 func (r JobRecord) Final() bool { return r.State == StateDone || r.State == StateCancelled }
 
-// Step is a finished task in a Version: where it ran, and when by the time of
+// Step is a finished task in a checkpoint: where it ran, and when by the time of
 // day of the node that saw it.
 type Step struct {
 	Task    int    `cbor:"t"`
@@ -95,11 +95,11 @@
 	EndMS   int64  `cbor:"e"`
 }
 
-// VersionRecord names a state of a job to restart from: the done tasks as
+// CheckpointRecord names a state of a job to restart from: the done tasks as
 // ranges [first, last, first, last, ...] or, where that is shorter, as a set of
 // 64-bit words, and a count, the latest steps, and a mark for each recovery that
 // preceded it.
-type VersionRecord struct {
+type CheckpointRecord struct {
 	Ranges     []int    `cbor:"done"`
 	Set        []uint64 `cbor:"set,omitempty"`
 	Count      int      `cbor:"count"`
@@ -110,26 +110,26 @@
 // JobKey is where a job's record stands.
 func JobKey(id string) string { return PrefixJob + id }
 
-// VersionKey is where a job's newest Version stands.
-func VersionKey(id string) string { return PrefixVersion + id }
+// CheckpointKey is where a job's newest checkpoint stands.
+func CheckpointKey(id string) string { return PrefixCheckpoint + id }
 
 // QuotaKey is where a group's record stands.
 func QuotaKey(group string) string { return PrefixQuota + group }
 
-// BatchKey is where a batch of a share's machines stands.
-func BatchKey(share int, name string) string {
-	return PrefixFleet + strconv.Itoa(share) + "/" + name
+// MachineRecordSetKey is where a record set of a shard's machines stands.
+func MachineRecordSetKey(shard int, name string) string {
+	return PrefixFleet + strconv.Itoa(shard) + "/" + name
 }
 
-// ParseBatchKey gives the share and the name of a batch.
-func ParseBatchKey(key string) (share int, name string, ok bool) {
+// ParseMachineRecordSetKey gives the shard and the name of a record set.
+func ParseMachineRecordSetKey(key string) (shard int, name string, ok bool) {
 	rest, ok := strings.CutPrefix(key, PrefixFleet)
 	if !ok {
 		return 0, "", false
 	}
 	num, name, ok := strings.Cut(rest, "/")
-	share, err := strconv.Atoi(num)
-	return share, name, ok && err == nil && share >= 0 && name != ""
+	shard, err := strconv.Atoi(num)
+	return shard, name, ok && err == nil && shard >= 0 && name != ""
 }
 
 // UsableKey tells whether the state service takes a key.
--- a/internal/wire/submission.go
+++ b/internal/wire/submission.go
@@ -25,16 +25,16 @@
 	ImageGB     float64  `cbor:"sizeGb"`
 	Types       []string `cbor:"breeds"` // nil: any
 	Zone        string   `cbor:"paddock,omitempty"`
-	OneZone     bool     `cbor:"oneZone"`
-	Apart       bool     `cbor:"apart"`
+	SameZone    bool     `cbor:"oneZone"`
+	Spread      bool     `cbor:"apart"`
 	Spot        bool     `cbor:"strays"`
 	EstimateS   float64  `cbor:"haulS"`
 	CheckpointS float64  `cbor:"restS"`
 	SaveS       float64  `cbor:"stowS"`
 	DeadlineS   *float64 `cbor:"dueS"`
-	// Dependencies are the jobs that have to be done before a task of this one starts,
+	// DependsOn are the jobs that have to be done before a task of this one starts,
 	// each named once.
-	Dependencies []string `cbor:"follows,omitempty"`
+	DependsOn []string `cbor:"follows,omitempty"`
 }
 
 // rawSubmission tells a missing or null field from a zero one.
@@ -52,14 +52,14 @@
 	ImageGB     *float64  `cbor:"sizeGb"`
 	Types       *[]string `cbor:"breeds"`
 	Zone        *string   `cbor:"paddock"`
-	OneZone     *bool     `cbor:"oneZone"`
-	Apart       *bool     `cbor:"apart"`
+	SameZone    *bool     `cbor:"oneZone"`
+	Spread      *bool     `cbor:"apart"`
 	Spot        *bool     `cbor:"strays"`
 	EstimateS   *float64  `cbor:"haulS"`
 	CheckpointS *float64  `cbor:"restS"`
 	SaveS       *float64  `cbor:"stowS"`
 	DeadlineS   *float64  `cbor:"dueS"`
-	Follows     *[]string `cbor:"follows"`
+	DependsOn   *[]string `cbor:"follows"`
 }
 
 // SubmissionError says what is wrong with a submission. ID is set when the
@@ -109,8 +109,8 @@
 	s.EstimateS = amount(p, "estimate", raw.EstimateS)
 	s.CheckpointS = amount(p, "checkpoint interval", raw.CheckpointS)
 	s.SaveS = amount(p, "save time", raw.SaveS)
-	s.OneZone = flag(p, "one zone", raw.OneZone)
-	s.Apart = flag(p, "apart", raw.Apart)
+	s.SameZone = flag(p, "one zone", raw.SameZone)
+	s.Spread = flag(p, "apart", raw.Spread)
 	s.Spot = flag(p, "spot", raw.Spot)
 	if raw.Tasks == nil {
 		p.fail("tasks missing")
@@ -135,8 +135,8 @@
 	if raw.Types != nil {
 		s.Types = parseTypes(p, *raw.Types)
 	}
-	if raw.Follows != nil {
-		s.Dependencies = parseDependencies(p, *raw.Follows)
+	if raw.DependsOn != nil {
+		s.DependsOn = parseDependencies(p, *raw.DependsOn)
 	}
 	if p.reason != "" {
 		id := s.ID
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -124,35 +124,35 @@
 
 // Reasons for a task's end.
 const (
-	WhyDone    = "done"
-	WhyStopped = "halted"
-	WhyError   = "error"
-	WhyNoRoom  = "no_room"
-	WhyInUse   = "in_use"
-	WhyUnknown = "unknown"
+	ExitDone       = "done"
+	ExitStopped    = "halted"
+	ExitError      = "error"
+	ExitNoCapacity = "no_room"
+	ExitInUse      = "in_use"
+	ExitUnknown    = "unknown"
 )
 
-// TaskReport is one task on a machine.
-type TaskReport struct {
-	Task    string `cbor:"load"`
-	Attempt uint64 `cbor:"mount"`
-	State   string `cbor:"stance"`
-	Why     string `cbor:"cause,omitempty"`
-	Saved   bool   `cbor:"kept,omitempty"`
+// TaskStatus is one task on a machine.
+type TaskStatus struct {
+	Task       string `cbor:"load"`
+	Attempt    uint64 `cbor:"mount"`
+	State      string `cbor:"stance"`
+	ExitReason string `cbor:"cause,omitempty"`
+	Saved      bool   `cbor:"kept,omitempty"`
 }
 
-// Report is what a worker says of itself.
-type Report struct {
-	Machine string       `cbor:"post"`
-	Addr    string       `cbor:"address"`
-	Type    string       `cbor:"breed"`
-	Zone    string       `cbor:"paddock"`
-	Spot    bool         `cbor:"strays"`
-	Session uint64       `cbor:"tether"`
-	Seq     uint64       `cbor:"tally"`
-	Token   uint64       `cbor:"rein"`
-	NoticeS *float64     `cbor:"warningS"`
-	Tasks   []TaskReport `cbor:"loads"`
+// Heartbeat is what a worker says of itself.
+type Heartbeat struct {
+	Machine      string       `cbor:"post"`
+	Addr         string       `cbor:"address"`
+	Type         string       `cbor:"breed"`
+	Zone         string       `cbor:"paddock"`
+	Spot         bool         `cbor:"strays"`
+	AgentEpoch   uint64       `cbor:"tether"`
+	Sequence     uint64       `cbor:"tally"`
+	FencingToken uint64       `cbor:"rein"`
+	NoticeS      *float64     `cbor:"warningS"`
+	Tasks        []TaskStatus `cbor:"loads"`
 }
 
 // Commands to a worker.
@@ -170,22 +170,22 @@
 	GraceS  *float64 `cbor:"slackS,omitempty"`
 }
 
-// ReportAnswer is the 200 answer to a report.
-type ReportAnswer struct {
-	Token    uint64    `cbor:"rein"`
-	Commands []Command `cbor:"calls"`
+// HeartbeatReply is the 200 answer to a heartbeat.
+type HeartbeatReply struct {
+	FencingToken uint64    `cbor:"rein"`
+	Commands     []Command `cbor:"calls"`
 }
 
-// Redirect is the 421 answer to a report.
+// Redirect is the 421 answer to a heartbeat.
 type Redirect struct {
 	ReportTo string `cbor:"drover,omitempty"`
 }
 
-// Orders is a direct command to a worker.
-type Orders struct {
-	Token    uint64    `cbor:"rein"`
-	Session  uint64    `cbor:"tether"`
-	Commands []Command `cbor:"calls"`
+// DirectCommand is a direct command to a worker.
+type DirectCommand struct {
+	FencingToken uint64    `cbor:"rein"`
+	AgentEpoch   uint64    `cbor:"tether"`
+	Commands     []Command `cbor:"calls"`
 }
 
 // MachineType is what the cloud offers.
@@ -247,9 +247,9 @@
 
 // KeyValue is a key of the state service.
 type KeyValue struct {
-	Key     string `cbor:"path"`
-	Value   Raw    `cbor:"v"`
-	Version uint64 `cbor:"mark"`
+	Key         string `cbor:"path"`
+	Value       Raw    `cbor:"v"`
+	ModRevision uint64 `cbor:"mark"`
 }
 
 // KeyList is a page of keys.
@@ -261,8 +261,8 @@
 
 // Condition of a transaction: the key has this version, 0 for none.
 type Condition struct {
-	Key     string `cbor:"path"`
-	Version uint64 `cbor:"mark"`
+	Key         string `cbor:"path"`
+	ModRevision uint64 `cbor:"mark"`
 }
 
 // Change is a put or a delete in a transaction.
@@ -300,10 +300,10 @@
 
 // Event is one change seen by a watch.
 type Event struct {
-	Put     string `cbor:"put"`
-	Value   Raw    `cbor:"v"`
-	Delete  string `cbor:"drop"`
-	Version uint64 `cbor:"mark"`
+	Put         string `cbor:"put"`
+	Value       Raw    `cbor:"v"`
+	Delete      string `cbor:"drop"`
+	ModRevision uint64 `cbor:"mark"`
 }
 
 // Events is the answer to a watch.
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -117,7 +117,7 @@
 	}
 }
 
-func TestParseReport(t *testing.T) {
+func TestParseHeartbeat(t *testing.T) {
 	task := func(name, state string) map[string]any {
 		return map[string]any{"load": name, "mount": 2, "stance": state}
 	}
@@ -146,7 +146,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if _, err := ParseReport(body); (err == nil) != tc.ok {
+			if _, err := ParseHeartbeat(body); (err == nil) != tc.ok {
 				t.Errorf("error %v", err)
 			}
 		})
@@ -172,8 +172,8 @@
 			t.Fatal(err)
 		}
 		s, serr := ParseSubmission(body)
-		if serr != nil || !slices.Equal(s.Dependencies, tc.want) {
-			t.Errorf("%s: %v, %v; want %v", tc.name, s.Dependencies, serr, tc.want)
+		if serr != nil || !slices.Equal(s.DependsOn, tc.want) {
+			t.Errorf("%s: %v, %v; want %v", tc.name, s.DependsOn, serr, tc.want)
 		}
 	}
 }
--- a/path_test.go
+++ b/path_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"garnethitch/internal/standin"
+	"garnethitch/internal/simulation"
 )
 
 // A test binary started with this variable is the world around a controller.
@@ -20,7 +20,7 @@
 
 func TestMain(m *testing.M) {
 	if os.Getenv(worldVar) != "" {
-		if err := standin.ServeWorld(os.Stdin, os.Stdout); err != nil {
+		if err := simulation.ServeWorld(os.Stdin, os.Stdout); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
@@ -118,7 +118,7 @@
 	return time.Duration(ru.Utime.Nano() + ru.Stime.Nano()), reads, writes
 }
 
-// TestCallsPerReport counts what a report takes of the kernel, whatever the time:
+// TestCallsPerReport counts what a heartbeat takes of the kernel, whatever the time:
 // it is read and answered by one call each. (With evio an answer took two more, of
 // epoll_ctl, and a wait; an answer in two writes would be two packets.)
 func TestCallsPerReport(t *testing.T) {
--- a/quota/announce.go
+++ b/quota/announce.go
@@ -26,7 +26,7 @@
 	for _, name := range l.names() {
 		g := l.groups[name]
 		known := slices.ContainsFunc(definitions, func(d Definition) bool { return d.Name == name })
-		if known || g.mark == 0 || g.rec.Removed || g.sending || l.now.Steady < g.next {
+		if known || g.modRevision == 0 || g.rec.Removed || g.sending || l.now.Steady < g.next {
 			continue
 		}
 		rec := g.rec.clone()
@@ -62,7 +62,7 @@
 
 // announced is the record by a definition, and whether it differs from the one that stands.
 func announced(g *groupState, d Definition) (Record, bool) {
-	if g.mark == 0 {
+	if g.modRevision == 0 {
 		return Record{Definition: d, Epoch: 1, Source: sourceOf(d)}, true
 	}
 	rec := g.rec.clone()
@@ -84,7 +84,7 @@
 }
 
 // setLimit begins a new epoch with a limit. A resource that was not bounded before has been
-// granted without a look at allowances: what each share uses is to be told anew.
+// granted without a look at allowances: what each shard uses is to be told anew.
 func (r *Record) setLimit(limit Limit, source Source) {
 	if r.Limit.CPUs == nil && limit.CPUs != nil || r.Limit.GPUs == nil && limit.GPUs != nil {
 		r.Rows, r.Applied = nil, nil
@@ -119,7 +119,7 @@
 // set takes an operator's request.
 func (l *Ledger) set(v Set) {
 	g := l.groups[v.Group]
-	if g == nil || g.mark == 0 || g.rec.Removed {
+	if g == nil || g.modRevision == 0 || g.rec.Removed {
 		l.out = append(l.out, SetDone{Token: v.Token, Status: SetNoGroup})
 		return
 	}
--- a/quota/claims.go
+++ b/quota/claims.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// TeamDemand is what a team's tasks use of a share, and what waits.
+// TeamDemand is what a team's tasks use of a shard, and what waits.
 type TeamDemand struct {
 	// Groups are the groups that the team is in, the innermost first; see Path.
 	Groups []string
@@ -24,7 +24,7 @@
 	var path []string
 	for _, name := range l.names() {
 		g := l.groups[name]
-		if g.mark != 0 && !g.rec.Removed && slices.Contains(g.rec.Members, team) {
+		if g.modRevision != 0 && !g.rec.Removed && slices.Contains(g.rec.Members, team) {
 			path = append(path, name)
 		}
 	}
@@ -41,21 +41,21 @@
 	return path
 }
 
-// Claims works out what a share claims of each group. An outer group is asked only for
-// tasks for which the share has quota of the inner ones: two owners that each hold what
+// Claims works out what a shard claims of each group. An outer group is asked only for
+// tasks for which the shard has quota of the inner ones: two owners that each hold what
 // the other waits for would wait for ever.
-func (l *Ledger) Claims(share int, settled bool, teams []TeamDemand) map[string]Use {
-	c := claimBuilder{ledger: l, share: share, uses: map[string]*Use{}, room: map[string]Amount{}}
+func (l *Ledger) Claims(shard int, exact bool, teams []TeamDemand) map[string]Use {
+	c := claimBuilder{ledger: l, shard: shard, uses: map[string]*Use{}, room: map[string]Amount{}}
 	for _, t := range teams {
 		for _, g := range t.Groups {
 			u := c.use(g)
 			u.Used = u.Used.Plus(t.Used)
-			u.Settled = settled
+			u.Exact = exact
 		}
 	}
 	for g, u := range c.uses {
 		u.Want = u.Used
-		c.room[g] = l.Allowed(share, g).Minus(u.Used)
+		c.room[g] = l.Allowed(shard, g).Minus(u.Used)
 	}
 	for _, t := range teams {
 		c.addWaiting(t)
@@ -68,12 +68,12 @@
 	return out
 }
 
-// claimBuilder gathers the claims of one share.
+// claimBuilder gathers the claims of one shard.
 type claimBuilder struct {
 	ledger *Ledger
-	share  int
+	shard  int
 	uses   map[string]*Use
-	room   map[string]Amount // what the share may grant yet
+	room   map[string]Amount // what the shard may grant yet
 }
 
 func (c *claimBuilder) use(group string) *Use {
@@ -114,7 +114,7 @@
 }
 
 // addGuarantees says which part of each claim is guaranteed: within a team's own
-// guarantee, or within that of a group in this one, as it is parted among the shares.
+// guarantee, or within that of a group in this one, as it is parted among the shards.
 func (c *claimBuilder) addGuarantees(teams []TeamDemand) {
 	for _, t := range teams {
 		if len(t.Groups) == 0 {
@@ -136,7 +136,7 @@
 			}
 			inner, outer := c.use(t.Groups[depth]), c.use(t.Groups[depth+1])
 			done[t.Groups[depth]] = true
-			part := c.ledger.guaranteePart(t.Groups[depth], c.share, inner.Claim)
+			part := c.ledger.guaranteePart(t.Groups[depth], c.shard, inner.Claim)
 			outer.Guaranteed = outer.Guaranteed.Plus(inner.Want.Min(part.Max(inner.Guaranteed)))
 		}
 	}
@@ -152,8 +152,8 @@
 	return most
 }
 
-// guaranteePart is a share's part of a group's guarantee, parted by what the shares claim.
-func (l *Ledger) guaranteePart(name string, share int, own Claim) Amount {
+// guaranteePart is a shard's part of a group's guarantee, parted by what the shards claim.
+func (l *Ledger) guaranteePart(name string, shard int, own Claim) Amount {
 	g := l.groups[name]
 	if g == nil || g.rec.Guarantee.IsZero() {
 		return Amount{}
@@ -161,7 +161,7 @@
 	at, claims := -1, make([]Claim, 0, len(g.rec.Rows)+1)
 	for i, row := range g.rec.Rows {
 		claims = append(claims, row.Claim)
-		if row.Share == share {
+		if row.Shard == shard {
 			at, claims[i] = i, own
 		}
 	}
--- a/quota/divide.go
+++ b/quota/divide.go
@@ -6,11 +6,11 @@
 	"slices"
 )
 
-// Claim is what a share wants of a group.
+// Claim is what a shard wants of a group.
 type Claim struct {
-	// Used is what the share's tasks may be using.
+	// Used is what the shard's tasks may be using.
 	Used Amount `cbor:"x"`
-	// Want is what the share's tasks use, and what those that wait would use.
+	// Want is what the shard's tasks use, and what those that wait would use.
 	Want Amount `cbor:"w"`
 	// Guaranteed is the part of it that lies within guarantees: of the teams, and of
 	// groups within this one.
@@ -18,7 +18,7 @@
 	// Piece is the least that is of use: what the smallest waiting task takes.
 	Piece Amount `cbor:"p"`
 	// SinceMS is since when tasks wait with none started, by the time of day of the
-	// share's owner; 0: none waits.
+	// shard's owner; 0: none waits.
 	SinceMS int64 `cbor:"t,omitempty"`
 }
 
--- a/quota/holder.go
+++ b/quota/holder.go
@@ -5,12 +5,12 @@
 	"slices"
 )
 
-// What the owner of a share does with its allowance.
+// What the owner of a shard does with its allowance.
 
-// Allowed is the most that a share's tasks may use of a group; what they could be using at
+// Allowed is the most that a shard's tasks may use of a group; what they could be using at
 // most counts. A group that is not known bounds nothing.
-func (l *Ledger) Allowed(share int, group string) Amount {
-	h := l.held[share]
+func (l *Ledger) Allowed(shard int, group string) Amount {
+	h := l.held[shard]
 	if h == nil {
 		return Amount{}
 	}
@@ -21,13 +21,13 @@
 	case g == nil || !g.binds():
 		return Unlimited
 	}
-	return g.allowed[share]
+	return g.allowed[shard]
 }
 
-// Granted notes a grant of a share from a group. Each must be noted at once: what the share
+// Granted notes a grant of a shard from a group. Each must be noted at once: what the shard
 // uses is told now and then, and nothing that was granted since may be given up.
-func (l *Ledger) Granted(share int, group string, size Amount) {
-	h := l.held[share]
+func (l *Ledger) Granted(shard int, group string, size Amount) {
+	h := l.held[shard]
 	if h == nil {
 		return
 	}
@@ -38,7 +38,7 @@
 	used := use.Used.Plus(size)
 	if g := l.groups[group]; g != nil && g.binds() {
 		// Tasks may have ended since; more than the allowance is never in use by grants.
-		if i := g.rec.Row(share); i >= 0 {
+		if i := g.rec.Row(shard); i >= 0 {
 			used = used.Min(use.Used.Max(g.rec.Rows[i].Allowance))
 		}
 	}
@@ -47,9 +47,11 @@
 }
 
 // binds tells whether a group is known and bounds anything.
-func (g *groupState) binds() bool { return g.mark != 0 && !g.rec.Removed && g.rec.Limit.Bounded() }
+func (g *groupState) binds() bool {
+	return g.modRevision != 0 && !g.rec.Removed && g.rec.Limit.Bounded()
+}
 
-// plan works out what this controller's shares may use of a group, and writes what has to
+// plan works out what this controller's shards may use of a group, and writes what has to
 // change of its record.
 func (l *Ledger) plan(g *groupState) {
 	clear(g.allowed)
@@ -59,44 +61,44 @@
 	l.divide(g)
 	next := g.rec.clone()
 	var changed []int
-	for _, share := range slices.Sorted(maps.Keys(l.held)) {
-		h := l.held[share]
+	for _, shard := range slices.Sorted(maps.Keys(l.held)) {
+		h := l.held[shard]
 		use, known := h.use[g.name]
 		if !h.fresh || !known {
 			continue
 		}
-		l.reclaim(g, share, use)
+		l.reclaim(g, shard, use)
 		// Where it is not known whether a write that gives up something was carried out,
 		// any newer one settles it: until then both count, and what is given up is lost to
 		// everybody.
-		if l.planShare(g, share, use, &next) || g.lowered(share) {
-			changed = append(changed, share)
+		if l.planShard(g, shard, use, &next) || g.lowered(shard) {
+			changed = append(changed, shard)
 		}
 	}
-	for share, h := range l.held {
+	for shard, h := range l.held {
 		if h.fresh {
-			g.allowed[share] = l.allowedNow(g, share)
+			g.allowed[shard] = l.allowedNow(g, shard)
 		}
 	}
 	if len(changed) == 0 || g.sending || l.now.Steady < g.next || len(g.sets) > 0 {
 		return
 	}
 	l.send(g, next, writeRows, changed, nil)
-	for _, share := range changed {
-		g.publishedAt[share] = l.now.Steady
-		if h := l.held[share]; h != nil {
-			g.allowed[share] = l.allowedNow(g, share) // less counts from here on
+	for _, shard := range changed {
+		g.publishedAt[shard] = l.now.Steady
+		if h := l.held[shard]; h != nil {
+			g.allowed[shard] = l.allowedNow(g, shard) // less counts from here on
 		}
 	}
 }
 
 // divide works out what each row should have, by the newest claims of this controller's
-// own shares and the recorded ones of the others.
+// own shards and the recorded ones of the others.
 func (l *Ledger) divide(g *groupState) {
 	claims := make([]Claim, len(g.rec.Rows))
 	for i, row := range g.rec.Rows {
 		claims[i] = row.Claim
-		if h := l.held[row.Share]; h != nil && h.fresh {
+		if h := l.held[row.Shard]; h != nil && h.fresh {
 			if use, ok := h.use[g.name]; ok {
 				claims[i] = use.Claim
 			}
@@ -120,9 +122,9 @@
 	}
 }
 
-// part is what a share should have at most while others lack: all that it has, if none do.
-func (g *groupState) part(share int, has Amount) Amount {
-	i := g.rec.Row(share)
+// part is what a shard should have at most while others lack: all that it has, if none do.
+func (g *groupState) part(shard int, has Amount) Amount {
+	i := g.rec.Row(shard)
 	if i < 0 {
 		return Amount{}
 	}
@@ -136,21 +138,21 @@
 	return has
 }
 
-// allowedNow is what a share may use: its allowance, less what any write gives up that was
+// allowedNow is what a shard may use: its allowance, less what any write gives up that was
 // sent and may be carried out, and no more than its part where a limit is exceeded or
 // others lack theirs.
-func (l *Ledger) allowedNow(g *groupState, share int) Amount {
-	i := g.rec.Row(share)
+func (l *Ledger) allowedNow(g *groupState, shard int) Amount {
+	i := g.rec.Row(shard)
 	if i < 0 {
 		return Amount{}
 	}
 	has := g.rec.Rows[i].Allowance
-	for _, w := range g.unsettled {
-		if k := w.rec.Row(share); k >= 0 {
+	for _, w := range g.unresolved {
+		if k := w.rec.Row(shard); k >= 0 {
 			has = has.Min(w.rec.Rows[k].Allowance)
 		}
 	}
-	has = g.part(share, has)
+	has = g.part(shard, has)
 	limit := g.rec.Limit
 	if limit.CPUs == nil {
 		has.CPUs = Unlimited.CPUs
@@ -161,28 +163,28 @@
 	return has
 }
 
-// lowered tells whether a write that may be carried out leaves a share less than the
+// lowered tells whether a write that may be carried out leaves a shard less than the
 // record does.
-func (g *groupState) lowered(share int) bool {
-	i := g.rec.Row(share)
-	return i >= 0 && slices.ContainsFunc(g.unsettled, func(w sentWrite) bool {
-		k := w.rec.Row(share)
+func (g *groupState) lowered(shard int) bool {
+	i := g.rec.Row(shard)
+	return i >= 0 && slices.ContainsFunc(g.unresolved, func(w sentWrite) bool {
+		k := w.rec.Row(shard)
 		return k >= 0 && !g.rec.Rows[i].Allowance.Within(w.rec.Rows[k].Allowance)
 	})
 }
 
-// planShare brings a share's row in the next record up to date, and tells whether that is
+// planShard brings a shard's row in the next record up to date, and tells whether that is
 // worth a write.
-func (l *Ledger) planShare(g *groupState, share int, use Use, next *Record) bool {
+func (l *Ledger) planShard(g *groupState, shard int, use Use, next *Record) bool {
 	bounded := g.rec.Limit.bounded
 	used, claim := bounded(use.Used), use.Claim
 	claim.Used, claim.Want, claim.Piece, claim.Guaranteed = used, bounded(claim.Want), bounded(claim.Piece), bounded(claim.Guaranteed)
-	i := next.Row(share)
+	i := next.Row(shard)
 	if i < 0 {
-		if !use.Settled {
+		if !use.Exact {
 			return false
 		}
-		next.Rows = append(next.Rows, Row{Share: share, Allowance: used, Claim: claim, Seen: next.Epoch})
+		next.Rows = append(next.Rows, Row{Shard: shard, Allowance: used, Claim: claim, Seen: next.Epoch})
 		if !used.Within(g.rec.Free()) {
 			next.Applied = nil // it uses what others may have been granted
 		}
@@ -190,26 +192,26 @@
 	}
 	row := &next.Rows[i]
 	was := *row
-	row.Allowance = l.allowance(g, share, used, claim, use.Settled, next)
-	if !row.Allowance.Within(was.Allowance) && use.Settled && !used.Within(was.Allowance) {
+	row.Allowance = l.allowance(g, shard, used, claim, use.Exact, next)
+	if !row.Allowance.Within(was.Allowance) && use.Exact && !used.Within(was.Allowance) {
 		next.Applied = nil // a controller that knows no groups has granted more
 	}
 	row.Claim, row.Seen = claim, next.Epoch
-	if l.worthWriting(g, share, was, *row) {
+	if l.worthWriting(g, shard, was, *row) {
 		return true
 	}
-	*row = was // the write of another share's row may not touch this one
+	*row = was // the write of another shard's row may not touch this one
 	return false
 }
 
-// allowance is what a share's allowance should be.
-func (l *Ledger) allowance(g *groupState, share int, used Amount, claim Claim, settled bool, next *Record) Amount {
-	has := next.Rows[next.Row(share)].Allowance
-	if settled && !used.Within(has) {
+// allowance is what a shard's allowance should be.
+func (l *Ledger) allowance(g *groupState, shard int, used Amount, claim Claim, exact bool, next *Record) Amount {
+	has := next.Rows[next.Row(shard)].Allowance
+	if exact && !used.Within(has) {
 		return has.Max(used)
 	}
 	used = used.Min(has)
-	part := g.part(share, has)
+	part := g.part(shard, has)
 	if over := next.Excess(); !over.IsZero() {
 		give := part
 		if l.now.Steady >= g.epochAt+l.cfg.Timing.Patience {
@@ -220,22 +222,22 @@
 	if !part.Equal(has) {
 		return part.Max(used)
 	}
-	more := g.parts[g.rec.Row(share)].Minus(has).Min(next.Free())
+	more := g.parts[g.rec.Row(shard)].Minus(has).Min(next.Free())
 	if grown := has.Plus(more); !more.IsZero() && claim.Piece.Within(grown.Minus(used)) {
 		return grown
 	}
-	return l.unused(g, share, has, used.Max(claim.Want))
+	return l.unused(g, shard, has, used.Max(claim.Want))
 }
 
 // unused gives up what has stood unused for a while.
-func (l *Ledger) unused(g *groupState, share int, has, needed Amount) Amount {
+func (l *Ledger) unused(g *groupState, shard int, has, needed Amount) Amount {
 	if has.Minus(needed).IsZero() {
-		delete(g.unusedSince, share)
+		delete(g.unusedSince, shard)
 		return has
 	}
-	since, ok := g.unusedSince[share]
+	since, ok := g.unusedSince[shard]
 	if !ok {
-		g.unusedSince[share] = l.now.Steady
+		g.unusedSince[shard] = l.now.Steady
 		return has
 	}
 	if l.now.Steady < since+l.cfg.Timing.Keep {
@@ -246,11 +248,11 @@
 
 // worthWriting tells whether a row has changed enough: its allowance, the epoch that its
 // owner has seen, or, now and then, a claim that would change how the limit is divided.
-func (l *Ledger) worthWriting(g *groupState, share int, was, row Row) bool {
+func (l *Ledger) worthWriting(g *groupState, shard int, was, row Row) bool {
 	if !row.Allowance.Equal(was.Allowance) || row.Seen != was.Seen {
 		return true
 	}
-	if l.now.Steady < g.publishedAt[share]+l.cfg.Timing.Publish {
+	if l.now.Steady < g.publishedAt[shard]+l.cfg.Timing.Publish {
 		return false
 	}
 	limit := g.rec.Limit.Amount()
@@ -279,10 +281,10 @@
 // claimSteps is in how many steps of its limit a group's claims are told apart.
 const claimSteps = 20
 
-// reclaim asks for tasks to be stopped where a share uses more than it should have and a
+// reclaim asks for tasks to be stopped where a shard uses more than it should have and a
 // guaranteed claim has waited for long enough.
-func (l *Ledger) reclaim(g *groupState, share int, use Use) {
-	i := g.rec.Row(share)
+func (l *Ledger) reclaim(g *groupState, shard int, use Use) {
+	i := g.rec.Row(shard)
 	if i < 0 || g.guaranteeShortAt < 0 || l.now.Steady < g.guaranteeShortAt+l.cfg.Timing.Reclaim || l.now.Steady < g.reclaimedAt+l.cfg.Timing.Reclaim {
 		return
 	}
@@ -297,7 +299,7 @@
 		return
 	}
 	g.reclaimedAt = l.now.Steady
-	l.out = append(l.out, Reclaim{Share: share, Group: g.name, Over: over})
+	l.out = append(l.out, Reclaim{Shard: shard, Group: g.name, Over: over})
 }
 
 // noteChanges tells what a write that was carried out has changed.
@@ -306,18 +308,18 @@
 		l.out = append(l.out, Changed{Kind: Announced, Group: g.name, Epoch: w.rec.Epoch, Limit: w.rec.Limit, Source: w.rec.Source})
 		return
 	}
-	if w.mark != g.mark {
+	if w.modRevision != g.modRevision {
 		return // what it changed is not known any more
 	}
 	for _, row := range w.rec.Rows {
 		var was Row
-		if i := g.rec.Row(row.Share); i >= 0 {
+		if i := g.rec.Row(row.Shard); i >= 0 {
 			was = g.rec.Rows[i]
 		}
 		kind := Asked
 		switch {
 		case row.Allowance.Equal(was.Allowance):
-			if l.held[row.Share] == nil || row.Claim == was.Claim {
+			if l.held[row.Shard] == nil || row.Claim == was.Claim {
 				continue
 			}
 		case row.Allowance.Within(was.Allowance):
@@ -325,6 +327,6 @@
 		default:
 			kind = Grown
 		}
-		l.out = append(l.out, Changed{Kind: kind, Group: g.name, Share: row.Share, From: was.Allowance, To: row.Allowance, Epoch: w.rec.Epoch, Limit: w.rec.Limit, Source: w.rec.Source})
+		l.out = append(l.out, Changed{Kind: kind, Group: g.name, Shard: row.Shard, From: was.Allowance, To: row.Allowance, Epoch: w.rec.Epoch, Limit: w.rec.Limit, Source: w.rec.Source})
 	}
 }
--- a/quota/ledger.go
+++ b/quota/ledger.go
@@ -46,51 +46,51 @@
 
 // Config is what a Ledger is told at its making.
 type Config struct {
-	Shares int
+	Shards int
 	Timing Timing
 }
 
-// Ledger is what one controller knows of all groups, and does for the shares that it
+// Ledger is what one controller knows of all groups, and does for the shards that it
 // holds. It is not safe for concurrent use.
 type Ledger struct {
 	cfg    Config
 	now    Instant
 	groups map[string]*groupState
-	held   map[int]*heldShare
+	held   map[int]*heldShard
 	nextID uint64
 	writes map[uint64]sentWrite
 	out    []Effect
 }
 
-// heldShare is a share whose owner this controller is.
-type heldShare struct {
-	// fresh: every record was read after the share was claimed, so that no write of a
+// heldShard is a shard whose owner this controller is.
+type heldShard struct {
+	// fresh: every record was read after the shard was claimed, so that no write of a
 	// former owner can change its allowances any more.
 	fresh bool
 	use   map[string]Use
 }
 
-// Use is what a share's tasks use of a group, and want.
+// Use is what a shard's tasks use of a group, and want.
 type Use struct {
-	// Settled: the use is exact. Otherwise a task may be at an unknown place, and it is
+	// Exact: the use is exact. Otherwise a task may be at an unknown place, and it is
 	// the most that could be.
-	Settled bool
+	Exact bool
 	Claim
 }
 
 // groupState is what is known of one group.
 type groupState struct {
-	name string
-	rec  Record
-	mark uint64 // 0: no record
+	name        string
+	rec         Record
+	modRevision uint64 // 0: no record
 	// epochAt is when the present epoch was first seen.
 	epochAt Micros
 	sending bool // a write is under way
 	next    Micros
-	// unsettled are writes whose outcome is not known; they may be carried out as long as
+	// unreconciled are writes whose outcome is not known; they may be carried out as long as
 	// the record is the one that they were conditional on.
-	unsettled []sentWrite
-	// parts are what the shares of the rows should have; short: some should have more
+	unresolved []sentWrite
+	// parts are what the shards of the rows should have; short: some should have more
 	// than they do and than is free.
 	parts                    []Amount
 	shortCPUs, shortGPUs     bool
@@ -103,12 +103,12 @@
 
 // sentWrite is a write that was sent.
 type sentWrite struct {
-	id    uint64
-	group string
-	mark  uint64
-	rec   Record
-	kind  writeKind
-	set   *setRequest
+	id          uint64
+	group       string
+	modRevision uint64
+	rec         Record
+	kind        writeKind
+	set         *setRequest
 }
 
 type writeKind int
@@ -121,7 +121,7 @@
 
 // NewLedger makes a ledger that knows of no group.
 func NewLedger(cfg Config) *Ledger {
-	return &Ledger{cfg: cfg, groups: map[string]*groupState{}, held: map[int]*heldShare{}, writes: map[uint64]sentWrite{}}
+	return &Ledger{cfg: cfg, groups: map[string]*groupState{}, held: map[int]*heldShard{}, writes: map[uint64]sentWrite{}}
 }
 
 // Input is one of the input types of Step.
@@ -134,26 +134,26 @@
 	// Learned is a group's record as a read or a watch has it. Older ones than known are
 	// ignored.
 	Learned struct {
-		Group  string
-		Record Record
-		Mark   uint64
+		Group       string
+		Record      Record
+		ModRevision uint64
 	}
-	// Held says that this controller has come to own a share.
-	Held struct{ Share int }
-	// Refreshed says that all records were read since the share was claimed.
-	Refreshed struct{ Share int }
-	// Dropped says that it owns a share no more.
-	Dropped struct{ Share int }
-	// Used says what a share uses and wants, by group.
+	// Held says that this controller has come to own a shard.
+	Held struct{ Shard int }
+	// Refreshed says that all records were read since the shard was claimed.
+	Refreshed struct{ Shard int }
+	// Dropped says that it owns a shard no more.
+	Dropped struct{ Shard int }
+	// Used says what a shard uses and wants, by group.
 	Used struct {
-		Share  int
+		Shard  int
 		Groups map[string]Use
 	}
 	// Wrote is the outcome of a Write.
 	Wrote struct {
-		ID      uint64
-		Outcome Outcome
-		Mark    uint64 // with Applied: the record's
+		ID          uint64
+		Outcome     Outcome
+		ModRevision uint64 // with Applied: the record's
 	}
 	// Announce has the leader bring the records in line with the options.
 	Announce struct{ Definitions []Definition }
@@ -191,19 +191,19 @@
 		ID    uint64
 		Group string
 		// Mark is the record's that must stand; 0: there must be none.
-		Mark uint64
-		// Shares must be owned by this controller, and Leader led, when the write is
+		ModRevision uint64
+		// Shards must be owned by this controller, and Leader led, when the write is
 		// carried out.
-		Shares []int
+		Shards []int
 		Leader bool
 		Record Record
 	}
 	// Read asks for a group's record anew.
 	Read struct{ Group string }
-	// Reclaim asks for tasks of a share to be stopped that use more of a group than it
+	// Reclaim asks for tasks of a shard to be stopped that use more of a group than it
 	// should have, beside a guarantee that waits.
 	Reclaim struct {
-		Share int
+		Shard int
 		Group string
 		Over  Amount
 	}
@@ -211,7 +211,7 @@
 	Changed struct {
 		Kind     ChangeKind
 		Group    string
-		Share    int // of Grown and Shrunk
+		Shard    int // of Grown and Shrunk
 		From, To Amount
 		Epoch    uint64
 		Limit    Limit
@@ -258,17 +258,17 @@
 	l.now = now
 	switch v := in.(type) {
 	case Learned:
-		l.learn(v.Group, v.Record, v.Mark)
+		l.learn(v.Group, v.Record, v.ModRevision)
 	case Held:
-		l.held[v.Share] = &heldShare{use: map[string]Use{}}
+		l.held[v.Shard] = &heldShard{use: map[string]Use{}}
 	case Refreshed:
-		if h := l.held[v.Share]; h != nil {
+		if h := l.held[v.Shard]; h != nil {
 			h.fresh = true
 		}
 	case Dropped:
-		delete(l.held, v.Share)
+		delete(l.held, v.Shard)
 	case Used:
-		if h := l.held[v.Share]; h != nil {
+		if h := l.held[v.Shard]; h != nil {
 			h.use = v.Groups
 		}
 	case Wrote:
@@ -301,32 +301,32 @@
 
 // learn takes a record. A write that was conditional on an older one is carried out or
 // void by now.
-func (l *Ledger) learn(name string, rec Record, mark uint64) {
+func (l *Ledger) learn(name string, rec Record, modRevision uint64) {
 	g := l.group(name)
-	if mark <= g.mark {
+	if modRevision <= g.modRevision {
 		return
 	}
 	rec.Name = name
 	was := g.rec
-	if g.mark == 0 || rec.Epoch != was.Epoch {
+	if g.modRevision == 0 || rec.Epoch != was.Epoch {
 		g.epochAt = l.now.Steady
 	}
-	g.rec, g.mark = rec, mark
-	g.unsettled = slices.DeleteFunc(g.unsettled, func(w sentWrite) bool { return w.mark < mark })
+	g.rec, g.modRevision = rec, modRevision
+	g.unresolved = slices.DeleteFunc(g.unresolved, func(w sentWrite) bool { return w.modRevision < modRevision })
 	if rec.Applied != nil && (was.Applied == nil || !rec.Applied.Equal(*was.Applied)) {
 		l.out = append(l.out, Changed{Kind: InForce, Group: name, Epoch: rec.Epoch, Limit: rec.Limit, Source: rec.Source})
 	}
 }
 
 // send sends a write of a group's record.
-func (l *Ledger) send(g *groupState, rec Record, kind writeKind, shares []int, set *setRequest) {
+func (l *Ledger) send(g *groupState, rec Record, kind writeKind, shards []int, set *setRequest) {
 	l.nextID++
-	rec.settle(l.cfg.Shares)
-	w := sentWrite{id: l.nextID, group: g.name, mark: g.mark, rec: rec, kind: kind, set: set}
+	rec.settle(l.cfg.Shards)
+	w := sentWrite{id: l.nextID, group: g.name, modRevision: g.modRevision, rec: rec, kind: kind, set: set}
 	l.writes[w.id] = w
-	g.unsettled = append(g.unsettled, w)
+	g.unresolved = append(g.unresolved, w)
 	g.sending = true
-	l.out = append(l.out, Write{ID: w.id, Group: g.name, Mark: g.mark, Shares: shares, Leader: kind == writeAnnouncement, Record: rec})
+	l.out = append(l.out, Write{ID: w.id, Group: g.name, ModRevision: g.modRevision, Shards: shards, Leader: kind == writeAnnouncement, Record: rec})
 }
 
 // wrote takes the outcome of a write.
@@ -343,7 +343,7 @@
 	case Applied:
 		g.forget(w.id)
 		l.noteChanges(g, w)
-		l.learn(w.group, w.rec, v.Mark) // unless a newer one has come first
+		l.learn(w.group, w.rec, v.ModRevision) // unless a newer one has come first
 	case Refused, NotSent:
 		g.forget(w.id)
 		g.next = l.now.Steady + l.cfg.Timing.Pace/4
@@ -358,5 +358,5 @@
 }
 
 func (g *groupState) forget(id uint64) {
-	g.unsettled = slices.DeleteFunc(g.unsettled, func(w sentWrite) bool { return w.id == id })
+	g.unresolved = slices.DeleteFunc(g.unresolved, func(w sentWrite) bool { return w.id == id })
 }
--- a/quota/ledger_test.go
+++ b/quota/ledger_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// holding is a ledger that holds share 0 of two, whose record says what a test wants.
+// holding is a ledger that holds shard 0 of two, whose record says what a test wants.
 type holding struct {
 	t      *testing.T
 	l      *Ledger
@@ -11,12 +11,12 @@
 }
 
 func newHolding(t *testing.T, rec Record, others ...Record) *holding {
-	h := &holding{t: t, l: NewLedger(Config{Shares: 2, Timing: DefaultTiming()})}
-	h.step(Held{Share: 0})
+	h := &holding{t: t, l: NewLedger(Config{Shards: 2, Timing: DefaultTiming()})}
+	h.step(Held{Shard: 0})
 	for i, r := range append([]Record{rec}, others...) {
-		h.step(Learned{Group: []string{"inner", "outer"}[i], Record: r, Mark: 10})
+		h.step(Learned{Group: []string{"inner", "outer"}[i], Record: r, ModRevision: 10})
 	}
-	h.step(Refreshed{Share: 0})
+	h.step(Refreshed{Shard: 0})
 	return h
 }
 
@@ -29,7 +29,7 @@
 	}
 }
 
-// claim says what the share uses and wants of the innermost group, in tasks of one CPU.
+// claim says what the shard uses and wants of the innermost group, in tasks of one CPU.
 func (h *holding) claim(used, waiting int) map[string]Use {
 	team := TeamDemand{Groups: h.l.Path("t"), Used: Amount{CPUs: float64(used)}}
 	if waiting > 0 {
@@ -38,10 +38,12 @@
 	return h.l.Claims(0, true, []TeamDemand{team})
 }
 
-func (h *holding) tell(used, waiting int) { h.step(Used{Share: 0, Groups: h.claim(used, waiting)}) }
+func (h *holding) reportUsage(used, waiting int) {
+	h.step(Used{Shard: 0, Groups: h.claim(used, waiting)})
+}
 
-func row(share int, allowance, want float64, seen uint64) Row {
-	return Row{Share: share, Allowance: Amount{CPUs: allowance}, Claim: Claim{Want: Amount{CPUs: want}, Piece: Amount{CPUs: 1}}, Seen: seen}
+func row(shard int, allowance, want float64, seen uint64) Row {
+	return Row{Shard: shard, Allowance: Amount{CPUs: allowance}, Claim: Claim{Want: Amount{CPUs: want}, Piece: Amount{CPUs: 1}}, Seen: seen}
 }
 
 func inForce(cpus float64, rows ...Row) Record {
@@ -53,9 +55,9 @@
 // for ever either: the record is written again until it is clear.
 func TestUnknownOutcome(t *testing.T) {
 	h := newHolding(t, inForce(10, row(0, 8, 8, 1), row(1, 2, 2, 1)))
-	h.tell(2, 0)
+	h.reportUsage(2, 0)
 	for range 8 { // it stands unused until it is given up
-		h.tell(2, 0)
+		h.reportUsage(2, 0)
 	}
 	if len(h.writes) != 1 {
 		t.Fatalf("%d writes give up what stands unused", len(h.writes))
@@ -64,19 +66,19 @@
 		t.Errorf("%g CPUs allowed, 2 are left by a write that was sent", got)
 	}
 	h.step(Wrote{ID: h.writes[0].ID, Outcome: Unknown})
-	h.tell(2, 6) // wanted again, and the record still says 8
+	h.reportUsage(2, 6) // wanted again, and the record still says 8
 	if got := h.l.Allowed(0, "inner").CPUs; got != 2 {
 		t.Errorf("%g CPUs allowed, 2 are left by a write that may be carried out", got)
 	}
-	h.tell(2, 6)
+	h.reportUsage(2, 6)
 	if len(h.writes) != 2 {
 		t.Fatalf("%d writes: the unknown one is not settled", len(h.writes))
 	}
-	h.step(Wrote{ID: h.writes[1].ID, Outcome: Applied, Mark: 11})
+	h.step(Wrote{ID: h.writes[1].ID, Outcome: Applied, ModRevision: 11})
 	if got := h.l.Allowed(0, "inner").CPUs; got != 8 {
 		t.Errorf("%g CPUs allowed once it is settled, want 8", got)
 	}
-	h.step(Learned{Group: "inner", Record: h.writes[0].Record, Mark: 9}) // an older one
+	h.step(Learned{Group: "inner", Record: h.writes[0].Record, ModRevision: 9}) // an older one
 	if got := h.l.Allowed(0, "inner").CPUs; got != 8 {
 		t.Errorf("%g CPUs allowed after an older record came", got)
 	}
@@ -94,28 +96,28 @@
 	if in, out := uses["inner"].Want.CPUs, uses["outer"].Want.CPUs; in != 5 || out != 0 {
 		t.Errorf("wants %g of the inner group and %g of the outer one", in, out)
 	}
-	h.step(Used{Share: 0, Groups: uses})
+	h.step(Used{Shard: 0, Groups: uses})
 	inner.Rows = []Row{row(0, 3, 5, 1), row(1, 7, 7, 1)}
-	h.step(Learned{Group: "inner", Record: inner, Mark: 11})
+	h.step(Learned{Group: "inner", Record: inner, ModRevision: 11})
 	if out := h.claim(0, 5)["outer"].Want.CPUs; out != 3 {
 		t.Errorf("wants %g of the outer group with quota for 3 of the inner one", out)
 	}
 }
 
 // TestExcessIsMadeUpFor: where others don't give up their part of a lowered limit, this
-// share gives up more after a while, as far as it is unused.
+// shard gives up more after a while, as far as it is unused.
 func TestExcessIsMadeUpFor(t *testing.T) {
 	rec := inForce(10, row(0, 10, 10, 1), row(1, 10, 10, 1))
 	old := CPULimit(20)
 	rec.Applied, rec.Epoch = &old, 2
 	h := newHolding(t, rec)
-	h.tell(2, 8)
+	h.reportUsage(2, 8)
 	if n := len(h.writes); n != 1 || h.writes[0].Record.Rows[0].Allowance.CPUs != 5 || h.writes[0].Record.Rows[0].Seen != 2 {
 		t.Fatalf("first %d writes, %+v", n, h.writes)
 	}
-	h.step(Wrote{ID: h.writes[0].ID, Outcome: Applied, Mark: 11})
+	h.step(Wrote{ID: h.writes[0].ID, Outcome: Applied, ModRevision: 11})
 	for range 6 {
-		h.tell(2, 8)
+		h.reportUsage(2, 8)
 	}
 	if n := len(h.writes); n != 2 || h.writes[1].Record.Rows[0].Allowance.CPUs != 2 {
 		t.Errorf("then %d writes, %+v", n, h.writes[1:])
@@ -159,7 +161,7 @@
 			rec := inForce(10, row(0, 5, 5, 1), row(1, 5, 5, 1))
 			rec.Override, rec.Epoch = tc.override, tc.epoch
 			if tc.epoch > 1 {
-				step(Learned{Group: "inner", Record: rec, Mark: 11})
+				step(Learned{Group: "inner", Record: rec, ModRevision: 11})
 			}
 			step(Wrote{ID: h.writes[0].ID, Outcome: Unknown})
 			step(Tick{})
@@ -176,14 +178,14 @@
 func TestMembersJoin(t *testing.T) {
 	lake := Definition{Name: "lake", Parent: "all", Teams: []string{"b"}}
 	defs := withMembers([]Definition{{Name: "all", Teams: []string{"a"}, Limit: CPULimit(4)}, lake})
-	l := NewLedger(Config{Shares: 1, Timing: DefaultTiming()})
+	l := NewLedger(Config{Shards: 1, Timing: DefaultTiming()})
 	rec := inForce(4, row(0, 4, 4, 1))
 	rec.Definition = defs[0]
-	l.Step(Instant{Steady: sec}, Learned{Group: "all", Record: rec, Mark: 3})
+	l.Step(Instant{Steady: sec}, Learned{Group: "all", Record: rec, ModRevision: 3})
 	if path := l.Path("b"); len(path) != 1 || path[0] != "all" {
 		t.Errorf("with the outer record alone, team b is in %v", path)
 	}
-	l.Step(Instant{Steady: sec}, Learned{Group: "lake", Record: Record{Definition: defs[1]}, Mark: 4})
+	l.Step(Instant{Steady: sec}, Learned{Group: "lake", Record: Record{Definition: defs[1]}, ModRevision: 4})
 	if path := l.Path("b"); len(path) != 2 || path[0] != "lake" {
 		t.Errorf("team b is in %v", path)
 	}
--- a/quota/options_test.go
+++ b/quota/options_test.go
@@ -139,9 +139,9 @@
 }
 
 // TestRenamed: a group that is renamed is one that is removed and one that is new: its
-// limit is in force once every share has told what it uses, and the old name binds nobody.
+// limit is in force once every shard has told what it uses, and the old name binds nobody.
 func TestRenamed(t *testing.T) {
-	l := NewLedger(Config{Shares: 1, Timing: DefaultTiming()})
+	l := NewLedger(Config{Shards: 1, Timing: DefaultTiming()})
 	store := map[string]storedRecord{}
 	var now Instant
 	step := func(in Input) {
@@ -151,16 +151,16 @@
 			w, ok := queue[0].(Write)
 			queue = queue[1:]
 			if ok {
-				store[w.Group] = storedRecord{w.Record, store[w.Group].mark + 1}
-				queue = append(queue, l.Step(now, Wrote{ID: w.ID, Outcome: Applied, Mark: store[w.Group].mark})...)
+				store[w.Group] = storedRecord{w.Record, store[w.Group].modRevision + 1}
+				queue = append(queue, l.Step(now, Wrote{ID: w.ID, Outcome: Applied, ModRevision: store[w.Group].modRevision})...)
 			}
 		}
 	}
 	use := func(cpus float64) {
-		step(Used{Share: 0, Groups: l.Claims(0, true, []TeamDemand{{Groups: l.Path("t"), Used: Amount{CPUs: cpus}}})})
+		step(Used{Shard: 0, Groups: l.Claims(0, true, []TeamDemand{{Groups: l.Path("t"), Used: Amount{CPUs: cpus}}})})
 	}
-	step(Held{Share: 0})
-	step(Refreshed{Share: 0})
+	step(Held{Shard: 0})
+	step(Refreshed{Shard: 0})
 	if got := l.Allowed(0, "old"); got != Unlimited {
 		t.Errorf("a group that nobody knows allows %v", got)
 	}
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -1,8 +1,8 @@
 // Package quota keeps limits and guarantees of groups that span several controllers, with
 // no write for a grant.
 //
-// A group's limit is divided into allowances, one for each share of the work (escrow). The
-// owner of a share grants from its allowance without asking anybody. Allowances change by
+// A group's limit is divided into allowances, one for each shard of the work (escrow). The
+// owner of a shard grants from its allowance without asking anybody. Allowances change by
 // conditional writes to one record of the group, in a store that the program provides:
 // more counts once its write is confirmed, less from the moment that its write is sent.
 // The sum of the allowances never passes the limit in force. A lowered limit is announced
@@ -150,10 +150,10 @@
 	FromOperator Source = "operator"
 )
 
-// Row is the part of one share in a group.
+// Row is the part of one shard in a group.
 type Row struct {
-	Share int `cbor:"s"`
-	// Allowance is what the share's owner may have granted at most.
+	Shard int `cbor:"s"`
+	// Allowance is what the shard's owner may have granted at most.
 	Allowance Amount `cbor:"a"`
 	// Claim is what the owner wants, as of its last write.
 	Claim Claim `cbor:"w"`
@@ -167,7 +167,7 @@
 	Definition `cbor:"d"`
 	// Epoch rises with every change of the limit or the definition.
 	Epoch uint64 `cbor:"e"`
-	// Applied is the limit that was last in force; nil: none was yet, or a share has
+	// Applied is the limit that was last in force; nil: none was yet, or a shard has
 	// used more than its allowance, as a controller that knows no groups may.
 	Applied *Limit `cbor:"f,omitempty"`
 	// Override is a limit that an operator has set by hand. It counts until it is
@@ -180,9 +180,9 @@
 	Rows        []Row `cbor:"r,omitempty"`
 }
 
-// Row gives the place of a share's row, or -1.
-func (r *Record) Row(share int) int {
-	return slices.IndexFunc(r.Rows, func(row Row) bool { return row.Share == share })
+// Row gives the place of a shard's row, or -1.
+func (r *Record) Row(shard int) int {
+	return slices.IndexFunc(r.Rows, func(row Row) bool { return row.Shard == shard })
 }
 
 // Allowed is the sum of all allowances.
@@ -194,7 +194,7 @@
 	return sum
 }
 
-// Free is what no share has of the limit.
+// Free is what no shard has of the limit.
 func (r *Record) Free() Amount { return r.Limit.Amount().Minus(r.Allowed()) }
 
 // Exceeded tells whether allowances sum up to more than the limit: it has been lowered,
@@ -204,10 +204,10 @@
 // Excess is by how much they do.
 func (r *Record) Excess() Amount { return r.Allowed().Minus(r.Limit.Amount()) }
 
-// Complete tells whether every share of that many has a row. The use of one without is
+// Complete tells whether every shard of that many has a row. The use of one without is
 // not known.
-func (r *Record) Complete(shares int) bool {
-	for s := range shares {
+func (r *Record) Complete(shards int) bool {
+	for s := range shards {
 		if r.Row(s) < 0 {
 			return false
 		}
@@ -216,11 +216,11 @@
 }
 
 // InForce tells whether the limit holds.
-func (r *Record) InForce(shares int) bool { return r.Complete(shares) && !r.Exceeded() }
+func (r *Record) InForce(shards int) bool { return r.Complete(shards) && !r.Exceeded() }
 
 // settle notes the limit as in force if it is.
-func (r *Record) settle(shares int) {
-	if r.InForce(shares) {
+func (r *Record) settle(shards int) {
+	if r.InForce(shards) {
 		limit := r.Limit
 		r.Applied = &limit
 	}
--- a/quota/simulation_test.go
+++ b/quota/simulation_test.go
@@ -6,8 +6,8 @@
 	"slices"
 	"testing"
 
+	"garnethitch/internal/eventqueue"
 	"garnethitch/internal/micros"
-	"garnethitch/internal/timeline"
 )
 
 const (
@@ -21,11 +21,11 @@
 type world struct {
 	rng     *rand.Rand
 	now     Micros
-	events  timeline.Queue
+	events  eventqueue.Queue
 	cfg     Config
 	store   map[string]storedRecord
 	rev     uint64
-	owner   []uint64 // the mark of each share's owner key
+	owner   []uint64 // the mark of each shard's owner key
 	by      []int    // the controller that owns it; -1: none
 	leader  int
 	nodes   []*node
@@ -43,38 +43,38 @@
 	nodes  int
 	length Micros
 	faults bool
-	// sizes are what tasks take; demand is how many each share wants at a time.
+	// sizes are what tasks take; demand is how many each shard wants at a time.
 	sizes  []float64
 	demand int
 	// longest is how long a task lasts at most; 0: 2 s.
 	longest Micros
 	// only wants tasks in these groups; nil: in all.
-	only func(share int, now Micros) []string
+	only func(shard int, now Micros) []string
 }
 
 type storedRecord struct {
-	rec  Record
-	mark uint64
+	rec         Record
+	modRevision uint64
 }
 
 // node is one controller.
 type node struct {
-	w        *world
-	id       int
-	ledger   *Ledger
-	life     int
-	shares   map[int]uint64 // owned, as it believes, with the mark
-	cutOff   Micros         // until then it does not reach the store
-	stalled  Micros         // until then its watch brings nothing
-	lease    Micros         // until then it may grant
-	tellNext Micros
-	rate     int64        // its steady clock runs this many millionths fast
-	defs     []Definition // its options, where they differ from the others'
-}
-
-// task runs, or waits, for a share; group is the innermost that it is in.
+	w                 *world
+	id                int
+	ledger            *Ledger
+	life              int
+	shards            map[int]uint64 // owned, as it believes, with the mark
+	cutOff            Micros         // until then it does not reach the store
+	stalled           Micros         // until then its watch brings nothing
+	lease             Micros         // until then it may grant
+	nextUsageReportAt Micros
+	rate              int64        // its steady clock runs this many millionths fast
+	defs              []Definition // its options, where they differ from the others'
+}
+
+// task runs, or waits, for a shard; group is the innermost that it is in.
 type task struct {
-	share  int
+	shard  int
 	group  string
 	size   float64
 	run    bool
@@ -86,7 +86,7 @@
 
 func newWorld(seed uint64, p worldPlan, defs []Definition) *world {
 	w := &world{rng: rand.New(rand.NewPCG(seed, 9)), plan: p, defs: defs, store: map[string]storedRecord{}, changes: map[ChangeKind]int{}, rev: 1,
-		cfg: Config{Shares: p.nodes, Timing: DefaultTiming()}, owner: make([]uint64, p.nodes), by: make([]int, p.nodes)}
+		cfg: Config{Shards: p.nodes, Timing: DefaultTiming()}, owner: make([]uint64, p.nodes), by: make([]int, p.nodes)}
 	for i := range p.nodes {
 		w.by[i] = -1
 		w.nodes = append(w.nodes, &node{w: w, id: i, rate: w.rng.Int64N(501)})
@@ -118,16 +118,16 @@
 func (n *node) start() {
 	n.life++
 	n.ledger = NewLedger(n.w.cfg)
-	n.shares = map[int]uint64{}
+	n.shards = map[int]uint64{}
 	n.lease = n.w.now + leaseFor
-	for share, by := range n.w.by {
+	for shard, by := range n.w.by {
 		if by == n.id { // the former process's; it is gone
-			n.w.by[share] = -1
+			n.w.by[shard] = -1
 		}
 	}
 }
 
-// end ends the process; its shares are claimed once its lease is over.
+// end ends the process; its shards are claimed once its lease is over.
 func (n *node) end(back Micros) {
 	n.life++
 	n.ledger = nil
@@ -140,19 +140,19 @@
 	for _, n := range w.nodes {
 		if n.ledger != nil && w.now >= n.cutOff {
 			if w.now >= n.lease { // it hears that its lease is over, and lets all go
-				n.loseShares()
+				n.loseShards()
 			}
 			n.lease = w.now + leaseFor
 		}
 	}
-	for share := range w.owner {
-		if by := w.by[share]; by >= 0 && (w.nodes[by].ledger == nil || w.nodes[by].shares[share] != w.owner[share]) && w.now >= w.nodes[by].lease {
-			w.by[share] = -1
+	for shard := range w.owner {
+		if by := w.by[shard]; by >= 0 && (w.nodes[by].ledger == nil || w.nodes[by].shards[shard] != w.owner[shard]) && w.now >= w.nodes[by].lease {
+			w.by[shard] = -1
 		} else if by >= 0 && w.now >= w.nodes[by].lease {
-			w.by[share] = -1
+			w.by[shard] = -1
 		}
-		if w.by[share] < 0 {
-			w.claim(share)
+		if w.by[shard] < 0 {
+			w.claim(shard)
 		}
 	}
 	if l := w.nodes[w.leader]; l.ledger == nil || w.now >= l.lease {
@@ -164,47 +164,47 @@
 	w.check()
 }
 
-func (n *node) loseShares() {
-	for share := range n.w.owner {
-		mark, mine := n.shares[share]
+func (n *node) loseShards() {
+	for shard := range n.w.owner {
+		modRevision, mine := n.shards[shard]
 		if !mine {
 			continue
 		}
-		if n.w.owner[share] == mark {
-			n.w.by[share] = -1
+		if n.w.owner[shard] == modRevision {
+			n.w.by[shard] = -1
 		}
-		delete(n.shares, share)
-		n.step(Dropped{Share: share})
+		delete(n.shards, shard)
+		n.step(Dropped{Shard: shard})
 	}
 }
 
-// claim gives a share to a controller that reaches the store.
-func (w *world) claim(share int) {
+// claim gives a shard to a controller that reaches the store.
+func (w *world) claim(shard int) {
 	n := w.nodes[w.rng.IntN(len(w.nodes))]
 	if w.chance(0.7) {
-		n = w.nodes[share]
+		n = w.nodes[shard]
 	}
 	if n.ledger == nil || w.now < n.cutOff {
 		return
 	}
 	w.rev++
-	w.owner[share], w.by[share] = w.rev, n.id
-	n.shares[share] = w.rev
-	n.step(Held{Share: share})
+	w.owner[shard], w.by[shard] = w.rev, n.id
+	n.shards[shard] = w.rev
+	n.step(Held{Shard: shard})
 	life := n.life
 	w.after(w.span(ms, 80*ms), func() {
 		if n.life != life || w.now < n.cutOff {
 			if n.life == life { // tries again
-				w.by[share] = -1
-				delete(n.shares, share)
-				n.step(Dropped{Share: share})
+				w.by[shard] = -1
+				delete(n.shards, shard)
+				n.step(Dropped{Shard: shard})
 			}
 			return
 		}
 		for _, name := range w.sortedGroups() {
-			n.step(Learned{Group: name, Record: w.store[name].rec.clone(), Mark: w.store[name].mark})
+			n.step(Learned{Group: name, Record: w.store[name].rec.clone(), ModRevision: w.store[name].modRevision})
 		}
-		n.step(Refreshed{Share: share})
+		n.step(Refreshed{Shard: shard})
 	})
 }
 
@@ -230,27 +230,27 @@
 	if n.ledger == nil {
 		return
 	}
-	for share, mark := range n.shares {
-		if w.owner[share] != mark && w.now >= n.stalled { // it sees that it was replaced
-			delete(n.shares, share)
-			n.step(Dropped{Share: share})
+	for shard, modRevision := range n.shards {
+		if w.owner[shard] != modRevision && w.now >= n.stalled { // it sees that it was replaced
+			delete(n.shards, shard)
+			n.step(Dropped{Shard: shard})
 		}
 	}
 	mayGrant := w.now < n.lease
 	// Use is told now and then only; grants go on meanwhile.
-	tells := w.now >= n.tellNext
+	tells := w.now >= n.nextUsageReportAt
 	if tells {
-		n.tellNext = w.now + 250*ms
+		n.nextUsageReportAt = w.now + 250*ms
 	}
-	for share := range w.owner {
-		if _, mine := n.shares[share]; !mine {
+	for shard := range w.owner {
+		if _, mine := n.shards[shard]; !mine {
 			continue
 		}
 		if mayGrant {
-			n.grant(share)
+			n.grant(shard)
 		}
 		if tells {
-			n.tell(share)
+			n.reportUsage(shard)
 		}
 	}
 	if w.leader == n.id && w.now < n.lease {
@@ -281,42 +281,42 @@
 // inGroup tells whether a task counts in a group.
 func (w *world) inGroup(t *task, group string) bool { return slices.Contains(w.path(t.group), group) }
 
-func (w *world) used(share int, group string) (sum float64) {
+func (w *world) used(shard int, group string) (sum float64) {
 	for _, t := range w.tasks {
-		if t.run && (share < 0 || t.share == share) && w.inGroup(t, group) {
+		if t.run && (shard < 0 || t.shard == shard) && w.inGroup(t, group) {
 			sum += t.size
 		}
 	}
 	return sum
 }
 
-// grant starts the waiting tasks of a share that fit.
-func (n *node) grant(share int) {
+// grant starts the waiting tasks of a shard that fit.
+func (n *node) grant(shard int) {
 	w := n.w
 	waiting := 0
 	for _, t := range w.tasks {
-		if t.share == share && !t.run {
+		if t.shard == shard && !t.run {
 			waiting++
 		}
 	}
 	for ; waiting < w.plan.demand && w.now < w.plan.length-60*sec; waiting++ {
 		groups := w.sortedNames()
 		if w.plan.only != nil {
-			groups = w.plan.only(share, w.now)
+			groups = w.plan.only(shard, w.now)
 		}
 		if len(groups) == 0 {
 			break
 		}
-		w.tasks = append(w.tasks, &task{share: share, group: groups[w.rng.IntN(len(groups))], size: w.plan.sizes[w.rng.IntN(len(w.plan.sizes))], since: w.now})
+		w.tasks = append(w.tasks, &task{shard: shard, group: groups[w.rng.IntN(len(groups))], size: w.plan.sizes[w.rng.IntN(len(w.plan.sizes))], since: w.now})
 	}
 	for _, t := range w.tasks {
-		if t.share != share || t.run {
+		if t.shard != shard || t.run {
 			continue
 		}
 		fits := true
 		for _, g := range w.path(t.group) {
-			allowed := n.ledger.Allowed(share, g)
-			used := Amount{CPUs: w.used(share, g)}.Plus(Amount{CPUs: t.size})
+			allowed := n.ledger.Allowed(shard, g)
+			used := Amount{CPUs: w.used(shard, g)}.Plus(Amount{CPUs: t.size})
 			fits = fits && used.Within(allowed)
 		}
 		if !fits {
@@ -324,7 +324,7 @@
 		}
 		t.run, t.since = true, w.now
 		for _, g := range w.path(t.group) {
-			n.ledger.Granted(share, g, Amount{CPUs: t.size})
+			n.ledger.Granted(shard, g, Amount{CPUs: t.size})
 		}
 		w.grants++
 		w.check()
@@ -347,12 +347,12 @@
 func (n *node) checkAcknowledged(t *task) {
 	for _, g := range n.w.path(t.group) {
 		rec := n.w.store[g].rec
-		i := rec.Row(t.share)
+		i := rec.Row(t.shard)
 		if i < 0 || rec.Rows[i].Seen != rec.Epoch || rec.Removed {
 			continue
 		}
-		if used := (Amount{CPUs: n.w.used(t.share, g)}); !used.Within(rec.Limit.Amount()) {
-			n.w.broken = append(n.w.broken, fmt.Sprintf("%.3f s: share %d grants %g of %s, its owner has acknowledged %s", n.w.now.Seconds(), t.share, used.CPUs, g, rec.Limit))
+		if used := (Amount{CPUs: n.w.used(t.shard, g)}); !used.Within(rec.Limit.Amount()) {
+			n.w.broken = append(n.w.broken, fmt.Sprintf("%.3f s: share %d grants %g of %s, its owner has acknowledged %s", n.w.now.Seconds(), t.shard, used.CPUs, g, rec.Limit))
 		}
 	}
 }
@@ -361,22 +361,22 @@
 func (w *world) stopTasks(e Reclaim) {
 	over := e.Over.CPUs
 	for _, t := range slices.Clone(w.tasks) {
-		if over > epsilon && t.run && t.share == e.Share && w.inGroup(t, e.Group) {
+		if over > epsilon && t.run && t.shard == e.Shard && w.inGroup(t, e.Group) {
 			over -= t.size
 			w.after(w.span(10*ms, 300*ms), func() { w.finish(t) })
 		}
 	}
 }
 
-// tell tells the ledger what a share uses and wants. Each group has a team of its own.
-func (n *node) tell(share int) {
+// reportUsage tells the ledger what a shard uses and wants. Each group has a team of its own.
+func (n *node) reportUsage(shard int) {
 	w := n.w
 	var teams []TeamDemand
 	for _, d := range w.defs {
 		team := TeamDemand{Groups: w.path(d.Name)}
 		for _, t := range w.tasks {
 			switch {
-			case t.share != share || t.group != d.Name:
+			case t.shard != shard || t.group != d.Name:
 			case t.run:
 				team.Used.CPUs += t.size
 			default:
@@ -385,7 +385,7 @@
 		}
 		teams = append(teams, team)
 	}
-	n.step(Used{Share: share, Groups: n.ledger.Claims(share, true, teams)})
+	n.step(Used{Shard: shard, Groups: n.ledger.Claims(shard, true, teams)})
 }
 
 // step feeds the ledger, and carries out what follows with delays and losses.
@@ -412,14 +412,14 @@
 
 func (n *node) write(e Write) {
 	w, life := n.w, n.life
-	done := func(o Outcome, mark uint64) {
+	done := func(o Outcome, modRevision uint64) {
 		if n.life == life {
-			n.step(Wrote{ID: e.ID, Outcome: o, Mark: mark})
+			n.step(Wrote{ID: e.ID, Outcome: o, ModRevision: modRevision})
 		}
 	}
 	fences := map[int]uint64{}
-	for _, s := range e.Shares {
-		fences[s] = n.shares[s]
+	for _, s := range e.Shards {
+		fences[s] = n.shards[s]
 	}
 	leads := w.leader == n.id
 	if w.now < n.cutOff {
@@ -436,7 +436,7 @@
 			w.after(sec, func() { done(Unknown, 0) })
 			return
 		}
-		mark, ok := w.apply(e, fences, leads && w.leader == n.id)
+		modRevision, ok := w.apply(e, fences, leads && w.leader == n.id)
 		if w.plan.faults && w.chance(0.05) { // the answer is lost
 			w.after(sec, func() { done(Unknown, 0) })
 			return
@@ -445,25 +445,25 @@
 		if ok {
 			o = Applied
 		}
-		w.after(w.span(ms, 15*ms), func() { done(o, mark) })
+		w.after(w.span(ms, 15*ms), func() { done(o, modRevision) })
 	})
 }
 
 // apply carries a write out if its conditions are met.
 func (w *world) apply(e Write, fences map[int]uint64, leads bool) (uint64, bool) {
-	if w.store[e.Group].mark != e.Mark || e.Leader && !leads {
+	if w.store[e.Group].modRevision != e.ModRevision || e.Leader && !leads {
 		return 0, false
 	}
-	for s, mark := range fences {
-		if w.owner[s] != mark {
+	for s, modRevision := range fences {
+		if w.owner[s] != modRevision {
 			return 0, false
 		}
 	}
-	// A late write of a former owner is void only if it names the shares that it changes.
+	// A late write of a former owner is void only if it names the shards that it changes.
 	for _, row := range e.Record.Rows {
 		was := w.store[e.Group].rec
-		if _, fenced := fences[row.Share]; !fenced && (was.Row(row.Share) < 0 || was.Rows[was.Row(row.Share)] != row) {
-			w.broken = append(w.broken, fmt.Sprintf("%.3f s: a write of %s changes the row of share %d, and does not say so", w.now.Seconds(), e.Group, row.Share))
+		if _, fenced := fences[row.Shard]; !fenced && (was.Row(row.Shard) < 0 || was.Rows[was.Row(row.Shard)] != row) {
+			w.broken = append(w.broken, fmt.Sprintf("%.3f s: a write of %s changes the row of share %d, and does not say so", w.now.Seconds(), e.Group, row.Shard))
 		}
 	}
 	w.rev++
@@ -489,7 +489,7 @@
 	}
 	w.after(d, func() {
 		if n.life == life {
-			n.step(Learned{Group: group, Record: rec.rec.clone(), Mark: rec.mark})
+			n.step(Learned{Group: group, Record: rec.rec.clone(), ModRevision: rec.modRevision})
 		}
 	})
 }
@@ -497,8 +497,8 @@
 func (n *node) read(group string) {
 	w, life := n.w, n.life
 	w.after(max(w.span(ms, 20*ms), n.cutOff-w.now), func() {
-		if n.life == life && w.store[group].mark != 0 {
-			n.step(Learned{Group: group, Record: w.store[group].rec.clone(), Mark: w.store[group].mark})
+		if n.life == life && w.store[group].modRevision != 0 {
+			n.step(Learned{Group: group, Record: w.store[group].rec.clone(), ModRevision: w.store[group].modRevision})
 		}
 	})
 }
@@ -511,8 +511,8 @@
 			w.broken = append(w.broken, fmt.Sprintf("%.3f s: %s uses %g, in force is %s", w.now.Seconds(), name, used, s.rec.Applied))
 		}
 		for _, row := range s.rec.Rows {
-			if u := w.used(row.Share, name); s.rec.Applied != nil && !s.rec.Removed && !(Amount{CPUs: u}).Within(row.Allowance) {
-				w.broken = append(w.broken, fmt.Sprintf("%.3f s: share %d uses %g of %s, its allowance is %g", w.now.Seconds(), row.Share, u, name, row.Allowance.CPUs))
+			if u := w.used(row.Shard, name); s.rec.Applied != nil && !s.rec.Removed && !(Amount{CPUs: u}).Within(row.Allowance) {
+				w.broken = append(w.broken, fmt.Sprintf("%.3f s: share %d uses %g of %s, its allowance is %g", w.now.Seconds(), row.Shard, u, name, row.Allowance.CPUs))
 			}
 		}
 	}
@@ -525,7 +525,7 @@
 		fits := !t.run
 		for _, g := range w.path(t.group) {
 			s := w.store[g]
-			fits = fits && s.mark != 0 && s.rec.Applied != nil && !s.rec.Exceeded() && w.by[t.share] >= 0 &&
+			fits = fits && s.modRevision != 0 && s.rec.Applied != nil && !s.rec.Exceeded() && w.by[t.shard] >= 0 &&
 				(Amount{CPUs: w.used(-1, g) + t.size}).Within(s.rec.Limit.Amount())
 		}
 		switch {
@@ -549,8 +549,8 @@
 	}
 }
 
-// trouble brings one trouble about.
-func (w *world) trouble() {
+// fault brings one fault about.
+func (w *world) fault() {
 	n := w.nodes[w.rng.IntN(len(w.nodes))]
 	switch w.rng.IntN(8) {
 	case 0:
@@ -566,9 +566,9 @@
 		for _, o := range w.nodes {
 			o.cutOff = until
 		}
-	case 4: // a share is handed back, whatever is on its way
-		if len(n.shares) > 0 && n.ledger != nil {
-			n.loseShares()
+	case 4: // a shard is handed back, whatever is on its way
+		if len(n.shards) > 0 && n.ledger != nil {
+			n.loseShards()
 		}
 	case 5: // the options of one controller say something else for a while
 		n.defs = slices.Clone(w.defs)
@@ -585,7 +585,7 @@
 	}
 }
 
-// TestConcurrentGrants has several controllers grant the last shares of their groups
+// TestConcurrentGrants has several controllers grant the last shards of their groups
 // through ends, cuts, late and lost writes and limits that change at any moment: what
 // runs never exceeds the limit in force, nor an allowance.
 func TestConcurrentGrants(t *testing.T) {
@@ -614,7 +614,7 @@
 				tc.plan.faults, tc.plan.length = true, 160*sec
 				w := newWorld(seed, tc.plan, tc.defs)
 				for at := 4 * sec; at < 90*sec; at += w.span(500*ms, 4*sec) {
-					w.after(at, w.trouble)
+					w.after(at, w.fault)
 				}
 				w.after(92*sec, func() { // all is well again
 					w.defs, w.plan.faults = tc.defs, false
@@ -687,10 +687,10 @@
 		{Name: "lake", Parent: "all", Guarantee: Amount{CPUs: 15}},
 		{Name: "hill", Parent: "all"},
 	}
-	// Share 0 has tasks of lake only, from some moment on; the others fill all with hill's.
-	only := func(share int, now Micros) []string {
+	// Shard 0 has tasks of lake only, from some moment on; the others fill all with hill's.
+	only := func(shard int, now Micros) []string {
 		switch {
-		case share != 0:
+		case shard != 0:
 			return []string{"hill"}
 		case now >= comes:
 			return []string{"lake"}
@@ -698,9 +698,9 @@
 		return nil
 	}
 	for _, tc := range []struct {
-		name    string
-		trouble func(w *world)
-		within  Micros
+		name   string
+		fault  func(w *world)
+		within Micros
 	}{
 		{"all well", func(*world) {}, 5 * sec},
 		{"a lender's watch stands still", func(w *world) { w.nodes[1].stalled = w.now + 5*sec }, 10 * sec},
@@ -709,7 +709,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			w := newWorld(3, worldPlan{nodes: 3, sizes: []float64{1}, demand: 60, longest: 300 * sec, only: only, length: 90 * sec}, defs)
-			w.after(comes-sec, func() { tc.trouble(w) })
+			w.after(comes-sec, func() { tc.fault(w) })
 			before, after := 0.0, 0.0
 			w.after(comes-2*sec, func() { before = w.used(-1, "hill") })
 			w.after(comes+tc.within, func() { after = w.used(-1, "lake") })
--- a/quota/status.go
+++ b/quota/status.go
@@ -17,7 +17,7 @@
 	Lent   Amount        `json:"lent" msgpack:"b"`
 	Free   Amount        `json:"free" msgpack:"r"`
 	HeldUp []HeldUp      `json:"held_up_by,omitempty" msgpack:"h,omitempty"`
-	Shares []ShareStatus `json:"shares" msgpack:"w,omitempty"`
+	Shards []ShardStatus `json:"shares" msgpack:"w,omitempty"`
 }
 
 // State says whether a group's limit holds.
@@ -32,7 +32,7 @@
 
 // HeldUp says why a limit is not in force yet.
 type HeldUp struct {
-	Share  int          `json:"share" msgpack:"s"`
+	Shard  int          `json:"share" msgpack:"s"`
 	Owner  string       `json:"owner,omitempty" msgpack:"o,omitempty"`
 	Reason HeldUpReason `json:"reason" msgpack:"r"`
 }
@@ -47,9 +47,9 @@
 	StillUsed       HeldUpReason = "its tasks use more than its part"
 )
 
-// ShareStatus is a share's part of a group.
-type ShareStatus struct {
-	Share     int    `json:"share" msgpack:"s"`
+// ShardStatus is a shard's part of a group.
+type ShardStatus struct {
+	Shard     int    `json:"share" msgpack:"s"`
 	Owner     string `json:"owner,omitempty" msgpack:"o,omitempty"`
 	Allowance Amount `json:"allowance" msgpack:"a"`
 	Used      Amount `json:"used" msgpack:"x"`
@@ -61,7 +61,7 @@
 func (l *Ledger) Status() []GroupStatus {
 	var out []GroupStatus
 	for _, name := range l.names() {
-		if g := l.groups[name]; g.mark != 0 {
+		if g := l.groups[name]; g.modRevision != 0 {
 			out = append(out, l.status(g))
 		}
 	}
@@ -75,34 +75,34 @@
 	switch {
 	case r.Removed:
 		st.State = StateRemoved
-	case r.InForce(l.cfg.Shares):
+	case r.InForce(l.cfg.Shards):
 		st.State = StateInForce
 	}
-	for share := range l.cfg.Shares {
-		i := r.Row(share)
+	for shard := range l.cfg.Shards {
+		i := r.Row(shard)
 		if i < 0 {
-			st.HeldUp = append(st.HeldUp, HeldUp{Share: share, Reason: NotRegistered})
+			st.HeldUp = append(st.HeldUp, HeldUp{Shard: shard, Reason: NotRegistered})
 			continue
 		}
 		row := r.Rows[i]
 		used, want := row.Claim.Used, row.Claim.Want
-		if h := l.held[share]; h != nil {
+		if h := l.held[shard]; h != nil {
 			if use, ok := h.use[g.name]; ok {
 				used, want = use.Used, use.Want
 			}
 		}
-		st.Shares = append(st.Shares, ShareStatus{Share: share, Allowance: row.Allowance, Used: used, Want: want, Seen: row.Seen})
+		st.Shards = append(st.Shards, ShardStatus{Shard: shard, Allowance: row.Allowance, Used: used, Want: want, Seen: row.Seen})
 		if st.State != StateAnnounced || !r.Exceeded() {
 			continue
 		}
 		switch {
 		case row.Seen < r.Epoch:
-			st.HeldUp = append(st.HeldUp, HeldUp{Share: share, Reason: NotAcknowledged})
+			st.HeldUp = append(st.HeldUp, HeldUp{Shard: shard, Reason: NotAcknowledged})
 		case i < len(g.parts) && !row.Allowance.Within(g.parts[i]):
-			st.HeldUp = append(st.HeldUp, HeldUp{Share: share, Reason: StillUsed})
+			st.HeldUp = append(st.HeldUp, HeldUp{Shard: shard, Reason: StillUsed})
 		}
 	}
-	if parent := l.groups[r.Parent]; parent != nil && parent.mark != 0 {
+	if parent := l.groups[r.Parent]; parent != nil && parent.modRevision != 0 {
 		st.Lent = r.Guarantee.Minus(r.Allowed()).Minus(parent.rec.Free())
 	}
 	return st
@@ -119,11 +119,11 @@
 	return a
 }
 
-// Part is what a share may use of a group, or should have once others have given it up.
-func (l *Ledger) Part(share int, group string) Amount {
-	allowed := l.Allowed(share, group)
-	if g := l.groups[group]; g != nil && allowed != Unlimited && l.held[share] != nil {
-		if i := g.rec.Row(share); i >= 0 && i < len(g.parts) {
+// Part is what a shard may use of a group, or should have once others have given it up.
+func (l *Ledger) Part(shard int, group string) Amount {
+	allowed := l.Allowed(shard, group)
+	if g := l.groups[group]; g != nil && allowed != Unlimited && l.held[shard] != nil {
+		if i := g.rec.Row(shard); i >= 0 && i < len(g.parts) {
 			return allowed.Max(g.parts[i])
 		}
 	}
--- a/quota/store.go
+++ b/quota/store.go
@@ -3,13 +3,13 @@
 import "fmt"
 
 // Store holds the records of groups. A write is carried out only if the record has the mark
-// that it names, and its writer still owns the shares, or leads, as it says.
+// that it names, and its writer still owns the shards, or leads, as it says.
 type Store interface {
 	// Read gives a group's record and its mark; mark 0: there is none.
 	Read(group string) (Record, uint64, error)
 	// Write carries a write out, and gives the record's new mark; ok is false if its
 	// conditions are not met. After an error it may have been carried out or not.
-	Write(Write) (mark uint64, ok bool, err error)
+	Write(Write) (modRevision uint64, ok bool, err error)
 }
 
 // Sync takes one input and carries what follows out on a store, at once. It is the whole
@@ -23,7 +23,7 @@
 		pending = pending[1:]
 		switch e := effect.(type) {
 		case Write:
-			mark, ok, err := store.Write(e)
+			modRevision, ok, err := store.Write(e)
 			outcome := Applied
 			switch {
 			case err != nil:
@@ -31,14 +31,14 @@
 			case !ok:
 				outcome = Refused
 			}
-			pending = append(pending, l.Step(now, Wrote{ID: e.ID, Outcome: outcome, Mark: mark})...)
+			pending = append(pending, l.Step(now, Wrote{ID: e.ID, Outcome: outcome, ModRevision: modRevision})...)
 		case Read:
-			rec, mark, err := store.Read(e.Group)
+			rec, modRevision, err := store.Read(e.Group)
 			if err != nil {
 				return rest, fmt.Errorf("quota: read group %s: %w", e.Group, err)
 			}
-			if mark != 0 {
-				pending = append(pending, l.Step(now, Learned{Group: e.Group, Record: rec, Mark: mark})...)
+			if modRevision != 0 {
+				pending = append(pending, l.Step(now, Learned{Group: e.Group, Record: rec, ModRevision: modRevision})...)
 			}
 		default:
 			rest = append(rest, e)
