--- a/internal/controller/cancellation_cascade.go
+++ b/internal/controller/cancellation_cascade.go
@@ -194,11 +194,11 @@
 		if current {
 			w.underWay--
 		}
-		failed := failedKeys(res)
-		if current && res.Status != 200 && len(failed) == 0 {
+		outcome, failed := txnOutcomeOf(res), failedKeys(res)
+		if current && outcome != txnApplied && len(failed) == 0 {
 			w.retryAt = c.now + c.jitter(400*micros.Millisecond)
 		}
-		if current && res.Status == 400 {
+		if current && outcome == txnRejected {
 			c.log(Error, "ends of dependents refused by the state service", "first", jobs[0].id, "changes", txn.Writes())
 			w.retryAt = c.now + c.jitter(refusedPause)
 		}
@@ -209,27 +209,19 @@
 			if c.jobs.open[j.id] != j || j.run != runs[i] {
 				continue // over, or in other hands
 			}
-			if res.Status == 200 {
+			if outcome == txnApplied {
 				c.finishJob(j.id, finalJob{state: wire.StateCancelled, tasks: j.sub.Tasks, recorded: true, endMS: endMS})
 				continue
 			}
-			c.dependentNotRecorded(j, res, slices.Contains(failed, wire.JobKey(j.id)), slices.Contains(failed, ownerKey(shard)))
+			c.dependentNotRecorded(j, outcome, slices.Contains(failed, wire.JobKey(j.id)), slices.Contains(failed, ownerKey(shard)))
 		}
 		c.recordDependents()
 	})
 }
 
-// failedKeys are the keys whose conditions were not met.
-func failedKeys(res Result) []string {
-	if body, ok := res.Body.(*wire.Revision); ok && res.Status == 409 {
-		return body.Failed
-	}
-	return nil
-}
-
 // dependentNotRecorded deals with a dependent whose transaction did not succeed, or
 // may not have: jobChanged and claimLost say which conditions were not met.
-func (c *Controller) dependentNotRecorded(j *job, res Result, jobChanged, claimLost bool) {
+func (c *Controller) dependentNotRecorded(j *job, outcome txnOutcome, jobChanged, claimLost bool) {
 	w := &c.cascade
 	r := j.run
 	if r == nil {
@@ -246,7 +238,7 @@
 		c.resolveEnd(j, r)
 	case claimLost:
 		r.nextEndAttemptAt = c.now + c.jitter(micros.Second) // the watch tells the rest
-	case res.Status == 0 && !res.NotSent:
+	case outcome == txnInDoubt:
 		r.endInDoubt = true // a late copy may yet be carried out
 	}
 }
--- a/internal/controller/checkpoints.go
+++ b/internal/controller/checkpoints.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"net/http"
 	"slices"
 
 	"garnethitch/internal/micros"
@@ -22,7 +23,7 @@
 			return
 		}
 		body, ok := r.Body.(*wire.KeyList)
-		if !ok || r.Status != 200 {
+		if !ok || r.Status != http.StatusOK {
 			s.loadingCheckpoints = false // maintainMachines tries again
 			return
 		}
@@ -166,32 +167,32 @@
 		if j.run != r {
 			return
 		}
-		if body, ok := res.Body.(*wire.Revision); ok && res.Status == 200 {
-			r.checkpointInFlight, r.checkpointModRevision, r.checkpointed = false, body.Revision, covered
+		if revision, ok := txnRevision(res); ok {
+			r.checkpointInFlight, r.checkpointModRevision, r.checkpointed = false, revision, covered
 			c.markCheckpointed(j)
 			return
 		}
 		r.checkpointDirty = true
 		r.nextCheckpointAt = c.now + c.jitter(checkpointInterval)
-		if res.NotSent || res.Status == 503 || res.Status == 429 {
+		switch txnOutcomeOf(res) {
+		case txnNotExecuted:
 			r.checkpointInFlight = false
 			return
-		}
-		if res.Status == 400 {
+		case txnRejected:
 			c.log(Error, "checkpoint refused by the state service", "job", j.id, "bytes", len(value))
 			r.checkpointInFlight = false
 			r.nextCheckpointAt = c.now + c.jitter(refusedPause)
 			return
 		}
-		// Unclear or refused: see what stands there before writing again.
+		// In doubt, or a condition failed: see what stands there before writing again.
 		c.askState(classCheckpoint, GetKey{Key: key}, micros.Second, func(res Result) {
 			if j.run != r {
 				return
 			}
 			r.checkpointInFlight = false
-			if kv, ok := res.Body.(*wire.KeyValue); ok && res.Status == 200 {
+			if kv, ok := res.Body.(*wire.KeyValue); ok && res.Status == http.StatusOK {
 				r.checkpointModRevision = kv.ModRevision
-			} else if res.Status == 404 {
+			} else if res.Status == http.StatusNotFound {
 				r.checkpointModRevision = 0
 			}
 		})
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -1,6 +1,8 @@
 package controller
 
 import (
+	"net/http"
+
 	"garnethitch/internal/micros"
 	"garnethitch/internal/wire"
 )
@@ -178,8 +180,8 @@
 		if ok {
 			v.reachability = reachability{} // it was reached, whatever it says
 		}
-		executed := ok && r.Status == 200
-		refused := r.NotSent || ok && r.Status == 409
+		executed := ok && r.Status == http.StatusOK
+		refused := r.NotSent || ok && r.Status == http.StatusConflict
 		for _, att := range v.each() {
 			if att.state != attemptCommanded {
 				continue
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"net/http"
 	"slices"
 
 	"garnethitch/internal/micros"
@@ -253,14 +254,14 @@
 			ask = append(ask, id)
 		}
 	}
-	left, status := len(ask), 200
+	left, status := len(ask), http.StatusOK
 	if left == 0 {
-		done(200)
+		done(http.StatusOK)
 		return
 	}
 	for _, id := range ask {
 		c.readForUser(id, func(got int) {
-			if got == 404 || got != 200 && status == 200 {
+			if got == http.StatusNotFound || got != http.StatusOK && status == http.StatusOK {
 				status = got
 			}
 			if left--; left == 0 {
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -2,6 +2,7 @@
 
 import (
 	"maps"
+	"net/http"
 	"slices"
 
 	"garnethitch/internal/micros"
@@ -79,7 +80,7 @@
 
 func (c *Controller) startLeading() {
 	for _, cl := range c.fleet.registrations {
-		c.answer(cl.in.Reply, 503, nil, 0)
+		c.answer(cl.in.Reply, http.StatusServiceUnavailable, nil, 0)
 	}
 	c.fleet.reset()
 	c.fleet.ledAt = c.now
@@ -113,7 +114,7 @@
 		// again (one stood idle for ever after an outage, found by the simulation).
 		for _, cl := range f.registrations {
 			delete(f.assigning, cl.in.Heartbeat.Machine)
-			c.answer(cl.in.Reply, 503, nil, 0)
+			c.answer(cl.in.Reply, http.StatusServiceUnavailable, nil, 0)
 		}
 		f.registrations = nil
 		return
--- a/internal/controller/inventory.go
+++ b/internal/controller/inventory.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"net/http"
 	"slices"
 
 	"garnethitch/internal/micros"
@@ -29,7 +30,7 @@
 	f.typesBusy = c.askCloud(GetTypes{}, cloudTimeout, func(r Result) {
 		f.typesBusy = false
 		f.typesAt = c.now
-		if body, ok := r.Body.(*wire.MachineTypes); ok && r.Status == 200 {
+		if body, ok := r.Body.(*wire.MachineTypes); ok && r.Status == http.StatusOK {
 			c.learnTypes(*body, true)
 		}
 	})
@@ -67,7 +68,7 @@
 		Then: []wire.Change{{Put: wire.KeyTypes, Value: value}},
 	}
 	c.askState(classFleet, txn, 2*micros.Second, func(r Result) {
-		if r.Status == 200 {
+		if r.Status == http.StatusOK {
 			c.fleet.typesRaw = value
 		}
 	})
@@ -90,7 +91,7 @@
 		}
 		f.listBusy = false
 		body, ok := r.Body.(*wire.MachineList)
-		if !ok || r.Status != 200 {
+		if !ok || r.Status != http.StatusOK {
 			f.after, f.listNext = "", c.now+micros.Second
 			return
 		}
--- a/internal/controller/job_end.go
+++ b/internal/controller/job_end.go
@@ -2,6 +2,7 @@
 
 import (
 	"maps"
+	"net/http"
 	"slices"
 
 	"garnethitch/internal/micros"
@@ -14,7 +15,7 @@
 // cancelJob records a cancellation and answers once it stands.
 func (c *Controller) cancelJob(j *job, done func(peer.Answer)) {
 	if len(j.run.waiters) >= 64 {
-		done(peer.Answer{Status: 503})
+		done(peer.Answer{Status: http.StatusServiceUnavailable})
 		return
 	}
 	j.run.waiters = append(j.run.waiters, done)
@@ -127,14 +128,14 @@
 		if j.run != r {
 			return
 		}
-		switch {
-		case res.Status == 200:
+		switch txnOutcomeOf(res) {
+		case txnApplied:
 			c.finishJob(j.id, finalJob{state: state, tasks: j.sub.Tasks, recorded: true, endMS: rec.EndMS})
-		case res.NotSent || res.Status == 503 || res.Status == 429:
-			r.endInFlight = false // not executed
+		case txnNotExecuted:
+			r.endInFlight = false
 			r.nextEndAttemptAt = c.now + c.jitter(400*micros.Millisecond)
 			c.failWaiters(j)
-		case res.Status == 400:
+		case txnRejected:
 			// Not executed, and not to be had soon: the state service takes less than the
 			// settings say. Tried again seldom, so that no other write waits behind it.
 			c.log(Error, "end of a job refused by the state service", "job", j.id, "bytes", len(value), "changes", txn.Writes())
@@ -142,7 +143,7 @@
 			r.nextEndAttemptAt = c.now + c.jitter(refusedPause)
 			c.failWaiters(j)
 		default:
-			// Unclear, or something has changed: a read settles it. Until then
+			// In doubt, or something has changed: a read resolves it. Until then
 			// nothing is told from memory.
 			r.endInDoubt = true
 			c.resolveEnd(j, r)
@@ -150,13 +151,13 @@
 	})
 }
 
-// resolveEnd reads a job whose end is unclear.
+// resolveEnd reads a job whose end is in doubt.
 func (c *Controller) resolveEnd(j *job, r *run) {
 	c.readJob(classEnd, j.id, func(status int) {
 		if j.run != r {
 			return // final, or no longer ours
 		}
-		if status == 200 {
+		if status == http.StatusOK {
 			// Not ended; a late copy can still end it, so that it stays unsure. j.mark
 			// is as read.
 			r.endInFlight = false
@@ -173,7 +174,7 @@
 	waiters := j.run.waiters
 	j.run.waiters = nil
 	for _, w := range waiters {
-		c.later(func() { w(peer.Answer{Status: 503}) })
+		c.later(func() { w(peer.Answer{Status: http.StatusServiceUnavailable}) })
 	}
 }
 
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"container/heap"
+	"net/http"
 	"slices"
 
 	"garnethitch/internal/micros"
@@ -151,7 +152,7 @@
 }
 
 func finalAnswer(f finalJob) peer.Answer {
-	a := peer.Answer{Status: 200, State: f.state}
+	a := peer.Answer{Status: http.StatusOK, State: f.state}
 	if f.state == wire.StateDone {
 		a.Done = f.tasks
 	}
@@ -264,7 +265,7 @@
 	j.run = nil
 	c.ownership.shards[j.shard].queueStale = true
 	for _, w := range waiters {
-		c.later(func() { w(peer.Answer{Status: 503}) })
+		c.later(func() { w(peer.Answer{Status: http.StatusServiceUnavailable}) })
 	}
 }
 
@@ -312,7 +313,7 @@
 
 // memoryAnswer tells of a job that this node owns.
 func (c *Controller) memoryAnswer(j *job) peer.Answer {
-	a := peer.Answer{Status: 200, State: wire.StatePending, Done: j.run.doneCount, Running: j.running()}
+	a := peer.Answer{Status: http.StatusOK, State: wire.StatePending, Done: j.run.doneCount, Running: j.running()}
 	if a.Running > 0 {
 		a.State = wire.StateRunning
 	}
--- a/internal/controller/lease.go
+++ b/internal/controller/lease.go
@@ -1,6 +1,8 @@
 package controller
 
 import (
+	"net/http"
+
 	"garnethitch/internal/micros"
 	"garnethitch/internal/wire"
 )
@@ -13,7 +15,7 @@
 	asked := c.now
 	c.askState(classLease, wire.NewLease{TTLMS: c.cfg.Lease.Millis()}, micros.Second, func(r Result) {
 		o.acquiringLease = false
-		if l, ok := r.Body.(*wire.Lease); ok && r.Status == 200 && l.Lease != 0 {
+		if l, ok := r.Body.(*wire.Lease); ok && r.Status == http.StatusOK && l.Lease != 0 {
 			o.lease, o.renewedAt = l.Lease, asked
 			o.nextRenewalAt = c.now + c.cfg.Lease/4
 			o.lastStateReplyAt = c.now
@@ -39,14 +41,14 @@
 			return
 		}
 		switch r.Status {
-		case 200:
+		case http.StatusOK:
 			if c.now >= o.renewedAt+c.bounds.LeaseValidity {
 				c.log(Info, "lease renewed after a gap", "gap_ms", (c.now - o.renewedAt).Millis())
 			}
 			o.renewedAt = max(o.renewedAt, asked)
 			o.lastStateReplyAt = c.now
 			c.schedulingDue = true
-		case 404:
+		case http.StatusNotFound:
 			c.log(Info, "lease lost, giving up all locks", "lease", lease)
 			o.lastStateReplyAt = c.now
 			c.loseLease()
--- a/internal/controller/machine_records.go
+++ b/internal/controller/machine_records.go
@@ -271,19 +271,20 @@
 				p.recordSet.nextWriteAt = c.now + c.jitter(micros.Second)
 			}
 		}
-		body, ok := r.Body.(*wire.Revision)
-		if !ok || r.Status != 200 {
-			inDoubt := !r.NotSent && r.Status != 503 && r.Status != 429 && r.Status != 409
+		revision, ok := txnRevision(r)
+		if !ok {
+			outcome := txnOutcomeOf(r)
+			inDoubt := outcome != txnNotExecuted && outcome != txnConditionFailed
 			done(false, inDoubt) // if it was applied after all, the watch shows it
 			return
 		}
 		for _, p := range writes {
 			if b := c.recordSets[p.key]; p.deleteKey {
-				if b != nil && b.modRevision <= body.Revision {
+				if b != nil && b.modRevision <= revision {
 					c.dropRecordSet(b)
 				}
 			} else {
-				c.applyMachineRecordSet(p.key, p.record, body.Revision)
+				c.applyMachineRecordSet(p.key, p.record, revision)
 			}
 		}
 		c.dropMachinesWithoutRecordSet()
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -1,6 +1,8 @@
 package controller
 
 import (
+	"net/http"
+
 	"garnethitch/internal/micros"
 	"garnethitch/internal/wire"
 )
@@ -164,7 +166,7 @@
 	c.checkRenewal(s, m)
 	v.reachability.replied(c.fencingToken(s, m), v.fencingToken, commands)
 	c.logHeartbeat(m, heartbeat, allow(reasonHeartbeatAccepted), commands)
-	c.answer(in.Reply, 200, wire.HeartbeatReply{FencingToken: c.fencingToken(s, m), Commands: commands}, 0)
+	c.answer(in.Reply, http.StatusOK, wire.HeartbeatReply{FencingToken: c.fencingToken(s, m), Commands: commands}, 0)
 	if !v.reconciled {
 		c.reconcileMachine(s, m) // shows our fencing token at once
 	}
@@ -179,7 +181,7 @@
 		c.misdirectedHeartbeats[m.id] = c.now // bounded: it is on record
 		c.redirect(in.Reply, &c.ownership.shards[m.rec.Shard].lock)
 	default:
-		c.answer(in.Reply, 503, nil, 0)
+		c.answer(in.Reply, http.StatusServiceUnavailable, nil, 0)
 	}
 }
 
@@ -187,10 +189,10 @@
 // and this node's knowledge is fresh.
 func (c *Controller) redirect(r ReplyID, holder *lock) {
 	if holder.ownerEpoch != 0 && holder.owner.Label != c.cfg.Label && c.peers[holder.owner.Label] != nil && c.now-c.ownership.lastStateReplyAt < c.cfg.Lease {
-		c.answer(r, 421, wire.Redirect{ReportTo: holder.owner.Label}, 0)
+		c.answer(r, http.StatusMisdirectedRequest, wire.Redirect{ReportTo: holder.owner.Label}, 0)
 		return
 	}
-	c.answer(r, 503, nil, 0)
+	c.answer(r, http.StatusServiceUnavailable, nil, 0)
 }
 
 func newerThan(heartbeat *wire.Heartbeat, v *view) bool {
--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -1,12 +1,14 @@
 package controller
 
 import (
+	"net/http"
+
 	"garnethitch/internal/micros"
 	"garnethitch/internal/peer"
 	"garnethitch/internal/wire"
 )
 
-// What a core takes in and gives out.
+// What a controller takes in and gives out.
 
 // Instant is a reading of both clocks.
 type Instant struct {
@@ -64,7 +66,7 @@
 
 // TooLarge is the Status of a Result whose answer came but is larger than this
 // node takes: asking the same again would bring the same.
-const TooLarge = 413
+const TooLarge = http.StatusRequestEntityTooLarge
 
 // Target of a Call.
 type Target int
--- a/internal/controller/ownership.go
+++ b/internal/controller/ownership.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"net/http"
 	"strconv"
 
 	"garnethitch/internal/micros"
@@ -205,7 +206,7 @@
 		if mustListAgain(r.Status) {
 			w.ready = false
 		}
-		if !ok || r.Status != 200 || body.Revision < ownerEpoch {
+		if !ok || r.Status != http.StatusOK || body.Revision < ownerEpoch {
 			return
 		}
 		c.applyEvents(body.Events)
@@ -323,11 +324,11 @@
 	c.askState(classLease, txn, micros.Second, func(res Result) {
 		// Whether it took effect is for the watch to show, which also shows late
 		// copies and, with it, all machines recorded before.
-		switch {
-		case res.Status == 400 && c.ownership.lease == lease:
+		switch outcome := txnOutcomeOf(res); {
+		case outcome == txnRejected && c.ownership.lease == lease:
 			c.loseLease()
 			lock.claiming = false
-		case res.Status == 200 || res.Status == 409:
+		case outcome == txnApplied || outcome == txnConditionFailed:
 			c.ownership.lastStateReplyAt = c.now
 			c.later(func() { lock.claiming = false })
 			lock.absentSince = c.now // give the watch time before another try
@@ -395,7 +396,7 @@
 	lock.releasingEpoch = ownerEpoch
 	txn := wire.Txn{If: []wire.Condition{{Key: key, ModRevision: ownerEpoch}}, Then: []wire.Change{{Delete: key}}}
 	c.askState(classLease, txn, micros.Second, func(res Result) {
-		if lock.ownerEpoch != ownerEpoch || res.Status == 200 {
+		if lock.ownerEpoch != ownerEpoch || txnOutcomeOf(res) == txnApplied {
 			return // the watch shows the rest
 		}
 		lock.releasingEpoch = 0
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"net/http"
 	"slices"
 
 	"garnethitch/internal/micros"
@@ -179,7 +180,7 @@
 	c.call(Call{To: ToPeer, Addr: p.label, Req: peer.Request{From: c.cfg.Label, Status: st}, Timeout: statusInterval}, func(r Result) {
 		p.busy = false
 		resp, ok := r.Body.(*peer.Response)
-		if !ok || r.Status != 200 || resp.Status == nil {
+		if !ok || r.Status != http.StatusOK || resp.Status == nil {
 			return
 		}
 		p.returnedMachines = p.returnedMachines[min(sentReturned, len(p.returnedMachines)):]
@@ -208,7 +209,7 @@
 	}
 	p := c.peers[req.From]
 	if p == nil {
-		c.answer(in.Reply, 404, nil, 0)
+		c.answer(in.Reply, http.StatusNotFound, nil, 0)
 		return
 	}
 	switch {
@@ -228,7 +229,7 @@
 	case req.Ask != nil:
 		c.askedAbout(*req.Ask, func(a peer.Answer) {
 			resp.Answer = &a
-			c.answer(in.Reply, 200, resp, 0)
+			c.answer(in.Reply, http.StatusOK, resp, 0)
 		})
 		return
 	case req.JobRecordHint != nil:
@@ -240,7 +241,7 @@
 	case req.Release != nil:
 		resp.OK = c.release(*req.Release)
 	}
-	c.answer(in.Reply, 200, resp, 0)
+	c.answer(in.Reply, http.StatusOK, resp, 0)
 }
 
 // askedAbout answers as the owner of a job, or with 503 if this node is not.
@@ -258,15 +259,15 @@
 			// The watch may not have brought it yet.
 			c.readForUser(a.ID, func(status int) {
 				_, over := c.jobs.final(a.ID)
-				if k := c.jobs.open[a.ID]; status == 200 && (over || k != nil && k.run != nil) {
+				if k := c.jobs.open[a.ID]; status == http.StatusOK && (over || k != nil && k.run != nil) {
 					c.askedAbout(a, done)
 					return
 				}
-				done(peer.Answer{Status: 503})
+				done(peer.Answer{Status: http.StatusServiceUnavailable})
 			})
 			return
 		}
-		done(peer.Answer{Status: 503})
+		done(peer.Answer{Status: http.StatusServiceUnavailable})
 		return
 	}
 	if a.Cancel {
@@ -274,7 +275,7 @@
 		return
 	}
 	if j.run.endInFlight || j.run.endInDoubt || !c.mayWait(j) {
-		done(peer.Answer{Status: 503})
+		done(peer.Answer{Status: http.StatusServiceUnavailable})
 		return
 	}
 	done(c.memoryAnswer(j))
--- a/internal/controller/quota.go
+++ b/internal/controller/quota.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"net/http"
 	"slices"
 	"time"
 
@@ -136,7 +137,7 @@
 			return
 		}
 		body, ok := r.Body.(*wire.KeyList)
-		if !ok || r.Status != 200 {
+		if !ok || r.Status != http.StatusOK {
 			c.quota.stale[s.id] = true
 			return
 		}
@@ -188,8 +189,8 @@
 func (c *Controller) readQuota(group string) {
 	c.askState(classFleet, GetKey{Key: wire.QuotaKey(group)}, quotaTimeout, func(r Result) {
 		switch kv, ok := r.Body.(*wire.KeyValue); {
-		case r.Status == 404:
-		case ok && r.Status == 200:
+		case r.Status == http.StatusNotFound:
+		case ok && r.Status == http.StatusOK:
 			c.applyPut(kv.Key, kv.Value, kv.ModRevision)
 		default:
 			c.quota.reread[group] = true
@@ -217,14 +218,15 @@
 	}
 	txn.Then = []wire.Change{{Put: wire.QuotaKey(w.Group), Value: value}}
 	c.askState(classFleet, txn, quotaTimeout, func(r Result) {
-		body, ok := r.Body.(*wire.Revision)
-		switch {
-		case ok && r.Status == 200:
-			done(quota.Applied, body.Revision)
+		if revision, ok := txnRevision(r); ok {
+			done(quota.Applied, revision)
 			c.indexQuota()
-		case r.Status == 409:
+			return
+		}
+		switch txnOutcomeOf(r) {
+		case txnConditionFailed:
 			done(quota.Refused, 0)
-		case r.NotSent || r.Status == 503 || r.Status == 429 || r.Status == 400:
+		case txnNotExecuted, txnRejected:
 			done(quota.NotSent, 0)
 		default:
 			done(quota.Unknown, 0)
@@ -433,7 +435,7 @@
 	resp := &peer.Response{From: c.cfg.Label, Quota: &peer.QuotaResponse{}}
 	answer := func(problem string) {
 		resp.Quota.Problem = problem
-		c.answer(reply, 200, resp, 0)
+		c.answer(reply, http.StatusOK, resp, 0)
 	}
 	switch {
 	case c.quota.ledger == nil:
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -1,6 +1,8 @@
 package controller
 
 import (
+	"net/http"
+
 	"garnethitch/internal/micros"
 	"garnethitch/internal/wire"
 )
@@ -159,7 +161,7 @@
 		}
 		v.probeInFlight = false
 		heartbeat, ok := r.Body.(*wire.Heartbeat)
-		if !ok || r.Status != 200 || heartbeat.Machine != m.id || c.activeShard(s.id) == nil || heartbeat.FencingToken > c.fencingToken(s, m) {
+		if !ok || r.Status != http.StatusOK || heartbeat.Machine != m.id || c.activeShard(s.id) == nil || heartbeat.FencingToken > c.fencingToken(s, m) {
 			return
 		}
 		v.reachability = reachability{}
--- a/internal/controller/registration.go
+++ b/internal/controller/registration.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+	"net/http"
 	"slices"
 
 	"garnethitch/internal/micros"
@@ -53,7 +54,7 @@
 	}
 	id := heartbeat.Machine
 	if f.assigning[id] || f.returning[id] || f.returned[id] != 0 || len(c.types) == 0 || !wire.UsableKey(id) || heartbeat.Addr == "" || len(f.registrations) >= c.cfg.MaxRegistrations {
-		c.answer(in.Reply, 503, nil, 0)
+		c.answer(in.Reply, http.StatusServiceUnavailable, nil, 0)
 		return
 	}
 	k := kind{heartbeat.Type, heartbeat.Zone, heartbeat.Spot}
@@ -62,20 +63,20 @@
 		return
 	}
 	if !c.commandQueue.takeProbe() {
-		c.answer(in.Reply, 503, nil, 0)
+		c.answer(in.Reply, http.StatusServiceUnavailable, nil, 0)
 		return
 	}
 	ownerEpoch := c.ownership.leader.ownerEpoch
 	f.assigning[id] = true
 	c.askWorker(heartbeat.Addr, GetHeartbeat{}, func(r Result) {
 		if c.ownership.leader.ownerEpoch != ownerEpoch {
-			c.answer(in.Reply, 503, nil, 0)
+			c.answer(in.Reply, http.StatusServiceUnavailable, nil, 0)
 			return
 		}
 		delete(f.assigning, id)
 		got, ok := r.Body.(*wire.Heartbeat)
-		if !ok || r.Status != 200 || got.Machine != id || f.returned[id] != 0 || f.returning[id] || c.machines[id] != nil {
-			c.answer(in.Reply, 503, nil, 0)
+		if !ok || r.Status != http.StatusOK || got.Machine != id || f.returned[id] != 0 || f.returning[id] || c.machines[id] != nil {
+			c.answer(in.Reply, http.StatusServiceUnavailable, nil, 0)
 			return
 		}
 		c.addRegistration(registration{in, k})
@@ -227,7 +228,7 @@
 			if ok {
 				c.handleHeartbeat(cl.in) // which sends it to its owner
 			} else {
-				c.answer(cl.in.Reply, 503, nil, 0)
+				c.answer(cl.in.Reply, http.StatusServiceUnavailable, nil, 0)
 			}
 		}
 		if c.ownership.leader.ownerEpoch != ownerEpoch {
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"net/http"
 	"slices"
 
 	"garnethitch/internal/micros"
@@ -85,7 +86,7 @@
 		}
 		for _, id := range send {
 			delete(f.returning, id)
-			if r.Status == 200 {
+			if r.Status == http.StatusOK {
 				f.returned[id] = c.now
 				c.notifyReturned(id)
 			}
--- a/internal/controller/scale_out.go
+++ b/internal/controller/scale_out.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"fmt"
 	"math"
+	"net/http"
 	"slices"
 
 	"garnethitch/internal/micros"
@@ -203,7 +204,7 @@
 		k := kind{typ: h.req.Type, zone: h.req.Zone, spot: h.req.Spot}
 		body, ok := r.Body.(*wire.MachineNames)
 		switch {
-		case ok && r.Status == 200:
+		case ok && r.Status == http.StatusOK:
 			over()
 			c.log(Info, "scaled out", "type", k.typ, "zone", k.zone, "spot", k.spot, "wanted", h.req.Count, "got", len(body.Machines))
 			if len(body.Machines) < h.req.Count {
@@ -214,10 +215,10 @@
 			for _, id := range body.Machines {
 				f.rented[id] = &rented{kind: k, at: c.now}
 			}
-		case r.Status == 503 && r.Body == noCapacity:
+		case r.Status == http.StatusServiceUnavailable && r.Body == noCapacity:
 			over()
 			c.refuse(k)
-		case r.Status == 400:
+		case r.Status == http.StatusBadRequest:
 			over()
 			c.refuse(k)
 			c.log(Error, "rental request called malformed", "request", h.req.Request)
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -1,6 +1,8 @@
 package controller
 
 import (
+	"net/http"
+
 	"garnethitch/internal/micros"
 	"garnethitch/internal/peer"
 	"garnethitch/internal/wire"
@@ -12,17 +14,17 @@
 }
 
 func (c *Controller) handleReadiness(in ReadinessRequest) {
-	status := 503
+	status := http.StatusServiceUnavailable
 	switch {
 	case c.ownership.jobWatch.ready && c.ownership.controlWatch.ready && len(c.types) > 0:
 		if c.servesUsers() {
-			status = 200
+			status = http.StatusOK
 		}
 	case c.now-c.startedAt > 2*micros.Second && !c.stateFresh() && !c.peerHasState():
 		// Started in an outage of the state service that all shard. Users are
 		// better off with a 503 and a time to come back than with no node at all,
 		// which the balancer would also remember for a while afterwards.
-		status = 200
+		status = http.StatusOK
 	}
 	c.answer(in.Reply, status, nil, 0)
 }
@@ -74,7 +76,7 @@
 // seconds.
 func (c *Controller) answerJob(r ReplyID, id string, a peer.Answer, retryAfter int) {
 	switch a.Status {
-	case 200, 201:
+	case http.StatusOK, http.StatusCreated:
 		if a.State == wire.StateCancelled {
 			c.broadcastCancellation(id)
 		}
@@ -82,17 +84,17 @@
 		done, running := a.Done, a.Running
 		body.Done, body.Running = &done, &running
 		c.answer(r, a.Status, body, 0)
-	case 400, 404, 422:
+	case http.StatusBadRequest, http.StatusNotFound, http.StatusUnprocessableEntity:
 		c.answer(r, a.Status, nil, 0)
 	default:
-		c.answer(r, 503, nil, retryAfter)
+		c.answer(r, http.StatusServiceUnavailable, nil, retryAfter)
 	}
 }
 
 func (c *Controller) handleJobStatus(in JobStatusRequest) {
 	if !wire.ValidID(in.ID) {
 		// Only ids of the protocol's form exist.
-		c.answer(in.Reply, 404, nil, 0)
+		c.answer(in.Reply, http.StatusNotFound, nil, 0)
 		return
 	}
 	c.jobState(in.ID, func(a peer.Answer) { c.answerQuestion(in.Reply, in.ID, a) })
@@ -114,7 +116,7 @@
 	if j.dependencyCancelled && !c.hasSpareRequests() {
 		// It is to be recorded as cancelled, and the watch tells when that stands. Reads
 		// for the users of a thousand such jobs would leave no requests for the records.
-		done(peer.Answer{Status: 503})
+		done(peer.Answer{Status: http.StatusServiceUnavailable})
 		return
 	}
 	s := c.ownership.shards[j.shard]
@@ -132,7 +134,7 @@
 		return
 	}
 	c.askPeer(p, peer.Ask{ID: id}, 400*micros.Millisecond, func(a peer.Answer) {
-		if a.Status == 200 {
+		if a.Status == http.StatusOK {
 			done(a)
 			return
 		}
@@ -143,19 +145,19 @@
 // askPeer asks the owner of a job for a user.
 func (c *Controller) askPeer(p *peerView, ask peer.Ask, timeout micros.Micros, done func(peer.Answer)) {
 	if c.cfg.MaxPeerQuestions > 0 && c.peerQuestionsInFlight >= c.cfg.MaxPeerQuestions {
-		done(peer.Answer{Status: 503})
+		done(peer.Answer{Status: http.StatusServiceUnavailable})
 		return
 	}
 	c.peerQuestionsInFlight++
 	c.call(Call{To: ToPeer, Addr: p.label, Req: peer.Request{From: c.cfg.Label, Ask: &ask}, Timeout: timeout}, func(r Result) {
 		c.peerQuestionsInFlight--
 		resp, ok := r.Body.(*peer.Response)
-		if !ok || r.Status != 200 || resp.Answer == nil {
-			done(peer.Answer{Status: 503})
+		if !ok || r.Status != http.StatusOK || resp.Answer == nil {
+			done(peer.Answer{Status: http.StatusServiceUnavailable})
 			return
 		}
 		a := *resp.Answer
-		if a.Status == 200 && (a.State == wire.StateDone || a.State == wire.StateCancelled) {
+		if a.Status == http.StatusOK && (a.State == wire.StateDone || a.State == wire.StateCancelled) {
 			c.finishJob(ask.ID, finalJob{state: a.State, tasks: a.Done})
 		}
 		done(a)
@@ -171,7 +173,7 @@
 // learnRead takes what the read of a job's record brought: 200, 404, or 0 for no answer.
 func (c *Controller) learnRead(r Result) (status int) {
 	switch r.Status {
-	case 200:
+	case http.StatusOK:
 		kv, ok := r.Body.(*wire.KeyValue)
 		if !ok {
 			return 0
@@ -181,10 +183,10 @@
 		if id := kv.Key[len(wire.PrefixJob):]; !c.knows(id) && !c.jobs.unusable[id] {
 			return 0 // it has ended since; see outdated
 		}
-		return 200
-	case 404:
+		return http.StatusOK
+	case http.StatusNotFound:
 		c.ownership.lastStateReplyAt = c.now
-		return 404
+		return http.StatusNotFound
 	}
 	return 0
 }
@@ -195,23 +197,23 @@
 			done(finalAnswer(f))
 			return
 		}
-		if j := c.jobs.open[id]; status == 200 && j != nil && !c.mayWait(j) {
+		if j := c.jobs.open[id]; status == http.StatusOK && j != nil && !c.mayWait(j) {
 			status = 0
 		}
 		switch status {
-		case 200:
-			done(peer.Answer{Status: 200, State: wire.StatePending})
-		case 404:
-			done(peer.Answer{Status: 404})
+		case http.StatusOK:
+			done(peer.Answer{Status: http.StatusOK, State: wire.StatePending})
+		case http.StatusNotFound:
+			done(peer.Answer{Status: http.StatusNotFound})
 		default:
-			done(peer.Answer{Status: 503})
+			done(peer.Answer{Status: http.StatusServiceUnavailable})
 		}
 	})
 }
 
 func (c *Controller) handleCancel(in CancelRequest) {
 	if !wire.ValidID(in.ID) {
-		c.answer(in.Reply, 404, nil, 0)
+		c.answer(in.Reply, http.StatusNotFound, nil, 0)
 		return
 	}
 	c.cancelForUser(in.ID, true, func(a peer.Answer) { c.answerJob(in.Reply, in.ID, a, soon) })
@@ -225,19 +227,19 @@
 	j := c.jobs.open[id]
 	if j == nil {
 		if !look {
-			done(peer.Answer{Status: 503})
+			done(peer.Answer{Status: http.StatusServiceUnavailable})
 			return
 		}
 		c.readForUser(id, func(status int) {
-			if status == 200 {
+			if status == http.StatusOK {
 				c.cancelForUser(id, false, done)
 				return
 			}
-			if status == 404 {
-				done(peer.Answer{Status: 404})
+			if status == http.StatusNotFound {
+				done(peer.Answer{Status: http.StatusNotFound})
 				return
 			}
-			done(peer.Answer{Status: 503})
+			done(peer.Answer{Status: http.StatusServiceUnavailable})
 		})
 		return
 	}
@@ -249,12 +251,12 @@
 	c.stopCancelledTasks(j)
 	p := c.peers[s.owner.Label]
 	if s.ownerEpoch == 0 || p == nil {
-		done(peer.Answer{Status: 503})
+		done(peer.Answer{Status: http.StatusServiceUnavailable})
 		return
 	}
 	c.askPeer(p, peer.Ask{ID: id, Cancel: true}, 3*micros.Second, func(a peer.Answer) {
-		if a.Status == 200 && a.State != wire.StateDone && a.State != wire.StateCancelled {
-			a = peer.Answer{Status: 503}
+		if a.Status == http.StatusOK && a.State != wire.StateDone && a.State != wire.StateCancelled {
+			a = peer.Answer{Status: http.StatusServiceUnavailable}
 		}
 		done(a)
 	})
@@ -278,10 +280,10 @@
 		// An accepted job never gets 400, whatever its repeat says now, and this node
 		// may not have heard of it yet: only a read can tell.
 		if in.Err.ID == "" {
-			c.answer(in.Reply, 400, nil, 0)
+			c.answer(in.Reply, http.StatusBadRequest, nil, 0)
 			return
 		}
-		c.refuseSubmission(in.Reply, in.Err.ID, 400)
+		c.refuseSubmission(in.Reply, in.Err.ID, http.StatusBadRequest)
 		return
 	}
 	id := in.Job.ID
@@ -290,32 +292,32 @@
 		return
 	}
 	if len(c.types) == 0 || !c.ownership.jobWatch.ready {
-		c.answer(in.Reply, 503, nil, 1)
+		c.answer(in.Reply, http.StatusServiceUnavailable, nil, 1)
 		return
 	}
 	if !c.canRun(&in.Job) {
-		c.refuseSubmission(in.Reply, id, 422)
+		c.refuseSubmission(in.Reply, id, http.StatusUnprocessableEntity)
 		return
 	}
 	if !c.fitsRecord(&in.Job) {
 		// Said before its dependencies are looked up: a list may name thousands.
-		c.refuseSubmission(in.Reply, id, 400)
+		c.refuseSubmission(in.Reply, id, http.StatusBadRequest)
 		return
 	}
 	if len(c.jobs.open) >= c.cfg.MaxOpenJobs || c.stateQueue.waiting(classAccept) > maxAccepting {
-		c.answer(in.Reply, 429, nil, 2)
+		c.answer(in.Reply, http.StatusTooManyRequests, nil, 2)
 		return
 	}
 	c.lookUpDependencies(in.Job, func(status int) {
 		switch status {
-		case 200:
+		case http.StatusOK:
 			c.create(in.Job, func(status int, state string) {
 				c.answerJob(in.Reply, id, peer.Answer{Status: status, State: state}, soon)
 			})
-		case 404:
-			c.refuseSubmission(in.Reply, id, 422)
+		case http.StatusNotFound:
+			c.refuseSubmission(in.Reply, id, http.StatusUnprocessableEntity)
 		default:
-			c.answer(in.Reply, 503, nil, 1)
+			c.answer(in.Reply, http.StatusServiceUnavailable, nil, 1)
 		}
 	})
 }
@@ -335,7 +337,7 @@
 // before: then it says how that stands.
 func (c *Controller) refuseSubmission(r ReplyID, id string, status int) {
 	c.jobState(id, func(a peer.Answer) {
-		if a.Status == 404 {
+		if a.Status == http.StatusNotFound {
 			c.answer(r, status, nil, 0)
 			return
 		}
@@ -392,7 +394,7 @@
 	id := sub.ID
 	if cr := c.jobs.pendingCreations[id]; cr != nil {
 		if len(cr.waiters) >= 16 {
-			done(503, "")
+			done(http.StatusServiceUnavailable, "")
 			return
 		}
 		cr.waiters = append(cr.waiters, done)
@@ -407,7 +409,7 @@
 	value, err := wire.Encode(rec)
 	if err != nil {
 		c.log(Error, "job record not encoded", "job", id, "error", err)
-		done(503, "")
+		done(http.StatusServiceUnavailable, "")
 		return
 	}
 	cr := &jobCreation{waiters: []func(int, string){done}}
@@ -423,22 +425,22 @@
 		Then: []wire.Change{{Put: wire.JobKey(id), Value: value}},
 	}
 	c.askState(classAccept, txn, 1200*micros.Millisecond, func(r Result) {
-		if body, ok := r.Body.(*wire.Revision); ok && r.Status == 200 {
+		if revision, ok := txnRevision(r); ok {
 			c.ownership.lastStateReplyAt = c.now
-			c.learnJob(id, rec, body.Revision)
-			c.sendJobRecordHint(id, body.Revision, value)
-			finish(201, rec.State)
+			c.learnJob(id, rec, revision)
+			c.sendJobRecordHint(id, revision, value)
+			finish(http.StatusCreated, rec.State)
 			return
 		}
-		if r.NotSent || r.Status == 503 || r.Status == 429 {
-			finish(503, "")
+		if txnOutcomeOf(r) == txnNotExecuted {
+			finish(http.StatusServiceUnavailable, "")
 			return
 		}
 		// It stands already, or nothing is known: a read settles it. If nothing
 		// stands, a late copy may still create it; the user's retry finds it then.
 		c.freshState(id, func(a peer.Answer) {
-			if a.Status == 404 {
-				a.Status = 503
+			if a.Status == http.StatusNotFound {
+				a.Status = http.StatusServiceUnavailable
 			}
 			finish(a.Status, a.State)
 		})
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -2,6 +2,7 @@
 
 import (
 	"maps"
+	"net/http"
 	"slices"
 	"strconv"
 	"strings"
@@ -81,7 +82,7 @@
 		w.inFlight = false
 		switch body := r.Body.(type) {
 		case *wire.Events:
-			if r.Status != 200 {
+			if r.Status != http.StatusOK {
 				break
 			}
 			c.ownership.lastStateReplyAt = c.now
@@ -101,7 +102,7 @@
 
 // mustListAgain: changes since then are no longer kept, or are too many for one
 // answer, as after an outage or a freeze. What stands is listed again.
-func mustListAgain(status int) bool { return status == 410 || status == TooLarge }
+func mustListAgain(status int) bool { return status == http.StatusGone || status == TooLarge }
 
 func (c *Controller) listPage(w *watched) {
 	const page = 500
@@ -111,7 +112,7 @@
 	c.askState(classLease, ListKeys{Prefix: w.prefix, After: w.after, Limit: page}, 3*micros.Second, func(r Result) {
 		w.inFlight = false
 		body, ok := r.Body.(*wire.KeyList)
-		if !ok || r.Status != 200 {
+		if !ok || r.Status != http.StatusOK {
 			return
 		}
 		c.ownership.lastStateReplyAt = c.now
--- a/internal/controller/worker_contact.go
+++ b/internal/controller/worker_contact.go
@@ -1,6 +1,8 @@
 package controller
 
 import (
+	"net/http"
+
 	"garnethitch/internal/micros"
 	"garnethitch/internal/wire"
 )
@@ -95,7 +97,7 @@
 	e.busy = true
 	c.call(Call{To: ToWorker, Addr: c.machines[ids[e.probeIndex]].rec.Addr, Req: GetHeartbeat{}, Timeout: micros.Second}, func(r Result) {
 		e.busy = false
-		if r.Status != 200 {
+		if r.Status != http.StatusOK {
 			e.good = 0
 			return
 		}
