--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -274,7 +274,7 @@
 			t.Fatal(err)
 		}
 	}
-	if n := before.Load(); n > 2*yieldEvery {
+	if n := before.Load(); n > 2*requestsPerYield {
 		t.Errorf("%d requests of a backlog of %d were handled before anybody else had a turn", n, backlog)
 	}
 }
