--- a/internal/server/address_test.go
+++ b/internal/server/address_test.go
@@ -2,28 +2,26 @@
 
 import (
 	"context"
-	"io"
-	"log/slog"
 	"net"
+	"net/http"
 	"testing"
-	"time"
 )
 
-// An address is free unless somebody listens there, and the look leaves nothing that
-// takes a client's connection: one that came as a server began was reset.
+// An address is free unless somebody listens there, and the check never accepts a
+// client's connection, which would then be reset.
 func TestCheckFree(t *testing.T) {
 	addr := freeAddr(t)
-	stop, looked := make(chan struct{}), make(chan error, 1)
+	stop, checked := make(chan struct{}), make(chan error, 1)
 	go func() {
 		for {
 			select {
 			case <-stop:
-				looked <- nil
+				checked <- nil
 				return
 			default:
 			}
 			if err := checkFree(addr); err != nil {
-				looked <- err
+				checked <- err
 				return
 			}
 		}
@@ -36,7 +34,7 @@
 		}
 	}
 	close(stop)
-	if err := <-looked; err != nil {
+	if err := <-checked; err != nil {
 		t.Errorf("a free address: %v", err)
 	}
 	l, err := net.Listen("tcp4", addr)
@@ -49,17 +47,13 @@
 	}
 }
 
-// A server begins on the address of one that has just ended with connections open: what is
-// left of these holds the address for a minute, and a controller that was killed could not
-// come back before (found by the soak).
+// A server starts on the address of one that has just ended with connections open. Their
+// remains in TIME_WAIT hold the address for a minute, in which a controller that was
+// killed could not restart (found by the soak).
 func TestBeginsAgainAtOnce(t *testing.T) {
 	addr := freeAddr(t)
 	for range 2 {
-		s := New(Config{
-			Addrs: []string{addr}, MaxConns: 10, MaxBody: []int{1000}, MaxHeld: 10_000, Half: time.Hour, Idle: time.Hour,
-			Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Now: time.Now,
-			Handler: func(r Request) { r.Reply().Send(Answer{Status: 200}) },
-		})
+		s := New(testConfig(addr, 10, func(r Request) { r.Reply().Send(Answer{Status: http.StatusOK}) }))
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan error, 1)
 		go func() { ended <- s.Run(ctx) }()
@@ -67,7 +61,7 @@
 		for client == nil {
 			select {
 			case err := <-ended:
-				t.Fatalf("does not begin: %v", err)
+				t.Fatalf("does not start: %v", err)
 			default:
 				if c, err := net.Dial("tcp4", addr); err == nil {
 					client = c
