--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -1,6 +1,6 @@
-// Package client makes outbound HTTP/1.1 calls: one request at a time on a
-// connection, connections kept and bounded per address, a deadline on every
-// call. It never retries: whoever calls knows whether that is harmless.
+// Package client makes outbound HTTP/1.1 calls. A connection carries one request at a
+// time, is reused while the server allows it, and every call has a deadline. Calls are
+// never retried: only the caller knows whether that is safe.
 package client
 
 import (
@@ -9,74 +9,80 @@
 	"errors"
 	"fmt"
 	"net"
-	"slices"
 	"sync"
 	"time"
 
 	"garnethitch/internal/http1"
 )
 
-// Config bounds a client.
-type Config struct {
-	MaxIdle     int // kept connections per address
-	MaxConns    int // open connections over all addresses
-	MaxBody     int // bytes of a response body
-	IdleTimeout time.Duration
-	DialTimeout time.Duration
-	Dial        func(ctx context.Context, network, addr string) (net.Conn, error)
-}
+const (
+	// maxHeadBytes bounds the status line and header fields of a response.
+	maxHeadBytes = 8 << 10
+	// requestHeadBytes is the space set aside for the head of a request.
+	requestHeadBytes = 256
+	// responseBytes is the first size of the buffer for a response.
+	responseBytes = 2048
+)
 
 // ErrNotSent marks calls of which not a byte was sent.
 var ErrNotSent = errors.New("client: not sent")
 
-// ErrBusy means that the bound on connections is reached.
+// ErrBusy is returned, wrapped with ErrNotSent, when Config.MaxConns connections are in use.
 var ErrBusy = errors.New("client: no connection free")
 
-// Client is safe for use by many goroutines.
-type Client struct {
-	cfg  Config
-	mu   sync.Mutex
-	open int
-	idle map[string][]*idleConn
-	kept *list.List // all of them, the one kept for longest first
+// Config bounds a Client.
+type Config struct {
+	MaxIdle     int           // idle connections per address
+	MaxConns    int           // open connections over all addresses
+	MaxBody     int           // bytes of a response body
+	IdleTimeout time.Duration // longest time that a connection stays idle
+	DialTimeout time.Duration // longest time to connect, within the call's deadline
+	// Dial opens connections; nil: as net.Dialer without TCP keep-alive.
+	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
-type idleConn struct {
-	net.Conn
-	addr  string
-	since time.Time
-	at    *list.Element
+// Client makes calls. It is safe for concurrent use.
+type Client struct {
+	cfg       Config
+	mu        sync.Mutex // guards all that follows
+	open      int        // connections, in use or idle
+	idle      map[string][]*idleConn
+	idleByAge *list.List // of all *idleConn, the longest idle first
 }
 
-// New makes a client.
+// New makes a Client.
 func New(cfg Config) *Client {
 	if cfg.Dial == nil {
-		d := &net.Dialer{KeepAlive: -1}
-		cfg.Dial = d.DialContext
+		dialer := &net.Dialer{KeepAlive: -1}
+		cfg.Dial = dialer.DialContext
 	}
-	return &Client{cfg: cfg, idle: map[string][]*idleConn{}, kept: list.New()}
+	return &Client{cfg: cfg, idle: map[string][]*idleConn{}, idleByAge: list.New()}
 }
 
 // Call is one request.
 type Call struct {
-	Addr, Method, Target, ContentType string
-	Body                              []byte
-	Timeout                           time.Duration
-	MaxBody                           int // 0: the client's
+	Addr        string // IP:port
+	Method      string
+	Target      string // path and query
+	ContentType string // of Body, if there is one
+	Body        []byte
+	Timeout     time.Duration // for the whole call
+	MaxBody     int           // bytes of the response body; 0: Config.MaxBody
 }
 
-// Do makes the call and reads the whole response.
+// Do makes the call and reads the whole response. An error that is ErrNotSent says that
+// the server has seen nothing of the call; any other leaves that open.
 func (c *Client) Do(ctx context.Context, call Call) (http1.Message, error) {
 	deadline := time.Now().Add(call.Timeout)
-	conn, err := c.get(ctx, call.Addr, deadline)
+	conn, err := c.connect(ctx, call.Addr, deadline)
 	if err != nil {
 		return http1.Message{}, fmt.Errorf("%w: %s: %w", ErrNotSent, call.Addr, err)
 	}
 	msg, err := c.exchange(conn, call, deadline)
 	if err != nil || msg.Close {
-		c.drop(conn)
+		c.discard(conn)
 	} else {
-		c.put(call.Addr, conn)
+		c.release(call.Addr, conn)
 	}
 	if err != nil {
 		return msg, fmt.Errorf("%s %s: %w", call.Method, call.Target, err)
@@ -84,154 +90,48 @@
 	return msg, nil
 }
 
+// exchange sends the request on a connection and reads the response.
 func (c *Client) exchange(conn net.Conn, call Call, deadline time.Time) (http1.Message, error) {
 	if err := conn.SetDeadline(deadline); err != nil {
 		return http1.Message{}, err
 	}
-	req := http1.AppendRequest(make([]byte, 0, 256+len(call.Body)), call.Method, call.Target, call.Addr, call.ContentType, call.Body)
-	if _, err := conn.Write(req); err != nil {
+	request := make([]byte, 0, requestHeadBytes+len(call.Body))
+	request = http1.AppendRequest(request, call.Method, call.Target, call.Addr, call.ContentType, call.Body)
+	if _, err := conn.Write(request); err != nil {
 		return http1.Message{}, err
 	}
 	maxBody := call.MaxBody
 	if maxBody == 0 {
 		maxBody = c.cfg.MaxBody
 	}
-	lim := http1.Limits{Head: 8 << 10, Body: maxBody}
-	buf := make([]byte, 0, 2048)
+	return readResponse(conn, http1.Limits{Head: maxHeadBytes, Body: maxBody})
+}
+
+func readResponse(conn net.Conn, limits http1.Limits) (http1.Message, error) {
+	buf := make([]byte, 0, responseBytes)
 	for {
 		if len(buf) == cap(buf) {
-			bigger := make([]byte, len(buf), 2*cap(buf))
-			copy(bigger, buf)
-			buf = bigger
+			buf = doubleCapacity(buf)
 		}
-		n, err := conn.Read(buf[len(buf):cap(buf)])
+		n, readErr := conn.Read(buf[len(buf):cap(buf)])
 		buf = buf[:len(buf)+n]
 		if n > 0 {
-			msg, used, perr := http1.ParseResponse(buf, lim)
-			switch {
-			case perr == nil:
-				if used != len(buf) {
-					msg.Close = true // something we did not ask for follows
-				}
-				return msg, nil
-			case !errors.Is(perr, http1.ErrShort):
-				return msg, perr
+			msg, used, err := http1.ParseResponse(buf, limits)
+			if err == nil && used != len(buf) {
+				msg.Close = true // what follows answers no request
+			}
+			if !errors.Is(err, http1.ErrShort) {
+				return msg, err
 			}
 		}
-		if err != nil {
-			return http1.Message{}, err
+		if readErr != nil {
+			return http1.Message{}, readErr
 		}
 	}
 }
 
-// get takes the most recently used kept connection, or dials.
-func (c *Client) get(ctx context.Context, addr string, deadline time.Time) (net.Conn, error) {
-	now := time.Now()
-	c.mu.Lock()
-	for kept := c.idle[addr]; len(kept) > 0; kept = c.idle[addr] {
-		ic := kept[len(kept)-1]
-		c.unkeep(ic)
-		if now.Sub(ic.since) <= c.cfg.IdleTimeout {
-			c.mu.Unlock()
-			return ic.Conn, nil
-		}
-		c.open--
-		ic.Close()
-	}
-	if c.open >= c.cfg.MaxConns && !c.evict() {
-		c.mu.Unlock()
-		return nil, ErrBusy
-	}
-	c.open++
-	c.mu.Unlock()
-	limit := now.Add(c.cfg.DialTimeout)
-	if deadline.Before(limit) {
-		limit = deadline
-	}
-	dctx, cancel := context.WithDeadline(ctx, limit)
-	defer cancel()
-	conn, err := c.cfg.Dial(dctx, "tcp4", addr)
-	if err != nil {
-		c.mu.Lock()
-		c.open--
-		c.mu.Unlock()
-		return nil, err
-	}
-	return conn, nil
-}
-
-// evict closes the connection that has been kept for longest, so that kept ones
-// never keep others from being called (a takeover of 900 machines found all of
-// 400 connections kept, and could ask nobody for 10 s). The lock is held.
-func (c *Client) evict() bool {
-	oldest := c.kept.Front()
-	if oldest == nil {
-		return false
-	}
-	c.end(oldest.Value.(*idleConn))
-	return true
-}
-
-// unkeep takes a connection off those that are kept; end closes it too. The lock
-// is held.
-func (c *Client) unkeep(ic *idleConn) {
-	c.kept.Remove(ic.at)
-	kept := c.idle[ic.addr]
-	if i := slices.Index(kept, ic); i >= 0 {
-		kept = slices.Delete(kept, i, i+1)
-	}
-	if len(kept) == 0 {
-		delete(c.idle, ic.addr)
-	} else {
-		c.idle[ic.addr] = kept
-	}
-}
-
-func (c *Client) end(ic *idleConn) {
-	c.unkeep(ic)
-	ic.Close()
-	c.open--
-}
-
-func (c *Client) drop(conn net.Conn) {
-	conn.Close()
-	c.mu.Lock()
-	c.open--
-	c.mu.Unlock()
-}
-
-func (c *Client) put(addr string, conn net.Conn) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if len(c.idle[addr]) >= c.cfg.MaxIdle {
-		conn.Close()
-		c.open--
-		return
-	}
-	ic := &idleConn{Conn: conn, addr: addr, since: time.Now()}
-	ic.at = c.kept.PushBack(ic)
-	c.idle[addr] = append(c.idle[addr], ic)
-}
-
-// Sweep closes connections that were kept too long.
-func (c *Client) Sweep() {
-	now := time.Now()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for e := c.kept.Front(); e != nil; e = c.kept.Front() {
-		ic := e.Value.(*idleConn)
-		if now.Sub(ic.since) <= c.cfg.IdleTimeout {
-			return
-		}
-		c.end(ic)
-	}
-}
-
-// Forget closes the kept connections to an address.
-func (c *Client) Forget(addr string) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for len(c.idle[addr]) > 0 {
-		c.end(c.idle[addr][0])
-	}
+func doubleCapacity(buf []byte) []byte {
+	bigger := make([]byte, len(buf), 2*cap(buf))
+	copy(bigger, buf)
+	return bigger
 }
--- /dev/null
+++ b/internal/client/pool_test.go
@@ -0,0 +1,30 @@
+package client
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// Idle connections never keep other addresses from being called: the longest idle one is
+// closed. A failover with 900 machines found all of 400 connections idle, and could call
+// nobody for 10 s.
+func TestLongestIdleEvicted(t *testing.T) {
+	dial, dials := answering(okResponse)
+	c := New(Config{MaxIdle: 1, MaxConns: 4, MaxBody: 50, IdleTimeout: time.Hour, DialTimeout: time.Hour, Dial: dial})
+	ask := func(i int) {
+		addr := fmt.Sprintf("a:%d", i)
+		if _, err := c.Do(t.Context(), Call{Addr: addr, Method: "GET", Target: "/", Timeout: time.Hour}); err != nil {
+			t.Errorf("%s: %v", addr, err)
+		}
+	}
+	for i := range 10 {
+		ask(i)
+	}
+	if ask(9); *dials != 10 || c.open != 4 {
+		t.Errorf("%d connections made, %d open, want 10 and 4", *dials, c.open)
+	}
+	if ask(0); *dials != 11 {
+		t.Errorf("%d connections made, want 11: the longest idle one was closed", *dials)
+	}
+}
