--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -1,67 +1,73 @@
 package config
 
 import (
-	_ "embed"
+	_ "embed" // for the schema
 	"fmt"
+	"maps"
 	"reflect"
 	"slices"
 	"strings"
 )
 
-// OptionsSchema is the JSON Schema of the operators' file. It is for editors and other
-// programs: a controller checks the file by itself, since a validator takes more time at
-// each start (9 ms of a whole core) than all else.
+// OptionsSchema is the JSON Schema of the options file, for editors and other programs.
+// A controller checks the file without it, since a validator would prolong every start.
 //
 //go:embed options.schema.json
 var OptionsSchema []byte
 
-// unknownKey gives the path of a key that a type has no field for, by their names in
-// YAML; empty: there is none. A misspelt limit would bound nothing.
+// unknownKey returns the path of the first key in a decoded document for which a type has
+// no field, by the names in its yaml tags; empty if there is none. path is that of value.
+// Unknown keys are errors because a misspelt limit would bound nothing.
 func unknownKey(path string, value any, typ reflect.Type) string {
 	for typ.Kind() == reflect.Pointer {
 		typ = typ.Elem()
 	}
 	switch v := value.(type) {
 	case map[string]any:
-		if typ.Kind() != reflect.Struct {
-			return ""
+		if typ.Kind() == reflect.Struct {
+			return unknownKeyInMap(path, v, typ)
 		}
-		keys := make([]string, 0, len(v))
-		for key := range v {
-			keys = append(keys, key)
+	case []any:
+		if typ.Kind() == reflect.Slice {
+			return unknownKeyInList(path, v, typ.Elem())
 		}
-		slices.Sort(keys)
-		for _, key := range keys {
-			at := key
-			if path != "" {
-				at = path + "." + key
-			}
-			field, ok := fieldOf(typ, key)
-			if !ok {
-				return at
-			}
-			if unknown := unknownKey(at, v[key], field); unknown != "" {
-				return unknown
-			}
+	}
+	return ""
+}
+
+func unknownKeyInMap(path string, values map[string]any, structType reflect.Type) string {
+	for _, key := range slices.Sorted(maps.Keys(values)) {
+		keyPath := key
+		if path != "" {
+			keyPath = path + "." + key
 		}
-	case []any:
-		if typ.Kind() != reflect.Slice {
-			return ""
+		fieldType, ok := yamlFieldType(structType, key)
+		if !ok {
+			return keyPath
 		}
-		for i, item := range v {
-			if unknown := unknownKey(fmt.Sprintf("%s[%d]", path, i), item, typ.Elem()); unknown != "" {
-				return unknown
-			}
+		if unknown := unknownKey(keyPath, values[key], fieldType); unknown != "" {
+			return unknown
+		}
+	}
+	return ""
+}
+
+func unknownKeyInList(path string, values []any, itemType reflect.Type) string {
+	for i, value := range values {
+		if unknown := unknownKey(fmt.Sprintf("%s[%d]", path, i), value, itemType); unknown != "" {
+			return unknown
 		}
 	}
 	return ""
 }
 
-// fieldOf finds a struct's field by its name in YAML.
-func fieldOf(typ reflect.Type, key string) (reflect.Type, bool) {
-	for i := range typ.NumField() {
-		if name, _, _ := strings.Cut(typ.Field(i).Tag.Get("yaml"), ","); name == key && name != "-" {
-			return typ.Field(i).Type, true
+// yamlFieldType returns the type of a struct's field by its name in YAML.
+func yamlFieldType(structType reflect.Type, key string) (reflect.Type, bool) {
+	for i := range structType.NumField() {
+		field := structType.Field(i)
+		name, _, _ := strings.Cut(field.Tag.Get("yaml"), ",")
+		if name == key && name != "-" {
+			return field.Type, true
 		}
 	}
 	return nil, false
