--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -1,4 +1,4 @@
-// Package tracing exports the core's spans by OpenTelemetry.
+// Package tracing exports the spans of a controller through OpenTelemetry.
 package tracing
 
 import (
@@ -7,10 +7,10 @@
 	"fmt"
 	"io"
 	"os"
+	"time"
 
 	"garnethitch/internal/controller"
 	"garnethitch/internal/micros"
-	"time"
 
 	"go.opentelemetry.io/otel/attribute"
 	"go.opentelemetry.io/otel/exporters/stdout/stdouttrace"
@@ -19,48 +19,58 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// Exporter is where spans go.
+// Exporter is the destination of spans.
 type Exporter string
 
-// Exporters.
+// Exporters. An empty Exporter is None.
 const (
-	None   Exporter = "none"
-	Stderr Exporter = "stderr"
-	File   Exporter = "file"
+	None   Exporter = "none"   // no spans
+	Stderr Exporter = "stderr" // standard error
+	File   Exporter = "file"   // the file that Options names
 )
 
+// newFileMode is the mode of a file that is created for spans.
+const newFileMode = 0o644
+
 // Options choose the exporter.
 type Options struct {
 	Exporter Exporter `yaml:"exporter"`
-	// File is appended to, a line of JSON for each span.
+	// File is the path of the file to which exporter File appends a line of JSON for each
+	// span. The other exporters have none.
 	File string `yaml:"file"`
 }
 
-// ErrOptions says that the options contradict each other.
+// ErrOptions says that the exporter is unknown, or that it and the file contradict each
+// other.
 var ErrOptions = errors.New("trace.exporter: want none, stderr, or file with trace.file")
 
-// Check tells whether the options can be used.
+// Check returns ErrOptions if the options cannot be used.
 func (o Options) Check() error {
-	switch {
-	case (o.Exporter == "" || o.Exporter == None || o.Exporter == Stderr) && o.File == "":
-		return nil
-	case o.Exporter == File && o.File != "":
-		return nil
+	good := false
+	switch o.Exporter {
+	case "", None, Stderr:
+		good = o.File == ""
+	case File:
+		good = o.File != ""
+	}
+	if !good {
+		return ErrOptions
 	}
-	return ErrOptions
+	return nil
 }
 
-// On tells whether spans are made at all.
+// On reports whether spans are exported at all.
 func (o Options) On() bool { return o.Exporter == Stderr || o.Exporter == File }
 
-// Tracer exports spans.
+// Tracer exports spans. New makes one.
 type Tracer struct {
 	provider *sdktrace.TracerProvider
 	tracer   trace.Tracer
-	file     io.Closer
+	file     io.Closer // nil if the exporter is not File
 }
 
-// New makes the tracer of a controller; nil if the options want none.
+// New returns the tracer of the controller with the given label, or nil if no spans are
+// to be exported.
 func New(o Options, label string) (*Tracer, error) {
 	if !o.On() {
 		return nil, nil
@@ -68,7 +78,7 @@
 	t := &Tracer{}
 	var out io.Writer = os.Stderr
 	if o.Exporter == File {
-		f, err := os.OpenFile(o.File, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
+		f, err := os.OpenFile(o.File, os.O_APPEND|os.O_CREATE|os.O_WRONLY, newFileMode)
 		if err != nil {
 			return nil, fmt.Errorf("trace.file: %w", err)
 		}
@@ -78,13 +88,18 @@
 	if err != nil {
 		return nil, fmt.Errorf("trace exporter: %w", err)
 	}
-	t.provider = sdktrace.NewTracerProvider(sdktrace.WithBatcher(exporter), sdktrace.WithIDGenerator(givenIDs{}),
-		sdktrace.WithResource(resource.NewSchemaless(attribute.String("service.name", "garnethitch"), attribute.String("service.instance.id", label))))
+	t.provider = sdktrace.NewTracerProvider(
+		sdktrace.WithBatcher(exporter),
+		sdktrace.WithIDGenerator(contextIDs{}),
+		sdktrace.WithResource(resource.NewSchemaless(
+			attribute.String("service.name", "garnethitch"),
+			attribute.String("service.instance.id", label))))
 	t.tracer = t.provider.Tracer("garnethitch/quota")
 	return t, nil
 }
 
-// Close exports what is left.
+// Close exports the spans that are still buffered and ends the export. A nil Tracer has
+// none.
 func (t *Tracer) Close(ctx context.Context) error {
 	if t == nil {
 		return nil
@@ -96,39 +111,50 @@
 	return err
 }
 
-// Export hands a span over; it does not wait for the exporter.
+// Export queues a span for export, without waiting.
 func (t *Tracer) Export(s controller.Span) {
-	ctx := context.WithValue(context.Background(), idsKey{}, ids{s.Trace, s.ID})
+	ctx := context.WithValue(context.Background(), spanIDsKey{}, spanIDs{s.Trace, s.ID})
 	if s.Parent != [8]byte{} {
 		ctx = trace.ContextWithRemoteSpanContext(ctx, trace.NewSpanContext(trace.SpanContextConfig{
-			TraceID: s.Trace, SpanID: s.Parent, TraceFlags: trace.FlagsSampled, Remote: true}))
+			TraceID:    s.Trace,
+			SpanID:     s.Parent,
+			TraceFlags: trace.FlagsSampled,
+			Remote:     true,
+		}))
 	}
-	_, span := t.tracer.Start(ctx, s.Name, trace.WithTimestamp(wall(s.Start)), trace.WithAttributes(
-		attribute.String("group", s.Group), attribute.Int("share", s.Shard), attribute.Int64("epoch", int64(s.Epoch)), attribute.String("job", s.Job),
-		attribute.Float64("from.cpus", s.From.CPUs), attribute.Float64("to.cpus", s.To.CPUs),
-		attribute.Float64("from.gpus", s.From.GPUs), attribute.Float64("to.gpus", s.To.GPUs)))
-	span.End(trace.WithTimestamp(wall(s.End)))
+	_, span := t.tracer.Start(ctx, s.Name, trace.WithTimestamp(wallTime(s.Start)), trace.WithAttributes(
+		attribute.String("group", s.Group),
+		attribute.Int("share", s.Shard),
+		attribute.Int64("epoch", int64(s.Epoch)),
+		attribute.String("job", s.Job),
+		attribute.Float64("from.cpus", s.From.CPUs),
+		attribute.Float64("to.cpus", s.To.CPUs),
+		attribute.Float64("from.gpus", s.From.GPUs),
+		attribute.Float64("to.gpus", s.To.GPUs)))
+	span.End(trace.WithTimestamp(wallTime(s.End)))
 }
 
-func wall(t micros.Micros) time.Time { return time.UnixMicro(int64(t)) }
+func wallTime(t micros.Micros) time.Time { return time.UnixMicro(int64(t)) }
 
-// givenIDs gives spans the names that the core has chosen, so that equal seeds give
-// equal traces.
-type givenIDs struct{}
+// contextIDs is an ID generator that takes the IDs from the context. The controller chooses
+// them, so that equal seeds give equal traces.
+type contextIDs struct{}
 
-type idsKey struct{}
+type spanIDsKey struct{}
 
-type ids struct {
-	trace [16]byte
-	span  [8]byte
+type spanIDs struct {
+	trace trace.TraceID
+	span  trace.SpanID
 }
 
-func (givenIDs) NewIDs(ctx context.Context) (trace.TraceID, trace.SpanID) {
-	v, _ := ctx.Value(idsKey{}).(ids)
-	return v.trace, v.span
+// NewIDs returns the IDs of a span without a parent.
+func (contextIDs) NewIDs(ctx context.Context) (trace.TraceID, trace.SpanID) {
+	ids, _ := ctx.Value(spanIDsKey{}).(spanIDs)
+	return ids.trace, ids.span
 }
 
-func (givenIDs) NewSpanID(ctx context.Context, _ trace.TraceID) trace.SpanID {
-	v, _ := ctx.Value(idsKey{}).(ids)
-	return v.span
+// NewSpanID returns the ID of a span in its parent's trace.
+func (contextIDs) NewSpanID(ctx context.Context, _ trace.TraceID) trace.SpanID {
+	ids, _ := ctx.Value(spanIDsKey{}).(spanIDs)
+	return ids.span
 }
--- a/internal/tracing/tracing_test.go
+++ b/internal/tracing/tracing_test.go
@@ -10,15 +10,15 @@
 	"garnethitch/internal/controller"
 )
 
-// TestExport: a span is written with the core's own names and times, under its parent.
+// A span is written with the controller's IDs and times, under its parent.
 func TestExport(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "spans.json")
-	tr, err := New(Options{Exporter: File, File: path}, "n-0")
+	tracer, err := New(Options{Exporter: File, File: path}, "n-0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	tr.Export(controller.Span{Name: "quota.growing", Trace: [16]byte{0xab}, ID: [8]byte{0xcd}, Parent: [8]byte{0xef}, Start: 5_000_000, End: 6_000_000, Group: "all"})
-	if err := tr.Close(context.Background()); err != nil {
+	tracer.Export(controller.Span{Name: "quota.growing", Trace: [16]byte{0xab}, ID: [8]byte{0xcd}, Parent: [8]byte{0xef}, Start: 5_000_000, End: 6_000_000, Group: "all"})
+	if err := tracer.Close(context.Background()); err != nil {
 		t.Fatal(err)
 	}
 	text, err := os.ReadFile(path)
@@ -39,18 +39,31 @@
 	}
 }
 
-// TestOptions: what contradicts itself is refused; without an exporter there is no tracer.
+// Options that contradict themselves are refused.
 func TestOptions(t *testing.T) {
 	for _, tc := range []struct {
+		name    string
 		options Options
 		good    bool
-	}{{Options{}, true}, {Options{Exporter: None}, true}, {Options{Exporter: Stderr}, true}, {Options{Exporter: File, File: "x"}, true},
-		{Options{Exporter: File}, false}, {Options{Exporter: "jaeger"}, false}, {Options{Exporter: None, File: "x"}, false}} {
-		if err := tc.options.Check(); (err == nil) != tc.good {
-			t.Errorf("%+v: %v", tc.options, err)
-		}
-	}
-	if tr, err := New(Options{}, "n-0"); tr != nil || err != nil {
-		t.Errorf("%v, %v", tr, err)
+	}{
+		{"empty", Options{}, true},
+		{"none", Options{Exporter: None}, true},
+		{"stderr", Options{Exporter: Stderr}, true},
+		{"file", Options{Exporter: File, File: "x"}, true},
+		{"file without a path", Options{Exporter: File}, false},
+		{"unknown exporter", Options{Exporter: "jaeger"}, false},
+		{"none with a path", Options{Exporter: None, File: "x"}, false},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			if err := tc.options.Check(); (err == nil) != tc.good {
+				t.Errorf("error %v, want good %v", err, tc.good)
+			}
+		})
+	}
+}
+
+func TestNewWithoutExporter(t *testing.T) {
+	if tracer, err := New(Options{}, "n-0"); tracer != nil || err != nil {
+		t.Errorf("%v, %v, want no tracer and no error", tracer, err)
 	}
 }
