--- a/cmd/garnethitch/main.go
+++ b/cmd/garnethitch/main.go
@@ -1,4 +1,5 @@
-// Command garnethitch runs one controller of the cluster scheduler, and asks running ones.
+// Command garnethitch runs a controller of the cluster scheduler, and sends operators'
+// requests to running ones.
 package main
 
 import (
@@ -29,23 +30,26 @@
 	Check   bool   `help:"Check the settings and stop, without starting."`
 }
 
-// exitError ends the program with a status of its own. Without an err it has been told of
-// already.
+// Exit statuses. kong has others of its own for arguments that it cannot parse.
+const (
+	exitOK       = 0
+	exitFailure  = 1
+	exitBadInput = 2 // settings, options or arguments cannot be used
+)
+
+// exitError ends the program with an exit status other than exitFailure. Without an err
+// the failure has been logged already.
 type exitError struct {
 	status int
 	err    error
 }
 
+// Error returns the message of the underlying error.
 func (e exitError) Error() string { return fmt.Sprint(e.err) }
 
-// Statuses of the program.
-const (
-	failed   = 1
-	badInput = 2 // settings, options or arguments can't be used
-)
-
 func main() { os.Exit(run()) }
 
+// run executes the command line and returns the exit status.
 func run() int {
 	var args arguments
 	ctx := kong.Parse(&args,
@@ -54,9 +58,9 @@
 		kong.Vars{"version": garnethitch.Version})
 	err := ctx.Run()
 	if err == nil {
-		return 0
+		return exitOK
 	}
-	exit := exitError{failed, err}
+	exit := exitError{exitFailure, err}
 	errors.As(err, &exit)
 	if exit.err != nil {
 		fmt.Fprintln(os.Stderr, "garnethitch:", err)
@@ -64,12 +68,12 @@
 	return exit.status
 }
 
-// Run runs a controller.
+// Run runs a controller until the process is interrupted or terminated.
 func (r *runCommand) Run() error {
-	log := logger()
+	log := newLogger()
 	controller, err := garnethitch.New(garnethitch.Config{SettingsPath: r.Config, OptionsPath: r.Options, Log: log})
 	if err != nil {
-		return exitError{badInput, err}
+		return exitError{exitBadInput, err}
 	}
 	if r.Check {
 		fmt.Println("settings are good")
@@ -79,26 +83,31 @@
 	defer stop()
 	if err := controller.Run(ctx); err != nil {
 		log.Error("ended", "error", err)
-		return exitError{status: failed}
+		return exitError{status: exitFailure}
 	}
 	return nil
 }
 
-// logger writes to standard error, as much as LOG_LEVEL asks for.
-func logger() *slog.Logger {
-	level, unknown := slog.LevelInfo, ""
-	switch word := os.Getenv("LOG_LEVEL"); word {
+// newLogger returns a logger to standard error of the level that LOG_LEVEL names.
+func newLogger() *slog.Logger {
+	name := os.Getenv("LOG_LEVEL")
+	level, known := logLevel(name)
+	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
+	if !known {
+		log.Warn("LOG_LEVEL unknown, using info", "value", name)
+	}
+	return log
+}
+
+// logLevel returns the level with a name, slog.LevelInfo for an unknown one.
+func logLevel(name string) (level slog.Level, known bool) {
+	switch name {
 	case "error":
-		level = slog.LevelError
+		return slog.LevelError, true
 	case "info", "":
+		return slog.LevelInfo, true
 	case "debug":
-		level = slog.LevelDebug
-	default:
-		unknown = word
+		return slog.LevelDebug, true
 	}
-	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
-	if unknown != "" {
-		log.Warn("LOG_LEVEL unknown, using info", "value", unknown)
-	}
-	return log
+	return slog.LevelInfo, false
 }
--- a/cmd/garnethitch/options.go
+++ b/cmd/garnethitch/options.go
@@ -12,7 +12,7 @@
 
 type optionsSchema struct{}
 
-// Run prints the schema.
+// Run prints the JSON Schema of the options file.
 func (optionsSchema) Run() error {
 	_, err := os.Stdout.Write(config.OptionsSchema)
 	return err
--- a/cmd/garnethitch/quota.go
+++ b/cmd/garnethitch/quota.go
@@ -17,42 +17,43 @@
 	Set  quotaSet  `cmd:"" help:"Set a group's limit by hand, until it is cleared."`
 }
 
-// target is the controller that is asked.
-type target struct {
+// controllerFlags name the controller to which a request goes.
+type controllerFlags struct {
 	Config  string `placeholder:"PATH" help:"Settings file of the controller to ask (TOML)."`
 	Address string `placeholder:"HOST:PORT" help:"Internal address of the controller to ask, in place of --config."`
 }
 
-var errNoTarget = errors.New("address: want --config or --address")
+var errNoController = errors.New("address: want --config or --address")
 
-// find gives the address, and the settings if they are named.
-func (t target) find() (string, config.Settings, error) {
-	if t.Config == "" {
-		if t.Address == "" {
-			return "", config.Settings{}, errNoTarget
-		}
-		return t.Address, config.Settings{}, nil
+// resolve returns the controller's internal address, and its settings if --config names
+// them.
+func (f controllerFlags) resolve() (addr string, settings config.Settings, err error) {
+	if f.Config == "" && f.Address == "" {
+		return "", config.Settings{}, errNoController
 	}
-	set, err := config.LoadSettings(t.Config)
+	if f.Config == "" {
+		return f.Address, config.Settings{}, nil
+	}
+	settings, err = config.LoadSettings(f.Config)
 	if err != nil {
-		return "", set, err
+		return "", settings, err
 	}
-	if t.Address != "" {
-		return t.Address, set, nil
+	if f.Address != "" {
+		return f.Address, settings, nil
 	}
-	return set.InternalAddr, set, nil
+	return settings.InternalAddr, settings, nil
 }
 
 type quotaShow struct {
-	target
+	controllerFlags
 	JSON bool `name:"json" help:"Write JSON."`
 }
 
-// Run shows the groups.
+// Run prints the groups as one controller knows them.
 func (q *quotaShow) Run() error {
-	addr, _, err := q.find()
+	addr, _, err := q.resolve()
 	if err != nil {
-		return exitError{badInput, err}
+		return exitError{exitBadInput, err}
 	}
 	resp, err := admin.Quota(context.Background(), addr, peer.QuotaRequest{})
 	if err != nil {
@@ -65,7 +66,7 @@
 }
 
 type quotaSet struct {
-	target
+	controllerFlags
 	Group   string   `arg:"" help:"The group."`
 	CPUs    *float64 `name:"cpus" help:"The new limit in CPUs."`
 	GPUs    *float64 `name:"gpus" help:"The new limit in GPUs."`
@@ -73,15 +74,15 @@
 	Options string   `placeholder:"PATH" env:"GARNETHITCH_OPTIONS" help:"The controllers' options (YAML), to check the group by."`
 }
 
-// Run sets a limit.
+// Run has one controller announce the limit.
 func (q *quotaSet) Run() error {
-	addr, settings, err := q.find()
+	addr, settings, err := q.resolve()
 	if err != nil {
-		return exitError{badInput, err}
+		return exitError{exitBadInput, err}
 	}
 	set := peer.SetLimit{Group: q.Group, Limit: quota.Limit{CPUs: q.CPUs, GPUs: q.GPUs}, Clear: q.Clear}
 	if err := admin.CheckSet(set, q.Options, settings); err != nil {
-		return exitError{badInput, err}
+		return exitError{exitBadInput, err}
 	}
 	resp, err := admin.Quota(context.Background(), addr, peer.QuotaRequest{Set: &set})
 	if err != nil {
--- a/cmd/garnethitch/timeline.go
+++ b/cmd/garnethitch/timeline.go
@@ -15,12 +15,13 @@
 	Logs    []string `arg:"" type:"existingfile" help:"Log files, one for each controller; a file's name is taken for the controller's."`
 }
 
-// Run prints a job's course, from the logs of several controllers.
+// Run prints the course of a job, merged from the logs of several controllers.
 func (t *timelineCommand) Run() error {
 	var logs []joblog.Log
 	for _, path := range t.Logs {
 		name := strings.TrimSuffix(filepath.Base(path), filepath.Ext(path))
-		logs = append(logs, joblog.Log{Controller: name, Open: func() (io.ReadCloser, error) { return os.Open(path) }})
+		open := func() (io.ReadCloser, error) { return os.Open(path) }
+		logs = append(logs, joblog.Log{Controller: name, Open: open})
 	}
 	return joblog.Write(os.Stdout, t.Job, t.Machine, logs)
 }
