--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -74,7 +74,11 @@
 	return enc.Encode(struct {
 		Groups  []quota.GroupStatus `json:"groups"`
 		Without []string            `json:"controllers_without_groups"`
-	}{slices.Concat([]quota.GroupStatus{}, resp.Groups), slices.Concat([]string{}, resp.Without)})
+	}{
+		// Concat makes an empty list of a nil one, which would be written as null.
+		Groups:  slices.Concat([]quota.GroupStatus{}, resp.Groups),
+		Without: slices.Concat([]string{}, resp.Without),
+	})
 }
 
 // ShowTable writes the groups as tables, followed by a line for each thing that keeps a
