--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -119,7 +119,7 @@
 func writeObstacles(w io.Writer, resp *peer.QuotaResponse) {
 	for _, g := range resp.Groups {
 		for _, h := range g.HeldUp {
-			fmt.Fprintf(w, "%s is held up by share %d (%s): %s\n", g.Name, h.Share, orDash(h.Owner), h.Reason)
+			fmt.Fprintf(w, "%s is held up by share %d (%s): %s\n", g.Name, h.Shard, orDash(h.Owner), h.Reason)
 		}
 	}
 	for _, label := range resp.Without {
