--- a/cmd/garnethitch/quota.go
+++ b/cmd/garnethitch/quota.go
@@ -55,14 +55,14 @@
 	if err != nil {
 		return exitError{exitBadInput, err}
 	}
-	resp, err := admin.Quota(context.Background(), addr, peer.QuotaRequest{})
+	resp, err := admin.RequestQuota(context.Background(), addr, peer.QuotaRequest{})
 	if err != nil {
 		return err
 	}
 	if q.JSON {
-		return admin.ShowJSON(os.Stdout, resp)
+		return admin.WriteJSON(os.Stdout, resp)
 	}
-	return admin.ShowTable(os.Stdout, resp)
+	return admin.WriteTable(os.Stdout, resp)
 }
 
 type quotaSet struct {
@@ -81,10 +81,10 @@
 		return exitError{exitBadInput, err}
 	}
 	set := peer.SetLimit{Group: q.Group, Limit: quota.Limit{CPUs: q.CPUs, GPUs: q.GPUs}, Clear: q.Clear}
-	if err := admin.CheckSet(set, q.Options, settings); err != nil {
+	if err := admin.CheckSetLimit(set, q.Options, settings); err != nil {
 		return exitError{exitBadInput, err}
 	}
-	resp, err := admin.Quota(context.Background(), addr, peer.QuotaRequest{Set: &set})
+	resp, err := admin.RequestQuota(context.Background(), addr, peer.QuotaRequest{Set: &set})
 	if err != nil {
 		return err
 	}
--- a/garnethitch.go
+++ b/garnethitch.go
@@ -51,7 +51,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("options: %w", err)
 	}
-	if err := opt.CheckQuota(cfg.OptionsPath, set); err != nil {
+	if err := opt.BuildGroups(cfg.OptionsPath, set); err != nil {
 		return nil, fmt.Errorf("options: %w", err)
 	}
 	tracer, err := tracing.New(opt.Trace, set.Label)
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -25,9 +25,9 @@
 // ErrRefused says that the controller has answered, but has not done what it was asked.
 var ErrRefused = errors.New("refused")
 
-// Quota sends a request about groups to the controller at an address (IP:port). The error
+// RequestQuota sends a request about groups to the controller at an address (IP:port). The error
 // is ErrRefused if the controller answers that it cannot do it.
-func Quota(ctx context.Context, addr string, req peer.QuotaRequest) (*peer.QuotaResponse, error) {
+func RequestQuota(ctx context.Context, addr string, req peer.QuotaRequest) (*peer.QuotaResponse, error) {
 	body, err := peer.Encode(peer.Request{Quota: &req})
 	if err != nil {
 		return nil, err
@@ -51,11 +51,11 @@
 
 func post(ctx context.Context, addr string, body []byte) (http1.Message, error) {
 	c := client.New(client.Config{
-		MaxIdle:     1,
-		MaxConns:    1,
-		MaxBody:     peer.MaxMessage,
-		IdleTimeout: timeout,
-		DialTimeout: timeout,
+		MaxIdle:      1,
+		MaxConns:     1,
+		MaxBodyBytes: peer.MaxMessage,
+		IdleTimeout:  timeout,
+		DialTimeout:  timeout,
 	})
 	return c.Do(ctx, client.Call{
 		Addr:        addr,
@@ -67,8 +67,8 @@
 	})
 }
 
-// ShowJSON writes the groups as JSON.
-func ShowJSON(w io.Writer, resp *peer.QuotaResponse) error {
+// WriteJSON writes the groups as JSON.
+func WriteJSON(w io.Writer, resp *peer.QuotaResponse) error {
 	enc := json.NewEncoder(w)
 	enc.SetIndent("", "  ")
 	return enc.Encode(struct {
@@ -81,9 +81,9 @@
 	})
 }
 
-// ShowTable writes the groups as tables, followed by a line for each thing that keeps a
+// WriteTable writes the groups as tables, followed by a line for each thing that keeps a
 // limit from being in force.
-func ShowTable(w io.Writer, resp *peer.QuotaResponse) error {
+func WriteTable(w io.Writer, resp *peer.QuotaResponse) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	writeGroups(t, resp.Groups)
 	writeShards(t, resp.Groups)
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -31,7 +31,7 @@
 	wait := func(what string, is func(quota.GroupStatus) bool) {
 		t.Helper()
 		for range 100 {
-			if resp, err = admin.Quota(ctx, addrs[1], peer.QuotaRequest{}); err == nil && len(resp.Groups) == 2 && is(resp.Groups[1]) {
+			if resp, err = admin.RequestQuota(ctx, addrs[1], peer.QuotaRequest{}); err == nil && len(resp.Groups) == 2 && is(resp.Groups[1]) {
 				return
 			}
 			time.Sleep(100 * time.Millisecond)
@@ -39,7 +39,7 @@
 		t.Fatalf("%s: not within 10 s: %+v, %v", what, resp, err)
 	}
 	wait("the options' limit in force", func(g quota.GroupStatus) bool { return g.State == quota.StateInForce && *g.Limit.CPUs == 40 })
-	set, err := admin.Quota(ctx, addrs[0], peer.QuotaRequest{Set: &peer.SetLimit{Group: "lake", Limit: quota.CPULimit(7)}})
+	set, err := admin.RequestQuota(ctx, addrs[0], peer.QuotaRequest{Set: &peer.SetLimit{Group: "lake", Limit: quota.CPULimit(7)}})
 	if err != nil || set.Epoch < 2 {
 		t.Fatalf("%+v, %v", set, err)
 	}
@@ -47,7 +47,7 @@
 		return g.Source == quota.FromOperator && g.Applied != nil && *g.Applied.CPUs == 7
 	})
 	var table, text bytes.Buffer
-	if err := errors.Join(admin.ShowTable(&table, resp), admin.ShowJSON(&text, resp)); err != nil {
+	if err := errors.Join(admin.WriteTable(&table, resp), admin.WriteJSON(&text, resp)); err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range []string{"GROUP", "lake", "7 CPUs", "in force", "operator", "node-0"} {
@@ -61,7 +61,7 @@
 	if err := json.Unmarshal(text.Bytes(), &back); err != nil || len(back.Groups) != 2 || *back.Groups[1].Limit.CPUs != 7 {
 		t.Errorf("%v in\n%s", err, &text)
 	}
-	if _, err := admin.Quota(ctx, addrs[0], peer.QuotaRequest{Set: &peer.SetLimit{Group: "none", Limit: quota.CPULimit(7)}}); !errors.Is(err, admin.ErrRefused) {
+	if _, err := admin.RequestQuota(ctx, addrs[0], peer.QuotaRequest{Set: &peer.SetLimit{Group: "none", Limit: quota.CPULimit(7)}}); !errors.Is(err, admin.ErrRefused) {
 		t.Errorf("an unknown group: %v", err)
 	}
 }
@@ -87,7 +87,7 @@
 		{"no options file", peer.SetLimit{Group: "lake", Limit: quota.CPULimit(3)}, path + "x", "no such file"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			err := admin.CheckSet(tc.set, tc.options, config.Settings{})
+			err := admin.CheckSetLimit(tc.set, tc.options, config.Settings{})
 			if tc.want == "" {
 				if err != nil {
 					t.Error(err)
--- a/internal/admin/checkset.go
+++ b/internal/admin/checkset.go
@@ -13,10 +13,10 @@
 // ErrNoLimit says that a request names no limit to set and does not clear one.
 var ErrNoLimit = errors.New("cpus: want --cpus, --gpus or --clear")
 
-// CheckSet checks a request to set a limit before it is sent. With the path of the
+// CheckSetLimit checks a request to set a limit before it is sent. With the path of the
 // controllers' options file it also checks that the group is one of the file's; settings
 // give the teams, and may be zero if only a controller's address is known.
-func CheckSet(set peer.SetLimit, optionsPath string, settings config.Settings) error {
+func CheckSetLimit(set peer.SetLimit, optionsPath string, settings config.Settings) error {
 	if !set.Clear && !set.Limit.Bounded() {
 		return ErrNoLimit
 	}
@@ -33,7 +33,7 @@
 	if settings.Label == "" {
 		settings.Cluster.Teams = append(settings.Cluster.Teams, teamsOf(options.Quota.Groups)...)
 	}
-	if err := options.CheckQuota(optionsPath, settings); err != nil {
+	if err := options.BuildGroups(optionsPath, settings); err != nil {
 		return err
 	}
 	if !options.Groups.Has(set.Group) {
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -32,11 +32,11 @@
 
 // Config bounds a Client.
 type Config struct {
-	MaxIdle     int           // idle connections per address
-	MaxConns    int           // open connections over all addresses
-	MaxBody     int           // bytes of a response body
-	IdleTimeout time.Duration // longest time that a connection stays idle
-	DialTimeout time.Duration // longest time to connect, within the call's deadline
+	MaxIdle      int           // idle connections per address
+	MaxConns     int           // open connections over all addresses
+	MaxBodyBytes int           // bytes of a response body
+	IdleTimeout  time.Duration // longest time that a connection stays idle
+	DialTimeout  time.Duration // longest time to connect, within the call's deadline
 	// Dial opens connections; nil: as net.Dialer without TCP keep-alive.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 }
@@ -102,9 +102,9 @@
 	}
 	maxBody := call.MaxBody
 	if maxBody == 0 {
-		maxBody = c.cfg.MaxBody
+		maxBody = c.cfg.MaxBodyBytes
 	}
-	return readResponse(conn, http1.Limits{Head: maxHeadBytes, Body: maxBody})
+	return readResponse(conn, http1.Limits{HeadBytes: maxHeadBytes, BodyBytes: maxBody})
 }
 
 func readResponse(conn net.Conn, limits http1.Limits) (http1.Message, error) {
@@ -120,7 +120,7 @@
 			if err == nil && used != len(buf) {
 				msg.Close = true // what follows answers no request
 			}
-			if !errors.Is(err, http1.ErrShort) {
+			if !errors.Is(err, http1.ErrIncomplete) {
 				return msg, err
 			}
 		}
--- a/internal/client/client_test.go
+++ b/internal/client/client_test.go
@@ -60,7 +60,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			dial, dials := answering(tc.texts...)
-			c := New(Config{MaxIdle: 2, MaxConns: 4, MaxBody: 50, IdleTimeout: time.Hour, DialTimeout: time.Hour, Dial: dial})
+			c := New(Config{MaxIdle: 2, MaxConns: 4, MaxBodyBytes: 50, IdleTimeout: time.Hour, DialTimeout: time.Hour, Dial: dial})
 			for i, fails := range tc.fails {
 				_, err := c.Do(t.Context(), Call{Addr: "a:1", Method: "GET", Target: "/", Timeout: time.Hour})
 				if (err != nil) != fails {
@@ -79,7 +79,7 @@
 
 func TestDoNotSent(t *testing.T) {
 	refuse := func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("refused") }
-	c := New(Config{MaxConns: 1, MaxBody: 10, Dial: refuse})
+	c := New(Config{MaxConns: 1, MaxBodyBytes: 10, Dial: refuse})
 	for range 3 {
 		_, err := c.Do(t.Context(), Call{Addr: "a:1", Method: "GET", Target: "/", Timeout: time.Hour})
 		if !errors.Is(err, ErrNotSent) || errors.Is(err, ErrBusy) {
@@ -99,7 +99,7 @@
 	defer theirs.Close()
 	go func() { _, _ = http.ReadRequest(bufio.NewReader(theirs)) }()
 	dial := func(context.Context, string, string) (net.Conn, error) { return ours, nil }
-	c := New(Config{MaxConns: 1, MaxBody: 10, DialTimeout: time.Hour, Dial: dial})
+	c := New(Config{MaxConns: 1, MaxBodyBytes: 10, DialTimeout: time.Hour, Dial: dial})
 	_, err := c.Do(t.Context(), Call{Addr: "a:1", Method: "GET", Target: "/", Timeout: time.Millisecond})
 	var netErr net.Error
 	if !errors.As(err, &netErr) || !netErr.Timeout() {
--- a/internal/client/pool.go
+++ b/internal/client/pool.go
@@ -121,8 +121,8 @@
 	}
 }
 
-// Sweep closes the connections that have been idle for longer than Config.IdleTimeout.
-func (c *Client) Sweep() {
+// CloseExpired closes the connections that have been idle for longer than Config.IdleTimeout.
+func (c *Client) CloseExpired() {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -135,8 +135,8 @@
 	}
 }
 
-// Forget closes the idle connections to an address.
-func (c *Client) Forget(addr string) {
+// CloseIdle closes the idle connections to an address.
+func (c *Client) CloseIdle(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for len(c.idle[addr]) > 0 {
--- a/internal/client/pool_test.go
+++ b/internal/client/pool_test.go
@@ -11,7 +11,7 @@
 // nobody for 10 s.
 func TestLongestIdleEvicted(t *testing.T) {
 	dial, dials := answering(okResponse)
-	c := New(Config{MaxIdle: 1, MaxConns: 4, MaxBody: 50, IdleTimeout: time.Hour, DialTimeout: time.Hour, Dial: dial})
+	c := New(Config{MaxIdle: 1, MaxConns: 4, MaxBodyBytes: 50, IdleTimeout: time.Hour, DialTimeout: time.Hour, Dial: dial})
 	ask := func(i int) {
 		addr := fmt.Sprintf("a:%d", i)
 		if _, err := c.Do(t.Context(), Call{Addr: addr, Method: "GET", Target: "/", Timeout: time.Hour}); err != nil {
--- a/internal/config/options.go
+++ b/internal/config/options.go
@@ -140,9 +140,9 @@
 	return c.err
 }
 
-// CheckQuota checks the groups against the teams of the settings and sets Groups. file is
+// BuildGroups checks the groups against the teams of the settings and sets Groups. file is
 // the options file's name in errors.
-func (o *Options) CheckQuota(file string, settings Settings) error {
+func (o *Options) BuildGroups(file string, settings Settings) error {
 	if len(o.Quota.Groups) == 0 {
 		return nil
 	}
--- a/internal/config/options_test.go
+++ b/internal/config/options_test.go
@@ -55,7 +55,7 @@
 		t.Fatal(err)
 	}
 	want := Defaults()
-	want.Trace.Exporter = tracing.None
+	want.Trace.Exporter = tracing.ExporterNone
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v, the defaults are %+v", got, want)
 	}
@@ -70,7 +70,7 @@
 	for _, team := range []string{"rubavu", "karongi", "rusizi"} {
 		settings.Cluster.Teams = append(settings.Cluster.Teams, Team{Name: team})
 	}
-	err = got.CheckQuota("options.yaml", settings)
+	err = got.BuildGroups("options.yaml", settings)
 	if err != nil || len(got.Groups.Names()) != 2 {
 		t.Errorf("%v: %v", got.Groups.Names(), err)
 	}
--- a/internal/config/schema_test.go
+++ b/internal/config/schema_test.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		return err
 	}
-	return options.CheckQuota("options.yaml", Settings{Cluster: Cluster{Teams: []Team{{Name: "t"}}}})
+	return options.BuildGroups("options.yaml", Settings{Cluster: Cluster{Teams: []Team{{Name: "t"}}}})
 }
 
 // The schema accepts the values that a controller accepts, and no others.
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -87,10 +87,10 @@
 	TxnOps   int     `toml:"txn_ops"`
 }
 
-// Lowest returns the smaller of each limit and the one to come. They are kept to from the
+// Strictest returns the smaller of each limit and the one to come. They are kept to from the
 // start, since nothing tells when those to come take effect, and a value written larger
 // could not be rewritten then.
-func (l StateLimits) Lowest() StateLimits {
+func (l StateLimits) Strictest() StateLimits {
 	if l.Next == nil {
 		return l
 	}
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -125,7 +125,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			got := s.Cluster.State.Lowest()
+			got := s.Cluster.State.Strictest()
 			got.Next = nil
 			if got != tc.want {
 				t.Errorf("%+v, want %+v", got, tc.want)
--- a/internal/http1/chunks.go
+++ b/internal/http1/chunks.go
@@ -27,13 +27,13 @@
 		if size == 0 {
 			return skipTrailers(buf, offset, limits)
 		}
-		if len(msg.Body)+size > limits.Body {
-			return 0, ErrBodyLarge
+		if len(msg.Body)+size > limits.BodyBytes {
+			return 0, ErrBodyTooLarge
 		}
 		end := offset + size
 		next := end + len(crlf)
 		if len(buf) < next {
-			return 0, ErrShort
+			return 0, ErrIncomplete
 		}
 		if !bytes.Equal(buf[end:next], crlf) {
 			return 0, ErrMalformed
@@ -47,7 +47,7 @@
 // number of bytes of the line.
 func parseChunkSize(buf []byte) (size, n int, err error) {
 	line, n, err := cutLine(buf, maxChunkLineBytes)
-	if errors.Is(err, ErrHeadLarge) {
+	if errors.Is(err, ErrHeadTooLarge) {
 		return 0, 0, ErrMalformed
 	}
 	if err != nil {
@@ -66,7 +66,7 @@
 func skipTrailers(buf []byte, offset int, limits Limits) (int, error) {
 	start := offset
 	for {
-		line, n, err := cutLine(buf[offset:], limits.Head-(offset-start))
+		line, n, err := cutLine(buf[offset:], limits.HeadBytes-(offset-start))
 		if err != nil {
 			return 0, err
 		}
--- a/internal/http1/fields.go
+++ b/internal/http1/fields.go
@@ -23,9 +23,9 @@
 	body := framing{length: unknownLength}
 	for fields := 0; ; fields++ {
 		if fields > maxFields {
-			return 0, ErrHeadLarge
+			return 0, ErrHeadTooLarge
 		}
-		line, n, err := cutLine(buf[offset:], limits.Head-offset)
+		line, n, err := cutLine(buf[offset:], limits.HeadBytes-offset)
 		if err != nil {
 			return 0, err
 		}
@@ -86,10 +86,10 @@
 			return 0, ErrMalformed
 		}
 		return offset, nil
-	case body.length > limits.Body:
-		return 0, ErrBodyLarge
+	case body.length > limits.BodyBytes:
+		return 0, ErrBodyTooLarge
 	case len(buf)-offset < body.length:
-		return 0, ErrShort
+		return 0, ErrIncomplete
 	}
 	end := offset + body.length
 	msg.Body = bytes.Clone(buf[offset:end])
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -10,22 +10,22 @@
 
 // Limits bounds the size of a message.
 type Limits struct {
-	Head int // bytes of start line and header fields
-	Body int // bytes of body
+	HeadBytes int // bytes of start line and header fields
+	BodyBytes int // bytes of body
 }
 
-// ErrShort says that the buffer holds the beginning of a message: parse again with more
+// ErrIncomplete says that the buffer holds the beginning of a message: parse again with more
 // bytes.
-var ErrShort = errors.New("http1: message incomplete")
+var ErrIncomplete = errors.New("http1: message incomplete")
 
 // ErrMalformed says that the bytes are no message, whatever follows.
 var ErrMalformed = errors.New("http1: malformed message")
 
-// ErrHeadLarge says that start line and header fields exceed Limits.Head or are too many.
-var ErrHeadLarge = errors.New("http1: header section too large")
+// ErrHeadTooLarge says that start line and header fields exceed Limits.Head or are too many.
+var ErrHeadTooLarge = errors.New("http1: header section too large")
 
-// ErrBodyLarge says that the body exceeds Limits.Body.
-var ErrBodyLarge = errors.New("http1: body too large")
+// ErrBodyTooLarge says that the body exceeds Limits.Body.
+var ErrBodyTooLarge = errors.New("http1: body too large")
 
 // Message is a parsed request or response. It holds no view of the parsed buffer.
 type Message struct {
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-var limits = Limits{Head: 512, Body: 64}
+var limits = Limits{HeadBytes: 512, BodyBytes: 64}
 
 func TestParseRequest(t *testing.T) {
 	for _, tc := range []struct {
@@ -26,11 +26,11 @@
 		{name: "chunks", in: "POST /x HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1;q=1\r\nc\r\n0\r\nT: v\r\n\r\n", method: "POST", path: "/x", body: "abc"},
 		{name: "close", in: "GET / HTTP/1.1\r\nConnection: keep-alive, Close\r\n\r\n", method: "GET", path: "/", closes: true},
 		{name: "old version closes", in: "GET / HTTP/1.0\r\n\r\n", method: "GET", path: "/", closes: true},
-		{name: "nothing", in: "", err: ErrShort},
-		{name: "half a line", in: "GET /re", err: ErrShort},
-		{name: "half a head", in: "GET / HTTP/1.1\r\nHost: a\r\n", err: ErrShort},
-		{name: "half a body", in: "POST / HTTP/1.1\r\nContent-Length: 4\r\n\r\nab", err: ErrShort},
-		{name: "half a chunk", in: "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nab", err: ErrShort},
+		{name: "nothing", in: "", err: ErrIncomplete},
+		{name: "half a line", in: "GET /re", err: ErrIncomplete},
+		{name: "half a head", in: "GET / HTTP/1.1\r\nHost: a\r\n", err: ErrIncomplete},
+		{name: "half a body", in: "POST / HTTP/1.1\r\nContent-Length: 4\r\n\r\nab", err: ErrIncomplete},
+		{name: "half a chunk", in: "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nab", err: ErrIncomplete},
 		{name: "bare line feed", in: "GET / HTTP/1.1\nHost: a\n\n", err: ErrMalformed},
 		{name: "no version", in: "GET /\r\n\r\n", err: ErrMalformed},
 		{name: "other version", in: "GET / HTTP/2.0\r\n\r\n", err: ErrMalformed},
@@ -46,11 +46,11 @@
 		{name: "bad chunk size", in: "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", err: ErrMalformed},
 		{name: "huge chunk size", in: "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nffffffffff\r\n", err: ErrMalformed},
 		{name: "chunk not closed", in: "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n", err: ErrMalformed},
-		{name: "long body", in: "POST / HTTP/1.1\r\nContent-Length: 65\r\n\r\n", err: ErrBodyLarge},
-		{name: "long chunks", in: "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n41\r\n", err: ErrBodyLarge},
-		{name: "long head", in: "GET / HTTP/1.1\r\nA: " + strings.Repeat("x", 600) + "\r\n\r\n", err: ErrHeadLarge},
-		{name: "endless line", in: "GET /" + strings.Repeat("x", 600), err: ErrHeadLarge},
-		{name: "many fields", in: "GET / HTTP/1.1\r\n" + strings.Repeat("A:\r\n", 110) + "\r\n", err: ErrHeadLarge},
+		{name: "long body", in: "POST / HTTP/1.1\r\nContent-Length: 65\r\n\r\n", err: ErrBodyTooLarge},
+		{name: "long chunks", in: "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n41\r\n", err: ErrBodyTooLarge},
+		{name: "long head", in: "GET / HTTP/1.1\r\nA: " + strings.Repeat("x", 600) + "\r\n\r\n", err: ErrHeadTooLarge},
+		{name: "endless line", in: "GET /" + strings.Repeat("x", 600), err: ErrHeadTooLarge},
+		{name: "many fields", in: "GET / HTTP/1.1\r\n" + strings.Repeat("A:\r\n", 110) + "\r\n", err: ErrHeadTooLarge},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			msg, n, err := ParseRequest([]byte(tc.in), limits)
@@ -86,7 +86,7 @@
 		{name: "interim", in: "HTTP/1.1 100 Continue\r\n\r\n", err: ErrMalformed},
 		{name: "not http", in: "SSH-2.0-x\r\n\r\n", err: ErrMalformed},
 		{name: "status not a number", in: "HTTP/1.1 2x0 OK\r\n\r\n", err: ErrMalformed},
-		{name: "half", in: "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nh", err: ErrShort},
+		{name: "half", in: "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nh", err: ErrIncomplete},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			msg, _, err := ParseResponse([]byte(tc.in), limits)
@@ -112,7 +112,7 @@
 			if err != nil {
 				continue
 			}
-			if n < 1 || n > len(in) || len(msg.Body) > limits.Body {
+			if n < 1 || n > len(in) || len(msg.Body) > limits.BodyBytes {
 				t.Fatalf("took %d of %d bytes, body of %d", n, len(in), len(msg.Body))
 			}
 			again, m, err := parse(in[:n], limits)
--- a/internal/http1/lexer.go
+++ b/internal/http1/lexer.go
@@ -11,12 +11,12 @@
 	lf := bytes.IndexByte(buf, '\n')
 	if lf < 0 {
 		if len(buf) > limit {
-			return nil, 0, ErrHeadLarge
+			return nil, 0, ErrHeadTooLarge
 		}
-		return nil, 0, ErrShort
+		return nil, 0, ErrIncomplete
 	}
 	if lf+1 > limit {
-		return nil, 0, ErrHeadLarge
+		return nil, 0, ErrHeadTooLarge
 	}
 	if lf == 0 || buf[lf-1] != '\r' {
 		return nil, 0, ErrMalformed
--- a/internal/http1/startline.go
+++ b/internal/http1/startline.go
@@ -24,7 +24,7 @@
 // ErrBodyLarge.
 func ParseRequest(buf []byte, limits Limits) (Message, int, error) {
 	var msg Message
-	line, fieldsStart, err := cutLine(buf, limits.Head)
+	line, fieldsStart, err := cutLine(buf, limits.HeadBytes)
 	if err != nil {
 		return msg, 0, err
 	}
@@ -40,7 +40,7 @@
 // ErrBodyLarge. Interim responses (1xx) are malformed.
 func ParseResponse(buf []byte, limits Limits) (Message, int, error) {
 	var msg Message
-	line, fieldsStart, err := cutLine(buf, limits.Head)
+	line, fieldsStart, err := cutLine(buf, limits.HeadBytes)
 	if err != nil {
 		return msg, 0, err
 	}
--- a/internal/runtime/runtime.go
+++ b/internal/runtime/runtime.go
@@ -78,24 +78,24 @@
 	sz := SizesOf(set)
 	rt.heartbeats = wire.NewHeartbeatReader(sz.Lists)
 	outbound := client.Config{
-		MaxIdle: 8, MaxConns: sz.Services, MaxBody: sz.StateBody,
+		MaxIdle: 8, MaxConns: sz.Services, MaxBodyBytes: sz.StateBody,
 		IdleTimeout: 20 * time.Second, DialTimeout: 700 * time.Millisecond,
 	}
 	rt.out = client.New(outbound)
-	outbound.MaxIdle, outbound.MaxBody, outbound.MaxConns = 1, maxBody, sz.Workers
+	outbound.MaxIdle, outbound.MaxBodyBytes, outbound.MaxConns = 1, maxBody, sz.Workers
 	outbound.IdleTimeout = time.Minute // about as long as a task runs
 	rt.workers = client.New(outbound)
 	rt.most = [...]int{controller.ToState: sz.StateCalls, controller.ToCloud: sz.Services / 8, controller.ToWorker: 2 * sz.Asks, controller.ToPeer: sz.PeerCalls}
 	rt.srv = server.New(server.Config{
-		Addrs:    []string{set.ServeOn, set.InternalAddr},
-		MaxConns: sz.Serve,
-		MaxBody:  []int{maxBody, peer.MaxMessage},
-		MaxHeld:  sz.Held,
-		Half:     10 * time.Second,
-		Idle:     sz.Idle,
-		Log:      log,
-		Now:      time.Now,
-		Handler:  rt.handle,
+		Addrs:            []string{set.ServeOn, set.InternalAddr},
+		MaxConns:         sz.Serve,
+		MaxBodyBytes:     []int{maxBody, peer.MaxMessage},
+		MaxBufferedBytes: sz.Held,
+		RequestTimeout:   10 * time.Second,
+		IdleTimeout:      sz.Idle,
+		Log:              log,
+		Now:              time.Now,
+		Handler:          rt.handle,
 	})
 	return rt
 }
@@ -103,7 +103,7 @@
 // ControllerConfig gives the controller what it needs of the settings.
 func ControllerConfig(set config.Settings, opt config.Options) controller.Config {
 	cl, sz := set.Cluster, SizesOf(set)
-	state := cl.State.Lowest()
+	state := cl.State.Strictest()
 	cfg := controller.Config{
 		Label: set.Label, Shards: cl.Nodes,
 		Lease:             micros.Micros(opt.LeaseMS) * micros.Millisecond,
@@ -122,7 +122,7 @@
 		CordonFor:    micros.FromSeconds(opt.QuarantineS),
 		MaxMachines:  opt.MaxMachines,
 		Quota:        opt.Groups,
-		Trace:        opt.Trace.On(),
+		Trace:        opt.Trace.Enabled(),
 		StartWithin:  map[string]micros.Micros{},
 		FinishWithin: map[string]micros.Micros{},
 	}
@@ -187,8 +187,8 @@
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			rt.out.Sweep()
-			rt.workers.Sweep()
+			rt.out.CloseExpired()
+			rt.workers.CloseExpired()
 		}
 	}
 }
@@ -229,7 +229,7 @@
 	}
 	end := rt.instant().Steady
 	rt.took = end - at.Steady
-	rt.meter.add(in, at.Steady, rt.took, rt.srv.Open, rt.log)
+	rt.meter.add(in, at.Steady, rt.took, rt.srv.OpenConns, rt.log)
 	// Setting the timer wakes whoever waits for it, which costs system calls: it is
 	// left alone while it is right. After a Tick it has fired and is to be set again.
 	_, fired := in.(controller.Tick)
@@ -267,27 +267,27 @@
 		return
 	}
 	delete(rt.replies, a.Reply)
-	out := server.Answer{Status: a.Status, RetryAfterS: a.RetryAfterS, Spare: w.heartbeat}
+	out := server.Response{Status: a.Status, RetryAfterSeconds: a.RetryAfterS, CloseIfCrowded: w.heartbeat}
 	var err error
 	out.ContentType, out.Body, err = EncodeAnswer(a.Body)
 	if err != nil {
 		rt.log.Error("answer not encoded", "error", err)
-		out = server.Answer{Status: 503, RetryAfterS: 1}
+		out = server.Response{Status: 503, RetryAfterSeconds: 1}
 	}
 	w.Send(out)
 }
 
 // handle routes a request.
 func (rt *Runtime) handle(req server.Request) {
-	r, msg := req.Reply(), &req.Msg
+	r, msg := req.Reply(), &req.Message
 	if req.Listener == 1 {
-		req.Keep()
+		req.ExemptFromEviction()
 		rt.handlePeer(r, msg)
 		return
 	}
 	only := func(method string) bool {
 		if msg.Method != method {
-			r.Send(server.Answer{Status: 405})
+			r.Send(server.Response{Status: 405})
 			return false
 		}
 		return true
@@ -299,11 +299,11 @@
 		}
 		// Users find another node at once; a worker that is turned away from one after
 		// the other loses its lease.
-		req.Keep()
+		req.ExemptFromEviction()
 		heartbeat, err := rt.heartbeats.Parse(msg.Body)
 		if err != nil {
 			rt.log.Debug("heartbeat not readable", "error", err)
-			r.Send(server.Answer{Status: 400})
+			r.Send(server.Response{Status: 400})
 			return
 		}
 		rt.ask(r, func(id controller.ReplyID) controller.Input {
@@ -330,7 +330,7 @@
 			return
 		}
 		if strings.Contains(rest, "/") || rest == "" {
-			r.Send(server.Answer{Status: 404})
+			r.Send(server.Response{Status: 404})
 			return
 		}
 		if only("GET") {
@@ -339,23 +339,23 @@
 			})
 		}
 	default:
-		r.Send(server.Answer{Status: 404})
+		r.Send(server.Response{Status: 404})
 	}
 }
 
 func (rt *Runtime) handlePeer(r *server.Reply, msg *http1.Message) {
 	if msg.Path != "/peer" {
-		r.Send(server.Answer{Status: 404})
+		r.Send(server.Response{Status: 404})
 		return
 	}
 	if msg.Method != "POST" {
-		r.Send(server.Answer{Status: 405})
+		r.Send(server.Response{Status: 405})
 		return
 	}
 	var req peer.Request
 	if err := peer.Decode(msg.Body, &req); err != nil {
 		rt.log.Debug("peer message not readable", "error", err)
-		r.Send(server.Answer{Status: 400})
+		r.Send(server.Response{Status: 400})
 		return
 	}
 	rt.ask(r, func(id controller.ReplyID) controller.Input { return controller.PeerRequest{Reply: id, Req: req} })
@@ -396,11 +396,11 @@
 	msg, err := cl.Do(rt.ctx, out)
 	if err != nil {
 		rt.log.Debug("no answer", "method", out.Method, "target", out.Target, "addr", out.Addr, "error", err)
-		if errors.Is(err, http1.ErrBodyLarge) {
+		if errors.Is(err, http1.ErrBodyTooLarge) {
 			return controller.Result{Status: controller.TooLarge}
 		}
 		if !errors.Is(err, client.ErrBusy) {
-			cl.Forget(out.Addr)
+			cl.CloseIdle(out.Addr)
 		}
 		return controller.Result{NotSent: errors.Is(err, client.ErrNotSent)}
 	}
--- a/internal/runtime/runtime_test.go
+++ b/internal/runtime/runtime_test.go
@@ -82,7 +82,7 @@
 			if need := tc.machines*3/2 + users; tc.machines > 0 && sz.Serve < need {
 				t.Errorf("serves %d connections, needs %d", sz.Serve, need)
 			}
-			if all := server.Sockets(sz.Serve) + sz.Services + sz.Workers; all >= tc.sockets {
+			if all := server.MaxSockets(sz.Serve) + sz.Services + sz.Workers; all >= tc.sockets {
 				t.Errorf("%d sockets planned of %d", all, tc.sockets)
 			}
 			if sz.Idle < 13*time.Second+4*time.Second || sz.Idle > 75*time.Second {
--- a/internal/runtime/sizes.go
+++ b/internal/runtime/sizes.go
@@ -59,7 +59,7 @@
 	sz.StateCalls, sz.PeerCalls = sz.Services/2, sz.Services*3/8
 	// Most orders find a kept connection: a new one wakes this node twice more.
 	sz.Workers = min(max(res.Sockets/6, 2*sz.Asks), 1024)
-	sz.Serve = max(res.Sockets-sz.Services-sz.Workers-reserved-server.Sockets(0), 1)
+	sz.Serve = max(res.Sockets-sz.Services-sz.Workers-reserved-server.MaxSockets(0), 1)
 	ram := int(res.RAMMB * (1 << 20))
 	sz.StateBody = min(max(ram/16, 2*page), 24<<20)
 	sz.Held = int64(max(ram/16, 2*page))
--- a/internal/server/address_test.go
+++ b/internal/server/address_test.go
@@ -53,7 +53,7 @@
 func TestBeginsAgainAtOnce(t *testing.T) {
 	addr := freeAddr(t)
 	for range 2 {
-		s := New(testConfig(addr, 10, func(r Request) { r.Reply().Send(Answer{Status: http.StatusOK}) }))
+		s := New(testConfig(addr, 10, func(r Request) { r.Reply().Send(Response{Status: http.StatusOK}) }))
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan error, 1)
 		go func() { ended <- s.Run(ctx) }()
--- a/internal/server/connection.go
+++ b/internal/server/connection.go
@@ -99,8 +99,8 @@
 // answer to the one before it. It returns false, and has the connection closed, if
 // that would exceed the bounds.
 func (s *Server) bufferInput(c *conn, in []byte) bool {
-	maxConnBytes := s.cfg.MaxBody[c.listener] + maxFramingBytes
-	if len(c.in)+len(in) > maxConnBytes || s.bufferedBytes+int64(len(in)) > s.cfg.MaxHeld {
+	maxConnBytes := s.cfg.MaxBodyBytes[c.listener] + maxFramingBytes
+	if len(c.in)+len(in) > maxConnBytes || s.bufferedBytes+int64(len(in)) > s.cfg.MaxBufferedBytes {
 		c.closing = true
 		return false
 	}
@@ -157,8 +157,8 @@
 // of bytes that the request took, 0 if it is incomplete or refused. The lock is held
 // on entry and on return, but not while the handler runs.
 func (s *Server) serveRequest(c *conn, in []byte, now time.Time) int {
-	msg, n, err := http1.ParseRequest(in, http1.Limits{Head: maxHeadBytes, Body: s.cfg.MaxBody[c.listener]})
-	if errors.Is(err, http1.ErrShort) {
+	msg, n, err := http1.ParseRequest(in, http1.Limits{HeadBytes: maxHeadBytes, BodyBytes: s.cfg.MaxBodyBytes[c.listener]})
+	if errors.Is(err, http1.ErrIncomplete) {
 		return 0
 	}
 	if err != nil {
@@ -169,7 +169,7 @@
 	c.waiting = true
 	reply := &Reply{server: s, conn: c, closeAfter: msg.Close}
 	s.mu.Unlock()
-	s.cfg.Handler(Request{Listener: c.listener, Msg: msg, reply: reply})
+	s.cfg.Handler(Request{Listener: c.listener, Message: msg, reply: reply})
 	s.handled++
 	if s.handled%requestsPerYield == 0 {
 		runtime.Gosched()
@@ -191,9 +191,9 @@
 // statusOf returns the status that answers a request with a parse error.
 func statusOf(err error) int {
 	switch {
-	case errors.Is(err, http1.ErrBodyLarge):
+	case errors.Is(err, http1.ErrBodyTooLarge):
 		return http.StatusRequestEntityTooLarge
-	case errors.Is(err, http1.ErrHeadLarge):
+	case errors.Is(err, http1.ErrHeadTooLarge):
 		return http.StatusRequestHeaderFieldsTooLarge
 	}
 	return http.StatusBadRequest
@@ -214,8 +214,8 @@
 }
 
 func (s *Server) expired(c *conn, now time.Time) bool {
-	incomplete := len(c.in) > 0 && !c.waiting && now.Sub(c.requestBegan) > s.cfg.Half
-	idle := !c.waiting && now.Sub(c.lastUsed) > s.cfg.Idle
+	incomplete := len(c.in) > 0 && !c.waiting && now.Sub(c.requestBegan) > s.cfg.RequestTimeout
+	idle := !c.waiting && now.Sub(c.lastUsed) > s.cfg.IdleTimeout
 	discarded := c.refused && now.Sub(c.requestBegan) > discardTimeout
 	return incomplete || idle || discarded
 }
--- a/internal/server/connection_test.go
+++ b/internal/server/connection_test.go
@@ -28,7 +28,7 @@
 	var handled atomic.Int64
 	addr := serveWith(t, 10, func(r Request) {
 		handled.Add(1)
-		r.Reply().Send(Answer{Status: 200})
+		r.Reply().Send(Response{Status: 200})
 	})
 	bad := []struct {
 		name, request string
@@ -75,7 +75,7 @@
 		if !begun.Load() {
 			before.Add(1)
 		}
-		r.Reply().Send(Answer{Status: 200})
+		r.Reply().Send(Response{Status: 200})
 	})
 	const backlog = 64
 	c := dial(t, addr)
--- a/internal/server/eviction.go
+++ b/internal/server/eviction.go
@@ -9,9 +9,9 @@
 	crowdedPercent = 80
 )
 
-// Sockets returns the most sockets that a Server with the given Config.MaxConns holds
+// MaxSockets returns the most sockets that a Server with the given Config.MaxConns holds
 // for connections, including those that are being evicted.
-func Sockets(maxConns int) int { return maxConns + maxEvicting }
+func MaxSockets(maxConns int) int { return maxConns + maxEvicting }
 
 // evictLongestUnused has the longest unused connection closed that may be evicted and
 // does not wait for an answer. It returns false if there is none, or if too many are
@@ -45,4 +45,4 @@
 }
 
 // crowded reports whether most of the connections that may be open are.
-func (s *Server) crowded() bool { return s.Open() > s.cfg.MaxConns*crowdedPercent/100 }
+func (s *Server) crowded() bool { return s.OpenConns() > s.cfg.MaxConns*crowdedPercent/100 }
--- a/internal/server/request.go
+++ b/internal/server/request.go
@@ -13,33 +13,33 @@
 // Request is a parsed request together with the means to answer it.
 type Request struct {
 	Listener Listener // the address that it came to
-	Msg      http1.Message
+	Message  http1.Message
 	reply    *Reply
 }
 
 // Reply returns the handle by which the request is answered.
 func (r *Request) Reply() *Reply { return r.reply }
 
-// Keep exempts the request's connection from eviction when a new connection finds
+// ExemptFromEviction exempts the request's connection from eviction when a new connection finds
 // the server full.
-func (r *Request) Keep() {
+func (r *Request) ExemptFromEviction() {
 	s := r.reply.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.protect(r.reply.conn)
 }
 
-// Answer is a response.
-type Answer struct {
-	Status      int
-	ContentType string // of Body, if there is one
-	Body        []byte
-	RetryAfterS int  // seconds; 0: no Retry-After header
-	Close       bool // close the connection after the answer
-	// Spare closes the connection after the answer if the server is crowded. It suits
+// Response is a response.
+type Response struct {
+	Status            int
+	ContentType       string // of Body, if there is one
+	Body              []byte
+	RetryAfterSeconds int  // seconds; 0: no Retry-After header
+	Close             bool // close the connection after the answer
+	// CloseIfCrowded closes the connection after the answer if the server is crowded. It suits
 	// clients that ask again only after a while: the number of their open connections
 	// then follows their rate of requests and not their number.
-	Spare bool
+	CloseIfCrowded bool
 }
 
 // Reply is the handle by which one request is answered, from any goroutine.
@@ -52,7 +52,7 @@
 
 // Send answers the request. Only the first call has an effect, and none if the
 // connection is closed.
-func (r *Reply) Send(answer Answer) {
+func (r *Reply) Send(answer Response) {
 	if r.sent.Swap(true) {
 		return
 	}
@@ -62,8 +62,8 @@
 	if c.closed {
 		return
 	}
-	closing := answer.Close || r.closeAfter || answer.Spare && s.crowded()
-	c.out = http1.AppendResponse(c.out, answer.Status, answer.ContentType, answer.Body, answer.RetryAfterS, closing)
+	closing := answer.Close || r.closeAfter || answer.CloseIfCrowded && s.crowded()
+	c.out = http1.AppendResponse(c.out, answer.Status, answer.ContentType, answer.Body, answer.RetryAfterSeconds, closing)
 	c.waiting = false
 	if closing {
 		c.closing = true
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -21,15 +21,15 @@
 
 // Config holds the addresses, bounds and dependencies of a Server.
 type Config struct {
-	Addrs    []string         // IP:port each; the index is the Listener
-	MaxConns int              // connections served at a time
-	MaxBody  []int            // bytes of a request body, by Listener
-	MaxHeld  int64            // bytes of buffered input over all connections
-	Half     time.Duration    // longest time in which a request must arrive whole
-	Idle     time.Duration    // longest time that a connection may go unused
-	Log      *slog.Logger     // also takes what gnet logs
-	Handler  Handler          // takes every well-formed request
-	Now      func() time.Time // the clock
+	Addrs            []string         // IP:port each; the index is the Listener
+	MaxConns         int              // connections served at a time
+	MaxBodyBytes     []int            // bytes of a request body, by Listener
+	MaxBufferedBytes int64            // bytes of buffered input over all connections
+	RequestTimeout   time.Duration    // longest time in which a request must arrive whole
+	IdleTimeout      time.Duration    // longest time that a connection may go unused
+	Log              *slog.Logger     // also takes what gnet logs
+	Handler          Handler          // takes every well-formed request
+	Now              func() time.Time // the clock
 }
 
 const (
@@ -72,9 +72,9 @@
 	return s
 }
 
-// Open returns the number of connections that are open. It may be called from any
+// OpenConns returns the number of connections that are open. It may be called from any
 // goroutine.
-func (s *Server) Open() int { return int(s.openConns.Load()) }
+func (s *Server) OpenConns() int { return int(s.openConns.Load()) }
 
 // Run serves until ctx is done, and then returns nil. An event loop that ends by itself,
 // as gnet's does on an error from accept, is started again after a pause. Run returns
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -30,14 +30,14 @@
 func serve(t *testing.T, maxConns int) string {
 	t.Helper()
 	return serveWith(t, maxConns, func(r Request) {
-		if r.Msg.Path == "/keep" {
-			r.Keep()
+		if r.Message.Path == "/keep" {
+			r.ExemptFromEviction()
 		}
 		answer := func() {
-			body := append([]byte(r.Msg.Path+" "), r.Msg.Body...)
-			r.Reply().Send(Answer{Status: http.StatusOK, Body: body, Spare: r.Msg.Path == "/spare"})
+			body := append([]byte(r.Message.Path+" "), r.Message.Body...)
+			r.Reply().Send(Response{Status: http.StatusOK, Body: body, CloseIfCrowded: r.Message.Path == "/spare"})
 		}
-		if r.Msg.Path == "/later" {
+		if r.Message.Path == "/later" {
 			go answer()
 			return
 		}
@@ -65,15 +65,15 @@
 // testConfig returns a configuration with small buffers and no effective time-outs.
 func testConfig(addr string, maxConns int, handler Handler) Config {
 	return Config{
-		Addrs:    []string{addr},
-		MaxConns: maxConns,
-		MaxBody:  []int{1000},
-		MaxHeld:  10_000,
-		Half:     time.Hour,
-		Idle:     time.Hour,
-		Log:      slog.New(slog.DiscardHandler),
-		Now:      time.Now,
-		Handler:  handler,
+		Addrs:            []string{addr},
+		MaxConns:         maxConns,
+		MaxBodyBytes:     []int{1000},
+		MaxBufferedBytes: 10_000,
+		RequestTimeout:   time.Hour,
+		IdleTimeout:      time.Hour,
+		Log:              slog.New(slog.DiscardHandler),
+		Now:              time.Now,
+		Handler:          handler,
 	}
 }
 
--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -188,7 +188,7 @@
 		cl.Resources = config.Resources{CoreShare: 0.5, RAMMB: 128, Sockets: 1024}
 		n.opt.LeaseMS = c.plan.Times.ControllerLease.Milliseconds()
 		n.opt.Quota.Groups = c.plan.Groups
-		if err := n.opt.CheckQuota("plan", n.set); err != nil {
+		if err := n.opt.BuildGroups("plan", n.set); err != nil {
 			return err
 		}
 		c.nodes = append(c.nodes, n)
--- a/internal/simulation/grants.go
+++ b/internal/simulation/grants.go
@@ -116,7 +116,7 @@
 	}
 	ctx, cancel := context.WithTimeout(c.ctx, time.Second)
 	defer cancel()
-	_, err := admin.Quota(ctx, c.nodes[node].set.InternalAddr, peer.QuotaRequest{Set: &set})
+	_, err := admin.RequestQuota(ctx, c.nodes[node].set.InternalAddr, peer.QuotaRequest{Set: &set})
 	return err
 }
 
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -75,7 +75,7 @@
 	for {
 		n, err := l.c.Read(chunk)
 		l.buf = append(l.buf, chunk[:n]...)
-		msg, _, perr := http1.ParseResponse(l.buf, http1.Limits{Head: 8 << 10, Body: 64 << 10})
+		msg, _, perr := http1.ParseResponse(l.buf, http1.Limits{HeadBytes: 8 << 10, BodyBytes: 64 << 10})
 		if perr == nil {
 			if msg.Close {
 				l.drop()
--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -24,9 +24,9 @@
 
 // Exporters. An empty Exporter is None.
 const (
-	None   Exporter = "none"   // no spans
-	Stderr Exporter = "stderr" // standard error
-	File   Exporter = "file"   // the file that Options names
+	ExporterNone   Exporter = "none"   // no spans
+	ExporterStderr Exporter = "stderr" // standard error
+	ExporterFile   Exporter = "file"   // the file that Options names
 )
 
 // newFileMode is the mode of a file that is created for spans.
@@ -48,9 +48,9 @@
 func (o Options) Check() error {
 	good := false
 	switch o.Exporter {
-	case "", None, Stderr:
+	case "", ExporterNone, ExporterStderr:
 		good = o.File == ""
-	case File:
+	case ExporterFile:
 		good = o.File != ""
 	}
 	if !good {
@@ -59,8 +59,8 @@
 	return nil
 }
 
-// On reports whether spans are exported at all.
-func (o Options) On() bool { return o.Exporter == Stderr || o.Exporter == File }
+// Enabled reports whether spans are exported at all.
+func (o Options) Enabled() bool { return o.Exporter == ExporterStderr || o.Exporter == ExporterFile }
 
 // Tracer exports spans. New makes one.
 type Tracer struct {
@@ -72,12 +72,12 @@
 // New returns the tracer of the controller with the given label, or nil if no spans are
 // to be exported.
 func New(o Options, label string) (*Tracer, error) {
-	if !o.On() {
+	if !o.Enabled() {
 		return nil, nil
 	}
 	t := &Tracer{}
 	var out io.Writer = os.Stderr
-	if o.Exporter == File {
+	if o.Exporter == ExporterFile {
 		f, err := os.OpenFile(o.File, os.O_APPEND|os.O_CREATE|os.O_WRONLY, newFileMode)
 		if err != nil {
 			return nil, fmt.Errorf("trace.file: %w", err)
--- a/internal/tracing/tracing_test.go
+++ b/internal/tracing/tracing_test.go
@@ -13,7 +13,7 @@
 // A span is written with the controller's IDs and times, under its parent.
 func TestExport(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "spans.json")
-	tracer, err := New(Options{Exporter: File, File: path}, "n-0")
+	tracer, err := New(Options{Exporter: ExporterFile, File: path}, "n-0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,12 +47,12 @@
 		good    bool
 	}{
 		{"empty", Options{}, true},
-		{"none", Options{Exporter: None}, true},
-		{"stderr", Options{Exporter: Stderr}, true},
-		{"file", Options{Exporter: File, File: "x"}, true},
-		{"file without a path", Options{Exporter: File}, false},
+		{"none", Options{Exporter: ExporterNone}, true},
+		{"stderr", Options{Exporter: ExporterStderr}, true},
+		{"file", Options{Exporter: ExporterFile, File: "x"}, true},
+		{"file without a path", Options{Exporter: ExporterFile}, false},
 		{"unknown exporter", Options{Exporter: "jaeger"}, false},
-		{"none with a path", Options{Exporter: None, File: "x"}, false},
+		{"none with a path", Options{Exporter: ExporterNone, File: "x"}, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if err := tc.options.Check(); (err == nil) != tc.good {
