--- a/internal/controller/cancellation_cascade.go
+++ b/internal/controller/cancellation_cascade.go
@@ -3,6 +3,7 @@
 import (
 	"slices"
 
+	"garnethitch/internal/controller/statestore"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/peer"
 	"garnethitch/internal/wire"
@@ -94,7 +95,7 @@
 	if available <= 0 || away >= nodes {
 		return 0
 	}
-	rate := cfg.WriteRPS * usableFraction * dependentsPart * float64(nodes-away) / float64(nodes)
+	rate := cfg.WriteRPS * statestore.UsableFraction * dependentsPart * float64(nodes-away) / float64(nodes)
 	return int(rate * available.Seconds())
 }
 
@@ -121,13 +122,13 @@
 	}
 	first := todo[0]
 	ownerEpoch := c.claimFor(first)
-	most := min(c.cfg.TxnOps, int(c.stateQueue.writes.rate)/cascadeWritesPart+1)
+	most := min(c.cfg.TxnOps, int(c.stateQueue.WriteRate())/cascadeWritesPart+1)
 	n := 1
 	for n < len(todo) && n < most && todo[n].shard == first.shard && c.claimFor(todo[n]) == ownerEpoch {
 		n++
 	}
 	// What was missed since the last one, up to some transactions' worth, is made up for.
-	w.nextAt = max(w.nextAt, c.now-micros.Second/2) + micros.FromSeconds(float64(n)/(c.stateQueue.writes.rate*dependentsPart))
+	w.nextAt = max(w.nextAt, c.now-micros.Second/2) + micros.FromSeconds(float64(n)/(c.stateQueue.WriteRate()*dependentsPart))
 	c.recordCancelled(first.shard, ownerEpoch, todo[:n])
 }
 
@@ -189,16 +190,16 @@
 		}
 	}
 	generation := w.generation
-	c.askState(classDependents, txn, cascadeTimeout, func(res Result) {
+	c.askState(statestore.ClassDependents, txn, cascadeTimeout, func(res statestore.Reply) {
 		current := w.generation == generation
 		if current {
 			w.underWay--
 		}
-		outcome, failed := txnOutcomeOf(res), failedKeys(res)
-		if current && outcome != txnApplied && len(failed) == 0 {
+		outcome, failed := res.Outcome(), res.FailedKeys()
+		if current && outcome != statestore.Applied && len(failed) == 0 {
 			w.retryAt = c.now + c.jitter(400*micros.Millisecond)
 		}
-		if current && outcome == txnRejected {
+		if current && outcome == statestore.Rejected {
 			c.log(Error, "ends of dependents refused by the state service", "first", jobs[0].id, "changes", txn.Writes())
 			w.retryAt = c.now + c.jitter(refusedPause)
 		}
@@ -209,7 +210,7 @@
 			if c.jobs.open[j.id] != j || j.run != runs[i] {
 				continue // over, or in other hands
 			}
-			if outcome == txnApplied {
+			if outcome == statestore.Applied {
 				c.finishJob(j.id, finalJob{state: wire.StateCancelled, tasks: j.sub.Tasks, recorded: true, endMS: endMS})
 				continue
 			}
@@ -221,7 +222,7 @@
 
 // dependentNotRecorded deals with a dependent whose transaction did not succeed, or
 // may not have: jobChanged and claimLost say which conditions were not met.
-func (c *Controller) dependentNotRecorded(j *job, outcome txnOutcome, jobChanged, claimLost bool) {
+func (c *Controller) dependentNotRecorded(j *job, outcome statestore.Outcome, jobChanged, claimLost bool) {
 	w := &c.cascade
 	r := j.run
 	if r == nil {
@@ -238,7 +239,7 @@
 		c.resolveEnd(j, r)
 	case claimLost:
 		r.nextEndAttemptAt = c.now + c.jitter(micros.Second) // the watch tells the rest
-	case outcome == txnInDoubt:
+	case outcome == statestore.InDoubt:
 		r.endInDoubt = true // a late copy may yet be carried out
 	}
 }
@@ -260,7 +261,7 @@
 			ids = append(ids, id)
 		}
 	}
-	if float64(own) < c.stateQueue.writes.rate*dependentsPart*helpFrom.Seconds() {
+	if float64(own) < c.stateQueue.WriteRate()*dependentsPart*helpFrom.Seconds() {
 		return nil
 	}
 	return ids
--- a/internal/controller/cancellation_cascade_test.go
+++ b/internal/controller/cancellation_cascade_test.go
@@ -6,6 +6,7 @@
 	"strings"
 	"testing"
 
+	"garnethitch/internal/controller/statestore"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/peer"
 	"garnethitch/internal/wire"
@@ -322,7 +323,12 @@
 	if a := h.jobStatus(dependentID(1)); a.Status != 503 {
 		t.Errorf("one that is not recorded yet is answered %d %q", a.Status, stateOf(a))
 	}
-	h.c.stateQueue.requests.tokens = 1
+	for h.c.hasSpareRequests() {
+		for range 50 {
+			h.c.askState(statestore.ClassFleet, GetKey{Key: "x"}, sec, func(statestore.Reply) {})
+		}
+		h.step(Tick{})
+	}
 	before := h.reads
 	if a := h.jobStatus(dependentID(2)); a.Status != 503 || h.reads != before {
 		t.Errorf("without requests to spare: %d after %d reads", a.Status, h.reads-before)
@@ -343,9 +349,9 @@
 			machines := 0
 			h.recordEnd("job-000100", wire.StateCancelled, 0)
 			for range 100 {
-				for len(h.c.stateQueue.queues[classFleet]) < 20 {
+				for h.c.stateQueue.Waiting(statestore.ClassFleet) < 20 {
 					txn := wire.Txn{Then: []wire.Change{{Put: wire.MachineRecordSetKey(0, "x"), Value: encoded(t, wire.MachineRecordSet{})}}}
-					h.c.askState(classFleet, txn, sec, func(r Result) {
+					h.c.askState(statestore.ClassFleet, txn, sec, func(r statestore.Reply) {
 						if r.Status == 200 {
 							machines++
 						}
--- a/internal/controller/checkpoints.go
+++ b/internal/controller/checkpoints.go
@@ -4,6 +4,7 @@
 	"net/http"
 	"slices"
 
+	"garnethitch/internal/controller/statestore"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/wire"
 )
@@ -18,7 +19,7 @@
 func (c *Controller) loadCheckpoints(s *shard, after string, checkpoints map[string]wire.CheckpointRecord, modRevisions map[string]uint64) {
 	ownerEpoch := s.ownerEpoch
 	s.loadingCheckpoints = true
-	c.askState(classEnd, ListKeys{Prefix: wire.PrefixCheckpoint, After: after, Limit: 200}, 3*micros.Second, func(r Result) {
+	c.askState(statestore.ClassEnd, ListKeys{Prefix: wire.PrefixCheckpoint, After: after, Limit: 200}, 3*micros.Second, func(r statestore.Reply) {
 		if !s.active || s.ownerEpoch != ownerEpoch {
 			return
 		}
@@ -141,7 +142,7 @@
 // leave most of the writes to what users wait for.
 func (c *Controller) checkpointPace(s *shard) micros.Micros {
 	jobs := len(c.queue(s))
-	return max(checkpointInterval, micros.FromSeconds(float64(jobs)/(c.stateQueue.writes.rate/2)))
+	return max(checkpointInterval, micros.FromSeconds(float64(jobs)/(c.stateQueue.WriteRate()/2)))
 }
 
 // recordCheckpoint writes a job's newest checkpoint.
@@ -163,29 +164,29 @@
 		If:   []wire.Condition{{Key: ownerKey(s.id), ModRevision: s.ownerEpoch}, {Key: key, ModRevision: r.checkpointModRevision}, {Key: wire.JobKey(j.id), ModRevision: j.modRevision}},
 		Then: []wire.Change{{Put: key, Value: value}},
 	}
-	c.askState(classCheckpoint, txn, 2*micros.Second, func(res Result) {
+	c.askState(statestore.ClassCheckpoint, txn, 2*micros.Second, func(res statestore.Reply) {
 		if j.run != r {
 			return
 		}
-		if revision, ok := txnRevision(res); ok {
+		if revision, ok := res.Revision(); ok {
 			r.checkpointInFlight, r.checkpointModRevision, r.checkpointed = false, revision, covered
 			c.markCheckpointed(j)
 			return
 		}
 		r.checkpointDirty = true
 		r.nextCheckpointAt = c.now + c.jitter(checkpointInterval)
-		switch txnOutcomeOf(res) {
-		case txnNotExecuted:
+		switch res.Outcome() {
+		case statestore.NotExecuted:
 			r.checkpointInFlight = false
 			return
-		case txnRejected:
+		case statestore.Rejected:
 			c.log(Error, "checkpoint refused by the state service", "job", j.id, "bytes", len(value))
 			r.checkpointInFlight = false
 			r.nextCheckpointAt = c.now + c.jitter(refusedPause)
 			return
 		}
 		// In doubt, or a condition failed: see what stands there before writing again.
-		c.askState(classCheckpoint, GetKey{Key: key}, micros.Second, func(res Result) {
+		c.askState(statestore.ClassCheckpoint, GetKey{Key: key}, micros.Second, func(res statestore.Reply) {
 			if j.run != r {
 				return
 			}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -9,6 +9,7 @@
 	"math/rand/v2"
 	"slices"
 
+	"garnethitch/internal/controller/statestore"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/wire"
 	"garnethitch/quota"
@@ -88,9 +89,10 @@
 	wake            micros.Micros
 	lastMaintenance micros.Micros
 
-	stateQueue            stateQueue
-	reads                 jobReads
-	peerQuestionsInFlight int // questions to other controllers under way
+	stateQueue            *statestore.Queue
+	reads                 *statestore.Reads // of job records, for users
+	unsentLogged          uint64            // requests given up unsent when that was last logged
+	peerQuestionsInFlight int               // questions to other controllers under way
 	ownership             ownership
 	contact               workerContact
 	jobs                  jobTable
@@ -136,10 +138,6 @@
 // settings say nothing.
 const defaultJobs = 20_000
 
-// usableFraction is the part of the state service's limits that all controllers together use:
-// its clock and ours may drift apart, and what is sent evenly may arrive in a bunch.
-const usableFraction = 0.95
-
 // New makes a core. Equal seeds and inputs give equal effects.
 func New(cfg Config, seed uint64) *Controller {
 	cfg.MaxOpenJobs = cmp.Or(cfg.MaxOpenJobs, defaultJobs)
@@ -159,18 +157,20 @@
 		teamOf:                map[string]int{},
 		startedAt:             -1, lastStalledAt: -micros.Never,
 	}
-	nodes := float64(len(c.nodes))
-	c.stateQueue.requests = newBucket(cfg.StateRPS * usableFraction / nodes)
-	c.stateQueue.writes = newBucket(cfg.WriteRPS * usableFraction / nodes)
+	c.stateQueue = statestore.NewQueue(statestore.Limits{
+		RequestRate: cfg.StateRPS,
+		WriteRate:   cfg.WriteRPS,
+		Controllers: len(c.nodes),
+		MaxInFlight: cfg.MaxStateRequests,
+	})
+	c.reads = c.newStateReads()
 	for i, t := range cfg.Teams {
 		c.teamOf[t.Name] = i
 	}
 	c.shardOfTeam = AssignTeamsToShards(cfg.Teams, cfg.Shards)
 	c.commandQueue.maxInFlight = max(cfg.MaxWorkerRequests, 8)
 	c.ownership.init(cfg.Shards)
-	c.stateQueue.mostUnderWay = cfg.MaxStateRequests
 	c.ownership.controlWatch.interval = c.watchInterval(controlWatchInterval, controlWatchFraction)
-	c.reads.init()
 	c.jobs.init(c.cfg.MaxFinalJobs)
 	c.cascade.init()
 	c.fleet.init(cfg)
@@ -191,7 +191,8 @@
 	c.visitedBefore = c.visited
 	if c.startedAt < 0 {
 		c.startedAt = c.now
-		c.stateQueue.requests.at, c.stateQueue.writes.at, c.fleet.budget.at = c.now, c.now, c.now
+		c.stateQueue.StartAt(c.now)
+		c.fleet.budget.StartAt(c.now)
 		c.lastMaintenance = c.now - micros.Second
 	}
 	if c.now-c.lastMaintenance > stallThreshold {
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -4,6 +4,7 @@
 	"net/http"
 	"slices"
 
+	"garnethitch/internal/controller/statestore"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/wire"
 )
@@ -241,7 +242,7 @@
 		}
 		t.unknown[id] = c.now + 2*micros.Second
 		t.reads++
-		c.readJob(classDependents, id, func(int) { t.reads-- })
+		c.readJob(statestore.ClassDependents, id, func(int) { t.reads-- })
 	}
 }
 
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -5,6 +5,7 @@
 	"net/http"
 	"slices"
 
+	"garnethitch/internal/controller/ratelimit"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/peer"
 	"garnethitch/internal/wire"
@@ -14,7 +15,7 @@
 // places no tasks. This file keeps what the leader knows; what to rent, assign
 // and move is decided in rent.go, assignment.go and level.go.
 type fleet struct {
-	budget bucket
+	budget ratelimit.Bucket
 
 	typesAt          micros.Micros
 	typesBusy        bool
@@ -58,7 +59,7 @@
 }
 
 func (f *fleet) init(cfg Config) {
-	f.budget = newBucket(cfg.CloudRPS * 0.8)
+	f.budget = ratelimit.NewBucket(cfg.CloudRPS * 0.8)
 	f.reset()
 	f.typesAt = -micros.Never
 }
@@ -95,11 +96,11 @@
 // askCloud sends a request if the budget allows; false if not now.
 func (c *Controller) askCloud(req any, timeout micros.Micros, done func(Result)) bool {
 	b := &c.fleet.budget
-	b.refill(c.now)
-	if b.tokens < 1 {
+	b.Refill(c.now)
+	if b.Tokens() < 1 {
 		return false
 	}
-	b.tokens--
+	b.Take(1)
 	c.call(Call{To: ToCloud, Req: req, Timeout: timeout}, done)
 	return true
 }
--- a/internal/controller/inventory.go
+++ b/internal/controller/inventory.go
@@ -4,6 +4,7 @@
 	"net/http"
 	"slices"
 
+	"garnethitch/internal/controller/statestore"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/wire"
 )
@@ -67,7 +68,7 @@
 		If:   []wire.Condition{{Key: wire.KeyLeader, ModRevision: c.ownership.leader.ownerEpoch}, {Key: wire.KeyTypes, ModRevision: c.fleet.typesModRevision}},
 		Then: []wire.Change{{Put: wire.KeyTypes, Value: value}},
 	}
-	c.askState(classFleet, txn, 2*micros.Second, func(r Result) {
+	c.askState(statestore.ClassFleet, txn, 2*micros.Second, func(r statestore.Reply) {
 		if r.Status == http.StatusOK {
 			c.fleet.typesRaw = value
 		}
@@ -110,7 +111,7 @@
 			f.listed[m.ID] = m
 		}
 		f.listedAt, f.after = f.listFrom, ""
-		f.listNext = c.now + max(c.cfg.ListLag/2, 2*micros.Second, micros.FromSeconds(4*pages/f.budget.rate))
+		f.listNext = c.now + max(c.cfg.ListLag/2, 2*micros.Second, micros.FromSeconds(4*pages/f.budget.Rate()))
 		c.compareList()
 	})
 }
--- a/internal/controller/job_end.go
+++ b/internal/controller/job_end.go
@@ -5,6 +5,7 @@
 	"net/http"
 	"slices"
 
+	"garnethitch/internal/controller/statestore"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/peer"
 	"garnethitch/internal/wire"
@@ -124,18 +125,18 @@
 	if r.checkpointModRevision != 0 || r.checkpointInFlight {
 		txn.Then = append(txn.Then, wire.Change{Delete: wire.CheckpointKey(j.id)})
 	}
-	c.askState(classEnd, txn, 1500*micros.Millisecond, func(res Result) {
+	c.askState(statestore.ClassEnd, txn, 1500*micros.Millisecond, func(res statestore.Reply) {
 		if j.run != r {
 			return
 		}
-		switch txnOutcomeOf(res) {
-		case txnApplied:
+		switch res.Outcome() {
+		case statestore.Applied:
 			c.finishJob(j.id, finalJob{state: state, tasks: j.sub.Tasks, recorded: true, endMS: rec.EndMS})
-		case txnNotExecuted:
+		case statestore.NotExecuted:
 			r.endInFlight = false
 			r.nextEndAttemptAt = c.now + c.jitter(400*micros.Millisecond)
 			c.failWaiters(j)
-		case txnRejected:
+		case statestore.Rejected:
 			// Not executed, and not to be had soon: the state service takes less than the
 			// settings say. Tried again seldom, so that no other write waits behind it.
 			c.log(Error, "end of a job refused by the state service", "job", j.id, "bytes", len(value), "changes", txn.Writes())
@@ -153,7 +154,7 @@
 
 // resolveEnd reads a job whose end is in doubt.
 func (c *Controller) resolveEnd(j *job, r *run) {
-	c.readJob(classEnd, j.id, func(status int) {
+	c.readJob(statestore.ClassEnd, j.id, func(status int) {
 		if j.run != r {
 			return // final, or no longer ours
 		}
--- a/internal/controller/job_reads_test.go
+++ b/internal/controller/job_reads_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"testing"
 
+	"garnethitch/internal/controller/statestore"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/peer"
 	"garnethitch/internal/wire"
@@ -102,9 +103,9 @@
 // class, though their queues are full of work of their own.
 func TestLockReleaseBeforeAllElse(t *testing.T) {
 	h := meet(t, fewRequests)
-	for class := classAccept; class < classCount; class++ {
+	for class := statestore.ClassAccept; class < statestore.ClassCount; class++ {
 		for range 100 {
-			h.c.askState(class, GetKey{Key: "x"}, 5*sec, func(Result) {})
+			h.c.askState(class, GetKey{Key: "x"}, 5*sec, func(statestore.Reply) {})
 		}
 	}
 	s := h.c.ownership.shards[0]
@@ -254,7 +255,7 @@
 	}{
 		{"nothing waits", 0, 1, 1},
 		{"a few", 8, 2, 3}, // 4.3 reads a second are promised
-		{"hundreds", 300, longestRetryAfter, longestRetryAfter},
+		{"hundreds", 300, 10, 10},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := meet(t, fewRequests)
@@ -264,12 +265,12 @@
 			}
 			h.jobStatus(questionID(tc.waiting))
 			reply := h.reply
-			h.run(readTimeout + 300*ms)
+			h.run(statestore.ReadTimeout + 300*ms)
 			if a := h.answers[reply]; tc.waiting > 100 && (a.Status != 503 || a.RetryAfterS < tc.least || a.RetryAfterS > tc.most) {
 				t.Errorf("answered %d, to come back after %d s, want 503 and %d s", a.Status, a.RetryAfterS, tc.least)
 			}
 			if got := h.c.retryAfter(); got < tc.least || got > tc.most {
-				t.Errorf("%d s with %d jobs waiting, want %d to %d s", got, len(h.c.reads.byJob), tc.least, tc.most)
+				t.Errorf("%d s with %d jobs waiting, want %d to %d s", got, h.c.reads.Records(), tc.least, tc.most)
 			}
 		})
 	}
--- a/internal/controller/lease.go
+++ b/internal/controller/lease.go
@@ -3,6 +3,7 @@
 import (
 	"net/http"
 
+	"garnethitch/internal/controller/statestore"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/wire"
 )
@@ -13,7 +14,7 @@
 	o := &c.ownership
 	o.acquiringLease = true
 	asked := c.now
-	c.askState(classLease, wire.NewLease{TTLMS: c.cfg.Lease.Millis()}, micros.Second, func(r Result) {
+	c.askState(statestore.ClassLease, wire.NewLease{TTLMS: c.cfg.Lease.Millis()}, micros.Second, func(r statestore.Reply) {
 		o.acquiringLease = false
 		if l, ok := r.Body.(*wire.Lease); ok && r.Status == http.StatusOK && l.Lease != 0 {
 			o.lease, o.renewedAt = l.Lease, asked
@@ -35,7 +36,7 @@
 	o.renewalsInFlight++
 	asked, lease := c.now, o.lease
 	o.nextRenewalAt = asked + c.cfg.Lease/4
-	c.askState(classLease, RenewLease{Lease: lease}, c.cfg.Lease, func(r Result) {
+	c.askState(statestore.ClassLease, RenewLease{Lease: lease}, c.cfg.Lease, func(r statestore.Reply) {
 		o.renewalsInFlight--
 		if o.lease != lease {
 			return
--- a/internal/controller/machine_records.go
+++ b/internal/controller/machine_records.go
@@ -6,6 +6,7 @@
 	"slices"
 	"strings"
 
+	"garnethitch/internal/controller/statestore"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/peer"
 	"garnethitch/internal/wire"
@@ -264,17 +265,17 @@
 		}
 		txn.Then = append(txn.Then, wire.Change{Put: p.key, Value: value})
 	}
-	c.askState(classFleet, txn, 1500*micros.Millisecond, func(r Result) {
+	c.askState(statestore.ClassFleet, txn, 1500*micros.Millisecond, func(r statestore.Reply) {
 		for _, p := range writes {
 			if p.recordSet != nil {
 				p.recordSet.writeInFlight = false
 				p.recordSet.nextWriteAt = c.now + c.jitter(micros.Second)
 			}
 		}
-		revision, ok := txnRevision(r)
+		revision, ok := r.Revision()
 		if !ok {
-			outcome := txnOutcomeOf(r)
-			inDoubt := outcome != txnNotExecuted && outcome != txnConditionFailed
+			outcome := r.Outcome()
+			inDoubt := outcome != statestore.NotExecuted && outcome != statestore.ConditionFailed
 			done(false, inDoubt) // if it was applied after all, the watch shows it
 			return
 		}
--- a/internal/controller/ownership.go
+++ b/internal/controller/ownership.go
@@ -4,6 +4,7 @@
 	"net/http"
 	"strconv"
 
+	"garnethitch/internal/controller/statestore"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/peer"
 	"garnethitch/internal/wire"
@@ -197,7 +198,7 @@
 	s.refreshingJobsView = true
 	asked := c.now
 	// Where the state service is slow, what lets renewals through lets this through.
-	c.askState(classLease, Watch{Prefix: w.prefix, Since: w.since}, c.cfg.Lease, func(r Result) {
+	c.askState(statestore.ClassLease, Watch{Prefix: w.prefix, Since: w.since}, c.cfg.Lease, func(r statestore.Reply) {
 		if !s.active || s.ownerEpoch != ownerEpoch {
 			return
 		}
@@ -321,14 +322,14 @@
 		Then: []wire.Change{{Put: key, Value: value, Lease: c.ownership.lease}},
 	}
 	lease := c.ownership.lease
-	c.askState(classLease, txn, micros.Second, func(res Result) {
+	c.askState(statestore.ClassLease, txn, micros.Second, func(res statestore.Reply) {
 		// Whether it took effect is for the watch to show, which also shows late
 		// copies and, with it, all machines recorded before.
-		switch outcome := txnOutcomeOf(res); {
-		case outcome == txnRejected && c.ownership.lease == lease:
+		switch outcome := res.Outcome(); {
+		case outcome == statestore.Rejected && c.ownership.lease == lease:
 			c.loseLease()
 			lock.claiming = false
-		case outcome == txnApplied || outcome == txnConditionFailed:
+		case outcome == statestore.Applied || outcome == statestore.ConditionFailed:
 			c.ownership.lastStateReplyAt = c.now
 			c.later(func() { lock.claiming = false })
 			lock.absentSince = c.now // give the watch time before another try
@@ -395,8 +396,8 @@
 	}
 	lock.releasingEpoch = ownerEpoch
 	txn := wire.Txn{If: []wire.Condition{{Key: key, ModRevision: ownerEpoch}}, Then: []wire.Change{{Delete: key}}}
-	c.askState(classLease, txn, micros.Second, func(res Result) {
-		if lock.ownerEpoch != ownerEpoch || txnOutcomeOf(res) == txnApplied {
+	c.askState(statestore.ClassLease, txn, micros.Second, func(res statestore.Reply) {
+		if lock.ownerEpoch != ownerEpoch || res.Outcome() == statestore.Applied {
 			return // the watch shows the rest
 		}
 		lock.releasingEpoch = 0
--- a/internal/controller/quota.go
+++ b/internal/controller/quota.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 
+	"garnethitch/internal/controller/statestore"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/peer"
 	"garnethitch/internal/wire"
@@ -132,7 +133,7 @@
 // refreshQuota reads all records, page by page.
 func (c *Controller) refreshQuota(s *shard, ownerEpoch uint64, after string) {
 	const page = 200
-	c.askState(classLease, ListKeys{Prefix: wire.PrefixQuota, After: after, Limit: page}, c.cfg.Lease, func(r Result) {
+	c.askState(statestore.ClassLease, ListKeys{Prefix: wire.PrefixQuota, After: after, Limit: page}, c.cfg.Lease, func(r statestore.Reply) {
 		if !s.active || s.ownerEpoch != ownerEpoch {
 			return
 		}
@@ -187,7 +188,7 @@
 
 // readQuota reads a group's record anew; until that has come about, again and again.
 func (c *Controller) readQuota(group string) {
-	c.askState(classFleet, GetKey{Key: wire.QuotaKey(group)}, quotaTimeout, func(r Result) {
+	c.askState(statestore.ClassFleet, GetKey{Key: wire.QuotaKey(group)}, quotaTimeout, func(r statestore.Reply) {
 		switch kv, ok := r.Body.(*wire.KeyValue); {
 		case r.Status == http.StatusNotFound:
 		case ok && r.Status == http.StatusOK:
@@ -217,16 +218,16 @@
 		txn.If = append(txn.If, wire.Condition{Key: ownerKey(id), ModRevision: c.ownership.shards[id].ownerEpoch})
 	}
 	txn.Then = []wire.Change{{Put: wire.QuotaKey(w.Group), Value: value}}
-	c.askState(classFleet, txn, quotaTimeout, func(r Result) {
-		if revision, ok := txnRevision(r); ok {
+	c.askState(statestore.ClassFleet, txn, quotaTimeout, func(r statestore.Reply) {
+		if revision, ok := r.Revision(); ok {
 			done(quota.Applied, revision)
 			c.indexQuota()
 			return
 		}
-		switch txnOutcomeOf(r) {
-		case txnConditionFailed:
+		switch r.Outcome() {
+		case statestore.ConditionFailed:
 			done(quota.Refused, 0)
-		case txnNotExecuted, txnRejected:
+		case statestore.NotExecuted, statestore.Rejected:
 			done(quota.NotSent, 0)
 		default:
 			done(quota.Unknown, 0)
--- a/internal/controller/rebalancing_test.go
+++ b/internal/controller/rebalancing_test.go
@@ -3,6 +3,7 @@
 import (
 	"testing"
 
+	"garnethitch/internal/controller/ratelimit"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/peer"
 	"garnethitch/internal/wire"
@@ -72,7 +73,7 @@
 			c.machines[id] = &machine{id: id, rec: machineRecord{Zone: "a", Type: "m"}}
 			d.Machines = append(d.Machines, peer.Machine{ID: id, State: peer.MachineUnreconciled, SinceUS: int64(tc.since)})
 		}
-		c.fleet.budget.tokens = 10
+		c.fleet.budget = ratelimit.NewBucket(10)
 		c.replaceUnhealthy(map[int]*peer.Demand{0: d})
 		if got := len(c.fleet.returning) == tc.unreconciled; got != tc.want || !tc.want && len(c.fleet.returning) > 0 {
 			t.Errorf("%s: %d returned, want it: %v", tc.name, len(c.fleet.returning), tc.want)
--- a/internal/controller/scale_in_test.go
+++ b/internal/controller/scale_in_test.go
@@ -3,6 +3,7 @@
 import (
 	"testing"
 
+	"garnethitch/internal/controller/ratelimit"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/peer"
 	"garnethitch/internal/wire"
@@ -27,7 +28,7 @@
 			HeartbeatInterval: 10 * sec, WorkerLease: 45 * sec, SilentReturn: -1}, 1)
 		c.machines["vm-1"] = &machine{id: "vm-1", rec: machineRecord{Zone: tc.zone}}
 		d := &peer.Demand{All: 100, Silent: 21, Zones: tc.zones, Machines: []peer.Machine{{ID: "vm-1", State: peer.MachineSilent, SinceUS: int64(tc.since)}}}
-		c.fleet.budget.tokens = 10
+		c.fleet.budget = ratelimit.NewBucket(10)
 		c.replaceUnhealthy(map[int]*peer.Demand{0: d})
 		if got := c.fleet.returning["vm-1"]; got != tc.want {
 			t.Errorf("%s: returned %v, want %v", tc.name, got, tc.want)
--- /dev/null
+++ b/internal/controller/state_requests.go
@@ -0,0 +1,107 @@
+package controller
+
+import (
+	"garnethitch/internal/controller/statestore"
+	"garnethitch/internal/micros"
+	"garnethitch/internal/wire"
+)
+
+// newStateReads returns the reads of job records on behalf of users.
+func (c *Controller) newStateReads() *statestore.Reads {
+	return statestore.NewReads(statestore.ReadsConfig{
+		Queue:      c.stateQueue,
+		MaxRecords: c.cfg.MaxOpenJobs,
+		NewRequest: func(id string) any { return GetKey{Key: wire.JobKey(id)} },
+		Learn:      c.learnRead,
+		Defer:      c.later,
+	})
+}
+
+// askState queues a request to the state service. done is called exactly once.
+func (c *Controller) askState(class statestore.Class, body any, timeout micros.Micros, done func(statestore.Reply)) {
+	request := statestore.Request{
+		Body:      body,
+		Timeout:   timeout,
+		QueuedAt:  c.now,
+		ExpiresAt: c.now + timeout,
+		Done:      done,
+	}
+	if txn, ok := body.(wire.Txn); ok {
+		request.Writes = float64(txn.Writes())
+	}
+	if !c.stateQueue.Push(class, request) {
+		c.later(func() { done(statestore.Reply{NotSent: true}) })
+	}
+}
+
+// drainState sends the requests to the state service that the limits allow.
+func (c *Controller) drainState() {
+	for {
+		c.reads.Offer(c.now)
+		if expired, ok := c.stateQueue.Expire(c.now); ok {
+			c.later(func() { expired.Done(statestore.Reply{NotSent: true}) })
+			continue
+		}
+		request, ok, wait := c.stateQueue.Next(c.now)
+		if !ok {
+			if wait > 0 {
+				c.wakeIn(wait)
+			}
+			return
+		}
+		c.callState(request)
+	}
+}
+
+// callState sends a request to the state service.
+func (c *Controller) callState(request statestore.Request) {
+	if request.Sent != nil {
+		request.Sent()
+	}
+	c.call(Call{To: ToState, Req: request.Body, Timeout: request.Timeout}, func(r Result) {
+		c.stateQueue.Answered(request)
+		request.Done(statestore.Reply{Status: r.Status, Body: r.Body, NotSent: r.NotSent})
+	})
+}
+
+// hasSpareRequests reports whether half of a second's requests to the state service are left,
+// and nothing waits for its turn.
+func (c *Controller) hasSpareRequests() bool {
+	return c.reads.Waiting() == 0 && c.stateQueue.HasSpareRequests(c.now)
+}
+
+// readForUser reads a job's record for a user. done is called with 200, 404 or
+// statestore.NoAnswer.
+func (c *Controller) readForUser(id string, done func(status int)) { c.reads.Ask(c.now, id, done) }
+
+// retryAfter returns after how many seconds a user who is refused now is to try again.
+func (c *Controller) retryAfter() int { return c.reads.RetryAfter() }
+
+// StateRequests returns the metrics of the requests to the state service, the most urgent
+// class first.
+func (c *Controller) StateRequests() []statestore.ClassMetrics {
+	metrics := c.stateQueue.Metrics(c.now)
+	metrics[statestore.ClassQuestion].Depth = c.reads.Waiting() // of which one is queued
+	return metrics
+}
+
+// logStateRequests logs the metrics of the classes that were used, as information whenever
+// more requests were given up unsent.
+func (c *Controller) logStateRequests() {
+	level, unsent := Debug, uint64(0)
+	var args []any
+	for _, m := range c.StateRequests() {
+		unsent += m.Expired + m.Rejected
+		if m.Sent+m.Expired+m.Rejected == 0 && m.Depth == 0 {
+			continue
+		}
+		class := m.Class.String()
+		args = append(args, class+"_sent", m.Sent, class+"_waiting", m.Depth, class+"_oldest_ms", m.Oldest.Millis(),
+			class+"_longest_ms", m.LongestWait.Millis(), class+"_expired", m.Expired, class+"_rejected", m.Rejected)
+	}
+	if unsent > c.unsentLogged {
+		c.unsentLogged = unsent
+		level = Info
+	}
+	c.log(level, "state requests", args...)
+}
--- /dev/null
+++ b/internal/controller/statestore/metrics.go
@@ -0,0 +1,43 @@
+package statestore
+
+import "garnethitch/internal/micros"
+
+// ClassMetrics are the metrics of the requests of one class.
+type ClassMetrics struct {
+	Class Class
+	// Depth is the number of requests that wait, Oldest how long the first of them has.
+	Depth  int
+	Oldest micros.Micros
+	// Sent counts requests that were sent, Expired those that waited for too long, and
+	// Rejected those that found the queue full. The last two were never sent.
+	Sent, Expired, Rejected uint64
+	// LongestWait is the longest that a request which was sent had waited.
+	LongestWait micros.Micros
+}
+
+// classCounters counts the requests of one class since the start.
+type classCounters struct {
+	sent, expired, rejected uint64
+	longestWait             micros.Micros
+}
+
+// Metrics returns the metrics of all classes, the most urgent first.
+func (q *Queue) Metrics(now micros.Micros) []ClassMetrics {
+	metrics := make([]ClassMetrics, 0, ClassCount)
+	for class := range ClassCount {
+		count := q.counters[class]
+		m := ClassMetrics{
+			Class:       class,
+			Depth:       q.Waiting(class),
+			Sent:        count.sent,
+			Expired:     count.expired,
+			Rejected:    count.rejected,
+			LongestWait: count.longestWait,
+		}
+		if m.Depth > 0 {
+			m.Oldest = now - q.waiting[class][0].QueuedAt
+		}
+		metrics = append(metrics, m)
+	}
+	return metrics
+}
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -3,6 +3,7 @@
 import (
 	"net/http"
 
+	"garnethitch/internal/controller/statestore"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/peer"
 	"garnethitch/internal/wire"
@@ -166,12 +167,12 @@
 
 // readJob reads a job's record on behalf of other work; status is 200 (and the job is known
 // from then on), 404, or 0 when there was no answer. For users there is readForUser.
-func (c *Controller) readJob(class requestClass, id string, done func(status int)) {
-	c.askState(class, GetKey{Key: wire.JobKey(id)}, readTimeout, func(r Result) { done(c.learnRead(r)) })
+func (c *Controller) readJob(class statestore.Class, id string, done func(status int)) {
+	c.askState(class, GetKey{Key: wire.JobKey(id)}, statestore.ReadTimeout, func(r statestore.Reply) { done(c.learnRead(r)) })
 }
 
 // learnRead takes what the read of a job's record brought: 200, 404, or 0 for no answer.
-func (c *Controller) learnRead(r Result) (status int) {
+func (c *Controller) learnRead(r statestore.Reply) (status int) {
 	switch r.Status {
 	case http.StatusOK:
 		kv, ok := r.Body.(*wire.KeyValue)
@@ -304,7 +305,7 @@
 		c.refuseSubmission(in.Reply, id, http.StatusBadRequest)
 		return
 	}
-	if len(c.jobs.open) >= c.cfg.MaxOpenJobs || c.stateQueue.waiting(classAccept) > maxAccepting {
+	if len(c.jobs.open) >= c.cfg.MaxOpenJobs || c.stateQueue.Waiting(statestore.ClassAccept) > maxAccepting {
 		c.answer(in.Reply, http.StatusTooManyRequests, nil, 2)
 		return
 	}
@@ -424,15 +425,15 @@
 		If:   []wire.Condition{{Key: wire.JobKey(id), ModRevision: 0}},
 		Then: []wire.Change{{Put: wire.JobKey(id), Value: value}},
 	}
-	c.askState(classAccept, txn, 1200*micros.Millisecond, func(r Result) {
-		if revision, ok := txnRevision(r); ok {
+	c.askState(statestore.ClassAccept, txn, 1200*micros.Millisecond, func(r statestore.Reply) {
+		if revision, ok := r.Revision(); ok {
 			c.ownership.lastStateReplyAt = c.now
 			c.learnJob(id, rec, revision)
 			c.sendJobRecordHint(id, revision, value)
 			finish(http.StatusCreated, rec.State)
 			return
 		}
-		if txnOutcomeOf(r) == txnNotExecuted {
+		if r.Outcome() == statestore.NotExecuted {
 			finish(http.StatusServiceUnavailable, "")
 			return
 		}
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -7,6 +7,7 @@
 	"strconv"
 	"strings"
 
+	"garnethitch/internal/controller/statestore"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/wire"
 	"garnethitch/quota"
@@ -52,7 +53,7 @@
 // watchInterval is the least time between two watches of a prefix: as given, or more where the
 // state service takes few requests.
 func (c *Controller) watchInterval(every micros.Micros, part float64) micros.Micros {
-	return max(every, micros.FromSeconds(1/(part*c.stateQueue.requests.rate)))
+	return max(every, micros.FromSeconds(1/(part*c.stateQueue.RequestRate())))
 }
 
 // watchTimeout is how long a watch waits for changes. Where a job is held the view of jobs must
@@ -78,7 +79,7 @@
 		return
 	}
 	req, asked := Watch{Prefix: w.prefix, Since: w.since, WaitMS: w.blockTimeout.Millis()}, c.now
-	c.askState(classLease, req, w.blockTimeout+2*micros.Second, func(r Result) {
+	c.askState(statestore.ClassLease, req, w.blockTimeout+2*micros.Second, func(r statestore.Reply) {
 		w.inFlight = false
 		switch body := r.Body.(type) {
 		case *wire.Events:
@@ -109,7 +110,7 @@
 	if w.after == "" {
 		w.listStartedAt = c.now
 	}
-	c.askState(classLease, ListKeys{Prefix: w.prefix, After: w.after, Limit: page}, 3*micros.Second, func(r Result) {
+	c.askState(statestore.ClassLease, ListKeys{Prefix: w.prefix, After: w.after, Limit: page}, 3*micros.Second, func(r statestore.Reply) {
 		w.inFlight = false
 		body, ok := r.Body.(*wire.KeyList)
 		if !ok || r.Status != http.StatusOK {
--- a/internal/controller/watch_test.go
+++ b/internal/controller/watch_test.go
@@ -3,6 +3,7 @@
 import (
 	"testing"
 
+	"garnethitch/internal/controller/statestore"
 	"garnethitch/internal/wire"
 )
 
@@ -85,3 +86,11 @@
 		}
 	}
 }
+
+// The watches that every controller holds take no more than the part of the requests that is
+// left to leases.
+func TestWatchFractionsFit(t *testing.T) {
+	if controlWatchFraction+jobWatchFraction > statestore.LeaseFraction {
+		t.Errorf("watches take %.2f of the requests, leases may take %.2f", controlWatchFraction+jobWatchFraction, statestore.LeaseFraction)
+	}
+}
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -10,6 +10,7 @@
 	"math/rand/v2"
 
 	"garnethitch/internal/controller"
+	"garnethitch/internal/controller/statestore"
 	"garnethitch/internal/eventqueue"
 	"garnethitch/internal/micros"
 	"garnethitch/quota"
@@ -123,7 +124,7 @@
 	// groups' records.
 	LimitsSet, GroupWrites int
 	groups                 map[string]quota.Record
-	stateRequests          []controller.RequestClassMetrics // of processes that have ended
+	stateRequests          []statestore.ClassMetrics // of processes that have ended
 	// Trace, if set, hears what happens.
 	Trace func(string)
 	// Sent, if set, is called with each Answer and Call of each controller, in the order in
--- a/internal/simulation/state_requests.go
+++ b/internal/simulation/state_requests.go
@@ -1,6 +1,9 @@
 package simulation
 
-import "garnethitch/internal/controller"
+import (
+	"garnethitch/internal/controller"
+	"garnethitch/internal/controller/statestore"
+)
 
 // Requests to the state service, counted over all controllers and their former processes.
 
@@ -8,7 +11,7 @@
 func (s *Simulation) noteStateRequests(c *controller.Controller) {
 	for i, m := range c.StateRequests() {
 		if i == len(s.stateRequests) {
-			s.stateRequests = append(s.stateRequests, controller.RequestClassMetrics{Class: m.Class})
+			s.stateRequests = append(s.stateRequests, statestore.ClassMetrics{Class: m.Class})
 		}
 		sum := &s.stateRequests[i]
 		sum.Sent += m.Sent
@@ -19,7 +22,7 @@
 }
 
 // StateRequests gives the sums of a run that is over, by class; call it once.
-func (s *Simulation) StateRequests() []controller.RequestClassMetrics {
+func (s *Simulation) StateRequests() []statestore.ClassMetrics {
 	for _, n := range s.Nodes {
 		if n.controller != nil {
 			s.noteStateRequests(n.controller)
