--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -261,7 +261,7 @@
 // maintenanceInterval is how often maintain runs.
 func (c *Controller) maintenanceInterval() micros.Micros {
 	o := &c.ownership
-	if o.lease == 0 || !o.controlWatch.ready || !o.jobWatch.ready || o.leader.ownerEpoch == 0 || len(c.types) == 0 {
+	if o.lease == 0 || !o.controlWatch.ready() || !o.jobWatch.ready() || o.leader.ownerEpoch == 0 || len(c.types) == 0 {
 		return busyInterval
 	}
 	for _, s := range o.shards {
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -161,7 +161,7 @@
 		return !j.dependencyCancelled
 	}
 	w := &c.ownership.jobWatch
-	if !w.ready || c.now-w.completeAsOf > min(maxBlockedViewAge, c.cfg.Cancel/2) {
+	if !w.ready() || c.now-w.completeAsOf > min(maxBlockedViewAge, c.cfg.Cancel/2) {
 		return false
 	}
 	return c.knowsAllNeeded(j)
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -660,7 +660,8 @@
 		}},
 		{"it is listing anew", func(h *harness) {
 			h.watchBlocked = wire.PrefixJob
-			h.c.ownership.jobWatch.ready, h.c.ownership.jobWatch.inFlight = false, true
+			h.c.ownership.jobWatch.listAgain()
+			h.c.ownership.jobWatch.inFlight = true
 		}},
 		{"the dependency's end is not in memory", func(h *harness) {
 			h.c.jobs.unknown["job-000001"] = micros.Never
--- a/internal/controller/inventory.go
+++ b/internal/controller/inventory.go
@@ -19,7 +19,7 @@
 	every := 30 * micros.Second
 	if len(c.types) == 0 {
 		every = micros.Second
-		if !c.ownership.controlWatch.ready {
+		if !c.ownership.controlWatch.ready() {
 			return
 		}
 	} else if !c.leading() {
--- a/internal/controller/ownership.go
+++ b/internal/controller/ownership.go
@@ -72,7 +72,7 @@
 	shards                 []*shard
 	leader                 lock
 	steppedDownEpoch       uint64 // mark of the leader key that we are letting go
-	controlWatch, jobWatch watched
+	controlWatch, jobWatch watch
 	releasedAt             micros.Micros
 }
 
@@ -80,8 +80,8 @@
 	for i := range shards {
 		o.shards = append(o.shards, &shard{id: i})
 	}
-	o.controlWatch = watched{prefix: wire.PrefixControl, interval: controlWatchInterval, blockTimeout: watchTimeout, openedAt: -micros.Never, completeAsOf: -micros.Never}
-	o.jobWatch = watched{prefix: wire.PrefixJob, interval: jobWatchInterval, blockTimeout: watchTimeout, openedAt: -micros.Never, completeAsOf: -micros.Never}
+	o.controlWatch = newWatch(wire.PrefixControl, controlWatchInterval)
+	o.jobWatch = newWatch(wire.PrefixJob, jobWatchInterval)
 	o.lastStateReplyAt = -micros.Never
 }
 
@@ -125,7 +125,7 @@
 	c.follow(&o.jobWatch)
 	c.followQuota()
 	c.releaseLocks()
-	if !o.controlWatch.ready || !c.leaseValid() {
+	if !o.controlWatch.ready() || !c.leaseValid() {
 		return
 	}
 	for _, s := range o.shards {
@@ -192,7 +192,7 @@
 // wait: the long poll may have hung on a cut connection for long.
 func (c *Controller) refreshJobsView(s *shard) {
 	ownerEpoch, w := s.ownerEpoch, &c.ownership.jobWatch
-	if !w.ready || s.refreshingJobsView {
+	if !w.ready() || s.refreshingJobsView {
 		return // the listing under way comes first; maintainMachines asks again
 	}
 	s.refreshingJobsView = true
@@ -205,7 +205,7 @@
 		s.refreshingJobsView = false
 		body, ok := r.Body.(*wire.Events)
 		if mustListAgain(r.Status) {
-			w.ready = false
+			w.listAgain()
 		}
 		if !ok || r.Status != http.StatusOK || body.Revision < ownerEpoch {
 			return
--- a/internal/controller/quota.go
+++ b/internal/controller/quota.go
@@ -19,7 +19,7 @@
 type quotas struct {
 	tree   *quota.Tree   // this controller's options; nil: none
 	ledger *quota.Ledger // nil: there are no groups
-	watch  watched
+	watch  watch
 	// paths are each team's groups, the innermost first, members each group's teams;
 	// both by the records.
 	paths   [][]string
@@ -50,7 +50,7 @@
 		return
 	}
 	q.ledger = quota.NewLedger(quota.Config{Shards: c.cfg.Shards, Timing: quota.DefaultTiming()})
-	q.watch = watched{prefix: wire.PrefixQuota, interval: c.watchInterval(controlWatchInterval, quotaWatchFraction), blockTimeout: watchTimeout, openedAt: -micros.Never}
+	q.watch = newWatch(wire.PrefixQuota, c.watchInterval(controlWatchInterval, quotaWatchFraction))
 	q.paths = make([][]string, len(c.cfg.Teams))
 	q.members = map[string][]int{}
 	q.tracer = quotaTracer{own: map[traceKey]openTrace{}, remote: map[traceKey]openTrace{}}
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -17,7 +17,7 @@
 func (c *Controller) handleReadiness(in ReadinessRequest) {
 	status := http.StatusServiceUnavailable
 	switch {
-	case c.ownership.jobWatch.ready && c.ownership.controlWatch.ready && len(c.types) > 0:
+	case c.ownership.jobWatch.ready() && c.ownership.controlWatch.ready() && len(c.types) > 0:
 		if c.servesUsers() {
 			status = http.StatusOK
 		}
@@ -292,7 +292,7 @@
 		c.jobState(id, func(a peer.Answer) { c.answerQuestion(in.Reply, id, a) })
 		return
 	}
-	if len(c.types) == 0 || !c.ownership.jobWatch.ready {
+	if len(c.types) == 0 || !c.ownership.jobWatch.ready() {
 		c.answer(in.Reply, http.StatusServiceUnavailable, nil, 1)
 		return
 	}
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -1,266 +1,226 @@
 package controller
 
 import (
-	"maps"
 	"net/http"
-	"slices"
-	"strconv"
-	"strings"
 
 	"garnethitch/internal/controller/statestore"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/wire"
-	"garnethitch/quota"
 )
 
-// How a node follows the records of the state service: a listing, then a watch.
-
-// watched is a prefix followed by one long poll.
-type watched struct {
-	prefix       string
-	since        uint64
-	ready        bool
-	inFlight     bool
-	openedAt     micros.Micros
-	interval     micros.Micros
-	blockTimeout micros.Micros // how long a watch waits for changes
-	listed       map[string]bool
-	after        string
-	listRevision uint64 // revision of the listing's first page
-	// completeAsOf: all that stood then is known, unless it has left memory. It is when
-	// what brought it was asked for, since the answer may have been long on its way.
-	completeAsOf  micros.Micros
-	listStartedAt micros.Micros // when the listing under way began
-}
-
-// What the others' jobs do is nobody's hurry: an owner hears of a new job from the
-// node that took it, and a claim looks by itself. Where a job of this node is held
-// until another's job is done, it is.
+// The least time between two watches of a prefix. The jobs of other controllers are not urgent:
+// an owner learns of a new job from the controller that accepted it, and a claim refreshes the
+// view of jobs. They are more urgent where a job of this controller is blocked on one of them.
 const (
 	controlWatchInterval = 80 * micros.Millisecond
 	jobWatchInterval     = 400 * micros.Millisecond
 	blockedWatchInterval = 120 * micros.Millisecond
 )
 
-// Watches go with leases, before all else, and where records change all the time each ends
-// at once. These are the parts of this node's requests that they take at most; see leaseFraction.
+// The parts of a controller's requests that watches take at most. They are of ClassLease, and
+// where records change all the time each ends at once; see statestore.LeaseFraction.
 const (
 	controlWatchFraction = 0.27
 	jobWatchFraction     = 0.18
 	quotaWatchFraction   = 0.10 // on top, where groups are kept
 )
 
-// watchInterval is the least time between two watches of a prefix: as given, or more where the
-// state service takes few requests.
-func (c *Controller) watchInterval(every micros.Micros, part float64) micros.Micros {
-	return max(every, micros.FromSeconds(1/(part*c.stateQueue.RequestRate())))
-}
-
-// watchTimeout is how long a watch waits for changes. Where a job is held the view of jobs must
-// stay newer than maxBlockedViewAge: two watches that bring nothing take less.
 const (
-	watchTimeout        = 5 * micros.Second
+	// watchTimeout is how long the state service holds a watch open without changes.
+	watchTimeout = 5 * micros.Second
+	// blockedWatchTimeout is watchTimeout of jobs while a job is blocked on another: two
+	// watches without changes must take less than maxBlockedViewAge.
 	blockedWatchTimeout = 2 * micros.Second
+	// watchReplyTimeout is how long the answer to a watch may take beyond its timeout.
+	watchReplyTimeout = 2 * micros.Second
+	// listTimeout is how long the answer to a listing may take.
+	listTimeout = 3 * micros.Second
+	// keysPerPage bounds the keys in one page of a listing.
+	keysPerPage = 500
 )
 
-// follow keeps a prefix listed and watched.
-func (c *Controller) follow(w *watched) {
-	if w.inFlight {
-		return
+// watchPhase is how the keys of a watch are followed.
+type watchPhase int
+
+const (
+	// watchListing: the keys are listed, page by page.
+	watchListing watchPhase = iota
+	// watchFollowing: all keys have been listed, and changes are waited for.
+	watchFollowing
+)
+
+// String returns the name of the phase.
+func (p watchPhase) String() string {
+	if p == watchFollowing {
+		return "following"
 	}
-	if wait := w.openedAt + w.interval - c.now; wait > 0 {
-		c.wakeIn(wait)
-		return
+	return "listing"
+}
+
+// watch keeps the view of the keys with a prefix current: a listing, and from its revision on
+// one long poll after the other.
+type watch struct {
+	prefix       string
+	interval     micros.Micros // least time between two requests
+	blockTimeout micros.Micros // how long a long poll waits for changes
+
+	phase watchPhase
+	// inFlight is set while a request is not answered yet. The next one is made at
+	// openedAt+interval, where openedAt is when the last one was made.
+	inFlight bool
+	openedAt micros.Micros
+
+	// since is the revision up to which changes are known.
+	since uint64
+	// completeAsOf is the time of which all that the state service held is known, unless it
+	// has left memory: when what brought it was asked for, since the answer may have been
+	// long on its way.
+	completeAsOf micros.Micros
+
+	listing keyListing // under way in watchListing
+}
+
+// keyListing is a listing of keys in pages.
+type keyListing struct {
+	startedAt micros.Micros
+	revision  uint64 // of the first page
+	after     string // the last key listed; "" before the first page
+	keys      map[string]bool
+}
+
+// newWatch returns a watch that is about to list its keys.
+func newWatch(prefix string, interval micros.Micros) watch {
+	return watch{
+		prefix:       prefix,
+		interval:     interval,
+		blockTimeout: watchTimeout,
+		openedAt:     -micros.Never,
+		completeAsOf: -micros.Never,
 	}
+}
+
+// ready reports whether all keys have been listed, so that the view is that of completeAsOf.
+func (w *watch) ready() bool { return w.phase == watchFollowing }
+
+// listAgain has the keys listed anew by the next request.
+func (w *watch) listAgain() { w.phase = watchListing }
+
+// untilNext returns how long until the next request may be made; not above 0: now.
+func (w *watch) untilNext(now micros.Micros) micros.Micros { return w.openedAt + w.interval - now }
+
+// nextRequest returns the request that is to be made now, and how long to wait for its answer.
+func (w *watch) nextRequest(now micros.Micros) (body any, timeout micros.Micros) {
 	w.inFlight = true
-	w.openedAt = c.now
-	if !w.ready {
-		c.listPage(w)
+	w.openedAt = now
+	if w.phase == watchFollowing {
+		body = Watch{Prefix: w.prefix, Since: w.since, WaitMS: w.blockTimeout.Millis()}
+		return body, w.blockTimeout + watchReplyTimeout
+	}
+	if w.listing.after == "" {
+		w.listing.startedAt = now
+	}
+	return ListKeys{Prefix: w.prefix, After: w.listing.after, Limit: keysPerPage}, listTimeout
+}
+
+// takePage takes in a page of the listing.
+func (w *watch) takePage(page *wire.KeyList) {
+	l := &w.listing
+	if l.after == "" {
+		l.revision = page.Revision
+		l.keys = map[string]bool{}
+	}
+	for _, kv := range page.Items {
+		l.keys[kv.Key] = true
+		l.after = kv.Key
+	}
+	w.openedAt = -micros.Never // the next request follows at once
+}
+
+// finishListing goes over from the listing to following changes.
+func (w *watch) finishListing() {
+	w.phase = watchFollowing
+	w.since = w.listing.revision
+	w.completeAsOf = max(w.completeAsOf, w.listing.startedAt)
+	w.listing = keyListing{}
+}
+
+// takeChanges takes in that all changes up to a revision are known.
+func (w *watch) takeChanges(revision uint64) {
+	w.since = max(w.since, revision)
+	w.completeAsOf = max(w.completeAsOf, w.openedAt)
+}
+
+// takeFailure takes in that a watch has ended without an answer that can be used.
+func (w *watch) takeFailure(now micros.Micros, status int) {
+	if mustListAgain(status) {
+		w.listAgain()
 		return
 	}
-	req, asked := Watch{Prefix: w.prefix, Since: w.since, WaitMS: w.blockTimeout.Millis()}, c.now
-	c.askState(statestore.ClassLease, req, w.blockTimeout+2*micros.Second, func(r statestore.Reply) {
-		w.inFlight = false
-		switch body := r.Body.(type) {
-		case *wire.Events:
-			if r.Status != http.StatusOK {
-				break
-			}
-			c.ownership.lastStateReplyAt = c.now
-			c.applyEvents(body.Events)
-			w.since = max(w.since, body.Revision)
-			w.completeAsOf = max(w.completeAsOf, asked)
-		default:
-			if mustListAgain(r.Status) {
-				w.ready = false
-			} else {
-				w.openedAt = c.now // pause before the next try
-			}
-		}
-		c.follow(w)
-	})
+	w.openedAt = now // pause before the next request
 }
 
-// mustListAgain: changes since then are no longer kept, or are too many for one
-// answer, as after an outage or a freeze. What stands is listed again.
+// mustListAgain reports whether the keys have to be listed anew after a watch: the changes are
+// no longer kept, or are too many for one answer.
 func mustListAgain(status int) bool { return status == http.StatusGone || status == TooLarge }
 
-func (c *Controller) listPage(w *watched) {
-	const page = 500
-	if w.after == "" {
-		w.listStartedAt = c.now
-	}
-	c.askState(statestore.ClassLease, ListKeys{Prefix: w.prefix, After: w.after, Limit: page}, 3*micros.Second, func(r statestore.Reply) {
-		w.inFlight = false
-		body, ok := r.Body.(*wire.KeyList)
-		if !ok || r.Status != http.StatusOK {
-			return
-		}
-		c.ownership.lastStateReplyAt = c.now
-		if w.after == "" {
-			w.listRevision = body.Revision
-			w.listed = map[string]bool{}
-		}
-		for _, kv := range body.Items {
-			w.listed[kv.Key] = true
-			w.after = kv.Key
-			c.applyPut(kv.Key, kv.Value, kv.ModRevision)
-		}
-		w.openedAt = -micros.Never
-		if body.More && len(body.Items) > 0 {
-			return
-		}
-		if w.prefix == wire.PrefixControl {
-			c.dropKeysNotListed(w.listed, w.listRevision)
-			c.dropMachinesWithoutRecordSet()
-		}
-		w.ready, w.since, w.after, w.listed = true, w.listRevision, "", nil
-		w.completeAsOf = max(w.completeAsOf, w.listStartedAt)
-		c.follow(w)
-	})
+// watchInterval returns the least time between two watches of a prefix: as given, or more where
+// the controller may send so few requests that they took more than the given part.
+func (c *Controller) watchInterval(least micros.Micros, fraction float64) micros.Micros {
+	return max(least, micros.FromSeconds(1/(fraction*c.stateQueue.RequestRate())))
 }
 
-// dropKeysNotListed applies the deletions that a fresh listing shows.
-func (c *Controller) dropKeysNotListed(listed map[string]bool, revision uint64) {
-	for _, s := range c.ownership.shards {
-		if key := ownerKey(s.id); s.ownerEpoch != 0 && s.ownerEpoch <= revision && !listed[key] {
-			c.applyDelete(key, revision)
-		} else if s.ownerEpoch == 0 && s.absentSince == 0 {
-			s.absentSince = c.now
-		}
+// follow makes the next request of a watch if it is time.
+func (c *Controller) follow(w *watch) {
+	if w.inFlight {
+		return
 	}
-	if l := &c.ownership.leader; l.ownerEpoch != 0 && l.ownerEpoch <= revision && !listed[wire.KeyLeader] {
-		c.applyDelete(wire.KeyLeader, revision)
-	} else if l.ownerEpoch == 0 && l.absentSince == 0 {
-		l.absentSince = c.now
+	if wait := w.untilNext(c.now); wait > 0 {
+		c.wakeIn(wait)
+		return
 	}
-	for _, key := range sortedKeys(c.recordSets) {
-		if b := c.recordSets[key]; b.modRevision <= revision && !listed[key] {
-			c.dropRecordSet(b)
-		}
+	take := c.takeListing
+	if w.ready() {
+		take = c.takeWatch
 	}
+	body, timeout := w.nextRequest(c.now)
+	c.askState(statestore.ClassLease, body, timeout, func(r statestore.Reply) {
+		w.inFlight = false
+		take(w, r)
+	})
 }
 
-// applyPut takes a key's value, from a watch, a listing or a read. Older ones
-// than known are ignored.
-func (c *Controller) applyPut(key string, value wire.Raw, modRevision uint64) {
-	bad := func(err error) { c.log(Error, "record not readable, ignored", "key", key, "error", err) }
+// takeWatch takes in the reply to a long poll.
+func (c *Controller) takeWatch(w *watch, r statestore.Reply) {
+	changes, ok := r.Body.(*wire.Events)
 	switch {
-	case strings.HasPrefix(key, wire.PrefixOwner):
-		id, err := strconv.Atoi(key[len(wire.PrefixOwner):])
-		if err != nil || id < 0 || id >= len(c.ownership.shards) {
-			return
-		}
-		s := c.ownership.shards[id]
-		var rec wire.OwnerRecord
-		if modRevision <= s.ownerEpoch {
-			return
-		}
-		if err := wire.Decode(value, &rec); err != nil {
-			bad(err)
-			return
-		}
-		c.setOwner(s, rec, modRevision)
-	case key == wire.KeyLeader:
-		l := &c.ownership.leader
-		if modRevision <= l.ownerEpoch {
-			return
-		}
-		var rec wire.OwnerRecord
-		if err := wire.Decode(value, &rec); err != nil {
-			bad(err)
-			return
-		}
-		l.owner, l.ownerEpoch = rec, modRevision
-		if c.isMine(l) {
-			c.startLeading()
-		}
-	case key == wire.KeyTypes:
-		var rec wire.MachineTypes
-		if err := wire.Decode(value, &rec); err != nil {
-			bad(err)
-			return
-		}
-		c.fleet.typesModRevision = max(c.fleet.typesModRevision, modRevision)
-		c.learnTypes(rec, false)
-	case strings.HasPrefix(key, wire.PrefixFleet):
-		var rec wire.MachineRecordSet
-		if err := wire.Decode(value, &rec); err != nil {
-			bad(err)
-			return
-		}
-		c.applyMachineRecordSet(key, rec, modRevision)
-	case strings.HasPrefix(key, wire.PrefixQuota):
-		var rec quota.Record
-		if err := wire.Decode(value, &rec); err != nil {
-			bad(err)
-			return
-		}
-		c.learnQuota(key[len(wire.PrefixQuota):], rec, modRevision)
-	case strings.HasPrefix(key, wire.PrefixJob):
-		var rec wire.JobRecord
-		if err := wire.Decode(value, &rec); err != nil {
-			c.jobs.unusable[key[len(wire.PrefixJob):]] = true
-			bad(err)
-			return
-		}
-		c.learnJob(key[len(wire.PrefixJob):], rec, modRevision)
+	case !ok:
+		w.takeFailure(c.now, r.Status)
+	case r.Status == http.StatusOK:
+		c.ownership.lastStateReplyAt = c.now
+		c.applyEvents(changes.Events)
+		w.takeChanges(changes.Revision)
 	}
+	c.follow(w)
 }
 
-func (c *Controller) applyDelete(key string, modRevision uint64) {
-	switch {
-	case strings.HasPrefix(key, wire.PrefixOwner):
-		id, err := strconv.Atoi(key[len(wire.PrefixOwner):])
-		if err != nil || id < 0 || id >= len(c.ownership.shards) {
-			return
-		}
-		if s := c.ownership.shards[id]; modRevision >= s.ownerEpoch {
-			s.ownerEpoch, s.owner, s.absentSince = 0, wire.OwnerRecord{}, c.now
-			if s.active {
-				c.deactivate(s)
-			}
-		}
-	case key == wire.KeyLeader:
-		if l := &c.ownership.leader; modRevision >= l.ownerEpoch {
-			l.ownerEpoch, l.owner, l.absentSince = 0, wire.OwnerRecord{}, c.now
-		}
-	case strings.HasPrefix(key, wire.PrefixFleet):
-		if b := c.recordSets[key]; b != nil && modRevision >= b.modRevision {
-			c.dropRecordSet(b)
-		}
+// takeListing takes in the reply to a page of a listing.
+func (c *Controller) takeListing(w *watch, r statestore.Reply) {
+	page, ok := r.Body.(*wire.KeyList)
+	if !ok || r.Status != http.StatusOK {
+		return
 	}
-}
-
-func (c *Controller) applyEvents(events []wire.Event) {
-	for _, e := range events {
-		if e.Put != "" {
-			c.applyPut(e.Put, e.Value, e.ModRevision)
-		} else if e.Delete != "" {
-			c.applyDelete(e.Delete, e.ModRevision)
-		}
+	c.ownership.lastStateReplyAt = c.now
+	w.takePage(page)
+	for _, kv := range page.Items {
+		c.applyPut(kv.Key, kv.Value, kv.ModRevision)
 	}
-	c.dropMachinesWithoutRecordSet()
+	if page.More && len(page.Items) > 0 {
+		return
+	}
+	if w.prefix == wire.PrefixControl {
+		c.dropKeysNotListed(w.listing.keys, w.listing.revision)
+		c.dropMachinesWithoutRecordSet()
+	}
+	w.finishListing()
+	c.follow(w)
 }
-
-func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
