--- a/internal/controller/collections.go
+++ b/internal/controller/collections.go
@@ -1,13 +1,15 @@
 package controller
 
-// bitset is a set of small integers.
+// bitset is a set of integers from 0 on, a bit for each.
 type bitset []uint64
 
+// newBitset returns an empty set for the integers below n.
 func newBitset(n int) bitset { return make(bitset, (n+63)/64) }
 
+// has reports whether i is in the set.
 func (b bitset) has(i int) bool { return b[i>>6]&(1<<(i&63)) != 0 }
 
-// set adds i and tells whether it was missing.
+// set adds i and reports whether it was missing.
 func (b bitset) set(i int) bool {
 	if b.has(i) {
 		return false
@@ -16,7 +18,7 @@
 	return true
 }
 
-// intHeap is a heap of small integers, the least first.
+// intHeap is a heap.Interface of integers, the least first.
 type intHeap []int
 
 func (h intHeap) Len() int { return len(h) }
--- /dev/null
+++ b/internal/controller/maintenance.go
@@ -0,0 +1,135 @@
+package controller
+
+import "garnethitch/internal/micros"
+
+// The time between two runs of maintain: the longer one if every shard has an owner and is
+// reconciled. Each run wakes the process, which is most of the processor time that an idle
+// controller takes (docs/account.md).
+const (
+	busyInterval = 100 * micros.Millisecond
+	calmInterval = 300 * micros.Millisecond
+)
+
+// A scheduling round, or a walk over all machines and jobs, is followed by restFactor times
+// what it took, at most maxRest, without another: on a processor that does not suffice, lease
+// renewals, heartbeats and answers must still be served in time.
+const (
+	restFactor = 4
+	maxRest    = 2 * micros.Second
+)
+
+// stallThreshold is the time since maintenance last ran from which on the process is taken to
+// have been stalled: it had no processor time, or was frozen.
+const stallThreshold = micros.Second
+
+// Work is what one step cost, by a measure that does not depend on the machine it runs on.
+type Work struct {
+	// Visited counts the machines, jobs and attempts that were visited.
+	Visited uint64
+	// Round is set if the step ran a scheduling round over whole shards or a walk over all
+	// machines and jobs.
+	Round bool
+}
+
+// LastWork returns what the last step cost.
+func (c *Controller) LastWork() Work {
+	return Work{Visited: c.visited - c.visitedBefore, Round: c.scheduledLastStep || c.walkedLastStep}
+}
+
+// Wake returns the steady time at which Step is to be called at the latest.
+func (c *Controller) Wake() micros.Micros { return c.wake }
+
+// wakeIn has Step called after d at the latest, at least a millisecond from now.
+func (c *Controller) wakeIn(d micros.Micros) { c.wake = min(c.wake, c.now+max(d, micros.Millisecond)) }
+
+// nextMaintenance returns when maintain runs next.
+func (c *Controller) nextMaintenance() micros.Micros {
+	at := c.lastMaintenance + c.maintenanceInterval()
+	if f := &c.fleet; len(f.registrations) > 0 {
+		at = min(at, max(f.registrationsDueAt, c.lastMaintenance+busyInterval))
+	}
+	return at
+}
+
+// maintenanceInterval returns the time between two runs of maintain.
+func (c *Controller) maintenanceInterval() micros.Micros {
+	if !c.viewComplete() || len(c.types) == 0 {
+		return busyInterval
+	}
+	for _, s := range c.ownership.shards {
+		if s.ownerEpoch == 0 || s.active && !s.recovered() {
+			return busyInterval
+		}
+	}
+	return calmInterval
+}
+
+// viewComplete reports whether this controller has a lease, has listed all keys that it watches,
+// and knows a leader.
+func (c *Controller) viewComplete() bool {
+	o := &c.ownership
+	return o.lease != 0 && o.controlWatch.ready() && o.jobWatch.ready() && o.leader.ownerEpoch != 0
+}
+
+// recovered reports whether a new owner of the shard has all that it needs of its predecessor.
+func (s *shard) recovered() bool { return s.reconciled && s.jobsViewCurrent && s.checkpointsLoaded }
+
+// noteStall notes that the process was stalled before this step.
+func (c *Controller) noteStall() {
+	if c.now-c.lastMaintenance > stallThreshold {
+		c.lastStalledAt = c.now
+	}
+}
+
+// restAfter puts off the next round and the next walk if the step before ran one and took so
+// long.
+func (c *Controller) restAfter(took micros.Micros) {
+	until := c.now + min(restFactor*took, maxRest)
+	if c.scheduledLastStep {
+		c.scheduledLastStep = false
+		c.nextSchedulingAt = max(c.nextSchedulingAt, until)
+	}
+	if c.walkedLastStep {
+		c.walkedLastStep = false
+		c.nextWalkAt = until
+	}
+}
+
+// runTimers runs maintenance if it is due, else follows the watches.
+func (c *Controller) runTimers() {
+	if c.now >= c.nextMaintenance() {
+		c.lastMaintenance = c.now
+		c.wake = c.now + c.maintenanceInterval()
+		c.maintain()
+		return
+	}
+	c.followAll()
+}
+
+// followAll makes the next request of each watch whose time has come.
+func (c *Controller) followAll() {
+	c.follow(&c.ownership.controlWatch)
+	c.follow(&c.ownership.jobWatch)
+	c.followQuota()
+}
+
+// maintain does what becomes due by time alone.
+func (c *Controller) maintain() {
+	c.maintainOwnership()
+	c.maintainPeers()
+	c.maintainQuota()
+	c.logShardDecisions()
+	if c.now < c.nextWalkAt {
+		return
+	}
+	c.walkedLastStep = true
+	c.checkWorkerContact()
+	c.maintainMachines()
+	c.maintainJobs()
+	c.maintainFleet()
+}
+
+// jitter returns d, more or less by up to a quarter.
+func (c *Controller) jitter(d micros.Micros) micros.Micros {
+	return d*3/4 + micros.Micros(c.rng.Int64N(int64(d/2)+1))
+}
--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -8,31 +8,35 @@
 	"garnethitch/internal/wire"
 )
 
-// What a controller takes in and gives out.
+// The messages of a Controller: the inputs of Step, its effects, and the requests in them.
 
 // Instant is a reading of both clocks.
 type Instant struct {
+	// Steady is the time by a clock that is never set.
 	Steady micros.Micros
-	Wall   micros.Micros // time of day
-	// Took is how long the step before took, with what it gave to do: on a small
-	// share of a core much longer than on a whole one.
+	// Wall is the time of day.
+	Wall micros.Micros
+	// Took is how long the step before took, with carrying out its effects.
 	Took micros.Micros
 }
 
-// ReplyID names a request that waits for its answer.
+// ReplyID names a request that waits for its Answer. The caller of Step chooses it.
 type ReplyID uint64
 
+// Input is an input of Step.
+type Input interface{ isInput() }
+
 // Inputs of Step.
 type (
 	// Tick says that time has passed.
 	Tick struct{}
-	// SubmitRequest is a user's submission, parsed; Err is set if it is malformed.
+	// SubmitRequest is a user's submission of a job.
 	SubmitRequest struct {
 		Reply ReplyID
 		Job   wire.Submission
-		Err   *wire.SubmissionError
+		Err   *wire.SubmissionError // set if the submission is malformed
 	}
-	// JobStatusRequest asks for a job's state.
+	// JobStatusRequest asks for a job's status.
 	JobStatusRequest struct {
 		Reply ReplyID
 		ID    string
@@ -42,7 +46,7 @@
 		Reply ReplyID
 		ID    string
 	}
-	// ReadinessRequest asks whether this node can take requests.
+	// ReadinessRequest asks whether this controller can serve requests.
 	ReadinessRequest struct{ Reply ReplyID }
 	// Heartbeat is a worker's heartbeat.
 	Heartbeat struct {
@@ -54,41 +58,59 @@
 		Reply ReplyID
 		Req   peer.Request
 	}
-	// Result ends a Call. Status 0: no usable answer; NotSent: and not a byte
-	// of the request has left.
+	// Result ends a Call.
 	Result struct {
-		ID      uint64
-		Status  int
-		Body    any
+		ID uint64 // of the Call
+		// Status is the HTTP status of the answer, 0 if there is no usable answer.
+		Status int
+		// Body is the decoded body of the answer, a pointer to a type of package wire or
+		// peer; nil if there is none.
+		Body any
+		// NotSent is set if not a byte of the request has left. Status is 0 then.
 		NotSent bool
 	}
 )
 
-// TooLarge is the Status of a Result whose answer came but is larger than this
-// node takes: asking the same again would bring the same.
+func (Tick) isInput()             {}
+func (SubmitRequest) isInput()    {}
+func (JobStatusRequest) isInput() {}
+func (CancelRequest) isInput()    {}
+func (ReadinessRequest) isInput() {}
+func (Heartbeat) isInput()        {}
+func (PeerRequest) isInput()      {}
+func (Result) isInput()           {}
+
+// TooLarge is the Status of a Result whose answer is larger than this controller takes: the same
+// request would bring the same again.
 const TooLarge = http.StatusRequestEntityTooLarge
 
-// Target of a Call.
+// Target is the kind of service that a Call goes to.
 type Target int
 
-// Targets.
 const (
+	// ToState is the state service.
 	ToState Target = iota
+	// ToCloud is the cloud.
 	ToCloud
+	// ToWorker is the worker at Call.Addr.
 	ToWorker
+	// ToPeer is the controller with the label Call.Addr.
 	ToPeer
 )
 
-// Requests that are not bodies of package wire.
+// Requests to the state service that have no body. A transaction is a wire.Txn, a new lease a
+// wire.NewLease.
 type (
-	// GetKey reads a key.
+	// GetKey reads a key. It is answered with a wire.KeyValue, or 404.
 	GetKey struct{ Key string }
-	// ListKeys reads a page of keys.
+	// ListKeys reads a page of at most Limit keys with a prefix, from the first one after
+	// After on. It is answered with a wire.KeyList.
 	ListKeys struct {
 		Prefix, After string
 		Limit         int
 	}
-	// Watch waits for changes.
+	// Watch waits for changes of keys with a prefix after the revision Since, for WaitMS
+	// milliseconds at most. It is answered with wire.Events.
 	Watch struct {
 		Prefix string
 		Since  uint64
@@ -96,56 +118,67 @@
 	}
 	// RenewLease extends a lease.
 	RenewLease struct{ Lease uint64 }
-	// GetTypes asks the cloud for machine types.
+)
+
+// Requests to the cloud and to workers that have no body in package wire.
+type (
+	// GetTypes asks the cloud for its machine types.
 	GetTypes struct{}
-	// ListMachines asks the cloud for machines.
+	// ListMachines asks the cloud for a page of at most Limit machines, from the first one
+	// after After on.
 	ListMachines struct {
 		After string
 		Limit int
 	}
-	// ReturnMachines gives machines back.
+	// ReturnMachines returns machines to the cloud, by their names.
 	ReturnMachines struct{ Machines []string }
 	// GetHeartbeat asks a worker for its heartbeat.
 	GetHeartbeat struct{}
 )
 
+// Effect is an effect of Step, which the caller carries out: an Answer, a Call, a Log or a Span.
+type Effect interface{ isEffect() }
+
 // Effects of Step.
 type (
-	// Answer answers a request. Body is a wire or peer value, or nil.
+	// Answer answers a request.
 	Answer struct {
-		Reply       ReplyID
-		Status      int
-		Body        any
+		Reply  ReplyID
+		Status int // HTTP status
+		Body   any // of package wire or peer; nil: none
+		// RetryAfterS is the time after which to try again, in seconds; 0: none.
 		RetryAfterS int
 	}
-	// Call sends a request; its Result must come back exactly once.
+	// Call sends a request. Its Result must come back exactly once.
 	Call struct {
-		ID      uint64
-		To      Target
-		Addr    string // workers: address; peers: label
-		Req     any
+		ID   uint64
+		To   Target
+		Addr string // of workers the address, of controllers the label
+		Req  any    // one of the requests above, or of package wire or peer
+		// Timeout is how long the answer is waited for.
 		Timeout micros.Micros
 	}
 	// Log is a line for the operators.
 	Log struct {
 		Level Level
 		Text  string
-		Args  []any
+		Args  []any // keys and values in turn
 	}
 )
 
-// Level of a log line.
+func (Answer) isEffect() {}
+func (Call) isEffect()   {}
+func (Log) isEffect()    {}
+func (Span) isEffect()   {}
+
+// Level is the level of a log line.
 type Level int
 
-// Levels.
 const (
+	// Debug is for what explains a decision.
 	Debug Level = iota
+	// Info is for what an operator may want to know.
 	Info
+	// Error is for what an operator should look at.
 	Error
 )
-
-// Effect is an Answer, a Call, a Log or a Span.
-type Effect any
-
-// Input is one of the input types above.
-type Input any
