--- a/internal/controller/job_reads_test.go
+++ b/internal/controller/job_reads_test.go
@@ -10,25 +10,25 @@
 	"garnethitch/internal/wire"
 )
 
-// A shard stood still beside users' questions (docs/incidents/2026-12-share-stood-still.md).
+// A shard made no progress beside users' questions (docs/incidents/2026-12-share-stood-still.md).
 //
 // At 4,000 machines and a state service that takes 60 requests a second, jobs waited for
 // over 90 s after all faults, and one was unanswered for 78 s. Each question about a job
-// for which nobody speaks takes a read of its record. The reads stood in one class with
+// without an owner takes a read of its record. The reads were in one class with
 // acceptances, above all but leases, and a class with anything left in it stopped all below.
 // "state requests" of seed 1: accept_sent 8,309 and accept_expired 10,715, fleet_sent 45 and
 // fleet_expired 261. The deletion of the owner key was among the 261, and until it is
-// carried out nobody speaks for the shard, so that questions go on to take reads.
+// applied nobody owns the shard, so that questions go on to take reads.
 
-// questions are polls from users, more than can be read.
+// questions are job status requests of users, for more jobs than can be read.
 type questions struct {
 	h    *harness
 	next int
 	ids  int // they are about so many jobs
 }
 
-// beside lets time pass, with two questions every 20 ms.
-func (q *questions) beside(d micros.Micros) {
+// runBeside runs for a time, with two questions every 20 ms.
+func (q *questions) runBeside(d micros.Micros) {
 	for until := q.h.now + d; q.h.now < until; {
 		for range 2 {
 			q.next++
@@ -45,16 +45,16 @@
 	c.StateRPS, c.WriteRPS = 60, 20
 }
 
-// goesOnWithin is how long work of any class may wait beside questions: a record set of TxnOps
-// changes at the least part of the writes that its class is promised, and what else is due.
-const goesOnWithin = 10 * sec
+// longestWorkWait is how long work of any class may wait beside questions: a record set of TxnOps
+// changes at the minimum rate of its class, and what else is due.
+const longestWorkWait = 10 * sec
 
-// What is not a question goes on beside questions, about one job and about many.
+// All other work makes progress beside questions, about one job and about many.
 func TestWorkBesideQuestions(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		// begin starts the work once questions have been asked for a while; done tells
-		// whether it is through.
+		// begin starts the work once questions have been asked for a while; done reports
+		// whether it is finished.
 		begin func(h *harness)
 		done  func(h *harness) bool
 	}{
@@ -73,10 +73,10 @@
 			h.listed = append(h.listed, wire.ListedMachine{ID: "vm-9", Addr: "vm-9", Type: "m", Zone: "a", State: wire.MachineRunning, AgeS: 1})
 			h.c.fleet.listNext, h.c.fleet.planNext = h.now, h.now+400*ms
 		}, func(h *harness) bool { return h.c.machines["vm-9"] != nil }},
-		{"a Version is recorded", func(h *harness) {
+		{"a checkpoint is recorded", func(h *harness) {
 			h.c.jobs.open["job-000001"].run.checkpointDirty = true
 		}, func(h *harness) bool { return h.keys[wire.CheckpointKey("job-000001")].ModRevision > 0 }},
-		{"Versions are read after a claim", func(h *harness) {
+		{"checkpoints are read after a claim", func(h *harness) {
 			h.txn(wire.Txn{Then: []wire.Change{{Delete: ownerKey(0)}}})
 		}, func(h *harness) bool { s := h.c.ownership.shards[0]; return s.active && s.checkpointsLoaded }},
 	} {
@@ -85,13 +85,13 @@
 				h := meet(t, fewRequests)
 				h.runOne()
 				q := &questions{h: h, ids: ids}
-				q.beside(3 * sec)
+				q.runBeside(3 * sec)
 				began := h.now
 				tc.begin(h)
 				for !tc.done(h) {
-					q.beside(100 * ms)
-					if h.now > began+goesOnWithin {
-						t.Fatalf("not done after %v s beside questions", goesOnWithin.Seconds())
+					q.runBeside(100 * ms)
+					if h.now > began+longestWorkWait {
+						t.Fatalf("not done after %v s beside questions", longestWorkWait.Seconds())
 					}
 				}
 			})
@@ -99,8 +99,8 @@
 	}
 }
 
-// The deletion of an owner key goes with leases: it does not wait for a turn of any other
-// class, though their queues are full of work of their own.
+// The deletion of an owner key is of the class of leases: it does not wait for any other class,
+// though their queues are full.
 func TestLockReleaseBeforeAllElse(t *testing.T) {
 	h := meet(t, fewRequests)
 	for class := statestore.ClassAccept; class < statestore.ClassCount; class++ {
@@ -114,11 +114,11 @@
 	h.c.releaseShard(s)
 	h.run(200 * ms)
 	if h.keys[ownerKey(0)].ModRevision == modRevision {
-		t.Error("the owner key still stands 200 ms after the share was to be handed back")
+		t.Error("the owner key is still there 200 ms after the shard was to be released")
 	}
 }
 
-// stored is a job's record.
+// stored returns a job's record.
 func (h *harness) stored(id string) (rec wire.JobRecord) {
 	if kv, ok := h.keys[wire.JobKey(id)]; ok {
 		if err := wire.Decode(kv.Value, &rec); err != nil {
@@ -131,7 +131,7 @@
 // No job stays unanswered because another is asked about more often, or because more are
 // asked about than can be read at once. Each of 150 jobs is asked about every 2 s, and one
 // other a hundred times a second; 150 reads take some 33 s at the least part of requests
-// that reads are promised, and the stated time is 75 s.
+// of the class of questions, and the bound is 75 s.
 func TestQuestionsAreFairAmongJobs(t *testing.T) {
 	const jobs, within = 150, 75 * sec
 	h := meet(t, fewRequests)
@@ -163,7 +163,7 @@
 }
 
 // An answer is never older than its question: one that comes while a read of the same job
-// is on its way waits for a read of its own.
+// is in flight waits for a read of its own.
 func TestQuestionWaitsForItsOwnRead(t *testing.T) {
 	h := meet(t, withPeer)
 	h.stateDown = true // what is sent is held
@@ -196,13 +196,13 @@
 }
 
 // Where the state service or another controller is slow, calls pile up until the process
-// takes no more. Those for users stop before, so that renewals and watches, and what
-// controllers tell each other, still go out.
-func TestCallsUnderWayAreBounded(t *testing.T) {
-	const stateCalls, peerAsks = 6, 4
+// takes no more. Those for users stop before, so that renewals and watches, and the
+// controllers' own messages, are still sent.
+func TestCallsInFlightAreBounded(t *testing.T) {
+	const stateRequests, peerQuestions = 6, 4
 	limits := func(c *Config) {
 		withPeer(c)
-		c.MaxStateRequests, c.MaxPeerQuestions = stateCalls, peerAsks
+		c.MaxStateRequests, c.MaxPeerQuestions = stateRequests, peerQuestions
 	}
 	ask := func(h *harness, id string, d micros.Micros) {
 		for until := h.now + d; h.now < until; {
@@ -228,8 +228,8 @@
 				renewals++
 			}
 		}
-		if reads > stateCalls || renewals == 0 {
-			t.Errorf("%d reads are under way, want at most %d; %d renewals were sent", reads, stateCalls, renewals)
+		if reads > stateRequests || renewals == 0 {
+			t.Errorf("%d reads are in flight, want at most %d; %d renewals were sent", reads, stateRequests, renewals)
 		}
 	})
 	t.Run("other controller", func(t *testing.T) {
@@ -240,13 +240,13 @@
 		h.peersDown = true
 		before := len(h.asked)
 		ask(h, "job-000001", sec/5)
-		if n := len(h.asked) - before; n == 0 || n > peerAsks {
-			t.Errorf("%d questions are under way to the other controller, want some and at most %d", n, peerAsks)
+		if n := len(h.asked) - before; n == 0 || n > peerQuestions {
+			t.Errorf("%d questions to the other controller are in flight, want some and at most %d", n, peerQuestions)
 		}
 	})
 }
 
-// Who is refused is told to come back when all that wait can have been read, and before long.
+// A user who is refused is to try again when all that wait can have been read, and soon.
 func TestRetryAfterFitsBacklog(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
@@ -254,7 +254,7 @@
 		least, most int
 	}{
 		{"nothing waits", 0, 1, 1},
-		{"a few", 8, 2, 3}, // 4.3 reads a second are promised
+		{"a few", 8, 2, 3}, // at the minimum rate of 4.3 reads a second
 		{"hundreds", 300, 10, 10},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -267,7 +267,7 @@
 			reply := h.reply
 			h.run(statestore.ReadTimeout + 300*ms)
 			if a := h.answers[reply]; tc.waiting > 100 && (a.Status != 503 || a.RetryAfterS < tc.least || a.RetryAfterS > tc.most) {
-				t.Errorf("answered %d, to come back after %d s, want 503 and %d s", a.Status, a.RetryAfterS, tc.least)
+				t.Errorf("answered %d, to try again after %d s, want 503 and %d s", a.Status, a.RetryAfterS, tc.least)
 			}
 			if got := h.c.retryAfter(); got < tc.least || got > tc.most {
 				t.Errorf("%d s with %d jobs waiting, want %d to %d s", got, h.c.reads.Records(), tc.least, tc.most)
@@ -276,9 +276,9 @@
 	}
 }
 
-// A submission that can't be taken in an outage is not told to wait for the backlog of
-// questions: its user tries for a minute in all, and each try counts. Found by reading once more:
-// with 300 jobs asked about in vain it was told to come back after 10 s, not 1.
+// A submission that can't be accepted in an outage does not have to wait for the backlog of
+// questions: its user tries for a minute in all, and each try counts. Found by review: with 300
+// jobs asked about in vain it was to try again after 10 s, not 1.
 func TestSubmissionRetriesSoon(t *testing.T) {
 	h := meet(t, fewRequests)
 	h.stateDown, h.refused = true, true
@@ -290,7 +290,7 @@
 	reply := h.reply
 	h.run(2 * sec)
 	if a = h.answers[reply]; a.Status != 503 || a.RetryAfterS != 1 {
-		t.Errorf("answered %d, to come back after %d s, want 503 and 1 s", a.Status, a.RetryAfterS)
+		t.Errorf("answered %d, to try again after %d s, want 503 and 1 s", a.Status, a.RetryAfterS)
 	}
 }
 
@@ -307,6 +307,6 @@
 	reply := h.reply
 	h.run(sec)
 	if a := h.answers[reply]; a.Status != 503 || a.RetryAfterS != 1 {
-		t.Errorf("answered %d, to come back after %d s, want 503 and 1 s", a.Status, a.RetryAfterS)
+		t.Errorf("answered %d, to try again after %d s, want 503 and 1 s", a.Status, a.RetryAfterS)
 	}
 }
--- a/internal/controller/scale_test.go
+++ b/internal/controller/scale_test.go
@@ -47,7 +47,7 @@
 
 func machineName(i int) string { return fmt.Sprintf("vm-%06d", i) }
 
-// fill brings a machine's first heartbeat, and the one that shows its starts.
+// fill sends a machine's first heartbeat, and the one that lists the tasks started by the answer.
 func (h *harness) fill(i int) {
 	_, body := h.heartbeat(heartbeatFrom(machineName(i), 1, 1, 0))
 	h.heartbeat(heartbeatFrom(machineName(i), 1, 2, body.FencingToken, shown(starts(body.Commands), wire.TaskRunning)...))
@@ -60,7 +60,7 @@
 	return out
 }
 
-// turn is one task's end on a machine and the start that follows.
+// turn sends a heartbeat in which one task of a machine has ended, so that another is started.
 func (h *harness) turn(i int) {
 	m := h.c.machines[machineName(i)]
 	v := m.view
@@ -78,14 +78,14 @@
 }
 
 // TestWorkPerHeartbeat: the work of a heartbeat does not grow with machines or jobs.
-// It counts what is looked at, not time.
+// It counts visits, not time.
 func TestWorkPerHeartbeat(t *testing.T) {
 	work := func(machines, jobs, tasks int) float64 {
 		h := bigHarness(t, machines, jobs, tasks)
 		before := h.c.visited
 		const turns = 200
 		for i := range turns {
-			h.c.lastMaintenance = h.now // what time alone brings is counted below
+			h.c.lastMaintenance = h.now // maintenance is counted below
 			h.turn(i % machines)
 		}
 		return float64(h.c.visited-before) / turns
@@ -104,14 +104,14 @@
 		{"long arrays", 200, 20, 20_000},
 	} {
 		if got := work(tc.machines, tc.jobs, tc.tasks); got > 2*small+10 {
-			t.Errorf("%s: a report looks at %.0f machines, jobs and attempts, at a small size at %.0f", tc.name, got, small)
+			t.Errorf("%s: a heartbeat visits %.0f machines, jobs and attempts, at a small size %.0f", tc.name, got, small)
 		}
 	}
 }
 
-// TestUnchangedHeartbeat: a heartbeat that lists what the last one did costs a compare,
-// however many tasks it has; and one that lists less, or comes after something
-// was sent, is taken in whole.
+// TestUnchangedHeartbeat: a heartbeat that lists what the last one did costs a comparison,
+// however many tasks it has; one that lists less, or comes after a command was sent, is
+// processed in full.
 func TestUnchangedHeartbeat(t *testing.T) {
 	h := bigHarness(t, 50, 20, 500)
 	m := h.c.machines[machineName(7)]
@@ -120,34 +120,34 @@
 	for _, att := range v.list {
 		tasks = append(tasks, wire.TaskStatus{Task: wire.TaskName(att.key.job, att.index), Attempt: att.key.attempt, State: wire.TaskRunning})
 	}
-	say := func(tasks []wire.TaskStatus) uint64 {
+	send := func(tasks []wire.TaskStatus) uint64 {
 		h.c.lastMaintenance, h.c.schedulingDue = h.now, false
 		before := h.c.visited
 		h.heartbeat(heartbeatFrom(m.id, v.agentEpoch, v.sequence+1, v.fencingToken, tasks...))
 		return h.c.visited - before
 	}
-	say(tasks)
-	if n := say(tasks); n > 1 { // the first job that waits
-		t.Errorf("a report that says nothing new looks at %d attempts", n)
+	send(tasks)
+	if n := send(tasks); n > 1 { // the first job in the queue
+		t.Errorf("an unchanged heartbeat visits %d attempts", n)
 	}
-	if n := testing.AllocsPerRun(50, func() { say(tasks) }); n > 12 {
-		t.Errorf("a report that says nothing new takes %.0f allocations", n)
+	if n := testing.AllocsPerRun(50, func() { send(tasks) }); n > 12 {
+		t.Errorf("an unchanged heartbeat takes %.0f allocations", n)
 	}
 	gone := v.list[0]
 	h.c.dropAttempt(gone)
-	say(tasks)
+	send(tasks)
 	if v.attempts[gone.key] == nil {
-		t.Error("an attempt that was forgotten here, and is still listed, was not taken in")
+		t.Error("an attempt that was dropped here and is still listed was not adopted")
 	}
-	unclearedAttempts := len(v.list)
-	say(tasks[1:])
-	if v.attempts[gone.key] != nil || len(v.list) == unclearedAttempts+1 {
-		t.Error("an attempt that is listed no more is still counted")
+	attempts := len(v.list)
+	send(tasks[1:])
+	if v.attempts[gone.key] != nil || len(v.list) == attempts+1 {
+		t.Error("an attempt that is no longer listed is still kept")
 	}
 }
 
-// TestWakeUps: where nothing happens, time alone wakes a controller seldom; while
-// a shard waits for its machines, or has no owner, often.
+// TestWakeUps: where nothing happens, maintenance wakes a controller seldom; while a shard is
+// not reconciled, or has no owner, often.
 func TestWakeUps(t *testing.T) {
 	wakes := func(h *harness) int {
 		n := 0
@@ -166,17 +166,17 @@
 	busy := newHarness(t, nil)
 	busy.reconcile("vm-1")
 	busy.c.ownership.shards[0].reconciled = false
-	if pace := busy.c.maintenanceInterval(); pace != busyInterval {
-		t.Errorf("looks every %v while a share is not settled", pace)
+	if interval := busy.c.maintenanceInterval(); interval != busyInterval {
+		t.Errorf("maintenance every %v while a shard is not reconciled", interval)
 	}
 	busy.c.ownership.shards[0].reconciled, busy.c.ownership.shards[0].ownerEpoch = true, 0
-	if pace := busy.c.maintenanceInterval(); pace != busyInterval {
-		t.Errorf("looks every %v while a share has no owner", pace)
+	if interval := busy.c.maintenanceInterval(); interval != busyInterval {
+		t.Errorf("maintenance every %v while a shard has no owner", interval)
 	}
 }
 
-// TestWorkPerRound: a round over all machines looks at each of them a few
-// times, however many tasks wait.
+// TestWorkPerRound: a round over all machines visits each of them a few times, however many
+// tasks wait.
 func TestWorkPerRound(t *testing.T) {
 	for _, tc := range []struct{ machines, jobs, tasks int }{{200, 20, 500}, {2200, 20, 500}, {2200, 300, 500}, {3100, 150, 2000}, {1900, 500, 90}, {700, 20, 20_000}, {4000, 150, 500}, {6000, 150, 500}} {
 		h := bigHarness(t, tc.machines, tc.jobs, tc.tasks)
@@ -185,15 +185,15 @@
 		h.c.schedulingDue = true
 		h.step(Tick{})
 		if got, most := h.c.visited-before, uint64(10*tc.machines+3*tc.jobs+100); got > most {
-			t.Errorf("%d machines, %d jobs of %d tasks: a step looks at %d, want at most %d", tc.machines, tc.jobs, tc.tasks, got, most)
+			t.Errorf("%d machines, %d jobs of %d tasks: a step visits %d, want at most %d", tc.machines, tc.jobs, tc.tasks, got, most)
 		}
 	}
 }
 
-// A round does not hold every job that is bound to one zone against every machine with room:
-// it goes on in the next, and comes to the job behind them all the same. Seen in the
-// simulation at 4,000 machines (TestLargeFleet): one round looked 9.4 times at each machine,
-// in other plays up to 20 times, since a zone-bound job that fits nowhere rules out no other.
+// A round does not try every job that is bound to one zone on every machine with free capacity:
+// it is continued by the next, and reaches the job behind them all the same. Seen in the
+// simulation at 4,000 machines (TestLargeFleet): one round visited each machine 9.4 times, in
+// other runs up to 20 times, since a zone-bound job that fits nowhere rules out no other.
 func TestWorkPerRoundOfZonedJobs(t *testing.T) {
 	const machines, zoned = 2200, 100
 	h := bigHarness(t, machines, 0, 0)
@@ -218,7 +218,7 @@
 	j := h.c.jobs.open[last.ID]
 	for began := h.now; len(j.run.active) == 0; {
 		if h.now > began+10*sec {
-			t.Fatal("the job behind those that are bound to one zone has not begun after 10 s")
+			t.Fatal("the job behind those that are bound to one zone has not started after 10 s")
 		}
 		before := h.c.visited
 		h.now += schedulingInterval
@@ -226,13 +226,13 @@
 		most = max(most, h.c.visited-before)
 	}
 	if most > 10*machines {
-		t.Errorf("a step looks at %d machines, jobs and attempts, want at most %d", most, 10*machines)
+		t.Errorf("a step visits %d machines, jobs and attempts, want at most %d", most, 10*machines)
 	}
 }
 
-// TestMessageOfLargeFleet: what a controller tells the leader of 6,000 machines that idle,
-// with names as long as a UUID, fits into one message, with every machine; past that
-// bound the rest is counted, and told later.
+// TestMessageOfLargeFleet: the status that a controller sends to the leader about 6,000 idle
+// machines, with names as long as a UUID, fits into one message with every machine; past that
+// bound the others are counted, and named in later messages.
 func TestMessageOfLargeFleet(t *testing.T) {
 	const machines = 6000
 	h := bigHarness(t, machines, 1, 1)
@@ -258,20 +258,20 @@
 	}
 	st, size := demandStatus()
 	if d := st.Demand[0]; len(d.Machines) < machines-1 || d.All != machines || len(st.MisdirectedMachines) != machines {
-		t.Errorf("%d machines told of, %d heard, %d counted, of %d", len(d.Machines), len(st.MisdirectedMachines), d.All, machines)
+		t.Errorf("%d machines named, %d misdirected, %d counted, of %d", len(d.Machines), len(st.MisdirectedMachines), d.All, machines)
 	}
 	if size > peer.MaxMessage*9/10 {
-		t.Errorf("a message of %d bytes, %d are taken", size, peer.MaxMessage)
+		t.Errorf("a message of %d bytes, want at most nine tenths of %d", size, peer.MaxMessage)
 	}
 	for _, m := range c.machines {
 		m.id += strings.Repeat("x", 200-len(m.id))
 	}
 	st, size = demandStatus()
 	if d := st.Demand[0]; len(d.Machines) == 0 || len(d.Machines) == machines || d.All != machines {
-		t.Errorf("past the bound %d machines are told of, %d counted, of %d", len(d.Machines), d.All, machines)
+		t.Errorf("past the bound %d machines are named, %d counted, of %d", len(d.Machines), d.All, machines)
 	}
 	if size > peer.MaxMessage*9/10 {
-		t.Errorf("past the bound a message of %d bytes, %d are taken", size, peer.MaxMessage)
+		t.Errorf("past the bound a message of %d bytes, want at most nine tenths of %d", size, peer.MaxMessage)
 	}
 }
 
@@ -290,7 +290,7 @@
 	}
 }
 
-// BenchmarkRound is a whole round with everything full.
+// BenchmarkRound shows what a whole round costs where all machines are full.
 func BenchmarkRound(b *testing.B) {
 	for _, machines := range []int{50, 700, 2200, 3100} {
 		b.Run(fmt.Sprintf("%d machines", machines), func(b *testing.B) {
@@ -306,8 +306,7 @@
 	}
 }
 
-// BenchmarkMemory tells what is held for each machine, waiting job and finished
-// job, in bytes.
+// BenchmarkMemory shows the memory taken by each machine, waiting job and final job, in bytes.
 func BenchmarkMemory(b *testing.B) {
 	held := func(machines, jobs, finished int) float64 {
 		h := bigHarness(b, machines, jobs, 500)
@@ -328,12 +327,12 @@
 	}
 }
 
-// TestWorkOfDAGs: hundreds of pipelines that wait cost a heartbeat and a look at
-// everything hardly more than none, and the end of one job only what depends on it.
+// TestWorkOfDAGs: hundreds of DAGs that wait cost a heartbeat and a walk over everything hardly
+// more than none.
 func TestWorkOfDAGs(t *testing.T) {
-	work := func(pipelines int) (perReport, walk float64) {
+	work := func(dags int) (perHeartbeat, walk float64) {
 		h := bigHarness(t, 50, 20, 500)
-		for p := range pipelines {
+		for p := range dags {
 			first := jobOf(fmt.Sprintf("job-%06d", 500_000+10*p), 100)
 			h.submit(first)
 			for stage := 1; stage < 5; stage++ {
@@ -353,9 +352,9 @@
 	none, _ := work(0)
 	many, queue := work(300)
 	if many > 2*none+10 {
-		t.Errorf("a report looks at %.0f machines, jobs and attempts, without pipelines at %.0f", many, none)
+		t.Errorf("a heartbeat visits %.0f machines, jobs and attempts, without DAGs %.0f", many, none)
 	}
 	if queue > 20+300 {
-		t.Errorf("%.0f jobs stand in the queue, held ones among them", queue)
+		t.Errorf("%.0f jobs are in the queue, blocked ones among them", queue)
 	}
 }
--- /dev/null
+++ b/internal/controller/statestore/reads_test.go
@@ -0,0 +1,138 @@
+package statestore
+
+import (
+	"testing"
+
+	"garnethitch/internal/micros"
+)
+
+// newTestReads returns reads whose replies' status is passed on, with a queue that lets a second's
+// 100 requests through at once.
+func newTestReads(maxRecords int) (*Reads, *Queue) {
+	q := testQueue(100, 10)
+	return NewReads(ReadsConfig{
+		Queue:      q,
+		MaxRecords: maxRecords,
+		NewRequest: func(id string) any { return id },
+		Learn:      func(r Reply) int { return r.Status },
+		Defer:      func(f func()) { f() },
+	}), q
+}
+
+// sendNext sends the read whose turn it is.
+func sendNext(t *testing.T, r *Reads, q *Queue, now micros.Micros) Request {
+	t.Helper()
+	r.Offer(now)
+	request, ok, _ := q.Next(now)
+	if !ok {
+		t.Fatal("no read is sent")
+	}
+	request.Sent()
+	return request
+}
+
+// One read answers all questions that came before it was sent, and none that came later.
+func TestReadsCoalesce(t *testing.T) {
+	r, q := newTestReads(10)
+	var answers []string
+	ask := func(name string) {
+		r.Ask(0, "a", func(status int) { answers = append(answers, name) })
+	}
+	ask("first")
+	ask("second")
+	read := sendNext(t, r, q, 0)
+	ask("late")
+	r.Offer(0)
+	if _, ok, _ := q.Next(0); ok {
+		t.Error("a second read is sent beside the first")
+	}
+	q.Answered(read)
+	read.Done(Reply{Status: 200})
+	if len(answers) != 2 || answers[0] != "first" || answers[1] != "second" {
+		t.Fatalf("answered are %q, want first and second", answers)
+	}
+	read = sendNext(t, r, q, 0)
+	q.Answered(read)
+	read.Done(Reply{Status: 404})
+	if len(answers) != 3 || answers[2] != "late" {
+		t.Errorf("answered are %q, want late at the end", answers)
+	}
+	if r.Records() != 0 {
+		t.Errorf("%d records are kept after their answers", r.Records())
+	}
+}
+
+// Records have their turns by when they were first asked about, and keep them while they have no
+// answer.
+func TestReadsTurns(t *testing.T) {
+	r, q := newTestReads(10)
+	ask := func(now micros.Micros, id string) { r.Ask(now, id, func(int) {}) }
+	ask(0, "old")
+	late := ReadTimeout + 1
+	ask(late-2, "new")
+	r.Offer(late) // the question about old has expired
+	ask(late, "old")
+	if read := sendNext(t, r, q, late); read.Body != "old" {
+		t.Errorf("read first is %v, want old", read.Body)
+	}
+	if read := sendNext(t, r, q, late); read.Body != "new" {
+		t.Errorf("read second is %v, want new", read.Body)
+	}
+}
+
+// Past each bound a question is refused, and counted where its record has a place.
+func TestReadsBounds(t *testing.T) {
+	refused := func(r *Reads, now micros.Micros, id string) bool {
+		status := -1
+		r.Ask(now, id, func(got int) { status = got })
+		return status == NoAnswer
+	}
+	t.Run("records", func(t *testing.T) {
+		r, _ := newTestReads(2)
+		if refused(r, 0, "a") || refused(r, 0, "b") || !refused(r, 0, "c") {
+			t.Error("want the third record refused alone")
+		}
+	})
+	t.Run("questions about a record", func(t *testing.T) {
+		r, _ := newTestReads(2)
+		for range maxQuestions {
+			if refused(r, 0, "a") {
+				t.Fatal("refused within the bound")
+			}
+		}
+		if !refused(r, 0, "a") {
+			t.Error("accepted beyond the bound")
+		}
+	})
+	t.Run("records that wait", func(t *testing.T) {
+		r, q := newTestReads(2 * maxReadsWaiting)
+		for i := range maxReadsWaiting {
+			if refused(r, micros.Micros(i), string(rune('a'+i))) {
+				t.Fatal("refused within the bound")
+			}
+		}
+		if !refused(r, micros.Second, "last") {
+			t.Error("accepted beyond the bound")
+		}
+		if got := q.Metrics(0)[ClassQuestion].Rejected; got != 1 {
+			t.Errorf("%d counted as rejected, want 1", got)
+		}
+	})
+	t.Run("time", func(t *testing.T) {
+		r, q := newTestReads(2)
+		status := -1
+		r.Ask(0, "a", func(got int) { status = got })
+		if r.Offer(ReadTimeout); status != -1 {
+			t.Error("refused before the timeout")
+		}
+		if r.Offer(ReadTimeout + 1); status != NoAnswer {
+			t.Errorf("status %d after the timeout, want no answer", status)
+		}
+		if got := q.Metrics(0)[ClassQuestion].Expired; got != 1 {
+			t.Errorf("%d counted as expired, want 1", got)
+		}
+		if r.Offer(ReadTimeout + 2 + placeKept); r.Records() != 0 {
+			t.Errorf("%d records keep a place that nobody asks about", r.Records())
+		}
+	})
+}
--- a/internal/controller/watch_test.go
+++ b/internal/controller/watch_test.go
@@ -7,13 +7,13 @@
 	"garnethitch/internal/wire"
 )
 
-// A node that has just claimed a shard with an old view of jobs must not speak
-// for one that is long over (found by the simulation: done was called pending).
+// A controller that has just claimed a shard with an old view of jobs must not answer for one
+// that has long ended (found by the simulation: a finished job was called pending).
 func TestStaleViewOfJobs(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.Peers = []string{"n-1"}; c.Shards = 1 })
 	sub := jobOf("job-000001", 1)
 	h.put(wire.JobKey("job-000001"), wire.JobRecord{Submission: &sub, State: wire.StatePending, Tasks: 1})
-	h.watchBlocked = wire.PrefixJob // from here on it hears of no job
+	h.watchBlocked = wire.PrefixJob // from here on it learns of no job
 	h.txn(wire.Txn{Then: []wire.Change{{Delete: ownerKey(0)}}})
 	value, err := wire.Encode(wire.JobRecord{State: wire.StateDone, Tasks: 1})
 	if err != nil {
@@ -25,13 +25,12 @@
 		t.Fatalf("active %v, current %v: the case is not what it should be", s.active, s.jobsViewCurrent)
 	}
 	if s := h.state("job-000001"); s != wire.StateDone {
-		t.Errorf("called %q, done on record", s)
+		t.Errorf("answered %q, but the record says done", s)
 	}
 }
 
-// A new owner that can't learn which jobs its predecessor ended stops answering
-// reports in time for their tasks to be gone: the former one may have told its users
-// right before.
+// A new owner that can't learn which jobs its predecessor ended stops answering heartbeats in
+// time for their tasks to be gone: the former one may have answered its users right before.
 func TestOwnerWithStaleView(t *testing.T) {
 	h := meet(t, func(c *Config) {
 		withPeer(c)
@@ -52,18 +51,18 @@
 		status, body := h.heartbeat(heartbeatFrom("vm-1", 1, seq, fencingToken))
 		fencingToken = max(fencingToken, body.FencingToken)
 		if want := h.now < complete+h.c.bounds.StaleViewGrace; (status == 200) != want {
-			t.Fatalf("%v s after its view of jobs was complete a report got %d", (h.now - complete).Seconds(), status)
+			t.Fatalf("%v s after its view of jobs was complete a heartbeat was answered %d", (h.now - complete).Seconds(), status)
 		}
 	}
 	h.watchBlocked = ""
 	h.run(2 * sec)
 	if status, _ := h.heartbeat(heartbeatFrom("vm-1", 1, 100, fencingToken)); status != 200 {
-		t.Errorf("a report got %d once the view of jobs was brought up", status)
+		t.Errorf("a heartbeat was answered %d once the view of jobs was current", status)
 	}
 }
 
-// A watch whose answer is too large to take leads to a fresh listing, not to the
-// same request for ever.
+// A watch whose answer is too large, or whose changes are no longer kept, leads to a fresh
+// listing, not to the same request for ever.
 func TestWatchMustListAgain(t *testing.T) {
 	for _, status := range []int{410, TooLarge} {
 		h := newHarness(t, nil)
@@ -82,7 +81,7 @@
 		}
 		h.run(sec)
 		if h.c.jobs.open["job-000002"] == nil {
-			t.Errorf("after %d nothing was listed anew", status)
+			t.Errorf("after status %d the keys were not listed anew", status)
 		}
 	}
 }
