--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -4,6 +4,7 @@
 	"net/http"
 	"slices"
 
+	"garnethitch/internal/controller/statestore"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/wire"
 )
@@ -160,7 +161,7 @@
 		return !j.dependencyCancelled
 	}
 	w := &c.ownership.jobWatch
-	if !w.ready || c.now-w.completeAsOf > min(maxBlockedViewAge, c.cfg.Cancel/2) {
+	if !w.ready() || c.now-w.completeAsOf > min(maxBlockedViewAge, c.cfg.Cancel/2) {
 		return false
 	}
 	return c.knowsAllNeeded(j)
@@ -241,7 +242,7 @@
 		}
 		t.unknown[id] = c.now + 2*micros.Second
 		t.reads++
-		c.readJob(classDependents, id, func(int) { t.reads-- })
+		c.readJob(statestore.ClassDependents, id, func(int) { t.reads-- })
 	}
 }
 
--- a/internal/controller/ownership.go
+++ b/internal/controller/ownership.go
@@ -4,6 +4,7 @@
 	"net/http"
 	"strconv"
 
+	"garnethitch/internal/controller/statestore"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/peer"
 	"garnethitch/internal/wire"
@@ -71,7 +72,7 @@
 	shards                 []*shard
 	leader                 lock
 	steppedDownEpoch       uint64 // mark of the leader key that we are letting go
-	controlWatch, jobWatch watched
+	controlWatch, jobWatch watch
 	releasedAt             micros.Micros
 }
 
@@ -79,8 +80,8 @@
 	for i := range shards {
 		o.shards = append(o.shards, &shard{id: i})
 	}
-	o.controlWatch = watched{prefix: wire.PrefixControl, interval: controlWatchInterval, blockTimeout: watchTimeout, openedAt: -micros.Never, completeAsOf: -micros.Never}
-	o.jobWatch = watched{prefix: wire.PrefixJob, interval: jobWatchInterval, blockTimeout: watchTimeout, openedAt: -micros.Never, completeAsOf: -micros.Never}
+	o.controlWatch = newWatch(wire.PrefixControl, controlWatchInterval)
+	o.jobWatch = newWatch(wire.PrefixJob, jobWatchInterval)
 	o.lastStateReplyAt = -micros.Never
 }
 
@@ -124,7 +125,7 @@
 	c.follow(&o.jobWatch)
 	c.followQuota()
 	c.releaseLocks()
-	if !o.controlWatch.ready || !c.leaseValid() {
+	if !o.controlWatch.ready() || !c.leaseValid() {
 		return
 	}
 	for _, s := range o.shards {
@@ -191,20 +192,20 @@
 // wait: the long poll may have hung on a cut connection for long.
 func (c *Controller) refreshJobsView(s *shard) {
 	ownerEpoch, w := s.ownerEpoch, &c.ownership.jobWatch
-	if !w.ready || s.refreshingJobsView {
+	if !w.ready() || s.refreshingJobsView {
 		return // the listing under way comes first; maintainMachines asks again
 	}
 	s.refreshingJobsView = true
 	asked := c.now
 	// Where the state service is slow, what lets renewals through lets this through.
-	c.askState(classLease, Watch{Prefix: w.prefix, Since: w.since}, c.cfg.Lease, func(r Result) {
+	c.askState(statestore.ClassLease, Watch{Prefix: w.prefix, Since: w.since}, c.cfg.Lease, func(r statestore.Reply) {
 		if !s.active || s.ownerEpoch != ownerEpoch {
 			return
 		}
 		s.refreshingJobsView = false
 		body, ok := r.Body.(*wire.Events)
 		if mustListAgain(r.Status) {
-			w.ready = false
+			w.listAgain()
 		}
 		if !ok || r.Status != http.StatusOK || body.Revision < ownerEpoch {
 			return
@@ -321,14 +322,14 @@
 		Then: []wire.Change{{Put: key, Value: value, Lease: c.ownership.lease}},
 	}
 	lease := c.ownership.lease
-	c.askState(classLease, txn, micros.Second, func(res Result) {
+	c.askState(statestore.ClassLease, txn, micros.Second, func(res statestore.Reply) {
 		// Whether it took effect is for the watch to show, which also shows late
 		// copies and, with it, all machines recorded before.
-		switch outcome := txnOutcomeOf(res); {
-		case outcome == txnRejected && c.ownership.lease == lease:
+		switch outcome := res.Outcome(); {
+		case outcome == statestore.Rejected && c.ownership.lease == lease:
 			c.loseLease()
 			lock.claiming = false
-		case outcome == txnApplied || outcome == txnConditionFailed:
+		case outcome == statestore.Applied || outcome == statestore.ConditionFailed:
 			c.ownership.lastStateReplyAt = c.now
 			c.later(func() { lock.claiming = false })
 			lock.absentSince = c.now // give the watch time before another try
@@ -395,8 +396,8 @@
 	}
 	lock.releasingEpoch = ownerEpoch
 	txn := wire.Txn{If: []wire.Condition{{Key: key, ModRevision: ownerEpoch}}, Then: []wire.Change{{Delete: key}}}
-	c.askState(classLease, txn, micros.Second, func(res Result) {
-		if lock.ownerEpoch != ownerEpoch || txnOutcomeOf(res) == txnApplied {
+	c.askState(statestore.ClassLease, txn, micros.Second, func(res statestore.Reply) {
+		if lock.ownerEpoch != ownerEpoch || res.Outcome() == statestore.Applied {
 			return // the watch shows the rest
 		}
 		lock.releasingEpoch = 0
--- a/internal/controller/quota.go
+++ b/internal/controller/quota.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 
+	"garnethitch/internal/controller/statestore"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/peer"
 	"garnethitch/internal/wire"
@@ -18,7 +19,7 @@
 type quotas struct {
 	tree   *quota.Tree   // this controller's options; nil: none
 	ledger *quota.Ledger // nil: there are no groups
-	watch  watched
+	watch  watch
 	// paths are each team's groups, the innermost first, members each group's teams;
 	// both by the records.
 	paths   [][]string
@@ -49,7 +50,7 @@
 		return
 	}
 	q.ledger = quota.NewLedger(quota.Config{Shards: c.cfg.Shards, Timing: quota.DefaultTiming()})
-	q.watch = watched{prefix: wire.PrefixQuota, interval: c.watchInterval(controlWatchInterval, quotaWatchFraction), blockTimeout: watchTimeout, openedAt: -micros.Never}
+	q.watch = newWatch(wire.PrefixQuota, c.watchInterval(controlWatchInterval, quotaWatchFraction))
 	q.paths = make([][]string, len(c.cfg.Teams))
 	q.members = map[string][]int{}
 	q.tracer = quotaTracer{own: map[traceKey]openTrace{}, remote: map[traceKey]openTrace{}}
@@ -132,7 +133,7 @@
 // refreshQuota reads all records, page by page.
 func (c *Controller) refreshQuota(s *shard, ownerEpoch uint64, after string) {
 	const page = 200
-	c.askState(classLease, ListKeys{Prefix: wire.PrefixQuota, After: after, Limit: page}, c.cfg.Lease, func(r Result) {
+	c.askState(statestore.ClassLease, ListKeys{Prefix: wire.PrefixQuota, After: after, Limit: page}, c.cfg.Lease, func(r statestore.Reply) {
 		if !s.active || s.ownerEpoch != ownerEpoch {
 			return
 		}
@@ -187,7 +188,7 @@
 
 // readQuota reads a group's record anew; until that has come about, again and again.
 func (c *Controller) readQuota(group string) {
-	c.askState(classFleet, GetKey{Key: wire.QuotaKey(group)}, quotaTimeout, func(r Result) {
+	c.askState(statestore.ClassFleet, GetKey{Key: wire.QuotaKey(group)}, quotaTimeout, func(r statestore.Reply) {
 		switch kv, ok := r.Body.(*wire.KeyValue); {
 		case r.Status == http.StatusNotFound:
 		case ok && r.Status == http.StatusOK:
@@ -217,16 +218,16 @@
 		txn.If = append(txn.If, wire.Condition{Key: ownerKey(id), ModRevision: c.ownership.shards[id].ownerEpoch})
 	}
 	txn.Then = []wire.Change{{Put: wire.QuotaKey(w.Group), Value: value}}
-	c.askState(classFleet, txn, quotaTimeout, func(r Result) {
-		if revision, ok := txnRevision(r); ok {
+	c.askState(statestore.ClassFleet, txn, quotaTimeout, func(r statestore.Reply) {
+		if revision, ok := r.Revision(); ok {
 			done(quota.Applied, revision)
 			c.indexQuota()
 			return
 		}
-		switch txnOutcomeOf(r) {
-		case txnConditionFailed:
+		switch r.Outcome() {
+		case statestore.ConditionFailed:
 			done(quota.Refused, 0)
-		case txnNotExecuted, txnRejected:
+		case statestore.NotExecuted, statestore.Rejected:
 			done(quota.NotSent, 0)
 		default:
 			done(quota.Unknown, 0)
--- a/internal/controller/watch_test.go
+++ b/internal/controller/watch_test.go
@@ -3,16 +3,18 @@
 import (
 	"testing"
 
+	"garnethitch/internal/controller/statestore"
+	"garnethitch/internal/micros"
 	"garnethitch/internal/wire"
 )
 
-// A node that has just claimed a shard with an old view of jobs must not speak
-// for one that is long over (found by the simulation: done was called pending).
+// A controller that has just claimed a shard with an old view of jobs must not answer for one
+// that has long ended (found by the simulation: a finished job was called pending).
 func TestStaleViewOfJobs(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.Peers = []string{"n-1"}; c.Shards = 1 })
 	sub := jobOf("job-000001", 1)
 	h.put(wire.JobKey("job-000001"), wire.JobRecord{Submission: &sub, State: wire.StatePending, Tasks: 1})
-	h.watchBlocked = wire.PrefixJob // from here on it hears of no job
+	h.watchBlocked = wire.PrefixJob // from here on it learns of no job
 	h.txn(wire.Txn{Then: []wire.Change{{Delete: ownerKey(0)}}})
 	value, err := wire.Encode(wire.JobRecord{State: wire.StateDone, Tasks: 1})
 	if err != nil {
@@ -24,13 +26,12 @@
 		t.Fatalf("active %v, current %v: the case is not what it should be", s.active, s.jobsViewCurrent)
 	}
 	if s := h.state("job-000001"); s != wire.StateDone {
-		t.Errorf("called %q, done on record", s)
+		t.Errorf("answered %q, but the record says done", s)
 	}
 }
 
-// A new owner that can't learn which jobs its predecessor ended stops answering
-// reports in time for their tasks to be gone: the former one may have told its users
-// right before.
+// A new owner that can't learn which jobs its predecessor ended stops answering heartbeats in
+// time for their tasks to be gone: the former one may have answered its users right before.
 func TestOwnerWithStaleView(t *testing.T) {
 	h := meet(t, func(c *Config) {
 		withPeer(c)
@@ -51,18 +52,64 @@
 		status, body := h.heartbeat(heartbeatFrom("vm-1", 1, seq, fencingToken))
 		fencingToken = max(fencingToken, body.FencingToken)
 		if want := h.now < complete+h.c.bounds.StaleViewGrace; (status == 200) != want {
-			t.Fatalf("%v s after its view of jobs was complete a report got %d", (h.now - complete).Seconds(), status)
+			t.Fatalf("%v s after its view of jobs was complete a heartbeat was answered %d", (h.now - complete).Seconds(), status)
 		}
 	}
 	h.watchBlocked = ""
 	h.run(2 * sec)
 	if status, _ := h.heartbeat(heartbeatFrom("vm-1", 1, 100, fencingToken)); status != 200 {
-		t.Errorf("a report got %d once the view of jobs was brought up", status)
+		t.Errorf("a heartbeat was answered %d once the view of jobs was current", status)
 	}
 }
 
-// A watch whose answer is too large to take leads to a fresh listing, not to the
-// same request for ever.
+// A watch lists its keys page by page, follows changes from the revision of the first page on, and
+// is complete as of when its requests were made, not answered.
+func TestWatchPhases(t *testing.T) {
+	w := newWatch("p/", sec)
+	page := func(at micros.Micros, after string, revision uint64, keys ...string) {
+		t.Helper()
+		body, timeout := w.nextRequest(at)
+		if want := (ListKeys{Prefix: "p/", After: after, Limit: keysPerPage}); body != want || timeout != listTimeout {
+			t.Errorf("request %+v with timeout %v, want %+v", body, timeout, want)
+		}
+		answer := &wire.KeyList{Revision: revision}
+		for _, key := range keys {
+			answer.Items = append(answer.Items, wire.KeyValue{Key: key})
+		}
+		w.takePage(answer)
+		if wait := w.untilNext(at); wait > 0 {
+			t.Errorf("the request after a page waits for %v", wait)
+		}
+	}
+	page(10*sec, "", 5, "p/a", "p/b")
+	if w.ready() {
+		t.Error("ready after the first page")
+	}
+	page(11*sec, "p/b", 8, "p/c")
+	w.finishListing()
+	if !w.ready() || w.completeAsOf != 10*sec {
+		t.Errorf("phase %v, complete as of %v, want following, as of the first page", w.phase, w.completeAsOf)
+	}
+	body, timeout := w.nextRequest(12 * sec)
+	if want := (Watch{Prefix: "p/", Since: 5, WaitMS: watchTimeout.Millis()}); body != want || timeout <= watchTimeout {
+		t.Errorf("request %+v with timeout %v, want %+v and a longer timeout", body, timeout, want)
+	}
+	w.takeChanges(9)
+	if w.since != 9 || w.completeAsOf != 12*sec {
+		t.Errorf("changes since %d, complete as of %v, want 9 and 12 s", w.since, w.completeAsOf)
+	}
+	w.nextRequest(13 * sec)
+	if w.takeFailure(20*sec, 0); !w.ready() || w.untilNext(20*sec) != sec {
+		t.Errorf("phase %v, next request in %v, want following after a pause of 1 s", w.phase, w.untilNext(20*sec))
+	}
+	if w.takeFailure(21*sec, TooLarge); w.ready() {
+		t.Error("not listed anew after an answer that is too large")
+	}
+	page(22*sec, "", 11)
+}
+
+// A watch whose answer is too large, or whose changes are no longer kept, leads to a fresh
+// listing, not to the same request for ever.
 func TestWatchMustListAgain(t *testing.T) {
 	for _, status := range []int{410, TooLarge} {
 		h := newHarness(t, nil)
@@ -81,7 +128,15 @@
 		}
 		h.run(sec)
 		if h.c.jobs.open["job-000002"] == nil {
-			t.Errorf("after %d nothing was listed anew", status)
+			t.Errorf("after status %d the keys were not listed anew", status)
 		}
 	}
 }
+
+// The watches that every controller holds take no more than the part of the requests that is
+// left to leases.
+func TestWatchFractionsFit(t *testing.T) {
+	if controlWatchFraction+jobWatchFraction > statestore.LeaseFraction {
+		t.Errorf("watches take %.2f of the requests, leases may take %.2f", controlWatchFraction+jobWatchFraction, statestore.LeaseFraction)
+	}
+}
