--- a/internal/controller/authority.go
+++ b/internal/controller/authority.go
@@ -1,88 +1,33 @@
 package controller
 
-import "garnethitch/internal/wire"
-
-// What this node is entitled to is decided here: whether it may command the machines of a
-// shard, hear a heartbeat, renew a machine's lease by answering it, start, free a machine, let
-// it go, record, tell and lead. The times come from fence.go. docs/incidents/2026-12-cancelled-task-ran-on.md
-// lists on what knowledge each path relies, and how old that may be.
-
-// reason says why an act is allowed or refused.
-type reason int
-
-const (
-	reasonNone reason = iota
-	// Allowed.
-	reasonCurrentView
-	reasonStaleViewWithinGrace
-	reasonHeartbeatAccepted
-	// Refused, for a whole shard.
-	reasonNotOwner
-	reasonReleasing
-	reasonNewerClaim
-	reasonLeaseTooOld
-	reasonStaleViewBeyondGrace
-	// Refused, for one machine.
-	reasonCordoned
-	reasonReturned
-	reasonStaleHeartbeat
-	reasonHigherFencingToken
-	reasonUnreachable
-	reasonUnknownJob
-	reasonLateStart
-
-	reasonCount
+import (
+	"garnethitch/internal/controller/authority"
+	"garnethitch/internal/wire"
 )
 
-// reasonNames are the words of the log and of the counters.
-var reasonNames = [reasonCount]string{
-	reasonNone:                 "none",
-	reasonCurrentView:          "current_view",
-	reasonStaleViewWithinGrace: "stale_view_within_grace",
-	reasonHeartbeatAccepted:    "accepted",
-	reasonNotOwner:             "not_owner",
-	reasonReleasing:            "releasing",
-	reasonNewerClaim:           "newer_claim",
-	reasonLeaseTooOld:          "lease_too_old",
-	reasonStaleViewBeyondGrace: "stale_view_beyond_grace",
-	reasonCordoned:             "cordoned",
-	reasonReturned:             "returned",
-	reasonStaleHeartbeat:       "stale_heartbeat",
-	reasonHigherFencingToken:   "higher_fencing_token",
-	reasonUnreachable:          "unreachable",
-	reasonUnknownJob:           "unknown_job",
-	reasonLateStart:            "late_start",
-}
-
-func (r reason) String() string { return reasonNames[r] }
-
-// decision is whether an act is allowed, and why.
-type decision struct {
-	allowed bool
-	reason  reason
-}
-
-func allow(r reason) decision  { return decision{true, r} }
-func refuse(r reason) decision { return decision{false, r} }
-
-// leaseValid: may this node speak for its shards from memory, and record?
-func (c *Controller) leaseValid() bool {
-	return c.ownership.lease != 0 && c.now < c.ownership.renewedAt+c.bounds.LeaseValidity
+// What this node is entitled to: the methods here gather what it knows, and package authority
+// decides.
+
+func (c *Controller) leaseKnowledge() authority.LeaseKnowledge {
+	return authority.LeaseKnowledge{Held: c.ownership.lease != 0, RenewedAt: c.ownership.renewedAt, Now: c.now}
 }
 
-// mayIssueCommands: may it answer heartbeats and command machines?
-func (c *Controller) mayIssueCommands() bool {
-	return c.ownership.lease != 0 && c.now < c.ownership.renewedAt+c.bounds.CommandValidity
+// leaseValid reports whether this node may answer for its shards from memory, and write records.
+func (c *Controller) leaseValid() bool {
+	return authority.LeaseValid(c.leaseKnowledge(), c.bounds)
 }
 
-// mayStart: no other node can have told a user of a cancellation that this one does
-// not know of. Beyond the lease that is so only while every other controller says that
-// it has lost the state service too: a successor may have told, and what it tells on
-// may be under way.
+// mayStart reports whether tasks may be started: no other node can have notified a user of a
+// cancellation that this one does not know of. Beyond the lease that is so only while every
+// other controller says that it has lost the state service too: a successor may have notified
+// users, and its own notification of this node may be under way.
 func (c *Controller) mayStart() bool {
-	if c.leaseValid() {
-		return true
-	}
+	return c.leaseValid() || c.allPeersWithoutState()
+}
+
+// allPeersWithoutState reports whether every other controller is alive and says that it does
+// not reach the state service.
+func (c *Controller) allPeersWithoutState() bool {
 	for _, p := range c.peers {
 		if !c.alive(p) || p.stateOK {
 			return false
@@ -91,157 +36,176 @@
 	return true
 }
 
-// mayCommandShard: may this node answer the heartbeats of a shard's machines and send
-// them orders? An owner that can't learn which jobs a former owner ended lets its
-// machines' leases run out: tasks of a cancelled job may be on them.
-func (c *Controller) mayCommandShard(s *shard) decision {
-	switch {
-	case !s.active:
-		return refuse(reasonNotOwner)
-	case s.releasing:
-		return refuse(reasonReleasing)
-	case s.ownerEpoch < s.highestSeenEpoch:
-		return refuse(reasonNewerClaim)
-	case !c.mayIssueCommands():
-		return refuse(reasonLeaseTooOld)
-	case s.jobsViewCurrent:
-		return allow(reasonCurrentView)
-	case c.now < c.ownership.jobWatch.completeAsOf+c.bounds.StaleViewGrace:
-		return allow(reasonStaleViewWithinGrace)
-	}
-	return refuse(reasonStaleViewBeyondGrace)
+// mayCommandShard decides whether this node may answer the heartbeats of a shard's machines and
+// send them commands.
+func (c *Controller) mayCommandShard(s *shard) authority.Decision {
+	return authority.MayCommandShard(authority.ShardKnowledge{
+		Lease:            c.leaseKnowledge(),
+		Owned:            s.active,
+		Releasing:        s.releasing,
+		OwnerEpoch:       s.ownerEpoch,
+		HighestSeenEpoch: s.highestSeenEpoch,
+		JobsViewCurrent:  s.jobsViewCurrent,
+		JobsCompleteAsOf: c.ownership.jobWatch.completeAsOf,
+	}, c.bounds)
 }
 
-// activeShard gives the shard if this node owns it and may command.
+// activeShard returns the shard if this node owns it and may command its machines, or nil.
 func (c *Controller) activeShard(id int) *shard {
-	if s := c.ownership.shards[id]; c.mayCommandShard(s).allowed {
+	if s := c.ownership.shards[id]; c.mayCommandShard(s).Allowed {
 		return s
 	}
 	return nil
 }
 
-// mayAcceptHeartbeat: may this node take what a heartbeat says of a machine on record?
-func (c *Controller) mayAcceptHeartbeat(m *machine, heartbeat *wire.Heartbeat) decision {
-	if m.rec.Cordoned {
-		return refuse(reasonCordoned)
-	}
+// mayAcceptHeartbeat decides whether this node may use what a heartbeat says of a machine on
+// record.
+func (c *Controller) mayAcceptHeartbeat(m *machine, heartbeat *wire.Heartbeat) authority.Decision {
 	s := c.ownership.shards[m.rec.Shard]
-	switch v := c.mayCommandShard(s); {
-	case !v.allowed:
-		return v
-	case m.view == nil:
-		return refuse(reasonNotOwner)
-	case m.returned:
-		return refuse(reasonReturned)
-	case m.view.sequenceKnown && !newerThan(heartbeat, m.view):
-		return refuse(reasonStaleHeartbeat)
-	case heartbeat.FencingToken > c.fencingToken(s, m):
-		return refuse(reasonHigherFencingToken)
-	default:
-		return v
+	known := authority.MachineKnowledge{
+		Shard:        c.mayCommandShard(s),
+		Cordoned:     m.rec.Cordoned,
+		Returned:     m.returned,
+		Tracked:      m.view != nil,
+		FencingToken: c.fencingToken(s, m),
+	}
+	if m.view != nil {
+		known.PositionKnown = m.view.sequenceKnown
+		known.LastPosition = m.view.lastPosition()
 	}
+	return authority.MayAcceptHeartbeat(known, authority.HeartbeatKnowledge{
+		Position:     positionOf(heartbeat),
+		FencingToken: heartbeat.FencingToken,
+	})
 }
 
-// mayRenewMachineLease: may a heartbeat that was heard be answered, which renews the machine's lease?
-func (c *Controller) mayRenewMachineLease(s *shard, m *machine, heartbeat *wire.Heartbeat) decision {
-	if m.view.reconciled && c.holdsTaskOfUnknownJob(s, m) || !m.view.reconciled && c.listsTaskOfUnknownJob(s, heartbeat) {
-		// Nothing vouches for the task: its user may have been told long ago that the job
-		// is cancelled. The view of jobs settles it in a moment; if it can't, the lease
-		// runs out.
-		return refuse(reasonUnknownJob)
-	}
-	if c.holdsLateStart(m) {
-		return refuse(reasonLateStart)
-	}
-	if c.unreachable(m) {
-		// What it says counts; what it is told does not arrive. No answer renews its
-		// lease by chance while we count on the end of that.
-		return refuse(reasonUnreachable)
+// positionOf returns the position of a heartbeat among those of its machine.
+func positionOf(heartbeat *wire.Heartbeat) authority.Position {
+	return authority.Position{AgentEpoch: heartbeat.AgentEpoch, Sequence: heartbeat.Sequence}
+}
+
+// lastPosition returns the position of the last heartbeat that was accepted.
+func (v *view) lastPosition() authority.Position {
+	return authority.Position{AgentEpoch: v.agentEpoch, Sequence: v.sequence}
+}
+
+// mayRenewMachineLease decides whether an accepted heartbeat may be answered, which renews the
+// machine's lease.
+func (c *Controller) mayRenewMachineLease(s *shard, m *machine, heartbeat *wire.Heartbeat) authority.Decision {
+	return authority.MayRenewMachineLease(authority.RenewalKnowledge{
+		UnknownJob:  c.hasTaskOfUnknownJob(s, m, heartbeat),
+		LateStart:   c.holdsLateStart(m),
+		Unreachable: c.unreachable(m),
+	})
+}
+
+// hasTaskOfUnknownJob reports whether a machine holds a task of a job that may have ended at any
+// time: by its reconciled task list, or by the heartbeat while there is none.
+func (c *Controller) hasTaskOfUnknownJob(s *shard, m *machine, heartbeat *wire.Heartbeat) bool {
+	if m.view.reconciled {
+		return c.holdsTaskOfUnknownJob(s, m)
 	}
-	return allow(reasonHeartbeatAccepted)
+	return c.listsTaskOfUnknownJob(s, heartbeat)
 }
 
-// holdsLateStart: a command that was not answered may yet start a task on the machine whose
-// job is over, or is to be cancelled, and has been for so long that the machine's session,
-// which the order names, must end.
+// holdsLateStart reports whether a command in doubt may yet start a task on the machine that
+// was to be stopped so long ago that the machine's agent epoch, which the command names, must
+// end.
 func (c *Controller) holdsLateStart(m *machine) bool {
 	if m.view.inDoubtToken == 0 {
 		return false
 	}
 	for _, att := range m.view.list {
-		if att.state == attemptInDoubt && att.stopMode == stopImmediate && c.now >= att.stopRequestedAt+c.bounds.LateStartGrace {
+		stoppedInDoubt := att.state == attemptInDoubt && att.stopMode == stopImmediate
+		if stoppedInDoubt && c.now >= att.stopRequestedAt+c.bounds.LateStartGrace {
 			return true
 		}
 	}
 	return false
 }
 
-// mayAnswerFromMemory: this node may tell of an open job from memory.
+// mayAnswerFromMemory reports whether this node may answer users' requests about an open job
+// without a read.
 func (c *Controller) mayAnswerFromMemory(j *job) bool {
 	s := c.activeShard(j.shard)
-	return j.run != nil && s != nil && c.leaseValid() && (s.jobsViewCurrent || j.run.acceptedUnderClaim)
+	if j.run == nil || s == nil || !c.leaseValid() {
+		return false
+	}
+	return s.jobsViewCurrent || j.run.acceptedUnderClaim
 }
 
-// leading: may this node rent, return and assign machines for all?
+// leading reports whether this node may rent, return and assign machines for all shards.
 func (c *Controller) leading() bool {
-	return c.isMine(&c.ownership.leader) && c.ownership.leader.ownerEpoch != c.ownership.steppedDownEpoch && c.leaseValid()
+	leader := &c.ownership.leader
+	steppingDown := leader.ownerEpoch == c.ownership.steppedDownEpoch
+	return c.isMine(leader) && !steppingDown && c.leaseValid()
 }
 
-// mayFreeMachine: does a machine provably hold no task any more, since its lease has run out?
-// Once another node could own the shard, it may have answered the machine and so renewed
-// its lease (ran_twice in the grown simulation: a node that had lost the state service and
-// its peers, but not its workers).
+// mayFreeMachine reports whether a machine has provably no task any more, because its lease has
+// run out.
 func (c *Controller) mayFreeMachine(s *shard, m *machine) bool {
 	v := m.view
-	if v.leaseExpired || !v.sequenceKnown && !v.unreconciledFromPredecessor || !c.leaseValid() {
+	return authority.MayFreeMachine(authority.ContentsKnowledge{
+		LeaseValid:                  c.leaseValid(),
+		LeaseExpired:                v.leaseExpired,
+		Reconciled:                  v.reconciled,
+		ReconciledAt:                v.reconciledAt,
+		HeartbeatSeen:               v.sequenceKnown,
+		UnreconciledFromPredecessor: v.unreconciledFromPredecessor,
+		LastReplyAt:                 v.lastReplyAt,
+		MachinesFreeAt:              s.machinesFreeAt,
+		Now:                         c.now,
+	}, c.bounds)
+}
+
+// mayReleaseMachine reports whether a machine may leave its shard: nothing is on it, nothing can
+// come, and its record set can be written. A machine that is to be returned to the cloud
+// (retire) need not be in contact.
+func (c *Controller) mayReleaseMachine(m *machine, retire bool) bool {
+	v := m.view
+	commandPending := v.commandInFlight || v.inDoubtToken != 0
+	contentsKnown := v.reconciled || v.leaseExpired
+	inContact := !v.leaseExpired && v.sequenceKnown
+	if v.releasing || commandPending || !contentsKnown || !retire && !inContact {
 		return false
 	}
-	bound := max(v.reconciledAt, v.lastReplyAt) + c.bounds.WorkerExpiry
-	if !v.reconciled {
-		bound = max(s.machinesFreeAt, v.lastReplyAt+c.bounds.WorkerExpiry, v.reconciledAt+c.bounds.WorkerExpiry)
-	}
-	return c.now >= bound
+	return v.empty() && c.mayWriteRecordSet(m.recordSet)
 }
 
-// mayReleaseMachine: nothing is on the machine, and nothing that could come.
-func (c *Controller) mayReleaseMachine(m *machine, retire bool) bool {
-	v := m.view
-	return !v.releasing && !v.commandInFlight && v.inDoubtToken == 0 && (v.reconciled || v.leaseExpired) && v.empty() &&
-		(retire || !v.leaseExpired && v.sequenceKnown) && !c.overRecordLimit(m.recordSet) && !m.recordSet.writeInFlight && c.now >= m.recordSet.nextWriteAt
+// mayWriteRecordSet reports whether a change of a record set may be sent now.
+func (c *Controller) mayWriteRecordSet(set *machineRecordSet) bool {
+	return !c.overRecordLimit(set) && !set.writeInFlight && c.now >= set.nextWriteAt
 }
 
-// InvariantBroken is the text of the log line that tells of a broken invariant.
+// InvariantBroken is the text of the log line of a broken invariant.
 const InvariantBroken = "invariant broken"
 
-// invariantFails notes that what must hold whenever this node acts does not. The line
-// tells the evidence; service goes on.
-func (c *Controller) invariantFails(name string, evidence ...any) {
-	c.decisionLog.broken++
-	c.log(Error, InvariantBroken, append([]any{"invariant", name, "count", c.decisionLog.broken}, evidence...)...)
+// reportBrokenInvariant counts and logs a broken invariant with its evidence. Service goes on.
+func (c *Controller) reportBrokenInvariant(invariant authority.Invariant, evidence ...any) {
+	c.decisionLog.brokenInvariants++
+	args := []any{"invariant", string(invariant), "count", c.decisionLog.brokenInvariants}
+	c.log(Error, InvariantBroken, append(args, evidence...)...)
 }
 
-// checkRenewal: no answer renews the lease of a machine on which a cancelled task is left
-// without its stop, or a task of a job that this node does not know and nothing vouches for.
+// checkRenewal checks the invariants of a reply that renews a machine's lease.
 func (c *Controller) checkRenewal(s *shard, m *machine) {
 	if !m.view.reconciled {
 		return
 	}
 	for _, att := range m.view.list {
-		if c.stopPending(att) {
-			c.invariantFails("a renewal stops cancelled tasks", "task", wire.TaskName(att.key.job, att.index), "machine", m.id, "epoch", s.ownerEpoch)
-		}
-		if c.jobStatusForRenewal(s, att) != jobOpen {
-			c.invariantFails("a renewal feeds no task of an unknown job", "task", wire.TaskName(att.key.job, att.index), "machine", m.id, "epoch", s.ownerEpoch)
+		for _, invariant := range authority.BrokenByRenewal(c.stopPending(att), c.jobStatusForRenewal(s, att)) {
+			c.reportBrokenInvariant(invariant, "task", wire.TaskName(att.key.job, att.index), "machine", m.id, "epoch", s.ownerEpoch)
 		}
 	}
 }
 
-// checkStart: no start is sent for a job that is over or is to be cancelled.
+// checkStart checks the invariants of a task's start.
 func (c *Controller) checkStart(att *attempt) {
 	if att.prefetch {
-		return // for its image only, of a job that is done
+		return // for its image only, of a job that has ended
 	}
-	if _, over := c.jobs.final(att.key.job); over || c.cancelled(att.key.job) {
-		c.invariantFails("no start of a job that is over", "task", wire.TaskName(att.key.job, att.index), "machine", att.machine.id)
+	_, ended := c.jobs.final(att.key.job)
+	for _, invariant := range authority.BrokenByStart(ended, c.cancelled(att.key.job)) {
+		c.reportBrokenInvariant(invariant, "task", wire.TaskName(att.key.job, att.index), "machine", att.machine.id)
 	}
 }
--- a/internal/controller/fence_test.go
+++ b/internal/controller/authority/bounds_test.go
@@ -1,4 +1,4 @@
-package controller
+package authority
 
 import (
 	"testing"
@@ -6,8 +6,8 @@
 	"garnethitch/internal/micros"
 )
 
-// The bounds must keep an old owner's machines from outliving what a successor
-// may tell users, with both clocks drifting apart as far as they may.
+// TestBounds checks that the bounds keep the tasks of an old owner's machines from outliving
+// what a successor may answer to users, with the clocks drifting as far apart as they may.
 func TestBounds(t *testing.T) {
 	for _, tc := range []struct {
 		name                  string
@@ -15,7 +15,7 @@
 	}{
 		{"long worker lease", 5, 45, 70},
 		{"short worker lease", 5, 19, 49},
-		{"no room for extra time", 5, 45, 46},
+		{"no time beyond the worker lease", 5, 45, 46},
 		{"cancel shorter than lease", 5, 45, 20},
 		{"long controller lease", 60, 30, 300},
 	} {
@@ -24,28 +24,28 @@
 			b := NewBounds(lease, worker, cancel)
 			slow := func(d micros.Micros) micros.Micros { return d + d/1000 } // true time over d of a slow clock
 			if slow(b.LeaseValidity) >= lease {
-				t.Errorf("answers until %v, but the lease may end at %v", b.LeaseValidity, lease)
+				t.Errorf("lease valid until %v, but the lease may end at %v", b.LeaseValidity, lease)
 			}
 			if b.CommandValidity < b.LeaseValidity {
-				t.Errorf("commands end at %v, before answers at %v", b.CommandValidity, b.LeaseValidity)
+				t.Errorf("commands end at %v, before the lease at %v", b.CommandValidity, b.LeaseValidity)
 			}
-			// Told "cancelled" at the earliest right after the last renewal: the record was
-			// carried out, its answer lost, and another node has read it.
+			// Users are notified at the earliest right after the last renewal: the record was
+			// applied, its response lost, and another node has read it.
 			if last := slow(b.CommandValidity) + slow(worker); b.CommandValidity > b.LeaseValidity && last > cancel {
 				t.Errorf("a machine may keep a cancelled job until %v, allowed is %v", last, cancel)
 			}
-			// Told at the earliest right after the blind owner's view of jobs was complete.
+			// Notified at the earliest right after the owner's view of jobs was complete.
 			if last := slow(b.StaleViewGrace) + slow(worker); b.StaleViewGrace > 0 && last > cancel {
-				t.Errorf("a blind owner's machine may keep a cancelled job until %v, allowed is %v", last, cancel)
+				t.Errorf("the machine of an owner with a stale view may keep a cancelled job until %v, allowed is %v", last, cancel)
 			}
-			// Told at the earliest right after the task was to be stopped.
+			// Notified at the earliest right after the task was to be stopped.
 			if last := slow(b.LateStartGrace) + slow(worker); b.LateStartGrace > 0 && last > cancel {
-				t.Errorf("a start of a cancelled job may be carried out until %v, allowed is %v", last, cancel)
+				t.Errorf("a task of a cancelled job may be started until %v, allowed is %v", last, cancel)
 			}
 			if b.WorkerExpiry < slow(worker) {
 				t.Errorf("a machine counts as free after %v, its lease may last %v", b.WorkerExpiry, slow(worker))
 			}
-			// The old owner may answer until Command after a renewal that was sent
+			// The old owner may answer until CommandValidity after a renewal that was sent
 			// no later than lease before the claim.
 			if need := slow(b.CommandValidity) - lease + slow(worker); b.SuccessorWait < need {
 				t.Errorf("a successor waits %v, a machine may last %v", b.SuccessorWait, need)
--- /dev/null
+++ b/internal/controller/authority/machine_test.go
@@ -0,0 +1,119 @@
+package authority
+
+import (
+	"testing"
+
+	"garnethitch/internal/micros"
+)
+
+func TestMayAcceptHeartbeat(t *testing.T) {
+	for _, tc := range []struct {
+		name   string
+		change func(m *MachineKnowledge, heartbeat *HeartbeatKnowledge)
+		want   Decision
+	}{
+		{"a new heartbeat", func(*MachineKnowledge, *HeartbeatKnowledge) {}, Allow(ReasonCurrentView)},
+		{"the first heartbeat", func(m *MachineKnowledge, _ *HeartbeatKnowledge) { m.PositionKnown, m.LastPosition = false, Position{} }, Allow(ReasonCurrentView)},
+		{"a stale view of jobs within its grace", func(m *MachineKnowledge, _ *HeartbeatKnowledge) { m.Shard = Allow(ReasonStaleViewWithinGrace) }, Allow(ReasonStaleViewWithinGrace)},
+		{"the shard may not be commanded", func(m *MachineKnowledge, _ *HeartbeatKnowledge) { m.Shard = Refuse(ReasonReleasing) }, Refuse(ReasonReleasing)},
+		{"cordoned, in a shard that may not be commanded", func(m *MachineKnowledge, _ *HeartbeatKnowledge) {
+			m.Cordoned, m.Shard = true, Refuse(ReasonNotOwner)
+		}, Refuse(ReasonCordoned)},
+		{"no view of it yet", func(m *MachineKnowledge, _ *HeartbeatKnowledge) { m.Tracked = false }, Refuse(ReasonNotOwner)},
+		{"returned to the cloud", func(m *MachineKnowledge, _ *HeartbeatKnowledge) { m.Returned = true }, Refuse(ReasonReturned)},
+		{"a copy", func(_ *MachineKnowledge, heartbeat *HeartbeatKnowledge) { heartbeat.Position.Sequence = 5 }, Refuse(ReasonStaleHeartbeat)},
+		{"of an earlier agent epoch", func(_ *MachineKnowledge, heartbeat *HeartbeatKnowledge) {
+			heartbeat.Position = Position{AgentEpoch: 1, Sequence: 99}
+		}, Refuse(ReasonStaleHeartbeat)},
+		{"of a later agent epoch", func(_ *MachineKnowledge, heartbeat *HeartbeatKnowledge) {
+			heartbeat.Position = Position{AgentEpoch: 3, Sequence: 1}
+		}, Allow(ReasonCurrentView)},
+		{"a lower fencing token", func(_ *MachineKnowledge, heartbeat *HeartbeatKnowledge) { heartbeat.FencingToken-- }, Allow(ReasonCurrentView)},
+		{"another owner's fencing token", func(_ *MachineKnowledge, heartbeat *HeartbeatKnowledge) { heartbeat.FencingToken++ }, Refuse(ReasonHigherFencingToken)},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			known := MachineKnowledge{
+				Shard:         Allow(ReasonCurrentView),
+				Tracked:       true,
+				PositionKnown: true,
+				LastPosition:  Position{AgentEpoch: 2, Sequence: 5},
+				FencingToken:  40,
+			}
+			heartbeat := HeartbeatKnowledge{Position: Position{AgentEpoch: 2, Sequence: 6}, FencingToken: 40}
+			tc.change(&known, &heartbeat)
+			if got := MayAcceptHeartbeat(known, heartbeat); got != tc.want {
+				t.Errorf("got %+v (%s), want %+v (%s)", got, got.Reason, tc.want, tc.want.Reason)
+			}
+		})
+	}
+}
+
+func TestMayRenewMachineLease(t *testing.T) {
+	for _, tc := range []struct {
+		name  string
+		known RenewalKnowledge
+		want  Decision
+	}{
+		{"nothing against it", RenewalKnowledge{}, Allow(ReasonHeartbeatAccepted)},
+		{"a task of an unknown job", RenewalKnowledge{UnknownJob: true}, Refuse(ReasonUnknownJob)},
+		{"a late start", RenewalKnowledge{LateStart: true}, Refuse(ReasonLateStart)},
+		{"replies do not arrive", RenewalKnowledge{Unreachable: true}, Refuse(ReasonUnreachable)},
+		{"all of them: the unknown job is the reason", RenewalKnowledge{UnknownJob: true, LateStart: true, Unreachable: true}, Refuse(ReasonUnknownJob)},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			if got := MayRenewMachineLease(tc.known); got != tc.want {
+				t.Errorf("got %+v (%s), want %+v (%s)", got, got.Reason, tc.want, tc.want.Reason)
+			}
+		})
+	}
+}
+
+func TestMayFreeMachine(t *testing.T) {
+	const expired = now - 45*micros.Second // testBounds.WorkerExpiry ago
+	for _, tc := range []struct {
+		name   string
+		change func(k *ContentsKnowledge)
+		want   bool
+	}{
+		{"lease run out", func(*ContentsKnowledge) {}, true},
+		{"replied to within the expiry", func(k *ContentsKnowledge) { k.LastReplyAt = expired + 1 }, false},
+		{"reconciled within the expiry", func(k *ContentsKnowledge) { k.ReconciledAt = expired + 1 }, false},
+		{"the wait after the claim does not count once it is reconciled", func(k *ContentsKnowledge) { k.MachinesFreeAt = now + 1 }, true},
+		{"not reconciled, the wait after the claim is over", func(k *ContentsKnowledge) { k.Reconciled = false }, true},
+		{"not reconciled, the wait after the claim is not over", func(k *ContentsKnowledge) {
+			k.Reconciled = false
+			k.MachinesFreeAt = now + 1
+		}, false},
+		{"not reconciled, replied to within the expiry", func(k *ContentsKnowledge) {
+			k.Reconciled = false
+			k.LastReplyAt = expired + 1
+		}, false},
+		{"not reconciled any more, but within the expiry", func(k *ContentsKnowledge) {
+			k.Reconciled = false
+			k.ReconciledAt = expired + 1
+		}, false},
+		{"known to be free already", func(k *ContentsKnowledge) { k.LeaseExpired = true }, false},
+		{"this node's lease is not valid", func(k *ContentsKnowledge) { k.LeaseValid = false }, false},
+		{"no heartbeat, and new on record", func(k *ContentsKnowledge) { k.HeartbeatSeen = false }, false},
+		{"no heartbeat, but a predecessor's", func(k *ContentsKnowledge) {
+			k.HeartbeatSeen = false
+			k.UnreconciledFromPredecessor = true
+		}, true},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			known := ContentsKnowledge{
+				LeaseValid:     true,
+				Reconciled:     true,
+				ReconciledAt:   expired,
+				HeartbeatSeen:  true,
+				LastReplyAt:    expired,
+				MachinesFreeAt: now,
+				Now:            now,
+			}
+			tc.change(&known)
+			if got := MayFreeMachine(known, testBounds); got != tc.want {
+				t.Errorf("got %v, want %v", got, tc.want)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/controller/authority/shard.go
@@ -0,0 +1,59 @@
+package authority
+
+import "garnethitch/internal/micros"
+
+// LeaseKnowledge is what a controller knows of its lease in the state service.
+type LeaseKnowledge struct {
+	Held bool
+	// RenewedAt is when the last successful renewal was sent.
+	RenewedAt micros.Micros
+	Now       micros.Micros
+}
+
+// LeaseValid reports whether a node may answer for its shards from memory, and write records.
+func LeaseValid(k LeaseKnowledge, bounds Bounds) bool {
+	return k.Held && k.Now < k.RenewedAt+bounds.LeaseValidity
+}
+
+// MayIssueCommands reports whether a node may answer heartbeats and command machines at all.
+func MayIssueCommands(k LeaseKnowledge, bounds Bounds) bool {
+	return k.Held && k.Now < k.RenewedAt+bounds.CommandValidity
+}
+
+// ShardKnowledge is what a controller knows of a shard.
+type ShardKnowledge struct {
+	Lease LeaseKnowledge
+	// Owned is whether the node has seen its own claim of the shard in the watch.
+	Owned bool
+	// Releasing is whether the node is giving the shard back.
+	Releasing bool
+	// OwnerEpoch is the revision of the claim that the node has seen last.
+	OwnerEpoch uint64
+	// HighestSeenEpoch is the highest revision of another node's claim that it has heard of.
+	HighestSeenEpoch uint64
+	// JobsViewCurrent is whether its view of jobs is at least as new as the claim.
+	JobsViewCurrent bool
+	// JobsCompleteAsOf is when its view of jobs was last complete.
+	JobsCompleteAsOf micros.Micros
+}
+
+// MayCommandShard decides whether a node may answer the heartbeats of a shard's machines and
+// send them commands. An owner that can't learn which jobs a former owner ended lets the
+// leases of its machines run out: tasks of a cancelled job may be on them.
+func MayCommandShard(k ShardKnowledge, bounds Bounds) Decision {
+	switch {
+	case !k.Owned:
+		return Refuse(ReasonNotOwner)
+	case k.Releasing:
+		return Refuse(ReasonReleasing)
+	case k.OwnerEpoch < k.HighestSeenEpoch:
+		return Refuse(ReasonNewerClaim)
+	case !MayIssueCommands(k.Lease, bounds):
+		return Refuse(ReasonLeaseTooOld)
+	case k.JobsViewCurrent:
+		return Allow(ReasonCurrentView)
+	case k.Lease.Now < k.JobsCompleteAsOf+bounds.StaleViewGrace:
+		return Allow(ReasonStaleViewWithinGrace)
+	}
+	return Refuse(ReasonStaleViewBeyondGrace)
+}
--- a/internal/controller/authority_test.go
+++ b/internal/controller/authority_test.go
@@ -4,13 +4,14 @@
 	"slices"
 	"testing"
 
+	"garnethitch/internal/controller/authority"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/peer"
 	"garnethitch/internal/wire"
 )
 
-// The log tells each change of what a node may do for a shard, who cancelled a job, and
-// why reports were refused.
+// TestDecisionLog checks that the log has each change of what a node may do for a shard, who
+// cancelled a job, and why heartbeats were refused.
 func TestDecisionLog(t *testing.T) {
 	h := meet(t, func(c *Config) {
 		withPeer(c)
@@ -30,7 +31,7 @@
 	h.run(sec)
 	want := []string{"current_view", "not_owner", "stale_view_within_grace", "stale_view_beyond_grace", "lease_too_old", "not_owner"}
 	if got := slices.Compact(h.logged("shard entitlement", "reason")); !slices.Equal(got, want) {
-		t.Errorf("entitlements %v, want %v", got, want)
+		t.Errorf("reasons %v, want %v", got, want)
 	}
 	for _, tc := range []struct{ text, key, want string }{
 		{"job cancellation requested", "tasks", "1"},
@@ -43,61 +44,63 @@
 		}
 	}
 	if got := h.logged("heartbeat", "reason"); !slices.Contains(got, "accepted") || !slices.Contains(got, "stale_heartbeat") {
-		t.Errorf("reports: %v", got)
+		t.Errorf("heartbeats: %v", got)
 	}
 }
 
-// What is known, and what follows from it: whether a shard may be commanded, and why not.
+// TestMayCommandShard checks what the controller knows of a shard, and what it decides from that;
+// the decision alone is tested in package authority.
 func TestMayCommandShard(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		knows func(c *Controller, s *shard)
-		want  decision
+		want  authority.Decision
 	}{
-		{"an owner with a current view", func(*Controller, *shard) {}, allow(reasonCurrentView)},
-		{"not the owner", func(_ *Controller, s *shard) { s.active = false }, refuse(reasonNotOwner)},
-		{"handing back", func(_ *Controller, s *shard) { s.releasing = true }, refuse(reasonReleasing)},
-		{"a newer claim was heard of", func(_ *Controller, s *shard) { s.highestSeenEpoch = s.ownerEpoch + 1 }, refuse(reasonNewerClaim)},
-		{"the last renewal as old as it may be", func(c *Controller, _ *shard) { c.ownership.renewedAt = c.now - c.bounds.CommandValidity + 1 }, allow(reasonCurrentView)},
-		{"the last renewal too old", func(c *Controller, _ *shard) { c.ownership.renewedAt = c.now - c.bounds.CommandValidity }, refuse(reasonLeaseTooOld)},
-		{"no lease", func(c *Controller, _ *shard) { c.ownership.lease = 0 }, refuse(reasonLeaseTooOld)},
+		{"an owner with a current view", func(*Controller, *shard) {}, authority.Allow(authority.ReasonCurrentView)},
+		{"not the owner", func(_ *Controller, s *shard) { s.active = false }, authority.Refuse(authority.ReasonNotOwner)},
+		{"releasing", func(_ *Controller, s *shard) { s.releasing = true }, authority.Refuse(authority.ReasonReleasing)},
+		{"a newer claim is known", func(_ *Controller, s *shard) { s.highestSeenEpoch = s.ownerEpoch + 1 }, authority.Refuse(authority.ReasonNewerClaim)},
+		{"the last renewal as old as it may be", func(c *Controller, _ *shard) { c.ownership.renewedAt = c.now - c.bounds.CommandValidity + 1 }, authority.Allow(authority.ReasonCurrentView)},
+		{"the last renewal too old", func(c *Controller, _ *shard) { c.ownership.renewedAt = c.now - c.bounds.CommandValidity }, authority.Refuse(authority.ReasonLeaseTooOld)},
+		{"no lease", func(c *Controller, _ *shard) { c.ownership.lease = 0 }, authority.Refuse(authority.ReasonLeaseTooOld)},
 		{"a view as old as it may be", func(c *Controller, s *shard) {
 			s.jobsViewCurrent, c.ownership.jobWatch.completeAsOf = false, c.now-c.bounds.StaleViewGrace+1
-		}, allow(reasonStaleViewWithinGrace)},
+		}, authority.Allow(authority.ReasonStaleViewWithinGrace)},
 		{"a view too old, claimed just now", func(c *Controller, s *shard) {
 			s.jobsViewCurrent, s.claimedAt, c.ownership.jobWatch.completeAsOf = false, c.now, c.now-c.bounds.StaleViewGrace
-		}, refuse(reasonStaleViewBeyondGrace)},
+		}, authority.Refuse(authority.ReasonStaleViewBeyondGrace)},
 		{"no view, claimed just now", func(c *Controller, s *shard) {
 			s.jobsViewCurrent, s.claimedAt, c.ownership.jobWatch.completeAsOf = false, c.now, -micros.Never
-		}, refuse(reasonStaleViewBeyondGrace)},
-		{"an old view that was brought up to the claim", func(c *Controller, _ *shard) { c.ownership.jobWatch.completeAsOf = -micros.Never }, allow(reasonCurrentView)},
+		}, authority.Refuse(authority.ReasonStaleViewBeyondGrace)},
+		{"an old view that was brought up to the claim", func(c *Controller, _ *shard) { c.ownership.jobWatch.completeAsOf = -micros.Never }, authority.Allow(authority.ReasonCurrentView)},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := meet(t, withPeer)
 			s := h.c.ownership.shards[0]
 			tc.knows(h.c, s)
 			if got := h.c.mayCommandShard(s); got != tc.want {
-				t.Errorf("%v %s, want %v %s", got.allowed, got.reason, tc.want.allowed, tc.want.reason)
+				t.Errorf("%v %s, want %v %s", got.Allowed, got.Reason, tc.want.Allowed, tc.want.Reason)
 			}
 		})
 	}
 }
 
-// What a heartbeat and the records say of a machine, and whether the heartbeat is heard.
+// TestMayAcceptHeartbeat checks what the controller knows of a machine, and whether it accepts a
+// heartbeat; the decision alone is tested in package authority.
 func TestMayAcceptHeartbeat(t *testing.T) {
 	for _, tc := range []struct {
 		name         string
 		knows        func(m *machine)
 		seq          uint64
-		fencingToken uint64 // beside the machine's
-		want         decision
+		fencingToken uint64 // added to the machine's
+		want         authority.Decision
 	}{
-		{"a new report", func(*machine) {}, 50, 0, allow(reasonCurrentView)},
-		{"a copy", func(*machine) {}, 3, 0, refuse(reasonStaleHeartbeat)},
-		{"another owner's token", func(*machine) {}, 50, 1, refuse(reasonHigherFencingToken)},
-		{"it is to be returned", func(m *machine) { m.rec.Cordoned = true }, 50, 0, refuse(reasonCordoned)},
-		{"it was returned", func(m *machine) { m.returned = true }, 50, 0, refuse(reasonReturned)},
-		{"no care for it yet", func(m *machine) { m.view = nil }, 50, 0, refuse(reasonNotOwner)},
+		{"a new heartbeat", func(*machine) {}, 50, 0, authority.Allow(authority.ReasonCurrentView)},
+		{"a copy", func(*machine) {}, 3, 0, authority.Refuse(authority.ReasonStaleHeartbeat)},
+		{"another owner's fencing token", func(*machine) {}, 50, 1, authority.Refuse(authority.ReasonHigherFencingToken)},
+		{"cordoned", func(m *machine) { m.rec.Cordoned = true }, 50, 0, authority.Refuse(authority.ReasonCordoned)},
+		{"returned to the cloud", func(m *machine) { m.returned = true }, 50, 0, authority.Refuse(authority.ReasonReturned)},
+		{"no view of it yet", func(m *machine) { m.view = nil }, 50, 0, authority.Refuse(authority.ReasonNotOwner)},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := meet(t, withPeer)
@@ -106,7 +109,7 @@
 			tc.knows(m)
 			heartbeat := heartbeatFrom("vm-1", 1, tc.seq, fencingToken+tc.fencingToken)
 			if got := h.c.mayAcceptHeartbeat(m, &heartbeat); got != tc.want {
-				t.Errorf("%v %s, want %v %s", got.allowed, got.reason, tc.want.allowed, tc.want.reason)
+				t.Errorf("%v %s, want %v %s", got.Allowed, got.Reason, tc.want.Allowed, tc.want.Reason)
 			}
 		})
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -9,6 +9,7 @@
 	"math/rand/v2"
 	"slices"
 
+	"garnethitch/internal/controller/authority"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/wire"
 	"garnethitch/quota"
@@ -76,7 +77,7 @@
 // Controller is the state of one controller.
 type Controller struct {
 	cfg    Config
-	bounds Bounds
+	bounds authority.Bounds
 	rng    *rand.Rand
 
 	now, wall       micros.Micros
@@ -147,7 +148,7 @@
 	cfg.MaxRegistrations = cmp.Or(cfg.MaxRegistrations, cfg.MaxMachines)
 	c := &Controller{
 		cfg:                   cfg,
-		bounds:                NewBounds(cfg.Lease, cfg.WorkerLease, cfg.Cancel),
+		bounds:                authority.NewBounds(cfg.Lease, cfg.WorkerLease, cfg.Cancel),
 		rng:                   rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
 		calls:                 map[uint64]func(Result){},
 		peers:                 map[string]*peerView{},
--- a/internal/controller/job_end.go
+++ b/internal/controller/job_end.go
@@ -5,6 +5,7 @@
 	"net/http"
 	"slices"
 
+	"garnethitch/internal/controller/authority"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/peer"
 	"garnethitch/internal/wire"
@@ -84,7 +85,7 @@
 		if err != nil || t.State == wire.TaskExited {
 			continue
 		}
-		forgotten := !c.knows(id) && c.jobStatusOf(s, id, t.Attempt, c.now) == jobEnded
+		forgotten := !c.knows(id) && c.jobStatusOf(s, id, t.Attempt, c.now) == authority.JobEnded
 		if forgotten {
 			c.logEndedTask(s, m, t.Task, id, t.Attempt)
 		}
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -3,6 +3,7 @@
 import (
 	"net/http"
 
+	"garnethitch/internal/controller/authority"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/wire"
 )
@@ -143,14 +144,14 @@
 		return
 	}
 	s := c.ownership.shards[m.rec.Shard]
-	if v := c.mayAcceptHeartbeat(m, heartbeat); !v.allowed {
+	if v := c.mayAcceptHeartbeat(m, heartbeat); !v.Allowed {
 		c.refuseHeartbeat(in, m, v)
 		return
 	}
 	v := m.view
 	c.recordReachability(m, heartbeat)
 	c.applyHeartbeat(s, m, heartbeat, true)
-	if v := c.mayRenewMachineLease(s, m, heartbeat); !v.allowed {
+	if v := c.mayRenewMachineLease(s, m, heartbeat); !v.Allowed {
 		c.refuseHeartbeat(in, m, v)
 		return
 	}
@@ -165,7 +166,7 @@
 	}
 	c.checkRenewal(s, m)
 	v.reachability.replied(c.fencingToken(s, m), v.fencingToken, commands)
-	c.logHeartbeat(m, heartbeat, allow(reasonHeartbeatAccepted), commands)
+	c.logHeartbeat(m, heartbeat, authority.Allow(authority.ReasonHeartbeatAccepted), commands)
 	c.answer(in.Reply, http.StatusOK, wire.HeartbeatReply{FencingToken: c.fencingToken(s, m), Commands: commands}, 0)
 	if !v.reconciled {
 		c.reconcileMachine(s, m) // shows our fencing token at once
@@ -173,11 +174,11 @@
 }
 
 // refuseHeartbeat sends a worker away.
-func (c *Controller) refuseHeartbeat(in Heartbeat, m *machine, v decision) {
-	c.decisionLog.refused[v.reason]++
+func (c *Controller) refuseHeartbeat(in Heartbeat, m *machine, v authority.Decision) {
+	c.decisionLog.refusedHeartbeats[v.Reason]++
 	c.logHeartbeat(m, &in.Heartbeat, v, nil)
-	switch v.reason {
-	case reasonNotOwner, reasonReleasing, reasonNewerClaim, reasonLeaseTooOld, reasonStaleViewBeyondGrace:
+	switch {
+	case v.Reason.RefusesShard():
 		c.misdirectedHeartbeats[m.id] = c.now // bounded: it is on record
 		c.redirect(in.Reply, &c.ownership.shards[m.rec.Shard].lock)
 	default:
@@ -196,10 +197,7 @@
 }
 
 func newerThan(heartbeat *wire.Heartbeat, v *view) bool {
-	if heartbeat.AgentEpoch != v.agentEpoch {
-		return heartbeat.AgentEpoch > v.agentEpoch
-	}
-	return heartbeat.Sequence > v.sequence
+	return positionOf(heartbeat).After(v.lastPosition())
 }
 
 // applyHeartbeat takes a worker's heartbeat, from a heartbeat or as the answer to a direct
