--- a/internal/controller/ownership.go
+++ b/internal/controller/ownership.go
@@ -281,7 +281,7 @@
 	home := c.preferredOwner(id)
 	const step = 400 * micros.Millisecond
 	delay := micros.Micros(0)
-	if c.contact.lost {
+	if c.contact.lost() {
 		delay = 8 * step // anybody else, please
 	} else if home == c.cfg.Label {
 		return 0
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -124,7 +124,7 @@
 // about is what this node tells another of itself: the shards for which it acts,
 // and the machines of the other's shards that tried it of late, among the rest.
 func (c *Controller) about(p *peerView) peer.About {
-	out := peer.About{UptimeUS: int64(c.now - c.startedAt), StateOK: c.stateFresh(), WithoutWorkers: c.contact.lost, Quota: c.quota.ledger != nil}
+	out := peer.About{UptimeUS: int64(c.now - c.startedAt), StateOK: c.stateFresh(), WithoutWorkers: c.contact.lost(), Quota: c.quota.ledger != nil}
 	for _, s := range c.ownership.shards {
 		if c.activeShard(s.id) != nil {
 			out.Claims = append(out.Claims, peer.ShardClaim{Shard: s.id, OwnerEpoch: s.ownerEpoch})
--- a/internal/controller/worker_contact_test.go
+++ b/internal/controller/worker_contact_test.go
@@ -2,48 +2,88 @@
 
 import "testing"
 
-// A controller that has lost the workers lets its locks go; one that is behind
-// itself, or in a fleet that has lost some machines, does not.
+// TestWorkersOutOfReach checks that a controller that has lost the workers releases its locks,
+// and that one that is stalled, or in a fleet that has lost some machines, does not.
 func TestWorkersOutOfReach(t *testing.T) {
+	const machines = 10
 	for _, tc := range []struct {
 		name      string
-		silent    int // of 10 machines
+		silent    int // of machines
 		peersDown bool
 		stateDown bool
-		late      bool // its steps come seconds apart
+		stalled   bool // its steps come seconds apart
 		want      bool
 	}{
-		{"all are heard", 0, true, false, false, false},
-		{"some are silent, no peer to ask", 6, true, false, false, false},
-		{"all are silent, no peer to ask", 10, true, false, false, true},
-		{"all are silent, and so is the state service", 10, true, true, false, false},
-		{"all are silent, and not heard by the peer either", 10, false, false, false, false},
-		{"all are silent, but it has no time to read", 10, true, false, true, false},
+		{"all send heartbeats", 0, true, false, false, false},
+		{"some are silent, no peer is alive", 6, true, false, false, false},
+		{"all are silent, no peer is alive", machines, true, false, false, true},
+		{"all are silent, and so is the state service", machines, true, true, false, false},
+		{"all are silent, and none tries the peer", machines, false, false, false, false},
+		{"all are silent, but it is stalled itself", machines, true, false, true, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t, func(c *Config) { c.Peers = []string{"n-1"}; c.MaxMachines = 100 })
 			h.submit(jobOf("job-000001", 4000)) // or idle machines would be returned
-			h.run(8 * sec)                      // it comes to lead as well, and lists lag
+			h.run(8 * sec)                      // it becomes the leader as well, and lists lag
 			tokens := map[string]uint64{}
-			for i := range 10 {
+			for i := range machines {
 				tokens[machineName(i)] = h.reconcile(machineName(i))
 			}
 			h.peersDown, h.stateDown = tc.peersDown, tc.stateDown
-			seq := uint64(10)
+			sequence := uint64(10)
 			for range 20 {
-				if tc.late {
+				if tc.stalled {
 					h.now += 3 * sec / 2
 				}
 				h.run(sec / 2)
 				h.dropCalls()
-				seq++
-				for i := range 10 - tc.silent {
-					h.heartbeat(heartbeatFrom(machineName(i), 1, seq, tokens[machineName(i)]))
+				sequence++
+				for i := range machines - tc.silent {
+					h.heartbeat(heartbeatFrom(machineName(i), 1, sequence, tokens[machineName(i)]))
 				}
 			}
-			if h.c.contact.lost != tc.want {
-				t.Errorf("workers out of contact: %v, want %v", h.c.contact.lost, tc.want)
+			if h.c.contact.lost() != tc.want {
+				t.Errorf("contact lost: %v, want %v", h.c.contact.lost(), tc.want)
 			}
 		})
 	}
 }
+
+func TestHeartbeatSilence(t *testing.T) {
+	for _, tc := range []struct {
+		name                                   string
+		silence                                heartbeatSilence
+		wantMost, wantNearlyAll, wantElsewhere bool
+	}{
+		{"one machine of one", heartbeatSilence{machines: 1, silent: 1, elsewhere: 1}, false, true, true},
+		{"half of them", heartbeatSilence{machines: 4, silent: 2, elsewhere: 2}, false, false, true},
+		{"most of them, half elsewhere", heartbeatSilence{machines: 10, silent: 6, elsewhere: 3}, true, false, false},
+		{"nine tenths, most elsewhere", heartbeatSilence{machines: 10, silent: 9, elsewhere: 5}, true, true, true},
+		{"less than nine tenths", heartbeatSilence{machines: 100, silent: 89, elsewhere: 0}, true, false, false},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			if got := tc.silence.mostSilent(); got != tc.wantMost {
+				t.Errorf("most silent: %v, want %v", got, tc.wantMost)
+			}
+			if got := tc.silence.nearlyAllSilent(); got != tc.wantNearlyAll {
+				t.Errorf("nearly all silent: %v, want %v", got, tc.wantNearlyAll)
+			}
+			if got := tc.silence.mostTryElsewhere(); got != tc.wantElsewhere {
+				t.Errorf("most try elsewhere: %v, want %v", got, tc.wantElsewhere)
+			}
+		})
+	}
+}
+
+func TestRecordProbe(t *testing.T) {
+	w := workerContact{state: contactLost}
+	for i, tc := range []struct{ answered, wantRestored bool }{
+		{true, false}, {true, false}, {false, false}, {true, false}, {true, false}, {true, true},
+	} {
+		w.probeInFlight = true
+		restored := w.recordProbe(tc.answered)
+		if restored != tc.wantRestored || w.lost() == tc.wantRestored || w.probeInFlight {
+			t.Fatalf("probe %d, answered %v: restored %v, contact %s", i+1, tc.answered, restored, w.state)
+		}
+	}
+}
