--- a/internal/controller/authority.go
+++ b/internal/controller/authority.go
@@ -9,7 +9,7 @@
 // decides.
 
 func (c *Controller) leaseKnowledge() authority.LeaseKnowledge {
-	return authority.LeaseKnowledge{Held: c.ownership.lease != 0, RenewedAt: c.ownership.renewedAt, Now: c.now}
+	return authority.LeaseKnowledge{Held: c.ownership.lease.Held(), RenewedAt: c.ownership.lease.RenewedAt(), Now: c.now}
 }
 
 // leaseValid reports whether this node may answer for its shards from memory, and write records.
--- a/internal/controller/authority_test.go
+++ b/internal/controller/authority_test.go
@@ -48,6 +48,12 @@
 	}
 }
 
+// renewedAt has the lease of a controller last renewed at a time.
+func renewedAt(c *Controller, at micros.Micros) {
+	lease := &c.ownership.lease
+	lease.Grant(lease.ID(), at, c.now)
+}
+
 // TestMayCommandShard checks what the controller knows of a shard, and what it decides from that;
 // the decision alone is tested in package authority.
 func TestMayCommandShard(t *testing.T) {
@@ -60,9 +66,9 @@
 		{"not the owner", func(_ *Controller, s *shard) { s.active = false }, authority.Refuse(authority.ReasonNotOwner)},
 		{"releasing", func(_ *Controller, s *shard) { s.releasing = true }, authority.Refuse(authority.ReasonReleasing)},
 		{"a newer claim is known", func(_ *Controller, s *shard) { s.highestSeenEpoch = s.ownerEpoch + 1 }, authority.Refuse(authority.ReasonNewerClaim)},
-		{"the last renewal as old as it may be", func(c *Controller, _ *shard) { c.ownership.renewedAt = c.now - c.bounds.CommandValidity + 1 }, authority.Allow(authority.ReasonCurrentView)},
-		{"the last renewal too old", func(c *Controller, _ *shard) { c.ownership.renewedAt = c.now - c.bounds.CommandValidity }, authority.Refuse(authority.ReasonLeaseTooOld)},
-		{"no lease", func(c *Controller, _ *shard) { c.ownership.lease = 0 }, authority.Refuse(authority.ReasonLeaseTooOld)},
+		{"the last renewal as old as it may be", func(c *Controller, _ *shard) { renewedAt(c, c.now-c.bounds.CommandValidity+1) }, authority.Allow(authority.ReasonCurrentView)},
+		{"the last renewal too old", func(c *Controller, _ *shard) { renewedAt(c, c.now-c.bounds.CommandValidity) }, authority.Refuse(authority.ReasonLeaseTooOld)},
+		{"no lease", func(c *Controller, _ *shard) { c.ownership.lease.Lose() }, authority.Refuse(authority.ReasonLeaseTooOld)},
 		{"a view as old as it may be", func(c *Controller, s *shard) {
 			s.jobsViewCurrent, c.ownership.jobWatch.completeAsOf = false, c.now-c.bounds.StaleViewGrace+1
 		}, authority.Allow(authority.ReasonStaleViewWithinGrace)},
--- a/internal/controller/checkpoints_test.go
+++ b/internal/controller/checkpoints_test.go
@@ -58,7 +58,7 @@
 				}
 				// A new owner reads the same from it.
 				again := &job{id: sub.ID, sub: &sub, run: &run{done: newBitset(tc.tasks), checkpointed: newBitset(tc.tasks), acceptedUnderClaim: true}}
-				c.applyCheckpoint(&shard{checkpoints: map[string]wire.CheckpointRecord{sub.ID: rec}}, again)
+				c.applyCheckpoint(&shard{shardRecovery: shardRecovery{checkpoints: map[string]wire.CheckpointRecord{sub.ID: rec}}}, again)
 				if again.run.doneCount != tc.count {
 					t.Errorf("read as %d done", again.run.doneCount)
 				}
--- a/internal/controller/commands_test.go
+++ b/internal/controller/commands_test.go
@@ -241,7 +241,7 @@
 					list = append(list, wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning})
 				}
 			}
-			for seq := uint64(11); h.now < h.c.ownership.renewedAt+h.c.bounds.LeaseValidity+sec; seq++ {
+			for seq := uint64(11); h.now < h.c.ownership.lease.RenewedAt()+h.c.bounds.LeaseValidity+sec; seq++ {
 				h.run(sec / 2)
 				if !tc.silent {
 					h.step(PeerRequest{Reply: ReplyID(9000 + seq), Req: peer.Request{From: "n-1", Status: &peer.Status{About: peer.About{StateOK: tc.stateOK}}}})
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -10,6 +10,7 @@
 	"slices"
 
 	"garnethitch/internal/controller/authority"
+	"garnethitch/internal/controller/ownership"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/wire"
 	"garnethitch/quota"
@@ -92,7 +93,7 @@
 	stateQueue            stateQueue
 	reads                 jobReads
 	peerQuestionsInFlight int // questions to other controllers under way
-	ownership             ownership
+	ownership             ownershipState
 	contact               workerContact
 	jobs                  jobTable
 	cascade               cancellationCascade
@@ -166,9 +167,9 @@
 	for i, t := range cfg.Teams {
 		c.teamOf[t.Name] = i
 	}
-	c.shardOfTeam = AssignTeamsToShards(cfg.Teams, cfg.Shards)
+	c.shardOfTeam = ownership.AssignTeamsToShards(teamsToAssign(cfg.Teams), cfg.Shards)
 	c.commandQueue.maxInFlight = max(cfg.MaxWorkerRequests, 8)
-	c.ownership.init(cfg.Shards)
+	c.ownership.init(cfg.Shards, cfg.Lease)
 	c.stateQueue.mostUnderWay = cfg.MaxStateRequests
 	c.ownership.controlWatch.interval = c.watchInterval(controlWatchInterval, controlWatchFraction)
 	c.reads.init()
@@ -261,7 +262,7 @@
 // maintenanceInterval is how often maintain runs.
 func (c *Controller) maintenanceInterval() micros.Micros {
 	o := &c.ownership
-	if o.lease == 0 || !o.controlWatch.ready || !o.jobWatch.ready || o.leader.ownerEpoch == 0 || len(c.types) == 0 {
+	if !o.lease.Held() || !o.controlWatch.ready || !o.jobWatch.ready || o.leader.ownerEpoch == 0 || len(c.types) == 0 {
 		return busyInterval
 	}
 	for _, s := range o.shards {
--- a/internal/controller/decision_log.go
+++ b/internal/controller/decision_log.go
@@ -59,7 +59,7 @@
 		"before", before.String(),
 		"jobs_revision", jobsView.since,
 		"jobs_age_ms", (c.now - jobsView.completeAsOf).Millis(),
-		"renewed_ms", (c.now - c.ownership.renewedAt).Millis())
+		"renewed_ms", (c.now - c.ownership.lease.RenewedAt()).Millis())
 }
 
 // logRefusedHeartbeats logs how many heartbeats were refused since the last time, by reason.
--- a/internal/controller/job_end_test.go
+++ b/internal/controller/job_end_test.go
@@ -40,7 +40,7 @@
 			func(h *harness) { h.stateDown, h.refused = true, true }},
 		{"withdrawn once the lease is over", func(h *harness) {
 			h.stateDown = true
-			for seq := uint64(100); h.now < h.c.ownership.renewedAt+h.c.bounds.LeaseValidity+sec/2; seq++ {
+			for seq := uint64(100); h.now < h.c.ownership.lease.RenewedAt()+h.c.bounds.LeaseValidity+sec/2; seq++ {
 				h.run(100 * ms)
 			}
 		}, nil},
--- a/internal/controller/job_queue.go
+++ b/internal/controller/job_queue.go
@@ -101,7 +101,7 @@
 func (c *Controller) runnable(s *shard, j *job) bool {
 	r := j.run
 	return r != nil && r.checkpointApplied && r.endState == "" && j.pending() > 0 && !j.blocked() && !j.dependencyCancelled && c.mayStart() &&
-		j.knownAt <= c.ownership.renewedAt+c.bounds.LeaseValidity &&
+		j.knownAt <= c.ownership.lease.RenewedAt()+c.bounds.LeaseValidity &&
 		// A former owner may have started its tasks on a machine unheard of.
 		(r.acceptedUnderClaim || s.jobsViewCurrent && s.reconciled)
 }
--- a/internal/controller/lease.go
+++ b/internal/controller/lease.go
@@ -7,63 +7,81 @@
 	"garnethitch/internal/wire"
 )
 
-// The lease in the state service on which a node's locks hang.
+// The requests for the lease in the state service under which this node holds its locks; its
+// times are kept by ownership.Lease.
 
-func (c *Controller) newLease() {
-	o := &c.ownership
-	o.acquiringLease = true
-	asked := c.now
-	c.askState(classLease, wire.NewLease{TTLMS: c.cfg.Lease.Millis()}, micros.Second, func(r Result) {
-		o.acquiringLease = false
-		if l, ok := r.Body.(*wire.Lease); ok && r.Status == http.StatusOK && l.Lease != 0 {
-			o.lease, o.renewedAt = l.Lease, asked
-			o.nextRenewalAt = c.now + c.cfg.Lease/4
-			o.lastStateReplyAt = c.now
-			c.log(Info, "lease granted", "lease", l.Lease)
+const (
+	// leaseRequestTimeout is how long the request for a lease waits for its response.
+	leaseRequestTimeout = micros.Second
+	// renewalRetryDelay is after how long a renewal that failed is tried again.
+	renewalRetryDelay = 150 * micros.Millisecond
+)
+
+// maintainLease requests a lease, or its renewal, when that is due.
+func (c *Controller) maintainLease() {
+	lease := &c.ownership.lease
+	switch {
+	case lease.RequestDue():
+		c.requestLease()
+	case lease.RenewalDue(c.now):
+		c.renewLease()
+	}
+}
+
+// requestLease requests a lease. It counts from when it is requested.
+func (c *Controller) requestLease() {
+	lease := &c.ownership.lease
+	lease.Request()
+	sentAt := c.now
+	c.askState(classLease, wire.NewLease{TTLMS: lease.Duration().Millis()}, leaseRequestTimeout, func(r Result) {
+		granted, ok := r.Body.(*wire.Lease)
+		if !ok || r.Status != http.StatusOK || granted.Lease == 0 {
+			lease.RequestFailed()
+			return
 		}
+		lease.Grant(granted.Lease, sentAt, c.now)
+		c.ownership.lastStateReplyAt = c.now
+		c.log(Info, "lease granted", "lease", granted.Lease)
 	})
 }
 
-// renewLease asks for more time at a steady pace, whether the last answers have
-// come or not: a renewal counts from when it was sent, so that a late answer is
-// worth something yet. (On a share of a core that did not suffice, answers took
-// more than a second; with one renewal at a time, given up after a second, three
-// controllers lost their leases to each other, each taking over more than it could
-// bear.)
+// renewLease sends a renewal of the lease.
 func (c *Controller) renewLease() {
-	o := &c.ownership
-	o.renewalsInFlight++
-	asked, lease := c.now, o.lease
-	o.nextRenewalAt = asked + c.cfg.Lease/4
-	c.askState(classLease, RenewLease{Lease: lease}, c.cfg.Lease, func(r Result) {
-		o.renewalsInFlight--
-		if o.lease != lease {
+	lease := &c.ownership.lease
+	id := lease.ID()
+	sentAt := c.now
+	lease.SendRenewal(c.now)
+	c.askState(classLease, RenewLease{Lease: id}, lease.Duration(), func(r Result) {
+		if !lease.EndRenewal(id) {
 			return
 		}
 		switch r.Status {
 		case http.StatusOK:
-			if c.now >= o.renewedAt+c.bounds.LeaseValidity {
-				c.log(Info, "lease renewed after a gap", "gap_ms", (c.now - o.renewedAt).Millis())
-			}
-			o.renewedAt = max(o.renewedAt, asked)
-			o.lastStateReplyAt = c.now
-			c.schedulingDue = true
+			c.leaseRenewed(sentAt)
 		case http.StatusNotFound:
-			c.log(Info, "lease lost, giving up all locks", "lease", lease)
-			o.lastStateReplyAt = c.now
+			c.log(Info, "lease lost, giving up all locks", "lease", id)
+			c.ownership.lastStateReplyAt = c.now
 			c.loseLease()
 		default:
-			o.nextRenewalAt = min(o.nextRenewalAt, c.now+c.jitter(150*micros.Millisecond))
+			lease.RetryRenewal(c.now + c.jitter(renewalRetryDelay))
 		}
 	})
 }
 
-// maxRenewalsInFlight bounds those under way.
-const maxRenewalsInFlight = 4
+// leaseRenewed takes the success of a renewal that was sent at a time.
+func (c *Controller) leaseRenewed(sentAt micros.Micros) {
+	lease := &c.ownership.lease
+	if c.now >= lease.RenewedAt()+c.bounds.LeaseValidity {
+		c.log(Info, "lease renewed after a gap", "gap_ms", (c.now - lease.RenewedAt()).Millis())
+	}
+	lease.Renew(sentAt)
+	c.ownership.lastStateReplyAt = c.now
+	c.schedulingDue = true
+}
 
-// loseLease forgets every lock that hung on the lease.
+// loseLease gives up the lease, and every shard whose lock was held under it.
 func (c *Controller) loseLease() {
-	c.ownership.lease = 0
+	c.ownership.lease.Lose()
 	for _, s := range c.ownership.shards {
 		if s.active {
 			c.deactivate(s)
--- a/internal/controller/sharding_test.go
+++ b/internal/controller/ownership/sharding_test.go
@@ -1,4 +1,4 @@
-package controller
+package ownership
 
 import "testing"
 
@@ -9,9 +9,10 @@
 		shards int
 		want   []int
 	}{
-		{"one team without a limit: jobs are parted", []Team{{Name: "a"}}, 3, nil},
-		{"one team with a limit stays whole", []Team{{Name: "a", CPUsMax: 4}}, 3, []int{0}},
+		{"one team without a limit: jobs are assigned one by one", []Team{{}}, 3, nil},
+		{"one team with a limit stays whole", []Team{{Limited: true}}, 3, []int{0}},
 		{"by guarantee", []Team{{CPUs: 88}, {CPUs: 40}, {CPUs: 72}, {CPUs: 56}}, 3, []int{0, 2, 1, 2}},
+		{"a GPU counts as eight CPUs", []Team{{CPUs: 15}, {GPUs: 2}, {CPUs: 17}}, 3, []int{2, 1, 0}},
 		{"no guarantees: by number", []Team{{}, {}, {}, {}}, 2, []int{0, 1, 0, 1}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/controller/ownership_test.go
+++ b/internal/controller/ownership_test.go
@@ -3,6 +3,7 @@
 import (
 	"testing"
 
+	"garnethitch/internal/controller/ownership"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/peer"
 	"garnethitch/internal/wire"
@@ -56,7 +57,7 @@
 	fencingToken := h.reconcile("vm-1")
 	h.submit(jobOf("job-000001", 1))
 	h.stateDown = true
-	last := h.c.ownership.renewedAt
+	last := h.c.ownership.lease.RenewedAt()
 	seq := uint64(10)
 	for h.now < last+h.c.bounds.CommandValidity+2*sec {
 		h.run(sec / 2)
@@ -113,7 +114,7 @@
 	h := newHarness(t, func(c *Config) { c.Peers = []string{"n-1"}; c.Shards = 1 })
 	key := ownerKey(0)
 	stale := h.keys[key].ModRevision - 1
-	lease := h.c.ownership.lease
+	lease := h.c.ownership.lease.ID()
 	// The former process's claim arrives only now, on a free key's condition.
 	value, err := wire.Encode(wire.OwnerRecord{Label: "n-0", Incarnation: 999})
 	if err != nil {
@@ -166,7 +167,7 @@
 			h.ask(func(r ReplyID) Input {
 				return PeerRequest{Reply: r, Req: peer.Request{From: "n-0", Status: &peer.Status{About: peer.About{StateOK: true, UptimeUS: int64(tc.uptime)}}}}
 			})
-			h.c.releaseShards()
+			h.c.releaseToPreferredOwner()
 			if s.releasing != tc.goes {
 				t.Errorf("handed back: %v, want %v", s.releasing, tc.goes)
 			}
@@ -225,11 +226,11 @@
 			h.step(Result{ID: sent[0].ID, Status: 200})
 			sent, at = sent[1:], at[1:]
 		}
-		if len(sent) > maxRenewalsInFlight {
+		if len(sent) > ownership.MaxRenewalsInFlight {
 			t.Fatalf("%d renewals under way", len(sent))
 		}
 		if !h.c.leaseValid() {
-			t.Fatalf("may not answer, %v s after the last renewal that counts", (h.now - h.c.ownership.renewedAt).Seconds())
+			t.Fatalf("may not answer, %v s after the last renewal that counts", (h.now - h.c.ownership.lease.RenewedAt()).Seconds())
 		}
 	}
 }
--- a/internal/controller/registration_test.go
+++ b/internal/controller/registration_test.go
@@ -8,7 +8,7 @@
 	h := meet(t, withPeer)
 	h.c.fleet.rented["vm-7"] = &rented{kind: kind{"m", "a", false}, at: h.now}
 	h.stateDown, h.refused = true, true
-	for h.now < h.c.ownership.renewedAt+h.c.bounds.LeaseValidity-200*ms {
+	for h.now < h.c.ownership.lease.RenewedAt()+h.c.bounds.LeaseValidity-200*ms {
 		h.run(20 * ms)
 	}
 	h.ask(func(r ReplyID) Input { return Heartbeat{Reply: r, Heartbeat: heartbeatFrom("vm-7", 1, 1, 0)} })
--- a/internal/controller/scheduling_test.go
+++ b/internal/controller/scheduling_test.go
@@ -113,7 +113,7 @@
 			if h.c.walkedLastStep {
 				walks++
 			}
-			if h.now-h.c.ownership.renewedAt > h.c.cfg.Lease/2 {
+			if h.now-h.c.ownership.lease.RenewedAt() > h.c.cfg.Lease/2 {
 				t.Fatalf("steps of %v s: the lease was not renewed", tc.took.Seconds())
 			}
 		}
--- /dev/null
+++ b/internal/controller/shard_recovery.go
@@ -0,0 +1,199 @@
+package controller
+
+import (
+	"net/http"
+
+	"garnethitch/internal/micros"
+	"garnethitch/internal/peer"
+	"garnethitch/internal/wire"
+)
+
+// What a node does as it comes to own a shard, and as it ceases to.
+
+// shardRecovery is what an owner has learned since its claim; a new claim begins with nothing.
+type shardRecovery struct {
+	claimedAt micros.Micros
+	// machinesFreeAt is when machines without a heartbeat since the claim hold no task any
+	// more, see authority.Bounds.
+	machinesFreeAt micros.Micros
+	// quiescedPeers are the peers that issue no commands for the shard below this claim, with
+	// when they said so.
+	quiescedPeers map[string]micros.Micros
+	reconciled    bool // no task of a former owner can be at an unknown place
+	// jobsViewCurrent: this node's view of jobs is at least as new as its claim. Until then a
+	// job that it believes open may long have ended.
+	jobsViewCurrent        bool
+	refreshingJobsView     bool
+	loadingCheckpoints     bool
+	checkpointsLoaded      bool // the checkpoints that stood at the claim are known
+	checkpoints            map[string]wire.CheckpointRecord
+	checkpointModRevisions map[string]uint64
+}
+
+// setOwner takes a claim of a shard that the records show.
+func (c *Controller) setOwner(s *shard, rec wire.OwnerRecord, modRevision uint64) {
+	s.owner = rec
+	s.ownerEpoch = modRevision
+	s.claiming = false
+	if s.active {
+		c.deactivate(s)
+	}
+	if c.isMine(&s.lock) {
+		c.activate(s)
+	} else {
+		c.log(Debug, "shard has an owner", "shard", s.id, "owner", rec.Label, "epoch", modRevision)
+	}
+}
+
+// activate starts recovery of a shard that this node has just come to own.
+func (c *Controller) activate(s *shard) {
+	s.active = true
+	s.releasing = false
+	s.shardRecovery = shardRecovery{
+		claimedAt:      c.now,
+		machinesFreeAt: c.now + c.successorWait(),
+		quiescedPeers:  map[string]micros.Micros{},
+	}
+	s.recountAll = true
+	s.queueStale = true
+	machines := c.beginViews(s)
+	jobs := c.startRuns(s)
+	c.log(Info, "shard acquired", "shard", s.id, "epoch", s.ownerEpoch, "machines", machines, "jobs", jobs)
+	for _, label := range c.cfg.Peers {
+		c.sendStatus(c.peers[label])
+	}
+	c.refreshJobsView(s)
+	c.holdQuota(s)
+	c.loadCheckpoints(s, "", map[string]wire.CheckpointRecord{}, map[string]uint64{})
+	c.maintainMachines()
+	c.schedulingDue = true
+}
+
+// successorWait returns how long after a claim a machine without a heartbeat may hold tasks. A
+// node without peers has no predecessor that could have answered the machine since.
+func (c *Controller) successorWait() micros.Micros {
+	if len(c.cfg.Peers) == 0 {
+		return c.bounds.WorkerExpiry
+	}
+	return c.bounds.SuccessorWait
+}
+
+// beginViews begins a view of each machine of a shard that is not cordoned, and returns their
+// number.
+func (c *Controller) beginViews(s *shard) int {
+	machines := 0
+	for _, m := range s.machines {
+		if m.rec.Cordoned {
+			continue
+		}
+		v := c.newView()
+		v.unreconciledFromPredecessor = !m.returned
+		v.leaseExpired = m.returned
+		c.setView(m, v)
+		machines++
+	}
+	return machines
+}
+
+// startRuns begins to run the open jobs of a shard, and returns their number.
+func (c *Controller) startRuns(s *shard) int {
+	jobs := 0
+	for _, j := range c.jobs.open {
+		if j.shard == s.id {
+			c.startRun(s, j)
+			jobs++
+		}
+	}
+	return jobs
+}
+
+// refreshJobsView brings the view of jobs up to a claim, by one watch that does not wait: the
+// long poll may have hung on a broken connection for long.
+func (c *Controller) refreshJobsView(s *shard) {
+	w := &c.ownership.jobWatch
+	if !w.ready || s.refreshingJobsView {
+		return // the listing in progress comes first; maintainMachines asks again
+	}
+	s.refreshingJobsView = true
+	ownerEpoch := s.ownerEpoch
+	sentAt := c.now
+	// Where the state service is slow, what lets renewals through lets this through.
+	c.askState(classLease, Watch{Prefix: w.prefix, Since: w.since}, c.cfg.Lease, func(r Result) {
+		if s.active && s.ownerEpoch == ownerEpoch {
+			c.applyJobsRefresh(s, r, sentAt)
+		}
+	})
+}
+
+// applyJobsRefresh takes the response to a watch that was sent to bring the view of jobs up to
+// the claim.
+func (c *Controller) applyJobsRefresh(s *shard, r Result, sentAt micros.Micros) {
+	s.refreshingJobsView = false
+	w := &c.ownership.jobWatch
+	if mustListAgain(r.Status) {
+		w.ready = false
+	}
+	events, ok := r.Body.(*wire.Events)
+	if !ok || r.Status != http.StatusOK || events.Revision < s.ownerEpoch {
+		return
+	}
+	c.applyEvents(events.Events)
+	w.completeAsOf = max(w.completeAsOf, sentAt)
+	s.jobsViewCurrent = true
+	c.schedulingDue = true
+}
+
+// deactivate ends this node's work for a shard: nothing is kept that a later claim could mistake
+// for knowledge.
+func (c *Controller) deactivate(s *shard) {
+	c.log(Info, "shard given up", "shard", s.id)
+	s.active = false
+	s.releasing = false
+	s.checkpoints = nil
+	s.checkpointModRevisions = nil
+	c.dropQuota(s)
+	c.cascade.forgetTransactions()
+	for _, m := range s.machines {
+		c.setView(m, nil)
+	}
+	for _, j := range c.jobs.open {
+		if j.shard == s.id {
+			c.stopRun(j)
+		}
+	}
+}
+
+// recordQuiescedPeer records that a peer issues no commands for a shard below this node's claim.
+// Once all have said so, machines without a heartbeat need to be waited for no longer than
+// their own lease.
+func (c *Controller) recordQuiescedPeer(s *shard, label string) {
+	if !s.active {
+		return
+	}
+	if _, ok := s.quiescedPeers[label]; ok {
+		return
+	}
+	s.quiescedPeers[label] = c.now
+	if len(s.quiescedPeers) == len(c.cfg.Peers) {
+		s.machinesFreeAt = min(s.machinesFreeAt, c.now+c.bounds.WorkerExpiry)
+	}
+}
+
+// recordPeerClaims records the claims of a peer: a higher epoch than this node's ends its work
+// for the shard. It returns the shards of them that this node does not command.
+func (c *Controller) recordPeerClaims(claims []peer.ShardClaim) (quiesced []int) {
+	for _, claim := range claims {
+		if claim.Shard < 0 || claim.Shard >= len(c.ownership.shards) {
+			continue
+		}
+		s := c.ownership.shards[claim.Shard]
+		s.highestSeenEpoch = max(s.highestSeenEpoch, claim.OwnerEpoch)
+		if s.active && s.ownerEpoch < claim.OwnerEpoch {
+			c.deactivate(s)
+		}
+		if !s.active {
+			quiesced = append(quiesced, claim.Shard)
+		}
+	}
+	return quiesced
+}
--- a/internal/controller/worker_contact.go
+++ b/internal/controller/worker_contact.go
@@ -4,7 +4,6 @@
 	"net/http"
 
 	"garnethitch/internal/micros"
-	"garnethitch/internal/wire"
 )
 
 // A controller that has lost the workers, but not the state service, would keep its shards for
@@ -172,16 +171,6 @@
 	c.stepDown()
 }
 
-// stepDown releases the leader lock, if this node holds it.
-func (c *Controller) stepDown() {
-	leader := &c.ownership.leader
-	if !c.isMine(leader) {
-		return
-	}
-	c.ownership.steppedDownEpoch = leader.ownerEpoch
-	c.releaseLock(leader, wire.KeyLeader)
-}
-
 // probeWorkers asks one machine after the other whether it can be reached again. Without
 // machines there is no contact that could be lost.
 func (c *Controller) probeWorkers() {
