--- a/internal/controller/cancellation_test.go
+++ b/internal/controller/cancellation_test.go
@@ -10,29 +10,29 @@
 // The incident of the cancelled task (docs/incidents/2026-12-cancelled-task-ran-on.md).
 //
 // Seen: a task was on its machine more than cancel_s after its user had been told that the
-// job is cancelled. How: the stop did not reach the machine, which then heard a controller
+// job is cancelled. How: the stop did not reach the machine, which then reached a controller
 // only now and then, and each time a new claim of its shard had just been made. Cause: the
 // first answer after a claim renewed the machine's lease with the new token and nothing
 // else, since lists of tasks were believed only once the fencing token had been shown. Proof: a
 // machine that obeys all it hears is rid of the task in time.
-func TestCancelledTaskAcrossTakeovers(t *testing.T) {
+func TestCancelledTaskAcrossFailovers(t *testing.T) {
 	h := meet(t, withPeer)
 	fencingToken, attempt := h.runOne()
 	w := newSlowWorker(h, fencingToken, attempt)
 	if a := h.cancel("job-000001"); a.Status != 200 {
-		t.Fatalf("withdrawal answered %d", a.Status)
+		t.Fatalf("cancellation answered %d", a.Status)
 	}
-	informedAt := h.now
+	notifiedAt := h.now
 	for w.alive() {
-		w.heartbeatInTime(informedAt)
+		w.checkDeadline(notifiedAt)
 		h.txn(wire.Txn{Then: []wire.Change{{Delete: ownerKey(0)}}}) // the owner ends, the next one claims
 		h.run(3 * sec)
-		w.heartbeatFrom()
+		w.sendHeartbeat()
 		h.run(3 * sec) // nothing that is sent to it directly arrives
 	}
 }
 
-// slowWorker is a machine that runs job-000001/0. It hears answers to its heartbeats, and
+// slowWorker is a machine that runs job-000001/0. It receives replies to its heartbeats, and
 // nothing that is sent to it directly.
 type slowWorker struct {
 	h                     *harness
@@ -48,16 +48,17 @@
 
 func (w *slowWorker) alive() bool { return !w.stopped && w.h.now < w.leaseEnds }
 
-// heartbeatInTime: the time of a cancellation that was told then is not over while the task is there.
-func (w *slowWorker) heartbeatInTime(informedAt micros.Micros) {
+// checkDeadline fails the test if the task is still there after the time that a cancellation has,
+// counted from when its user was notified.
+func (w *slowWorker) checkDeadline(notifiedAt micros.Micros) {
 	w.h.t.Helper()
-	if now := w.h.now; now > informedAt+w.h.c.cfg.Cancel {
-		w.h.t.Fatalf("the task is still on its machine %v s after its user was told, and its lease ends in %v s", (now - informedAt).Seconds(), (w.leaseEnds - now).Seconds())
+	if now := w.h.now; now > notifiedAt+w.h.c.cfg.Cancel {
+		w.h.t.Fatalf("the task is still on its machine %v s after its user was notified, and its lease ends in %v s", (now - notifiedAt).Seconds(), (w.leaseEnds - now).Seconds())
 	}
 }
 
-// heartbeatFrom sends a heartbeat, and does what the answer says.
-func (w *slowWorker) heartbeatFrom() {
+// sendHeartbeat sends a heartbeat, and does what the reply says.
+func (w *slowWorker) sendHeartbeat() {
 	w.sequence++
 	status, body := w.h.heartbeat(w.h.running(w.sequence, w.fencingToken, w.attempt))
 	if status != 200 || body.FencingToken < w.fencingToken {
@@ -68,12 +69,12 @@
 	w.stopped = w.stopped || stops(body.Commands) > 0
 }
 
-// Found beside the incident, by the simulation: owners that had not caught up with jobs
-// followed one another, and each fed its machines for a time that began with its own claim.
+// Found beside the incident, by the simulation: owners with a stale view of jobs followed one
+// another, and each renewed its machines' leases for a time that began with its own claim.
 // Seen: a cancelled task lived on while the state service let claims and renewals through
-// and no look at jobs. Cause: the time allowed to an owner that does not know what its
+// and no watch of jobs. Cause: the time allowed to an owner that does not know what its
 // predecessor ended counted on a predecessor that did. Proof: whatever the number of
-// claims, a machine that is heard all the time is rid of the task in time.
+// claims, a machine whose heartbeats all arrive is rid of the task in time.
 func TestOwnersWithStaleViewsInSeries(t *testing.T) {
 	h := meet(t, func(c *Config) {
 		withPeer(c)
@@ -85,24 +86,24 @@
 	h.unlistablePrefix = wire.PrefixJob
 	h.put(ownerKey(0), wire.OwnerRecord{Label: "n-1", Incarnation: 99})
 	h.put(wire.JobKey("job-000001"), wire.JobRecord{State: wire.StateCancelled, Tasks: 1})
-	informedAt := h.now
+	notifiedAt := h.now
 	for w.alive() {
 		h.txn(wire.Txn{Then: []wire.Change{{Delete: ownerKey(0)}}}) // the owner ends, this node claims
 		for until := h.now + 8*sec; h.now < until && w.alive(); {
 			h.run(sec)
-			w.heartbeatFrom()
-			w.heartbeatInTime(informedAt)
+			w.sendHeartbeat()
+			w.checkDeadline(notifiedAt)
 		}
 	}
 }
 
 // Found beside the incident, by the simulation (docs/incidents/2026-12-unknown-job-was-fed.md).
 // Seen: a cancelled task lived on at an owner with a current view of jobs. How: its machine
-// was out of reach when it was cancelled, the shard was claimed anew, and the job's end had
-// left the memory of ends; reads of single jobs were refused. Cause: what nobody can vouch
-// for was fed until a read succeeded, without a bound, although the view of jobs showed that
-// the job was over: "shard entitlement" said current_view, then each "report" said
-// answered=true commands=0. Proof: a machine that is heard all the time is rid of the task
+// was unreachable when it was cancelled, the shard was claimed anew, and the job's end had
+// left the memory of ends; reads of single jobs were refused. Cause: the lease of a machine with a
+// task of an unknown job was renewed until a read succeeded, without a bound, although the view
+// of jobs showed that the job had ended: "shard entitlement" said current_view, then each "report" said
+// answered=true commands=0. Proof: a machine whose heartbeats all arrive is rid of the task
 // in time.
 func TestUnknownJobUnreadable(t *testing.T) {
 	h := meet(t, func(c *Config) {
@@ -112,20 +113,20 @@
 	fencingToken, attempt := h.runOne()
 	w := newSlowWorker(h, fencingToken, attempt)
 	h.cancel("job-000001")
-	informedAt := h.now
+	notifiedAt := h.now
 	h.put(wire.JobKey("job-000002"), wire.JobRecord{State: wire.StateDone, Tasks: 1})
 	h.unreadablePrefix = wire.PrefixJob
 	h.txn(wire.Txn{Then: []wire.Change{{Delete: ownerKey(0)}}}) // the owner ends, this node claims
 	for w.alive() {
 		h.run(sec)
-		w.heartbeatFrom()
-		w.heartbeatInTime(informedAt)
+		w.sendHeartbeat()
+		w.checkDeadline(notifiedAt)
 	}
 }
 
-// A cancellation that is taken up before the checkpoints of the former owner's time are
-// loaded stops the tasks that the machines show: its record may be carried out, and be
-// told by others, without this node's knowing.
+// TestCancelledTaskBeforeCheckpoints checks that a cancellation that is requested before the
+// checkpoints of the former owner are loaded stops the tasks that the machines list: its record
+// may be applied, and users notified by others, without this node's knowing.
 func TestCancelledTaskBeforeCheckpoints(t *testing.T) {
 	h := meet(t, withPeer)
 	fencingToken, attempt := h.runOne()
@@ -144,7 +145,8 @@
 	}
 }
 
-// The answer to a heartbeat holds a list of commands, also where there are none.
+// TestAnswerHoldsList checks that the reply to a heartbeat has a list of commands, also where there
+// are none.
 func TestAnswerHoldsList(t *testing.T) {
 	h := meet(t, withPeer)
 	fencingToken := h.reconcile("vm-1")
@@ -155,33 +157,33 @@
 		}
 		status, body := h.heartbeat(heartbeatFrom("vm-1", 1, 50+uint64(h.now/sec), fencingToken))
 		if status != 200 || body.Commands == nil || len(body.Commands) > 0 {
-			t.Errorf("settled %v: answered %d with %#v, want an empty list", reconciled, status, body.Commands)
+			t.Errorf("reconciled %v: answered %d with %#v, want an empty list", reconciled, status, body.Commands)
 		}
 	}
 }
 
 // A start that is carried out late. Seen by reading only, and by this test: a direct command
 // was not answered, and the record that raises its machine's token does not get through, so
-// that the order may be carried out as long as the machine's session lasts. Its job is
-// cancelled. The machine's reports were answered all the same, which went on renewing its
+// that the command may be executed as long as the machine's agent epoch lasts. Its job is
+// cancelled. The machine's heartbeats were answered all the same, which went on renewing its
 // lease: nothing bounded when the task might yet start. Proof: once the time of the
-// cancellation is over, so is the machine's lease, and with it the session that the order names.
+// cancellation is over, so is the machine's lease, and with it the agent epoch that the command names.
 func TestLateStartIsBounded(t *testing.T) {
 	h := meet(t, withPeer)
 	fencingToken := h.reconcile("vm-1")
 	h.submit(jobOf("job-000001", 1))
-	orders := h.directCommands()
-	if len(orders) != 1 {
-		t.Fatalf("%d orders, want the start", len(orders))
+	commands := h.directCommands()
+	if len(commands) != 1 {
+		t.Fatalf("%d commands, want the start", len(commands))
 	}
 	h.open = nil
 	h.late = wire.PrefixFleet // the raised fencing token is never recorded
-	h.step(Result{ID: orders[0].ID})
+	h.step(Result{ID: commands[0].ID})
 	if a := h.cancel("job-000001"); a.Status != 200 {
-		t.Fatalf("withdrawal answered %d", a.Status)
+		t.Fatalf("cancellation answered %d", a.Status)
 	}
-	informedAt, leaseEnds, answered := h.now, h.now+h.c.cfg.WorkerLease, 0
-	for seq := uint64(20); h.now < informedAt+3*h.c.cfg.Cancel && h.now < leaseEnds; seq++ {
+	notifiedAt, leaseEnds, answered := h.now, h.now+h.c.cfg.WorkerLease, 0
+	for seq := uint64(20); h.now < notifiedAt+3*h.c.cfg.Cancel && h.now < leaseEnds; seq++ {
 		if status, _ := h.heartbeat(heartbeatFrom("vm-1", 1, seq, fencingToken)); status == 200 {
 			leaseEnds = h.now + h.c.cfg.WorkerLease
 			answered++
@@ -189,9 +191,9 @@
 		h.run(sec)
 	}
 	if answered == 0 {
-		t.Error("no report was answered")
+		t.Error("no heartbeat was answered")
 	}
-	if leaseEnds > informedAt+h.c.cfg.Cancel {
-		t.Errorf("the order may start the task until %v s after its user was told, want at most %v s", (leaseEnds - informedAt).Seconds(), h.c.cfg.Cancel.Seconds())
+	if leaseEnds > notifiedAt+h.c.cfg.Cancel {
+		t.Errorf("the command may start the task until %v s after its user was notified, want at most %v s", (leaseEnds - notifiedAt).Seconds(), h.c.cfg.Cancel.Seconds())
 	}
 }
--- a/internal/controller/ownership_test.go
+++ b/internal/controller/ownership_test.go
@@ -9,11 +9,11 @@
 	"garnethitch/internal/wire"
 )
 
-// Jobs that a former owner may have started wait until every machine of the
-// shard is settled; jobs accepted after the claim need not.
-func TestTakeover(t *testing.T) {
+// TestFailover checks that jobs that a former owner may have started wait until every machine of
+// the shard is reconciled, and that jobs accepted after the claim need not.
+func TestFailover(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.Peers = []string{"n-1"}; c.Shards = 1 })
-	// n-1 held the shard; its job and machine stand on record.
+	// n-1 owned the shard; its job and machines are on record.
 	old := jobOf("job-000001", 1)
 	h.putMachines("l-1-1", "vm-1", "vm-2")
 	h.put(wire.JobKey("job-000001"), wire.JobRecord{Submission: &old, State: wire.StatePending, Tasks: 1})
@@ -21,7 +21,7 @@
 	h.run(3 * sec)
 	s := h.c.ownership.shards[0]
 	if !s.active {
-		t.Fatal("the share was not taken over")
+		t.Fatal("the shard was not claimed")
 	}
 	h.dropCalls()
 	fencingToken := h.c.fencingToken(s, h.c.machines["vm-1"])
@@ -35,23 +35,23 @@
 	if got := starts(body.Commands); len(got) != 1 || got[0].Task != "job-000002/0" {
 		t.Errorf("starts %v, want the new job's only", got)
 	}
-	new := starts(body.Commands)[0]
-	// vm-2 shows the old task: it is adopted, not started again.
+	started := starts(body.Commands)[0]
+	// vm-2 lists the old task: it is adopted, not started again.
 	_, body = h.heartbeat(heartbeatFrom("vm-2", 1, 5, fencingToken, wire.TaskStatus{Task: "job-000001/0", Attempt: 7, State: wire.TaskRunning}))
 	for _, c := range body.Commands {
 		t.Errorf("unexpected command %v", c)
 	}
-	_, body = h.heartbeat(heartbeatFrom("vm-1", 1, 7, fencingToken, wire.TaskStatus{Task: new.Task, Attempt: new.Attempt, State: wire.TaskRunning}))
+	_, body = h.heartbeat(heartbeatFrom("vm-1", 1, 7, fencingToken, wire.TaskStatus{Task: started.Task, Attempt: started.Attempt, State: wire.TaskRunning}))
 	if n := len(starts(body.Commands)); n != 0 {
 		t.Errorf("the old task was started again")
 	}
 	if s := h.state("job-000001"); s != wire.StateRunning {
-		t.Errorf("the old job is called %q, want running", s)
+		t.Errorf("the old job is %q, want running", s)
 	}
 }
 
-// An owner that has lost the state service stops speaking from memory at the
-// end of its lease, and commanding at the end of the extra time.
+// TestLosingTheStateService checks that an owner that has lost the state service stops answering
+// from memory at the end of its lease, and commanding at the end of CommandValidity.
 func TestLosingTheStateService(t *testing.T) {
 	h := newHarness(t, nil)
 	fencingToken := h.reconcile("vm-1")
@@ -64,20 +64,21 @@
 		seq++
 		status, _ := h.heartbeat(heartbeatFrom("vm-1", 1, seq, fencingToken))
 		if want := h.now < last+h.c.bounds.CommandValidity; (status == 200) != want {
-			t.Fatalf("%v s after the last renewal a report got %d", (h.now - last).Seconds(), status)
+			t.Fatalf("%v s after the last renewal a heartbeat got %d", (h.now - last).Seconds(), status)
 		}
 		a := h.jobStatus("job-000001")
 		if want := h.now < last+h.c.bounds.LeaseValidity; (a.Status == 200) != want {
-			t.Fatalf("%v s after the last renewal a question got %d", (h.now - last).Seconds(), a.Status)
+			t.Fatalf("%v s after the last renewal a request for the job's status got %d", (h.now - last).Seconds(), a.Status)
 		}
 	}
 	if h.c.bounds.CommandValidity <= h.c.bounds.LeaseValidity+micros.Second {
-		t.Error("the case has no extra time to look at")
+		t.Error("the case has no time between the two bounds")
 	}
 }
 
-// Without the state service and the others a controller lets its machines go
-// after R+L+X, is not ready, and tells users nothing but final states.
+// TestAloneWithItsWorkers checks that a controller without the state service and its peers stops
+// answering its machines after CommandValidity, is not ready, and answers users with nothing but
+// final states.
 func TestAloneWithItsWorkers(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.Peers = []string{"n-1"} })
 	h.run(2 * sec)
@@ -94,22 +95,22 @@
 		seq++
 		status, _ := h.heartbeat(heartbeatFrom("vm-1", 1, seq, fencingToken))
 		if h.now > last+b.CommandValidity && status == 200 {
-			t.Fatalf("report answered 200 %v s after the last renewal, bound %v s", (h.now - last).Seconds(), b.CommandValidity.Seconds())
+			t.Fatalf("heartbeat answered 200 %v s after the last renewal, bound %v s", (h.now - last).Seconds(), b.CommandValidity.Seconds())
 		}
 	}
 	if a := h.ask(func(r ReplyID) Input { return ReadinessRequest{Reply: r} }); a.Status != 503 {
 		t.Errorf("ready: %d, want 503: users must find the others", a.Status)
 	}
 	if a := h.jobStatus("job-000001"); a.Status == 200 {
-		t.Errorf("tells of an open job from memory: %v", a.Body)
+		t.Errorf("answers about an open job from memory: %v", a.Body)
 	}
 	if s := h.state("job-000002"); s != wire.StateCancelled {
-		t.Errorf("a final state is called %q", s)
+		t.Errorf("a cancelled job is %q", s)
 	}
 }
 
-// A process that is back within a moment finds keys of its former self: it
-// replaces them, and what that one had sent does nothing when it arrives.
+// TestBackAtOnce checks that a process that is restarted within its lease replaces the keys of its
+// former process, and that what that one had sent does nothing when it arrives.
 func TestBackAtOnce(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.Peers = []string{"n-1"}; c.Shards = 1 })
 	key := ownerKey(0)
@@ -131,29 +132,29 @@
 		t.Fatalf("holds %+v, active %v", s.owner, s.active)
 	}
 	if got := h.keys[key].ModRevision; got != s.ownerEpoch {
-		t.Errorf("the key's mark is %d, ours %d", got, s.ownerEpoch)
+		t.Errorf("the key's revision is %d, ours %d", got, s.ownerEpoch)
 	}
-	// A late write of the former self's, under its own mark, can't apply.
+	// A late write of the former process, under its own epoch, can't apply.
 	if status, _ := h.txn(wire.Txn{If: []wire.Condition{{Key: key, ModRevision: stale}}, Then: []wire.Change{{Delete: key}}}); status != 409 {
-		t.Errorf("a late write under an old mark got %d", status)
+		t.Errorf("a late write under an old epoch got %d", status)
 	}
 }
 
-// TestReleaseShard: a shard goes back to its home once that has been up for a while,
-// whatever is under way to machines; not while a machine is in doubt, whose wait
+// TestReleaseShard checks that a shard is released to its preferred owner once that has been up for
+// a while, whatever commands are in flight; not while a machine is not reconciled, whose wait
 // would begin anew.
 func TestReleaseShard(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
-		uptime micros.Micros
+		uptime micros.Micros // of the preferred owner
 		change func(*view)
-		goes   bool
+		want   bool
 	}{
-		{"nothing under way", 20 * sec, func(*view) {}, true},
-		{"an order under way", 20 * sec, func(v *view) { v.commandInFlight = true }, true},
-		{"an order not answered", 20 * sec, func(v *view) { v.inDoubtToken = 1 << 40 }, true},
-		{"a machine in doubt", 20 * sec, func(v *view) { v.unreconciledFromPredecessor = true }, false},
-		{"its home has just come up", sec, func(*view) {}, false},
+		{"nothing in flight", 20 * sec, func(*view) {}, true},
+		{"a command in flight", 20 * sec, func(v *view) { v.commandInFlight = true }, true},
+		{"a command in doubt", 20 * sec, func(v *view) { v.inDoubtToken = 1 << 40 }, true},
+		{"a machine not reconciled", 20 * sec, func(v *view) { v.unreconciledFromPredecessor = true }, false},
+		{"its preferred owner has just started", sec, func(*view) {}, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t, func(c *Config) { c.Label, c.Peers = "n-1", []string{"n-0"} })
@@ -161,26 +162,26 @@
 			h.reconcile("vm-1")
 			s := h.c.ownership.shards[0]
 			if !s.active {
-				t.Fatal("the share is not ours")
+				t.Fatal("the shard is not owned")
 			}
 			tc.change(h.c.machines["vm-1"].view)
 			h.ask(func(r ReplyID) Input {
 				return PeerRequest{Reply: r, Req: peer.Request{From: "n-0", Status: &peer.Status{About: peer.About{StateOK: true, UptimeUS: int64(tc.uptime)}}}}
 			})
 			h.c.releaseToPreferredOwner()
-			if s.releasing != tc.goes {
-				t.Errorf("handed back: %v, want %v", s.releasing, tc.goes)
+			if s.releasing != tc.want {
+				t.Errorf("releasing: %v, want %v", s.releasing, tc.want)
 			}
 		})
 	}
 }
 
 // Found by the simulation at 4,000 machines and a state service that takes few requests
-// (docs/incidents/2026-12-share-stood-still.md). Seen: a shard was being handed back for
-// 100 s, its machines unanswered. How: nobody speaks for its jobs meanwhile, so that each
-// question of a user takes a read, and the deletion of the owner key waited behind these,
+// (docs/incidents/2026-12-share-stood-still.md). Seen: a shard was being released for
+// 100 s, its machines unanswered. How: nobody answers for its jobs from memory meanwhile, so that each
+// request of a user takes a read, and the deletion of the owner key waited behind these,
 // which went on for as long as it did: "state requests" said 8,309 sent and 10,715 expired
-// in the class of the reads, 45 and 261 in that of the deletion. Proof: beside more questions
+// in the class of the reads, 45 and 261 in that of the deletion. Proof: beside more requests
 // than can be read, the key is deleted within a few seconds.
 func TestReleaseShardBesideQuestions(t *testing.T) {
 	h := meet(t, func(c *Config) {
@@ -201,12 +202,12 @@
 	h.c.releaseShard(s)
 	ask(5 * sec)
 	if h.keys[ownerKey(0)].ModRevision == modRevision {
-		t.Error("the owner key still stands 5 s after the share was to be handed back")
+		t.Error("the owner key still stands 5 s after the shard was to be released")
 	}
 }
 
-// Renewals go out at a steady pace while answers are late, and one that comes
-// late counts from when it was sent.
+// TestLateRenewals checks that renewals are sent at a steady pace while responses are late, and
+// that one that comes late counts from when it was sent.
 func TestLateRenewals(t *testing.T) {
 	h := newHarness(t, nil)
 	var sent []Call
@@ -222,15 +223,15 @@
 				}
 			}
 		}
-		for len(at) > 0 && h.now >= at[0]+2500*ms { // each answer takes 2.5 s
+		for len(at) > 0 && h.now >= at[0]+2500*ms { // each response takes 2.5 s
 			h.step(Result{ID: sent[0].ID, Status: 200})
 			sent, at = sent[1:], at[1:]
 		}
 		if len(sent) > ownership.MaxRenewalsInFlight {
-			t.Fatalf("%d renewals under way", len(sent))
+			t.Fatalf("%d renewals in flight", len(sent))
 		}
 		if !h.c.leaseValid() {
-			t.Fatalf("may not answer, %v s after the last renewal that counts", (h.now - h.c.ownership.lease.RenewedAt()).Seconds())
+			t.Fatalf("the lease is not valid, %v s after the last renewal that counts", (h.now - h.c.ownership.lease.RenewedAt()).Seconds())
 		}
 	}
 }
--- a/internal/controller/unknown_jobs_test.go
+++ b/internal/controller/unknown_jobs_test.go
@@ -10,37 +10,37 @@
 // Tasks of jobs that this node does not know (docs/incidents/2026-12-unknown-job-was-fed.md).
 //
 // A cancelled task lived on at an owner with a current view of jobs. Its job's end had left
-// the bounded memory of ends when the machine reported after a claim, and the job's record
-// was to be read before anything was done: one read at a time, 5 s after the task had come
-// up, begun only by a heartbeat. Where reads were refused, each heartbeat was answered, which
+// the bounded memory of ends when the machine sent a heartbeat after a claim, and the job's record
+// was to be read before anything was done: one read at a time, 5 s after the task had been
+// listed, begun only by a heartbeat. Where reads were refused, each heartbeat was answered, which
 // renewed the machine's lease, with no stop; in TestUnknownJobUnreadable for 40 s and more. The
 // simulation broke ran_cancelled or "renewed" in the same way with the ends of four jobs kept.
 
-// A claim with a current view, after which a machine shows the task of a job that is over
-// and that has left memory.
+// TestEndedTaskIsStoppedWithoutRead checks that after a claim with a current view the task of a job
+// that has ended and has left memory is stopped as soon as a machine lists it.
 func TestEndedTaskIsStoppedWithoutRead(t *testing.T) {
-	few := func(c *Config) {
+	fewEndsInMemory := func(c *Config) {
 		withPeer(c)
 		c.MaxFinalJobs, c.Cancel, c.MaxMachines = 1, 40*sec, 400
 	}
 	end := func(h *harness, id string) {
 		h.put(wire.JobKey(id), wire.JobRecord{State: wire.StateCancelled, Tasks: 1})
 	}
-	claimAnew := func(h *harness) {
+	reclaim := func(h *harness) {
 		h.txn(wire.Txn{Then: []wire.Change{{Delete: ownerKey(0)}}})
 		h.run(2 * sec)
 	}
-	shows := func(machine string, seq, fencingToken uint64, job string, attempt uint64) wire.Heartbeat {
+	lists := func(machine string, seq, fencingToken uint64, job string, attempt uint64) wire.Heartbeat {
 		return heartbeatFrom(machine, 1, seq, fencingToken, wire.TaskStatus{Task: job + "/0", Attempt: attempt, State: wire.TaskRunning})
 	}
 
-	t.Run("with the first answer after the claim", func(t *testing.T) {
-		h := meet(t, few)
+	t.Run("with the first reply after the claim", func(t *testing.T) {
+		h := meet(t, fewEndsInMemory)
 		fencingToken, attempt := h.runOne()
 		end(h, "job-000001")
 		end(h, "job-000002")
 		h.unreadablePrefix = wire.PrefixJob
-		claimAnew(h)
+		reclaim(h)
 		if status, body := h.heartbeat(h.running(20, fencingToken, attempt)); status == 200 && stops(body.Commands) != 1 {
 			t.Errorf("answered 200 with %v, want the task stopped", body.Commands)
 		}
@@ -48,7 +48,7 @@
 
 	t.Run("hundreds of machines", func(t *testing.T) {
 		const machines = 300
-		h := meet(t, few)
+		h := meet(t, fewEndsInMemory)
 		for i := range machines {
 			h.listed = append(h.listed, wire.ListedMachine{ID: machineName(i), Addr: machineName(i), Type: "m", Zone: "a", State: wire.MachineRunning, AgeS: 1})
 		}
@@ -59,36 +59,37 @@
 			end(h, fmt.Sprintf("job-%06d", i))
 		}
 		h.unreadablePrefix = wire.PrefixJob
-		claimAnew(h)
+		reclaim(h)
 		fencingToken := h.c.ownership.shards[0].ownerEpoch
 		for i := range machines {
-			if status, body := h.heartbeat(shows(machineName(i), 5, fencingToken, fmt.Sprintf("job-%06d", i), old<<32|uint64(i))); status != 200 || stops(body.Commands) != 1 {
+			if status, body := h.heartbeat(lists(machineName(i), 5, fencingToken, fmt.Sprintf("job-%06d", i), old<<32|uint64(i))); status != 200 || stops(body.Commands) != 1 {
 				t.Fatalf("machine %d of %d: answered %d with %v, want the task stopped", i, machines, status, body.Commands)
 			}
 		}
 	})
 
-	t.Run("started by another share's owner, under a later claim", func(t *testing.T) {
-		h := meet(t, few)
+	t.Run("started by another shard's owner, under a later claim", func(t *testing.T) {
+		h := meet(t, fewEndsInMemory)
 		fencingToken, _ := h.runOne()
 		end(h, "job-000007")
 		end(h, "job-000008")
 		h.unreadablePrefix = wire.PrefixJob
 		later := uint64(1000)
-		h.heartbeat(shows("vm-1", 20, fencingToken, "job-000007", later<<32|1))
+		h.heartbeat(lists("vm-1", 20, fencingToken, "job-000007", later<<32|1))
 		h.put(wire.JobKey("job-000009"), wire.JobRecord{State: wire.StateDone, Tasks: 1}) // the view goes on
 		h.run(sec)
-		if status, body := h.heartbeat(shows("vm-1", 21, fencingToken, "job-000007", later<<32|1)); status == 200 && stops(body.Commands) != 1 {
+		if status, body := h.heartbeat(lists("vm-1", 21, fencingToken, "job-000007", later<<32|1)); status == 200 && stops(body.Commands) != 1 {
 			t.Errorf("answered 200 with %v, want the task stopped", body.Commands)
 		}
 	})
 }
 
-// An owner that can't learn of jobs, and a machine that shows a task of one that it does not
-// know. If the task was started under a claim that its view includes, the job may have ended
-// long ago, and nothing tells when its user was told: the machine's lease is not renewed,
+// TestUnknownJobAtOwnerWithStaleView has an owner that can't learn of jobs, and a machine that lists
+// a task of one that it does not know. If the task was started under a claim that its view
+// includes, the job may have ended long ago, and nothing says when its user was notified: the
+// machine's lease is not renewed,
 // and the task is not stopped either, since it may be of a job that has just been accepted.
-// If it was started under a later claim, the job was not over when the view was complete.
+// If it was started under a later claim, the job had not ended when the view was complete.
 func TestUnknownJobAtOwnerWithStaleView(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
@@ -111,12 +112,12 @@
 			h.run(2 * sec)
 			s := h.c.ownership.shards[0]
 			if !s.active || s.jobsViewCurrent {
-				t.Fatal("not a blind owner: the case is not what it should be")
+				t.Fatal("not an owner with a stale view: the case is not what it should be")
 			}
 			for seq := uint64(20); seq < 23; seq++ {
 				status, body := h.heartbeat(heartbeatFrom("vm-1", 1, seq, fencingToken, wire.TaskStatus{Task: "job-000007/0", Attempt: claim<<32 | 1, State: wire.TaskRunning}))
 				if (status == 200) != tc.answered || stops(body.Commands) > 0 {
-					t.Errorf("report %d: answered %d with %v, want it answered: %v, and nothing stopped", seq, status, body.Commands, tc.answered)
+					t.Errorf("heartbeat %d: answered %d with %v, want it answered: %v, and nothing stopped", seq, status, body.Commands, tc.answered)
 				}
 				fencingToken = max(fencingToken, body.FencingToken)
 				h.run(sec)
@@ -125,7 +126,7 @@
 	}
 }
 
-// No task of an accepted job is stopped because this node does not know the job yet, or
+// TestUnknownJobIsNotStopped checks that no task of an accepted job is stopped because this node does not know the job yet, or
 // cannot use its record.
 func TestUnknownJobIsNotStopped(t *testing.T) {
 	for _, tc := range []struct {
@@ -133,7 +134,7 @@
 		later  bool // started under a claim that the view does not include
 		record func(h *harness)
 	}{
-		{"accepted while the view hangs", true, func(h *harness) {
+		{"accepted while the watch hangs", true, func(h *harness) {
 			h.watchBlocked = wire.PrefixJob
 			h.put(wire.JobKey("job-000007"), wire.NewJobRecord(new(jobOf("job-000007", 1)), 1))
 		}},
@@ -154,7 +155,7 @@
 			}
 			for seq := uint64(20); seq < 24; seq++ {
 				if _, body := h.heartbeat(heartbeatFrom("vm-1", 1, seq, fencingToken, wire.TaskStatus{Task: "job-000007/0", Attempt: attempt, State: wire.TaskRunning})); stops(body.Commands) > 0 {
-					t.Errorf("report %d: stopped by %v", seq, body.Commands)
+					t.Errorf("heartbeat %d: stopped by %v", seq, body.Commands)
 				}
 				h.run(sec)
 			}
@@ -162,30 +163,31 @@
 	}
 }
 
-// Nor is it fed for ever: where the view of jobs does not go on, nothing vouches for the
-// task any more once the view is so old that its user may have been told in the meantime.
+// TestUnknownJobIsRenewedForBoundedTime checks that the lease of such a task's machine is not renewed
+// for ever: where the view of jobs does not advance, the job may have ended once the view is so
+// old that its user may have been notified in the meantime.
 func TestUnknownJobIsRenewedForBoundedTime(t *testing.T) {
 	h := meet(t, withPeer)
 	fencingToken := h.reconcile("vm-1")
 	h.watchBlocked = wire.PrefixJob
-	shows := func(seq uint64) int {
+	heartbeat := func(seq uint64) int {
 		status, _ := h.heartbeat(heartbeatFrom("vm-1", 1, seq, fencingToken, wire.TaskStatus{Task: "job-000007/0", Attempt: (h.rev+1)<<32 | 1, State: wire.TaskRunning}))
 		return status
 	}
-	if got := shows(20); got != 200 {
+	if got := heartbeat(20); got != 200 {
 		t.Errorf("answered %d at first, want 200", got)
 	}
 	h.run(h.c.ownership.jobWatch.completeAsOf + h.c.bounds.StaleViewGrace - h.now)
-	if got := shows(21); got == 200 {
+	if got := heartbeat(21); got == 200 {
 		t.Error("its machine's lease is renewed beyond the bound")
 	}
-	h.run(11 * sec) // until refused reports are counted
+	h.run(11 * sec) // until refused heartbeats are logged
 	if got := h.logged("heartbeats refused", "unknown_job"); len(got) == 0 {
-		t.Error("nothing says why the report was refused")
+		t.Error("nothing says why the heartbeat was refused")
 	}
 }
 
-// A read that was answered before its job ended, and that comes after the end has left
+// TestLateReadOfEndedJob checks that a read that was answered before its job ended, and that comes after the end has left
 // memory, does not bring the job back: its tasks would be started again. Found by reading.
 func TestLateReadOfEndedJob(t *testing.T) {
 	h := meet(t, func(c *Config) {
@@ -193,8 +195,8 @@
 		c.MaxFinalJobs = 1
 	})
 	h.put(wire.JobKey("job-000001"), wire.NewJobRecord(new(jobOf("job-000001", 1)), 1))
-	stands := h.keys[wire.JobKey("job-000001")]
-	h.c.jobs.open["job-000001"].run.endInDoubt = true // so that a question is answered by a read
+	recorded := h.keys[wire.JobKey("job-000001")]
+	h.c.jobs.open["job-000001"].run.endInDoubt = true // so that a request is answered by a read
 	h.stateDown = true
 	h.jobStatus("job-000001")
 	held := h.held
@@ -206,9 +208,9 @@
 	}
 	reads := 0
 	for _, c := range held {
-		if get, ok := c.Req.(GetKey); ok && get.Key == stands.Key {
+		if get, ok := c.Req.(GetKey); ok && get.Key == recorded.Key {
 			reads++
-			h.result(c, 200, &stands)
+			h.result(c, 200, &recorded)
 		} else {
 			h.call(c)
 		}
@@ -221,8 +223,8 @@
 	}
 }
 
-// A task whose job is unknown here, since its end has left memory, is looked up and
-// stopped; one that nobody submitted is stopped as well.
+// TestTaskOfUnknownJob checks that a task whose job is unknown, since its end has left memory, is
+// stopped, and one that nobody submitted as well.
 func TestTaskOfUnknownJob(t *testing.T) {
 	for _, tc := range []struct {
 		name string
@@ -238,13 +240,13 @@
 			if tc.rec != nil {
 				h.put(wire.JobKey("job-000009"), tc.rec)
 			}
-			halted := 0
+			stopped := 0
 			for seq := uint64(20); seq < 28; seq++ {
 				_, body := h.heartbeat(heartbeatFrom("vm-1", 1, seq, fencingToken, wire.TaskStatus{Task: "job-000009/0", Attempt: 5, State: wire.TaskRunning}))
-				halted += stops(body.Commands)
+				stopped += stops(body.Commands)
 				h.run(sec)
 			}
-			if halted == 0 {
+			if stopped == 0 {
 				t.Error("never stopped")
 			}
 		})
