--- a/internal/controller/authority.go
+++ b/internal/controller/authority.go
@@ -127,18 +127,26 @@
 // mayAnswerFromMemory reports whether this node may answer users' requests about an open job
 // without a read.
 func (c *Controller) mayAnswerFromMemory(j *job) bool {
-	s := c.activeShard(j.shard)
-	if j.run == nil || s == nil || !c.leaseValid() {
+	if j.run == nil {
 		return false
 	}
-	return s.jobsViewCurrent || j.run.acceptedUnderClaim
+	s := c.ownership.shards[j.shard]
+	return authority.MayAnswerFromMemory(authority.OpenJobKnowledge{
+		Shard:              c.mayCommandShard(s),
+		Lease:              c.leaseKnowledge(),
+		JobsViewCurrent:    s.jobsViewCurrent,
+		AcceptedUnderClaim: j.run.acceptedUnderClaim,
+	}, c.bounds)
 }
 
 // leading reports whether this node may rent, return and assign machines for all shards.
 func (c *Controller) leading() bool {
 	leader := &c.ownership.leader
-	steppingDown := leader.ownerEpoch == c.ownership.steppedDownEpoch
-	return c.isMine(leader) && !steppingDown && c.leaseValid()
+	return authority.MayLead(authority.LeaderKnowledge{
+		Lease:        c.leaseKnowledge(),
+		Owned:        c.isMine(leader),
+		SteppingDown: leader.ownerEpoch == c.ownership.steppedDownEpoch,
+	}, c.bounds)
 }
 
 // mayFreeMachine reports whether a machine has provably no task any more, because its lease has
@@ -158,18 +166,19 @@
 	}, c.bounds)
 }
 
-// mayReleaseMachine reports whether a machine may leave its shard: nothing is on it, nothing can
-// come, and its record set can be written. A machine that is to be returned to the cloud
-// (retire) need not be in contact.
+// mayReleaseMachine reports whether a machine may leave its shard now: it is free for that, and its
+// record set can be written. retire is whether it is to be returned to the cloud.
 func (c *Controller) mayReleaseMachine(m *machine, retire bool) bool {
 	v := m.view
-	commandPending := v.commandInFlight || v.inDoubtToken != 0
-	contentsKnown := v.reconciled || v.leaseExpired
-	inContact := !v.leaseExpired && v.sequenceKnown
-	if v.releasing || commandPending || !contentsKnown || !retire && !inContact {
-		return false
-	}
-	return v.empty() && c.mayWriteRecordSet(m.recordSet)
+	return authority.MayReleaseMachine(authority.ReleaseKnowledge{
+		Releasing:      v.releasing,
+		CommandPending: v.commandInFlight || v.inDoubtToken != 0,
+		Reconciled:     v.reconciled,
+		LeaseExpired:   v.leaseExpired,
+		HeartbeatSeen:  v.sequenceKnown,
+		Empty:          v.empty(),
+		Retire:         retire,
+	}) && c.mayWriteRecordSet(m.recordSet)
 }
 
 // mayWriteRecordSet reports whether a change of a record set may be sent now.
--- a/internal/controller/authority/machine.go
+++ b/internal/controller/authority/machine.go
@@ -124,3 +124,31 @@
 	}
 	return k.Now >= freeAt
 }
+
+// ReleaseKnowledge is what a controller knows of a machine that is to leave its shard.
+type ReleaseKnowledge struct {
+	// Releasing is whether it is being released already.
+	Releasing bool
+	// CommandPending is whether a command to it is in flight or in doubt.
+	CommandPending bool
+	// Reconciled is whether its task list is complete, LeaseExpired whether its lease is known
+	// to have ended.
+	Reconciled, LeaseExpired bool
+	// HeartbeatSeen is whether a heartbeat of it has been accepted.
+	HeartbeatSeen bool
+	// Empty is whether no task on it matters any more.
+	Empty bool
+	// Retire is whether it is to be returned to the cloud rather than moved to another shard.
+	Retire bool
+}
+
+// MayReleaseMachine reports whether a machine may leave its shard: nothing is on it, and nothing
+// can come. One that is moved to another shard must be in contact as well.
+func MayReleaseMachine(k ReleaseKnowledge) bool {
+	contentsKnown := k.Reconciled || k.LeaseExpired
+	inContact := k.HeartbeatSeen && !k.LeaseExpired
+	if k.Releasing || k.CommandPending || !contentsKnown || !k.Empty {
+		return false
+	}
+	return k.Retire || inContact
+}
--- a/internal/controller/authority/machine_test.go
+++ b/internal/controller/authority/machine_test.go
@@ -117,3 +117,31 @@
 		})
 	}
 }
+
+func TestMayReleaseMachine(t *testing.T) {
+	for _, tc := range []struct {
+		name                 string
+		change               func(k *ReleaseKnowledge)
+		wantMove, wantRetire bool // to another shard, and to the cloud
+	}{
+		{"empty and in contact", func(*ReleaseKnowledge) {}, true, true},
+		{"tasks on it", func(k *ReleaseKnowledge) { k.Empty = false }, false, false},
+		{"a command pending", func(k *ReleaseKnowledge) { k.CommandPending = true }, false, false},
+		{"being released", func(k *ReleaseKnowledge) { k.Releasing = true }, false, false},
+		{"not reconciled", func(k *ReleaseKnowledge) { k.Reconciled = false }, false, false},
+		{"its lease has run out", func(k *ReleaseKnowledge) { k.Reconciled, k.LeaseExpired = false, true }, false, true},
+		{"no heartbeat yet", func(k *ReleaseKnowledge) { k.HeartbeatSeen = false }, false, true},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			known := ReleaseKnowledge{Reconciled: true, HeartbeatSeen: true, Empty: true}
+			tc.change(&known)
+			if got := MayReleaseMachine(known); got != tc.wantMove {
+				t.Errorf("to another shard: %v, want %v", got, tc.wantMove)
+			}
+			known.Retire = true
+			if got := MayReleaseMachine(known); got != tc.wantRetire {
+				t.Errorf("to the cloud: %v, want %v", got, tc.wantRetire)
+			}
+		})
+	}
+}
--- a/internal/controller/authority/shard.go
+++ b/internal/controller/authority/shard.go
@@ -57,3 +57,36 @@
 	}
 	return Refuse(ReasonStaleViewBeyondGrace)
 }
+
+// OpenJobKnowledge is what a controller knows of an open job of a shard.
+type OpenJobKnowledge struct {
+	// Shard is the decision about the job's shard.
+	Shard Decision
+	Lease LeaseKnowledge
+	// JobsViewCurrent is whether the view of jobs is at least as new as the claim of the shard.
+	JobsViewCurrent bool
+	// AcceptedUnderClaim is whether the node has accepted the job itself under that claim, so
+	// that no former owner can have ended it.
+	AcceptedUnderClaim bool
+}
+
+// MayAnswerFromMemory reports whether a node may answer users' requests about an open job without
+// a read.
+func MayAnswerFromMemory(k OpenJobKnowledge, bounds Bounds) bool {
+	knowsEnds := k.JobsViewCurrent || k.AcceptedUnderClaim
+	return k.Shard.Allowed && LeaseValid(k.Lease, bounds) && knowsEnds
+}
+
+// LeaderKnowledge is what a controller knows of the leader lock.
+type LeaderKnowledge struct {
+	Lease LeaseKnowledge
+	// Owned is whether the node holds the lock.
+	Owned bool
+	// SteppingDown is whether the node is releasing it.
+	SteppingDown bool
+}
+
+// MayLead reports whether a node may rent, return and assign machines for all shards.
+func MayLead(k LeaderKnowledge, bounds Bounds) bool {
+	return k.Owned && !k.SteppingDown && LeaseValid(k.Lease, bounds)
+}
--- a/internal/controller/authority/shard_test.go
+++ b/internal/controller/authority/shard_test.go
@@ -85,3 +85,53 @@
 		})
 	}
 }
+
+func TestMayAnswerFromMemory(t *testing.T) {
+	for _, tc := range []struct {
+		name   string
+		change func(k *OpenJobKnowledge)
+		want   bool
+	}{
+		{"an owner with a current view", func(*OpenJobKnowledge) {}, true},
+		{"a stale view of jobs", func(k *OpenJobKnowledge) { k.JobsViewCurrent = false }, false},
+		{"a stale view, but accepted under this claim", func(k *OpenJobKnowledge) {
+			k.JobsViewCurrent = false
+			k.AcceptedUnderClaim = true
+		}, true},
+		{"the shard may not be commanded", func(k *OpenJobKnowledge) { k.Shard = Refuse(ReasonReleasing) }, false},
+		{"the lease is over, commands are not", func(k *OpenJobKnowledge) { k.Lease.RenewedAt = now - testBounds.LeaseValidity }, false},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			known := OpenJobKnowledge{
+				Shard:           Allow(ReasonCurrentView),
+				Lease:           LeaseKnowledge{Held: true, RenewedAt: now, Now: now},
+				JobsViewCurrent: true,
+			}
+			tc.change(&known)
+			if got := MayAnswerFromMemory(known, testBounds); got != tc.want {
+				t.Errorf("got %v, want %v", got, tc.want)
+			}
+		})
+	}
+}
+
+func TestMayLead(t *testing.T) {
+	valid := LeaseKnowledge{Held: true, RenewedAt: now, Now: now}
+	over := LeaseKnowledge{Held: true, RenewedAt: now - testBounds.LeaseValidity, Now: now}
+	for _, tc := range []struct {
+		name  string
+		known LeaderKnowledge
+		want  bool
+	}{
+		{"holds the lock", LeaderKnowledge{Lease: valid, Owned: true}, true},
+		{"does not hold the lock", LeaderKnowledge{Lease: valid}, false},
+		{"steps down", LeaderKnowledge{Lease: valid, Owned: true, SteppingDown: true}, false},
+		{"the lease is over", LeaderKnowledge{Lease: over, Owned: true}, false},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			if got := MayLead(tc.known, testBounds); got != tc.want {
+				t.Errorf("got %v, want %v", got, tc.want)
+			}
+		})
+	}
+}
--- a/internal/controller/ownership.go
+++ b/internal/controller/ownership.go
@@ -169,7 +169,7 @@
 	}
 	for _, s := range c.ownership.shards {
 		preferred := c.peers[c.preferredOwner(s.id)]
-		if preferred == nil || !c.readyForShard(preferred) || !c.releasable(s) {
+		if preferred == nil || !c.readyForShard(preferred) || !c.mayReleaseShard(s) {
 			continue
 		}
 		c.ownership.releasedAt = c.now
@@ -184,9 +184,9 @@
 	return c.hasWorkers(p) && p.stateOK && p.uptime >= stablePeriod
 }
 
-// releasable reports whether this node owns a shard, has done so for a while, and has no machine
+// mayReleaseShard reports whether this node owns a shard, has done so for a while, and has no machine
 // left whose reconciliation the next owner would have to begin anew.
-func (c *Controller) releasable(s *shard) bool {
+func (c *Controller) mayReleaseShard(s *shard) bool {
 	owned := s.active && !s.releasing
 	return owned && c.now >= s.claimedAt+stablePeriod && c.allReconciled(s)
 }
--- a/internal/controller/worker_contact_test.go
+++ b/internal/controller/worker_contact_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// TestWorkersOutOfReach checks that a controller that has lost the workers releases its locks,
+// TestWorkersUnreachable checks that a controller that has lost the workers releases its locks,
 // and that one that is stalled, or in a fleet that has lost some machines, does not.
-func TestWorkersOutOfReach(t *testing.T) {
+func TestWorkersUnreachable(t *testing.T) {
 	const machines = 10
 	for _, tc := range []struct {
 		name      string
