--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -177,13 +177,12 @@
 func (c *Controller) refuseHeartbeat(in Heartbeat, m *machine, v authority.Decision) {
 	c.decisionLog.refusedHeartbeats[v.Reason]++
 	c.logHeartbeat(m, &in.Heartbeat, v, nil)
-	switch {
-	case v.Reason.RefusesShard():
+	if v.Reason.RefusesShard() {
 		c.misdirectedHeartbeats[m.id] = c.now // bounded: it is on record
 		c.redirect(in.Reply, &c.ownership.shards[m.rec.Shard].lock)
-	default:
-		c.answer(in.Reply, http.StatusServiceUnavailable, nil, 0)
+		return
 	}
+	c.answer(in.Reply, http.StatusServiceUnavailable, nil, 0)
 }
 
 // redirect sends a worker to the holder of a lock, if that is somebody else
