--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -8,6 +8,8 @@
 	"math/rand/v2"
 	"slices"
 
+	"garnethitch/internal/controller/authority"
+	"garnethitch/internal/controller/ownership"
 	"garnethitch/internal/controller/statestore"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/wire"
@@ -16,7 +18,7 @@
 // Controller is the state of one controller.
 type Controller struct {
 	cfg    Config
-	bounds Bounds
+	bounds authority.Bounds
 	rng    *rand.Rand
 
 	// now is the steady time of the step, wall its time of day.
@@ -34,7 +36,7 @@
 	reads        *statestore.Reads // of job records, for users
 	unsentLogged uint64            // requests given up unsent when that was last logged
 
-	ownership             ownership
+	ownership             ownershipState
 	contact               workerContact
 	jobs                  jobTable
 	cascade               cancellationCascade
@@ -90,7 +92,7 @@
 	cfg = cfg.withDefaults()
 	c := &Controller{
 		cfg:                   cfg,
-		bounds:                NewBounds(cfg.Lease, cfg.WorkerLease, cfg.Cancel),
+		bounds:                authority.NewBounds(cfg.Lease, cfg.WorkerLease, cfg.Cancel),
 		rng:                   rand.New(rand.NewPCG(seed, rngStream)),
 		calls:                 map[uint64]func(Result){},
 		peers:                 map[string]*peerView{},
@@ -106,7 +108,7 @@
 	c.initStateRequests()
 	c.initTeams()
 	c.commandQueue.maxInFlight = max(cfg.MaxWorkerRequests, minWorkerRequests)
-	c.ownership.init(cfg.Shards)
+	c.ownership.init(cfg.Shards, cfg.Lease)
 	c.ownership.controlWatch.interval = c.watchInterval(controlWatchInterval, controlWatchFraction)
 	c.jobs.init(cfg.MaxFinalJobs)
 	c.cascade.init()
@@ -138,7 +140,7 @@
 	for i, t := range c.cfg.Teams {
 		c.teamOf[t.Name] = i
 	}
-	c.shardOfTeam = AssignTeamsToShards(c.cfg.Teams, c.cfg.Shards)
+	c.shardOfTeam = ownership.AssignTeamsToShards(teamsToAssign(c.cfg.Teams), c.cfg.Shards)
 }
 
 // Step takes one input at an instant and returns what follows from it.
--- a/internal/controller/maintenance.go
+++ b/internal/controller/maintenance.go
@@ -68,7 +68,7 @@
 // and knows a leader.
 func (c *Controller) viewComplete() bool {
 	o := &c.ownership
-	return o.lease != 0 && o.controlWatch.ready() && o.jobWatch.ready() && o.leader.ownerEpoch != 0
+	return o.lease.Held() && o.controlWatch.ready() && o.jobWatch.ready() && o.leader.ownerEpoch != 0
 }
 
 // recovered reports whether a new owner of the shard has all that it needs of its predecessor.
