--- a/internal/controller/candidates.go
+++ b/internal/controller/candidates.go
@@ -6,22 +6,23 @@
 	"slices"
 	"strings"
 
+	"garnethitch/internal/controller/scheduling"
 	"garnethitch/internal/wire"
 )
 
 // Which machines a job may use, and which of them suit it best.
 
-// fullShape is what a task takes for which a round found no room, on the machines that
-// the constraint allows; see constraintOf.
-type fullShape struct {
-	shape
+// unplacedTask is what a task needs for which a round found no capacity on the machines that the
+// constraint allows; see constraintOf.
+type unplacedTask struct {
+	resources  scheduling.Resources
 	constraint string
 }
 
-// rulesOut: no machine has room for the job's tasks, since there is none for a task that
-// takes no more and may run wherever they may.
-func (f fullShape) rulesOut(j *job) bool {
-	return f.covers(shapeOf(j.sub)) && (f.constraint == "" || f.constraint == j.constraint)
+// rulesOut reports whether no machine has capacity for the job's tasks, since there is none for a
+// task that needs no more and may run wherever they may.
+func (u unplacedTask) rulesOut(j *job) bool {
+	return u.resources.Fits(resourcesOf(j.sub)) && (u.constraint == "" || u.constraint == j.constraint)
 }
 
 // constraintOf names the machines that a submission allows; empty: any.
@@ -32,8 +33,8 @@
 	return fmt.Sprintf("%t %s %s", sub.Spot, sub.Zone, strings.Join(sub.Types, " "))
 }
 
-// zonesOf counts a job's tasks by zone, those that may be there included; nil
-// if it does not matter to the job.
+// zonesOf counts a job's tasks by zone, those that may be there included. It returns nil if their
+// zones do not matter to the job.
 func (c *Controller) zonesOf(j *job) map[string]int {
 	if !j.sub.SameZone && !j.sub.Spread {
 		return nil
@@ -45,71 +46,77 @@
 	return zones
 }
 
-// allowed tells whether a job's task may start on a machine, given where the
-// job's other tasks are.
+// allowed reports whether a job's task may start on a machine, given in which zones the job's
+// other tasks are.
 func (c *Controller) allowed(j *job, m *machine, zones map[string]int) bool {
 	sub := j.sub
 	if m.rec.Spot && !sub.Spot || !typeAllowed(sub, m.rec.Type) || sub.Zone != "" && sub.Zone != m.rec.Zone {
 		return false
 	}
-	if sub.SameZone {
-		for z, n := range zones {
-			if n > 0 && z != m.rec.Zone {
-				return false
-			}
-		}
-	}
-	if sub.Spread && zones[m.rec.Zone]+1 > (sub.Tasks+1)/2 {
+	if sub.SameZone && anyOutside(zones, m.rec.Zone) {
 		return false
 	}
-	return true
+	mostPerZone := (sub.Tasks + 1) / 2
+	return !sub.Spread || zones[m.rec.Zone] < mostPerZone
+}
+
+// anyOutside reports whether a task is in another zone than the given one.
+func anyOutside(zones map[string]int, zone string) bool {
+	for name, tasks := range zones {
+		if tasks > 0 && name != zone {
+			return true
+		}
+	}
+	return false
 }
 
-// candidates gives the machines with room for a job's tasks, the best first:
-// those that have the image or are fetching it, then the fullest.
-func (c *Controller) candidates(j *job, free []*machine) []scored {
+// candidate is a machine with how well it suits a job.
+type candidate struct {
+	machine *machine
+	score   float64
+}
+
+// candidates returns the machines with capacity for a job's tasks, the best first. The result is
+// valid until the next call.
+func (c *Controller) candidates(j *job, free []*machine) []candidate {
 	list := c.scratch[:0]
 	for _, m := range free {
 		c.visited++
 		if c.fits(m, j) && c.allowed(j, m, nil) {
-			list = append(list, scored{m, c.score(j, m)})
+			list = append(list, candidate{m, c.score(j, m)})
 		}
 	}
 	c.scratch = list
-	slices.SortStableFunc(list, func(a, b scored) int { return -cmp.Compare(a.score, b.score) })
+	slices.SortStableFunc(list, func(a, b candidate) int { return -cmp.Compare(a.score, b.score) })
 	return list
 }
 
-// scored is a machine with how well it suits a job.
-type scored struct {
-	m     *machine
-	score float64
+// score returns how well a machine suits a job's task, the better the higher.
+func (c *Controller) score(j *job, m *machine) float64 {
+	v := m.view
+	cpus := c.types[m.rec.Type].CPUs
+	return scheduling.Candidate{
+		Image:         v.imageState(j.sub.Image),
+		FailedThisJob: j.run.failuresByMachine[m.id] > 0,
+		FailedAnyJob:  len(v.failuresByJob) > 0,
+		Slowness:      c.slowness(m),
+		CPUs:          cpus,
+		FreeCPUs:      cpus - v.usage.total.CPUs - j.sub.CPUs,
+	}.Score()
 }
 
-func (c *Controller) score(j *job, m *machine) float64 {
-	mt, v := c.types[m.rec.Type], m.view
-	score := 0.0
+// imageState returns how far the machine has an image.
+func (v *view) imageState(image string) scheduling.ImageState {
 	switch {
-	case v.images[j.sub.Image]:
-		score += 4
-	case v.fetches(j.sub.Image):
-		score += 2
-	}
-	// Failed here before, this job or others: rather elsewhere.
-	if j.run.failuresByMachine[m.id] > 0 {
-		score -= 6
-	}
-	if len(v.failuresByJob) > 0 {
-		score -= 4
-	}
-	score -= 6 * c.slowness(m)
-	if mt.CPUs > 0 {
-		score += 1 - (mt.CPUs-v.usage.cpus-j.sub.CPUs)/mt.CPUs
+	case v.images[image]:
+		return scheduling.ImageCached
+	case v.fetches(image):
+		return scheduling.ImageFetching
 	}
-	return score
+	return scheduling.ImageMissing
 }
 
-// fetches: an attempt there waits for an image, or will.
+// fetches reports whether an attempt on the machine waits for an image, or will.
 func (v *view) fetches(image string) bool {
 	for _, att := range v.list {
 		if att.state <= attemptFetching && att.job != nil && att.job.sub.Image == image {
--- a/internal/controller/capacity.go
+++ b/internal/controller/capacity.go
@@ -1,95 +1,110 @@
 package controller
 
-import "garnethitch/internal/wire"
+import (
+	"garnethitch/internal/controller/scheduling"
+	"garnethitch/internal/micros"
+	"garnethitch/internal/wire"
+)
 
-// What is on machines, by team, and what room that leaves for a task.
+// What the attempts on machines use, by team, and what capacity that leaves for a task.
+
+// eps is the difference up to which two amounts of a resource count as equal.
+const eps = scheduling.Tolerance
+
+// maxTasksPerMachine keeps heartbeats and their replies within their size limit.
+const maxTasksPerMachine = 150
 
 // typeIndex keeps machine types in order of name.
 type typeIndex struct{ names []string }
 
-// usage counts what could be on machines, by team.
+// usage is what a team's tasks could be using.
 type usage struct{ cpus, gpus float64 }
 
-// sumUp adds by times what each team uses of a machine to the sums.
-func sumUp(sums, used []usage, by float64) {
+// addScaled adds factor times what each team uses of a machine to the sums.
+func addScaled(sums, used []usage, factor float64) {
 	for i, u := range used {
-		sums[i].cpus += by * u.cpus
-		sums[i].gpus += by * u.gpus
+		sums[i].cpus += factor * u.cpus
+		sums[i].gpus += factor * u.gpus
 	}
 }
 
+// add adds one task of a submission.
 func (u *usage) add(sub *wire.Submission) {
 	u.cpus += sub.CPUs
 	u.gpus += sub.GPUs
 }
 
-// exceeds: one more task would pass the team's limit.
+// exceeds reports whether one more task of a submission would pass the team's limit.
 func (u *usage) exceeds(t Team, sub *wire.Submission) bool {
-	return t.CPUsMax > 0 && u.cpus+sub.CPUs > t.CPUsMax+eps || t.GPUsMax > 0 && u.gpus+sub.GPUs > t.GPUsMax+eps
+	cpusExceeded := t.CPUsMax > 0 && u.cpus+sub.CPUs > t.CPUsMax+eps
+	gpusExceeded := t.GPUsMax > 0 && u.gpus+sub.GPUs > t.GPUsMax+eps
+	return cpusExceeded || gpusExceeded
 }
 
-const eps = 1e-6
+// machineUsage is what the attempts on a machine take. It is counted again only after something
+// has changed there.
+type machineUsage struct {
+	total    scheduling.Resources
+	stopping scheduling.Resources // the part of it that tasks being stopped will leave
+	tasks    int                  // not exited
+	unknown  bool                 // an attempt whose job is not known is among them
+	byTeam   []usage
+}
 
-// count tallies a machine's attempts anew.
-func (c *Controller) count(m *machine) {
+// reservation keeps capacity of a machine for a job that waits for it.
+type reservation struct {
+	job       *job
+	resources scheduling.Resources
+	until     micros.Micros
+}
+
+// recountUsage counts anew what a machine's attempts take.
+func (c *Controller) recountUsage(m *machine) {
 	v := m.view
 	v.usageStale = false
-	used := v.usage.used
-	if used == nil {
-		used = make([]usage, len(c.cfg.Teams))
+	byTeam := v.usage.byTeam
+	if byTeam == nil {
+		byTeam = make([]usage, len(c.cfg.Teams))
 	}
-	clear(used)
-	v.usage = machineUsage{used: used}
+	clear(byTeam)
+	v.usage = machineUsage{byTeam: byTeam}
 	for _, att := range v.list {
 		c.visited++
-		c.addTo(&v.usage, att)
+		v.usage.add(att)
 	}
 	if v.unreconciledFromPredecessor || v.usage.unknown {
 		// It may hold anything that fits, of any team of the shard.
 		mt := c.types[m.rec.Type]
-		for i := range used {
-			used[i].cpus += mt.CPUs
-			used[i].gpus += mt.GPUs
+		for i := range byTeam {
+			byTeam[i].cpus += mt.CPUs
+			byTeam[i].gpus += mt.GPUs
 		}
 	}
 }
 
-// addTo adds an attempt to a tally.
-func (c *Controller) addTo(t *machineUsage, att *attempt) {
+// add adds what an attempt takes.
+func (u *machineUsage) add(att *attempt) {
 	if att.state == attemptExited {
 		return
 	}
 	if att.job == nil {
-		t.unknown = true
+		u.unknown = true
 		return
 	}
 	sub := att.job.sub
-	t.used[att.job.team].add(sub)
-	t.cpus += sub.CPUs
-	t.gpus += sub.GPUs
-	t.mem += sub.MemGB
-	t.tasks++
+	u.byTeam[att.job.team].add(sub)
+	u.total = u.total.Plus(resourcesOf(sub))
+	u.tasks++
 	if att.stopMode != stopNone {
-		t.soonCPUs += sub.CPUs
-		t.soonGPUs += sub.GPUs
-		t.soonMem += sub.MemGB
+		u.stopping = u.stopping.Plus(resourcesOf(sub))
 	}
 }
 
-// refresh brings a shard's sums up to date: what its teams could be using at
-// most. Only machines that have changed are counted again.
+// refresh brings the sums of a shard up to date: what its teams could be using at most. Only
+// machines that have changed are counted again.
 func (c *Controller) refresh(s *shard) {
 	if s.recountAll {
-		s.recountAll = false
-		s.dirtyMachines = s.dirtyMachines[:0]
-		s.usage = make([]usage, len(c.cfg.Teams))
-		for _, m := range s.machines {
-			if m.view == nil {
-				continue
-			}
-			c.count(m)
-			sumUp(s.usage, m.view.usage.used, 1)
-		}
+		c.recountShard(s)
 		return
 	}
 	for _, m := range s.dirtyMachines {
@@ -97,58 +112,72 @@
 		if v == nil || !v.usageStale || m.rec.Shard != s.id {
 			continue
 		}
-		sumUp(s.usage, v.usage.used, -1)
-		c.count(m)
-		sumUp(s.usage, v.usage.used, 1)
+		addScaled(s.usage, v.usage.byTeam, -1)
+		c.recountUsage(m)
+		addScaled(s.usage, v.usage.byTeam, 1)
 	}
 	s.dirtyMachines = s.dirtyMachines[:0]
 }
 
-// usable: a machine may be given tasks.
-func (c *Controller) usable(m *machine) bool {
-	v := m.view
-	return v.reconciled && v.sequenceKnown && !v.leaseExpired && !m.returned && !v.usage.unknown && !v.releasing && c.now >= v.plannedUntil && v.reclaimAt == 0 &&
-		c.now >= v.cordonedUntil && c.now >= v.backoffUntil && c.sinceLastHeartbeat(v) <= c.heartbeatOverdueAfter() && !c.unreachable(m) && !c.leaseRunningOut(v) &&
-		v.usage.tasks < maxTasksPerMachine && c.types[m.rec.Type].CPUs > 0
-}
-
-// free is what a machine has left for a job: room that is kept for another job
-// does not count.
-func (c *Controller) free(m *machine, j *job) shape {
-	v, capacity := m.view, c.freeCapacity(m)
-	if h := &v.reservation; h.job != nil && h.job != j {
-		if c.now >= h.until || h.job.run == nil || h.job.pending() <= 0 {
-			v.reservation = reservation{}
-			return capacity
+// recountShard counts anew what is used of every machine of a shard.
+func (c *Controller) recountShard(s *shard) {
+	s.recountAll = false
+	s.dirtyMachines = s.dirtyMachines[:0]
+	s.usage = make([]usage, len(c.cfg.Teams))
+	for _, m := range s.machines {
+		if m.view == nil {
+			continue
 		}
-		// What is being made free serves the hold first.
-		capacity.cpus -= max(h.cpus-v.usage.soonCPUs, 0)
-		capacity.gpus -= max(h.gpus-v.usage.soonGPUs, 0)
-		capacity.mem -= max(h.mem-v.usage.soonMem, 0)
+		c.recountUsage(m)
+		addScaled(s.usage, m.view.usage.byTeam, 1)
 	}
-	return capacity
 }
 
-// fits: one of a job's tasks finds room on a machine now.
-func (c *Controller) fits(m *machine, j *job) bool {
-	return shapeOf(j.sub).covers(c.free(m, j)) && m.view.usage.tasks < maxTasksPerMachine
+// usable reports whether a machine may be given tasks.
+func (c *Controller) usable(m *machine) bool {
+	v := m.view
+	known := v.reconciled && v.sequenceKnown && !v.leaseExpired && !m.returned && !v.usage.unknown
+	if !known {
+		return false
+	}
+	leaving := v.releasing || c.now < v.plannedUntil || v.reclaimAt != 0
+	cordoned := c.now < v.cordonedUntil || c.now < v.backoffUntil
+	if leaving || cordoned || c.sinceLastHeartbeat(v) > c.heartbeatOverdueAfter() || c.unreachable(m) || c.leaseRunningOut(v) {
+		return false
+	}
+	return v.usage.tasks < maxTasksPerMachine && c.types[m.rec.Type].CPUs > 0
 }
 
-// shape is what a task takes, all that placing a plain one depends on, or what a
-// machine has left.
-type shape struct{ cpus, gpus, mem float64 }
-
-func shapeOf(sub *wire.Submission) shape { return shape{sub.CPUs, sub.GPUs, sub.MemGB} }
+// resourcesOf returns what one task of a submission needs.
+func resourcesOf(sub *wire.Submission) scheduling.Resources {
+	return scheduling.Resources{CPUs: sub.CPUs, GPUs: sub.GPUs, MemGB: sub.MemGB}
+}
 
-// covers: where there is room for b, there is for a.
-func (a shape) covers(b shape) bool {
-	return a.cpus <= b.cpus+eps && a.gpus <= b.gpus+eps && a.mem <= b.mem+eps
+// freeCapacity returns what a machine's attempts leave of it.
+func (c *Controller) freeCapacity(m *machine) scheduling.Resources {
+	mt := c.types[m.rec.Type]
+	all := scheduling.Resources{CPUs: mt.CPUs, GPUs: mt.GPUs, MemGB: mt.MemGB}
+	return all.Minus(m.view.usage.total)
 }
 
-func (a shape) plus(b shape) shape { return shape{a.cpus + b.cpus, a.gpus + b.gpus, a.mem + b.mem} }
+// freeFor returns what a machine has left for a job: capacity that is reserved for another job
+// does not count.
+func (c *Controller) freeFor(m *machine, j *job) scheduling.Resources {
+	v := m.view
+	capacity := c.freeCapacity(m)
+	reserved := &v.reservation
+	if reserved.job == nil || reserved.job == j {
+		return capacity
+	}
+	if c.now >= reserved.until || reserved.job.run == nil || reserved.job.pending() <= 0 {
+		v.reservation = reservation{}
+		return capacity
+	}
+	// What tasks being stopped will leave serves the reservation first.
+	return capacity.Minus(reserved.resources.Minus(v.usage.stopping).AtLeastZero())
+}
 
-// freeCapacity is what a machine's attempts leave of it.
-func (c *Controller) freeCapacity(m *machine) shape {
-	mt, sum := c.types[m.rec.Type], &m.view.usage
-	return shape{mt.CPUs - sum.cpus, mt.GPUs - sum.gpus, mt.MemGB - sum.mem}
+// fits reports whether one task of a job finds capacity on a machine now.
+func (c *Controller) fits(m *machine, j *job) bool {
+	return resourcesOf(j.sub).Fits(c.freeFor(m, j)) && m.view.usage.tasks < maxTasksPerMachine
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -10,6 +10,7 @@
 
 	"garnethitch/internal/controller/authority"
 	"garnethitch/internal/controller/ownership"
+	"garnethitch/internal/controller/scheduling"
 	"garnethitch/internal/controller/statestore"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/wire"
@@ -60,7 +61,8 @@
 	estimates      estimates
 	preemption     preemptionBudget
 	prefetchImages []prefetchImage
-	scratch        []scored
+	scratch        []candidate
+	victimScratch  []scheduling.Victim
 	decisionLog    decisionLog
 	teamOf         map[string]int // a team's number by its name
 	shardOfTeam    []int          // by the team's number; nil where jobs are assigned to shards
--- a/internal/controller/demand.go
+++ b/internal/controller/demand.go
@@ -90,7 +90,7 @@
 // gives its row.
 func (c *Controller) countMachine(s *shard, m *machine, d *peer.Demand, z *peer.Zone) peer.Machine {
 	v, cpus := m.view, c.types[m.rec.Type].CPUs
-	used := min(v.usage.cpus, cpus)
+	used := min(v.usage.total.CPUs, cpus)
 	row := peer.Machine{ID: m.id, State: c.stateOf(m), Busy: used, Movable: true}
 	z.All++
 	switch row.State {
@@ -138,7 +138,7 @@
 		} else if att.job.sub.CheckpointS <= 0 {
 			row.LostUS += int64(float64(c.now-att.runAt) * att.job.sub.CPUs)
 		}
-		left := c.left(att)
+		left := c.remaining(att)
 		row.LeftUS = max(row.LeftUS, int64(left))
 		d.RunLeftUS += int64(float64(left) * att.job.sub.CPUs)
 	}
@@ -192,7 +192,7 @@
 		if v == nil || m.returned || v.neverCommanded {
 			continue
 		}
-		unused := c.types[m.rec.Type].CPUs - v.usage.cpus
+		unused := c.types[m.rec.Type].CPUs - v.usage.total.CPUs
 		switch {
 		case c.usable(m) && v.reservation.job != nil && c.now < v.reservation.until:
 			held += unused
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -72,24 +72,6 @@
 	reservation   reservation
 }
 
-// machineUsage is what the attempts on a machine take, and what is to be done about
-// them. It is counted again only after something has changed there.
-type machineUsage struct {
-	cpus, gpus, mem float64
-	// soon is what tasks being stopped will leave.
-	soonCPUs, soonGPUs, soonMem float64
-	tasks                       int  // not exited
-	unknown                     bool // an attempt whose job is not known
-	used                        []usage
-}
-
-// reservation keeps room on a machine for a job for which others were stopped there.
-type reservation struct {
-	job             *job
-	cpus, gpus, mem float64
-	until           micros.Micros
-}
-
 // empty: nothing on the machine matters any more.
 func (v *view) empty() bool {
 	for _, att := range v.list {
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -4,205 +4,288 @@
 	"cmp"
 	"container/heap"
 	"math"
-	"slices"
 
+	"garnethitch/internal/controller/scheduling"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/wire"
 )
 
-// preemptionBudget bounds the work of one round: looking for tasks to stop walks all
-// machines of a shard.
+// Which tasks are stopped for a job of higher priority that finds no capacity.
+
+const (
+	// maxPreemptionSearches bounds the jobs for which a round looks for tasks to stop: each walks
+	// over all machines of a shard.
+	maxPreemptionSearches = 3
+	// maxPreemptionStops bounds the tasks that a round stops.
+	maxPreemptionStops = 200
+	// preemptionInterval is the time between two searches for one job.
+	preemptionInterval = 250 * micros.Millisecond
+	// reservationDuration is how long capacity is kept for the job for which tasks were stopped:
+	// they may have to save first.
+	reservationDuration = 8 * micros.Second
+	// missingImageCost is what it counts, in CPU seconds, if the machine lacks the job's image.
+	missingImageCost = 3
+	// smallLoss is what may be lost for a task at once, in CPU seconds.
+	smallLoss = 100
+	// promptStart is an objective for the start of tasks below which nothing is waited for, and
+	// maxPreemptionDelay how long is waited where there is no objective.
+	promptStart        = 10 * micros.Second
+	maxPreemptionDelay = micros.Second
+	// preemptionDelayFraction and smallLossFraction are the parts of an objective for which
+	// capacity is waited for, and for which no more than smallLoss is lost after that.
+	preemptionDelayFraction = 10
+	smallLossFraction       = 2
+	// smallLossDuration is the latter where there is no objective.
+	smallLossDuration = 5 * micros.Second
+	// nearDeadline is the time left to start a job's tasks from which on its deadline is near.
+	nearDeadline = 15 * micros.Second
+)
+
+// preemptionBudget bounds what one round does to stop tasks.
 type preemptionBudget struct {
 	searches, stops int
 }
 
-const (
-	maxPreemptionSearches = 3   // jobs for which a round looks for tasks to stop
-	maxPreemptionStops    = 200 // tasks that it stops
-)
+// reset grants the budget of a new round.
+func (b *preemptionBudget) reset() {
+	b.searches = maxPreemptionSearches
+	b.stops = maxPreemptionStops
+}
 
-func (p *preemptionBudget) begin() { p.searches, p.stops = maxPreemptionSearches, maxPreemptionStops }
+// exhausted reports whether no further search is worth while in this round.
+func (b *preemptionBudget) exhausted() bool { return b.searches <= 0 || b.stops <= 0 }
 
-// preemptFor stops tasks of lower priority for a job that found no room.
+// preemptFor stops tasks of lower priority for a job that found no capacity.
 func (c *Controller) preemptFor(s *shard, j *job) {
 	r := j.run
 	if j.priority == wire.PriorityLow || r.nextRetryAt != 0 {
 		return
 	}
-	wait := r.arrivedAt + c.preemptionDelay(j) - c.now
-	if r.nextPreemptionAt > c.now {
-		wait = max(wait, r.nextPreemptionAt-c.now)
-	}
-	if wait > 0 {
-		c.wakeIn(wait)
-		c.schedulingDue = true
+	if at := max(r.arrivedAt+c.preemptionDelay(j), r.nextPreemptionAt); at > c.now {
+		c.scheduleLater(at - c.now)
 		return
 	}
-	if c.preemption.searches <= 0 || c.preemption.stops <= 0 {
+	if c.preemption.exhausted() {
 		c.schedulingDue = true // in the next round
 		return
 	}
 	c.preemption.searches--
-	r.nextPreemptionAt = c.now + 250*micros.Millisecond
-	need := j.pending()
-	if t := c.cfg.Teams[j.team]; t.CPUsMax > 0 && j.sub.CPUs > 0 {
-		need = min(need, int((t.CPUsMax-s.usage[j.team].cpus)/j.sub.CPUs+eps))
-	}
+	r.nextPreemptionAt = c.now + preemptionInterval
+	plan := c.planPreemption(s, j)
+	c.executePreemption(j, plan)
+}
+
+// preemptionPlan is where capacity can be made for a job.
+type preemptionPlan struct {
+	tasks  int              // tasks that capacity is to be made for
+	offers preemptionOffers // one for each machine
+}
+
+// preemptionOffer is the cheapest way to make capacity for one task on a machine.
+type preemptionOffer struct {
+	machine *machine
+	victims []*attempt
+	cost    float64 // CPU seconds
+}
+
+// preemptionOffers is a heap.Interface, the cheapest offer first.
+type preemptionOffers []*preemptionOffer
+
+func (h preemptionOffers) Len() int { return len(h) }
+
+func (h preemptionOffers) Less(i, j int) bool {
+	return cmp.Or(cmp.Compare(h[i].cost, h[j].cost), cmp.Compare(h[i].machine.id, h[j].machine.id)) < 0
+}
+
+func (h preemptionOffers) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+
+func (h *preemptionOffers) Push(x any) { *h = append(*h, x.(*preemptionOffer)) }
+
+func (h *preemptionOffers) Pop() any {
+	old := *h
+	last := old[len(old)-1]
+	*h = old[:len(old)-1]
+	return last
+}
+
+// planPreemption finds out for how many tasks of a job capacity is to be made, and what each
+// machine of the shard offers.
+func (c *Controller) planPreemption(s *shard, j *job) *preemptionPlan {
+	plan := &preemptionPlan{tasks: c.tasksToPlace(s, j)}
 	zones := c.zonesOf(j)
-	var h offers
 	for _, m := range s.machines {
 		c.visited++
 		if m.view == nil || !c.usable(m) || !c.allowed(j, m, zones) || j.run.failuresByMachine[m.id] > 0 {
 			continue
 		}
-		// Room that is already being made for it serves it first.
-		if hd := &m.view.reservation; hd.job == j && c.now < hd.until && j.sub.CPUs > 0 {
-			need -= int(hd.cpus/j.sub.CPUs + eps)
+		reserved := &m.view.reservation
+		inForce := c.now < reserved.until
+		if reserved.job == j && inForce && j.sub.CPUs > 0 {
+			plan.tasks -= int(reserved.resources.CPUs/j.sub.CPUs + eps)
 			continue
-		} else if hd.job != nil && c.now < hd.until {
+		}
+		if reserved.job != nil && inForce {
 			continue
 		}
-		if o := c.offer(j, m); o != nil {
-			h = append(h, o)
+		if o := c.preemptionOffer(j, m); o != nil {
+			plan.offers = append(plan.offers, o)
 		}
 	}
-	heap.Init(&h)
-	most := c.maxPreemptionLoss(j)
-	for need > 0 && len(h) > 0 && c.preemption.stops > 0 && h[0].cost <= most {
-		o := h[0]
-		c.take(j, o)
-		need--
-		if next := c.offer(j, o.m); next != nil {
-			h[0] = next
-			heap.Fix(&h, 0)
+	heap.Init(&plan.offers)
+	return plan
+}
+
+// tasksToPlace returns how many of a job's waiting tasks its team's limit lets start.
+func (c *Controller) tasksToPlace(s *shard, j *job) int {
+	tasks := j.pending()
+	if t := c.cfg.Teams[j.team]; t.CPUsMax > 0 && j.sub.CPUs > 0 {
+		tasks = min(tasks, int((t.CPUsMax-s.usage[j.team].cpus)/j.sub.CPUs+eps))
+	}
+	return tasks
+}
+
+// executePreemption takes the cheapest offers of a plan until there is capacity for all tasks,
+// the round's budget is spent, or the next one costs too much.
+func (c *Controller) executePreemption(j *job, plan *preemptionPlan) {
+	maxLoss := c.maxPreemptionLoss(j)
+	offers := &plan.offers
+	for plan.tasks > 0 && offers.Len() > 0 && c.preemption.stops > 0 && (*offers)[0].cost <= maxLoss {
+		cheapest := (*offers)[0]
+		c.takeOffer(j, cheapest)
+		plan.tasks--
+		if next := c.preemptionOffer(j, cheapest.machine); next != nil {
+			(*offers)[0] = next
+			heap.Fix(offers, 0)
 		} else {
-			heap.Pop(&h)
+			heap.Pop(offers)
 		}
 	}
-	if need > 0 && c.preemption.stops <= 0 {
-		r.nextPreemptionAt = 0
+	if plan.tasks > 0 && c.preemption.stops <= 0 {
+		j.run.nextPreemptionAt = 0
 		c.schedulingDue = true
 	}
 }
 
-// offer is the cheapest way to make room for one task on a machine.
-type offer struct {
-	m    *machine
-	set  []*attempt
-	cost float64
+// preemptOnMachine makes capacity on a machine for a job that already waits for others to be
+// stopped: else a job further down the queue would take what has just come free, and be stopped
+// for it in turn.
+func (c *Controller) preemptOnMachine(j *job, m *machine) {
+	r := j.run
+	waitsForPreemption := r.nextPreemptionAt != 0 && r.arrivedAt+c.preemptionDelay(j) <= c.now
+	if !waitsForPreemption || m.view.reservation.job != nil || !c.allowed(j, m, c.zonesOf(j)) {
+		return
+	}
+	if o := c.preemptionOffer(j, m); o != nil && o.cost <= c.maxPreemptionLoss(j) {
+		c.takeOffer(j, o)
+	}
 }
 
-type offers []*offer
-
-func (h offers) Len() int { return len(h) }
-func (h offers) Less(i, j int) bool {
-	return cmp.Or(cmp.Compare(h[i].cost, h[j].cost), cmp.Compare(h[i].m.id, h[j].m.id)) < 0
-}
-func (h offers) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *offers) Push(x any)   { *h = append(*h, x.(*offer)) }
-func (h *offers) Pop() any {
-	old := *h
-	x := old[len(old)-1]
-	*h = old[:len(old)-1]
-	return x
+// preemptionOffer returns how a machine could make capacity for one more task of a job beside
+// what is reserved there for the job, or nil if it cannot.
+func (c *Controller) preemptionOffer(j *job, m *machine) *preemptionOffer {
+	o := &preemptionOffer{machine: m}
+	if !m.view.images[j.sub.Image] {
+		o.cost = missingImageCost
+	}
+	need := resourcesOf(j.sub)
+	free := c.freeOnceStopped(j, m)
+	if need.Fits(free) {
+		return o
+	}
+	chosen, cost, enough := scheduling.CheapestVictims(c.possibleVictims(j, m), need, free, o.cost)
+	if !enough {
+		return nil
+	}
+	o.cost = cost
+	for i := range chosen {
+		o.victims = append(o.victims, m.view.list[chosen[i].Attempt])
+	}
+	return o
 }
 
-// offer works out what a machine would lose for one more task of a job; nil if
-// nothing can be had there. What is held there already comes on top.
-func (c *Controller) offer(j *job, m *machine) *offer {
-	v, capacity, want := m.view, c.freeCapacity(m), shapeOf(j.sub)
-	held := reservation{}
+// freeOnceStopped returns what a machine will have left once tasks that are being stopped have
+// gone, without what is reserved for the job.
+func (c *Controller) freeOnceStopped(j *job, m *machine) scheduling.Resources {
+	v := m.view
+	free := c.freeCapacity(m).Plus(v.usage.stopping)
 	if v.reservation.job == j && c.now < v.reservation.until {
-		held = v.reservation
-	}
-	capacity = capacity.plus(shape{v.usage.soonCPUs, v.usage.soonGPUs, v.usage.soonMem}).plus(shape{-held.cpus, -held.gpus, -held.mem})
-	type victim struct {
-		att  *attempt
-		loss float64
-	}
-	o := &offer{m: m}
-	if !v.images[j.sub.Image] {
-		o.cost = 3
-	}
-	if want.covers(capacity) {
-		return o // others are on their way out
-	}
-	var cands []victim
-	for _, att := range v.list {
-		if att.job != nil && (att.tracked && att.job.priority < j.priority || att.prefetch) && att.stopMode == stopNone && att.state != attemptExited {
-			cands = append(cands, victim{att, c.preemptionLoss(att)})
-		}
+		free = free.Minus(v.reservation.resources)
 	}
-	if len(cands) == 0 {
-		return nil
-	}
-	slices.SortFunc(cands, func(a, b victim) int {
-		return cmp.Or(cmp.Compare(a.loss, b.loss), cmp.Compare(a.att.key.job, b.att.key.job), cmp.Compare(a.att.index, b.att.index))
-	})
-	for _, x := range cands {
-		if want.covers(capacity) {
-			break
+	return free
+}
+
+// possibleVictims returns the attempts on a machine that may be stopped for a job. The result is
+// valid until the next call.
+func (c *Controller) possibleVictims(j *job, m *machine) []scheduling.Victim {
+	victims := c.victimScratch[:0]
+	for i, att := range m.view.list {
+		if !att.preemptibleFor(j) {
+			continue
 		}
-		o.set = append(o.set, x.att)
-		o.cost += x.loss
-		capacity = capacity.plus(shapeOf(x.att.job.sub))
-	}
-	if !want.covers(capacity) {
-		return nil
+		victims = append(victims, scheduling.Victim{
+			Attempt:   i,
+			Job:       att.key.job,
+			Task:      att.index,
+			Loss:      c.preemptionLoss(att),
+			Resources: resourcesOf(att.job.sub),
+		})
+	}
+	c.victimScratch = victims
+	return victims
+}
+
+// preemptibleFor reports whether an attempt may be stopped for a job: it has a lower priority, or
+// only fetches an image ahead, and is not being stopped yet.
+func (att *attempt) preemptibleFor(j *job) bool {
+	if att.job == nil || att.stopMode != stopNone || att.state == attemptExited {
+		return false
 	}
-	return o
+	return att.tracked && att.job.priority < j.priority || att.prefetch
 }
 
-// take stops an offer's tasks and keeps the room for the job, or a job further
-// down the line would take it and be stopped for it in turn.
-func (c *Controller) take(j *job, o *offer) {
-	v := o.m.view
-	for _, att := range o.set {
+// takeOffer stops an offer's tasks and reserves the capacity for the job, or a job further down
+// the queue would take it and be stopped for it in turn.
+func (c *Controller) takeOffer(j *job, o *preemptionOffer) {
+	for _, att := range o.victims {
 		c.preemption.stops--
 		if r := att.job.run; r != nil && att.tracked {
 			r.stopsByTask[att.index]++
 		}
 		c.stop(att, c.stopModeFor(att, j))
-		c.log(Debug, "task stopped for a job of higher priority", "task", wire.TaskName(att.job.id, att.index), "machine", o.m.id, "for", j.id)
+		c.log(Debug, "task stopped for a job of higher priority", "task", wire.TaskName(att.job.id, att.index), "machine", o.machine.id, "for", j.id)
 	}
-	if v.reservation.job != j {
-		v.reservation = reservation{job: j}
+	reserved := &o.machine.view.reservation
+	if reserved.job != j {
+		*reserved = reservation{job: j}
 	}
-	v.reservation.cpus += j.sub.CPUs
-	v.reservation.gpus += j.sub.GPUs
-	v.reservation.mem += j.sub.MemGB
-	v.reservation.until = c.now + reservationDuration
-	c.refresh(c.ownership.shards[o.m.rec.Shard])
+	reserved.resources = reserved.resources.Plus(resourcesOf(j.sub))
+	reserved.until = c.now + reservationDuration
+	c.refresh(c.ownership.shards[o.machine.rec.Shard])
 }
 
-// reservationDuration is how long room is kept: what was stopped may have to save first.
-const reservationDuration = 8 * micros.Second
-
-// preemptionDelay is how long a job waits for room to come free by itself before
-// others are stopped for it. Tasks end all the time, and work that is stopped is
-// partly lost.
+// preemptionDelay returns how long a job waits for capacity to come free by itself before others
+// are stopped for it. Tasks end all the time, and work that is stopped is partly lost.
 func (c *Controller) preemptionDelay(j *job) micros.Micros {
-	if within, urgent := c.cfg.StartWithin[j.sub.Class]; urgent {
-		if within < 10*micros.Second {
+	if within, hasObjective := c.cfg.StartWithin[j.sub.Class]; hasObjective {
+		if within < promptStart {
 			return 0
 		}
-		return within / 10
+		return within / preemptionDelayFraction
 	}
 	if c.deadlineNear(j) {
 		return 0
 	}
-	return micros.Second
+	return maxPreemptionDelay
 }
 
-// deadlineNear: the job can still be in time, but only if its tasks start within
+// deadlineNear reports whether the job can still be in time, but only if its tasks start within
 // some seconds.
 func (c *Controller) deadlineNear(j *job) bool {
 	slack := c.dueOf(j) - c.wall - c.estimates.expect(j.sub)
-	return slack > 0 && slack < 15*micros.Second
+	return slack > 0 && slack < nearDeadline
 }
 
-// dueOf is when a job is wanted done, by its user or its class; Never if neither
-// says.
+// dueOf returns when a job is wanted done, by its user or its class; Never if neither says.
 func (c *Controller) dueOf(j *job) micros.Micros {
 	due := j.deadline
 	if within := c.cfg.FinishWithin[j.sub.Class]; within > 0 {
@@ -211,60 +294,46 @@
 	return due
 }
 
-// maxPreemptionLoss is the most that may be lost for one task of a job. Tasks end all the
-// time in a large shard: for a while only what costs little is stopped, so that
-// long work that is nearly done is not thrown away for a wait of seconds (15
-// tasks that had run for 180 s each, on a day that ended two minutes later for it).
+// maxPreemptionLoss returns the most that may be lost for one task of a job, in CPU seconds.
+// Tasks end all the time in a large shard: for a while only what costs little is stopped, so that
+// long work that is nearly done is not thrown away for a wait of seconds.
 func (c *Controller) maxPreemptionLoss(j *job) float64 {
-	preemptionDelay := c.preemptionDelay(j)
-	grace := 5 * micros.Second
-	if within, urgent := c.cfg.StartWithin[j.sub.Class]; urgent {
-		grace = within / 2
+	smallLossFor := smallLossDuration
+	if within, hasObjective := c.cfg.StartWithin[j.sub.Class]; hasObjective {
+		smallLossFor = within / smallLossFraction
 	}
-	if c.now < j.run.arrivedAt+preemptionDelay+grace {
+	if c.now < j.run.arrivedAt+c.preemptionDelay(j)+smallLossFor {
 		return smallLoss
 	}
 	return math.Inf(1)
 }
 
-// smallLoss is what may be lost for a task at once, in CPU seconds.
-const smallLoss = 100
-
-// preemptionLoss is the work, in CPU seconds, that stopping an attempt throws away.
+// preemptionLoss returns the loss of stopping an attempt, in CPU seconds.
 func (c *Controller) preemptionLoss(att *attempt) float64 {
-	ran := 0.0
-	if att.runAt != 0 {
-		ran = (c.now - att.runAt).Seconds()
+	sub := att.job.sub
+	loss := scheduling.PreemptionLoss{
+		Expected:           c.estimates.expect(sub),
+		CheckpointInterval: sub.CheckpointS,
+		CPUs:               sub.CPUs,
+		Priority:           att.job.priority,
+		OnlyStart:          c.onlyStart(att),
 	}
-	if k := att.job.sub.CheckpointS; k > 0 {
-		ran = min(ran, k) // at most an interval is unsaved
+	if att.runAt != 0 {
+		loss.Ran = c.now - att.runAt
 	}
-	// Its user also waits longer, which counts for more the higher its priority,
-	// the longer it runs, and the more often it was stopped before: the youngest
-	// tasks are the cheapest, and a task that has just been started again is young
-	// (three stops within 9 s put a job's end off by minutes).
-	prio := float64(att.job.priority)
-	again := 0.0
 	if r := att.job.run; r != nil {
-		again = float64(r.stopsByTask[att.index])
+		loss.EarlierStops = r.stopsByTask[att.index]
 	}
-	if c.onlyStart(att) {
-		again += 10
-	}
-	return ran*att.job.sub.CPUs*[...]float64{0.25, 1, 2, 2}[att.job.priority] +
-		prio*(4+0.25*c.estimates.expect(att.job.sub).Seconds()) + earlierStopCost*again
+	return loss.Total()
 }
 
-// earlierStopCost is what each earlier stop of a task adds to the loss of another.
-const earlierStopCost = 25
-
-// stopModeFor says how a victim is stopped: with time to save, unless the job that
-// waits is wanted started sooner than that.
+// stopModeFor returns how a victim is stopped for a job: with time to save, unless the job is
+// wanted started sooner than that.
 func (c *Controller) stopModeFor(victim *attempt, j *job) int {
 	if victim.job.sub.CheckpointS <= 0 || victim.state != attemptRunning {
 		return stopImmediate
 	}
-	if within, urgent := c.cfg.StartWithin[j.sub.Class]; urgent && within < 2*micros.FromSeconds(victim.job.sub.SaveS) {
+	if within, hasObjective := c.cfg.StartWithin[j.sub.Class]; hasObjective && within < 2*micros.FromSeconds(victim.job.sub.SaveS) {
 		return stopImmediate
 	}
 	if c.deadlineNear(j) {
@@ -273,8 +342,7 @@
 	return stopGraceful
 }
 
-// stop marks an attempt to be stopped; one that was never sent is just
-// forgotten.
+// stop has an attempt stopped; one that was never sent is just removed.
 func (c *Controller) stop(att *attempt, mode int) {
 	if att.state == attemptAssigned {
 		c.freeAttempt(att, false)
--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -6,67 +6,111 @@
 	"garnethitch/internal/micros"
 )
 
-// schedulingInterval is the pace of whole rounds. Room that comes free is used at once,
-// by the heartbeat that tells of it; see scheduleOnMachine.
-const schedulingInterval = 50 * micros.Millisecond
+const (
+	// schedulingInterval is the time between two rounds over whole shards. Capacity that comes
+	// free is used at once, in the reply to the heartbeat that says so; see scheduleOnMachine.
+	schedulingInterval = 50 * micros.Millisecond
+
+	// A round visits each machine of a shard maxVisitsPerMachine times at most, or
+	// minVisitsPerRound in all where machines are few, and goes on with the rest of the queue in
+	// the next round: a job that is bound to a zone is compared with all machines that have
+	// capacity, whether it fits or not, and other inputs must not wait for hundreds of such jobs.
+	maxVisitsPerMachine = 4
+	minVisitsPerRound   = 4000
+
+	// maxJobsPerReply bounds how many waiting jobs are considered in the reply to one heartbeat.
+	maxJobsPerReply = 100
 
-// schedule starts waiting tasks where there is room, for every shard of this node.
+	// pruneInterval is after how many jobs of the queue a round drops full machines.
+	pruneInterval = 8
+)
+
+// maxVisitsPerRound returns how much a round may visit in a shard with so many machines.
+func maxVisitsPerRound(machines int) uint64 {
+	return uint64(max(maxVisitsPerMachine*machines, minVisitsPerRound))
+}
+
+// schedule runs a scheduling round over the shards of this controller if one is due.
 func (c *Controller) schedule() {
 	if c.schedulingDue {
-		if c.now < c.nextSchedulingAt {
-			c.wakeIn(c.nextSchedulingAt - c.now)
-		} else {
-			c.schedulingDue, c.scheduledLastStep = false, true
-			c.nextSchedulingAt = c.now + schedulingInterval
-			for _, s := range c.ownership.shards {
-				if c.activeShard(s.id) != nil {
-					c.scheduleShard(s)
-				}
-			}
-		}
+		c.runSchedulingRound()
 	}
 	c.flushCommands()
 }
 
-// A round of placement looks at each machine of a shard so many times at most, or at so
-// many in all where they are few, and goes on with the rest of the queue in the next one:
-// a job bound to one zone is held against all machines with room, whether it fits or not,
-// and what else waits in the same step must not wait for hundreds of them.
-const (
-	maxVisitsPerMachine = 4
-	minVisitsPerRound   = 4000
-)
+// runSchedulingRound starts waiting tasks where there is capacity, unless the round before was
+// too short a time ago.
+func (c *Controller) runSchedulingRound() {
+	if c.now < c.nextSchedulingAt {
+		c.wakeIn(c.nextSchedulingAt - c.now)
+		return
+	}
+	c.schedulingDue = false
+	c.scheduledLastStep = true
+	c.nextSchedulingAt = c.now + schedulingInterval
+	for _, s := range c.ownership.shards {
+		if c.activeShard(s.id) != nil {
+			c.scheduleShard(s)
+		}
+	}
+}
 
-// maxVisitsPerRound is how much a round may look at.
-func maxVisitsPerRound(machines int) uint64 {
-	return uint64(max(maxVisitsPerMachine*machines, minVisitsPerRound))
+// scheduleLater has the next round run within d.
+func (c *Controller) scheduleLater(d micros.Micros) {
+	c.wakeIn(d)
+	c.schedulingDue = true
+}
+
+// schedulingRound is a round over one shard.
+type schedulingRound struct {
+	shard *shard
+	// free are the machines that have capacity left.
+	free []*machine
+	// unplaced are the tasks for which no capacity was found.
+	unplaced []unplacedTask
 }
 
-// scheduleShard assigns waiting tasks of one shard.
+// scheduleShard assigns waiting tasks of a shard to its machines.
 func (c *Controller) scheduleShard(s *shard) {
 	c.refresh(s)
 	s.reconciled = c.allReconciled(s)
 	queue := c.queue(s)
-	cpuless := slices.ContainsFunc(queue, func(j *job) bool { return j.sub.CPUs <= eps })
+	round := schedulingRound{shard: s, free: c.machinesWithCapacity(s, queue)}
+	c.prefetch(s, round.free, true)
+	c.preemption.reset()
+	c.scheduleQueue(&round, queue)
+	c.prefetch(s, round.free, false)
+}
+
+// machinesWithCapacity returns a shard's machines on which tasks of the queue might be started.
+func (c *Controller) machinesWithCapacity(s *shard, queue []*job) []*machine {
+	needsNoCPU := slices.ContainsFunc(queue, func(j *job) bool { return j.sub.CPUs <= eps })
 	var free []*machine
 	for _, m := range s.machines {
 		c.visited++
-		if m.view == nil || !c.usable(m) {
-			if m.view != nil && m.view.backoffUntil > c.now {
-				c.wakeIn(m.view.backoffUntil - c.now)
-				c.schedulingDue = true
+		if m.view == nil {
+			continue
+		}
+		if !c.usable(m) {
+			if backoff := m.view.backoffUntil - c.now; backoff > 0 {
+				c.scheduleLater(backoff)
 			}
 			continue
 		}
-		if capacity := c.freeCapacity(m); capacity.cpus > eps || cpuless && capacity.mem > eps {
+		if left := c.freeCapacity(m); left.CPUs > eps || needsNoCPU && left.MemGB > eps {
 			free = append(free, m)
 		}
 	}
-	c.prefetch(s, free, true)
-	var full []fullShape
-	c.preemption.begin()
-	first, began := s.resumeAt, c.visited
+	return free
+}
+
+// scheduleQueue schedules the jobs of the queue from the one on at which the round before
+// stopped.
+func (c *Controller) scheduleQueue(round *schedulingRound, queue []*job) {
+	s := round.shard
+	first := s.resumeAt
 	s.resumeAt = 0
+	visitedBefore := c.visited
 	for i := range queue {
 		position := (first + i) % len(queue)
 		j := queue[position]
@@ -74,66 +118,85 @@
 		if !c.runnable(s, j) {
 			continue
 		}
-		if i%8 == 7 {
-			free = slices.DeleteFunc(free, func(m *machine) bool { return c.freeCapacity(m).cpus <= eps })
+		if i%pruneInterval == pruneInterval-1 {
+			round.free = slices.DeleteFunc(round.free, func(m *machine) bool { return c.freeCapacity(m).CPUs <= eps })
 		}
-		if c.visited-began > maxVisitsPerRound(len(s.machines)) {
+		if c.visited-visitedBefore > maxVisitsPerRound(len(s.machines)) {
 			s.resumeAt = position
-			c.schedulingDue = true
-			c.wakeIn(schedulingInterval)
-			break
+			c.scheduleLater(schedulingInterval)
+			return
 		}
-		c.scheduleJob(s, j, free, &full)
+		c.scheduleJob(round, j)
 	}
-	c.prefetch(s, free, false)
 }
 
-// scheduleJob assigns a job's waiting tasks to machines with room.
-func (c *Controller) scheduleJob(s *shard, j *job, free []*machine, full *[]fullShape) {
-	r := j.run
-	if r.nextRetryAt != 0 && !c.suspect(j) {
-		c.log(Info, "job runs elsewhere after all", "job", j.id)
-		r.retryBackoff, r.nextRetryAt = 0, 0
-	}
-	if r.nextRetryAt != 0 {
-		// It has failed on several machines and succeeded nowhere: one task at a
-		// time, at growing intervals, until its user cancels it.
-		if len(r.active) > 0 {
+// scheduleJob assigns a job's waiting tasks to machines with capacity. Where there is none, it
+// has tasks of lower priority stopped or capacity reserved.
+func (c *Controller) scheduleJob(round *schedulingRound, j *job) {
+	s := round.shard
+	c.endRetryBackoff(j)
+	if c.retryPending(j) || c.overLimit(s, j) {
+		return
+	}
+	if !slices.ContainsFunc(round.unplaced, func(u unplacedTask) bool { return u.rulesOut(j) }) {
+		if !c.packJob(round, j) {
 			return
 		}
-		if c.now < r.nextRetryAt {
-			c.wakeIn(r.nextRetryAt - c.now)
-			c.schedulingDue = true
-			return
+		if !j.sub.SameZone && !j.sub.Spread { // else there may be capacity for another job's tasks
+			round.unplaced = append(round.unplaced, unplacedTask{resourcesOf(j.sub), j.constraint})
 		}
 	}
-	if c.overLimit(s, j) {
+	c.preemptFor(s, j)
+	c.reserveCapacity(s, j)
+}
+
+// endRetryBackoff ends the delays between a job's attempts if it is no longer suspected to fail
+// everywhere.
+func (c *Controller) endRetryBackoff(j *job) {
+	r := j.run
+	if r.nextRetryAt == 0 || c.suspect(j) {
 		return
 	}
-	if slices.ContainsFunc(*full, func(f fullShape) bool { return f.rulesOut(j) }) {
-		c.preemptFor(s, j)
-		c.reserveCapacity(s, j)
-		return
+	c.log(Info, "job runs elsewhere after all", "job", j.id)
+	r.retryBackoff = 0
+	r.nextRetryAt = 0
+}
+
+// retryPending reports whether no task of a job may be started now because it has failed on
+// several machines and succeeded on none: such a job runs one task at a time, at growing
+// intervals, until its user cancels it.
+func (c *Controller) retryPending(j *job) bool {
+	r := j.run
+	if r.nextRetryAt == 0 {
+		return false
 	}
-	cands := c.candidates(j, free)
-	zones := c.zonesOf(j)
-	for _, best := range cands {
-		if !c.packMachine(s, j, best.m, zones) {
-			return
-		}
+	if len(r.active) > 0 {
+		return true
 	}
-	if _, ok := j.nextTask(); !ok || c.overLimit(s, j) {
-		return
+	if c.now < r.nextRetryAt {
+		c.scheduleLater(r.nextRetryAt - c.now)
+		return true
 	}
-	if !j.sub.SameZone && !j.sub.Spread { // else there may be room for another job's tasks
-		*full = append(*full, fullShape{shapeOf(j.sub), j.constraint})
+	return false
+}
+
+// packJob assigns a job's waiting tasks to the machines that suit it best, and reports whether
+// tasks are left that found no capacity.
+func (c *Controller) packJob(round *schedulingRound, j *job) bool {
+	s := round.shard
+	candidates := c.candidates(j, round.free)
+	zones := c.zonesOf(j)
+	for _, best := range candidates {
+		if !c.packMachine(s, j, best.machine, zones) {
+			return false
+		}
 	}
-	c.preemptFor(s, j)
-	c.reserveCapacity(s, j)
+	_, waiting := j.nextTask()
+	return waiting && !c.overLimit(s, j)
 }
 
-// scheduleOnMachine gives a machine that has just told of itself what waits and fits, in
-// the order of the queue.
+// scheduleOnMachine assigns waiting tasks that fit to a machine that has just sent a heartbeat,
+// in the order of the queue.
 func (c *Controller) scheduleOnMachine(s *shard, m *machine) {
 	v := m.view
 	if v == nil || c.activeShard(s.id) == nil {
@@ -143,52 +206,44 @@
 	if !c.usable(m) {
 		return
 	}
-	mt := c.types[m.rec.Type]
-	looked := 0
+	cpus := c.types[m.rec.Type].CPUs
+	considered := 0
 	for _, j := range c.waiting(s) {
 		c.visited++
-		if mt.CPUs-v.usage.cpus <= eps || looked >= maxJobsPerReply {
+		if cpus-v.usage.total.CPUs <= eps || considered >= maxJobsPerReply {
 			return
 		}
 		if !c.runnable(s, j) {
 			continue
 		}
-		looked++
-		r := j.run
-		if r.nextRetryAt != 0 || c.overLimit(s, j) {
+		considered++
+		if j.run.nextRetryAt != 0 || c.overLimit(s, j) {
 			continue
 		}
-		if !c.fits(m, j) {
-			// A job that waits for others to be stopped takes what it needs here, or
-			// one further down the line would take what has just come free, and be
-			// stopped for it in turn.
-			if r.nextPreemptionAt != 0 && v.reservation.job == nil && r.arrivedAt+c.preemptionDelay(j) <= c.now && c.allowed(j, m, c.zonesOf(j)) {
-				if o := c.offer(j, m); o != nil && o.cost <= c.maxPreemptionLoss(j) {
-					c.take(j, o)
-				}
-			}
-			continue
+		if c.fits(m, j) {
+			c.packMachine(s, j, m, c.zonesOf(j))
+		} else {
+			c.preemptOnMachine(j, m)
 		}
-		c.packMachine(s, j, m, c.zonesOf(j))
 	}
 }
 
-// packMachine assigns a job's waiting tasks to a machine as long as it has room, and
-// tells whether the job may want others as well.
+// packMachine assigns a job's waiting tasks to a machine as long as they fit, and reports whether
+// the job may want other machines as well.
 func (c *Controller) packMachine(s *shard, j *job, m *machine, zones map[string]int) bool {
 	for c.fits(m, j) && c.allowed(j, m, zones) {
-		idx, ok := j.nextTask()
-		if !ok || c.overLimit(s, j) {
+		index, waiting := j.nextTask()
+		if !waiting || c.overLimit(s, j) {
 			return false
 		}
-		if c.avoids(j, idx, m) {
+		if c.avoids(j, index, m) {
 			return true
 		}
-		begins := c.overdue(j)
-		c.assign(s, j, idx, m)
-		if begins {
+		firstOfOverdue := c.overdue(j)
+		c.assign(s, j, index, m)
+		if firstOfOverdue {
 			s.queueStale = true
-			return false // the others wait for their turn
+			return false // its other tasks wait for their turn
 		}
 		if zones != nil {
 			zones[m.rec.Zone]++
@@ -200,42 +255,41 @@
 	return true
 }
 
-// maxJobsPerReply bounds how many waiting jobs one heartbeat's answer looks at.
-const maxJobsPerReply = 100
-
-// maxTasksPerMachine keeps reports and answers within their size limit.
-const maxTasksPerMachine = 150
-
-// assign makes the attempt; it is sent with the next answer or order.
-func (c *Controller) assign(s *shard, j *job, idx int, m *machine) {
-	att := c.newAttempt(s, j, idx, m)
+// assign makes an attempt for a task; it is sent in the next heartbeat reply or command.
+func (c *Controller) assign(s *shard, j *job, index int, m *machine) {
+	att := c.newAttempt(s, j, index, m)
 	att.tracked = true
-	v := m.view
-	v.idleAt = c.now
-	j.run.active[idx] = att
-	j.run.startedMS = c.wall.Millis()
+	m.view.idleAt = c.now
+	r := j.run
+	r.active[index] = att
+	r.startedMS = c.wall.Millis()
 	c.traceGrant(s, j)
-	if j.run.firstRunAt == 0 {
-		j.run.firstRunAt = c.now
+	if r.firstRunAt == 0 {
+		r.firstRunAt = c.now
 	}
-	if h := &v.reservation; h.job == j {
-		h.cpus, h.gpus, h.mem = h.cpus-j.sub.CPUs, h.gpus-j.sub.GPUs, h.mem-j.sub.MemGB
-		if h.cpus <= eps && h.gpus <= eps && h.mem <= eps {
-			v.reservation = reservation{}
-		}
+	m.view.reservation.use(j)
+}
+
+// use takes one task of a job out of the reservation if it is for that job.
+func (r *reservation) use(j *job) {
+	if r.job != j {
+		return
+	}
+	r.resources = r.resources.Minus(resourcesOf(j.sub))
+	if r.resources.Exhausted() {
+		*r = reservation{}
 	}
 }
 
-// newAttempt puts an attempt on a machine, to be sent, and takes its room.
-func (c *Controller) newAttempt(s *shard, j *job, idx int, m *machine) *attempt {
-	c.attemptCounter++
-	key := attemptKey{job: j.id, index: idx, attempt: s.ownerEpoch<<attemptEpochShift | c.attemptCounter&(1<<attemptEpochShift-1)}
-	att := &attempt{key: key, job: j, index: idx, machine: m, state: attemptAssigned, since: c.now, stopSentAt: -micros.Never}
+// newAttempt puts an attempt that is to be sent on a machine, and counts what it takes.
+func (c *Controller) newAttempt(s *shard, j *job, index int, m *machine) *attempt {
+	key := c.nextAttemptKey(s, j, index)
+	att := &attempt{key: key, job: j, index: index, machine: m, state: attemptAssigned, since: c.now, stopSentAt: -micros.Never}
 	v := m.view
-	fresh := !v.usageStale // then its tally can be kept, which spares counting it again
+	usageCurrent := !v.usageStale // then it can be added to, which spares counting it again
 	v.put(att)
-	if fresh {
-		c.addTo(&v.usage, att)
+	if usageCurrent {
+		v.usage.add(att)
 		s.usage[j.team].add(j.sub)
 	} else {
 		c.markDirty(m)
@@ -244,3 +298,12 @@
 	c.noteQuotaGrant(s, j)
 	return att
 }
+
+// nextAttemptKey returns the key of a new attempt of a task. Its number begins with the epoch of
+// the shard's owner, so that it is higher than those of all former owners.
+func (c *Controller) nextAttemptKey(s *shard, j *job, index int) attemptKey {
+	const counterMask = 1<<attemptEpochShift - 1
+	c.attemptCounter++
+	number := s.ownerEpoch<<attemptEpochShift | c.attemptCounter&counterMask
+	return attemptKey{job: j.id, index: index, attempt: number}
+}
--- /dev/null
+++ b/internal/controller/scheduling/preemption_test.go
@@ -0,0 +1,70 @@
+package scheduling
+
+import (
+	"slices"
+	"testing"
+
+	"garnethitch/internal/micros"
+)
+
+func TestCheapestVictims(t *testing.T) {
+	victim := func(attempt int, job string, loss, cpus float64) Victim {
+		return Victim{Attempt: attempt, Job: job, Loss: loss, Resources: Resources{CPUs: cpus}}
+	}
+	for _, tc := range []struct {
+		name    string
+		victims []Victim
+		need    float64 // CPUs
+		free    float64 // CPUs
+		want    []int   // attempts
+		cost    float64 // with 3 to begin with
+		enough  bool
+	}{
+		{"enough is free", []Victim{victim(0, "a", 5, 1)}, 1, 1, nil, 3, true},
+		{"the cheapest one", []Victim{victim(0, "a", 5, 1), victim(1, "b", 2, 1)}, 1, 0, []int{1}, 5, true},
+		{"two, beside what is free", []Victim{victim(0, "a", 5, 1), victim(1, "b", 2, 1), victim(2, "c", 9, 1)}, 3, 1, []int{1, 0}, 10, true},
+		{"equal losses by name", []Victim{victim(0, "b", 2, 1), victim(1, "a", 2, 1)}, 1, 0, []int{1}, 5, true},
+		{"all of them do not suffice", []Victim{victim(0, "a", 5, 1)}, 3, 1, []int{0}, 8, false},
+		{"nothing to stop", nil, 1, 0, nil, 3, false},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			chosen, cost, enough := CheapestVictims(tc.victims, Resources{CPUs: tc.need}, Resources{CPUs: tc.free}, 3)
+			var attempts []int
+			for _, v := range chosen {
+				attempts = append(attempts, v.Attempt)
+			}
+			if !slices.Equal(attempts, tc.want) || cost != tc.cost || enough != tc.enough {
+				t.Errorf("%v at %v, enough %v; want %v at %v, %v", attempts, cost, enough, tc.want, tc.cost, tc.enough)
+			}
+		})
+	}
+}
+
+func TestPreemptionLossTotal(t *testing.T) {
+	base := PreemptionLoss{Ran: 20 * micros.Second, Expected: 40 * micros.Second, CPUs: 2, Priority: 1}
+	with := func(change func(*PreemptionLoss)) PreemptionLoss {
+		l := base
+		change(&l)
+		return l
+	}
+	for _, tc := range []struct {
+		name string
+		loss PreemptionLoss
+		want float64 // CPU seconds
+	}{
+		{"work and waiting", base, 40 + 14},
+		{"not running yet", with(func(l *PreemptionLoss) { l.Ran = 0 }), 14},
+		{"saves", with(func(l *PreemptionLoss) { l.CheckpointInterval = 5 }), 10 + 14},
+		{"has not run for a checkpoint interval", with(func(l *PreemptionLoss) { l.CheckpointInterval = 50 }), 40 + 14},
+		{"lowest priority", with(func(l *PreemptionLoss) { l.Priority = 0 }), 10},
+		{"higher priority", with(func(l *PreemptionLoss) { l.Priority = 2 }), 80 + 28},
+		{"stopped twice before", with(func(l *PreemptionLoss) { l.EarlierStops = 2 }), 40 + 14 + 50},
+		{"only start of an overdue job", with(func(l *PreemptionLoss) { l.OnlyStart = true }), 40 + 14 + 250},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			if got := tc.loss.Total(); got != tc.want {
+				t.Errorf("loss %v, want %v", got, tc.want)
+			}
+		})
+	}
+}
