--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -68,16 +68,14 @@
 	shardOfTeam    []int          // by the team's number; nil where jobs are assigned to shards
 	attemptCounter uint64
 
-	schedulingDue    bool          // there is something to schedule
-	nextSchedulingAt micros.Micros // when the next scheduling round may run
-	lastMaintenance  micros.Micros // when maintain last ran
-	nextWalkAt       micros.Micros // when maintain may next walk over all machines and jobs
+	schedulingPace
+	lastMaintenance micros.Micros // when maintain last ran
+	nextWalkAt      micros.Micros // when maintain may next walk over all machines and jobs
 	// lastStalledAt is when the process was last found stalled. That nothing was received
 	// before says nothing about others.
 	lastStalledAt micros.Micros
-	// scheduledLastStep is set if the step before ran a scheduling round, walkedLastStep if
-	// it walked over all machines and jobs.
-	scheduledLastStep, walkedLastStep bool
+	// walkedLastStep is set if the step before walked over all machines and jobs.
+	walkedLastStep bool
 	// visited counts the machines, jobs and attempts that were visited, visitedBefore those
 	// up to the step under way; see Work.
 	visited, visitedBefore uint64
--- a/internal/controller/maintenance.go
+++ b/internal/controller/maintenance.go
@@ -85,10 +85,7 @@
 // long.
 func (c *Controller) restAfter(took micros.Micros) {
 	until := c.now + min(restFactor*took, maxRest)
-	if c.scheduledLastStep {
-		c.scheduledLastStep = false
-		c.nextSchedulingAt = max(c.nextSchedulingAt, until)
-	}
+	c.restAfterRound(until)
 	if c.walkedLastStep {
 		c.walkedLastStep = false
 		c.nextWalkAt = until
--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -30,29 +30,45 @@
 	return uint64(max(maxVisitsPerMachine*machines, minVisitsPerRound))
 }
 
-// schedule runs a scheduling round over the shards of this controller if one is due.
-func (c *Controller) schedule() {
-	if c.schedulingDue {
-		c.runSchedulingRound()
+// schedulingPace says when the next scheduling round runs.
+type schedulingPace struct {
+	schedulingDue     bool          // there is something to schedule
+	nextSchedulingAt  micros.Micros // when the next round may run
+	scheduledLastStep bool          // the step before ran a round
+}
+
+// beginRound reports whether a round is due and may run now, and if so notes that it does.
+func (p *schedulingPace) beginRound(now micros.Micros) bool {
+	if !p.schedulingDue || now < p.nextSchedulingAt {
+		return false
 	}
-	c.flushCommands()
+	p.schedulingDue = false
+	p.scheduledLastStep = true
+	p.nextSchedulingAt = now + schedulingInterval
+	return true
 }
 
-// runSchedulingRound starts waiting tasks where there is capacity, unless the round before was
-// too short a time ago.
-func (c *Controller) runSchedulingRound() {
-	if c.now < c.nextSchedulingAt {
-		c.wakeIn(c.nextSchedulingAt - c.now)
-		return
+// restAfterRound puts the next round off if the step before ran one.
+func (p *schedulingPace) restAfterRound(until micros.Micros) {
+	if p.scheduledLastStep {
+		p.scheduledLastStep = false
+		p.nextSchedulingAt = max(p.nextSchedulingAt, until)
 	}
-	c.schedulingDue = false
-	c.scheduledLastStep = true
-	c.nextSchedulingAt = c.now + schedulingInterval
-	for _, s := range c.ownership.shards {
-		if c.activeShard(s.id) != nil {
-			c.scheduleShard(s)
+}
+
+// schedule starts waiting tasks where there is capacity, in the shards of this controller, if a
+// round is due.
+func (c *Controller) schedule() {
+	if c.beginRound(c.now) {
+		for _, s := range c.ownership.shards {
+			if c.activeShard(s.id) != nil {
+				c.scheduleShard(s)
+			}
 		}
+	} else if c.schedulingDue {
+		c.wakeIn(c.nextSchedulingAt - c.now)
 	}
+	c.flushCommands()
 }
 
 // scheduleLater has the next round run within d.
