--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -41,7 +41,7 @@
 	contact               workerContact
 	jobs                  jobTable
 	cascade               cancellationCascade
-	fleet                 fleet
+	fleet                 fleetState
 	quota                 quotas
 	peers                 map[string]*peerView
 	peerQuestionsInFlight int      // users' questions to other controllers
--- a/internal/controller/demand.go
+++ b/internal/controller/demand.go
@@ -6,71 +6,96 @@
 	"slices"
 	"strings"
 
+	"garnethitch/internal/controller/fleet"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/peer"
 )
 
+// What the shards of this controller want of the fleet and have, as the leader is told.
+
 const (
-	// maxBusyRows bounds how many busy machines of a shard the leader hears of: it
-	// moves and empties only those that are soon or nearly empty.
+	// maxBusyRows bounds how many busy machines of a shard are named: the leader moves and drains
+	// only those that are soon or nearly empty.
 	maxBusyRows = 40
-	// maxRowBytes bounds the rows of all other machines of this controller, so that a
-	// message stays within peer.MaxMessage: 6,000 machines whose names are as long as a
-	// UUID. The rest is told once the first are dealt with, and all of them are counted.
+	// maxRowBytes bounds the rows of all other machines of this controller, so that a message
+	// stays within peer.MaxMessage: 6,000 machines whose names are as long as a UUID. The rest is
+	// named once the first are dealt with, and all of them are counted.
 	maxRowBytes = 640 << 10
 	// rowBytes is the most that a row takes beside its machine's name.
 	rowBytes = 60
+	// minUnansweredReconciliations is after how many unanswered requests an unreconciled machine
+	// counts as silent.
+	minUnansweredReconciliations = 2
+	// bootTimeout is for how long a machine that has sent no heartbeat counts as booting.
+	bootTimeout = 4 * micros.Minute
+	// unhealthySlowness is from which slowness on a machine is replaced if more than
+	// minSlowTasks of its tasks were slow.
+	unhealthySlowness = 0.4
+	minSlowTasks      = 3
+	// maxMovedFraction is how much of its expected run time a task that cannot save may have run
+	// to be moved, as a fraction of one over it.
+	maxMovedFraction = 3
 )
 
-// demands tells what the shards of this node want.
+// demands returns what each shard of this controller wants and has.
 func (c *Controller) demands() []peer.Demand {
-	var out []peer.Demand
+	var demands []peer.Demand
 	remainingBytes := maxRowBytes
 	for _, s := range c.ownership.shards {
 		if c.activeShard(s.id) != nil {
 			var d peer.Demand
 			d, remainingBytes = c.demandOf(s, remainingBytes)
-			out = append(out, d)
+			demands = append(demands, d)
 		}
 	}
-	return out
+	return demands
 }
 
-// logFreeCapacities tells of every shard of this node; its callers have their pace.
-func (c *Controller) logFreeCapacities() {
-	for _, s := range c.ownership.shards {
-		if c.activeShard(s.id) != nil {
-			c.logFreeCapacity(s)
-		}
+// demandOf returns what a shard wants and has. Rows of machines that are not busy take at most
+// remainingBytes; it also returns what is left of that.
+func (c *Controller) demandOf(s *shard, remainingBytes int) (peer.Demand, int) {
+	c.refresh(s)
+	d := peer.Demand{
+		Shard:       s.id,
+		ArrivalCPUs: s.arrivals.rate(c.now),
+		All:         len(s.machines),
+		Guarantee:   c.guaranteedCPUs(s),
 	}
+	remainingBytes = c.addMachines(s, &d, remainingBytes)
+	d.Groups = c.waitingGroups(s)
+	return d, remainingBytes
 }
 
-// demandOf is what a shard wants of the fleet, and what stands in it. Rows of machines
-// that are not busy take at most room bytes; it gives what is left of that.
-func (c *Controller) demandOf(s *shard, remainingBytes int) (peer.Demand, int) {
-	c.refresh(s)
-	d := peer.Demand{Shard: s.id, ArrivalCPUs: s.arrivals.rate(c.now), All: len(s.machines)}
+// guaranteedCPUs returns what a shard's unfinished jobs within their team's guarantee can use.
+func (c *Controller) guaranteedCPUs(s *shard) float64 {
+	cpus := 0.0
 	for _, j := range c.queue(s) {
 		if j.withinGuarantee && j.run != nil {
-			d.Guarantee += float64(j.sub.Tasks-j.run.doneCount) * j.sub.CPUs
+			cpus += float64(j.sub.Tasks-j.run.doneCount) * j.sub.CPUs
 		}
 	}
+	return cpus
+}
+
+// addMachines adds a shard's machines to its demand, and returns what they leave of
+// remainingBytes.
+func (c *Controller) addMachines(s *shard, d *peer.Demand, remainingBytes int) int {
 	var busy []peer.Machine
 	zones := map[string]*peer.Zone{}
 	for _, m := range s.machines {
 		if m.view == nil || m.returned {
 			continue
 		}
-		z := zones[m.rec.Zone]
-		if z == nil {
-			z = &peer.Zone{Name: m.rec.Zone}
-			zones[m.rec.Zone] = z
+		zone := zones[m.rec.Zone]
+		if zone == nil {
+			zone = &peer.Zone{Name: m.rec.Zone}
+			zones[m.rec.Zone] = zone
 		}
-		row := c.countMachine(s, m, &d, z)
+		row := c.addMachine(s, m, d, zone)
 		if row.State == peer.MachineBooting {
 			continue
 		}
-		c.countAttempts(m, &d, &row)
+		c.addAttempts(m, d, &row)
 		if row.State == peer.MachineBusy {
 			busy = append(busy, row)
 		} else if size := rowBytes + len(row.ID); size <= remainingBytes {
@@ -82,43 +107,30 @@
 	for _, name := range sortedKeys(zones) {
 		d.Zones = append(d.Zones, *zones[name])
 	}
-	d.Groups = c.groups(s)
-	return d, remainingBytes
+	return remainingBytes
 }
 
-// countMachine adds a machine to its shard's sums and its zone's, by its state, and
-// gives its row.
-func (c *Controller) countMachine(s *shard, m *machine, d *peer.Demand, z *peer.Zone) peer.Machine {
-	v, cpus := m.view, c.types[m.rec.Type].CPUs
+// addMachine adds a machine to its shard's sums and its zone's, by its state, and returns its row.
+func (c *Controller) addMachine(s *shard, m *machine, d *peer.Demand, zone *peer.Zone) peer.Machine {
+	v := m.view
+	cpus := c.types[m.rec.Type].CPUs
 	used := min(v.usage.total.CPUs, cpus)
 	row := peer.Machine{ID: m.id, State: c.stateOf(m), Busy: used, Movable: true}
-	z.All++
-	switch row.State {
-	case peer.MachineBooting:
+	if row.State == peer.MachineBooting {
 		d.Booting += cpus
-		z.All--
+		return row
+	}
+	zone.All++
+	switch row.State {
 	case peer.MachineUnreconciled:
-		if v.unansweredReconciliations >= 2 {
-			row.SinceUS = int64(c.now - s.claimedAt)
-		}
-		d.Unreconciled++
-		d.BlockedUS = max(int64(s.machinesFreeAt-c.now), 0)
-		if c.now-s.claimedAt > unreconciledReturnAfter {
-			z.Silent++
-		}
+		c.addUnreconciled(s, v, d, zone, &row)
+	case peer.MachineSilent:
+		d.Silent++
+		zone.Silent++
+		row.SinceUS = int64(c.silentFor(v))
 	case peer.MachineIdle:
 		row.SinceUS = int64(c.now - v.idleAt)
 		d.CPUs += cpus
-	case peer.MachineSilent:
-		d.Silent++
-		z.Silent++
-		row.SinceUS = int64(c.sinceLastHeartbeat(v))
-		if c.leaseRunningOut(v) {
-			row.SinceUS = max(row.SinceUS, int64(c.sinceLastReply(v)))
-		}
-		if r := &v.reachability; r.unconfirmedReplies > 0 {
-			row.SinceUS = max(row.SinceUS, int64(c.now-r.since))
-		}
 	case peer.MachineBusy:
 		d.CPUs += cpus
 		d.Busy += used
@@ -126,49 +138,75 @@
 	return row
 }
 
-// countAttempts adds what a machine's attempts have left to do, and what moving them
-// would lose.
-func (c *Controller) countAttempts(m *machine, d *peer.Demand, row *peer.Machine) {
+// addUnreconciled adds an unreconciled machine.
+func (c *Controller) addUnreconciled(s *shard, v *view, d *peer.Demand, zone *peer.Zone, row *peer.Machine) {
+	sinceClaim := c.now - s.claimedAt
+	if v.unansweredReconciliations >= minUnansweredReconciliations {
+		row.SinceUS = int64(sinceClaim)
+	}
+	d.Unreconciled++
+	d.BlockedUS = max(int64(s.machinesFreeAt-c.now), 0)
+	if sinceClaim > unreconciledReturnAfter {
+		zone.Silent++
+	}
+}
+
+// silentFor returns for how long nothing has shown that a machine can be reached both ways.
+func (c *Controller) silentFor(v *view) micros.Micros {
+	silent := c.sinceLastHeartbeat(v)
+	if c.leaseRunningOut(v) {
+		silent = max(silent, c.sinceLastReply(v))
+	}
+	if r := &v.reachability; r.unconfirmedReplies > 0 {
+		silent = max(silent, c.now-r.since)
+	}
+	return silent
+}
+
+// addAttempts adds what a machine's attempts have left to do, and what moving them would lose.
+func (c *Controller) addAttempts(m *machine, d *peer.Demand, row *peer.Machine) {
 	for _, att := range m.view.list {
 		if att.job == nil || att.state == attemptExited {
 			continue
 		}
+		cpus := att.job.sub.CPUs
 		if !c.movable(att) {
 			row.Movable = false
 		} else if att.job.sub.CheckpointS <= 0 {
-			row.LostUS += int64(float64(c.now-att.runAt) * att.job.sub.CPUs)
+			row.LostUS += int64(float64(c.now-att.runAt) * cpus)
 		}
-		left := c.remaining(att)
-		row.LeftUS = max(row.LeftUS, int64(left))
-		d.RunLeftUS += int64(float64(left) * att.job.sub.CPUs)
+		remaining := c.remaining(att)
+		row.LeftUS = max(row.LeftUS, int64(remaining))
+		d.RunLeftUS += int64(float64(remaining) * cpus)
 	}
 }
 
-// busyRows are the busy machines that the leader is told of: those that are empty
-// soonest, and those of the others that stand most unused.
+// busyRows returns the busy machines that the leader is told of: those that are empty soonest,
+// and those of the others that stand most unused. It sorts busy.
 func (c *Controller) busyRows(busy []peer.Machine) []peer.Machine {
-	slices.SortFunc(busy, func(a, b peer.Machine) int { return cmp.Or(cmp.Compare(a.LeftUS, b.LeftUS), cmp.Compare(a.ID, b.ID)) })
-	n := min(len(busy), maxBusyRows)
-	rest := busy[n:]
+	slices.SortFunc(busy, func(a, b peer.Machine) int {
+		return cmp.Or(cmp.Compare(a.LeftUS, b.LeftUS), cmp.Compare(a.ID, b.ID))
+	})
+	soonest := min(len(busy), maxBusyRows)
+	rest := busy[soonest:]
 	slices.SortFunc(rest, func(a, b peer.Machine) int {
-		return cmp.Or(-cmp.Compare(c.unusedFor(a), c.unusedFor(b)), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(-cmp.Compare(c.unusedWork(a), c.unusedWork(b)), cmp.Compare(a.ID, b.ID))
 	})
-	return busy[:n+min(len(rest), maxBusyRows)]
+	return busy[:soonest+min(len(rest), maxBusyRows)]
 }
 
-// unusedFor is how much of a machine stands unused until it is empty, in CPU
-// seconds.
-func (c *Controller) unusedFor(row peer.Machine) float64 {
+// unusedWork returns how much of a machine stands unused until it is empty, in CPU seconds.
+func (c *Controller) unusedWork(row peer.Machine) float64 {
 	m := c.machines[row.ID]
 	if m == nil {
 		return 0
 	}
-	return (c.types[m.rec.Type].CPUs - row.Busy) * micros.Micros(row.LeftUS).Seconds()
+	return fleet.UnusedWork(row, c.types[m.rec.Type].CPUs)
 }
 
-// movable: a running task may be stopped so that its machine can be returned. It
-// can save, or its job is late already by what its class or its user wants, it
-// has not been stopped before, and most of its work is still ahead.
+// movable reports whether a running task may be stopped so that its machine can be returned. It
+// can save, or its job is late already by what its class or its user wants, it has not been
+// stopped before, and most of its work is still ahead.
 func (c *Controller) movable(att *attempt) bool {
 	if !att.tracked || att.state != attemptRunning || att.job.run == nil {
 		return false
@@ -177,70 +215,24 @@
 		return true
 	}
 	ran := c.now - att.runAt
-	if att.job.run.stopsByTask[att.index] > 0 || 3*ran > c.estimates.expect(att.job.sub) {
+	if att.job.run.stopsByTask[att.index] > 0 || maxMovedFraction*ran > c.estimates.expect(att.job.sub) {
 		return false
 	}
 	due := c.dueOf(att.job)
 	return due < micros.Never && c.wall > due
 }
 
-// logFreeCapacity tells, at debug, where a shard's unused CPUs are.
-func (c *Controller) logFreeCapacity(s *shard) {
-	var free, held, unsettled, overdue, notice, aside, releasing, other float64
-	for _, m := range s.machines {
-		v := m.view
-		if v == nil || m.returned || v.neverCommanded {
-			continue
-		}
-		unused := c.types[m.rec.Type].CPUs - v.usage.total.CPUs
-		switch {
-		case c.usable(m) && v.reservation.job != nil && c.now < v.reservation.until:
-			held += unused
-		case c.usable(m):
-			free += unused
-		case !v.reconciled || !v.sequenceKnown:
-			unsettled += unused
-		case c.sinceLastHeartbeat(v) > c.heartbeatOverdueAfter() || c.unreachable(m) || c.leaseRunningOut(v):
-			overdue += unused
-		case v.reclaimAt != 0:
-			notice += unused
-		case c.now < v.cordonedUntil || c.now < v.backoffUntil:
-			aside += unused
-		case v.releasing || c.now < v.plannedUntil:
-			releasing += unused
-		default:
-			other += unused
-		}
-	}
-	var open, blocked, quota float64 // what waits and may start, what may not yet, and what waits for quota
-	for _, j := range c.queue(s) {
-		if n := float64(j.pending()) * j.sub.CPUs; c.runnable(s, j) && c.overQuota(s, j) != "" {
-			quota += n
-		} else if c.runnable(s, j) {
-			open += n
-		} else {
-			blocked += n
-		}
-	}
-	args := []any{"shard", s.id, "wanted", open, "blocked", blocked}
-	if c.quota.ledger != nil {
-		args = append(args, "quota", quota)
-	}
-	c.log(Debug, "unused CPUs", append(args, "free", free, "reserved", held, "unreconciled", unsettled, "overdue", overdue,
-		"notice", notice, "cordoned", aside, "releasing", releasing, "other", other, "queued_commands", len(c.commandQueue.waiting), "in_flight", c.commandQueue.inFlight)...)
-}
-
-// stateOf says how a machine counts for the leader.
+// stateOf returns how a machine counts for the leader, one of the states of package peer.
 func (c *Controller) stateOf(m *machine) int {
 	v := m.view
 	switch {
 	case v.unreconciledFromPredecessor:
 		return peer.MachineUnreconciled
-	case v.neverCommanded && c.now-v.since < 4*micros.Minute:
+	case v.neverCommanded && c.now-v.since < bootTimeout:
 		return peer.MachineBooting
-	case !v.sequenceKnown && v.reconciled || v.leaseExpired || c.sinceLastHeartbeat(v) > c.heartbeatTimeout() || c.unreachable(m) || c.leaseRunningOut(v) && v.empty():
+	case c.silent(m):
 		return peer.MachineSilent
-	case v.faulty && c.now < v.cordonedUntil || v.reclaimAt != 0 || c.slowness(m) > 0.4 && v.slowCount > 3:
+	case c.toBeReplaced(m):
 		return peer.MachineUnhealthy
 	case v.releasing || c.now < v.plannedUntil:
 		return peer.MachineDraining
@@ -250,55 +242,116 @@
 	return peer.MachineBusy
 }
 
-// groups gathers a shard's waiting tasks by what they need. A team's tasks
-// beyond its limit are not counted: machines would not help them.
-func (c *Controller) groups(s *shard) []peer.Group {
-	type key struct {
-		zone, types string
-		spot        bool
-		cpus, gpus  float64
-		prio        int
-	}
-	at := map[key]int{}
-	var out []peer.Group
-	rooms := make([]float64, len(c.cfg.Teams))
-	for i, t := range c.cfg.Teams {
-		rooms[i] = math.Inf(1)
-		if t.CPUsMax > 0 {
-			rooms[i] = t.CPUsMax - s.usage[i].cpus
-		}
+// silent reports whether a machine has not been heard for a while, or does not hear its replies.
+func (c *Controller) silent(m *machine) bool {
+	v := m.view
+	noSession := !v.sequenceKnown && v.reconciled || v.leaseExpired
+	if noSession || c.sinceLastHeartbeat(v) > c.heartbeatTimeout() || c.unreachable(m) {
+		return true
 	}
-	quotas := quotaRoom{}
+	return c.leaseRunningOut(v) && v.empty()
+}
+
+// toBeReplaced reports whether a machine fails or slows tasks, or is being taken away.
+func (c *Controller) toBeReplaced(m *machine) bool {
+	v := m.view
+	fails := v.faulty && c.now < v.cordonedUntil
+	return fails || v.reclaimAt != 0 || c.slowness(m) > unhealthySlowness && v.slowCount > minSlowTasks
+}
+
+// maxGroups bounds the groups of waiting tasks of a shard.
+const maxGroups = 32
+
+// groupKey is what the tasks of a group have in common.
+type groupKey struct {
+	zone, types string
+	spot        bool
+	cpus, gpus  float64
+	priority    int
+}
+
+// groupKeyOf returns the key of a job's group.
+func groupKeyOf(j *job) groupKey {
+	types := strings.Join(j.sub.Types, " ")
+	return groupKey{zone: j.sub.Zone, types: types, spot: j.sub.Spot, cpus: j.sub.CPUs, gpus: j.sub.GPUs, priority: j.priority}
+}
+
+// waitingGroups gathers a shard's waiting tasks by what they need. A team's tasks beyond its limit
+// are not counted: machines would not help them.
+func (c *Controller) waitingGroups(s *shard) []peer.Group {
+	index := map[groupKey]int{}
+	var groups []peer.Group
+	headroom := c.teamHeadroom(s)
+	quotas := quotaHeadroom{}
 	for _, j := range c.queue(s) {
-		if j.run == nil || !j.run.checkpointApplied || j.run.endState != "" || j.run.nextRetryAt != 0 {
+		if !j.wantsMachines() {
 			continue
 		}
-		n := j.pending()
-		if n <= 0 {
-			continue
-		}
-		fit := n
-		if j.sub.CPUs > 0 {
-			if headroom := rooms[j.team] / j.sub.CPUs; headroom < float64(n) {
-				fit = max(int(headroom), 0)
-			}
-			rooms[j.team] -= float64(fit) * j.sub.CPUs
-		}
-		fit = quotas.take(c, s, j, fit)
-		k := key{zone: j.sub.Zone, types: strings.Join(j.sub.Types, " "), spot: j.sub.Spot, cpus: j.sub.CPUs, gpus: j.sub.GPUs, prio: j.priority}
-		i, ok := at[k]
-		if !ok {
-			if len(out) >= 32 {
+		pending := j.pending()
+		count := headroom.take(j, pending)
+		count = quotas.take(c, s, j, count)
+		key := groupKeyOf(j)
+		i, known := index[key]
+		if !known {
+			if len(groups) >= maxGroups {
 				continue
 			}
-			i = len(out)
-			at[k] = i
-			out = append(out, peer.Group{Types: j.sub.Types, Any: j.sub.Types == nil, Zone: j.sub.Zone, Spot: j.sub.Spot,
-				CPUs: j.sub.CPUs, GPUs: j.sub.GPUs, MemGB: j.sub.MemGB, Priority: j.priority})
+			i = len(groups)
+			index[key] = i
+			groups = append(groups, groupOf(j))
+		}
+		g := &groups[i]
+		g.Waiting += count
+		g.WorkUS += int64(pending) * int64(c.estimates.expect(j.sub))
+		g.MemGB = max(g.MemGB, j.sub.MemGB)
+	}
+	return groups
+}
+
+// wantsMachines reports whether tasks of a job wait, and may be started as soon as there are
+// machines.
+func (j *job) wantsMachines() bool {
+	r := j.run
+	return r != nil && r.checkpointApplied && r.endState == "" && r.nextRetryAt == 0 && j.pending() > 0
+}
+
+// groupOf returns the group of a job's tasks, without any tasks yet.
+func groupOf(j *job) peer.Group {
+	return peer.Group{
+		Types:    j.sub.Types,
+		Any:      j.sub.Types == nil,
+		Zone:     j.sub.Zone,
+		Spot:     j.sub.Spot,
+		CPUs:     j.sub.CPUs,
+		GPUs:     j.sub.GPUs,
+		MemGB:    j.sub.MemGB,
+		Priority: j.priority,
+	}
+}
+
+// teamHeadroom is how many more CPUs each team may use, by the team's number.
+type teamHeadroom []float64
+
+// teamHeadroom returns how many more CPUs each team may use in a shard.
+func (c *Controller) teamHeadroom(s *shard) teamHeadroom {
+	headroom := make(teamHeadroom, len(c.cfg.Teams))
+	for i, t := range c.cfg.Teams {
+		headroom[i] = math.Inf(1)
+		if t.CPUsMax > 0 {
+			headroom[i] = t.CPUsMax - s.usage[i].cpus
 		}
-		out[i].Waiting += fit
-		out[i].WorkUS += int64(n) * int64(c.estimates.expect(j.sub))
-		out[i].MemGB = max(out[i].MemGB, j.sub.MemGB)
 	}
-	return out
+	return headroom
+}
+
+// take returns how many of count tasks of a job fit, and takes them.
+func (h teamHeadroom) take(j *job, count int) int {
+	if j.sub.CPUs <= 0 {
+		return count
+	}
+	if fit := h[j.team] / j.sub.CPUs; fit < float64(count) {
+		count = max(int(fit), 0)
+	}
+	h[j.team] -= float64(count) * j.sub.CPUs
+	return count
 }
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -6,6 +6,7 @@
 	"strings"
 	"testing"
 
+	"garnethitch/internal/controller/fleet"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/peer"
 	"garnethitch/internal/wire"
@@ -207,8 +208,8 @@
 	if !free.withinGuarantee {
 		t.Error("a held job takes of its team's guarantee")
 	}
-	if d, _ := c.demandOf(s, maxRowBytes); waitingCPUs(&d)+d.Busy > 3+eps {
-		t.Errorf("%v CPUs are wanted: a held job is among them", waitingCPUs(&d)+d.Busy)
+	if d, _ := c.demandOf(s, maxRowBytes); fleet.WaitingCPUs(&d)+d.Busy > 3+eps {
+		t.Errorf("%v CPUs are wanted: a held job is among them", fleet.WaitingCPUs(&d)+d.Busy)
 	}
 	if got := h.state("job-000002"); got != wire.StatePending {
 		t.Errorf("called %q", got)
--- /dev/null
+++ b/internal/controller/fleet/scale_in.go
@@ -0,0 +1,69 @@
+package fleet
+
+import (
+	"cmp"
+	"slices"
+
+	"garnethitch/internal/micros"
+)
+
+const (
+	// largeSurplusIdle is how long a machine may be idle at most where there is much more than
+	// is needed.
+	largeSurplusIdle = 2 * micros.Second
+	// fullFleetIdle is how long a machine may be idle where the fleet may not grow: it keeps out
+	// one that would be of use.
+	fullFleetIdle = 5 * micros.Second
+)
+
+// IdleMachine is a machine that may be returned to the cloud.
+type IdleMachine struct {
+	ID       string
+	CPUs     float64
+	CPUPrice float64 // of each CPU for an hour
+	IdleFor  micros.Micros
+	Useless  bool // tasks wait, and none of them can use the machine
+}
+
+// ScaleIn decides which idle machines are returned to the cloud.
+type ScaleIn struct {
+	Sums         Sums
+	DrainHorizon micros.Micros // see Sums.Need
+	LowestPrice  float64       // see Catalog.LowestPrice
+	// Reserve is how many CPUs are kept although nothing waits.
+	Reserve float64
+	// MaxIdle is how long a machine may be idle.
+	MaxIdle micros.Micros
+	// FleetFull is whether the fleet may not grow.
+	FleetFull bool
+}
+
+// Choose returns the machines to be returned, the dearest first, as long as there is more than is
+// needed. It sorts idle.
+func (s ScaleIn) Choose(idle []IdleMachine) []string {
+	slices.SortFunc(idle, func(a, b IdleMachine) int {
+		return cmp.Or(-cmp.Compare(a.CPUPrice, b.CPUPrice), cmp.Compare(a.ID, b.ID))
+	})
+	var chosen []string
+	for _, m := range idle {
+		if s.surplus(m) {
+			s.Sums.Have -= m.CPUs
+			chosen = append(chosen, m.ID)
+		}
+	}
+	return chosen
+}
+
+// surplus reports whether a machine is not needed any more.
+func (s ScaleIn) surplus(m IdleMachine) bool {
+	if s.FleetFull && m.IdleFor >= fullFleetIdle {
+		return true
+	}
+	need := s.Sums.Need(s.DrainHorizon, max(m.CPUPrice/s.LowestPrice, 1))
+	surplus := s.Sums.Have - max(need, min(s.Sums.Parallel, s.Sums.Have))
+	maxIdle := s.MaxIdle
+	if surplus-m.CPUs >= s.Reserve {
+		maxIdle = min(maxIdle, largeSurplusIdle)
+	}
+	return (surplus >= m.CPUs || m.Useless) && m.IdleFor >= maxIdle
+}
--- /dev/null
+++ b/internal/controller/fleet/zones_test.go
@@ -0,0 +1,36 @@
+package fleet
+
+import (
+	"testing"
+
+	"garnethitch/internal/peer"
+)
+
+// A zone counts as partitioned only if hardly any of its machines is heard while
+// another zone's are, however many rows the owners name.
+func TestPartitionedZones(t *testing.T) {
+	for _, tc := range []struct {
+		name   string
+		shards [][]peer.Zone
+		want   string
+	}{
+		{"all heard", [][]peer.Zone{{{Name: "a", All: 100}, {Name: "b", All: 100, Silent: 3}}}, ""},
+		{"one is partitioned", [][]peer.Zone{{{Name: "a", All: 100, Silent: 90}, {Name: "b", All: 100, Silent: 3}}}, "a"},
+		{"over several shards", [][]peer.Zone{{{Name: "a", All: 3, Silent: 3}, {Name: "b", All: 9}}, {{Name: "a", All: 2, Silent: 2}}}, "a"},
+		{"a tenth of all has died", [][]peer.Zone{{{Name: "a", All: 100, Silent: 10}, {Name: "b", All: 100, Silent: 10}}}, ""},
+		{"half of a zone", [][]peer.Zone{{{Name: "a", All: 100, Silent: 50}, {Name: "b", All: 100}}}, ""},
+		{"two machines say nothing of a zone", [][]peer.Zone{{{Name: "a", All: 2, Silent: 2}, {Name: "b", All: 8}}}, ""},
+		{"nobody is heard: it is not the zone", [][]peer.Zone{{{Name: "a", All: 100, Silent: 95}, {Name: "b", All: 100, Silent: 96}}}, ""},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			demands := Demands{}
+			for i, zones := range tc.shards {
+				demands[i] = &peer.Demand{Shard: i, Zones: zones}
+			}
+			partitioned := PartitionedZones(demands)
+			if len(partitioned) > 1 || (tc.want != "") != (len(partitioned) == 1) || tc.want != "" && !partitioned[tc.want] {
+				t.Errorf("partitioned: %v, want %q", partitioned, tc.want)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/controller/fleet_plan.go
@@ -0,0 +1,134 @@
+package controller
+
+import (
+	"garnethitch/internal/controller/fleet"
+	"garnethitch/internal/micros"
+	"garnethitch/internal/peer"
+	"garnethitch/internal/wire"
+)
+
+// What the shards want and have together, and what follows from it.
+
+const (
+	// demandValidity is how long what another owner says of its shards counts.
+	demandValidity = 5 * micros.Second
+	// firstPlanDelay is how long a new leader waits for what all owners say.
+	firstPlanDelay = 20 * micros.Second
+	// rentalValidity is how long a rented machine is waited for.
+	rentalValidity = 5 * micros.Minute
+)
+
+// catalog returns what the cloud offers.
+func (c *Controller) catalog() fleet.Catalog {
+	return fleet.Catalog{Types: c.types, Names: c.typeIndex.names}
+}
+
+// allDemand returns the newest demand of every shard.
+func (c *Controller) allDemand() fleet.Demands {
+	demands := fleet.Demands{}
+	for _, label := range c.cfg.Peers {
+		p := c.peers[label]
+		if c.now-p.demandAt > demandValidity {
+			continue
+		}
+		for i := range p.demand {
+			if c.ownedBy(p.demand[i].Shard, label) {
+				demands[p.demand[i].Shard] = &p.demand[i]
+			}
+		}
+	}
+	own := c.demands()
+	for i := range own {
+		demands[own[i].Shard] = &own[i]
+	}
+	return demands
+}
+
+// ownedBy reports whether there is such a shard and the controller with the label owns it.
+func (c *Controller) ownedBy(shard int, label string) bool {
+	return shard >= 0 && shard < len(c.ownership.shards) && c.ownership.shards[shard].owner.Label == label
+}
+
+// resizeFleet moves idle machines to where tasks wait, rents what is missing, and returns what is
+// not needed.
+func (c *Controller) resizeFleet(demands fleet.Demands) {
+	allKnown := len(demands) >= len(c.ownership.shards)
+	if !allKnown && c.now < c.fleet.ledAt+firstPlanDelay {
+		return
+	}
+	c.forgetRentals()
+	machines, bootingCPUs := c.countFleet()
+	sums := c.sumDemands(demands, bootingCPUs)
+	c.scaleOut(demands, sums, c.cfg.MaxMachines-machines)
+	c.rebalance(demands)
+	c.scaleInIdle(demands, sums, machines >= c.cfg.MaxMachines)
+	c.consolidate(demands, sums)
+	c.replaceUnhealthy(demands)
+}
+
+// forgetRentals forgets the rented machines that are on record or will not come any more.
+func (c *Controller) forgetRentals() {
+	f := &c.fleet
+	for id, r := range f.rented {
+		if c.machines[id] != nil || f.returned[id] != 0 || c.now-r.at > rentalValidity {
+			delete(f.rented, id)
+		}
+	}
+}
+
+// countFleet returns the number of all machines, and the CPUs of those that are not on record
+// yet.
+func (c *Controller) countFleet() (machines int, bootingCPUs float64) {
+	f := &c.fleet
+	machines = len(c.machines)
+	add := func(machineType string, count int) {
+		machines += count
+		bootingCPUs += c.catalog().CPUs(machineType, count)
+	}
+	for _, req := range f.scaleOuts {
+		add(req.rental.Type, req.rental.Count)
+	}
+	for _, id := range sortedKeys(f.rented) {
+		if !f.assigning[id] {
+			add(f.rented[id].Type, 1)
+		}
+	}
+	for _, id := range f.order {
+		if l := f.listed[id]; c.unrecorded(id, l) && !f.assigning[id] {
+			add(l.Type, 1)
+		}
+	}
+	for _, key := range sortedKeys(f.pendingCreations) {
+		rec := &f.pendingCreations[key].rec
+		for _, m := range rec.Machines {
+			add(rec.Kinds[m.Kind].Type, 1)
+		}
+	}
+	return machines, bootingCPUs
+}
+
+// unrecorded reports whether a listed machine is neither on record nor among the rented ones, and
+// may come up.
+func (c *Controller) unrecorded(id string, l wire.ListedMachine) bool {
+	f := &c.fleet
+	return c.machines[id] == nil && f.rented[id] == nil && f.returned[id] == 0 && l.State != wire.MachineFailed
+}
+
+// sumDemands adds up what the shards want and have, beside the CPUs of machines that are not on
+// record yet.
+func (c *Controller) sumDemands(demands fleet.Demands, bootingCPUs float64) fleet.Sums {
+	sums := fleet.Sums{Booting: bootingCPUs}
+	for _, id := range demands.Shards() {
+		d := demands[id]
+		sums.Add(d)
+		for _, m := range d.Machines {
+			if rec := c.machines[m.ID]; rec != nil && m.State == peer.MachineDraining && !rec.rec.Cordoned {
+				sums.Have += c.types[rec.rec.Type].CPUs
+			}
+		}
+		c.log(Debug, "shard demand", "shard", id, "cpus", d.CPUs, "busy", d.Busy, "booting", d.Booting, "waiting", fleet.WaitingCPUs(d), "work", fleet.UnfinishedWork(d))
+	}
+	c.log(Debug, "fleet", "have", sums.Have, "busy", sums.Busy, "booting", sums.Booting, "work", sums.Work, "arrival", sums.Arrival, "parallel", sums.Parallel)
+	sums.Have += sums.Booting
+	return sums
+}
--- /dev/null
+++ b/internal/controller/free_capacity_log.go
@@ -0,0 +1,118 @@
+package controller
+
+// unusedReason says why CPUs of a machine are not in use.
+type unusedReason int
+
+// The reasons in the order in which they are logged.
+const (
+	unusedFree         unusedReason = iota
+	unusedReserved                  // kept for one job
+	unusedUnreconciled              // what is on the machine is not known yet
+	unusedOverdue                   // the machine cannot be reached
+	unusedNotice                    // the cloud is about to take the machine away
+	unusedCordoned
+	unusedReleasing // the machine leaves its shard
+	unusedOther
+	unusedReasons // their number
+)
+
+// String returns the reason as it stands in the log.
+func (r unusedReason) String() string {
+	switch r {
+	case unusedFree:
+		return "free"
+	case unusedReserved:
+		return "reserved"
+	case unusedUnreconciled:
+		return "unreconciled"
+	case unusedOverdue:
+		return "overdue"
+	case unusedNotice:
+		return "notice"
+	case unusedCordoned:
+		return "cordoned"
+	case unusedReleasing:
+		return "releasing"
+	}
+	return "other"
+}
+
+// logFreeCapacities logs where the unused CPUs of every shard of this controller are. It is called
+// at the pace of its callers.
+func (c *Controller) logFreeCapacities() {
+	for _, s := range c.ownership.shards {
+		if c.activeShard(s.id) != nil {
+			c.logFreeCapacity(s)
+		}
+	}
+}
+
+// logFreeCapacity logs where the unused CPUs of a shard are, and what waits for CPUs.
+func (c *Controller) logFreeCapacity(s *shard) {
+	waiting := c.sumWaiting(s)
+	args := []any{"shard", s.id, "wanted", waiting.startable, "blocked", waiting.blocked}
+	if c.quota.ledger != nil {
+		args = append(args, "quota", waiting.overQuota)
+	}
+	for reason, cpus := range c.sumUnused(s) {
+		args = append(args, unusedReason(reason).String(), cpus)
+	}
+	args = append(args, "queued_commands", len(c.commandQueue.waiting), "in_flight", c.commandQueue.inFlight)
+	c.log(Debug, "unused CPUs", args...)
+}
+
+// sumUnused adds up the unused CPUs of a shard by reason.
+func (c *Controller) sumUnused(s *shard) (cpus [unusedReasons]float64) {
+	for _, m := range s.machines {
+		if v := m.view; v != nil && !m.returned && !v.neverCommanded {
+			cpus[c.unusedReason(m)] += c.types[m.rec.Type].CPUs - v.usage.total.CPUs
+		}
+	}
+	return cpus
+}
+
+// unusedReason returns why unused CPUs of a machine are not in use.
+func (c *Controller) unusedReason(m *machine) unusedReason {
+	v := m.view
+	switch {
+	case c.usable(m) && v.reservation.job != nil && c.now < v.reservation.until:
+		return unusedReserved
+	case c.usable(m):
+		return unusedFree
+	case !v.reconciled || !v.sequenceKnown:
+		return unusedUnreconciled
+	case c.sinceLastHeartbeat(v) > c.heartbeatOverdueAfter() || c.unreachable(m) || c.leaseRunningOut(v):
+		return unusedOverdue
+	case v.reclaimAt != 0:
+		return unusedNotice
+	case c.now < v.cordonedUntil || c.now < v.backoffUntil:
+		return unusedCordoned
+	case v.releasing || c.now < v.plannedUntil:
+		return unusedReleasing
+	}
+	return unusedOther
+}
+
+// waitingCPUs is what the waiting tasks of a shard would take, in CPUs.
+type waitingCPUs struct {
+	startable float64
+	blocked   float64 // may not be started yet
+	overQuota float64
+}
+
+// sumWaiting adds up what the waiting tasks of a shard would take.
+func (c *Controller) sumWaiting(s *shard) waitingCPUs {
+	var sum waitingCPUs
+	for _, j := range c.queue(s) {
+		cpus := float64(j.pending()) * j.sub.CPUs
+		switch {
+		case !c.runnable(s, j):
+			sum.blocked += cpus
+		case c.overQuota(s, j) != "":
+			sum.overQuota += cpus
+		default:
+			sum.startable += cpus
+		}
+	}
+	return sum
+}
--- a/internal/controller/inventory.go
+++ b/internal/controller/inventory.go
@@ -11,21 +11,37 @@
 
 // What the cloud has: types of machines and the list of those that are rented.
 
-// refreshTypes keeps the machine types known: the leader asks the cloud and
-// leaves them in the state service for the others, so that a node that starts
-// during an outage of the cloud knows them too.
+const (
+	// typesInterval is the time between two reads of the machine types, firstTypesInterval that
+	// until they are known.
+	typesInterval      = 30 * micros.Second
+	firstTypesInterval = micros.Second
+	// typesTimeout bounds the write of the machine types to the state service.
+	typesTimeout = 2 * micros.Second
+	// maxTypes bounds the machine types.
+	maxTypes = 1000
+
+	// listPageSize is the largest page that the cloud gives.
+	listPageSize = 500
+	// listRetryInterval is the time after which the list is read again if that has failed.
+	listRetryInterval = micros.Second
+	// minListInterval is the least time between two readings of the list. It also takes one in
+	// listBudgetFraction of the budget at most, or it would crowd out rentals.
+	minListInterval    = 2 * micros.Second
+	listBudgetFraction = 4
+
+	// returnedMemory is how long a returned machine that is on no record is remembered,
+	// releaseMemory a request to let a machine go.
+	returnedMemory = 10 * micros.Minute
+	releaseMemory  = micros.Minute
+)
+
+// refreshTypes keeps the machine types known: the leader asks the cloud and leaves them in the
+// state service for the others, so that a controller that starts during an outage of the cloud
+// knows them too.
 func (c *Controller) refreshTypes() {
 	f := &c.fleet
-	every := 30 * micros.Second
-	if len(c.types) == 0 {
-		every = micros.Second
-		if !c.ownership.controlWatch.ready() {
-			return
-		}
-	} else if !c.leading() {
-		return
-	}
-	if f.typesBusy || c.now < f.typesAt+every {
+	if f.typesBusy || !c.typesDue() {
 		return
 	}
 	f.typesBusy = c.askCloud(GetTypes{}, cloudTimeout, func(r Result) {
@@ -37,17 +53,18 @@
 	})
 }
 
-// learnTypes takes machine types; ones that make no sense are left out.
-func (c *Controller) learnTypes(mt wire.MachineTypes, fromCloud bool) {
-	types := map[string]wire.MachineType{}
-	for _, t := range mt.Types {
-		if t.Name == "" || !(t.CPUs >= 0) || !(t.GPUs >= 0) || !(t.MemGB >= 0) || !(t.Price >= 0) || !(t.SpotPrice >= 0) || len(types) >= 1000 {
-			continue
-		}
-		slices.Sort(t.Zones)
-		t.Zones = slices.Compact(t.Zones)
-		types[t.Name] = t
+// typesDue reports whether this controller is to ask the cloud for the machine types.
+func (c *Controller) typesDue() bool {
+	if len(c.types) == 0 {
+		return c.ownership.controlWatch.ready() && c.now >= c.fleet.typesAt+firstTypesInterval
 	}
+	return c.leading() && c.now >= c.fleet.typesAt+typesInterval
+}
+
+// learnTypes takes in machine types from the cloud, or else from the state service. A leader takes
+// them from the cloud, and stores them.
+func (c *Controller) learnTypes(mt wire.MachineTypes, fromCloud bool) {
+	types := usableTypes(mt)
 	if len(types) == 0 || !fromCloud && len(c.types) > 0 && c.leading() {
 		return
 	}
@@ -57,33 +74,65 @@
 	for _, s := range c.ownership.shards {
 		s.recountAll = true
 	}
-	if !fromCloud || !c.leading() {
-		return
+	if fromCloud && c.leading() {
+		c.storeTypes(mt)
+	}
+}
+
+// usableTypes returns the machine types that make sense, by name. Their zones are sorted.
+func usableTypes(mt wire.MachineTypes) map[string]wire.MachineType {
+	types := map[string]wire.MachineType{}
+	for _, t := range mt.Types {
+		if !usableType(t) || len(types) >= maxTypes {
+			continue
+		}
+		slices.Sort(t.Zones)
+		t.Zones = slices.Compact(t.Zones)
+		types[t.Name] = t
 	}
+	return types
+}
+
+// usableType reports whether a machine type has a name and no figure that is negative or not a
+// number.
+func usableType(t wire.MachineType) bool {
+	for _, figure := range []float64{t.CPUs, t.GPUs, t.MemGB, t.Price, t.SpotPrice} {
+		if !(figure >= 0) {
+			return false
+		}
+	}
+	return t.Name != ""
+}
+
+// storeTypes leaves the machine types in the state service if they have changed.
+func (c *Controller) storeTypes(mt wire.MachineTypes) {
 	value, err := wire.Encode(mt)
 	if err != nil || string(value) == string(c.fleet.typesRaw) || !c.storable(value) {
 		return
 	}
 	txn := wire.Txn{
-		If:   []wire.Condition{{Key: wire.KeyLeader, ModRevision: c.ownership.leader.ownerEpoch}, {Key: wire.KeyTypes, ModRevision: c.fleet.typesModRevision}},
+		If: []wire.Condition{
+			{Key: wire.KeyLeader, ModRevision: c.ownership.leader.ownerEpoch},
+			{Key: wire.KeyTypes, ModRevision: c.fleet.typesModRevision},
+		},
 		Then: []wire.Change{{Put: wire.KeyTypes, Value: value}},
 	}
-	c.askState(statestore.ClassFleet, txn, 2*micros.Second, func(r statestore.Reply) {
+	c.askState(statestore.ClassFleet, txn, typesTimeout, func(r statestore.Reply) {
 		if r.Status == http.StatusOK {
 			c.fleet.typesRaw = value
 		}
 	})
 }
 
-// refreshList keeps the cloud's list of machines. A long list is read less often:
-// it may take a quarter of the budget, or it would crowd out rentals.
+// refreshList keeps the cloud's list of machines, which is read page by page.
 func (c *Controller) refreshList() {
 	f := &c.fleet
 	if f.listBusy || c.now < f.listNext {
 		return
 	}
 	if f.after == "" {
-		f.pages, f.listFrom = f.pages[:0], c.now
+		f.pages = f.pages[:0]
+		f.listFrom = c.now
 	}
 	ownerEpoch := c.ownership.leader.ownerEpoch
 	f.listBusy = c.askCloud(ListMachines{After: f.after, Limit: listPageSize}, cloudTimeout, func(r Result) {
@@ -91,60 +140,89 @@
 			return
 		}
 		f.listBusy = false
-		body, ok := r.Body.(*wire.MachineList)
-		if !ok || r.Status != http.StatusOK {
-			f.after, f.listNext = "", c.now+micros.Second
-			return
-		}
-		f.pages = append(f.pages, body.Machines...)
-		if body.More && len(body.Machines) > 0 {
-			f.after = body.Machines[len(body.Machines)-1].ID
-			return
-		}
-		pages := float64(len(f.pages)/listPageSize + 1)
-		f.listed = make(map[string]wire.ListedMachine, len(f.pages))
-		f.order = f.order[:0]
-		for _, m := range f.pages {
-			if _, twice := f.listed[m.ID]; !twice {
-				f.order = append(f.order, m.ID)
-			}
-			f.listed[m.ID] = m
-		}
-		f.listedAt, f.after = f.listFrom, ""
-		f.listNext = c.now + max(c.cfg.ListLag/2, 2*micros.Second, micros.FromSeconds(4*pages/f.budget.Rate()))
-		c.compareList()
+		c.handleListPage(r)
 	})
 }
 
-// compareList notes which machines on record the cloud no longer lists, and
-// learns addresses from it.
-func (c *Controller) compareList() {
+// handleListPage takes in a page of the cloud's list.
+func (c *Controller) handleListPage(r Result) {
 	f := &c.fleet
+	body, ok := r.Body.(*wire.MachineList)
+	if !ok || r.Status != http.StatusOK {
+		f.after = ""
+		f.listNext = c.now + listRetryInterval
+		return
+	}
+	f.pages = append(f.pages, body.Machines...)
+	if body.More && len(body.Machines) > 0 {
+		f.after = body.Machines[len(body.Machines)-1].ID
+		return
+	}
+	f.setList()
+	f.listNext = c.now + c.listInterval(len(f.pages))
+	c.compareList()
+}
+
+// setList makes the pages that were read the list.
+func (f *fleetState) setList() {
+	f.listed = make(map[string]wire.ListedMachine, len(f.pages))
+	f.order = f.order[:0]
+	for _, m := range f.pages {
+		if _, twice := f.listed[m.ID]; !twice {
+			f.order = append(f.order, m.ID)
+		}
+		f.listed[m.ID] = m
+	}
+	f.listedAt = f.listFrom
+	f.after = ""
+}
+
+// listInterval returns the time after which a list of so many machines is read again.
+func (c *Controller) listInterval(machines int) micros.Micros {
+	pages := float64(machines/listPageSize + 1)
+	withinBudget := micros.FromSeconds(listBudgetFraction * pages / c.fleet.budget.Rate())
+	return max(c.cfg.ListLag/2, minListInterval, withinBudget)
+}
+
+// compareList compares the cloud's list with the machines on record, and forgets what has become
+// too old to matter.
+func (c *Controller) compareList() {
 	for _, s := range c.ownership.shards {
 		for _, m := range s.machines {
-			if l, ok := f.listed[m.id]; ok {
-				delete(f.missing, m.id)
-				if m.rec.Addr == "" {
-					m.rec.Addr = l.Addr
-				}
-			} else if f.missing[m.id] == 0 {
-				f.missing[m.id] = c.now
-			}
+			c.compareWithList(m)
 		}
 	}
+	f := &c.fleet
 	for id := range f.missing {
 		if c.machines[id] == nil {
 			delete(f.missing, id)
 		}
 	}
 	for id, at := range f.returned {
-		if c.now-at > 10*micros.Minute && c.machines[id] == nil {
+		if c.now-at > returnedMemory && c.machines[id] == nil {
 			delete(f.returned, id)
 		}
 	}
 	for id, at := range f.releaseRequestedAt {
-		if c.now-at > micros.Minute {
+		if c.now-at > releaseMemory {
 			delete(f.releaseRequestedAt, id)
 		}
 	}
 }
+
+// compareWithList notes since when the cloud has not listed a machine on record, and learns the
+// address of one that it lists.
+func (c *Controller) compareWithList(m *machine) {
+	f := &c.fleet
+	l, listed := f.listed[m.id]
+	if !listed {
+		if f.missing[m.id] == 0 {
+			f.missing[m.id] = c.now
+		}
+		return
+	}
+	delete(f.missing, m.id)
+	if m.rec.Addr == "" {
+		m.rec.Addr = l.Addr
+	}
+}
--- a/internal/controller/machine_records.go
+++ b/internal/controller/machine_records.go
@@ -219,7 +219,7 @@
 
 // kindIn gives the place of a kind in a record, which is made if need be.
 func kindIn(rec *wire.MachineRecordSet, k kind) int {
-	w := wire.MachineKind{Type: k.typ, Zone: k.zone, Spot: k.spot}
+	w := wire.MachineKind{Type: k.Type, Zone: k.Zone, Spot: k.Spot}
 	i := slices.Index(rec.Kinds, w)
 	if i < 0 {
 		i = len(rec.Kinds)
--- a/internal/controller/machine_records_test.go
+++ b/internal/controller/machine_records_test.go
@@ -71,7 +71,7 @@
 	h.lose = wire.PrefixFleet
 	before := h.rev
 	for _, id := range ids {
-		h.c.fleet.rented[id] = &rented{kind: kind{"m", "a", false}, at: h.now}
+		h.c.fleet.rented[id] = &rented{kind: kind{Type: "m", Zone: "a", Spot: false}, at: h.now}
 	}
 	if h.run(sec); h.rev != before {
 		t.Error("machines are on record before they come up")
--- /dev/null
+++ b/internal/controller/machine_release.go
@@ -0,0 +1,79 @@
+package controller
+
+import (
+	"garnethitch/internal/micros"
+	"garnethitch/internal/peer"
+)
+
+// What the leader asks the owners of shards: to let machines go.
+
+const (
+	// releaseRepeatInterval is the time between two requests for one machine.
+	releaseRepeatInterval = 2 * micros.Second
+	// releaseTimeout bounds a request to an owner.
+	releaseTimeout = micros.Second
+)
+
+// releaseRequest is one machine that its owner is asked to let go.
+type releaseRequest struct {
+	machine string
+	peer.Release
+}
+
+// requestMachineRelease notes that a machine's owner is to be asked to let it go, unless it was
+// asked a short time ago.
+func (c *Controller) requestMachineRelease(id string, r peer.Release) {
+	f := &c.fleet
+	m := c.machines[id]
+	requestedAt := f.releaseRequestedAt[id]
+	if m == nil || requestedAt != 0 && c.now < requestedAt+releaseRepeatInterval {
+		return
+	}
+	f.releaseRequestedAt[id] = c.now
+	if r.Retire {
+		r.Shard = m.rec.Shard
+	}
+	f.releaseRequests = append(f.releaseRequests, releaseRequest{id, r})
+}
+
+// releaseKey is what the requests of one message have in common.
+type releaseKey struct {
+	from, to            int // shards
+	retire, drain, save bool
+}
+
+// sendReleases asks the owners, in one message for requests that are alike.
+func (c *Controller) sendReleases() {
+	byKey := map[releaseKey]*peer.Release{}
+	var keys []releaseKey
+	for _, q := range c.fleet.releaseRequests {
+		m := c.machines[q.machine]
+		if m == nil {
+			continue
+		}
+		key := releaseKey{m.rec.Shard, q.Shard, q.Retire, q.Drain, q.Save}
+		r := byKey[key]
+		if r == nil {
+			r = &peer.Release{Retire: q.Retire, Drain: q.Drain, Save: q.Save, Shard: q.Shard}
+			byKey[key] = r
+			keys = append(keys, key)
+		}
+		r.Machines = append(r.Machines, q.machine)
+	}
+	c.fleet.releaseRequests = nil
+	for _, key := range keys {
+		c.sendReleaseRequest(c.ownership.shards[key.from], byKey[key])
+	}
+}
+
+// sendReleaseRequest asks the owner of a shard to let machines go.
+func (c *Controller) sendReleaseRequest(s *shard, r *peer.Release) {
+	if c.activeShard(s.id) != nil {
+		c.release(*r)
+		return
+	}
+	if p := c.peers[s.owner.Label]; p != nil {
+		request := peer.Request{From: c.cfg.Label, Release: r}
+		c.call(Call{To: ToPeer, Addr: p.label, Req: request, Timeout: releaseTimeout}, func(Result) {})
+	}
+}
--- a/internal/controller/quota.go
+++ b/internal/controller/quota.go
@@ -281,11 +281,11 @@
 	}
 }
 
-// quotaRoom is how much more of a job's groups a shard may use, or should come to have.
-type quotaRoom map[string]quota.Amount
+// quotaHeadroom is how much more of a job's groups a shard may use, or should come to have.
+type quotaHeadroom map[string]quota.Amount
 
 // take gives how many of a job's tasks find quota, of that many, and takes it.
-func (r quotaRoom) take(c *Controller, s *shard, j *job, count int) int {
+func (r quotaHeadroom) take(c *Controller, s *shard, j *job, count int) int {
 	if c.quota.ledger == nil {
 		return count
 	}
--- a/internal/controller/registration.go
+++ b/internal/controller/registration.go
@@ -5,6 +5,7 @@
 	"net/http"
 	"slices"
 
+	"garnethitch/internal/controller/fleet"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/peer"
 	"garnethitch/internal/wire"
@@ -57,7 +58,7 @@
 		c.answer(in.Reply, http.StatusServiceUnavailable, nil, 0)
 		return
 	}
-	k := kind{heartbeat.Type, heartbeat.Zone, heartbeat.Spot}
+	k := kind{Type: heartbeat.Type, Zone: heartbeat.Zone, Spot: heartbeat.Spot}
 	if f.rented[id] != nil {
 		c.addRegistration(registration{in, k})
 		return
@@ -127,7 +128,7 @@
 	for _, id := range f.order {
 		l := f.listed[id]
 		if l.State == wire.MachineRunning && c.machines[id] == nil && !f.assigning[id] && !f.returning[id] && f.returned[id] == 0 && wire.UsableKey(id) {
-			list = append(list, unassigned{wire.MachineRecord{ID: id, Addr: l.Addr}, kind{l.Type, l.Zone, l.Spot}})
+			list = append(list, unassigned{wire.MachineRecord{ID: id, Addr: l.Addr}, kind{Type: l.Type, Zone: l.Zone, Spot: l.Spot}})
 		}
 	}
 	c.assignMachines(recordSetListed, list, demand, nil)
@@ -142,7 +143,7 @@
 	f := &c.fleet
 	has, total := map[int]float64{}, 0.0
 	for _, m := range list {
-		total += c.types[m.typ].CPUs
+		total += c.types[m.Type].CPUs
 	}
 	for _, s := range c.ownership.shards {
 		for _, m := range s.machines {
@@ -165,11 +166,11 @@
 			total += n
 		}
 	}
-	part := c.targetCPUs(demand, total)
+	part := fleet.TargetCPUs(demand, total)
 	byShard := map[int][]unassigned{}
 	best := -1
 	for _, m := range list {
-		cpus := max(c.types[m.typ].CPUs, 1)
+		cpus := max(c.types[m.Type].CPUs, 1)
 		// Machines that come up together stay together as long as their shard lacks
 		// some: a record set for each shard would take as many writes.
 		if best < 0 || part[best]-has[best] < cpus {
@@ -242,56 +243,3 @@
 		// Else it is sent again. If it stands already, the watch shows it.
 	})
 }
-
-// targetCPUs says how many of total CPUs each shard should have: first what its
-// jobs within a guarantee can use, then by the work that is left.
-func (c *Controller) targetCPUs(demand map[int]*peer.Demand, total float64) map[int]float64 {
-	part, can := map[int]float64{}, map[int]float64{}
-	ids := shardIDs(demand)
-	for _, id := range ids {
-		can[id] = demand[id].Busy + waitingCPUs(demand[id])
-	}
-	give := func(weight func(int) float64, limit func(int) float64) {
-		for range 4 { // what one can't use goes to the others
-			sum := 0.0
-			for _, id := range ids {
-				if part[id] < limit(id)-eps {
-					sum += weight(id)
-				}
-			}
-			if sum <= 0 || total <= eps {
-				return
-			}
-			left := total
-			for _, id := range ids {
-				if headroom := limit(id) - part[id]; headroom > eps {
-					x := min(headroom, left*weight(id)/sum)
-					part[id] += x
-					total -= x
-				}
-			}
-		}
-	}
-	guarantee := func(id int) float64 { return demand[id].Guarantee }
-	give(guarantee, func(id int) float64 { return min(guarantee(id), can[id]) })
-	give(func(id int) float64 { return workOf(demand[id]) }, func(id int) float64 { return can[id] })
-	return part
-}
-
-// workOf is all unfinished work of a shard, in CPU seconds.
-func workOf(d *peer.Demand) float64 {
-	work := micros.Micros(d.RunLeftUS).Seconds()
-	for _, g := range d.Groups {
-		work += micros.Micros(g.WorkUS).Seconds() * g.CPUs
-	}
-	return work
-}
-
-// waitingCPUs is what a shard's waiting tasks would take at once.
-func waitingCPUs(d *peer.Demand) float64 {
-	w := 0.0
-	for _, g := range d.Groups {
-		w += float64(g.Waiting) * g.CPUs
-	}
-	return w
-}
--- a/internal/controller/registration_test.go
+++ b/internal/controller/registration_test.go
@@ -6,7 +6,7 @@
 // leads again under the same key. The machine must find a home then.
 func TestRegistrationAcrossOutage(t *testing.T) {
 	h := meet(t, withPeer)
-	h.c.fleet.rented["vm-7"] = &rented{kind: kind{"m", "a", false}, at: h.now}
+	h.c.fleet.rented["vm-7"] = &rented{kind: kind{Type: "m", Zone: "a", Spot: false}, at: h.now}
 	h.stateDown, h.refused = true, true
 	for h.now < h.c.ownership.lease.RenewedAt()+h.c.bounds.LeaseValidity-200*ms {
 		h.run(20 * ms)
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -4,87 +4,223 @@
 	"net/http"
 	"slices"
 
+	"garnethitch/internal/controller/fleet"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/peer"
 	"garnethitch/internal/wire"
 )
 
-// Machines that go back to the cloud, and who is told of it.
+// Machines that go back to the cloud.
+
+const (
+	// maxScaleInMachines bounds the machines of one request to the cloud, maxLoggedMachines those
+	// that are named in the log.
+	maxScaleInMachines = 100
+	maxLoggedMachines  = 20
+	// A machine must come up within bootTimeoutFactor times its boot time, or bootGrace beyond it
+	// if that is more.
+	bootTimeoutFactor = 4
+	bootGrace         = 45 * micros.Second
+	// maxConsolidation is how long a machine may take to be drained.
+	maxConsolidation = 30 * micros.Second
+)
 
 // scaleInUnusable returns machines that are of no use any more.
-func (c *Controller) scaleInUnusable(demand map[int]*peer.Demand) {
-	f := &c.fleet
+func (c *Controller) scaleInUnusable(demands fleet.Demands) {
+	machines := c.unusableOnRecord(silentMachines(demands))
+	machines = append(machines, c.unusableInList()...)
+	c.scaleIn(machines)
+}
+
+// silentMachines returns the machines from which no heartbeat comes.
+func silentMachines(demands fleet.Demands) map[string]bool {
 	silent := map[string]bool{}
-	for _, d := range demand {
+	for _, d := range demands {
 		for _, m := range d.Machines {
 			if m.State == peer.MachineSilent {
 				silent[m.ID] = true
 			}
 		}
 	}
-	var back []string
+	return silent
+}
+
+// unusableOnRecord returns the machines on record that are cordoned, or that the cloud calls
+// failed or does not list any more.
+func (c *Controller) unusableOnRecord(silent map[string]bool) []string {
+	f := &c.fleet
+	var unusable []string
 	for _, s := range c.ownership.shards {
 		for _, m := range s.machines {
 			if f.returned[m.id] != 0 {
 				continue
 			}
-			l, ok := f.listed[m.id]
-			switch {
-			case m.rec.Cordoned, ok && l.State == wire.MachineFailed:
-				back = append(back, m.id)
-			case !ok && f.listedAt != 0 && f.missing[m.id] != 0 && c.now-f.missing[m.id] > 2*c.cfg.ListLag+micros.Second && silent[m.id]:
-				back = append(back, m.id)
+			l, listed := f.listed[m.id]
+			failed := listed && l.State == wire.MachineFailed
+			gone := !listed && silent[m.id] && c.missingForLong(m.id)
+			if m.rec.Cordoned || failed || gone {
+				unusable = append(unusable, m.id)
 			}
 		}
 	}
+	return unusable
+}
+
+// missingForLong reports whether the cloud has not listed a machine for longer than its list may
+// lag behind.
+func (c *Controller) missingForLong(id string) bool {
+	f := &c.fleet
+	missingSince := f.missing[id]
+	return f.listedAt != 0 && missingSince != 0 && c.now-missingSince > 2*c.cfg.ListLag+micros.Second
+}
+
+// unusableInList returns the machines that the cloud lists as failed and that are on no record,
+// and those that do not come up.
+func (c *Controller) unusableInList() []string {
+	f := &c.fleet
+	var unusable []string
 	for _, id := range f.order {
 		l := f.listed[id]
-		if f.returned[id] != 0 || l.State == wire.MachineRunning {
+		if f.returned[id] != 0 {
 			continue
 		}
-		boot := micros.FromSeconds(c.types[l.Type].BootS)
-		age := micros.FromSeconds(l.AgeS) + (c.now - f.listedAt)
 		switch {
 		case l.State == wire.MachineFailed && c.machines[id] == nil:
-			back = append(back, id)
-		case l.State == wire.MachineBooting && age > max(4*boot, boot+45*micros.Second) && !c.heardOf(id):
+			unusable = append(unusable, id)
+		case l.State == wire.MachineBooting && c.bootsForLong(l) && !c.hasSentHeartbeat(id):
 			c.log(Info, "machine does not come up, returned", "machine", id)
-			back = append(back, id)
+			unusable = append(unusable, id)
 		}
 	}
-	c.scaleIn(back)
+	return unusable
+}
+
+// bootsForLong reports whether a machine should have come up.
+func (c *Controller) bootsForLong(l wire.ListedMachine) bool {
+	boot := micros.FromSeconds(c.types[l.Type].BootS)
+	age := micros.FromSeconds(l.AgeS) + (c.now - c.fleet.listedAt)
+	return age > max(bootTimeoutFactor*boot, boot+bootGrace)
 }
 
-// heardOf: a machine of ours has reported, so the list that calls it starting
-// lags.
-func (c *Controller) heardOf(id string) bool {
+// hasSentHeartbeat reports whether a machine of this controller has sent a heartbeat, so that the
+// list that calls it booting lags behind.
+func (c *Controller) hasSentHeartbeat(id string) bool {
 	m := c.machines[id]
 	return m != nil && m.view != nil && m.view.sequenceKnown
 }
 
+// scaleInIdle has machines returned that are idle, the dearest first, as long as there are more
+// than are needed. fleetFull is whether the fleet may not grow.
+func (c *Controller) scaleInIdle(demands fleet.Demands, sums fleet.Sums, fleetFull bool) {
+	choice := fleet.ScaleIn{
+		Sums:         sums,
+		DrainHorizon: c.cfg.DrainHorizon,
+		LowestPrice:  c.catalog().LowestPrice(),
+		Reserve:      c.reservedCPUs(sums),
+		MaxIdle:      c.cfg.IdleReturn,
+		FleetFull:    fleetFull,
+	}
+	for _, id := range choice.Choose(c.idleMachines(demands)) {
+		c.requestMachineRelease(id, peer.Release{Retire: true})
+	}
+}
+
+// idleMachines returns the machines that are idle.
+func (c *Controller) idleMachines(demands fleet.Demands) []fleet.IdleMachine {
+	catalog := c.catalog()
+	waiting := demands.Waiting()
+	var idle []fleet.IdleMachine
+	for _, d := range demands {
+		for _, m := range d.Machines {
+			rec := c.machines[m.ID]
+			if m.State != peer.MachineIdle || rec == nil {
+				continue
+			}
+			mt := c.types[rec.rec.Type]
+			idle = append(idle, fleet.IdleMachine{
+				ID:       m.ID,
+				CPUs:     mt.CPUs,
+				CPUPrice: fleet.CPUPrice(mt, rec.rec.Spot),
+				IdleFor:  micros.Micros(m.SinceUS),
+				Useless:  waiting && !catalog.UsefulAnywhere(demands, rec.kind()),
+			})
+		}
+	}
+	return idle
+}
+
+// reservedCPUs returns how many CPUs are kept although nothing waits. Where tasks are wanted
+// started sooner than a machine boots, that is what arrives while one would boot; elsewhere
+// nothing.
+func (c *Controller) reservedCPUs(sums fleet.Sums) float64 {
+	boot := c.catalog().LongestBoot()
+	for _, within := range c.cfg.StartWithin {
+		if within < boot/2 {
+			return max(sums.Arrival, sums.Parallel)
+		}
+	}
+	return 0
+}
+
+// consolidate drains machines of a shard where nothing waits, if their tasks may go on in what
+// the shard's other machines have free, and if they would otherwise keep mostly unused machines
+// for long.
+func (c *Controller) consolidate(demands fleet.Demands, sums fleet.Sums) {
+	choice := fleet.Consolidation{Have: sums.Have, Need: max(sums.Parallel, c.reservedCPUs(sums))}
+	for _, shard := range demands.Shards() {
+		d := demands[shard]
+		if fleet.WaitingCPUs(d) > 0 {
+			continue
+		}
+		candidates, draining := c.drainCandidates(d)
+		for _, m := range choice.Choose(d, candidates, draining) {
+			c.log(Info, "draining a mostly unused machine", "machine", m.ID, "shard", shard, "busy", m.Busy)
+			c.fleet.plannedMoves[m.ID] = plannedMove{retire: true, until: c.now + maxConsolidation}
+			c.requestMachineRelease(m.ID, peer.Release{Retire: true, Drain: true, Save: true})
+		}
+	}
+}
+
+// drainCandidates returns the busy machines of a shard whose tasks may go on elsewhere, and how
+// many machines are being drained.
+func (c *Controller) drainCandidates(d *peer.Demand) (candidates []fleet.DrainCandidate, draining int) {
+	for _, m := range d.Machines {
+		if m.State == peer.MachineDraining {
+			draining++
+		}
+		rec := c.machines[m.ID]
+		if rec != nil && m.State == peer.MachineBusy && m.Movable {
+			candidates = append(candidates, fleet.DrainCandidate{Machine: m, CPUs: c.types[rec.rec.Type].CPUs})
+		}
+	}
+	return candidates, draining
+}
+
+// scaleIn returns machines to the cloud, as far as the budget allows it now.
 func (c *Controller) scaleIn(ids []string) {
 	f := &c.fleet
-	var wait []string
+	var toReturn []string
 	for _, id := range ids {
 		if !f.returning[id] && f.returned[id] == 0 {
-			wait = append(wait, id)
+			toReturn = append(toReturn, id)
 		}
 	}
-	for send := range slices.Chunk(wait, 100) {
-		if !c.sendScaleIn(send) {
+	for machines := range slices.Chunk(toReturn, maxScaleInMachines) {
+		if !c.sendScaleIn(machines) {
 			return
 		}
 	}
 }
 
-func (c *Controller) sendScaleIn(send []string) bool {
+// sendScaleIn asks the cloud to take machines back, and reports whether the budget allowed it.
+func (c *Controller) sendScaleIn(machines []string) bool {
 	f := &c.fleet
 	ownerEpoch := c.ownership.leader.ownerEpoch
-	sent := c.askCloud(ReturnMachines{Machines: send}, cloudTimeout, func(r Result) {
+	sent := c.askCloud(ReturnMachines{Machines: machines}, cloudTimeout, func(r Result) {
 		if c.ownership.leader.ownerEpoch != ownerEpoch {
 			return
 		}
-		for _, id := range send {
+		for _, id := range machines {
 			delete(f.returning, id)
 			if r.Status == http.StatusOK {
 				f.returned[id] = c.now
@@ -92,76 +228,12 @@
 			}
 		}
 	})
-	if sent {
-		c.log(Info, "scaling in", "count", len(send), "machines", send[:min(len(send), 20)])
-		for _, id := range send {
-			f.returning[id] = true
-		}
-	}
-	return sent
-}
-
-// notifyReturned lets the owner of a returned machine know at once: its tasks
-// need not wait for the record, or for the end of a lease.
-func (c *Controller) notifyReturned(id string) {
-	m := c.machines[id]
-	if m == nil {
-		return
-	}
-	c.machineReturned(id)
-	// Past the bound it is told later: its owner goes on naming it as silent.
-	if p := c.peers[c.ownership.shards[m.rec.Shard].owner.Label]; p != nil && len(p.returnedMachines) < c.cfg.MaxMachines && !slices.Contains(p.returnedMachines, id) {
-		p.returnedMachines = append(p.returnedMachines, id)
-	}
-}
-
-// machineReturned takes notice that the cloud has confirmed a machine's return:
-// everything on it is gone, and it never comes back.
-func (c *Controller) machineReturned(id string) {
-	m := c.machines[id]
-	if m == nil || m.returned {
-		return
-	}
-	m.returned = true
-	if v := m.view; v != nil {
-		c.freeAll(m, "returned to the cloud", true)
-		v.inDoubtToken = 0
-		v.leaseExpired, v.reconciled, v.unreconciledFromPredecessor = true, false, false
-		c.markDirty(m)
-		c.schedulingDue = true
-	}
-}
-
-// dropGone takes returned machines off the record, a record set at a time and not
-// for each of them: all others in it report once more when it is rewritten.
-func (c *Controller) dropGone() {
-	f := &c.fleet
-	var writes []recordSetWrite
-	for _, key := range sortedKeys(c.recordSets) {
-		b := c.recordSets[key]
-		if b.writeInFlight || c.now < b.nextWriteAt {
-			continue
-		}
-		gone, oldest := 0, c.now
-		for _, m := range b.machines {
-			if at := f.returned[m.id]; at != 0 {
-				gone++
-				oldest = min(oldest, at)
-			}
-		}
-		if len(b.machines) == 0 && !c.deletable(b) || gone == 0 && len(b.machines) > 0 || gone < len(b.machines) && 4*gone < len(b.machines) && c.now-oldest < 20*micros.Second {
-			continue
-		}
-		rec := recordSetOf(b.machines, func(m *machine) bool { return f.returned[m.id] != 0 }, nil)
-		if len(rec.Machines) > c.recordSetLimit() {
-			continue // its owner splits it first
-		}
-		writes = append(writes, recordSetWrite{key: key, recordSet: b, record: rec, deleteKey: gone == len(b.machines) && c.deletable(b)})
-		if len(writes) >= max(c.cfg.TxnOps, 1) {
-			break // the rest in a moment
-		}
+	if !sent {
+		return false
 	}
-	if len(writes) > 0 {
-		c.writeRecordSets(wire.KeyLeader, c.ownership.leader.ownerEpoch, writes, func(bool, bool) {})
+	c.log(Info, "scaling in", "count", len(machines), "machines", machines[:min(len(machines), maxLoggedMachines)])
+	for _, id := range machines {
+		f.returning[id] = true
 	}
+	return true
 }
--- a/internal/controller/scale_out.go
+++ b/internal/controller/scale_out.go
@@ -1,87 +1,55 @@
 package controller
 
 import (
-	"cmp"
 	"fmt"
-	"math"
 	"net/http"
 	"slices"
 
+	"garnethitch/internal/controller/fleet"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/peer"
 	"garnethitch/internal/wire"
 )
 
-// fleetDemand sums up what the shards want and have, in CPUs and CPU seconds.
-type fleetDemand struct{ work, arrival, parallel, have float64 }
+// Machines that are rented.
 
-// rental is a rental under way. It is sent again, under the same name, until the
-// cloud has answered: it may have been carried out.
-type scaleOutRequest struct {
-	req  wire.Rental
-	next micros.Micros
-	busy bool
-}
-
-type refusal struct {
-	until, pause micros.Micros
-}
-
-// maxScaleOuts bounds the rentals under way, maxScaleOutMachines the machines of each.
 const (
-	maxScaleOuts        = 4
-	maxScaleOutMachines = 50
+	// maxScaleOuts bounds the rentals under way.
+	maxScaleOuts = 4
+	// scaleOutRetryInterval is the time after which a rental that was not answered is sent again.
+	scaleOutRetryInterval = 2 * micros.Second
+	// minRefusalPause and maxRefusalPause bound the time for which a kind of machine that the
+	// cloud has refused is not asked for; it doubles with each refusal.
+	minRefusalPause = 8 * micros.Second
+	maxRefusalPause = 40 * micros.Second
 )
 
-// need is how many CPUs are worth having at a price that is ratio times the
-// lowest: the dearer a machine, the longer the work would have to wait without it.
-func (c *Controller) need(w fleetDemand, ratio float64) float64 {
-	return min(max(w.work/(c.cfg.DrainHorizon.Seconds()*ratio), w.arrival/ratio), w.parallel)
+// scaleOutRequest is a rental under way. It is sent again, under the same name, until the cloud
+// has answered: it may have been carried out.
+type scaleOutRequest struct {
+	rental   wire.Rental
+	nextAt   micros.Micros // when it may be sent again
+	inFlight bool
 }
 
-// lowestPrice of a CPU over all types and kinds.
-func (c *Controller) lowestPrice() float64 {
-	lowest := math.Inf(1)
-	for _, mt := range c.types {
-		for _, spot := range []bool{true, false} {
-			if p := cpuPrice(mt, spot); p > 0 {
-				lowest = min(lowest, p)
-			}
-		}
-	}
-	return lowest
+// kind returns the kind of the machines that are rented.
+func (r *scaleOutRequest) kind() kind {
+	return kind{Type: r.rental.Type, Zone: r.rental.Zone, Spot: r.rental.Spot}
 }
 
-// constrained tells whether a group's tasks can't run on every kind of machine.
-func (c *Controller) constrained(g peer.Group) bool {
-	for _, name := range c.typeIndex.names {
-		for _, zone := range c.types[name].Zones {
-			if !c.hosts(g, name, zone, true) || !c.hosts(g, name, zone, false) {
-				return true
-			}
-		}
-	}
-	return false
+// refusal is a kind of machine that the cloud did not have.
+type refusal struct {
+	until, pause micros.Micros
 }
 
-// shortfallOf is how many CPUs are wanted for a choosy group alone: the fleet may be
-// large enough and yet have none that its tasks can use.
-func (c *Controller) shortfallOf(g peer.Group, free map[kind]float64) float64 {
-	waiting := float64(g.Waiting) * g.CPUs
-	lack := min(waiting, max(micros.Micros(g.WorkUS).Seconds()*g.CPUs/c.cfg.DrainHorizon.Seconds(), g.CPUs))
-	for k, cpus := range free {
-		if c.hosts(g, k.typ, k.zone, k.spot) {
-			lack -= cpus
-		}
-	}
-	return lack
-}
+// kind returns the kind of the machine.
+func (m *machine) kind() kind { return kind{Type: m.rec.Type, Zone: m.rec.Zone, Spot: m.rec.Spot} }
 
-// freeKinds sums up the CPUs of machines that idle or are on their way, by kind.
-func (c *Controller) freeKinds(demand map[int]*peer.Demand) map[kind]float64 {
+// freeByKind adds up the CPUs of the machines that are idle or on their way, by kind.
+func (c *Controller) freeByKind(demands fleet.Demands) map[kind]float64 {
 	f := &c.fleet
 	free := map[kind]float64{}
-	for _, d := range demand {
+	for _, d := range demands {
 		for _, m := range d.Machines {
 			if rec := c.machines[m.ID]; rec != nil && m.State == peer.MachineIdle {
 				free[rec.kind()] += c.types[rec.rec.Type].CPUs
@@ -90,146 +58,123 @@
 	}
 	for id, r := range f.rented {
 		if c.machines[id] == nil {
-			free[r.kind] += c.types[r.typ].CPUs
+			free[r.kind] += c.types[r.Type].CPUs
 		}
 	}
 	for id, l := range f.listed {
-		if c.machines[id] == nil && f.rented[id] == nil && f.returned[id] == 0 && l.State != wire.MachineFailed {
-			free[kind{l.Type, l.Zone, l.Spot}] += c.types[l.Type].CPUs
+		if c.unrecorded(id, l) {
+			free[kind{Type: l.Type, Zone: l.Zone, Spot: l.Spot}] += c.types[l.Type].CPUs
 		}
 	}
-	for _, h := range f.scaleOuts {
-		free[kind{h.req.Type, h.req.Zone, h.req.Spot}] += float64(h.req.Count) * c.types[h.req.Type].CPUs
+	for _, req := range f.scaleOuts {
+		free[req.kind()] += c.catalog().CPUs(req.rental.Type, req.rental.Count)
 	}
 	return free
 }
 
-func (m *machine) kind() kind { return kind{m.rec.Type, m.rec.Zone, m.rec.Spot} }
-
-// scaleOut orders the cheapest machines that the waiting work can use, as long as
-// there are fewer than are worth their price.
-func (c *Controller) scaleOut(demand map[int]*peer.Demand, groups []peer.Group, w fleetDemand, most int) {
-	f := &c.fleet
-	free, partitioned := c.freeKinds(demand), c.partitionedZones(demand)
-	inZone := map[string]int{}
+// machinesInZone counts the machines on record by zone.
+func (c *Controller) machinesInZone() map[string]int {
+	machines := map[string]int{}
 	for _, m := range c.machines {
-		inZone[m.rec.Zone]++
+		machines[m.rec.Zone]++
 	}
-	for len(f.scaleOuts) < maxScaleOuts && most > 0 {
-		req, ok := c.nextScaleOut(groups, w, most, inZone, free, partitioned)
-		if !ok {
-			return
-		}
-		f.scaleOutSequence++
-		req.Request = fmt.Sprintf("r-%d-%d", c.ownership.leader.ownerEpoch, f.scaleOutSequence)
-		h := &scaleOutRequest{req: req}
-		f.scaleOuts = append(f.scaleOuts, h)
-		w.have += float64(req.Count) * c.types[req.Type].CPUs
-		free[kind{req.Type, req.Zone, req.Spot}] += float64(req.Count) * c.types[req.Type].CPUs
-		most -= req.Count
-		inZone[req.Zone] += req.Count
-		c.sendScaleOut(h)
+	return machines
+}
+
+// unavailable returns a function that reports whether machines of a kind cannot be had, or could
+// not be reached, for now.
+func (c *Controller) unavailable(partitioned map[string]bool) func(kind) bool {
+	return func(k kind) bool {
+		r := c.fleet.refused[k]
+		return partitioned[k.Zone] || r != nil && c.now < r.until
 	}
 }
 
-// nextScaleOut chooses one rental.
-func (c *Controller) nextScaleOut(groups []peer.Group, w fleetDemand, most int, inZone map[string]int, free map[kind]float64, partitioned map[string]bool) (wire.Rental, bool) {
+// scaleOut rents the cheapest machines that the waiting tasks can use, as long as there are fewer
+// than are worth their price, and no more than maxMachines.
+func (c *Controller) scaleOut(demands fleet.Demands, sums fleet.Sums, maxMachines int) {
 	f := &c.fleet
-	// The largest waiting work decides what is rented.
-	slices.SortStableFunc(groups, func(a, b peer.Group) int {
-		return cmp.Compare(float64(b.WorkUS)*b.CPUs, float64(a.WorkUS)*a.CPUs)
-	})
-	type option struct {
-		kind
-		price, unit, cpus float64
+	choice := fleet.ScaleOut{
+		Catalog:        c.catalog(),
+		DrainHorizon:   c.cfg.DrainHorizon,
+		Sums:           sums,
+		Groups:         demands.Groups(),
+		Free:           c.freeByKind(demands),
+		MachinesInZone: c.machinesInZone(),
+		MaxMachines:    maxMachines,
+		Unavailable:    c.unavailable(fleet.PartitionedZones(demands)),
 	}
-	lowest := c.lowestPrice()
-	for _, g := range groups {
-		if g.Waiting == 0 {
-			continue
-		}
-		lack, own := w.parallel-w.have, 0.0
-		if c.constrained(g) || w.have+eps < g.CPUs { // or there is hardly anything at all
-			own = c.shortfallOf(g, free)
-			lack = max(lack, own)
-		}
-		if lack <= 0 {
-			continue
-		}
-		var options []option
-		for _, name := range c.typeIndex.names {
-			mt := c.types[name]
-			for _, zone := range mt.Zones {
-				for _, spot := range []bool{true, false} {
-					k := kind{typ: name, zone: zone, spot: spot}
-					if mt.CPUs <= 0 || partitioned[zone] || !c.hosts(g, name, zone, spot) || f.refused[k] != nil && c.now < f.refused[k].until {
-						continue
-					}
-					unit := cpuPrice(mt, spot)
-					// What would stand unused is paid as well.
-					options = append(options, option{kind: k, unit: unit, price: unit * mt.CPUs / min(mt.CPUs, max(lack, g.CPUs)), cpus: mt.CPUs})
-				}
-			}
-		}
-		slices.SortStableFunc(options, func(a, b option) int {
-			return cmp.Or(cmp.Compare(a.price, b.price), cmp.Compare(inZone[a.zone], inZone[b.zone]))
-		})
-		for _, o := range options {
-			deficit := max(c.need(w, max(o.unit/lowest, 1))-w.have, own)
-			if deficit < 0.5 {
-				continue
-			}
-			n := max(1, min(int(math.Ceil(deficit/o.cpus-0.25)), maxScaleOutMachines, most))
-			return wire.Rental{Type: o.typ, Zone: o.zone, Spot: o.spot, Count: n}, true
+	for len(f.scaleOuts) < maxScaleOuts && choice.MaxMachines > 0 {
+		rental, ok := choice.Next()
+		if !ok {
+			return
 		}
+		choice.Add(rental)
+		f.scaleOutSequence++
+		rental.Request = fmt.Sprintf("r-%d-%d", c.ownership.leader.ownerEpoch, f.scaleOutSequence)
+		req := &scaleOutRequest{rental: rental}
+		f.scaleOuts = append(f.scaleOuts, req)
+		c.sendScaleOut(req)
 	}
-	return wire.Rental{}, false
 }
 
-func (c *Controller) sendScaleOut(h *scaleOutRequest) {
-	f := &c.fleet
-	if h.busy || c.now < h.next {
+// sendScaleOut sends a rental unless it is in flight, or was sent a short time ago.
+func (c *Controller) sendScaleOut(req *scaleOutRequest) {
+	if req.inFlight || c.now < req.nextAt {
 		return
 	}
 	ownerEpoch := c.ownership.leader.ownerEpoch
-	h.busy = c.askCloud(h.req, cloudTimeout, func(r Result) {
+	req.inFlight = c.askCloud(req.rental, cloudTimeout, func(r Result) {
 		if c.ownership.leader.ownerEpoch != ownerEpoch {
 			return
 		}
-		h.busy = false
-		over := func() {
-			f.scaleOuts = slices.DeleteFunc(f.scaleOuts, func(o *scaleOutRequest) bool { return o == h })
-			f.planNext = c.now
-		}
-		k := kind{typ: h.req.Type, zone: h.req.Zone, spot: h.req.Spot}
-		body, ok := r.Body.(*wire.MachineNames)
-		switch {
-		case ok && r.Status == http.StatusOK:
-			over()
-			c.log(Info, "scaled out", "type", k.typ, "zone", k.zone, "spot", k.spot, "wanted", h.req.Count, "got", len(body.Machines))
-			if len(body.Machines) < h.req.Count {
-				c.refuse(k)
-			} else {
-				delete(f.refused, k)
-			}
-			for _, id := range body.Machines {
-				f.rented[id] = &rented{kind: k, at: c.now}
-			}
-		case r.Status == http.StatusServiceUnavailable && r.Body == noCapacity:
-			over()
-			c.refuse(k)
-		case r.Status == http.StatusBadRequest:
-			over()
-			c.refuse(k)
-			c.log(Error, "rental request called malformed", "request", h.req.Request)
-		default:
-			h.next = c.now + c.jitter(2*micros.Second)
-		}
+		req.inFlight = false
+		c.handleScaleOutResult(req, r)
 	})
 }
 
-// noCapacity is the body by which a runtime tells the cloud's "no capacity"
-// from an outage.
+// handleScaleOutResult takes in the cloud's answer to a rental.
+func (c *Controller) handleScaleOutResult(req *scaleOutRequest, r Result) {
+	names, ok := r.Body.(*wire.MachineNames)
+	switch {
+	case ok && r.Status == http.StatusOK:
+		c.endScaleOut(req)
+		c.addRented(req, names.Machines)
+	case r.Status == http.StatusServiceUnavailable && r.Body == noCapacity:
+		c.endScaleOut(req)
+		c.refuse(req.kind())
+	case r.Status == http.StatusBadRequest:
+		c.endScaleOut(req)
+		c.refuse(req.kind())
+		c.log(Error, "rental request called malformed", "request", req.rental.Request)
+	default:
+		req.nextAt = c.now + c.jitter(scaleOutRetryInterval)
+	}
+}
+
+// endScaleOut removes a rental that the cloud has answered, and has the fleet planned anew.
+func (c *Controller) endScaleOut(req *scaleOutRequest) {
+	f := &c.fleet
+	f.scaleOuts = slices.DeleteFunc(f.scaleOuts, func(other *scaleOutRequest) bool { return other == req })
+	f.planNext = c.now
+}
+
+// addRented takes in the machines that the cloud has rented out.
+func (c *Controller) addRented(req *scaleOutRequest, machines []string) {
+	f := &c.fleet
+	k := req.kind()
+	c.log(Info, "scaled out", "type", k.Type, "zone", k.Zone, "spot", k.Spot, "wanted", req.rental.Count, "got", len(machines))
+	if len(machines) < req.rental.Count {
+		c.refuse(k)
+	} else {
+		delete(f.refused, k)
+	}
+	for _, id := range machines {
+		f.rented[id] = &rented{kind: k, at: c.now}
+	}
+}
+
+// noCapacity is the body by which a runtime tells the cloud's "no capacity" from an outage.
 const noCapacity = NoCapacity("no capacity")
 
 // NoCapacity is the Result body of a refused rental.
@@ -238,13 +183,14 @@
 // RefusedRental is the Body to give with a 503 that says "no capacity".
 const RefusedRental = noCapacity
 
+// refuse has machines of a kind not asked for, for longer with each time.
 func (c *Controller) refuse(k kind) {
 	r := c.fleet.refused[k]
 	if r == nil {
 		r = &refusal{}
 		c.fleet.refused[k] = r
 	}
-	r.pause = min(max(2*r.pause, 8*micros.Second), 40*micros.Second)
+	r.pause = min(max(2*r.pause, minRefusalPause), maxRefusalPause)
 	r.until = c.now + c.jitter(r.pause)
-	c.log(Debug, "no more machines of a kind for now", "type", k.typ, "zone", k.zone, "spot", k.spot)
+	c.log(Debug, "no more machines of a kind for now", "type", k.Type, "zone", k.Zone, "spot", k.Spot)
 }
--- a/internal/controller/user_requests_test.go
+++ b/internal/controller/user_requests_test.go
@@ -102,7 +102,7 @@
 // the machine is recorded under no other key meanwhile.
 func TestLateRecord(t *testing.T) {
 	h := newHarness(t, nil)
-	h.c.fleet.rented["vm-1"] = &rented{kind: kind{"m", "a", true}, at: h.now}
+	h.c.fleet.rented["vm-1"] = &rented{kind: kind{Type: "m", Zone: "a", Spot: true}, at: h.now}
 	call := func(seq uint64) {
 		h.ask(func(r ReplyID) Input { return Heartbeat{Reply: r, Heartbeat: heartbeatFrom("vm-1", 1, seq, 0)} })
 		h.run(500 * ms)
