--- /dev/null
+++ b/internal/controller/fleet/demand_test.go
@@ -0,0 +1,74 @@
+package fleet
+
+import (
+	"testing"
+
+	"garnethitch/internal/micros"
+	"garnethitch/internal/peer"
+)
+
+// cpuSeconds returns work as messages carry it, in CPU microseconds.
+func cpuSeconds(s float64) int64 { return int64(micros.FromSeconds(s)) }
+
+func TestDemandSums(t *testing.T) {
+	demands := Demands{
+		1: {Shard: 1, CPUs: 40, Busy: 30, Booting: 8, ArrivalCPUs: 2, RunLeftUS: cpuSeconds(60), Groups: []peer.Group{{CPUs: 2, Waiting: 5, WorkUS: cpuSeconds(50)}}},
+		0: {Shard: 0, CPUs: 10, Busy: 1, ArrivalCPUs: 1, RunLeftUS: cpuSeconds(4)},
+	}
+	sums := Sums{Booting: 4}
+	for _, shard := range demands.Shards() {
+		sums.Add(demands[shard])
+	}
+	want := Sums{Work: 60 + 100 + 4, Arrival: 3, Parallel: 30 + 10 + 1, Have: 50, Busy: 31, Booting: 12}
+	if sums != want {
+		t.Errorf("sums %+v, want %+v", sums, want)
+	}
+	if !demands.Waiting() || (Demands{0: demands[0]}).Waiting() {
+		t.Errorf("waiting: %v, and without shard 1 %v", demands.Waiting(), Demands{0: demands[0]}.Waiting())
+	}
+	if groups := demands.Groups(); len(groups) != 1 || groups[0].Waiting != 5 {
+		t.Errorf("groups %+v", groups)
+	}
+}
+
+func TestSumsNeed(t *testing.T) {
+	for _, tc := range []struct {
+		name  string
+		sums  Sums
+		ratio float64
+		want  float64
+	}{
+		{"by the backlog", Sums{Work: 3000, Parallel: 500}, 1, 100},
+		{"at twice the price, half of it", Sums{Work: 3000, Parallel: 500}, 2, 50},
+		{"by what arrives", Sums{Work: 30, Arrival: 40, Parallel: 500}, 1, 40},
+		{"no more than could be in use", Sums{Work: 30_000, Parallel: 200}, 1, 200},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			if got := tc.sums.Need(30*micros.Second, tc.ratio); got != tc.want {
+				t.Errorf("need %v, want %v", got, tc.want)
+			}
+		})
+	}
+}
+
+func TestBlockedWork(t *testing.T) {
+	waiting := func(tasks int) []peer.Group { return []peer.Group{{CPUs: 1, Waiting: tasks}} }
+	blocked := int64(40 * micros.Second)
+	for _, tc := range []struct {
+		name   string
+		demand peer.Demand
+		want   float64 // CPU seconds
+	}{
+		{"nothing waits", peer.Demand{CPUs: 100, BlockedUS: blocked}, 0},
+		{"free capacity", peer.Demand{CPUs: 100, BlockedUS: blocked, Groups: waiting(1000)}, 4000},
+		{"as far as tasks wait", peer.Demand{CPUs: 100, BlockedUS: blocked, Groups: waiting(10)}, 400},
+		{"capacity that comes free", peer.Demand{CPUs: 100, Busy: 100, RunLeftUS: cpuSeconds(1000), BlockedUS: blocked, Groups: waiting(1000)}, 3000},
+		{"running tasks outlast it", peer.Demand{CPUs: 100, Busy: 100, RunLeftUS: cpuSeconds(9000), BlockedUS: blocked, Groups: waiting(1000)}, 0},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			if got := BlockedWork(&tc.demand); got != tc.want {
+				t.Errorf("blocked %v, want %v", got, tc.want)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/controller/fleet/rebalancing_test.go
@@ -0,0 +1,101 @@
+package fleet
+
+import (
+	"testing"
+
+	"garnethitch/internal/micros"
+	"garnethitch/internal/peer"
+)
+
+// rebalancingDemands returns two shards with 80 CPUs each: 0, where the given number of
+// one-CPU tasks wait, and 1, where none do and so many CPUs are busy.
+func rebalancingDemands(waiting int, busy float64) Demands {
+	return Demands{
+		0: {Shard: 0, CPUs: 80, Busy: 80, RunLeftUS: cpuSeconds(800), Groups: []peer.Group{{Any: true, Spot: true, CPUs: 1, MemGB: 1, Waiting: waiting, WorkUS: cpuSeconds(float64(10 * waiting))}}},
+		1: {Shard: 1, CPUs: 80, Busy: busy, RunLeftUS: cpuSeconds(10 * busy)},
+	}
+}
+
+func movable(id string, state int, busy float64, left micros.Micros) Machine {
+	return Machine{
+		Machine: peer.Machine{ID: id, State: state, Busy: busy, LeftUS: int64(left)},
+		From:    1,
+		Kind:    Kind{Type: "small", Zone: "a"},
+		CPUs:    4,
+	}
+}
+
+func TestRebalancingMoves(t *testing.T) {
+	idle := movable("vm-1", peer.MachineIdle, 0, 0)
+	gpuOnly := rebalancingDemands(100, 40)
+	gpuOnly[0].Groups[0].GPUs = 1
+	for _, tc := range []struct {
+		name     string
+		demands  Demands
+		machines []Machine
+		want     []string // machines that move to shard 0, in order
+	}{
+		{"idle machine to where tasks wait", rebalancingDemands(100, 40), []Machine{idle}, []string{"vm-1"}},
+		{"nothing waits", rebalancingDemands(0, 40), []Machine{idle}, nil},
+		{"its type cannot run what waits", gpuOnly, []Machine{idle}, nil},
+		{"idle ones first, then those that empty soonest", rebalancingDemands(100, 40),
+			[]Machine{movable("vm-3", peer.MachineBusy, 1, 9*micros.Second), movable("vm-2", peer.MachineBusy, 1, 5*micros.Second), idle}, []string{"vm-1", "vm-2", "vm-3"}},
+		{"no more than wait", rebalancingDemands(4, 40), []Machine{idle, movable("vm-2", peer.MachineIdle, 0, 0)}, []string{"vm-1"}},
+		{"spare capacity: drained however long that takes", rebalancingDemands(100, 40), []Machine{movable("vm-2", peer.MachineBusy, 1, micros.Minute)}, []string{"vm-2"}},
+		{"full ones: two that are empty soon", rebalancingDemands(1000, 80),
+			[]Machine{movable("vm-2", peer.MachineBusy, 4, 5*micros.Second), movable("vm-3", peer.MachineBusy, 4, 6*micros.Second), movable("vm-4", peer.MachineBusy, 4, 7*micros.Second)},
+			[]string{"vm-2", "vm-3"}},
+		{"full ones that are not empty soon", rebalancingDemands(1000, 80), []Machine{movable("vm-2", peer.MachineBusy, 4, 16*micros.Second)}, nil},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			moves := NewRebalancing(testCatalog(), tc.demands).Moves(tc.machines)
+			var got []string
+			for _, move := range moves {
+				got = append(got, move.Machine.ID)
+				if move.To != 0 || move.Drain != (move.Machine.State == peer.MachineBusy) {
+					t.Errorf("%+v", move)
+				}
+			}
+			if len(got) != len(tc.want) {
+				t.Fatalf("moved %v, want %v", got, tc.want)
+			}
+			for i := range got {
+				if got[i] != tc.want[i] {
+					t.Errorf("moved %v, want %v", got, tc.want)
+				}
+			}
+		})
+	}
+}
+
+// A machine that is drained counts where it goes, and takes one of the places for such.
+func TestRebalancingDraining(t *testing.T) {
+	r := NewRebalancing(testCatalog(), rebalancingDemands(1000, 80))
+	for _, id := range []string{"vm-8", "vm-9"} {
+		r.AddDraining(movable(id, peer.MachineDraining, 4, 5*micros.Second), 0)
+	}
+	if moves := r.Moves([]Machine{movable("vm-2", peer.MachineBusy, 4, 5*micros.Second)}); len(moves) != 0 {
+		t.Errorf("a third machine is drained: %+v", moves)
+	}
+	r = NewRebalancing(testCatalog(), rebalancingDemands(4, 40))
+	r.AddDraining(movable("vm-8", peer.MachineDraining, 1, 5*micros.Second), 0)
+	if moves := r.Moves([]Machine{movable("vm-1", peer.MachineIdle, 0, 0)}); len(moves) != 0 {
+		t.Errorf("more move than wait: %+v", moves)
+	}
+}
+
+func TestRebalancingWanted(t *testing.T) {
+	demands := rebalancingDemands(1000, 80)
+	m := movable("vm-2", peer.MachineDraining, 4, 0)
+	if NewRebalancing(testCatalog(), demands).Wanted(m) {
+		t.Error("wanted where nothing waits")
+	}
+	m.From = 0
+	if !NewRebalancing(testCatalog(), demands).Wanted(m) {
+		t.Error("not wanted where tasks wait and machines are missing")
+	}
+	demands[1].Groups = []peer.Group{{Any: true, CPUs: 1, Waiting: 1000, WorkUS: cpuSeconds(90_000)}}
+	if NewRebalancing(testCatalog(), demands).Wanted(m) {
+		t.Error("wanted in a shard that has more than its part")
+	}
+}
