--- a/internal/controller/capacity.go
+++ b/internal/controller/capacity.go
@@ -41,6 +41,15 @@
 	return cpusExceeded || gpusExceeded
 }
 
+// tasksWithin returns how many of count tasks that need so much each fit into what is left of a
+// limit; limit 0: none.
+func tasksWithin(limit, used, need float64, count int) int {
+	if limit <= 0 || need <= 0 {
+		return count
+	}
+	return min(count, int((limit-used)/need+eps))
+}
+
 // machineUsage is what the attempts on a machine take. It is counted again only after something
 // has changed there.
 type machineUsage struct {
--- a/internal/controller/free_capacity_log.go
+++ b/internal/controller/free_capacity_log.go
@@ -105,12 +105,11 @@
 	var sum waitingCPUs
 	for _, j := range c.queue(s) {
 		cpus := float64(j.pending()) * j.sub.CPUs
-		switch {
-		case !c.runnable(s, j):
+		if !c.runnable(s, j) {
 			sum.blocked += cpus
-		case c.overQuota(s, j) != "":
+		} else if _, exceeded := c.exceededGroup(s, j); exceeded {
 			sum.overQuota += cpus
-		default:
+		} else {
 			sum.startable += cpus
 		}
 	}
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -135,13 +135,9 @@
 	return plan
 }
 
-// tasksToPlace returns how many of a job's waiting tasks its team's limit lets start.
+// tasksToPlace returns how many of a job's waiting tasks its team's limit of CPUs lets start.
 func (c *Controller) tasksToPlace(s *shard, j *job) int {
-	tasks := j.pending()
-	if t := c.cfg.Teams[j.team]; t.CPUsMax > 0 && j.sub.CPUs > 0 {
-		tasks = min(tasks, int((t.CPUsMax-s.usage[j.team].cpus)/j.sub.CPUs+eps))
-	}
-	return tasks
+	return tasksWithin(c.cfg.Teams[j.team].CPUsMax, s.usage[j.team].cpus, j.sub.CPUs, j.pending())
 }
 
 // executePreemption takes the cheapest offers of a plan until there is capacity for all tasks,
--- /dev/null
+++ b/internal/controller/quota_limits.go
@@ -0,0 +1,122 @@
+package controller
+
+import (
+	"cmp"
+	"slices"
+
+	"garnethitch/quota"
+)
+
+// What may be started within the limits of teams and groups, and what is stopped for them.
+
+// overLimit reports whether one more of a job's tasks would pass its team's limit, or the
+// allowance of a group that the team is in.
+func (c *Controller) overLimit(s *shard, j *job) bool {
+	if s.usage[j.team].exceeds(c.cfg.Teams[j.team], j.sub) {
+		return true
+	}
+	_, exceeded := c.exceededGroup(s, j)
+	return exceeded
+}
+
+// exceededGroup returns the group whose allowance one more of a job's tasks would pass; false if
+// there is none.
+func (c *Controller) exceededGroup(s *shard, j *job) (group string, exceeded bool) {
+	if c.quota.ledger == nil {
+		return "", false
+	}
+	task := quotaAmountOf(j.sub)
+	for _, g := range c.quota.paths[j.team] {
+		if !c.groupUsage(s, g).Plus(task).Within(c.quota.ledger.Allowed(s.id, g)) {
+			return g, true
+		}
+	}
+	return "", false
+}
+
+// noteQuotaGrant counts a start in the ledger at once: a record that comes before the next update
+// of the usage must not lead to giving up what has just been granted.
+func (c *Controller) noteQuotaGrant(s *shard, j *job) {
+	if c.quota.ledger == nil {
+		return
+	}
+	for _, g := range c.quota.paths[j.team] {
+		c.quota.ledger.Granted(s.id, g, quotaAmountOf(j.sub))
+	}
+}
+
+// quotaHeadroom is how much more of each group a shard may use, or should come to have.
+type quotaHeadroom map[string]quota.Amount
+
+// take returns how many of count tasks of a job find quota, and takes it.
+func (h quotaHeadroom) take(c *Controller, s *shard, j *job, count int) int {
+	if c.quota.ledger == nil {
+		return count
+	}
+	task := quotaAmountOf(j.sub)
+	groups := c.quota.paths[j.team]
+	for _, g := range groups {
+		if _, known := h[g]; !known {
+			h[g] = c.quota.ledger.Part(s.id, g).Minus(c.groupUsage(s, g))
+		}
+		count = min(count, task.Fits(h[g]))
+	}
+	for _, g := range groups {
+		h[g] = h[g].Minus(task.Times(count))
+	}
+	return count
+}
+
+// reclaimQuota stops tasks of a group that are beyond their teams' guarantees, for a guarantee
+// whose tasks wait: those of least priority first, of these the latest ones.
+func (c *Controller) reclaimQuota(s *shard, e quota.Reclaim) {
+	if c.activeShard(s.id) == nil {
+		return
+	}
+	over := e.Over
+	stopped := 0
+	for _, att := range c.reclaimable(s, e.Group) {
+		if over.IsZero() {
+			break
+		}
+		att.job.run.stopsByTask[att.index]++
+		mode := stopImmediate
+		if att.job.sub.CheckpointS > 0 {
+			mode = stopGraceful
+		}
+		c.stop(att, mode)
+		over = over.Minus(quotaAmountOf(att.job.sub))
+		stopped++
+	}
+	c.log(Info, "tasks stopped for a guarantee that was lent", "group", e.Group, "shard", s.id, "tasks", stopped, "cpus", e.Over.CPUs)
+}
+
+// reclaimable returns the attempts of a group that may be stopped for a guarantee, the first to
+// be stopped first.
+func (c *Controller) reclaimable(s *shard, group string) []*attempt {
+	teams := c.quota.members[group]
+	var attempts []*attempt
+	for _, m := range s.machines {
+		if m.view == nil {
+			continue
+		}
+		for _, att := range m.view.list {
+			if att.beyondGuarantee() && slices.Contains(teams, att.job.team) {
+				attempts = append(attempts, att)
+			}
+		}
+	}
+	slices.SortStableFunc(attempts, func(a, b *attempt) int {
+		return cmp.Or(cmp.Compare(a.job.priority, b.job.priority), cmp.Compare(b.since, a.since))
+	})
+	return attempts
+}
+
+// beyondGuarantee reports whether the attempt's job is beyond its team's guarantee, and the
+// attempt not being stopped yet.
+func (att *attempt) beyondGuarantee() bool {
+	if !att.tracked || att.job == nil || att.job.run == nil || att.job.withinGuarantee {
+		return false
+	}
+	return att.stopMode == stopNone && att.state != attemptExited
+}
