--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -7,7 +7,6 @@
 	"garnethitch/internal/controller/fleet"
 	"garnethitch/internal/controller/ratelimit"
 	"garnethitch/internal/micros"
-	"garnethitch/internal/wire"
 )
 
 const (
@@ -27,73 +26,47 @@
 type fleetState struct {
 	budget ratelimit.Bucket // of requests to the cloud
 
-	typesAt          micros.Micros
-	typesBusy        bool
-	typesRaw         []byte // as last written
-	typesModRevision uint64 // of the record's key, as the watch has it
-
-	ledAt    micros.Micros
-	first    bool // nothing was on record when this node began to lead
-	listBusy bool
-	listNext micros.Micros
-	listFrom micros.Micros // when the listing under way began
-	pages    []wire.ListedMachine
-	after    string
-	listed   map[string]wire.ListedMachine
-	order    []string      // their names
-	listedAt micros.Micros // when the last whole listing began; 0: none yet
-	missing  map[string]micros.Micros
-
-	scaleOutSequence uint64
-	scaleOuts        []*scaleOutRequest
-	refused          map[kind]*refusal
-
-	rented             map[string]*rented            // rented by this leader, and not on record yet
+	ledAt    micros.Micros // when this controller began to lead
+	first    bool          // nothing was on record then
+	planNext micros.Micros // when the fleet is next planned
+
+	cloudTypes
+	cloudList
+	rentals
+	assignments
+	machineReturns
+	machineMoves
+}
+
+// assignments are the machines that are being assigned to shards.
+type assignments struct {
 	pendingCreations   map[string]*recordSetCreation // record sets being recorded, by key
 	assigning          map[string]bool               // machines in them, or about to be
 	registrations      []registration                // machines without a record that have sent a heartbeat
 	registrationsDueAt micros.Micros                 // when they are recorded
-
-	returning          map[string]bool
-	returned           map[string]micros.Micros // the cloud has confirmed it
-	releaseRequestedAt map[string]micros.Micros // releases asked for
-	releaseRequests    []releaseRequest
-	plannedMoves       map[string]plannedMove
-	planNext           micros.Micros
 }
 
 // init prepares the state of a controller that does not lead.
 func (f *fleetState) init(cfg Config) {
 	f.budget = ratelimit.NewBucket(cfg.CloudRPS * cloudRateFraction)
-	f.reset()
 	f.typesAt = -micros.Never
+	f.reset()
 }
 
 // reset forgets what is known of the fleet, machine types and the budget excepted.
 func (f *fleetState) reset() {
-	f.resetList()
-	f.refused = map[kind]*refusal{}
-	f.pendingCreations = map[string]*recordSetCreation{}
-	f.assigning = map[string]bool{}
-	f.rented = map[string]*rented{}
-	f.registrations = nil
-	f.returning = map[string]bool{}
-	f.returned = map[string]micros.Micros{}
-	f.releaseRequestedAt = map[string]micros.Micros{}
-	f.plannedMoves = map[string]plannedMove{}
-	f.releaseRequests = nil
-	f.scaleOuts = nil
+	f.cloudList.reset()
+	f.rentals.reset()
+	f.assignments.reset()
+	f.machineReturns.reset()
+	f.machineMoves.reset()
 }
 
-// resetList forgets the cloud's list of machines.
-func (f *fleetState) resetList() {
-	f.pages = nil
-	f.listed = nil
-	f.order = nil
-	f.listedAt = 0
-	f.after = ""
-	f.listBusy = false
-	f.missing = map[string]micros.Micros{}
+// reset forgets all assignments.
+func (a *assignments) reset() {
+	a.pendingCreations = map[string]*recordSetCreation{}
+	a.assigning = map[string]bool{}
+	a.registrations = nil
 }
 
 // startLeading begins anew when this controller has acquired the leader lock.
--- a/internal/controller/fleet_plan.go
+++ b/internal/controller/fleet_plan.go
@@ -126,9 +126,21 @@
 				sums.Have += c.types[rec.rec.Type].CPUs
 			}
 		}
-		c.log(Debug, "shard demand", "shard", id, "cpus", d.CPUs, "busy", d.Busy, "booting", d.Booting, "waiting", fleet.WaitingCPUs(d), "work", fleet.UnfinishedWork(d))
+		c.log(Debug, "shard demand",
+			"shard", id,
+			"cpus", d.CPUs,
+			"busy", d.Busy,
+			"booting", d.Booting,
+			"waiting", fleet.WaitingCPUs(d),
+			"work", fleet.UnfinishedWork(d))
 	}
-	c.log(Debug, "fleet", "have", sums.Have, "busy", sums.Busy, "booting", sums.Booting, "work", sums.Work, "arrival", sums.Arrival, "parallel", sums.Parallel)
+	c.log(Debug, "fleet",
+		"have", sums.Have,
+		"busy", sums.Busy,
+		"booting", sums.Booting,
+		"work", sums.Work,
+		"arrival", sums.Arrival,
+		"parallel", sums.Parallel)
 	sums.Have += sums.Booting
 	return sums
 }
--- a/internal/controller/inventory.go
+++ b/internal/controller/inventory.go
@@ -36,6 +36,40 @@
 	releaseMemory  = micros.Minute
 )
 
+// cloudTypes is when and how the machine types were last read and stored.
+type cloudTypes struct {
+	typesAt          micros.Micros // when they were last read
+	typesBusy        bool          // they are being read
+	typesRaw         []byte        // as last stored
+	typesModRevision uint64        // of the record's key, as the watch has it
+}
+
+// cloudList is the cloud's list of machines.
+type cloudList struct {
+	listed   map[string]wire.ListedMachine
+	order    []string      // their IDs, in the order of the list
+	listedAt micros.Micros // when the last complete reading began; 0: none yet
+	// missing says since when machines on record have not been listed.
+	missing map[string]micros.Micros
+
+	listNext micros.Micros // when it is next read
+	listBusy bool          // a page is being read
+	listFrom micros.Micros // when the reading under way began
+	pages    []wire.ListedMachine
+	after    string // the last machine of the pages read; empty: none
+}
+
+// reset forgets the list.
+func (l *cloudList) reset() {
+	l.listed = nil
+	l.order = nil
+	l.listedAt = 0
+	l.missing = map[string]micros.Micros{}
+	l.listBusy = false
+	l.pages = nil
+	l.after = ""
+}
+
 // refreshTypes keeps the machine types known: the leader asks the cloud and leaves them in the
 // state service for the others, so that a controller that starts during an outage of the cloud
 // knows them too.
@@ -158,23 +192,23 @@
 		f.after = body.Machines[len(body.Machines)-1].ID
 		return
 	}
-	f.setList()
+	f.cloudList.complete()
 	f.listNext = c.now + c.listInterval(len(f.pages))
 	c.compareList()
 }
 
-// setList makes the pages that were read the list.
-func (f *fleetState) setList() {
-	f.listed = make(map[string]wire.ListedMachine, len(f.pages))
-	f.order = f.order[:0]
-	for _, m := range f.pages {
-		if _, twice := f.listed[m.ID]; !twice {
-			f.order = append(f.order, m.ID)
+// complete makes the pages that were read the list.
+func (l *cloudList) complete() {
+	l.listed = make(map[string]wire.ListedMachine, len(l.pages))
+	l.order = l.order[:0]
+	for _, m := range l.pages {
+		if _, twice := l.listed[m.ID]; !twice {
+			l.order = append(l.order, m.ID)
 		}
-		f.listed[m.ID] = m
+		l.listed[m.ID] = m
 	}
-	f.listedAt = f.listFrom
-	f.after = ""
+	l.listedAt = l.listFrom
+	l.after = ""
 }
 
 // listInterval returns the time after which a list of so many machines is read again.
--- a/internal/controller/machine_release.go
+++ b/internal/controller/machine_release.go
@@ -14,6 +14,20 @@
 	releaseTimeout = micros.Second
 )
 
+// machineMoves are the machines that owners are to let go.
+type machineMoves struct {
+	releaseRequestedAt map[string]micros.Micros // when the owner was last asked
+	releaseRequests    []releaseRequest         // to be sent
+	plannedMoves       map[string]plannedMove
+}
+
+// reset forgets all moves.
+func (m *machineMoves) reset() {
+	m.releaseRequestedAt = map[string]micros.Micros{}
+	m.releaseRequests = nil
+	m.plannedMoves = map[string]plannedMove{}
+}
+
 // releaseRequest is one machine that its owner is asked to let go.
 type releaseRequest struct {
 	machine string
--- a/internal/controller/replacement.go
+++ b/internal/controller/replacement.go
@@ -123,6 +123,10 @@
 	if blocked <= cost {
 		return false
 	}
-	c.log(Info, "scaling in machines that block a failover", "shard", shard, "machines", len(unreconciled), "cpu_s_held_up", blocked, "cpu_s_to_replace", cost)
+	c.log(Info, "scaling in machines that block a failover",
+		"shard", shard,
+		"machines", len(unreconciled),
+		"cpu_s_held_up", blocked,
+		"cpu_s_to_replace", cost)
 	return true
 }
--- a/internal/controller/returned_machines.go
+++ b/internal/controller/returned_machines.go
@@ -16,6 +16,18 @@
 	rewriteDelay    = 20 * micros.Second
 )
 
+// machineReturns are the machines that go back to the cloud.
+type machineReturns struct {
+	returning map[string]bool          // the cloud is asked to take them
+	returned  map[string]micros.Micros // when the cloud confirmed it
+}
+
+// reset forgets all returns.
+func (r *machineReturns) reset() {
+	r.returning = map[string]bool{}
+	r.returned = map[string]micros.Micros{}
+}
+
 // notifyReturned lets the owner of a returned machine know at once: its tasks need not wait for
 // the record, or for the end of a lease.
 func (c *Controller) notifyReturned(id string) {
--- a/internal/controller/scale_out.go
+++ b/internal/controller/scale_out.go
@@ -24,6 +24,21 @@
 	maxRefusalPause = 40 * micros.Second
 )
 
+// rentals are the machines that this leader rents.
+type rentals struct {
+	scaleOutSequence uint64             // number of the last rental
+	scaleOuts        []*scaleOutRequest // rentals under way
+	refused          map[kind]*refusal
+	rented           map[string]*rented // on no record yet
+}
+
+// reset forgets all rentals.
+func (r *rentals) reset() {
+	r.scaleOuts = nil
+	r.refused = map[kind]*refusal{}
+	r.rented = map[string]*rented{}
+}
+
 // scaleOutRequest is a rental under way. It is sent again, under the same name, until the cloud
 // has answered: it may have been carried out.
 type scaleOutRequest struct {
