--- a/internal/controller/demand_test.go
+++ b/internal/controller/demand_test.go
@@ -26,15 +26,17 @@
 		{"fetching", "late", attemptFetching, 0, 0, 0, false, false},
 		{"its job is over", "late", attemptRunning, 10, 20 * sec, 0, true, false},
 	} {
-		sub := jobOf("job-000001", 1)
-		sub.Class, sub.CheckpointS, sub.EstimateS = tc.class, tc.checkpoint, 100
-		j := &job{sub: &sub, deadline: micros.Never, run: &run{stopsByTask: map[int]int{0: tc.stops}}}
-		if tc.over {
-			j.run = nil
-		}
-		h.c.now, h.c.wall = 200*sec, 200*sec
-		if got := h.c.movable(&attempt{job: j, state: tc.state, tracked: true, runAt: h.c.now - tc.ran}); got != tc.want {
-			t.Errorf("%s: %v, want %v", tc.name, got, tc.want)
-		}
+		t.Run(tc.name, func(t *testing.T) {
+			sub := jobOf("job-000001", 1)
+			sub.Class, sub.CheckpointS, sub.EstimateS = tc.class, tc.checkpoint, 100
+			j := &job{sub: &sub, deadline: micros.Never, run: &run{stopsByTask: map[int]int{0: tc.stops}}}
+			if tc.over {
+				j.run = nil
+			}
+			h.c.now, h.c.wall = 200*sec, 200*sec
+			if got := h.c.movable(&attempt{job: j, state: tc.state, tracked: true, runAt: h.c.now - tc.ran}); got != tc.want {
+				t.Errorf("movable: %v, want %v", got, tc.want)
+			}
+		})
 	}
 }
--- a/internal/controller/first_start_test.go
+++ b/internal/controller/first_start_test.go
@@ -20,7 +20,7 @@
 		want   bool
 	}{
 		{"small tasks", 1, 30 * sec, 1, true},
-		{"small tasks, much room at once", 1, 30 * sec, 4, true},
+		{"small tasks, much capacity at once", 1, 30 * sec, 4, true},
 		{"a whole machine", 4, 30 * sec, 1, true},
 		{"no limit set", 4, 0, 1, false},
 	} {
@@ -100,9 +100,11 @@
 		{"one is done", 40 * sec, run{doneCount: 1}, false},
 		{"it fails everywhere", 40 * sec, run{nextRetryAt: sec}, false},
 	} {
-		j := &job{rec: wire.JobRecord{AcceptedMS: (h.c.wall - tc.waited).Millis()}, run: &tc.run}
-		if got := h.c.overdue(j); got != tc.want {
-			t.Errorf("%s: %v, want %v", tc.name, got, tc.want)
-		}
+		t.Run(tc.name, func(t *testing.T) {
+			j := &job{rec: wire.JobRecord{AcceptedMS: (h.c.wall - tc.waited).Millis()}, run: &tc.run}
+			if got := h.c.overdue(j); got != tc.want {
+				t.Errorf("overdue: %v, want %v", got, tc.want)
+			}
+		})
 	}
 }
--- a/internal/controller/preemption_test.go
+++ b/internal/controller/preemption_test.go
@@ -7,8 +7,8 @@
 	"garnethitch/internal/wire"
 )
 
-// Room that is being made for one job is not given to another meanwhile, which
-// would only be stopped in its turn (found by the simulation: forty stops a second).
+// Capacity that is being made for one job is not given to another meanwhile, which would only be
+// stopped in its turn (found by the simulation: forty stops a second).
 func TestPreemptedCapacityIsReserved(t *testing.T) {
 	h := newHarness(t, nil)
 	fencingToken := h.reconcile("vm-1") // four CPUs
@@ -41,7 +41,7 @@
 			stops++
 		}
 		if c.Op == wire.OpStart {
-			t.Errorf("%s is started in the room that is being made", c.Task)
+			t.Errorf("%s is started in the capacity that is being made", c.Task)
 		}
 	}
 	if stops != 1 {
@@ -73,7 +73,7 @@
 			h.submit(s)
 			j := h.c.jobs.open["job-000001"]
 			if got := h.c.deadlineNear(j); got != tc.want {
-				t.Errorf("pressed: %v, want %v", got, tc.want)
+				t.Errorf("deadline near: %v, want %v", got, tc.want)
 			}
 			low := jobOf("job-000002", 1)
 			low.Priority, low.CheckpointS, low.SaveS = "best_effort", 5, 2
@@ -106,31 +106,40 @@
 		{"shorter", newAttempt("standard", 5*sec, 10*sec, 0), newAttempt("standard", 5*sec, 200*sec, 0)},
 		{"never stopped before, though it ran for longer", newAttempt("standard", 20*sec, 40*sec, 0), newAttempt("standard", 3*sec, 40*sec, 1)},
 	} {
-		if a, b := h.c.preemptionLoss(tc.less), h.c.preemptionLoss(tc.more); a >= b {
-			t.Errorf("%s: %v and %v", tc.name, a, b)
-		}
+		t.Run(tc.name, func(t *testing.T) {
+			if a, b := h.c.preemptionLoss(tc.less), h.c.preemptionLoss(tc.more); a >= b {
+				t.Errorf("losses %v and %v", a, b)
+			}
+		})
 	}
 }
 
-// What may be lost for a task that waits: little at first, all once room has not
-// come free by itself for a while.
+// What may be lost for a task that waits: little at first, all once capacity has not come free by
+// itself for a while.
 func TestMaxPreemptionLoss(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.StartWithin = map[string]micros.Micros{"now": 6 * sec, "soon": 40 * sec} })
 	for _, tc := range []struct {
+		name   string
 		class  string
 		waited micros.Micros
-		little bool
+		small  bool
 	}{
-		{"now", 0, true}, {"now", 2 * sec, true}, {"now", 4 * sec, false},
-		{"soon", 20 * sec, true}, {"soon", 25 * sec, false},
-		{"other", 3 * sec, true}, {"other", 7 * sec, false},
+		{"prompt objective, at once", "now", 0, true},
+		{"prompt objective, within half of it", "now", 2 * sec, true},
+		{"prompt objective, past half of it", "now", 4 * sec, false},
+		{"longer objective, within half of it after the delay", "soon", 20 * sec, true},
+		{"longer objective, past half of it after the delay", "soon", 25 * sec, false},
+		{"no objective, within seconds", "other", 3 * sec, true},
+		{"no objective, later", "other", 7 * sec, false},
 	} {
-		sub := jobOf("job-000001", 1)
-		sub.Class = tc.class
-		h.c.now = h.now
-		j := &job{sub: &sub, deadline: micros.Never, run: &run{arrivedAt: h.now - tc.waited}}
-		if got := h.c.maxPreemptionLoss(j) == smallLoss; got != tc.little {
-			t.Errorf("%s after %v s: little only: %v, want %v", tc.class, tc.waited.Seconds(), got, tc.little)
-		}
+		t.Run(tc.name, func(t *testing.T) {
+			sub := jobOf("job-000001", 1)
+			sub.Class = tc.class
+			h.c.now = h.now
+			j := &job{sub: &sub, deadline: micros.Never, run: &run{arrivedAt: h.now - tc.waited}}
+			if got := h.c.maxPreemptionLoss(j) == smallLoss; got != tc.small {
+				t.Errorf("class %s after %v s: small loss only: %v, want %v", tc.class, tc.waited.Seconds(), got, tc.small)
+			}
+		})
 	}
 }
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -130,7 +130,7 @@
 	}
 	for _, st := range off.statusesSent {
 		if st.Quota || st.Traces != nil {
-			t.Errorf("without the option, others are told %+v", st)
+			t.Errorf("without the option, others are sent %+v", st)
 		}
 	}
 	// Another controller shows that it keeps groups: this one follows.
@@ -163,7 +163,7 @@
 	h.c.traceQuota(quota.Changed{Kind: quota.Asked, Group: "all", Shard: 0})
 	asked := h.c.effects[1].(Span)
 	if contexts := h.c.openTraces(); len(contexts) != 1 || [16]byte(contexts[0].Trace) != asked.Trace || [8]byte(contexts[0].Span) != asked.ID {
-		t.Errorf("others are told %+v of %+v", contexts, asked)
+		t.Errorf("others are sent %+v of %+v", contexts, asked)
 	}
 }
 
--- a/internal/controller/replacement_test.go
+++ b/internal/controller/replacement_test.go
@@ -9,18 +9,17 @@
 	"garnethitch/internal/wire"
 )
 
-// Machines that can't be reached hold up a failover: they are returned if what
-// stands still meanwhile is worth more than they are, and not if it is rather the
-// owner that can't reach them.
+// Machines that can't be reached block a failover: they are returned if the work that waits
+// meanwhile is worth more than they are, and not if it is rather the owner that can't reach them.
 func TestUnreconciledReturn(t *testing.T) {
 	for _, tc := range []struct {
 		name         string
 		unreconciled int // of 100 machines with 4 CPUs
-		held         micros.Micros
+		blocked      micros.Micros
 		busy         float64
 		wait         int
 		since        micros.Micros // for those asked twice
-		dark         bool
+		partitioned  bool
 		want         bool
 	}{
 		{"one of many", 1, 40 * sec, 300, 1000, 6 * sec, false, true},
@@ -29,32 +28,34 @@
 		{"nothing waits", 20, 40 * sec, 200, 0, 6 * sec, false, false},
 		{"not asked twice yet", 20, 40 * sec, 200, 1000, 0, false, false},
 		{"most of them: rather the owner's network", 60, 60 * sec, 0, 1000, 6 * sec, false, false},
-		{"most of them, in a zone that is cut off", 60, 60 * sec, 0, 10000, 6 * sec, true, true},
+		{"most of them, in a partitioned zone", 60, 60 * sec, 0, 10000, 6 * sec, true, true},
 	} {
-		c := New(Config{Label: "a", Shards: 1, Teams: []Team{{Name: "t"}}, StateRPS: 10, WriteRPS: 10, CloudRPS: 10,
-			HeartbeatInterval: 10 * sec, WorkerLease: 45 * sec, SilentReturn: -1}, 1)
-		c.types = map[string]wire.MachineType{"m": {Name: "m", CPUs: 4, BootS: 5}}
-		d := &peer.Demand{All: 100, Unreconciled: tc.unreconciled, BlockedUS: int64(tc.held), CPUs: float64(4 * (100 - tc.unreconciled)), Busy: tc.busy,
-			RunLeftUS: int64(tc.busy * 20e6), Groups: []peer.Group{{Any: true, CPUs: 1, Waiting: tc.wait}},
-			Zones: []peer.Zone{{Name: "a", All: tc.unreconciled}, {Name: "b", All: 100 - tc.unreconciled}}}
-		if tc.dark {
-			d.Zones[0].Silent = tc.unreconciled
-		}
-		for i := range tc.unreconciled {
-			id := machineName(i)
-			c.machines[id] = &machine{id: id, rec: machineRecord{Zone: "a", Type: "m"}}
-			d.Machines = append(d.Machines, peer.Machine{ID: id, State: peer.MachineUnreconciled, SinceUS: int64(tc.since)})
-		}
-		c.fleet.budget = ratelimit.NewBucket(10)
-		c.replaceUnhealthy(map[int]*peer.Demand{0: d})
-		if got := len(c.fleet.returning) == tc.unreconciled; got != tc.want || !tc.want && len(c.fleet.returning) > 0 {
-			t.Errorf("%s: %d returned, want it: %v", tc.name, len(c.fleet.returning), tc.want)
-		}
+		t.Run(tc.name, func(t *testing.T) {
+			c := New(Config{Label: "a", Shards: 1, Teams: []Team{{Name: "t"}}, StateRPS: 10, WriteRPS: 10, CloudRPS: 10,
+				HeartbeatInterval: 10 * sec, WorkerLease: 45 * sec, SilentReturn: -1}, 1)
+			c.types = map[string]wire.MachineType{"m": {Name: "m", CPUs: 4, BootS: 5}}
+			d := &peer.Demand{All: 100, Unreconciled: tc.unreconciled, BlockedUS: int64(tc.blocked), CPUs: float64(4 * (100 - tc.unreconciled)), Busy: tc.busy,
+				RunLeftUS: int64(tc.busy * 20e6), Groups: []peer.Group{{Any: true, CPUs: 1, Waiting: tc.wait}},
+				Zones: []peer.Zone{{Name: "a", All: tc.unreconciled}, {Name: "b", All: 100 - tc.unreconciled}}}
+			if tc.partitioned {
+				d.Zones[0].Silent = tc.unreconciled
+			}
+			for i := range tc.unreconciled {
+				id := machineName(i)
+				c.machines[id] = &machine{id: id, rec: machineRecord{Zone: "a", Type: "m"}}
+				d.Machines = append(d.Machines, peer.Machine{ID: id, State: peer.MachineUnreconciled, SinceUS: int64(tc.since)})
+			}
+			c.fleet.budget = ratelimit.NewBucket(10)
+			c.replaceUnhealthy(map[int]*peer.Demand{0: d})
+			if got := len(c.fleet.returning) == tc.unreconciled; got != tc.want || !tc.want && len(c.fleet.returning) > 0 {
+				t.Errorf("%d returned, want it: %v", len(c.fleet.returning), tc.want)
+			}
+		})
 	}
 }
 
-// Machines of a zone that is cut off are not returned as if they had died one by
-// one; dead ones beside them are. In the end they are returned after all.
+// Machines of a partitioned zone are not returned as if they had died one by one; dead ones
+// beside them are. In the end they are returned after all.
 func TestSilentReturn(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
@@ -64,26 +65,28 @@
 		want  bool
 	}{
 		{"a dead machine", "a", 30 * sec, []peer.Zone{{Name: "a", All: 50, Silent: 5}, {Name: "b", All: 50}}, true},
-		{"its zone is cut off", "a", 30 * sec, []peer.Zone{{Name: "a", All: 20, Silent: 20}, {Name: "b", All: 80}}, false},
+		{"its zone is partitioned", "a", 30 * sec, []peer.Zone{{Name: "a", All: 20, Silent: 20}, {Name: "b", All: 80}}, false},
 		{"another zone is", "b", 30 * sec, []peer.Zone{{Name: "a", All: 20, Silent: 20}, {Name: "b", All: 80, Silent: 1}}, true},
 		{"its zone is, for minutes", "a", 140 * sec, []peer.Zone{{Name: "a", All: 20, Silent: 20}, {Name: "b", All: 80}}, true},
 	} {
-		c := New(Config{Label: "a", Shards: 1, Teams: []Team{{Name: "t"}}, StateRPS: 10, WriteRPS: 10, CloudRPS: 10,
-			HeartbeatInterval: 10 * sec, WorkerLease: 45 * sec, SilentReturn: -1}, 1)
-		c.machines["vm-1"] = &machine{id: "vm-1", rec: machineRecord{Zone: tc.zone}}
-		d := &peer.Demand{All: 100, Silent: 21, Zones: tc.zones, Machines: []peer.Machine{{ID: "vm-1", State: peer.MachineSilent, SinceUS: int64(tc.since)}}}
-		c.fleet.budget = ratelimit.NewBucket(10)
-		c.replaceUnhealthy(map[int]*peer.Demand{0: d})
-		if got := c.fleet.returning["vm-1"]; got != tc.want {
-			t.Errorf("%s: returned %v, want %v", tc.name, got, tc.want)
-		}
+		t.Run(tc.name, func(t *testing.T) {
+			c := New(Config{Label: "a", Shards: 1, Teams: []Team{{Name: "t"}}, StateRPS: 10, WriteRPS: 10, CloudRPS: 10,
+				HeartbeatInterval: 10 * sec, WorkerLease: 45 * sec, SilentReturn: -1}, 1)
+			c.machines["vm-1"] = &machine{id: "vm-1", rec: machineRecord{Zone: tc.zone}}
+			d := &peer.Demand{All: 100, Silent: 21, Zones: tc.zones, Machines: []peer.Machine{{ID: "vm-1", State: peer.MachineSilent, SinceUS: int64(tc.since)}}}
+			c.fleet.budget = ratelimit.NewBucket(10)
+			c.replaceUnhealthy(map[int]*peer.Demand{0: d})
+			if got := c.fleet.returning["vm-1"]; got != tc.want {
+				t.Errorf("returned %v, want %v", got, tc.want)
+			}
+		})
 	}
 }
 
-// A new owner does not know what was returned before its claim: it is told as
-// long as it names the machine as silent or in doubt. (A shard was held up for 12 s
-// by three machines that had long been returned.)
-func TestReturnedIsToldAgain(t *testing.T) {
+// A new owner does not know what was returned before its claim: it is notified as long as it names
+// the machine as silent or unreconciled. (A shard was blocked for 12 s by three machines that had
+// long been returned.)
+func TestReturnNoticeIsRepeated(t *testing.T) {
 	h := newHarness(t, func(c *Config) {
 		c.Shards = 2
 		c.Peers = []string{"n-1"}
@@ -105,7 +108,7 @@
 		h.c.replaceUnhealthy(map[int]*peer.Demand{1: d})
 		h.c.replaceUnhealthy(map[int]*peer.Demand{1: d})
 		if len(p.returnedMachines) != 1 || p.returnedMachines[0] != "vm-1" {
-			t.Errorf("state %d: the new owner is told of %v", state, p.returnedMachines)
+			t.Errorf("state %d: the new owner is notified of %v", state, p.returnedMachines)
 		}
 	}
 }
--- a/internal/controller/scheduling_test.go
+++ b/internal/controller/scheduling_test.go
@@ -71,16 +71,16 @@
 	if left := len(h.c.jobs.open); left > 12 {
 		t.Errorf("%d jobs are open at the end", left)
 	}
-	versions := 0
+	checkpoints := 0
 	for _, tx := range h.done {
 		for _, ch := range tx.Then {
 			if len(ch.Put) > 8 && ch.Put[:8] == wire.PrefixCheckpoint {
-				versions++
+				checkpoints++
 			}
 		}
 	}
-	if versions > 0 {
-		t.Errorf("%d Versions of jobs that ended with their only task", versions)
+	if checkpoints > 0 {
+		t.Errorf("%d checkpoints of jobs that ended with their only task", checkpoints)
 	}
 }
 
