--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -10,7 +10,6 @@
 
 	"garnethitch/internal/controller/authority"
 	"garnethitch/internal/controller/ownership"
-	"garnethitch/internal/controller/scheduling"
 	"garnethitch/internal/controller/statestore"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/wire"
@@ -59,16 +58,13 @@
 	types          map[string]wire.MachineType
 	typeIndex      typeIndex
 	estimates      estimates
-	preemption     preemptionBudget
 	prefetchImages []prefetchImage
-	scratch        []candidate
-	victimScratch  []scheduling.Victim
 	decisionLog    decisionLog
 	teamOf         map[string]int // a team's number by its name
 	shardOfTeam    []int          // by the team's number; nil where jobs are assigned to shards
 	attemptCounter uint64
 
-	schedulingPace
+	schedulingState
 	lastMaintenance micros.Micros // when maintain last ran
 	nextWalkAt      micros.Micros // when maintain may next walk over all machines and jobs
 	// lastStalledAt is when the process was last found stalled. That nothing was received
--- a/internal/controller/demand.go
+++ b/internal/controller/demand.go
@@ -32,9 +32,9 @@
 	// minSlowTasks of its tasks were slow.
 	unhealthySlowness = 0.4
 	minSlowTasks      = 3
-	// maxMovedFraction is how much of its expected run time a task that cannot save may have run
-	// to be moved, as a fraction of one over it.
-	maxMovedFraction = 3
+	// movedDivisor divides the expected run time of a task that cannot save into what it may have
+	// run to be moved.
+	movedDivisor = 3
 )
 
 // demands returns what each shard of this controller wants and has.
@@ -215,7 +215,7 @@
 		return true
 	}
 	ran := c.now - att.runAt
-	if att.job.run.stopsByTask[att.index] > 0 || maxMovedFraction*ran > c.estimates.expect(att.job.sub) {
+	if att.job.run.stopsByTask[att.index] > 0 || movedDivisor*ran > c.estimates.expect(att.job.sub) {
 		return false
 	}
 	due := c.dueOf(att.job)
--- a/internal/controller/first_start.go
+++ b/internal/controller/first_start.go
@@ -16,9 +16,9 @@
 	// firstStartReservation is how long a machine's capacity is kept for an overdue job before
 	// another machine is tried.
 	firstStartReservation = 45 * micros.Second
-	// minRemainingFraction is the part of its expected run time that a task is expected to take
+	// minRemainingDivisor divides the expected run time of a task into what it is expected to take
 	// yet at least, however long it has run.
-	minRemainingFraction = 10
+	minRemainingDivisor = 10
 )
 
 // overdue reports whether a job should have begun. One whose only start was stopped for others is
@@ -133,5 +133,5 @@
 	if att.runAt <= 0 {
 		return expected
 	}
-	return max(expected-(c.now-att.runAt), expected/minRemainingFraction)
+	return max(expected-(c.now-att.runAt), expected/minRemainingDivisor)
 }
--- a/internal/controller/fleet/consolidation.go
+++ b/internal/controller/fleet/consolidation.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// maxDrainedFraction bounds the machines of a shard that are drained at a time, as a
-	// fraction of one over it of all.
-	maxDrainedFraction = 20
+	// drainedDivisor divides the machines of a shard into those that are drained at a time at
+	// most.
+	drainedDivisor = 20
 	// minDrainLeft is how long a machine's tasks must still take for it to be worth draining.
 	minDrainLeft = 30 * micros.Second
 	// repeatedWorkWeight weighs work that is done again against machines standing unused: its
@@ -53,7 +53,7 @@
 func (c *Consolidation) Choose(d *peer.Demand, candidates []DrainCandidate, draining int) []DrainCandidate {
 	candidates = slices.DeleteFunc(candidates, func(m DrainCandidate) bool { return !m.worthDraining() })
 	slices.SortStableFunc(candidates, func(a, b DrainCandidate) int { return -cmp.Compare(a.gain(), b.gain()) })
-	most := max(1, d.All/maxDrainedFraction) - draining
+	most := max(1, d.All/drainedDivisor) - draining
 	free := d.CPUs - d.Busy
 	for i, m := range candidates {
 		freeElsewhere := free - (m.CPUs - m.Busy)
--- a/internal/controller/fleet/rebalancing.go
+++ b/internal/controller/fleet/rebalancing.go
@@ -19,9 +19,8 @@
 	// idleMoveGap is what an idle machine counts as missing, in CPUs, in a shard that has its
 	// part of the fleet: any queue is better than none.
 	idleMoveGap = 0.01
-	// keptFraction is the part of a shard's machines that is not drained without loss, as a
-	// fraction of one over it.
-	keptFraction = 20
+	// keptDivisor divides the CPUs of a shard into those that are kept free where nothing waits.
+	keptDivisor = 20
 )
 
 // Machine is a machine that may be moved to another shard.
@@ -79,7 +78,7 @@
 		r.has[shard] = d.CPUs
 		r.shortfall[shard] = max(0, waiting-free)
 		if waiting == 0 {
-			r.spare[shard] = free - d.CPUs/keptFraction
+			r.spare[shard] = free - d.CPUs/keptDivisor
 		}
 	}
 	return r
--- a/internal/controller/inventory.go
+++ b/internal/controller/inventory.go
@@ -25,10 +25,10 @@
 	listPageSize = 500
 	// listRetryInterval is the time after which the list is read again if that has failed.
 	listRetryInterval = micros.Second
-	// minListInterval is the least time between two readings of the list. It also takes one in
-	// listBudgetFraction of the budget at most, or it would crowd out rentals.
-	minListInterval    = 2 * micros.Second
-	listBudgetFraction = 4
+	// minListInterval is the least time between two readings of the list. They also take one
+	// request in listBudgetDivisor of the budget at most, or they would crowd out rentals.
+	minListInterval   = 2 * micros.Second
+	listBudgetDivisor = 4
 
 	// returnedMemory is how long a returned machine that is on no record is remembered,
 	// releaseMemory a request to let a machine go.
@@ -214,7 +214,7 @@
 // listInterval returns the time after which a list of so many machines is read again.
 func (c *Controller) listInterval(machines int) micros.Micros {
 	pages := float64(machines/listPageSize + 1)
-	withinBudget := micros.FromSeconds(listBudgetFraction * pages / c.fleet.budget.Rate())
+	withinBudget := micros.FromSeconds(listBudgetDivisor * pages / c.fleet.budget.Rate())
 	return max(c.cfg.ListLag/2, minListInterval, withinBudget)
 }
 
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -3,7 +3,6 @@
 import (
 	"cmp"
 	"container/heap"
-	"math"
 
 	"garnethitch/internal/controller/scheduling"
 	"garnethitch/internal/micros"
@@ -25,20 +24,6 @@
 	reservationDuration = 8 * micros.Second
 	// missingImageCost is what it counts, in CPU seconds, if the machine lacks the job's image.
 	missingImageCost = 3
-	// smallLoss is what may be lost for a task at once, in CPU seconds.
-	smallLoss = 100
-	// promptStart is an objective for the start of tasks below which nothing is waited for, and
-	// maxPreemptionDelay how long is waited where there is no objective.
-	promptStart        = 10 * micros.Second
-	maxPreemptionDelay = micros.Second
-	// preemptionDelayFraction and smallLossFraction are the parts of an objective for which
-	// capacity is waited for, and for which no more than smallLoss is lost after that.
-	preemptionDelayFraction = 10
-	smallLossFraction       = 2
-	// smallLossDuration is the latter where there is no objective.
-	smallLossDuration = 5 * micros.Second
-	// nearDeadline is the time left to start a job's tasks from which on its deadline is near.
-	nearDeadline = 15 * micros.Second
 )
 
 // preemptionBudget bounds what one round does to stop tasks.
@@ -259,85 +244,6 @@
 	c.refresh(c.ownership.shards[o.machine.rec.Shard])
 }
 
-// preemptionDelay returns how long a job waits for capacity to come free by itself before others
-// are stopped for it. Tasks end all the time, and work that is stopped is partly lost.
-func (c *Controller) preemptionDelay(j *job) micros.Micros {
-	if within, hasObjective := c.cfg.StartWithin[j.sub.Class]; hasObjective {
-		if within < promptStart {
-			return 0
-		}
-		return within / preemptionDelayFraction
-	}
-	if c.deadlineNear(j) {
-		return 0
-	}
-	return maxPreemptionDelay
-}
-
-// deadlineNear reports whether the job can still be in time, but only if its tasks start within
-// some seconds.
-func (c *Controller) deadlineNear(j *job) bool {
-	slack := c.dueOf(j) - c.wall - c.estimates.expect(j.sub)
-	return slack > 0 && slack < nearDeadline
-}
-
-// dueOf returns when a job is wanted done, by its user or its class; Never if neither says.
-func (c *Controller) dueOf(j *job) micros.Micros {
-	due := j.deadline
-	if within := c.cfg.FinishWithin[j.sub.Class]; within > 0 {
-		due = min(due, micros.Micros(j.since())*micros.Millisecond+within)
-	}
-	return due
-}
-
-// maxPreemptionLoss returns the most that may be lost for one task of a job, in CPU seconds.
-// Tasks end all the time in a large shard: for a while only what costs little is stopped, so that
-// long work that is nearly done is not thrown away for a wait of seconds.
-func (c *Controller) maxPreemptionLoss(j *job) float64 {
-	smallLossFor := smallLossDuration
-	if within, hasObjective := c.cfg.StartWithin[j.sub.Class]; hasObjective {
-		smallLossFor = within / smallLossFraction
-	}
-	if c.now < j.run.arrivedAt+c.preemptionDelay(j)+smallLossFor {
-		return smallLoss
-	}
-	return math.Inf(1)
-}
-
-// preemptionLoss returns the loss of stopping an attempt, in CPU seconds.
-func (c *Controller) preemptionLoss(att *attempt) float64 {
-	sub := att.job.sub
-	loss := scheduling.PreemptionLoss{
-		Expected:           c.estimates.expect(sub),
-		CheckpointInterval: sub.CheckpointS,
-		CPUs:               sub.CPUs,
-		Priority:           att.job.priority,
-		OnlyStart:          c.onlyStart(att),
-	}
-	if att.runAt != 0 {
-		loss.Ran = c.now - att.runAt
-	}
-	if r := att.job.run; r != nil {
-		loss.EarlierStops = r.stopsByTask[att.index]
-	}
-	return loss.Total()
-}
-
-// stopModeFor returns how a victim is stopped for a job: with time to save, unless the job is
-// wanted started sooner than that.
-func (c *Controller) stopModeFor(victim *attempt, j *job) int {
-	if victim.job.sub.CheckpointS <= 0 || victim.state != attemptRunning {
-		return stopImmediate
-	}
-	if within, hasObjective := c.cfg.StartWithin[j.sub.Class]; hasObjective && within < 2*micros.FromSeconds(victim.job.sub.SaveS) {
-		return stopImmediate
-	}
-	if c.deadlineNear(j) {
-		return stopImmediate
-	}
-	return stopGraceful
-}
-
 // stop has an attempt stopped; one that was never sent is just removed.
 func (c *Controller) stop(att *attempt, mode int) {
 	if att.state == attemptAssigned {
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -21,6 +21,9 @@
 	// if that is more.
 	bootTimeoutFactor = 4
 	bootGrace         = 45 * micros.Second
+	// listLagMargin is added to twice the lag of the cloud's list before a machine that is
+	// missing there counts as gone.
+	listLagMargin = micros.Second
 	// maxConsolidation is how long a machine may take to be drained.
 	maxConsolidation = 30 * micros.Second
 )
@@ -71,7 +74,7 @@
 func (c *Controller) missingForLong(id string) bool {
 	f := &c.fleet
 	missingSince := f.missing[id]
-	return f.listedAt != 0 && missingSince != 0 && c.now-missingSince > 2*c.cfg.ListLag+micros.Second
+	return f.listedAt != 0 && missingSince != 0 && c.now-missingSince > 2*c.cfg.ListLag+listLagMargin
 }
 
 // unusableInList returns the machines that the cloud lists as failed and that are on no record,
--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -3,6 +3,7 @@
 import (
 	"slices"
 
+	"garnethitch/internal/controller/scheduling"
 	"garnethitch/internal/micros"
 )
 
@@ -30,29 +31,34 @@
 	return uint64(max(maxVisitsPerMachine*machines, minVisitsPerRound))
 }
 
-// schedulingPace says when the next scheduling round runs.
-type schedulingPace struct {
+// schedulingState is what scheduling keeps between rounds and steps.
+type schedulingState struct {
 	schedulingDue     bool          // there is something to schedule
 	nextSchedulingAt  micros.Micros // when the next round may run
 	scheduledLastStep bool          // the step before ran a round
+
+	preemption preemptionBudget
+	// candidateScratch and victimScratch are the storage of the lists of candidates and victims.
+	candidateScratch []candidate
+	victimScratch    []scheduling.Victim
 }
 
 // beginRound reports whether a round is due and may run now, and if so notes that it does.
-func (p *schedulingPace) beginRound(now micros.Micros) bool {
-	if !p.schedulingDue || now < p.nextSchedulingAt {
+func (st *schedulingState) beginRound(now micros.Micros) bool {
+	if !st.schedulingDue || now < st.nextSchedulingAt {
 		return false
 	}
-	p.schedulingDue = false
-	p.scheduledLastStep = true
-	p.nextSchedulingAt = now + schedulingInterval
+	st.schedulingDue = false
+	st.scheduledLastStep = true
+	st.nextSchedulingAt = now + schedulingInterval
 	return true
 }
 
 // restAfterRound puts the next round off if the step before ran one.
-func (p *schedulingPace) restAfterRound(until micros.Micros) {
-	if p.scheduledLastStep {
-		p.scheduledLastStep = false
-		p.nextSchedulingAt = max(p.nextSchedulingAt, until)
+func (st *schedulingState) restAfterRound(until micros.Micros) {
+	if st.scheduledLastStep {
+		st.scheduledLastStep = false
+		st.nextSchedulingAt = max(st.nextSchedulingAt, until)
 	}
 }
 
@@ -243,83 +249,3 @@
 		}
 	}
 }
-
-// packMachine assigns a job's waiting tasks to a machine as long as they fit, and reports whether
-// the job may want other machines as well.
-func (c *Controller) packMachine(s *shard, j *job, m *machine, zones map[string]int) bool {
-	for c.fits(m, j) && c.allowed(j, m, zones) {
-		index, waiting := j.nextTask()
-		if !waiting || c.overLimit(s, j) {
-			return false
-		}
-		if c.avoids(j, index, m) {
-			return true
-		}
-		firstOfOverdue := c.overdue(j)
-		c.assign(s, j, index, m)
-		if firstOfOverdue {
-			s.queueStale = true
-			return false // its other tasks wait for their turn
-		}
-		if zones != nil {
-			zones[m.rec.Zone]++
-		}
-		if j.run.nextRetryAt != 0 {
-			return false // one task at a time
-		}
-	}
-	return true
-}
-
-// assign makes an attempt for a task; it is sent in the next heartbeat reply or command.
-func (c *Controller) assign(s *shard, j *job, index int, m *machine) {
-	att := c.newAttempt(s, j, index, m)
-	att.tracked = true
-	m.view.idleAt = c.now
-	r := j.run
-	r.active[index] = att
-	r.startedMS = c.wall.Millis()
-	c.traceGrant(s, j)
-	if r.firstRunAt == 0 {
-		r.firstRunAt = c.now
-	}
-	m.view.reservation.use(j)
-}
-
-// use takes one task of a job out of the reservation if it is for that job.
-func (r *reservation) use(j *job) {
-	if r.job != j {
-		return
-	}
-	r.resources = r.resources.Minus(resourcesOf(j.sub))
-	if r.resources.Exhausted() {
-		*r = reservation{}
-	}
-}
-
-// newAttempt puts an attempt that is to be sent on a machine, and counts what it takes.
-func (c *Controller) newAttempt(s *shard, j *job, index int, m *machine) *attempt {
-	key := c.nextAttemptKey(s, j, index)
-	att := &attempt{key: key, job: j, index: index, machine: m, state: attemptAssigned, since: c.now, stopSentAt: -micros.Never}
-	v := m.view
-	usageCurrent := !v.usageStale // then it can be added to, which spares counting it again
-	v.put(att)
-	if usageCurrent {
-		v.usage.add(att)
-		s.usage[j.team].add(j.sub)
-	} else {
-		c.markDirty(m)
-	}
-	c.queueCommand(m)
-	c.noteQuotaGrant(s, j)
-	return att
-}
-
-// nextAttemptKey returns the key of a new attempt of a task. Its number begins with the epoch of
-// the shard's owner, so that it is higher than those of all former owners.
-func (c *Controller) nextAttemptKey(s *shard, j *job, index int) attemptKey {
-	const counterMask = 1<<attemptEpochShift - 1
-	c.attemptCounter++
-	number := s.ownerEpoch<<attemptEpochShift | c.attemptCounter&counterMask
-	return attemptKey{job: j.id, index: index, attempt: number}
-}
