--- a/internal/controller/demand.go
+++ b/internal/controller/demand.go
@@ -11,7 +11,7 @@
 	"garnethitch/internal/peer"
 )
 
-// What the shards of this controller want of the fleet and have, as the leader is told.
+// What the shards of this controller want of the fleet and have, as it is sent to the leader.
 
 const (
 	// maxBusyRows bounds how many busy machines of a shard are named: the leader moves and drains
@@ -181,7 +181,7 @@
 	}
 }
 
-// busyRows returns the busy machines that the leader is told of: those that are empty soonest,
+// busyRows returns the busy machines that are named to the leader: those that are empty soonest,
 // and those of the others that stand most unused. It sorts busy.
 func (c *Controller) busyRows(busy []peer.Machine) []peer.Machine {
 	slices.SortFunc(busy, func(a, b peer.Machine) int {
@@ -242,7 +242,8 @@
 	return peer.MachineBusy
 }
 
-// silent reports whether a machine has not been heard for a while, or does not hear its replies.
+// silent reports whether a machine has sent no heartbeat for a while, or does not receive its
+// replies.
 func (c *Controller) silent(m *machine) bool {
 	v := m.view
 	noSession := !v.sequenceKnown && v.reconciled || v.leaseExpired
--- a/internal/controller/fleet/zones.go
+++ b/internal/controller/fleet/zones.go
@@ -13,18 +13,18 @@
 // zoneCount counts machines of one zone.
 type zoneCount struct{ all, silent int }
 
-// partitioned reports whether hardly any machine of the zone is heard.
+// partitioned reports whether hardly any machine of the zone sends heartbeats.
 func (z zoneCount) partitioned() bool {
 	return z.silent >= minSilentForPartition && partitionedOf*z.silent >= partitionedSilent*z.all
 }
 
-// connected reports whether half of the zone's machines are heard at least.
+// connected reports whether at least half of the zone's machines send heartbeats.
 func (z zoneCount) connected() bool { return z.all > 0 && 2*z.silent <= z.all }
 
-// PartitionedZones returns the zones in which hardly any machine is heard while those of another
-// zone are: the network to the zone is partitioned, and its machines are up all the same. What is
-// rented there could not send heartbeats either. If no zone is heard, the fault is not in the
-// zones, and it returns nil.
+// PartitionedZones returns the zones from which hardly any heartbeat comes while those of another
+// zone do: the network to the zone is partitioned, and its machines are up all the same. What is
+// rented there could not send heartbeats either. If none come from any zone, the fault is not in
+// the zones, and it returns nil.
 func PartitionedZones(demands Demands) map[string]bool {
 	partitioned := map[string]bool{}
 	anyConnected := false
--- a/internal/controller/fleet/zones_test.go
+++ b/internal/controller/fleet/zones_test.go
@@ -6,7 +6,7 @@
 	"garnethitch/internal/peer"
 )
 
-// A zone counts as partitioned only if hardly any of its machines is heard while
+// A zone counts as partitioned only if hardly any of its machines is connected while
 // another zone's are, however many rows the owners name.
 func TestPartitionedZones(t *testing.T) {
 	for _, tc := range []struct {
@@ -14,13 +14,13 @@
 		shards [][]peer.Zone
 		want   string
 	}{
-		{"all heard", [][]peer.Zone{{{Name: "a", All: 100}, {Name: "b", All: 100, Silent: 3}}}, ""},
+		{"all connected", [][]peer.Zone{{{Name: "a", All: 100}, {Name: "b", All: 100, Silent: 3}}}, ""},
 		{"one is partitioned", [][]peer.Zone{{{Name: "a", All: 100, Silent: 90}, {Name: "b", All: 100, Silent: 3}}}, "a"},
 		{"over several shards", [][]peer.Zone{{{Name: "a", All: 3, Silent: 3}, {Name: "b", All: 9}}, {{Name: "a", All: 2, Silent: 2}}}, "a"},
 		{"a tenth of all has died", [][]peer.Zone{{{Name: "a", All: 100, Silent: 10}, {Name: "b", All: 100, Silent: 10}}}, ""},
 		{"half of a zone", [][]peer.Zone{{{Name: "a", All: 100, Silent: 50}, {Name: "b", All: 100}}}, ""},
 		{"two machines say nothing of a zone", [][]peer.Zone{{{Name: "a", All: 2, Silent: 2}, {Name: "b", All: 8}}}, ""},
-		{"nobody is heard: it is not the zone", [][]peer.Zone{{{Name: "a", All: 100, Silent: 95}, {Name: "b", All: 100, Silent: 96}}}, ""},
+		{"no zone is connected: it is not the zone", [][]peer.Zone{{{Name: "a", All: 100, Silent: 95}, {Name: "b", All: 100, Silent: 96}}}, ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			demands := Demands{}
--- /dev/null
+++ b/internal/controller/inventory_test.go
@@ -0,0 +1,74 @@
+package controller
+
+import (
+	"math"
+	"slices"
+	"testing"
+
+	"garnethitch/internal/wire"
+)
+
+// Machine types that make no sense are left out, whatever else the cloud lists.
+func TestUsableTypes(t *testing.T) {
+	good := wire.MachineType{Name: "m", CPUs: 4, MemGB: 8, Price: 1, SpotPrice: 0.5, Zones: []string{"b", "a", "b"}}
+	with := func(change func(*wire.MachineType)) wire.MachineType {
+		mt := good
+		mt.Zones = slices.Clone(good.Zones)
+		change(&mt)
+		return mt
+	}
+	for _, tc := range []struct {
+		name string
+		mt   wire.MachineType
+		want bool
+	}{
+		{"complete", with(func(*wire.MachineType) {}), true},
+		{"free of charge", with(func(mt *wire.MachineType) { mt.Price, mt.SpotPrice = 0, 0 }), true},
+		{"without a name", with(func(mt *wire.MachineType) { mt.Name = "" }), false},
+		{"negative CPUs", with(func(mt *wire.MachineType) { mt.CPUs = -1 }), false},
+		{"negative GPUs", with(func(mt *wire.MachineType) { mt.GPUs = -1 }), false},
+		{"memory that is no number", with(func(mt *wire.MachineType) { mt.MemGB = math.NaN() }), false},
+		{"negative price", with(func(mt *wire.MachineType) { mt.Price = -1 }), false},
+		{"spot price that is no number", with(func(mt *wire.MachineType) { mt.SpotPrice = math.NaN() }), false},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			types := usableTypes(wire.MachineTypes{Types: []wire.MachineType{tc.mt}})
+			got, usable := types[tc.mt.Name]
+			if usable != tc.want {
+				t.Fatalf("usable: %v, want %v", usable, tc.want)
+			}
+			if usable && !slices.Equal(got.Zones, []string{"a", "b"}) {
+				t.Errorf("zones %v", got.Zones)
+			}
+		})
+	}
+}
+
+// Later pages of a list count once for each machine, and replace the list before only when the
+// last page is there.
+func TestListIsReadByPages(t *testing.T) {
+	h := newHarness(t, nil)
+	h.c.fleet.reset()
+	f := &h.c.fleet
+	page := func(more bool, ids ...string) Result {
+		list := &wire.MachineList{More: more}
+		for _, id := range ids {
+			list.Machines = append(list.Machines, wire.ListedMachine{ID: id})
+		}
+		return Result{Status: 200, Body: list}
+	}
+	f.listFrom = h.now
+	h.c.handleListPage(page(true, "vm-1", "vm-2"))
+	if f.listedAt != 0 || f.after != "vm-2" {
+		t.Errorf("after the first page: listed at %v, next after %q", f.listedAt, f.after)
+	}
+	h.c.handleListPage(page(false, "vm-2", "vm-3"))
+	if f.listedAt != h.now || f.after != "" || !slices.Equal(f.order, []string{"vm-1", "vm-2", "vm-3"}) {
+		t.Errorf("after the last page: listed at %v, next after %q, %v", f.listedAt, f.after, f.order)
+	}
+	f.after = "vm-2"
+	h.c.handleListPage(Result{Status: 503})
+	if f.after != "" || len(f.listed) != 3 {
+		t.Errorf("after a failed read: next after %q, %d listed", f.after, len(f.listed))
+	}
+}
--- a/internal/controller/rebalancing.go
+++ b/internal/controller/rebalancing.go
@@ -8,7 +8,7 @@
 
 // Machines that move between shards.
 
-// maxMoveDuration is for how long a planned move is held to.
+// maxMoveDuration is how long a machine may be drained for another shard.
 const maxMoveDuration = 45 * micros.Second
 
 // plannedMove is a machine that is drained for another shard, or to be returned.
--- /dev/null
+++ b/internal/controller/returned_machines_test.go
@@ -0,0 +1,47 @@
+package controller
+
+import (
+	"testing"
+
+	"garnethitch/internal/micros"
+	"garnethitch/internal/wire"
+)
+
+// When a record set is rewritten without its returned machines: all others in it send another
+// heartbeat for that.
+func TestRewriteDue(t *testing.T) {
+	for _, tc := range []struct {
+		name     string
+		machines int
+		returned int
+		oldest   micros.Micros // how long ago
+		want     bool
+	}{
+		{"none was returned", 8, 0, 0, false},
+		{"one of eight", 8, 1, 19 * sec, false},
+		{"one of eight, for long", 8, 1, 20 * sec, true},
+		{"a quarter", 8, 2, 0, true},
+		{"all", 8, 8, 0, true},
+		{"it holds nothing", 0, 0, 0, true},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			h := newHarness(t, nil)
+			h.c.now = 100 * sec
+			set := &machineRecordSet{key: wire.MachineRecordSetKey(0, "l-1-1")}
+			for i := range tc.machines {
+				m := &machine{id: machineName(i)}
+				set.machines = append(set.machines, m)
+				if i < tc.returned {
+					h.c.fleet.returned[m.id] = h.c.now - tc.oldest
+				}
+			}
+			returned, oldest := h.c.countReturned(set)
+			if returned != tc.returned {
+				t.Errorf("%d returned, want %d", returned, tc.returned)
+			}
+			if got := h.c.rewriteDue(set, returned, oldest); got != tc.want {
+				t.Errorf("due: %v, want %v", got, tc.want)
+			}
+		})
+	}
+}
