--- a/internal/controller/demand.go
+++ b/internal/controller/demand.go
@@ -290,7 +290,7 @@
 		}
 		pending := j.pending()
 		count := headroom.take(j, pending)
-		count = quotas.take(c, s, j, count)
+		count = c.takeQuota(quotas, s, j, count)
 		key := groupKeyOf(j)
 		i, known := index[key]
 		if !known {
--- a/internal/controller/quota_limits.go
+++ b/internal/controller/quota_limits.go
@@ -48,8 +48,8 @@
 // quotaHeadroom is how much more of each group a shard may use, or should come to have.
 type quotaHeadroom map[string]quota.Amount
 
-// take returns how many of count tasks of a job find quota, and takes it.
-func (h quotaHeadroom) take(c *Controller, s *shard, j *job, count int) int {
+// takeQuota returns how many of count tasks of a job find quota in a shard, and takes it off h.
+func (c *Controller) takeQuota(h quotaHeadroom, s *shard, j *job, count int) int {
 	if c.quota.ledger == nil {
 		return count
 	}
