--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -178,7 +178,7 @@
 		heartbeat, ok := r.Body.(*wire.Heartbeat)
 		ok = ok && heartbeat.Machine == m.id
 		if ok {
-			v.reachability = reachability{} // it was reached, whatever it says
+			v.reachability.Reset() // it was reached, whatever it says
 		}
 		executed := ok && r.Status == http.StatusOK
 		refused := r.NotSent || ok && r.Status == http.StatusConflict
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -9,6 +9,7 @@
 	"math/rand/v2"
 	"slices"
 
+	"garnethitch/internal/controller/reachability"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/wire"
 	"garnethitch/quota"
@@ -75,9 +76,10 @@
 
 // Controller is the state of one controller.
 type Controller struct {
-	cfg    Config
-	bounds Bounds
-	rng    *rand.Rand
+	cfg                Config
+	bounds             Bounds
+	heartbeatDeadlines reachability.Deadlines
+	rng                *rand.Rand
 
 	now, wall       micros.Micros
 	startedAt       micros.Micros
@@ -148,6 +150,7 @@
 	c := &Controller{
 		cfg:                   cfg,
 		bounds:                NewBounds(cfg.Lease, cfg.WorkerLease, cfg.Cancel),
+		heartbeatDeadlines:    reachability.NewDeadlines(cfg.HeartbeatInterval, cfg.SilentReturn),
 		rng:                   rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
 		calls:                 map[uint64]func(Result){},
 		peers:                 map[string]*peerView{},
--- a/internal/controller/demand.go
+++ b/internal/controller/demand.go
@@ -116,8 +116,8 @@
 		if c.leaseRunningOut(v) {
 			row.SinceUS = max(row.SinceUS, int64(c.sinceLastReply(v)))
 		}
-		if r := &v.reachability; r.unconfirmedReplies > 0 {
-			row.SinceUS = max(row.SinceUS, int64(c.now-r.since))
+		if since, ok := v.reachability.UnconfirmedSince(); ok {
+			row.SinceUS = max(row.SinceUS, int64(c.now-since))
 		}
 	case peer.MachineBusy:
 		d.CPUs += cpus
--- a/internal/controller/machine_health_test.go
+++ b/internal/controller/machine_health_test.go
@@ -91,7 +91,7 @@
 			h.peersDown = true
 			p, v := h.c.peers["n-1"], h.c.machines["vm-1"].view
 			p.lastHeardAt = h.now
-			v.reachability = reachability{}
+			v.reachability.Reset()
 			began := h.now
 			pass := func(until micros.Micros) {
 				for h.now < began+until {
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -164,7 +164,7 @@
 		commands = append(commands, stops...) // which is empty: the list is not believed yet
 	}
 	c.checkRenewal(s, m)
-	v.reachability.replied(c.fencingToken(s, m), v.fencingToken, commands)
+	v.reachability.ReplySent(c.fencingToken(s, m), v.fencingToken, commands)
 	c.logHeartbeat(m, heartbeat, allow(reasonHeartbeatAccepted), commands)
 	c.answer(in.Reply, http.StatusOK, wire.HeartbeatReply{FencingToken: c.fencingToken(s, m), Commands: commands}, 0)
 	if !v.reconciled {
@@ -341,7 +341,7 @@
 	if c.mayFreeMachine(s, m) {
 		c.freeAll(m, "its lease has run out", false)
 		v.leaseExpired, v.reconciled, v.unreconciledFromPredecessor = true, false, false
-		v.reachability = reachability{}
+		v.reachability.Reset()
 		c.markDirty(m)
 		c.schedulingDue = true
 	}
--- /dev/null
+++ b/internal/controller/reachability/reachability_test.go
@@ -0,0 +1,41 @@
+package reachability
+
+import (
+	"testing"
+
+	"garnethitch/internal/wire"
+)
+
+// What a heartbeat must show of the reply before it.
+func TestConfirmation(t *testing.T) {
+	start := wire.Command{Op: wire.OpStart, Task: "job-000001/0", Attempt: 5}
+	forget := wire.Command{Op: wire.OpForget, Task: "job-000001/0", Attempt: 5}
+	stop := wire.Command{Op: wire.OpStop, Task: "job-000001/0", Attempt: 5}
+	listed := func(state string) []wire.TaskStatus {
+		return []wire.TaskStatus{{Task: "job-000001/0", Attempt: 5, State: state}}
+	}
+	for _, tc := range []struct {
+		name      string
+		token     uint64 // raised by the reply
+		command   wire.Command
+		heartbeat wire.Heartbeat
+		want      Confirmation
+	}{
+		{"nothing to show", 0, wire.Command{}, wire.Heartbeat{FencingToken: 7}, Undetermined},
+		{"new token shown", 9, wire.Command{}, wire.Heartbeat{FencingToken: 9}, Confirmed},
+		{"new token not shown", 9, start, wire.Heartbeat{FencingToken: 7}, Unconfirmed},
+		{"start shown", 0, start, wire.Heartbeat{Tasks: listed(wire.TaskFetching)}, Confirmed},
+		{"start missing", 0, start, wire.Heartbeat{}, Unconfirmed},
+		{"forgotten", 0, forget, wire.Heartbeat{}, Confirmed},
+		{"not forgotten", 0, forget, wire.Heartbeat{Tasks: listed(wire.TaskExited)}, Unconfirmed},
+		{"stopping", 0, stop, wire.Heartbeat{Tasks: listed(wire.TaskSaving)}, Confirmed},
+		{"not stopping", 0, stop, wire.Heartbeat{Tasks: listed(wire.TaskRunning)}, Unconfirmed},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			tracker := Tracker{expectedToken: tc.token, expectedCommand: tc.command}
+			if got := tracker.confirmationIn(&tc.heartbeat); got != tc.want {
+				t.Errorf("%v, want %v", got, tc.want)
+			}
+		})
+	}
+}
