--- /dev/null
+++ b/internal/controller/attempts_test.go
@@ -0,0 +1,26 @@
+package controller
+
+import "testing"
+
+// An attempt's number gives back the epoch of its starter, whatever the counter.
+func TestAttemptNumber(t *testing.T) {
+	for _, tc := range []struct {
+		name           string
+		epoch, counter uint64
+		want           uint64
+	}{
+		{"first attempt", 7, 1, 7<<32 | 1},
+		{"largest counter", 7, 1<<32 - 1, 7<<32 | (1<<32 - 1)},
+		{"counter wraps around", 7, 1<<32 + 3, 7<<32 | 3},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			got := attemptNumber(tc.epoch, tc.counter)
+			if got != tc.want {
+				t.Errorf("number %#x, want %#x", got, tc.want)
+			}
+			if epoch := epochOfAttempt(got); epoch != tc.epoch {
+				t.Errorf("epoch %d, want %d", epoch, tc.epoch)
+			}
+		})
+	}
+}
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -204,7 +204,7 @@
 			v.nextCommandAt = c.now + 2*micros.Second
 		}
 		if ok && c.activeShard(s.id) != nil && heartbeat.FencingToken <= c.fencingToken(s, m) {
-			c.applyHeartbeat(s, m, heartbeat, false)
+			c.applyHeartbeat(s, m, heartbeat, answerToRequest)
 			c.scheduleOnMachine(s, m)
 		}
 		if m.view == v && c.needsDirectCommand(m) {
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -149,7 +149,7 @@
 	}
 	v := m.view
 	c.recordReachability(m, heartbeat)
-	c.applyHeartbeat(s, m, heartbeat, true)
+	c.applyHeartbeat(s, m, heartbeat, sentByWorker)
 	if v := c.mayRenewMachineLease(s, m, heartbeat); !v.allowed {
 		c.refuseHeartbeat(in, m, v)
 		return
@@ -204,7 +204,7 @@
 
 // applyHeartbeat takes a worker's heartbeat, from a heartbeat or as the answer to a direct
 // request. It must come from the machine's owner only.
-func (c *Controller) applyHeartbeat(s *shard, m *machine, heartbeat *wire.Heartbeat, inHeartbeat bool) {
+func (c *Controller) applyHeartbeat(s *shard, m *machine, heartbeat *wire.Heartbeat, source heartbeatSource) {
 	v := m.view
 	if m.returned || v.sequenceKnown && !newerThan(heartbeat, v) {
 		return // its task list is older than what we know
@@ -251,8 +251,8 @@
 		}
 		c.schedulingDue = true
 	}
-	if !c.taskListUnchanged(v, heartbeat) {
-		c.applyTaskList(m, heartbeat, inHeartbeat)
+	if !v.taskListUnchanged(heartbeat) {
+		c.applyTaskList(m, heartbeat, source)
 	}
 	for _, att := range v.list {
 		if att.lastSeenRound == v.lastSeenRound && !att.tracked && !att.outcomeHandled {
@@ -265,23 +265,6 @@
 	}
 }
 
-// taskListUnchanged: a heartbeat lists just what the last one did, and nothing was sent to
-// the machine or forgotten here meanwhile, so that there is nothing to take from
-// it. Most heartbeats are like that. Lists are compared by where they are held, see
-// wire.HeartbeatReader.
-func (c *Controller) taskListUnchanged(v *view, heartbeat *wire.Heartbeat) bool {
-	n := len(heartbeat.Tasks)
-	if n != len(v.list) || n != len(v.lastTaskList) || n > 0 && &heartbeat.Tasks[0] != &v.lastTaskList[0] {
-		return false
-	}
-	for _, att := range v.list {
-		if att.lastSeenRound != v.lastSeenRound {
-			return false
-		}
-	}
-	return true
-}
-
 // busy: something on it still runs or may.
 func (v *view) busy() bool {
 	for _, att := range v.list {
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -260,7 +260,7 @@
 
 // stopModeFor says how a victim is stopped: with time to save, unless the job that
 // waits is wanted started sooner than that.
-func (c *Controller) stopModeFor(victim *attempt, j *job) int {
+func (c *Controller) stopModeFor(victim *attempt, j *job) stopMode {
 	if victim.job.sub.CheckpointS <= 0 || victim.state != attemptRunning {
 		return stopImmediate
 	}
@@ -275,7 +275,7 @@
 
 // stop marks an attempt to be stopped; one that was never sent is just
 // forgotten.
-func (c *Controller) stop(att *attempt, mode int) {
+func (c *Controller) stop(att *attempt, mode stopMode) {
 	if att.state == attemptAssigned {
 		c.freeAttempt(att, false)
 		return
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -120,5 +120,5 @@
 		return
 	}
 	m.view.reachability.Reset()
-	c.applyHeartbeat(s, m, heartbeat, false)
+	c.applyHeartbeat(s, m, heartbeat, answerToRequest)
 }
--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -229,7 +229,7 @@
 // newAttempt puts an attempt on a machine, to be sent, and takes its room.
 func (c *Controller) newAttempt(s *shard, j *job, idx int, m *machine) *attempt {
 	c.attemptCounter++
-	key := attemptKey{job: j.id, index: idx, attempt: s.ownerEpoch<<attemptEpochShift | c.attemptCounter&(1<<attemptEpochShift-1)}
+	key := attemptKey{job: j.id, index: idx, attempt: attemptNumber(s.ownerEpoch, c.attemptCounter)}
 	att := &attempt{key: key, job: j, index: idx, machine: m, state: attemptAssigned, since: c.now, stopSentAt: -micros.Never}
 	v := m.view
 	fresh := !v.usageStale // then its tally can be kept, which spares counting it again
--- /dev/null
+++ b/internal/controller/task_adoption.go
@@ -0,0 +1,108 @@
+package controller
+
+import "garnethitch/internal/wire"
+
+// adoptTasks matches the tasks found on a machine with their jobs, or stops what should not
+// be there.
+func (c *Controller) adoptTasks(m *machine) {
+	for _, att := range m.view.each() {
+		switch {
+		case att.tracked || att.state < attemptFetching:
+		case att.prefetch:
+			c.notePrefetched(att)
+		default:
+			c.adoptTask(m, att)
+		}
+	}
+}
+
+// adoptTask matches one task with its job.
+func (c *Controller) adoptTask(m *machine, att *attempt) {
+	if _, ended := c.jobs.final(att.key.job); ended {
+		c.stopTaskOfEndedJob(att)
+		return
+	}
+	j := c.jobs.open[att.key.job]
+	if j == nil {
+		c.stopIfEnded(c.ownership.shards[m.rec.Shard], att)
+		return
+	}
+	if j.shard != m.rec.Shard || att.index >= j.sub.Tasks {
+		c.stopMisplacedTask(j, att)
+		return
+	}
+	if att.job != j {
+		att.job = j
+		c.markDirty(m)
+	}
+	switch {
+	case j.run == nil || !j.run.checkpointApplied:
+		// It is not known yet which tasks are done: see reconcileAfterCheckpointLoad.
+	case att.state == attemptExited:
+		c.adoptExitedTask(j, att)
+	case j.run.active[att.index] != nil || j.run.done.has(att.index):
+		c.stopSurplusAttempt(j, att)
+	default:
+		c.trackAttempt(j, att)
+	}
+}
+
+func (c *Controller) stopTaskOfEndedJob(att *attempt) {
+	if att.state == attemptExited {
+		att.outcomeHandled = true
+		return
+	}
+	c.stop(att, stopImmediate)
+}
+
+// stopMisplacedTask stops a task of a job of another shard, or one with an index that its job
+// does not have.
+func (c *Controller) stopMisplacedTask(j *job, att *attempt) {
+	att.job = j
+	c.stop(att, stopImmediate)
+	att.outcomeHandled = att.state == attemptExited
+}
+
+// adoptExitedTask takes the result of a task that ended before this node knew of it.
+func (c *Controller) adoptExitedTask(j *job, att *attempt) {
+	if att.outcomeHandled {
+		return
+	}
+	if att.exitReason != wire.ExitDone {
+		att.outcomeHandled = true
+		return
+	}
+	c.taskDone(j, att.index, att)
+	c.awaitCheckpoint(j, att)
+}
+
+// stopSurplusAttempt stops an attempt at a task that is done or has another attempt.
+func (c *Controller) stopSurplusAttempt(j *job, att *attempt) {
+	if j.run.active[att.index] == att || att.stopMode == stopImmediate {
+		return
+	}
+	c.log(Info, "surplus attempt stopped", "task", wire.TaskName(j.id, att.index), "machine", att.machine.id)
+	c.stop(att, stopImmediate)
+}
+
+// trackAttempt makes an attempt found on a machine the one at its task.
+func (c *Controller) trackAttempt(j *job, att *attempt) {
+	att.tracked = true
+	j.run.active[att.index] = att
+	if att.state == attemptRunning {
+		att.machine.view.images[j.sub.Image] = true
+	}
+	if j.run.endState == wire.StateCancelled {
+		c.stop(att, stopImmediate)
+	}
+}
+
+// reconcileAfterCheckpointLoad adopts the tasks on a shard's machines once its checkpoints are
+// known.
+func (c *Controller) reconcileAfterCheckpointLoad(s *shard) {
+	for _, m := range s.machines {
+		if m.view != nil && m.view.reconciled {
+			c.adoptTasks(m)
+		}
+	}
+}
--- a/internal/controller/unknown_jobs.go
+++ b/internal/controller/unknown_jobs.go
@@ -25,9 +25,6 @@
 	jobStatusUnknown
 )
 
-// epochOfAttempt gives the mark of the claim under which an attempt was started.
-func epochOfAttempt(attempt uint64) uint64 { return attempt >> attemptEpochShift }
-
 // jobStatusOf tells how the job of an attempt stands that is on a machine of a shard, and has
 // been seen there since a moment.
 func (c *Controller) jobStatusOf(s *shard, job string, attempt uint64, seen micros.Micros) jobStatus {
