--- a/internal/controller/attempts.go
+++ b/internal/controller/attempts.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"slices"
 
 	"garnethitch/internal/micros"
 	"garnethitch/internal/wire"
@@ -139,33 +138,6 @@
 	return now - att.runAt
 }
 
-// addAttempt puts an attempt on a machine's list.
-func (c *Controller) addAttempt(att *attempt) {
-	att.machine.view.put(att)
-	c.markDirty(att.machine)
-}
-
-func (v *view) put(att *attempt) {
-	v.attempts[att.key] = att
-	v.list = append(v.list, att)
-}
-
-// dropAttempt removes an attempt from its machine's list.
-func (c *Controller) dropAttempt(att *attempt) {
-	v := att.machine.view
-	if v == nil || v.attempts[att.key] != att {
-		return
-	}
-	delete(v.attempts, att.key)
-	if i := slices.Index(v.list, att); i >= 0 {
-		v.list = slices.Delete(v.list, i, i+1)
-	}
-	c.markDirty(att.machine)
-}
-
-// each returns a machine's attempts; they may be dropped meanwhile.
-func (v *view) each() []*attempt { return slices.Clone(v.list) }
-
 // saveAll stops a machine's tasks so that they continue elsewhere, if all of them may.
 func (c *Controller) saveAll(m *machine) {
 	attempts := m.view.each()
--- /dev/null
+++ b/internal/controller/machine_attempts.go
@@ -0,0 +1,98 @@
+package controller
+
+import (
+	"slices"
+
+	"garnethitch/internal/micros"
+	"garnethitch/internal/wire"
+)
+
+// attemptView is what is on a machine. Each attempt stands in the map and in the list;
+// usage holds unless usageStale is set.
+type attemptView struct {
+	attempts      map[attemptKey]*attempt
+	list          []*attempt        // the same, in the order in which they were added
+	lastTaskList  []wire.TaskStatus // the list last applied in whole,
+	lastSeenRound uint64            // in this round of applyTaskList
+	usage         machineUsage
+	usageStale    bool // usage is to be counted again
+	reservation   reservation
+}
+
+// machineUsage is what the attempts on a machine take, and what is to be done about
+// them. It is counted again only after something has changed there.
+type machineUsage struct {
+	cpus, gpus, mem float64
+	// soonCPUs, soonGPUs and soonMem are what tasks being stopped will leave.
+	soonCPUs, soonGPUs, soonMem float64
+	tasks                       int  // not exited
+	unknown                     bool // an attempt whose job is not known
+	used                        []usage
+}
+
+// reservation keeps capacity on a machine for a job for which others were stopped there.
+type reservation struct {
+	job             *job
+	cpus, gpus, mem float64
+	until           micros.Micros
+}
+
+// empty reports whether no attempt on the machine matters any more.
+func (v *view) empty() bool {
+	for _, att := range v.list {
+		if att.state != attemptExited || !att.outcomeHandled {
+			return false
+		}
+	}
+	return true
+}
+
+// busy reports whether something on the machine still runs or may.
+func (v *view) busy() bool {
+	for _, att := range v.list {
+		if att.state != attemptExited {
+			return true
+		}
+	}
+	return false
+}
+
+// each returns a machine's attempts; they may be dropped meanwhile.
+func (v *view) each() []*attempt { return slices.Clone(v.list) }
+
+func (v *view) put(att *attempt) {
+	v.attempts[att.key] = att
+	v.list = append(v.list, att)
+}
+
+func (v *view) remove(att *attempt) {
+	delete(v.attempts, att.key)
+	if i := slices.Index(v.list, att); i >= 0 {
+		v.list = slices.Delete(v.list, i, i+1)
+	}
+}
+
+// addAttempt puts an attempt on a machine's list.
+func (c *Controller) addAttempt(att *attempt) {
+	att.machine.view.put(att)
+	c.markDirty(att.machine)
+}
+
+// dropAttempt removes an attempt from its machine's list.
+func (c *Controller) dropAttempt(att *attempt) {
+	v := att.machine.view
+	if v == nil || v.attempts[att.key] != att {
+		return
+	}
+	v.remove(att)
+	c.markDirty(att.machine)
+}
+
+// markDirty notes that something about a machine's attempts has changed.
+func (c *Controller) markDirty(m *machine) {
+	if v := m.view; v != nil && !v.usageStale {
+		v.usageStale = true
+		s := c.ownership.shards[m.rec.Shard]
+		s.dirtyMachines = append(s.dirtyMachines, m)
+	}
+}
--- /dev/null
+++ b/internal/controller/machine_maintenance.go
@@ -0,0 +1,115 @@
+package controller
+
+import (
+	"garnethitch/internal/peer"
+	"garnethitch/internal/wire"
+)
+
+// maintainMachines does what time alone brings to the machines of this node's shards.
+func (c *Controller) maintainMachines() {
+	c.commandQueue.resetProbes()
+	for _, s := range c.ownership.shards {
+		if s.active && !s.jobsViewCurrent && c.leaseValid() {
+			c.refreshJobsView(s)
+		}
+		if c.activeShard(s.id) == nil {
+			continue
+		}
+		c.splitOneRecordSet(s)
+		c.releaseByPlan(c.maintainShardMachines(s))
+		if s.active && !s.checkpointsLoaded && !s.loadingCheckpoints && c.leaseValid() {
+			c.loadCheckpoints(s, "", map[string]wire.CheckpointRecord{}, map[string]uint64{})
+		}
+	}
+}
+
+// maintainShardMachines maintains a shard's machines and returns those that are to be
+// released now.
+func (c *Controller) maintainShardMachines(s *shard) []*machine {
+	var ready []*machine
+	for _, m := range s.machines {
+		if m.view != nil && c.maintainMachine(s, m) {
+			ready = append(ready, m)
+		}
+	}
+	return ready
+}
+
+// releaseByPlan releases machines by their plans; those with the same plan go together.
+func (c *Controller) releaseByPlan(ready []*machine) {
+	for len(ready) > 0 {
+		plan := ready[0].view.plannedRelease
+		var same, others []*machine
+		for _, m := range ready {
+			if sameDestination(m.view.plannedRelease, plan) {
+				same = append(same, m)
+			} else {
+				others = append(others, m)
+			}
+		}
+		c.releaseMachines(same, plan)
+		ready = others
+	}
+}
+
+// sameDestination reports whether two releases can be recorded together.
+func sameDestination(a, b peer.Release) bool {
+	return a.Retire == b.Retire && a.Shard == b.Shard
+}
+
+// maintainMachine maintains one machine, and reports whether it is to be released now.
+func (c *Controller) maintainMachine(s *shard, m *machine) bool {
+	v := m.view
+	c.visited++
+	if m.returned {
+		return false
+	}
+	if c.mayFreeMachine(s, m) {
+		c.expireLease(m)
+	}
+	if !v.reconciled {
+		c.reconcileMachine(s, m)
+	} else if !v.neverCommanded {
+		c.probeOverdueMachine(s, m)
+	}
+	if c.needsHigherToken(s, m) {
+		c.raiseFencingToken(s, m)
+	}
+	if v.reclaimAt != 0 {
+		c.drain(m)
+	}
+	if c.needsDirectCommand(m) {
+		c.queueCommand(m)
+	}
+	return c.now < v.plannedUntil && c.mayReleaseMachine(m, v.plannedRelease.Retire)
+}
+
+// maxUnclearedAttempts is how many attempts with handled outcomes a machine may go on listing
+// before its fencing token is raised so that they can be cleared.
+const maxUnclearedAttempts = 24
+
+// needsHigherToken reports whether a machine's fencing token is to be raised: above commands
+// that are in doubt, or so that attempts can be cleared.
+func (c *Controller) needsHigherToken(s *shard, m *machine) bool {
+	if !c.leaseValid() {
+		return false
+	}
+	v := m.view
+	fencingToken := c.fencingToken(s, m)
+	if v.inDoubtToken != 0 && fencingToken <= v.inDoubtToken {
+		return true
+	}
+	return len(v.list) > maxUnclearedAttempts && v.unclearedAttempts(fencingToken) > maxUnclearedAttempts
+}
+
+// unclearedAttempts counts the attempts that wait for a fencing token above the current one.
+func (v *view) unclearedAttempts(fencingToken uint64) int {
+	n := 0
+	for _, att := range v.list {
+		handled := att.state == attemptExited && att.outcomeHandled
+		if handled && !att.clearable() && att.startToken >= fencingToken {
+			n++
+		}
+	}
+	return n
+}
