--- /dev/null
+++ b/internal/controller/machine_record_sets.go
@@ -0,0 +1,110 @@
+package controller
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+
+	"garnethitch/internal/micros"
+	"garnethitch/internal/wire"
+)
+
+// machineRecordSet is one record of machines: a write for each machine would take the whole
+// budget of the state service for a minute at the start of a large deployment. A machine
+// stands in one record set at a time. Moving it drops it from one and adds it to another in
+// one transaction. Rewriting a record set raises the fencing token of all in it, which is
+// harmless: workers take a higher one at any time.
+type machineRecordSet struct {
+	key           string
+	shard         int
+	modRevision   uint64
+	machines      []*machine
+	writeInFlight bool // a write of ours is under way or in doubt
+	nextWriteAt   micros.Micros
+}
+
+// Bounds on the size of a record set.
+const (
+	// maxRecordSetMachines bounds how many fencing tokens one write raises: each such machine
+	// sends one more heartbeat.
+	maxRecordSetMachines = 50
+	// recordSetOverheadBytes is kept for what is not a machine's entry.
+	recordSetOverheadBytes = 600
+	// machineRecordBytes is what a machine's entry takes at most.
+	machineRecordBytes = 60
+)
+
+// recordSetLimit is how many machines fit into one record.
+func (c *Controller) recordSetLimit() int {
+	fitting := (c.cfg.ValueBytes - recordSetOverheadBytes) / machineRecordBytes
+	return max(1, min(maxRecordSetMachines, fitting))
+}
+
+// overRecordLimit reports whether a record set was written under larger limits. It is read as
+// it stands; to be rewritten it must be split.
+func (c *Controller) overRecordLimit(b *machineRecordSet) bool {
+	return len(b.machines) > c.recordSetLimit()
+}
+
+// Names of record sets say how they were created; each holds the modification revision of the
+// key that entitled its writer, and a counter, so that none recurs.
+const (
+	recordSetRegistered = "h" // a heartbeat came, and the machine was on no record
+	recordSetListed     = "l" // found in the cloud's list
+	recordSetMoved      = "m" // from another record set
+)
+
+// isCreation reports whether a record set of this name held machines that were on no record
+// before.
+func isCreation(name string) bool {
+	return strings.HasPrefix(name, recordSetRegistered) || strings.HasPrefix(name, recordSetListed)
+}
+
+func (c *Controller) recordSetName(origin string, ownerEpoch uint64) string {
+	c.recordSetSequence++
+	return fmt.Sprintf("%s-%d-%d", origin, ownerEpoch, c.recordSetSequence)
+}
+
+// deletable reports whether a repeat of the write that created the record set, however late,
+// can't be applied any more: the leader's key under which it was sent is gone. Until then
+// a record set that holds nothing stays, or a repeat would bring machines back to the
+// record that are gone, or that are in use by another shard (TestRepeatedWrites).
+// A record set of moved machines was created in one write with changes of others, and
+// so never again.
+func (c *Controller) deletable(b *machineRecordSet) bool {
+	_, name, ok := wire.ParseMachineRecordSetKey(b.key)
+	if !ok {
+		return false
+	}
+	createdByThisLeader := isCreation(name) && strings.HasPrefix(name[1:], fmt.Sprintf("-%d-", c.ownership.leader.ownerEpoch))
+	return !createdByThisLeader
+}
+
+// recordSetOf returns the record of some machines without those to skip, and with those to
+// retire cordoned; nil selects none.
+func recordSetOf(list []*machine, skip, retire func(*machine) bool) wire.MachineRecordSet {
+	rec := wire.MachineRecordSet{}
+	for _, m := range list {
+		if skip != nil && skip(m) {
+			continue
+		}
+		rec.Machines = append(rec.Machines, wire.MachineRecord{
+			ID:       m.id,
+			Addr:     m.rec.Addr,
+			Kind:     kindIn(&rec, m.kind()),
+			Cordoned: m.rec.Cordoned || retire != nil && retire(m),
+		})
+	}
+	return rec
+}
+
+// kindIn returns the index of a kind in a record, to which it is added if need be.
+func kindIn(rec *wire.MachineRecordSet, k kind) int {
+	w := wire.MachineKind{Type: k.typ, Zone: k.zone, Spot: k.spot}
+	i := slices.Index(rec.Kinds, w)
+	if i < 0 {
+		i = len(rec.Kinds)
+		rec.Kinds = append(rec.Kinds, w)
+	}
+	return i
+}
--- /dev/null
+++ b/internal/controller/machine_record_writes.go
@@ -0,0 +1,206 @@
+package controller
+
+import (
+	"fmt"
+	"slices"
+
+	"garnethitch/internal/micros"
+	"garnethitch/internal/wire"
+)
+
+const (
+	// recordSetWriteTimeout bounds a write of record sets.
+	recordSetWriteTimeout = 1500 * micros.Millisecond
+	// recordSetWriteInterval is about how long after a write the same record set may be
+	// written again.
+	recordSetWriteInterval = micros.Second
+	// splitRetryDelay is how long after an attempt to split a record set it is tried again.
+	splitRetryDelay = 5 * micros.Second
+	// splitInterval is how long after one record set the next of this node is split: all in
+	// it send one more heartbeat.
+	splitInterval = 2 * micros.Second
+)
+
+// writeOutcome is what became of a write of record sets.
+type writeOutcome int
+
+const (
+	// writeApplied: the records stand.
+	writeApplied writeOutcome = iota
+	// writeNotApplied: they do not, and the write can't be applied any more.
+	writeNotApplied
+	// writeInDoubt: the write may have been applied or may yet be; the watch shows it then.
+	writeInDoubt
+)
+
+// String returns the name of the outcome.
+func (o writeOutcome) String() string {
+	switch o {
+	case writeApplied:
+		return "applied"
+	case writeNotApplied:
+		return "not_applied"
+	case writeInDoubt:
+		return "in_doubt"
+	}
+	return fmt.Sprintf("writeOutcome(%d)", int(o))
+}
+
+// failedWriteOutcome is the outcome of a write whose result does not say that it was applied.
+func failedWriteOutcome(r Result) writeOutcome {
+	switch txnOutcomeOf(r) {
+	case txnNotExecuted, txnConditionFailed:
+		return writeNotApplied
+	}
+	return writeInDoubt
+}
+
+// recordSetWrite is one record set's part of a transaction.
+type recordSetWrite struct {
+	key       string
+	recordSet *machineRecordSet // nil: a new one
+	record    wire.MachineRecordSet
+	deleteKey bool // no machine is left
+}
+
+// writeRecordSets writes several record sets in one transaction, on condition that a key of
+// ours still has the revision under which we hold it. done is called with the outcome.
+func (c *Controller) writeRecordSets(under string, ownerEpoch uint64, writes []recordSetWrite, done func(writeOutcome)) {
+	setWriteInFlight(writes, true)
+	txn, ok := c.recordSetTxn(writes)
+	if !ok {
+		setWriteInFlight(writes, false)
+		done(writeNotApplied)
+		return
+	}
+	txn.If = slices.Insert(txn.If, 0, wire.Condition{Key: under, ModRevision: ownerEpoch})
+	c.askState(classFleet, txn, recordSetWriteTimeout, func(r Result) {
+		for _, w := range writes {
+			if w.recordSet != nil {
+				w.recordSet.writeInFlight = false
+				w.recordSet.nextWriteAt = c.now + c.jitter(recordSetWriteInterval)
+			}
+		}
+		revision, ok := txnRevision(r)
+		if !ok {
+			done(failedWriteOutcome(r))
+			return
+		}
+		c.applyRecordSetWrites(writes, revision)
+		done(writeApplied)
+	})
+}
+
+func setWriteInFlight(writes []recordSetWrite, inFlight bool) {
+	for _, w := range writes {
+		if w.recordSet != nil {
+			w.recordSet.writeInFlight = inFlight
+		}
+	}
+}
+
+// recordSetTxn returns the transaction of some writes, each on condition that its record set
+// has not changed; ok is false if one of them can't be stored.
+func (c *Controller) recordSetTxn(writes []recordSetWrite) (txn wire.Txn, ok bool) {
+	for _, w := range writes {
+		condition := wire.Condition{Key: w.key}
+		if w.recordSet != nil {
+			condition.ModRevision = w.recordSet.modRevision
+		}
+		txn.If = append(txn.If, condition)
+		if w.deleteKey {
+			txn.Then = append(txn.Then, wire.Change{Delete: w.key})
+			continue
+		}
+		value, err := wire.Encode(w.record)
+		if err != nil || !c.storable(value) {
+			c.log(Error, "machine record set not encoded", "batch", w.key, "bytes", len(value), "error", err)
+			return wire.Txn{}, false
+		}
+		txn.Then = append(txn.Then, wire.Change{Put: w.key, Value: value})
+	}
+	return txn, true
+}
+
+// applyRecordSetWrites takes what a transaction has written, ahead of the watch.
+func (c *Controller) applyRecordSetWrites(writes []recordSetWrite, revision uint64) {
+	for _, w := range writes {
+		if !w.deleteKey {
+			c.applyMachineRecordSet(w.key, w.record, revision)
+			continue
+		}
+		if b := c.recordSets[w.key]; b != nil && b.modRevision <= revision {
+			c.dropRecordSet(b)
+		}
+	}
+	c.dropMachinesWithoutRecordSet()
+}
+
+// raiseFencingToken rewrites a machine's record set, so that the fencing token of all in it
+// rises above unanswered commands, and unanswered releases of them can't be applied any more.
+func (c *Controller) raiseFencingToken(s *shard, m *machine) {
+	b := m.recordSet
+	if b.writeInFlight || c.now < b.nextWriteAt {
+		return
+	}
+	if c.overRecordLimit(b) {
+		c.splitRecordSet(s, b) // which raises as well
+		return
+	}
+	write := recordSetWrite{key: b.key, recordSet: b, record: recordSetOf(b.machines, nil, nil)}
+	c.writeRecordSets(ownerKey(s.id), s.ownerEpoch, []recordSetWrite{write}, func(outcome writeOutcome) {
+		if outcome != writeApplied {
+			return
+		}
+		for _, o := range b.machines {
+			if o.view != nil {
+				o.view.releasing = false
+			}
+		}
+	})
+}
+
+// splitRecordSet splits a record set of a shard of this node, of which no write is under way,
+// into several, in one transaction.
+func (c *Controller) splitRecordSet(s *shard, b *machineRecordSet) {
+	b.nextWriteAt = c.now + splitRetryDelay // also where it can't be done
+	writes := c.splitWrites(s, b)
+	if len(writes) > c.cfg.TxnOps {
+		c.log(Error, "machine record set can't be split in one transaction, it stays as it is", "batch", b.key, "machines", len(b.machines), "parts", len(writes))
+		return
+	}
+	c.log(Info, "machine record set split for smaller limits", "batch", b.key, "machines", len(b.machines), "parts", len(writes))
+	c.writeRecordSets(ownerKey(s.id), s.ownerEpoch, writes, func(writeOutcome) {}) // the watch shows it if it was applied
+}
+
+// splitWrites returns the writes that keep the first machines of a record set in it and move
+// the others to new ones.
+func (c *Controller) splitWrites(s *shard, b *machineRecordSet) []recordSetWrite {
+	var writes []recordSetWrite
+	for chunk := range slices.Chunk(slices.Clone(b.machines), c.recordSetLimit()) {
+		write := recordSetWrite{record: recordSetOf(chunk, nil, nil)}
+		if len(writes) == 0 {
+			write.key = b.key
+			write.recordSet = b
+		} else {
+			write.key = wire.MachineRecordSetKey(s.id, c.recordSetName(recordSetMoved, s.ownerEpoch))
+		}
+		writes = append(writes, write)
+	}
+	return writes
+}
+
+// splitOneRecordSet splits one record set of a shard that is too large, if there is one.
+func (c *Controller) splitOneRecordSet(s *shard) {
+	if c.now < c.nextSplitAt || !c.leaseValid() {
+		return
+	}
+	c.nextSplitAt = c.now + splitInterval
+	for _, m := range s.machines {
+		b := m.recordSet
+		if c.overRecordLimit(b) && !b.writeInFlight && c.now >= b.nextWriteAt {
+			c.splitRecordSet(s, b)
+			return
+		}
+	}
+}
--- /dev/null
+++ b/internal/controller/machine_release.go
@@ -0,0 +1,181 @@
+package controller
+
+import (
+	"slices"
+
+	"garnethitch/internal/micros"
+	"garnethitch/internal/peer"
+	"garnethitch/internal/wire"
+)
+
+// releaseView is how a machine leaves its shard: releasing while a transaction that
+// takes it out may be carried out, planned while it is emptied for that.
+type releaseView struct {
+	releasing      bool
+	plannedRelease peer.Release
+	plannedUntil   micros.Micros // the plan is void then, unless it is requested again
+}
+
+// releasePlanSpan is how long a plan to release a machine holds after the leader's request.
+const releasePlanSpan = 4 * micros.Second
+
+// release releases machines at the leader's request: at once those that are idle, others when
+// they are empty, if they may be drained. It reports whether it has begun with any.
+func (c *Controller) release(r peer.Release) bool {
+	if r.Shard < 0 || r.Shard >= len(c.ownership.shards) {
+		return false
+	}
+	var ready []*machine
+	for _, id := range r.Machines {
+		m := c.machines[id]
+		if !c.releasable(m, r) {
+			continue
+		}
+		if r.Drain {
+			c.planRelease(m, r)
+		}
+		if c.mayReleaseMachine(m, r.Retire) {
+			ready = append(ready, m)
+		}
+	}
+	return c.releaseMachines(ready, r)
+}
+
+// releasable reports whether this node may plan a machine's release.
+func (c *Controller) releasable(m *machine, r peer.Release) bool {
+	if m == nil || m.view == nil || m.view.releasing {
+		return false
+	}
+	s := c.activeShard(m.rec.Shard)
+	return s != nil && (r.Retire || r.Shard != s.id)
+}
+
+// planRelease has a machine emptied and released then.
+func (c *Controller) planRelease(m *machine, r peer.Release) {
+	plan := r
+	plan.Machines = nil
+	plan.Drain = false // or it would prolong itself
+	m.view.plannedRelease = plan
+	m.view.plannedUntil = c.now + releasePlanSpan
+	if r.Save {
+		c.saveAll(m)
+	}
+}
+
+// releaseTxn is what one transaction releases.
+type releaseTxn struct {
+	writes   []recordSetWrite // of the record sets that the machines leave
+	machines []*machine
+}
+
+// releaseMachines writes the records by which machines move or retire, as many in
+// one transaction as fit. It reports whether it has sent any.
+func (c *Controller) releaseMachines(machines []*machine, r peer.Release) bool {
+	if !c.leaseValid() {
+		return false
+	}
+	byShard := map[int][]*machine{}
+	for _, m := range machines {
+		byShard[m.rec.Shard] = append(byShard[m.rec.Shard], m)
+	}
+	sent := false
+	for _, s := range c.ownership.shards {
+		for _, txn := range c.releaseTxns(byShard[s.id], r) {
+			c.sendRelease(s, txn, r)
+			sent = true
+		}
+	}
+	return sent
+}
+
+// releaseTxns distributes machines of one shard over transactions; those of one record set go
+// together.
+func (c *Controller) releaseTxns(machines []*machine, r peer.Release) []releaseTxn {
+	maxRecordSets := max(c.cfg.TxnOps-1, 1) // one change adds them elsewhere
+	chosen := map[*machine]bool{}
+	for _, m := range machines {
+		chosen[m] = true
+	}
+	var txns []releaseTxn
+	var txn releaseTxn
+	seen := map[*machineRecordSet]bool{}
+	for _, m := range machines {
+		b := m.recordSet
+		if seen[b] {
+			continue
+		}
+		seen[b] = true
+		released := chosenOf(b, chosen)
+		full := len(txn.writes) >= maxRecordSets || len(txn.machines)+len(released) > c.recordSetLimit()
+		if full && len(txn.machines) > 0 {
+			txns = append(txns, txn)
+			txn = releaseTxn{}
+		}
+		txn.writes = append(txn.writes, c.releaseWrite(b, released, r))
+		txn.machines = append(txn.machines, released...)
+	}
+	if len(txn.machines) > 0 {
+		txns = append(txns, txn)
+	}
+	return txns
+}
+
+func chosenOf(b *machineRecordSet, chosen map[*machine]bool) []*machine {
+	var out []*machine
+	for _, m := range b.machines {
+		if chosen[m] {
+			out = append(out, m)
+		}
+	}
+	return out
+}
+
+// releaseWrite returns the write of a record set some machines of which are released: they are
+// cordoned in it if they retire, and leave it otherwise.
+func (c *Controller) releaseWrite(b *machineRecordSet, released []*machine, r peer.Release) recordSetWrite {
+	isReleased := func(m *machine) bool { return slices.Contains(released, m) }
+	write := recordSetWrite{key: b.key, recordSet: b}
+	if r.Retire {
+		write.record = recordSetOf(b.machines, nil, isReleased)
+		return write
+	}
+	write.record = recordSetOf(b.machines, isReleased, nil)
+	write.deleteKey = len(write.record.Machines) == 0 && c.deletable(b)
+	return write
+}
+
+// sendRelease sends one transaction of releaseMachines.
+func (c *Controller) sendRelease(s *shard, txn releaseTxn, r peer.Release) {
+	writes := txn.writes
+	if !r.Retire {
+		writes = append(writes, recordSetWrite{
+			key:    wire.MachineRecordSetKey(r.Shard, c.recordSetName(recordSetMoved, s.ownerEpoch)),
+			record: recordSetOf(txn.machines, nil, nil),
+		})
+	}
+	views := make([]*view, len(txn.machines))
+	for i, m := range txn.machines {
+		views[i] = m.view
+		m.view.releasing = true
+	}
+	c.writeRecordSets(ownerKey(s.id), s.ownerEpoch, writes, func(outcome writeOutcome) {
+		for i, m := range txn.machines {
+			if m.view != nil && m.view == views[i] {
+				c.applyReleaseOutcome(s, m, outcome)
+			}
+		}
+	})
+}
+
+// applyReleaseOutcome deals with a machine whose release was sent and that is still here.
+func (c *Controller) applyReleaseOutcome(s *shard, m *machine, outcome writeOutcome) {
+	switch outcome {
+	case writeApplied:
+	case writeNotApplied:
+		m.view.releasing = false
+	case writeInDoubt:
+		// The watch shows it if it was applied. A late copy may still come, so
+		// nothing is placed here until the record has been rewritten.
+		m.view.inDoubtToken = max(m.view.inDoubtToken, c.fencingToken(s, m))
+	}
+}
--- a/internal/controller/registration.go
+++ b/internal/controller/registration.go
@@ -221,7 +221,8 @@
 			delete(f.assigning, m.ID)
 		}
 	}
-	c.writeRecordSets(wire.KeyLeader, ownerEpoch, []recordSetWrite{{key: cr.key, record: cr.rec}}, func(ok, _ bool) {
+	c.writeRecordSets(wire.KeyLeader, ownerEpoch, []recordSetWrite{{key: cr.key, record: cr.rec}}, func(outcome writeOutcome) {
+		ok := outcome == writeApplied
 		reporters := cr.registrations
 		cr.registrations = nil
 		for _, cl := range reporters {
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -162,6 +162,6 @@
 		}
 	}
 	if len(writes) > 0 {
-		c.writeRecordSets(wire.KeyLeader, c.ownership.leader.ownerEpoch, writes, func(bool, bool) {})
+		c.writeRecordSets(wire.KeyLeader, c.ownership.leader.ownerEpoch, writes, func(writeOutcome) {})
 	}
 }
