--- /dev/null
+++ b/internal/controller/machine_assignment.go
@@ -0,0 +1,169 @@
+package controller
+
+import (
+	"math"
+	"slices"
+
+	"garnethitch/internal/micros"
+	"garnethitch/internal/peer"
+	"garnethitch/internal/wire"
+)
+
+// recordSetCreation is a record set that the leader is recording. It is sent again, under the
+// same key, until it is clear that it stands or never can: a late copy could
+// record its machines at any time, so they are assigned nowhere else meanwhile.
+type recordSetCreation struct {
+	key           string
+	rec           wire.MachineRecordSet
+	inFlight      bool
+	nextSendAt    micros.Micros
+	registrations []registration // of its machines, answered with the first result
+}
+
+// assignMachines records machines, each with the shard that lacks most of its part
+// of the fleet.
+func (c *Controller) assignMachines(origin string, list []unassigned, demand map[int]*peer.Demand, registrations []registration) {
+	if len(list) == 0 {
+		return
+	}
+	for _, s := range c.ownership.shards {
+		if demand[s.id] == nil {
+			demand[s.id] = &peer.Demand{Shard: s.id}
+		}
+	}
+	capacity, total := c.countCapacity(list)
+	target := c.targetCPUs(demand, total)
+	byShard := c.chooseShards(list, target, capacity)
+	for _, s := range c.ownership.shards {
+		for chunk := range slices.Chunk(byShard[s.id], c.recordSetLimit()) {
+			c.createRecordSet(origin, s, chunk, registrations)
+		}
+	}
+}
+
+// countCapacity returns the CPUs of each shard, those of records under way among them, and
+// the sum of these and of machines to be assigned.
+func (c *Controller) countCapacity(list []unassigned) (capacity map[int]float64, total float64) {
+	capacity = map[int]float64{}
+	for _, m := range list {
+		total += c.types[m.typ].CPUs
+	}
+	for _, s := range c.ownership.shards {
+		for _, m := range s.machines {
+			if !m.rec.Cordoned && !m.returned {
+				cpus := c.types[m.rec.Type].CPUs
+				capacity[s.id] += cpus
+				total += cpus
+			}
+		}
+	}
+	for _, key := range sortedKeys(c.fleet.pendingCreations) {
+		creation := c.fleet.pendingCreations[key]
+		shardID, _, _ := wire.ParseMachineRecordSetKey(key)
+		for _, m := range creation.rec.Machines {
+			cpus := c.types[creation.rec.Kinds[m.Kind].Type].CPUs
+			capacity[shardID] += cpus
+			total += cpus
+		}
+	}
+	return capacity, total
+}
+
+// chooseShards distributes machines over the shards by target and present CPUs, and adds them
+// to capacity. Machines that come up together stay together as long as their shard lacks
+// some: a record set for each shard would take as many writes.
+func (c *Controller) chooseShards(list []unassigned, target, capacity map[int]float64) map[int][]unassigned {
+	byShard := map[int][]unassigned{}
+	chosen := -1
+	for _, m := range list {
+		cpus := max(c.types[m.typ].CPUs, 1)
+		if chosen < 0 || target[chosen]-capacity[chosen] < cpus {
+			chosen = c.shardLackingMost(target, capacity, chosen)
+		}
+		capacity[chosen] += cpus
+		byShard[chosen] = append(byShard[chosen], m)
+	}
+	return byShard
+}
+
+// shardLackingMost returns the shard that is furthest below its target; where nothing waits,
+// the one with the least capacity. otherwise is returned if there is none.
+func (c *Controller) shardLackingMost(target, capacity map[int]float64, otherwise int) int {
+	most := otherwise
+	largestGap := math.Inf(-1)
+	for _, s := range c.ownership.shards {
+		gap := target[s.id] - capacity[s.id]
+		if gap > largestGap+eps {
+			most = s.id
+			largestGap = gap
+		}
+	}
+	return most
+}
+
+// createRecordSet records machines of one shard, and takes over their registrations.
+func (c *Controller) createRecordSet(origin string, s *shard, machines []unassigned, registrations []registration) {
+	f := &c.fleet
+	creation := &recordSetCreation{key: wire.MachineRecordSetKey(s.id, c.recordSetName(origin, c.ownership.leader.ownerEpoch))}
+	f.pendingCreations[creation.key] = creation
+	for _, m := range machines {
+		m.Kind = kindIn(&creation.rec, m.kind)
+		creation.rec.Machines = append(creation.rec.Machines, m.MachineRecord)
+		f.assigning[m.ID] = true
+		isOfMachine := func(reg registration) bool { return reg.in.Heartbeat.Machine == m.ID }
+		if i := slices.IndexFunc(registrations, isOfMachine); i >= 0 {
+			creation.registrations = append(creation.registrations, registrations[i])
+		}
+	}
+	c.log(Info, "machines assigned", "count", len(machines), "shard", s.id)
+	c.sendCreation(creation)
+}
+
+// maintainCreations sends record sets again that are not known to stand.
+func (c *Controller) maintainCreations() {
+	for _, key := range sortedKeys(c.fleet.pendingCreations) {
+		c.sendCreation(c.fleet.pendingCreations[key])
+	}
+}
+
+func (c *Controller) sendCreation(creation *recordSetCreation) {
+	if creation.inFlight || c.now < creation.nextSendAt {
+		return
+	}
+	creation.inFlight = true
+	ownerEpoch := c.ownership.leader.ownerEpoch
+	write := recordSetWrite{key: creation.key, record: creation.rec}
+	c.writeRecordSets(wire.KeyLeader, ownerEpoch, []recordSetWrite{write}, func(outcome writeOutcome) {
+		c.answerRegistrations(creation, outcome)
+		if c.ownership.leader.ownerEpoch != ownerEpoch {
+			return
+		}
+		creation.inFlight = false
+		creation.nextSendAt = c.now + c.jitter(recordSetWriteInterval)
+		if outcome == writeApplied || c.recordSets[creation.key] != nil {
+			c.endCreation(creation)
+		}
+		// Else it is sent again. If it stands already, the watch shows it.
+	})
+}
+
+// answerRegistrations answers the heartbeats that wait for a record set.
+func (c *Controller) answerRegistrations(creation *recordSetCreation, outcome writeOutcome) {
+	registrations := creation.registrations
+	creation.registrations = nil
+	for _, reg := range registrations {
+		if outcome == writeApplied {
+			c.handleHeartbeat(reg.in) // which redirects it to its owner
+		} else {
+			c.refuseRegistration(reg.in)
+		}
+	}
+}
+
+func (c *Controller) endCreation(creation *recordSetCreation) {
+	f := &c.fleet
+	delete(f.pendingCreations, creation.key)
+	for _, m := range creation.rec.Machines {
+		delete(f.assigning, m.ID)
+	}
+}
