--- a/internal/controller/machine_health.go
+++ b/internal/controller/machine_health.go
@@ -7,172 +7,252 @@
 	"garnethitch/internal/wire"
 )
 
-// healthView is what speaks against a machine: distinct jobs whose tasks failed there,
-// slowness, disagreements. One that is set aside takes no tasks until then.
+// healthView is what speaks against a machine: the jobs whose tasks failed there,
+// slowness, refused starts. A cordoned machine takes no tasks until cordonedUntil.
 type healthView struct {
-	failuresByJob map[string]int
+	failuresByJob map[string]int // since a task was last completed
 	cordonedUntil micros.Micros
-	faulty        bool
-	// slowSum and slowCount: how much longer than expected its tasks ran, and how many.
+	faulty        bool // cordoned for failures
+	// slowSum and slowCount: how much longer than expected its tasks ran, and how many; both
+	// decay.
 	slowSum, slowCount float64
-	backoffUntil       micros.Micros // after a disagreement about room
+	backoffUntil       micros.Micros // nothing is started before, after a refused start
 }
 
+// Bounds by which failures are held against a machine or a job.
+const (
+	// faultyAfterJobs is how many jobs must fail on a machine.
+	faultyAfterJobs = 2
+	// faultyAfterFailuresOfProvenJob is how many tasks must fail that run well elsewhere.
+	faultyAfterFailuresOfProvenJob = 2
+	// faultyAfterFailures is how many tasks must fail, whatever their jobs.
+	faultyAfterFailures = 3
+	// suspectAfterMachines is on how many machines a job must fail.
+	suspectAfterMachines = 3
+	// runsWellFactor is how many tasks of a job must run well for each machine where one failed,
+	// for the job not to be at fault.
+	runsWellFactor = 2
+	// runsWellMargin is added to the longest time that a failed task had run.
+	runsWellMargin = micros.Second
+	// provenRunTime is how long a task must have run elsewhere to show that its job can.
+	provenRunTime = 5 * micros.Second
+
+	minRetryBackoff = 4 * micros.Second // of a job that fails everywhere
+	maxRetryBackoff = micros.Minute
+)
+
 // noteFailure weighs a failed task: is the machine at fault, or the job?
 func (c *Controller) noteFailure(att *attempt) {
-	j, v := att.job, att.machine.view
+	j, m := att.job, att.machine
+	m.view.failuresByJob[j.id]++
+	c.log(Debug, "task failed", "task", wire.TaskName(j.id, att.index), "machine", m.id)
 	r := j.run
-	v.failuresByJob[j.id]++
-	c.log(Debug, "task failed", "task", wire.TaskName(j.id, att.index), "machine", att.machine.id)
 	if r == nil {
 		return
 	}
-	r.failuresByMachine[att.machine.id]++
+	r.failuresByMachine[m.id]++
 	r.failuresByTask[att.index]++
 	r.failAfter = max(r.failAfter, att.ran(c.now))
 	if c.suspect(j) {
-		// Failing everywhere: throttled until its user cancels it. The protocol
-		// has no answer that says "failed".
-		if r.retryBackoff == 0 {
-			c.log(Info, "job fails on every machine, trying one task at a time", "job", j.id, "machines", len(r.failuresByMachine))
+		c.throttleFailingJob(j)
+		c.clearFailuresOf(j)
+		return
+	}
+	if c.failsTasks(m, j) {
+		c.cordonFaulty(m)
+	}
+}
+
+// throttleFailingJob has the tasks of a job that fails everywhere tried one at a time, ever
+// less often, until its user cancels it. The protocol has no answer that says "failed".
+func (c *Controller) throttleFailingJob(j *job) {
+	r := j.run
+	if r.retryBackoff == 0 {
+		c.log(Info, "job fails on every machine, trying one task at a time", "job", j.id, "machines", len(r.failuresByMachine))
+	}
+	r.retryBackoff = min(max(2*r.retryBackoff, minRetryBackoff), maxRetryBackoff)
+	r.nextRetryAt = c.now + r.retryBackoff
+}
+
+// clearFailuresOf takes back what the failures of a job have done to machines: they are no
+// evidence against them.
+func (c *Controller) clearFailuresOf(j *job) {
+	for id := range j.run.failuresByMachine {
+		m := c.machines[id]
+		if m == nil || m.view == nil {
+			continue
 		}
-		r.retryBackoff = min(max(2*r.retryBackoff, 4*micros.Second), micros.Minute)
-		r.nextRetryAt = c.now + r.retryBackoff
-		// It is no evidence against machines.
-		for id := range r.failuresByMachine {
-			if m := c.machines[id]; m != nil && m.view != nil {
-				delete(m.view.failuresByJob, j.id)
-				if m.view.faulty && len(m.view.failuresByJob) == 0 {
-					m.view.faulty, m.view.cordonedUntil = false, 0
-				}
-			}
+		v := m.view
+		delete(v.failuresByJob, j.id)
+		if v.faulty && len(v.failuresByJob) == 0 {
+			v.faulty = false
+			v.cordonedUntil = 0
 		}
-		return
 	}
+}
+
+// failsTasks reports whether a machine on which a task of a job has just failed is at fault.
+func (c *Controller) failsTasks(m *machine, j *job) bool {
+	v := m.view
+	if len(v.failuresByJob) >= faultyAfterJobs {
+		return true
+	}
+	failures := v.failures()
+	if failures >= faultyAfterFailuresOfProvenJob && c.provenElsewhere(j, m) {
+		return true
+	}
+	return failures >= faultyAfterFailures
+}
+
+func (v *view) failures() int {
 	failures := 0
 	for _, n := range v.failuresByJob {
 		failures += n
 	}
-	if len(v.failuresByJob) >= 2 || failures >= 2 && c.provenElsewhere(j, att.machine) || failures >= 3 {
-		if !v.faulty {
-			c.log(Info, "machine cordoned, its tasks fail", "machine", att.machine.id, "failures", failures, "jobs", len(v.failuresByJob))
-		}
-		v.faulty = true
-		v.cordonedUntil = c.now + c.cfg.CordonFor
-		// What still runs there will fail as well.
-		for _, other := range v.each() {
-			if other.tracked && other.state == attemptAssigned {
-				c.freeAttempt(other, false)
-			}
+	return failures
+}
+
+// cordonFaulty cordons a machine on which tasks fail, and frees what has not been sent to it.
+func (c *Controller) cordonFaulty(m *machine) {
+	v := m.view
+	if !v.faulty {
+		c.log(Info, "machine cordoned, its tasks fail", "machine", m.id, "failures", v.failures(), "jobs", len(v.failuresByJob))
+	}
+	v.faulty = true
+	v.cordonedUntil = c.now + c.cfg.CordonFor
+	for _, att := range v.each() {
+		if att.tracked && att.state == attemptAssigned {
+			c.freeAttempt(att, false)
 		}
 	}
 }
 
-// suspect: the job has failed on several machines and never completed a task.
+// suspect reports whether a job has failed on several machines and never completed a task.
 // A large array runs on hundreds of machines, some of which may be faulty: where
 // more of its tasks have run for longer than it took the others to fail, the job
-// is not at fault (35 good jobs were throttled on a day with 70 faulty machines
-// among 2,000, and 60 in an incident, most of them in their first seconds).
+// is not at fault.
 func (c *Controller) suspect(j *job) bool {
 	r := j.run
-	if len(r.failuresByMachine) < 3 || r.doneCount > 0 {
+	if len(r.failuresByMachine) < suspectAfterMachines || r.doneCount > 0 {
 		return false
 	}
-	well := 0
+	runningWell := 0
 	for _, att := range r.active {
-		if att.runAt > 0 && c.now-att.runAt > r.failAfter+micros.Second {
-			well++
+		if att.ran(c.now) > r.failAfter+runsWellMargin {
+			runningWell++
 		}
 	}
-	return well < 2*len(r.failuresByMachine)
+	return runningWell < runsWellFactor*len(r.failuresByMachine)
 }
 
-// provenElsewhere: the job's tasks complete or run on other machines.
+// provenElsewhere reports whether the job's tasks complete or run on other machines.
 func (c *Controller) provenElsewhere(j *job, m *machine) bool {
 	if j.run.doneCount > 0 {
 		return true
 	}
 	for _, att := range j.run.active {
-		if att.machine != m && att.runAt > 0 && c.now-att.runAt > 5*micros.Second {
+		if att.machine != m && att.ran(c.now) > provenRunTime {
 			return true
 		}
 	}
 	return false
 }
 
-// avoids: a task that failed again goes to another machine than those where
-// its job failed; a first failure may use the same one.
+// avoids reports whether a task must not run on a machine: one that failed again goes to
+// another machine than those where its job failed; a first failure may use the same one.
 func (c *Controller) avoids(j *job, idx int, m *machine) bool {
-	n := j.run.failuresByMachine[m.id]
-	if n == 0 {
+	failuresHere := j.run.failuresByMachine[m.id]
+	if failuresHere == 0 {
 		return false
 	}
 	if j.run.retryBackoff != 0 {
-		return false // failing everywhere, it has nowhere to go
+		return false // it fails everywhere, no machine is better
 	}
-	return n >= 2 || j.run.failuresByTask[idx] >= 2
+	return failuresHere >= 2 || j.run.failuresByTask[idx] >= 2
 }
 
-// noteNotice takes a spot notice.
+// noteNotice takes the notice that the cloud will reclaim a spot machine.
 func (c *Controller) noteNotice(m *machine, heartbeat *wire.Heartbeat) {
-	v := m.view
 	if heartbeat.NoticeS == nil {
 		return
 	}
-	at := c.now + micros.FromSeconds(*heartbeat.NoticeS)
+	v := m.view
 	if v.reclaimAt == 0 {
 		c.log(Info, "machine will be reclaimed", "machine", m.id, "seconds", *heartbeat.NoticeS)
 	}
-	v.reclaimAt = at
+	v.reclaimAt = c.now + micros.FromSeconds(*heartbeat.NoticeS)
 	c.drain(m)
 }
 
-// drain clears a machine that will be taken away: tasks that can save do so in
+// drainSaveMargin is what must remain before a reclaim beside the time that a task takes to
+// save.
+const drainSaveMargin = micros.Second / 2
+
+// drain empties a machine that will be reclaimed: tasks that can save do so in
 // time, those that won't be done by then start again elsewhere at once.
 func (c *Controller) drain(m *machine) {
-	v := m.view
-	left := v.reclaimAt - c.now
-	for _, att := range v.each() {
+	left := m.view.reclaimAt - c.now
+	for _, att := range m.view.each() {
 		if !att.tracked || att.job == nil || att.stopMode != stopNone || att.state == attemptExited {
 			continue
 		}
-		sub := att.job.sub
-		save := micros.FromSeconds(sub.SaveS)
-		switch {
-		case att.state < attemptRunning:
-			c.stop(att, stopImmediate)
-		case sub.CheckpointS > 0 && left > save+micros.Second/2:
-			c.stop(att, stopGraceful)
-		case att.state == attemptRunning:
-			rest := c.estimates.expect(sub) - (c.now - att.runAt)
-			if rest > left {
-				c.stop(att, stopImmediate)
-			}
+		if mode := c.drainMode(att, left); mode != stopNone {
+			c.stop(att, mode)
 		}
 	}
 }
 
+// drainMode says how an attempt is to be stopped, if at all, with some time left until its
+// machine is reclaimed.
+func (c *Controller) drainMode(att *attempt, left micros.Micros) stopMode {
+	if att.state < attemptRunning {
+		return stopImmediate
+	}
+	sub := att.job.sub
+	if sub.CheckpointS > 0 && left > micros.FromSeconds(sub.SaveS)+drainSaveMargin {
+		return stopGraceful
+	}
+	if att.state == attemptRunning && c.estimates.expect(sub)-(c.now-att.runAt) > left {
+		return stopImmediate
+	}
+	return stopNone
+}
+
+const (
+	// slowDecay is by how much earlier run times lose weight with each further one.
+	slowDecay = 0.9
+	// maxSlowRatio bounds the logarithm of one run time's ratio to the expected one.
+	maxSlowRatio = 1.5
+	// minSlowCount is how many run times it takes to call a machine slow.
+	minSlowCount = 2
+	// slowPrior is how many run times as expected are added to those seen.
+	slowPrior = 2
+	// minSlowness is the slowness up to which a machine counts as ordinary.
+	minSlowness = 0.3
+)
+
 // noteSpeed compares a run time with what the job's class led to expect.
-func (c *Controller) noteSpeed(m *machine, j *job, took micros.Micros) {
-	want := c.estimates.expect(j.sub)
-	if want <= 0 || took <= 0 {
+func (c *Controller) noteSpeed(m *machine, j *job, runTime micros.Micros) {
+	expected := c.estimates.expect(j.sub)
+	if expected <= 0 || runTime <= 0 {
 		return
 	}
+	ratio := math.Log(runTime.Seconds() / expected.Seconds())
+	ratio = max(-maxSlowRatio, min(maxSlowRatio, ratio))
 	v := m.view
-	ratio := max(-1.5, min(1.5, math.Log(took.Seconds()/want.Seconds())))
-	v.slowSum = v.slowSum*0.9 + ratio
-	v.slowCount = v.slowCount*0.9 + 1
+	v.slowSum = v.slowSum*slowDecay + ratio
+	v.slowCount = v.slowCount*slowDecay + 1
 }
 
 // slowness is 0 for an ordinary machine and grows with how much longer its
-// tasks take.
+// tasks take: the mean logarithm of run time to expected run time.
 func (c *Controller) slowness(m *machine) float64 {
 	v := m.view
-	if v.slowCount < 2 {
+	if v.slowCount < minSlowCount {
 		return 0
 	}
-	mean := v.slowSum / (v.slowCount + 2)
-	if mean < 0.3 {
+	mean := v.slowSum / (v.slowCount + slowPrior)
+	if mean < minSlowness {
 		return 0
 	}
 	return mean
--- a/internal/controller/prefetch.go
+++ b/internal/controller/prefetch.go
@@ -1,83 +1,116 @@
 package controller
 
 import (
+	"slices"
+
 	"garnethitch/internal/micros"
 	"garnethitch/internal/wire"
 )
 
-// Tasks of some classes are wanted started sooner than a machine fetches their
-// image. A machine keeps images in its cache, but fetches one only for a task.
-// So once a job of such a class is done, one of its tasks is run again on
-// machines that lack the image: its result is kept, so it exits as soon as the
-// image is there. It gives way to any other task.
-
-// prefetchImage is an image worth having on every machine, with a done task that brings it.
+// prefetchImage is an image that every machine should have. Tasks of some classes are to be
+// started sooner than a machine fetches their image. A machine keeps images in its cache,
+// but fetches one only for a task. So once a job of such a class is done, one of its tasks
+// is run again on machines that lack the image: its result is kept, so it exits as soon as
+// the image is there. It gives way to any other task.
 type prefetchImage struct {
-	job *job
+	job *job // done; its first task brings the image
 	at  micros.Micros
 }
 
 const (
+	// maxPrefetchImages bounds how many images are prefetched.
 	maxPrefetchImages = 8
-	prefetchSpan      = 10 * micros.Minute
+	// prefetchSpan is how long an image is prefetched after a job with it was last done.
+	prefetchSpan = 10 * micros.Minute
+	// prefetchInterval is the least time between two prefetches on a machine.
+	prefetchInterval = 10 * micros.Second
+	// prefetchFetchFraction is the part of the time within which a task is to be started that a
+	// fetch may take without being made ahead, as a divisor.
+	prefetchFetchFraction = 4
 )
 
-// notePrefetchImage remembers the image of a job that is done, if its class is urgent.
+// notePrefetchImage remembers the image of a job that is done, if its class has a bound on the
+// time until a start.
 func (c *Controller) notePrefetchImage(j *job) {
-	if _, urgent := c.cfg.StartWithin[j.sub.Class]; !urgent || j.sub.SameZone || j.sub.Spread {
-		return // where its other attempts are would matter
+	_, urgent := c.cfg.StartWithin[j.sub.Class]
+	placedByOthers := j.sub.SameZone || j.sub.Spread // where its other attempts are would matter
+	if !urgent || placedByOthers {
+		return
 	}
-	for i := range c.prefetchImages {
-		if c.prefetchImages[i].job.sub.Image == j.sub.Image {
-			c.prefetchImages[i].at = c.now
-			if j.sub.CPUs < c.prefetchImages[i].job.sub.CPUs {
-				c.prefetchImages[i].job = j
-			}
-			return
+	sameImage := func(p prefetchImage) bool { return p.job.sub.Image == j.sub.Image }
+	if i := slices.IndexFunc(c.prefetchImages, sameImage); i >= 0 {
+		known := &c.prefetchImages[i]
+		known.at = c.now
+		if j.sub.CPUs < known.job.sub.CPUs {
+			known.job = j
 		}
+		return
 	}
-	if len(c.prefetchImages) == maxPrefetchImages {
-		oldest := 0
-		for i := range c.prefetchImages {
-			if c.prefetchImages[i].at < c.prefetchImages[oldest].at {
-				oldest = i
-			}
-		}
-		c.prefetchImages[oldest] = prefetchImage{j, c.now}
+	added := prefetchImage{job: j, at: c.now}
+	if len(c.prefetchImages) < maxPrefetchImages {
+		c.prefetchImages = append(c.prefetchImages, added)
 		return
 	}
-	c.prefetchImages = append(c.prefetchImages, prefetchImage{j, c.now})
+	*oldestPrefetchImage(c.prefetchImages) = added
+}
+
+// oldestPrefetchImage returns the first of the images that were longest unused.
+func oldestPrefetchImage(images []prefetchImage) *prefetchImage {
+	oldest := &images[0]
+	for i := range images {
+		if images[i].at < oldest.at {
+			oldest = &images[i]
+		}
+	}
+	return oldest
 }
 
 // prefetch fetches urgent images on machines that lack them: first on empty
-// ones, before they are filled, later wherever there is room.
+// ones, before they are filled, later wherever there is free capacity.
 func (c *Controller) prefetch(s *shard, free []*machine, empty bool) {
 	if !c.leaseValid() || len(c.prefetchImages) == 0 {
 		return
 	}
-	for _, w := range c.prefetchImages {
-		sub := w.job.sub
-		within := c.cfg.StartWithin[sub.Class]
-		if c.now-w.at > prefetchSpan || w.job.shard != s.id && c.shardOfTeam != nil {
+	for _, image := range c.prefetchImages {
+		ofOtherShard := image.job.shard != s.id && c.shardOfTeam != nil
+		if c.now-image.at > prefetchSpan || ofOtherShard {
 			continue
 		}
 		for _, m := range free {
-			mt, v := c.types[m.rec.Type], m.view
-			if v.nextPrefetchAt > c.now || v.images[sub.Image] || empty && v.usage.tasks > 0 || !c.fits(m, w.job) ||
-				mt.FetchGBPerS <= 0 || micros.FromSeconds(sub.ImageGB/mt.FetchGBPerS) < within/4 ||
-				!c.allowed(w.job, m, nil) || v.fetches(sub.Image) {
+			if empty && m.view.usage.tasks > 0 || !c.shouldPrefetch(m, image.job) {
 				continue
 			}
-			if c.overLimit(s, w.job) {
+			if c.overLimit(s, image.job) {
 				break
 			}
-			c.newAttempt(s, w.job, 0, m).prefetch = true
-			v.nextPrefetchAt = c.now + 10*micros.Second
+			c.newAttempt(s, image.job, 0, m).prefetch = true
+			m.view.nextPrefetchAt = c.now + prefetchInterval
 		}
 	}
 }
 
-// notePrefetched takes the state of a prefetching attempt.
+// shouldPrefetch reports whether a machine lacks the image of a job, would fetch it too slowly
+// for a start in time, and may fetch it now.
+func (c *Controller) shouldPrefetch(m *machine, j *job) bool {
+	v := m.view
+	if v.nextPrefetchAt > c.now || v.images[j.sub.Image] || !c.fits(m, j) {
+		return false
+	}
+	return c.fetchesTooSlowly(m, j) && c.allowed(j, m, nil) && !v.fetches(j.sub.Image)
+}
+
+// fetchesTooSlowly reports whether fetching a job's image takes a machine a good part of the
+// time within which the job's tasks are to be started.
+func (c *Controller) fetchesTooSlowly(m *machine, j *job) bool {
+	rate := c.types[m.rec.Type].FetchGBPerS
+	if rate <= 0 {
+		return false
+	}
+	within := c.cfg.StartWithin[j.sub.Class]
+	return micros.FromSeconds(j.sub.ImageGB/rate) >= within/prefetchFetchFraction
+}
+
+// notePrefetched takes the end of a prefetching attempt.
 func (c *Controller) notePrefetched(att *attempt) {
 	if att.state != attemptExited {
 		return
