--- a/internal/controller/commands_test.go
+++ b/internal/controller/commands_test.go
@@ -7,16 +7,16 @@
 	"garnethitch/internal/wire"
 )
 
-// A start in a heartbeat's answer that was dropped is known to be so by the next
-// report, and is made again with a new attempt.
-func TestStartInDroppedAnswer(t *testing.T) {
+// A start in a reply that was dropped is known to be so by the next
+// heartbeat, and is made again with a new attempt.
+func TestStartInDroppedReply(t *testing.T) {
 	h := newHarness(t, nil)
 	fencingToken := h.reconcile("vm-1")
 	first := h.startOne(fencingToken)
 	_, body := h.heartbeat(heartbeatFrom("vm-1", 1, 11, fencingToken))
 	again := starts(body.Commands)
 	if len(again) != 1 || again[0].Attempt <= first {
-		t.Errorf("after a report without the task: %v, want a start with an attempt above %d", body.Commands, first)
+		t.Errorf("after a heartbeat without the task: %v, want a start with an attempt above %d", body.Commands, first)
 	}
 	_, body = h.heartbeat(heartbeatFrom("vm-1", 1, 12, fencingToken, wire.TaskStatus{Task: "job-000001/0", Attempt: again[0].Attempt, State: wire.TaskRunning}))
 	if len(starts(body.Commands)) != 0 {
@@ -31,15 +31,15 @@
 	fencingToken := h.reconcile("vm-1")
 	other := h.reconcile("vm-2")
 	h.submit(jobOf("job-000001", 1))
-	orders := h.directCommands()
-	if len(orders) != 1 {
-		t.Fatalf("%d orders, want 1", len(orders))
+	commands := h.directCommands()
+	if len(commands) != 1 {
+		t.Fatalf("%d direct commands, want 1", len(commands))
 	}
-	at := orders[0].Addr
+	at := commands[0].Addr
 	if at == "vm-2" {
 		fencingToken, other = other, fencingToken
 	}
-	h.step(Result{ID: orders[0].ID}) // no answer
+	h.step(Result{ID: commands[0].ID}) // no answer
 	h.open = nil
 	elsewhere := "vm-1"
 	if at == "vm-1" {
@@ -52,7 +52,7 @@
 		return len(starts(body.Commands)) > 0 || len(h.directCommands()) > 0
 	}
 	if startedElsewhere() {
-		t.Fatal("started elsewhere while the order may still act")
+		t.Fatal("started elsewhere while the command may still act")
 	}
 	h.run(3 * sec) // the fencing token is raised by rewriting the record
 	status, body := h.heartbeat(heartbeatFrom(at, 1, 30, fencingToken))
@@ -80,7 +80,7 @@
 		t.Fatalf("%d starts, want 2", len(cmds))
 	}
 	if a := h.ask(func(r ReplyID) Input { return CancelRequest{Reply: r, ID: "job-000001"} }); a.Status != 200 {
-		t.Fatalf("withdrawal answered %d", a.Status)
+		t.Fatalf("cancellation answered %d", a.Status)
 	}
 	h.open = nil
 	_, body = h.heartbeat(heartbeatFrom("vm-1", 1, 11, fencingToken,
@@ -90,10 +90,10 @@
 		t.Errorf("a cancelled job's tasks are started: %v", again)
 	}
 	if n := stops(body.Commands); n != 2 {
-		t.Errorf("%d halts without grace, want 2: %v", n, body.Commands)
+		t.Errorf("%d stops without grace, want 2: %v", n, body.Commands)
 	}
 	if s := h.state("job-000001"); s != wire.StateCancelled {
-		t.Errorf("called %q, want cancelled", s)
+		t.Errorf("state %q, want cancelled", s)
 	}
 }
 
@@ -104,21 +104,21 @@
 	for _, tc := range []struct {
 		name       string
 		exitReason string
-		ordered    bool
+		commanded  bool // by a direct command
 		raised     bool
 		clear      bool
 	}{
-		{"stopped, started by an order", wire.ExitStopped, true, false, false},
-		{"failed, started by an order", wire.ExitError, true, false, false},
+		{"stopped, started by a direct command", wire.ExitStopped, true, false, false},
+		{"failed, started by a direct command", wire.ExitError, true, false, false},
 		{"stopped, token raised since", wire.ExitStopped, true, true, true},
-		{"stopped, started in a report's answer", wire.ExitStopped, false, false, true},
+		{"stopped, started in a reply", wire.ExitStopped, false, false, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t, nil)
 			fencingToken := h.reconcile("vm-1")
 			h.submit(jobOf("job-000001", 1))
 			var attempt uint64
-			if tc.ordered {
+			if tc.commanded {
 				o := h.directCommands()[0]
 				attempt = starts(o.Req.(wire.DirectCommand).Commands)[0].Attempt
 				h.open = nil
@@ -146,35 +146,35 @@
 	}
 }
 
-// A direct command is held up, and its machine can't report: stops still go out, starts
-// don't, and the raised fencing token that makes it clear is sent rather than waited for.
+// A direct command is delayed, and no heartbeat of its machine arrives: stops are still sent,
+// starts are not, and the raised fencing token that ends the doubt is sent rather than waited for.
 func TestDelayedCommand(t *testing.T) {
 	h := meet(t, withPeer)
 	fencingToken, a := h.runOne()
-	h.run(2 * sec) // orders have their pace
+	h.run(2 * sec) // direct commands have a least interval
 	h.submit(jobOf("job-000002", 1))
-	held := h.directCommands()
-	if len(held) != 1 {
-		t.Fatalf("%d orders, want the start", len(held))
+	delayed := h.directCommands()
+	if len(delayed) != 1 {
+		t.Fatalf("%d direct commands, want the start", len(delayed))
 	}
 	h.open = nil
 	h.late = wire.PrefixFleet // the record that raises the fencing token is slow
-	h.step(Result{ID: held[0].ID})
+	h.step(Result{ID: delayed[0].ID})
 	h.cancel("job-000001")
 	h.submit(jobOf("job-000003", 1))
 	h.run(3 * sec)
-	halts := 0
+	stopped := 0
 	for _, c := range h.directCommands() {
 		o := c.Req.(wire.DirectCommand)
-		halts += stops(o.Commands)
+		stopped += stops(o.Commands)
 		if len(starts(o.Commands)) > 0 {
-			t.Errorf("a start follows an order that is unclear: %v", o.Commands)
+			t.Errorf("a start follows a command in doubt: %v", o.Commands)
 		}
 	}
-	if halts == 0 {
-		t.Fatal("the task is not stopped while an order is unclear")
+	if stopped == 0 {
+		t.Fatal("the task is not stopped while a command is in doubt")
 	}
-	// The halting order is answered; the unclear one still may act.
+	// The command that stops is answered; the one in doubt still may act.
 	for _, c := range h.open {
 		h.step(Result{ID: c.ID, Status: 200, Body: new(heartbeatFrom("vm-1", 1, 20, fencingToken, wire.TaskStatus{Task: "job-000001/0", Attempt: a, State: wire.TaskExited, ExitReason: wire.ExitStopped}))})
 	}
@@ -201,11 +201,11 @@
 		}
 	}
 	if v := h.c.machines["vm-1"].view; v.inDoubtToken != 0 {
-		t.Error("still unclear after the machine has shown the raised token")
+		t.Error("still in doubt after the machine has shown the raised token")
 	}
 }
 
-// commandsOut gives the commands of open direct commands.
+// commandsOut returns the commands of open direct commands.
 func (h *harness) commandsOut() (out []wire.Command) {
 	for _, c := range h.directCommands() {
 		out = append(out, c.Req.(wire.DirectCommand).Commands...)
@@ -214,18 +214,18 @@
 }
 
 // Beyond its lease an owner starts tasks only while every other controller says that
-// it has lost the state service too: else a successor may have told a user of a
-// cancellation.
+// it has lost the state service too: else a successor may have confirmed a cancellation
+// to a user.
 func TestStartsBeyondTheLease(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
-		stateOK bool // the other says
-		silent  bool // nothing is heard of the other
+		stateOK bool // by the status of the other
+		silent  bool // no status of the other comes
 		want    int
 	}{
-		{"all share the outage", false, false, 1},
+		{"the outage is common", false, false, 1},
 		{"the other has the state service", true, false, 0},
-		{"the other is not heard", false, true, 0},
+		{"the other is silent", false, true, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := meet(t, withPeer)
--- a/internal/controller/machines_test.go
+++ b/internal/controller/heartbeats_test.go
@@ -8,23 +8,23 @@
 	"garnethitch/internal/wire"
 )
 
-// Which reports count, and what a worker is told.
+// Which heartbeats are accepted.
 func TestHeartbeatOrder(t *testing.T) {
 	h := newHarness(t, nil)
 	fencingToken := h.reconcile("vm-1")
 	for _, tc := range []struct {
-		name                       string
-		session, seq, fencingToken uint64
-		want                       int
+		name                               string
+		agentEpoch, sequence, fencingToken uint64
+		want                               int
 	}{
 		{"newer", 1, 10, fencingToken, 200},
 		{"the same again", 1, 10, fencingToken, 503},
 		{"older", 1, 9, fencingToken, 503},
 		{"token of a successor", 1, 11, fencingToken + 1000, 503},
-		{"next session", 2, 1, fencingToken, 200},
-		{"older session, larger number", 1, 99, fencingToken, 503},
+		{"next agent epoch", 2, 1, fencingToken, 200},
+		{"older agent epoch, larger sequence", 1, 99, fencingToken, 503},
 	} {
-		if status, _ := h.heartbeat(heartbeatFrom("vm-1", tc.session, tc.seq, tc.fencingToken)); status != tc.want {
+		if status, _ := h.heartbeat(heartbeatFrom("vm-1", tc.agentEpoch, tc.sequence, tc.fencingToken)); status != tc.want {
 			t.Errorf("%s: %d, want %d", tc.name, status, tc.want)
 		}
 	}
@@ -46,7 +46,7 @@
 		early := h.now < last+10*sec
 		if started := len(starts(body.Commands)) > 0 || len(h.directCommands()) > 0; started {
 			if early {
-				t.Fatalf("started elsewhere %v s after the last answer", (h.now - last).Seconds())
+				t.Fatalf("started elsewhere %v s after the last reply", (h.now - last).Seconds())
 			}
 			return
 		}
@@ -54,20 +54,20 @@
 	t.Error("never started elsewhere")
 }
 
-// A limit counts what may be on machines that were not heard of yet.
+// A limit counts what may be on machines whose heartbeats have not come yet.
 func TestLimitCountsUnreconciledMachines(t *testing.T) {
 	for _, tc := range []struct {
-		name      string
-		unsettled bool
-		want      int
+		name         string
+		unreconciled bool
+		want         int
 	}{
-		{"all machines settled", false, 4},
-		{"one may hold four CPUs' worth", true, 0},
+		{"all machines reconciled", false, 4},
+		{"one may hold four CPUs of tasks", true, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t, func(c *Config) { c.Teams = []Team{{Name: "t", CPUsMax: 4}, {Name: "u"}}; c.Shards = 1 })
 			fencingToken := h.reconcile("vm-1")
-			if tc.unsettled {
+			if tc.unreconciled {
 				// It stood on record when the shard was claimed.
 				h.putMachines("m-1-1", "vm-9")
 				h.c.machines["vm-9"].view.unreconciledFromPredecessor = true
@@ -83,16 +83,16 @@
 	}
 }
 
-// A controller without the state service and the others, but with its workers:
-// a machine unheard here may report to a successor, which renews its lease, so
-// its tasks are not started elsewhere (ran_twice in the grown simulation).
+// A controller that has lost the state service and the other controllers, but not its workers:
+// a machine that is silent here may send its heartbeats to a successor, which renews its
+// lease, so its tasks are not started elsewhere (ran_twice in the enlarged simulation).
 func TestSilentMachineWithinSuccessorWait(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		alone bool // it has lost the state service
 	}{
 		{"with the state service: restarted once the lease has run out", false},
-		{"without it: a successor may have answered the machine", true},
+		{"without it: a successor may have renewed the machine's lease", true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t, func(c *Config) { c.Cancel = 40 * sec; c.SilentReturn = 0; c.Peers = []string{"n-1"} })
@@ -108,7 +108,7 @@
 				h.run(sec / 2)
 				status, body := h.heartbeat(heartbeatFrom("vm-2", 1, seq, other))
 				if status != 200 {
-					t.Fatalf("report answered %d: the stretch for commands is over too early", status)
+					t.Fatalf("heartbeat answered %d: the time for commands is over too early", status)
 				}
 				started = started || len(starts(body.Commands)) > 0 || len(h.directCommands()) > 0
 			}
@@ -119,8 +119,8 @@
 	}
 }
 
-// Late copies of heartbeats change nothing: no state, no lease arithmetic, no sign
-// of life, no settling, no assignment.
+// Late copies of heartbeats change nothing: no state, no lease arithmetic, no time of the
+// last heartbeat, no reconciliation, no assignment.
 func TestLateCopies(t *testing.T) {
 	h := newHarness(t, nil)
 	fencingToken := h.reconcile("vm-1")
@@ -128,42 +128,42 @@
 	running := wire.TaskStatus{Task: "job-000001/0", Attempt: a, State: wire.TaskRunning}
 	h.heartbeat(heartbeatFrom("vm-1", 1, 11, fencingToken, running))
 	v := h.c.machines["vm-1"].view
-	heard, answered := v.lastHeartbeatAt, v.lastReplyAt
+	lastHeartbeatAt, lastReplyAt := v.lastHeartbeatAt, v.lastReplyAt
 	for _, tc := range []struct {
-		name string
-		rep  wire.Heartbeat
+		name      string
+		heartbeat wire.Heartbeat
 	}{
 		{"a copy of the newest", heartbeatFrom("vm-1", 1, 11, fencingToken, running)},
 		{"an older one, from before the start", heartbeatFrom("vm-1", 1, 3, fencingToken)},
 		{"one that showed no token yet", heartbeatFrom("vm-1", 1, 1, 0)},
 	} {
 		h.run(sec)
-		if status, _ := h.heartbeat(tc.rep); status != 503 {
+		if status, _ := h.heartbeat(tc.heartbeat); status != 503 {
 			t.Errorf("%s: answered %d, want 503", tc.name, status)
 		}
-		if v.lastHeartbeatAt != heard || v.lastReplyAt != answered || v.list[0].state != attemptRunning {
+		if v.lastHeartbeatAt != lastHeartbeatAt || v.lastReplyAt != lastReplyAt || v.list[0].state != attemptRunning {
 			t.Errorf("%s: changed something", tc.name)
 		}
 	}
 	// The answer to a direct command that is overtaken by a newer heartbeat.
 	h.submit(jobOf("job-000002", 1))
-	order := h.directCommands()[0]
+	command := h.directCommands()[0]
 	h.open = nil
-	h.heartbeat(heartbeatFrom("vm-1", 1, 40, fencingToken, running, wire.TaskStatus{Task: "job-000002/0", Attempt: order.Req.(wire.DirectCommand).Commands[0].Attempt, State: wire.TaskRunning}))
+	h.heartbeat(heartbeatFrom("vm-1", 1, 40, fencingToken, running, wire.TaskStatus{Task: "job-000002/0", Attempt: command.Req.(wire.DirectCommand).Commands[0].Attempt, State: wire.TaskRunning}))
 	overtaken := heartbeatFrom("vm-1", 1, 39, fencingToken)
-	if h.step(Result{ID: order.ID, Status: 200, Body: &overtaken}); len(v.list) != 2 || v.list[0].key.attempt != a || v.list[0].state != attemptRunning {
+	if h.step(Result{ID: command.ID, Status: 200, Body: &overtaken}); len(v.list) != 2 || v.list[0].key.attempt != a || v.list[0].state != attemptRunning {
 		t.Errorf("an overtaken answer changed what runs: %d tasks", len(v.list))
 	}
-	// A new owner has no view. A copy from before its claim settles nothing.
+	// A new owner has no view. A copy from before its claim reconciles nothing.
 	h.putMachines("m-1-1", "vm-3")
 	h.run(sec)
 	old := h.c.fencingToken(h.c.ownership.shards[0], h.c.machines["vm-3"]) - 1
 	h.heartbeat(heartbeatFrom("vm-3", 1, 50, old, wire.TaskStatus{Task: "job-000009/0", Attempt: 3, State: wire.TaskRunning}))
 	if v := h.c.machines["vm-3"].view; v.reconciled || len(v.list) != 0 {
-		t.Error("settled by a report from before the claim")
+		t.Error("reconciled by a heartbeat from before the claim")
 	}
 	// A machine that was returned does not come back to the record by a copy,
-	// neither at the leader that returned it nor at one that never heard of it.
+	// neither at the leader that returned it nor at one that never knew it.
 	for _, known := range []bool{true, false} {
 		if known {
 			h.c.fleet.returned["vm-8"] = h.now
@@ -222,7 +222,7 @@
 	}
 	h.submit(jobOf("job-000002", 1))
 	if n := len(h.directCommands()); n != 0 {
-		t.Errorf("%d orders with a start to a machine whose lease is running out", n)
+		t.Errorf("%d direct commands with a start to a machine whose lease is running out", n)
 	}
 	m := h.c.machines["vm-1"]
 	if st := h.c.stateOf(m); st == peer.MachineSilent {
@@ -236,14 +236,14 @@
 		t.Errorf("called %q, its task is done", s)
 	}
 	if st := h.c.stateOf(m); st != peer.MachineSilent {
-		t.Errorf("state %d: an empty machine that can't report is of no use", st)
+		t.Errorf("state %d: an empty machine whose heartbeats are not answered is of no use", st)
 	}
 	if status, body := h.heartbeat(heartbeatFrom("vm-1", 1, 2000, fencingToken)); status != 200 || len(starts(body.Commands)) != 1 {
-		t.Errorf("heard again: %d %v, want a start", status, body.Commands)
+		t.Errorf("heartbeat answered again: %d %v, want a start", status, body.Commands)
 	}
 }
 
-// Old heartbeats reach a controller that has just begun to own: they settle nothing, and
+// Old heartbeats reach a controller that has just claimed a shard: they reconcile nothing, and
 // nothing of what they list is taken for the machine's present state.
 func TestOldHeartbeatsAtNewOwner(t *testing.T) {
 	h := meet(t, withPeer)
@@ -262,20 +262,20 @@
 	// A copy from under the former owner, kept for this one.
 	h.heartbeat(heartbeatFrom("vm-1", 1, 5, fencingToken-1, task("0", 7, wire.TaskExited, wire.ExitDone), task("1", 7, wire.TaskRunning, ""), task("2", 7, wire.TaskExited, wire.ExitStopped)))
 	if m.view.reconciled || !m.view.unreconciledFromPredecessor {
-		t.Fatal("a copy from before the claim has settled the machine")
+		t.Fatal("a copy from before the claim has reconciled the machine")
 	}
 	j := h.c.jobs.open["job-000001"]
 	if len(j.run.active) > 0 || len(starts(h.commandsOut())) > 0 {
 		t.Errorf("active %v: taken from a copy", j.run.active)
 	}
-	// The machine itself, a session later: nothing of the copy is there any more.
+	// The machine itself, an agent epoch later: nothing of the copy is there any more.
 	h.heartbeat(heartbeatFrom("vm-1", 2, 1, fencingToken))
 	if !m.view.reconciled || len(j.run.active) > 0 && j.run.active[1] != nil && j.run.active[1].key.attempt == 7 {
-		t.Errorf("settled %v, active %v", m.view.reconciled, j.run.active)
+		t.Errorf("reconciled %v, active %v", m.view.reconciled, j.run.active)
 	}
 	// An older one again changes nothing.
 	h.heartbeat(heartbeatFrom("vm-1", 1, 6, fencingToken, task("1", 7, wire.TaskExited, wire.ExitDone)))
 	if j.run.done.has(1) {
-		t.Error("a report of an earlier session changed the view")
+		t.Error("a heartbeat of an earlier agent epoch changed the view")
 	}
 }
--- a/internal/controller/machine_health_test.go
+++ b/internal/controller/machine_health_test.go
@@ -7,14 +7,14 @@
 	"garnethitch/internal/wire"
 )
 
-// A faulty machine is told from a bad job.
+// A faulty machine is distinguished from a bad job.
 func TestFailures(t *testing.T) {
 	for _, tc := range []struct {
-		name     string
-		failures [][2]string // job, machine
-		faulty   []string
-		slowed   []string
-		well     int // tasks of job-000001 that have run on elsewhere for a while
+		name      string
+		failures  [][2]string // job, machine
+		faulty    []string
+		throttled []string
+		well      int // tasks of job-000001 that have run on elsewhere for a while
 	}{
 		{"one failure", [][2]string{{"job-000001", "vm-1"}}, nil, nil, 0},
 		{"two jobs fail on one machine", [][2]string{{"job-000001", "vm-1"}, {"job-000002", "vm-1"}}, []string{"vm-1"}, nil, 0},
@@ -44,12 +44,12 @@
 					want = want || s == id
 				}
 				if v := h.c.machines[id].view; v.faulty != want || (v.cordonedUntil > h.c.now) != want {
-					t.Errorf("%s set aside: %v, want %v", id, v.faulty, want)
+					t.Errorf("%s cordoned: %v, want %v", id, v.faulty, want)
 				}
 			}
 			for _, id := range []string{"job-000001", "job-000002"} {
 				want := false
-				for _, s := range tc.slowed {
+				for _, s := range tc.throttled {
 					want = want || s == id
 				}
 				if got := h.c.jobs.open[id].run.nextRetryAt > 0; got != want {
@@ -60,10 +60,9 @@
 	}
 }
 
-// TestOwnSlowness: a node that was short of time takes nothing that it has not
-// heard for silence, and nothing that it saw late for slowness; one that had the
-// time does.
-func TestOwnSlowness(t *testing.T) {
+// A node that has stalled concludes nothing from heartbeats that it has not read, nor from ends
+// of tasks that it saw late; one that has not stalled does.
+func TestStalledNode(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		gap    micros.Micros // between its steps
@@ -73,7 +72,7 @@
 	}{
 		{"in time", 20 * ms, true, false, true},
 		{"ten times too slow", 2 * sec, false, true, false},
-		{"stood still", 20 * sec, false, true, false},
+		{"suspended", 20 * sec, false, true, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t, func(c *Config) { c.Peers = []string{"n-1"} })
@@ -107,7 +106,7 @@
 				}
 			}
 			if got := len(h.c.estimates.byClass) > 0; got != tc.learns {
-				t.Errorf("the run time is believed: %v, want %v", got, tc.learns)
+				t.Errorf("the run time is learned: %v, want %v", got, tc.learns)
 			}
 			pass(20 * sec)
 			if got := h.c.sinceLastHeartbeat(v) > h.c.heartbeatTimeout(); got != tc.silent {
--- a/internal/controller/machine_records_test.go
+++ b/internal/controller/machine_records_test.go
@@ -8,13 +8,13 @@
 	"garnethitch/internal/wire"
 )
 
-// Batches: machines move in one transaction that drops them from one and adds
-// them to another, and an unanswered one is settled before anything starts.
+// Machines move in one transaction that drops them from one record set and adds
+// them to another, and an unanswered one is resolved before anything starts.
 func TestMachineRecordSetMove(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		lose bool
-	}{{"answered", false}, {"applied, the answer lost", true}} {
+	}{{"answered", false}, {"applied, the reply lost", true}} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t, func(c *Config) { c.Shards = 2; c.Teams = []Team{{Name: "t", CPUs: 8}, {Name: "u", CPUs: 4}} })
 			for _, id := range []string{"vm-1", "vm-2", "vm-3"} {
@@ -37,7 +37,7 @@
 				}
 				h.giveUp()
 				if v := m.view; v == nil || v.inDoubtToken == 0 {
-					t.Error("given up as settled although the move may stand")
+					t.Error("taken for not applied although the move may stand")
 				}
 				h.lose, h.watchBlocked = "", ""
 				h.run(sec)
@@ -54,7 +54,7 @@
 				}
 			}
 			if in != 1 {
-				t.Errorf("stands in %d batches", in)
+				t.Errorf("stands in %d record sets", in)
 			}
 		})
 	}
@@ -79,7 +79,7 @@
 	var waiting []ReplyID
 	for _, id := range ids {
 		if a := h.ask(func(r ReplyID) Input { return Heartbeat{Reply: r, Heartbeat: heartbeatFrom(id, 1, 1, 0)} }); a.Status != 0 {
-			t.Fatalf("report of a machine without a record answered %d", a.Status)
+			t.Fatalf("heartbeat of a machine without a record answered %d", a.Status)
 		}
 		waiting = append(waiting, h.reply)
 	}
@@ -94,11 +94,11 @@
 		t.Errorf("%d records open, %d machines", len(h.c.fleet.pendingCreations), len(h.c.machines))
 	}
 	if len(h.c.recordSets) != 3 {
-		t.Errorf("%d batches, want 3", len(h.c.recordSets))
+		t.Errorf("%d record sets, want 3", len(h.c.recordSets))
 	}
 	for i, r := range waiting {
 		if h.answers[r].Status == 0 {
-			t.Fatalf("report of %s was never answered", ids[i])
+			t.Fatalf("heartbeat of %s was never answered", ids[i])
 		}
 	}
 	// Commanded by nobody else: its first heartbeat to its owner is answered with
@@ -106,7 +106,7 @@
 	h.submit(jobOf("job-000001", 2))
 	_, body := h.heartbeat(heartbeatFrom(ids[0], 1, 1, 0))
 	if len(starts(body.Commands)) != 2 {
-		t.Errorf("first report answered with %v", body.Commands)
+		t.Errorf("first heartbeat answered with %v", body.Commands)
 	}
 	// Unless it shows that somebody has commanded it.
 	h.submit(jobOf("job-000002", 2))
@@ -118,7 +118,7 @@
 }
 
 // A record set older than the claim may have been used by the former owner, also when it
-// becomes known only after the claim: its machines are not taken for untouched.
+// becomes known only after the claim: its machines are not taken for never commanded.
 func TestOldMachineRecordSetAfterClaim(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
@@ -139,7 +139,7 @@
 			}
 			h.c.applyPut(key, value, modRevision)
 			if m := h.c.machines["vm-1"]; m.view.reconciled != tc.after {
-				t.Errorf("settled %v, want %v", m.view.reconciled, tc.after)
+				t.Errorf("reconciled %v, want %v", m.view.reconciled, tc.after)
 			}
 		})
 	}
@@ -161,7 +161,7 @@
 	h.c.fleet.planNext = micros.Never
 	h.late = wire.PrefixFleet
 	if h.c.release(peer.Release{Machines: []string{"vm-1"}, Shard: 1 - m.rec.Shard}); !m.view.releasing {
-		t.Fatal("not on its way: the case is not what it should be")
+		t.Fatal("not releasing: the case is not what it should be")
 	}
 	h.step(Tick{})
 	sent := h.lateOut
@@ -177,7 +177,7 @@
 		h.dropCalls()
 	}
 	if m.view == nil || m.view.releasing || m.view.inDoubtToken != 0 {
-		t.Errorf("%+v: still on its way, though the move can't be applied any more", m.view)
+		t.Errorf("%+v: still releasing, though the move can't be applied any more", m.view)
 	}
 	h.lateOut = sent
 	if n := h.carryOut(); n != 0 {
--- a/internal/controller/registration_test.go
+++ b/internal/controller/registration_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A machine reports for the first time just as the leader's lease is over; the leader
-// leads again under the same key. The machine must find a home then.
+// A machine sends its first heartbeat just as the leader's lease is over; the leader
+// leads again under the same key. The machine must be assigned then.
 func TestRegistrationAcrossOutage(t *testing.T) {
 	h := meet(t, withPeer)
 	h.c.fleet.rented["vm-7"] = &rented{kind: kind{"m", "a", false}, at: h.now}
@@ -14,7 +14,7 @@
 	h.ask(func(r ReplyID) Input { return Heartbeat{Reply: r, Heartbeat: heartbeatFrom("vm-7", 1, 1, 0)} })
 	h.run(2 * sec)
 	if c := h.c; c.leading() || len(c.fleet.registrations) > 0 {
-		t.Fatalf("leading %v, %d reporters: the case is not what it should be", c.leading(), len(c.fleet.registrations))
+		t.Fatalf("leading %v, %d registrations: the case is not what it should be", c.leading(), len(c.fleet.registrations))
 	}
 	h.stateDown, h.refused = false, false
 	h.run(2 * sec)
