--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -101,15 +101,12 @@
 	peers                 map[string]*peerView
 	nodes                 []string // the labels of all controllers, in order
 	machines              map[string]*machine
-	recordSets            map[string]*machineRecordSet
-	recordSetSequence     uint64
+	machineRecords        machineRecords
 	commandQueue          commandQueue
 	quota                 quotas
 	preemption            preemptionBudget
 	decisionLog           decisionLog
-	listRound             uint64        // of observe
-	withoutRecordSet      []*machine    // see dropMachinesWithoutRecordSet
-	nextSplitAt           micros.Micros // when the next record set may be split
+	listRound             uint64 // of applyTaskList
 	// visited counts machines, jobs and attempts looked at, so that a test can tell
 	// how work grows.
 	visited               uint64
@@ -118,7 +115,7 @@
 	types                 map[string]wire.MachineType
 	typeIndex             typeIndex
 	estimates             estimates
-	prefetchImages        []prefetchImage
+	prefetchImages        prefetchImages
 	misdirectedHeartbeats map[string]micros.Micros // machines that reported here but belong elsewhere
 
 	teamOf           map[string]int
@@ -156,7 +153,7 @@
 		peers:                 map[string]*peerView{},
 		nodes:                 slices.Sorted(slices.Values(append([]string{cfg.Label}, cfg.Peers...))),
 		machines:              map[string]*machine{},
-		recordSets:            map[string]*machineRecordSet{},
+		machineRecords:        machineRecords{sets: map[string]*machineRecordSet{}},
 		types:                 map[string]wire.MachineType{},
 		misdirectedHeartbeats: map[string]micros.Micros{},
 		teamOf:                map[string]int{},
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -530,7 +530,7 @@
 			for i := range 50 {
 				ids = append(ids, machineName(i))
 			}
-			h.c.nextSplitAt = micros.Never
+			h.c.machineRecords.nextSplitAt = micros.Never
 			h.putMachines("h-1-1", ids...)
 			s := h.c.ownership.shards[0]
 			fencingToken := h.c.fencingToken(s, h.c.machines[ids[0]])
@@ -557,7 +557,7 @@
 				h.watchBlocked = wire.PrefixControl
 			}
 			from := len(h.log)
-			h.c.nextSplitAt = 0
+			h.c.machineRecords.nextSplitAt = 0
 			h.run(sec)
 			if tc.reverse {
 				slices.Reverse(h.log[from:])
@@ -566,7 +566,7 @@
 			h.giveUp()
 			h.run(sec)
 			in := map[string]int{}
-			for key, o := range h.c.recordSets {
+			for key, o := range h.c.machineRecords.sets {
 				if value := h.keys[key].Value; wire.StoredSize(value, 2<<10) > 2<<10 {
 					t.Errorf("%s takes %d bytes", key, len(value))
 				}
@@ -575,8 +575,8 @@
 				}
 			}
 			active := len(h.c.jobs.open["job-000001"].run.active)
-			if len(h.c.recordSets) < 3 || len(in) != 50 || active != 200 {
-				t.Errorf("%d batches with %d machines, %d tasks active; want 3, 50, 200", len(h.c.recordSets), len(in), active)
+			if len(h.c.machineRecords.sets) < 3 || len(in) != 50 || active != 200 {
+				t.Errorf("%d batches with %d machines, %d tasks active; want 3, 50, 200", len(h.c.machineRecords.sets), len(in), active)
 			}
 			for id, times := range in {
 				m := h.c.machines[id]
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -85,7 +85,7 @@
 	c.fleet.reset()
 	c.fleet.ledAt = c.now
 	c.fleet.planNext = c.now
-	c.fleet.first = len(c.recordSets) == 0
+	c.fleet.first = len(c.machineRecords.sets) == 0
 	for _, label := range c.cfg.Peers {
 		c.peers[label].returnedMachines = nil
 	}
--- a/internal/controller/machine_assignment.go
+++ b/internal/controller/machine_assignment.go
@@ -104,7 +104,7 @@
 // createRecordSet records machines of one shard, and takes over their registrations.
 func (c *Controller) createRecordSet(origin string, s *shard, machines []unassigned, registrations []registration) {
 	f := &c.fleet
-	creation := &recordSetCreation{key: wire.MachineRecordSetKey(s.id, c.recordSetName(origin, c.ownership.leader.ownerEpoch))}
+	creation := &recordSetCreation{key: wire.MachineRecordSetKey(s.id, c.machineRecords.newName(origin, c.ownership.leader.ownerEpoch))}
 	f.pendingCreations[creation.key] = creation
 	for _, m := range machines {
 		m.Kind = kindIn(&creation.rec, m.kind)
@@ -140,7 +140,7 @@
 		}
 		creation.inFlight = false
 		creation.nextSendAt = c.now + c.jitter(recordSetWriteInterval)
-		if outcome == writeApplied || c.recordSets[creation.key] != nil {
+		if outcome == writeApplied || c.machineRecords.sets[creation.key] != nil {
 			c.endCreation(creation)
 		}
 		// Else it is sent again. If it stands already, the watch shows it.
--- a/internal/controller/machine_record_sets.go
+++ b/internal/controller/machine_record_sets.go
@@ -23,6 +23,39 @@
 	nextWriteAt   micros.Micros
 }
 
+// machineRecords are the record sets of all shards.
+type machineRecords struct {
+	sets         map[string]*machineRecordSet // by key
+	nameSequence uint64                       // of the names that this node has given
+	// removed are machines that have left a record set, and may be in another; see
+	// dropMachinesWithoutRecordSet.
+	removed     []*machine
+	nextSplitAt micros.Micros // when the next record set may be split
+}
+
+// drop takes notice that a record set was deleted.
+func (r *machineRecords) drop(b *machineRecordSet) {
+	delete(r.sets, b.key)
+	r.removed = append(r.removed, b.machines...)
+	b.machines = nil
+}
+
+// collectRemoved notes which machines a record set held before and does not hold any more.
+func (r *machineRecords) collectRemoved(b *machineRecordSet, before []*machine) {
+	for _, m := range before {
+		if m.recordSet == b && !slices.Contains(b.machines, m) {
+			r.removed = append(r.removed, m)
+		}
+	}
+}
+
+// takeRemoved returns the machines that were removed since it was last called.
+func (r *machineRecords) takeRemoved() []*machine {
+	removed := r.removed
+	r.removed = nil
+	return removed
+}
+
 // Bounds on the size of a record set.
 const (
 	// maxRecordSetMachines bounds how many fencing tokens one write raises: each such machine
@@ -60,9 +93,10 @@
 	return strings.HasPrefix(name, recordSetRegistered) || strings.HasPrefix(name, recordSetListed)
 }
 
-func (c *Controller) recordSetName(origin string, ownerEpoch uint64) string {
-	c.recordSetSequence++
-	return fmt.Sprintf("%s-%d-%d", origin, ownerEpoch, c.recordSetSequence)
+// newName returns a name that no record set has had.
+func (r *machineRecords) newName(origin string, ownerEpoch uint64) string {
+	r.nameSequence++
+	return fmt.Sprintf("%s-%d-%d", origin, ownerEpoch, r.nameSequence)
 }
 
 // deletable reports whether a repeat of the write that created the record set, however late,
--- a/internal/controller/machine_record_writes.go
+++ b/internal/controller/machine_record_writes.go
@@ -129,8 +129,8 @@
 			c.applyMachineRecordSet(w.key, w.record, revision)
 			continue
 		}
-		if b := c.recordSets[w.key]; b != nil && b.modRevision <= revision {
-			c.dropRecordSet(b)
+		if b := c.machineRecords.sets[w.key]; b != nil && b.modRevision <= revision {
+			c.machineRecords.drop(b)
 		}
 	}
 	c.dropMachinesWithoutRecordSet()
@@ -183,7 +183,7 @@
 			write.key = b.key
 			write.recordSet = b
 		} else {
-			write.key = wire.MachineRecordSetKey(s.id, c.recordSetName(recordSetMoved, s.ownerEpoch))
+			write.key = wire.MachineRecordSetKey(s.id, c.machineRecords.newName(recordSetMoved, s.ownerEpoch))
 		}
 		writes = append(writes, write)
 	}
@@ -192,10 +192,10 @@
 
 // splitOneRecordSet splits one record set of a shard that is too large, if there is one.
 func (c *Controller) splitOneRecordSet(s *shard) {
-	if c.now < c.nextSplitAt || !c.leaseValid() {
+	if c.now < c.machineRecords.nextSplitAt || !c.leaseValid() {
 		return
 	}
-	c.nextSplitAt = c.now + splitInterval
+	c.machineRecords.nextSplitAt = c.now + splitInterval
 	for _, m := range s.machines {
 		b := m.recordSet
 		if c.overRecordLimit(b) && !b.writeInFlight && c.now >= b.nextWriteAt {
--- a/internal/controller/machine_records.go
+++ b/internal/controller/machine_records.go
@@ -13,11 +13,11 @@
 	if !ok || shardID >= len(c.ownership.shards) {
 		return
 	}
-	b := c.recordSets[key]
+	b := c.machineRecords.sets[key]
 	created := b == nil
 	if created {
 		b = &machineRecordSet{key: key, shard: shardID}
-		c.recordSets[key] = b
+		c.machineRecords.sets[key] = b
 	} else if modRevision <= b.modRevision {
 		return
 	}
@@ -39,7 +39,7 @@
 		b.machines = append(b.machines, m)
 		c.updateView(s, m, neverCommanded)
 	}
-	c.collectRemoved(b, before)
+	c.machineRecords.collectRemoved(b, before)
 	c.schedulingDue = true
 }
 
@@ -109,35 +109,17 @@
 	c.reconcileMachine(s, m)
 }
 
-// collectRemoved notes which machines a record set held before and does not hold any more.
-func (c *Controller) collectRemoved(b *machineRecordSet, before []*machine) {
-	for _, m := range before {
-		if m.recordSet == b && !slices.Contains(b.machines, m) {
-			c.withoutRecordSet = append(c.withoutRecordSet, m)
-		}
-	}
-}
-
 // dropMachinesWithoutRecordSet drops the machines that stand in no record set any more, once
 // all that one transaction changed is known: what left one record set may have come into
 // another, in whatever order the changes arrive.
 func (c *Controller) dropMachinesWithoutRecordSet() {
-	removed := c.withoutRecordSet
-	c.withoutRecordSet = nil
-	for _, m := range removed {
+	for _, m := range c.machineRecords.takeRemoved() {
 		if c.machines[m.id] == m && !slices.Contains(m.recordSet.machines, m) {
 			c.dropMachine(m)
 		}
 	}
 }
 
-// dropRecordSet takes notice that a record set was deleted.
-func (c *Controller) dropRecordSet(b *machineRecordSet) {
-	delete(c.recordSets, b.key)
-	c.withoutRecordSet = append(c.withoutRecordSet, b.machines...)
-	b.machines = nil
-}
-
 // fill takes what a record says of a machine.
 func (m *machine) fill(shard int, k wire.MachineKind, e wire.MachineRecord) {
 	m.rec.Shard = shard
--- a/internal/controller/machine_records_test.go
+++ b/internal/controller/machine_records_test.go
@@ -46,7 +46,7 @@
 				t.Fatalf("not moved: %+v", got)
 			}
 			in := 0
-			for _, b := range h.c.recordSets {
+			for _, b := range h.c.machineRecords.sets {
 				for _, o := range b.machines {
 					if o.id == "vm-1" {
 						in++
@@ -93,8 +93,8 @@
 	if len(h.c.fleet.pendingCreations) != 0 || len(h.c.machines) != 120 {
 		t.Errorf("%d records open, %d machines", len(h.c.fleet.pendingCreations), len(h.c.machines))
 	}
-	if len(h.c.recordSets) != 3 {
-		t.Errorf("%d record sets, want 3", len(h.c.recordSets))
+	if len(h.c.machineRecords.sets) != 3 {
+		t.Errorf("%d record sets, want 3", len(h.c.machineRecords.sets))
 	}
 	for i, r := range waiting {
 		if h.answers[r].Status == 0 {
--- a/internal/controller/machine_release.go
+++ b/internal/controller/machine_release.go
@@ -149,7 +149,7 @@
 	writes := txn.writes
 	if !r.Retire {
 		writes = append(writes, recordSetWrite{
-			key:    wire.MachineRecordSetKey(r.Shard, c.recordSetName(recordSetMoved, s.ownerEpoch)),
+			key:    wire.MachineRecordSetKey(r.Shard, c.machineRecords.newName(recordSetMoved, s.ownerEpoch)),
 			record: recordSetOf(txn.machines, nil, nil),
 		})
 	}
--- a/internal/controller/prefetch.go
+++ b/internal/controller/prefetch.go
@@ -29,42 +29,50 @@
 	prefetchFetchFraction = 4
 )
 
-// notePrefetchImage remembers the image of a job that is done, if its class has a bound on the
-// time until a start.
-func (c *Controller) notePrefetchImage(j *job) {
-	_, urgent := c.cfg.StartWithin[j.sub.Class]
-	placedByOthers := j.sub.SameZone || j.sub.Spread // where its other attempts are would matter
-	if !urgent || placedByOthers {
-		return
-	}
-	sameImage := func(p prefetchImage) bool { return p.job.sub.Image == j.sub.Image }
-	if i := slices.IndexFunc(c.prefetchImages, sameImage); i >= 0 {
-		known := &c.prefetchImages[i]
-		known.at = c.now
+// prefetchImages are the images to prefetch, at most maxPrefetchImages.
+type prefetchImages []prefetchImage
+
+// add remembers the image of a job that is done; of several jobs with an image the one with
+// fewest CPUs is kept, and the image that was longest unused gives way to a new one.
+func (p *prefetchImages) add(j *job, now micros.Micros) {
+	sameImage := func(known prefetchImage) bool { return known.job.sub.Image == j.sub.Image }
+	if i := slices.IndexFunc(*p, sameImage); i >= 0 {
+		known := &(*p)[i]
+		known.at = now
 		if j.sub.CPUs < known.job.sub.CPUs {
 			known.job = j
 		}
 		return
 	}
-	added := prefetchImage{job: j, at: c.now}
-	if len(c.prefetchImages) < maxPrefetchImages {
-		c.prefetchImages = append(c.prefetchImages, added)
+	added := prefetchImage{job: j, at: now}
+	if len(*p) < maxPrefetchImages {
+		*p = append(*p, added)
 		return
 	}
-	*oldestPrefetchImage(c.prefetchImages) = added
+	*p.oldest() = added
 }
 
-// oldestPrefetchImage returns the first of the images that were longest unused.
-func oldestPrefetchImage(images []prefetchImage) *prefetchImage {
-	oldest := &images[0]
-	for i := range images {
-		if images[i].at < oldest.at {
-			oldest = &images[i]
+// oldest returns the image that was longest unused; there must be one.
+func (p prefetchImages) oldest() *prefetchImage {
+	oldest := &p[0]
+	for i := range p {
+		if p[i].at < oldest.at {
+			oldest = &p[i]
 		}
 	}
 	return oldest
 }
 
+// notePrefetchImage remembers the image of a job that is done, if its class has a bound on the
+// time until a start.
+func (c *Controller) notePrefetchImage(j *job) {
+	_, urgent := c.cfg.StartWithin[j.sub.Class]
+	placedByOthers := j.sub.SameZone || j.sub.Spread // where its other attempts are would matter
+	if urgent && !placedByOthers {
+		c.prefetchImages.add(j, c.now)
+	}
+}
+
 // prefetch fetches urgent images on machines that lack them: first on empty
 // ones, before they are filled, later wherever there is free capacity.
 func (c *Controller) prefetch(s *shard, free []*machine, empty bool) {
--- a/internal/controller/reachability/reachability_test.go
+++ b/internal/controller/reachability/reachability_test.go
@@ -39,3 +39,41 @@
 		})
 	}
 }
+
+// A machine is unreachable after MaxUnconfirmedReplies lost replies in a row, until one is
+// confirmed or the tracker begins anew.
+func TestUnreachable(t *testing.T) {
+	start := []wire.Command{{Op: wire.OpStart, Task: "job-000001/0", Attempt: 5}}
+	shown := &wire.Heartbeat{Tasks: []wire.TaskStatus{{Task: "job-000001/0", Attempt: 5, State: wire.TaskRunning}}}
+	missing := &wire.Heartbeat{}
+	var tracker Tracker
+	loseReplies := func(t *testing.T) {
+		t.Helper()
+		for i := 1; i <= MaxUnconfirmedReplies; i++ {
+			if tracker.Unreachable() {
+				t.Fatalf("unreachable after %d lost replies", i-1)
+			}
+			tracker.ReplySent(7, 7, start)
+			became := tracker.HeartbeatReceived(100, missing)
+			if want := i == MaxUnconfirmedReplies; became != want {
+				t.Fatalf("became unreachable: %v after %d lost replies, want %v", became, i, want)
+			}
+		}
+		if since, ok := tracker.UnconfirmedSince(); !tracker.Unreachable() || !ok || since != 100 {
+			t.Fatalf("unreachable %v, since %v %v; want since 100", tracker.Unreachable(), since, ok)
+		}
+	}
+	loseReplies(t)
+	if tracker.HeartbeatReceived(200, missing); !tracker.Unreachable() {
+		t.Error("reachable by a heartbeat that confirms nothing")
+	}
+	tracker.ReplySent(7, 7, start)
+	if tracker.HeartbeatReceived(300, shown); tracker.Unreachable() {
+		t.Error("unreachable after a confirmed reply")
+	}
+	loseReplies(t)
+	tracker.Reset()
+	if _, ok := tracker.UnconfirmedSince(); ok || tracker.Unreachable() {
+		t.Error("unreachable after a reset")
+	}
+}
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -137,8 +137,8 @@
 func (c *Controller) dropGone() {
 	f := &c.fleet
 	var writes []recordSetWrite
-	for _, key := range sortedKeys(c.recordSets) {
-		b := c.recordSets[key]
+	for _, key := range sortedKeys(c.machineRecords.sets) {
+		b := c.machineRecords.sets[key]
 		if b.writeInFlight || c.now < b.nextWriteAt {
 			continue
 		}
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -153,9 +153,9 @@
 	} else if l.ownerEpoch == 0 && l.absentSince == 0 {
 		l.absentSince = c.now
 	}
-	for _, key := range sortedKeys(c.recordSets) {
-		if b := c.recordSets[key]; b.modRevision <= revision && !listed[key] {
-			c.dropRecordSet(b)
+	for _, key := range sortedKeys(c.machineRecords.sets) {
+		if b := c.machineRecords.sets[key]; b.modRevision <= revision && !listed[key] {
+			c.machineRecords.drop(b)
 		}
 	}
 }
@@ -245,8 +245,8 @@
 			l.ownerEpoch, l.owner, l.absentSince = 0, wire.OwnerRecord{}, c.now
 		}
 	case strings.HasPrefix(key, wire.PrefixFleet):
-		if b := c.recordSets[key]; b != nil && modRevision >= b.modRevision {
-			c.dropRecordSet(b)
+		if b := c.machineRecords.sets[key]; b != nil && modRevision >= b.modRevision {
+			c.machineRecords.drop(b)
 		}
 	}
 }
