--- a/internal/controller/command_queue.go
+++ b/internal/controller/command_queue.go
@@ -12,15 +12,15 @@
 }
 
 const (
-	// probeFraction is the part of the requests under way that probes and reconciliations may
-	// begin between two maintenances, as a divisor.
-	probeFraction = 4
+	// probeDivisor: one in so many of the requests under way may be probes and reconciliations that
+	// begin between two maintenances.
+	probeDivisor = 4
 	// minProbes is how many they may begin at least.
 	minProbes = 4
 )
 
 // resetProbes allows probes anew, at each maintenance.
-func (q *commandQueue) resetProbes() { q.probesLeft = max(q.maxInFlight/probeFraction, minProbes) }
+func (q *commandQueue) resetProbes() { q.probesLeft = max(q.maxInFlight/probeDivisor, minProbes) }
 
 // takeProbe takes one of the requests allowed for machines that are not needed for a start, and
 // reports whether there was one.
--- a/internal/controller/prefetch.go
+++ b/internal/controller/prefetch.go
@@ -24,9 +24,9 @@
 	prefetchSpan = 10 * micros.Minute
 	// prefetchInterval is the least time between two prefetches on a machine.
 	prefetchInterval = 10 * micros.Second
-	// prefetchFetchFraction is the part of the time within which a task is to be started that a
-	// fetch may take without being made ahead, as a divisor.
-	prefetchFetchFraction = 4
+	// fetchTimeDivisor: an image is prefetched if fetching it takes at least one in so many parts
+	// of the time within which a task is to be started.
+	fetchTimeDivisor = 4
 )
 
 // prefetchImages are the images to prefetch, at most maxPrefetchImages.
@@ -115,7 +115,7 @@
 		return false
 	}
 	within := c.cfg.StartWithin[j.sub.Class]
-	return micros.FromSeconds(j.sub.ImageGB/rate) >= within/prefetchFetchFraction
+	return micros.FromSeconds(j.sub.ImageGB/rate) >= within/fetchTimeDivisor
 }
 
 // notePrefetched takes the end of a prefetching attempt.
