--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -137,8 +137,8 @@
 func (c *Controller) dropGone() {
 	f := &c.fleet
 	var writes []recordSetWrite
-	for _, key := range sortedKeys(c.recordSets) {
-		b := c.recordSets[key]
+	for _, key := range sortedKeys(c.machineRecords.sets) {
+		b := c.machineRecords.sets[key]
 		if b.writeInFlight || c.now < b.nextWriteAt {
 			continue
 		}
@@ -162,6 +162,6 @@
 		}
 	}
 	if len(writes) > 0 {
-		c.writeRecordSets(wire.KeyLeader, c.ownership.leader.ownerEpoch, writes, func(bool, bool) {})
+		c.writeRecordSets(wire.KeyLeader, c.ownership.leader.ownerEpoch, writes, func(writeOutcome) {})
 	}
 }
