--- a/internal/controller/attempts.go
+++ b/internal/controller/attempts.go
@@ -244,7 +244,7 @@
 			}
 			continue
 		}
-		if other := r.active[att.index]; other != nil || r.done.has(att.index) {
+		if other := r.active[att.index]; other != nil || r.done.Has(att.index) {
 			if other != att && att.stopMode != stopImmediate {
 				c.log(Info, "surplus attempt stopped", "task", wire.TaskName(j.id, att.index), "machine", m.id)
 				c.stop(att, stopImmediate)
@@ -289,12 +289,12 @@
 		return
 	}
 	delete(j.run.active, att.index)
-	if !j.run.done.has(att.index) {
+	if !j.run.done.Has(att.index) {
 		j.requeue(att.index)
 		s := c.ownership.shards[j.shard]
 		s.firstWaiting = min(s.firstWaiting, j.queuePosition)
 		if lost {
-			c.recordRecovery(j)
+			j.run.checkpoint.addRecovery(c.wall)
 			c.log(Debug, "task lost, restarting from the newest checkpoint", "task", wire.TaskName(j.id, att.index), "machine", att.machine.id)
 		}
 	}
--- a/internal/controller/checkpoints.go
+++ b/internal/controller/checkpoints.go
@@ -2,213 +2,278 @@
 
 import (
 	"net/http"
-	"slices"
 
+	"garnethitch/internal/controller/checkpoint"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/wire"
 )
 
 const (
-	maxSteps      = 16
-	maxRecoveries = 8
+	// checkpointInterval is the least time between two checkpoints of a job. A longer one
+	// would spare wake-ups, but a machine counts as empty, to be moved or returned, only
+	// once the ends of its tasks are on record.
+	checkpointInterval = 2 * micros.Second
+	// checkpointWritesFraction is the part of this node's writes that the checkpoints of
+	// a shard's jobs together take at most.
+	checkpointWritesFraction = 1.0 / 2
+	// checkpointsPerPage is how many checkpoints one listing asks for.
+	checkpointsPerPage = 200
+
+	checkpointListTimeout  = 3 * micros.Second
+	checkpointWriteTimeout = 2 * micros.Second
+	checkpointReadTimeout  = micros.Second
 )
 
+// jobCheckpoint is what the owner of a job knows of the job's checkpoint (the paper's
+// "Version") in the state service.
+type jobCheckpoint struct {
+	// modRevision is the revision of the checkpoint's key; 0: none stands.
+	modRevision uint64
+	// dirty: the job has progress that no checkpoint was written for.
+	dirty bool
+	// inFlight: a write, or the read that resolves one, is under way.
+	inFlight    bool
+	nextWriteAt micros.Micros
+	// recorded are the tasks whose end is in a recorded checkpoint.
+	recorded checkpoint.TaskSet
+	// awaiting are exited attempts whose end is in none yet.
+	awaiting []*attempt
+	// recoveries are the times of day, in milliseconds, of the latest recoveries.
+	recoveries []int64
+}
+
+// due reports whether a checkpoint is to be written now.
+func (p *jobCheckpoint) due(now micros.Micros) bool {
+	return p.dirty && !p.inFlight && now >= p.nextWriteAt
+}
+
+// mayExist reports whether the state service may hold a checkpoint of the job.
+func (p *jobCheckpoint) mayExist() bool { return p.modRevision != 0 || p.inFlight }
+
+// addRecovery adds a recovery of the job to the next checkpoint.
+func (p *jobCheckpoint) addRecovery(wall micros.Micros) {
+	p.recoveries = append(p.recoveries, wall.Millis())
+	if excess := len(p.recoveries) - checkpoint.MaxRecoveries; excess > 0 {
+		p.recoveries = p.recoveries[excess:]
+	}
+}
+
+// await keeps an exited attempt until its end is in a recorded checkpoint.
+func (p *jobCheckpoint) await(att *attempt) {
+	if p.recorded.Has(att.index) {
+		att.outcomeHandled = true
+		return
+	}
+	p.awaiting = append(p.awaiting, att)
+}
+
+// setRecorded takes the tasks of a checkpoint that stands at a revision, and releases the
+// attempts that awaited it.
+func (p *jobCheckpoint) setRecorded(modRevision uint64, covered checkpoint.TaskSet) {
+	p.inFlight = false
+	p.modRevision = modRevision
+	p.recorded = covered
+	waiting := p.awaiting[:0]
+	for _, att := range p.awaiting {
+		if covered.Has(att.index) {
+			att.outcomeHandled = true
+		} else {
+			waiting = append(waiting, att)
+		}
+	}
+	clear(p.awaiting[len(waiting):])
+	p.awaiting = waiting
+}
+
+// checkpointListing collects the checkpoints of all jobs, page by page.
+type checkpointListing struct {
+	after        string // the last key of the pages so far
+	records      map[string]wire.CheckpointRecord
+	modRevisions map[string]uint64
+}
+
 // loadCheckpoints reads all checkpoints after a claim: from then on only this owner
 // writes those of its jobs.
-func (c *Controller) loadCheckpoints(s *shard, after string, checkpoints map[string]wire.CheckpointRecord, modRevisions map[string]uint64) {
+func (c *Controller) loadCheckpoints(s *shard) {
+	c.listCheckpoints(s, &checkpointListing{
+		records:      map[string]wire.CheckpointRecord{},
+		modRevisions: map[string]uint64{},
+	})
+}
+
+// listCheckpoints asks for the next page of checkpoints, and applies them after the last.
+func (c *Controller) listCheckpoints(s *shard, l *checkpointListing) {
 	ownerEpoch := s.ownerEpoch
 	s.loadingCheckpoints = true
-	c.askState(classEnd, ListKeys{Prefix: wire.PrefixCheckpoint, After: after, Limit: 200}, 3*micros.Second, func(r Result) {
+	list := ListKeys{Prefix: wire.PrefixCheckpoint, After: l.after, Limit: checkpointsPerPage}
+	c.askState(classEnd, list, checkpointListTimeout, func(r Result) {
 		if !s.active || s.ownerEpoch != ownerEpoch {
 			return
 		}
-		body, ok := r.Body.(*wire.KeyList)
+		page, ok := r.Body.(*wire.KeyList)
 		if !ok || r.Status != http.StatusOK {
 			s.loadingCheckpoints = false // maintainMachines tries again
 			return
 		}
-		last := ""
-		for _, kv := range body.Items {
-			last = kv.Key
-			id := kv.Key[len(wire.PrefixCheckpoint):]
-			var rec wire.CheckpointRecord
-			if err := wire.Decode(kv.Value, &rec); err != nil {
-				c.log(Error, "checkpoint not readable, its job restarts from the beginning", "job", id, "error", err)
-			}
-			checkpoints[id], modRevisions[id] = rec, kv.ModRevision
-		}
-		if body.More && last != "" {
-			c.loadCheckpoints(s, last, checkpoints, modRevisions)
+		c.addCheckpointPage(l, page)
+		if page.More && len(page.Items) > 0 {
+			c.listCheckpoints(s, l)
 			return
 		}
-		s.loadingCheckpoints, s.checkpointsLoaded, s.checkpoints, s.checkpointModRevisions = false, true, checkpoints, modRevisions
-		for _, id := range sortedKeys(c.jobs.open) {
-			if j := c.jobs.open[id]; j.shard == s.id && j.run != nil && !j.run.checkpointApplied {
-				c.applyCheckpoint(s, j)
-			}
-		}
-		// Machines that settled before could only be noted; look at them again.
-		c.reconcileAfterCheckpointLoad(s)
-		c.schedulingDue = true
+		c.applyCheckpoints(s, l)
 	})
 }
 
-// applyCheckpoint makes a recovered job go on from its newest checkpoint.
+// addCheckpointPage adds a page of checkpoints to a listing.
+func (c *Controller) addCheckpointPage(l *checkpointListing, page *wire.KeyList) {
+	for _, kv := range page.Items {
+		l.after = kv.Key
+		id := kv.Key[len(wire.PrefixCheckpoint):]
+		var rec wire.CheckpointRecord
+		if err := wire.Decode(kv.Value, &rec); err != nil {
+			c.log(Error, "checkpoint not readable, its job restarts from the beginning", "job", id, "error", err)
+		}
+		l.records[id] = rec
+		l.modRevisions[id] = kv.ModRevision
+	}
+}
+
+// applyCheckpoints has a shard's recovered jobs continue from a complete listing.
+func (c *Controller) applyCheckpoints(s *shard, l *checkpointListing) {
+	s.loadingCheckpoints = false
+	s.checkpointsLoaded = true
+	s.checkpoints = l.records
+	s.checkpointModRevisions = l.modRevisions
+	for _, id := range sortedKeys(c.jobs.open) {
+		j := c.jobs.open[id]
+		if j.shard == s.id && j.run != nil && !j.run.checkpointApplied {
+			c.applyCheckpoint(s, j)
+		}
+	}
+	// The tasks of machines reconciled before this were only noted.
+	c.reconcileAfterCheckpointLoad(s)
+	c.schedulingDue = true
+}
+
+// applyCheckpoint has a recovered job continue from its newest checkpoint.
 func (c *Controller) applyCheckpoint(s *shard, j *job) {
 	r := j.run
 	r.checkpointApplied = true
 	if rec, ok := s.checkpoints[j.id]; ok {
-		r.checkpointModRevision = s.checkpointModRevisions[j.id]
-		recorded := func(idx int) {
-			if r.done.set(idx) {
-				r.doneCount++
-			}
-			r.checkpointed.set(idx)
-		}
-		for i := 0; i+1 < len(rec.Ranges); i += 2 {
-			for idx := max(rec.Ranges[i], 0); idx <= rec.Ranges[i+1] && idx < j.sub.Tasks; idx++ {
-				recorded(idx)
-			}
-		}
-		for idx := range min(j.sub.Tasks, 64*len(rec.Set)) {
-			if bitset(rec.Set).has(idx) {
-				recorded(idx)
-			}
-		}
-		r.steps, r.recoveries = rec.Steps, rec.Recoveries
+		r.restore(rec, j.sub.Tasks)
+		r.checkpoint.modRevision = s.checkpointModRevisions[j.id]
 	}
 	if !r.acceptedUnderClaim {
-		c.recordRecovery(j)
+		r.checkpoint.addRecovery(c.wall)
 	}
 	if r.doneCount == j.sub.Tasks {
 		c.endJob(j, wire.StateDone)
 	}
 }
 
-// recordRecovery adds the Re mark to the next checkpoint.
-func (c *Controller) recordRecovery(j *job) {
-	r := j.run
-	r.recoveries = append(r.recoveries, c.wall.Millis())
-	if len(r.recoveries) > maxRecoveries {
-		r.recoveries = r.recoveries[len(r.recoveries)-maxRecoveries:]
+// restore adds what a checkpoint record of a job with so many tasks says.
+func (r *run) restore(rec wire.CheckpointRecord, tasks int) {
+	for task := range checkpoint.DoneTasks(rec, tasks).All() {
+		if r.done.Add(task) {
+			r.doneCount++
+		}
+		r.checkpoint.recorded.Add(task)
 	}
+	r.steps = rec.Steps
+	r.checkpoint.recoveries = rec.Recoveries
 }
 
-// buildCheckpoint makes the record, and the list of tasks that it covers.
-func (c *Controller) buildCheckpoint(j *job) (wire.CheckpointRecord, bitset) {
-	r := j.run
-	rec := wire.CheckpointRecord{Steps: r.steps, Recoveries: r.recoveries}
-	// The limit counts the textual form: a step takes up to 75 bytes, a pair of numbers
-	// 12, a word of a set 21.
-	if most := max(min(maxSteps, c.cfg.ValueBytes/128), 1); len(rec.Steps) > most {
-		rec.Steps = rec.Steps[len(rec.Steps)-most:]
+// buildCheckpoint returns a job's checkpoint record, and the done tasks that it names.
+func (c *Controller) buildCheckpoint(j *job) (wire.CheckpointRecord, checkpoint.TaskSet) {
+	progress := checkpoint.Progress{
+		Tasks:      j.sub.Tasks,
+		Done:       j.run.done,
+		DoneCount:  j.run.doneCount,
+		Steps:      j.run.steps,
+		Recoveries: j.run.checkpoint.recoveries,
 	}
-	remainingBytes := c.cfg.ValueBytes - 75*len(rec.Steps) - 250
-	ranges := 0
-	for i := range j.sub.Tasks {
-		if r.done.has(i) && (i == 0 || !r.done.has(i-1)) {
-			ranges++
-		}
-	}
-	if n := 21 * len(r.done); ranges > 16 && n < 12*ranges && n <= remainingBytes {
-		rec.Set, rec.Count = slices.Clone(r.done), r.doneCount
-		return rec, bitset(rec.Set)
-	}
-	// What does not fit is left out: those tasks would run again, without harm.
-	covered := newBitset(j.sub.Tasks)
-	for i := 0; i < j.sub.Tasks && len(rec.Ranges)/2 < max(remainingBytes/12, 1); {
-		if !r.done.has(i) {
-			i++
-			continue
-		}
-		first := i
-		for i < j.sub.Tasks && r.done.has(i) {
-			covered.set(i)
-			i++
-		}
-		rec.Ranges = append(rec.Ranges, first, i-1)
-		rec.Count += i - first
-	}
-	return rec, covered
+	return checkpoint.NewRecord(progress, c.cfg.ValueBytes)
 }
 
-// checkpointInterval is the least time between two checkpoints of a job. A heartbeat interval,
-// where that is longer, would spare wake-ups but was dearer: a machine counts as
-// empty, to be moved or returned, only once the ends of its tasks are on record.
-const checkpointInterval = 2 * micros.Second
-
-// checkpointPace spaces a job's checkpoints so that all of a shard's jobs together
-// leave most of the writes to what users wait for.
+// checkpointPace is the time between a job's checkpoints with which all of a shard's jobs
+// together leave most of the writes to what users wait for.
 func (c *Controller) checkpointPace(s *shard) micros.Micros {
 	jobs := len(c.queue(s))
-	return max(checkpointInterval, micros.FromSeconds(float64(jobs)/(c.stateQueue.writes.rate/2)))
+	writesPerSecond := c.stateQueue.writes.rate * checkpointWritesFraction
+	return max(checkpointInterval, micros.FromSeconds(float64(jobs)/writesPerSecond))
 }
 
 // recordCheckpoint writes a job's newest checkpoint.
 func (c *Controller) recordCheckpoint(j *job) {
-	r, s := j.run, c.ownership.shards[j.shard]
+	r := j.run
 	rec, covered := c.buildCheckpoint(j)
 	value, err := wire.Encode(rec)
 	if err != nil || !c.storable(value) {
 		c.log(Error, "checkpoint not encoded", "job", j.id, "bytes", len(value), "error", err)
-		r.checkpointDirty = false
+		r.checkpoint.dirty = false
 		return
 	}
-	r.checkpointInFlight, r.checkpointDirty = true, false
-	r.nextCheckpointAt = c.now + c.checkpointPace(s)
-	key := wire.CheckpointKey(j.id)
-	// The job's own key is among the conditions so that a copy that comes after its
-	// end leaves nothing behind.
-	txn := wire.Txn{
-		If:   []wire.Condition{{Key: ownerKey(s.id), ModRevision: s.ownerEpoch}, {Key: key, ModRevision: r.checkpointModRevision}, {Key: wire.JobKey(j.id), ModRevision: j.modRevision}},
-		Then: []wire.Change{{Put: key, Value: value}},
-	}
-	c.askState(classCheckpoint, txn, 2*micros.Second, func(res Result) {
+	s := c.ownership.shards[j.shard]
+	r.checkpoint.inFlight = true
+	r.checkpoint.dirty = false
+	r.checkpoint.nextWriteAt = c.now + c.checkpointPace(s)
+	c.askState(classCheckpoint, checkpointTxn(s, j, value), checkpointWriteTimeout, func(res Result) {
 		if j.run != r {
 			return
 		}
 		if revision, ok := txnRevision(res); ok {
-			r.checkpointInFlight, r.checkpointModRevision, r.checkpointed = false, revision, covered
-			c.markCheckpointed(j)
-			return
-		}
-		r.checkpointDirty = true
-		r.nextCheckpointAt = c.now + c.jitter(checkpointInterval)
-		switch txnOutcomeOf(res) {
-		case txnNotExecuted:
-			r.checkpointInFlight = false
-			return
-		case txnRejected:
-			c.log(Error, "checkpoint refused by the state service", "job", j.id, "bytes", len(value))
-			r.checkpointInFlight = false
-			r.nextCheckpointAt = c.now + c.jitter(refusedPause)
+			r.checkpoint.setRecorded(revision, covered)
 			return
 		}
-		// In doubt, or a condition failed: see what stands there before writing again.
-		c.askState(classCheckpoint, GetKey{Key: key}, micros.Second, func(res Result) {
-			if j.run != r {
-				return
-			}
-			r.checkpointInFlight = false
-			if kv, ok := res.Body.(*wire.KeyValue); ok && res.Status == http.StatusOK {
-				r.checkpointModRevision = kv.ModRevision
-			} else if res.Status == http.StatusNotFound {
-				r.checkpointModRevision = 0
-			}
-		})
+		c.checkpointNotRecorded(j, r, txnOutcomeOf(res), len(value))
 	})
 }
 
-// markCheckpointed lets go of exited tasks whose end is on record now.
-func (c *Controller) markCheckpointed(j *job) {
-	wait := j.run.ended[:0]
-	for _, att := range j.run.ended {
-		if j.run.checkpointed.has(att.index) {
-			att.outcomeHandled = true
-		} else {
-			wait = append(wait, att)
-		}
+// checkpointTxn is the transaction that writes a checkpoint. The job's own key is among
+// its conditions, so that a copy that is executed after the job's end leaves nothing
+// behind.
+func checkpointTxn(s *shard, j *job, value wire.Raw) wire.Txn {
+	key := wire.CheckpointKey(j.id)
+	return wire.Txn{
+		If: []wire.Condition{
+			{Key: ownerKey(s.id), ModRevision: s.ownerEpoch},
+			{Key: key, ModRevision: j.run.checkpoint.modRevision},
+			{Key: wire.JobKey(j.id), ModRevision: j.modRevision},
+		},
+		Then: []wire.Change{{Put: key, Value: value}},
 	}
-	clear(j.run.ended[len(wait):])
-	j.run.ended = wait
+}
+
+// checkpointNotRecorded handles a checkpoint whose write did not succeed, or may not have.
+func (c *Controller) checkpointNotRecorded(j *job, r *run, outcome txnOutcome, valueBytes int) {
+	p := &r.checkpoint
+	p.dirty = true
+	p.nextWriteAt = c.now + c.jitter(checkpointInterval)
+	switch outcome {
+	case txnNotExecuted:
+		p.inFlight = false
+	case txnRejected:
+		c.log(Error, "checkpoint refused by the state service", "job", j.id, "bytes", valueBytes)
+		p.inFlight = false
+		p.nextWriteAt = c.now + c.jitter(refusedPause)
+	default:
+		// In doubt, or a condition failed: read the key's revision before writing again.
+		c.readCheckpointRevision(j, r)
+	}
+}
+
+// readCheckpointRevision reads the revision at which a job's checkpoint stands.
+func (c *Controller) readCheckpointRevision(j *job, r *run) {
+	get := GetKey{Key: wire.CheckpointKey(j.id)}
+	c.askState(classCheckpoint, get, checkpointReadTimeout, func(res Result) {
+		if j.run != r {
+			return
+		}
+		r.checkpoint.inFlight = false
+		if kv, ok := res.Body.(*wire.KeyValue); ok && res.Status == http.StatusOK {
+			r.checkpoint.modRevision = kv.ModRevision
+		} else if res.Status == http.StatusNotFound {
+			r.checkpoint.modRevision = 0
+		}
+	})
 }
--- a/internal/controller/collections.go
+++ b/internal/controller/collections.go
@@ -1,21 +1,5 @@
 package controller
 
-// bitset is a set of small integers.
-type bitset []uint64
-
-func newBitset(n int) bitset { return make(bitset, (n+63)/64) }
-
-func (b bitset) has(i int) bool { return b[i>>6]&(1<<(i&63)) != 0 }
-
-// set adds i and tells whether it was missing.
-func (b bitset) set(i int) bool {
-	if b.has(i) {
-		return false
-	}
-	b[i>>6] |= 1 << (i & 63)
-	return true
-}
-
 // intHeap is a heap of small integers, the least first.
 type intHeap []int
 
--- a/internal/controller/compat_test.go
+++ b/internal/controller/compat_test.go
@@ -175,7 +175,7 @@
 		t.Errorf("its chained job is taken as %+v", j)
 	}
 	j := c.jobs.open["job-000412"]
-	if j == nil || j.run == nil || j.run.doneCount != 6 || !j.run.done.has(9) {
+	if j == nil || j.run == nil || j.run.doneCount != 6 || !j.run.done.Has(9) {
 		t.Fatalf("its job or Version was not taken over: %+v", j)
 	}
 	if len(c.machines) != 50 || !c.machines["vm-000103"].rec.Cordoned {
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -6,6 +6,7 @@
 	"strings"
 	"testing"
 
+	"garnethitch/internal/controller/checkpoint"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/peer"
 	"garnethitch/internal/wire"
@@ -600,25 +601,25 @@
 		for pattern, every := range map[string]int{"alternating": 2, "in threes": 3, "all but the last": 1} {
 			h.submit(jobOf(name, tasks))
 			j := h.c.jobs.open[name]
-			j.run.done, j.run.doneCount = newBitset(tasks), 0
+			j.run.done, j.run.doneCount = checkpoint.NewTaskSet(tasks), 0
 			for i := 0; i < tasks-1; i += every {
-				j.run.done.set(i)
+				j.run.done.Add(i)
 				j.run.doneCount++
 			}
-			j.run.steps, j.run.recoveries = nil, nil
-			for i := range maxSteps {
+			j.run.steps, j.run.checkpoint.recoveries = nil, nil
+			for i := range checkpoint.MaxSteps {
 				j.run.steps = append(j.run.steps, wire.Step{Task: 99_000 + i, Machine: "vm-123456", StartMS: 1_800_000_000_000, EndMS: 1_800_000_000_000})
 			}
-			for range maxRecoveries {
-				j.run.recoveries = append(j.run.recoveries, 1_800_000_000_000)
+			for range checkpoint.MaxRecoveries {
+				j.run.checkpoint.recoveries = append(j.run.checkpoint.recoveries, 1_800_000_000_000)
 			}
 			rec, _ := h.c.buildCheckpoint(j)
 			value := encoded(t, rec)
 			if n := wire.StoredSize(value, limit); n > limit {
-				t.Errorf("a Version of %d tasks, %s, counts %d bytes", tasks, pattern, n)
+				t.Errorf("a checkpoint of %d tasks, %s, counts %d bytes", tasks, pattern, n)
 			}
 			if rec.Count == 0 && tasks > 1 {
-				t.Errorf("a Version of %d tasks, %s, names none", tasks, pattern)
+				t.Errorf("a checkpoint of %d tasks, %s, names none", tasks, pattern)
 			}
 		}
 	}
--- a/internal/controller/job_end.go
+++ b/internal/controller/job_end.go
@@ -121,7 +121,7 @@
 		If:   []wire.Condition{{Key: wire.JobKey(j.id), ModRevision: j.modRevision}, {Key: ownerKey(s.id), ModRevision: s.ownerEpoch}},
 		Then: []wire.Change{{Put: wire.JobKey(j.id), Value: value}},
 	}
-	if r.checkpointModRevision != 0 || r.checkpointInFlight {
+	if r.checkpoint.mayExist() {
 		txn.Then = append(txn.Then, wire.Change{Delete: wire.CheckpointKey(j.id)})
 	}
 	c.askState(classEnd, txn, 1500*micros.Millisecond, func(res Result) {
--- a/internal/controller/job_reads_test.go
+++ b/internal/controller/job_reads_test.go
@@ -73,7 +73,7 @@
 			h.c.fleet.listNext, h.c.fleet.planNext = h.now, h.now+400*ms
 		}, func(h *harness) bool { return h.c.machines["vm-9"] != nil }},
 		{"a Version is recorded", func(h *harness) {
-			h.c.jobs.open["job-000001"].run.checkpointDirty = true
+			h.c.jobs.open["job-000001"].run.checkpoint.dirty = true
 		}, func(h *harness) bool { return h.keys[wire.CheckpointKey("job-000001")].ModRevision > 0 }},
 		{"Versions are read after a claim", func(h *harness) {
 			h.txn(wire.Txn{Then: []wire.Change{{Delete: ownerKey(0)}}})
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -6,6 +6,7 @@
 	"net/http"
 	"slices"
 
+	"garnethitch/internal/controller/checkpoint"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/peer"
 	"garnethitch/internal/wire"
@@ -52,7 +53,7 @@
 
 // run is what the owner of a job keeps of it.
 type run struct {
-	done               bitset
+	done               checkpoint.TaskSet
 	doneCount          int
 	active             map[int]*attempt
 	nextUntried        int     // tasks from here on were never tried
@@ -60,15 +61,9 @@
 	acceptedUnderClaim bool    // accepted after our claim: no former owner can have started it
 	checkpointApplied  bool    // its checkpoint is known
 	steps              []wire.Step
-	recoveries         []int64
 	arrivedAt          micros.Micros
 
-	checkpointModRevision uint64 // of its checkpoint's key
-	checkpointDirty       bool
-	checkpointInFlight    bool
-	nextCheckpointAt      micros.Micros
-	checkpointed          bitset     // tasks whose end is in a recorded checkpoint
-	ended                 []*attempt // exited tasks that wait for that
+	checkpoint jobCheckpoint
 
 	endInFlight bool // a transaction that ends the job was sent and not settled
 	// endInDoubt: one was sent whose outcome is not known for good. A late copy of it may
@@ -229,8 +224,8 @@
 // startRun begins an owner's care for a job.
 func (c *Controller) startRun(s *shard, j *job) {
 	j.run = &run{
-		done:               newBitset(j.sub.Tasks),
-		checkpointed:       newBitset(j.sub.Tasks),
+		done:               checkpoint.NewTaskSet(j.sub.Tasks),
+		checkpoint:         jobCheckpoint{recorded: checkpoint.NewTaskSet(j.sub.Tasks)},
 		active:             map[int]*attempt{},
 		acceptedUnderClaim: j.modRevision > s.ownerEpoch,
 		failuresByMachine:  map[string]int{},
@@ -278,13 +273,13 @@
 	r := j.run
 	for len(r.retries) > 0 {
 		idx := r.retries[0]
-		if !r.done.has(idx) && r.active[idx] == nil {
+		if !r.done.Has(idx) && r.active[idx] == nil {
 			return idx, true
 		}
 		heap.Pop(&r.retries)
 	}
 	for r.nextUntried < j.sub.Tasks {
-		if !r.done.has(r.nextUntried) && r.active[r.nextUntried] == nil {
+		if !r.done.Has(r.nextUntried) && r.active[r.nextUntried] == nil {
 			return r.nextUntried, true
 		}
 		r.nextUntried++
@@ -323,19 +318,19 @@
 // taskDone notes that a task has completed.
 func (c *Controller) taskDone(j *job, idx int, s *attempt) {
 	r := j.run
-	if r == nil || idx >= j.sub.Tasks || !r.done.set(idx) {
+	if r == nil || idx >= j.sub.Tasks || !r.done.Add(idx) {
 		return
 	}
 	r.doneCount++
-	r.checkpointDirty = true
+	r.checkpoint.dirty = true
 	if s != nil && s.machine != nil {
 		start := c.wall
 		if s.runAt > 0 {
 			start -= c.now - s.runAt
 		}
 		r.steps = append(r.steps, wire.Step{Task: idx, Machine: s.machine.id, StartMS: start.Millis(), EndMS: c.wall.Millis()})
-		if len(r.steps) > maxSteps {
-			r.steps = r.steps[len(r.steps)-maxSteps:]
+		if len(r.steps) > checkpoint.MaxSteps {
+			r.steps = r.steps[len(r.steps)-checkpoint.MaxSteps:]
 		}
 	}
 	r.retryBackoff, r.nextRetryAt = 0, 0
@@ -346,11 +341,11 @@
 
 // awaitCheckpoint keeps an exited task until its end is in a recorded checkpoint.
 func (c *Controller) awaitCheckpoint(j *job, att *attempt) {
-	if r := j.run; r == nil || r.checkpointed.has(att.index) {
+	if j.run == nil {
 		att.outcomeHandled = true
-	} else {
-		r.ended = append(r.ended, att)
+		return
 	}
+	j.run.checkpoint.await(att)
 }
 
 // maintainJobs does what is due for jobs: ends to retry, checkpoints to record.
@@ -371,7 +366,7 @@
 		if j.dependencyCancelled && !r.endInFlight {
 			continue // recordDependents does what is due
 		}
-		if r.endState != "" && c.now >= r.nextEndAttemptAt || r.checkpointDirty && !r.checkpointInFlight && c.now >= r.nextCheckpointAt {
+		if r.endState != "" && c.now >= r.nextEndAttemptAt || r.checkpoint.due(c.now) {
 			due = append(due, j)
 		}
 	}
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -326,7 +326,7 @@
 			ready = later
 		}
 		if s.active && !s.checkpointsLoaded && !s.loadingCheckpoints && c.leaseValid() {
-			c.loadCheckpoints(s, "", map[string]wire.CheckpointRecord{}, map[string]uint64{})
+			c.loadCheckpoints(s)
 		}
 	}
 }
--- a/internal/controller/ownership.go
+++ b/internal/controller/ownership.go
@@ -182,7 +182,7 @@
 	}
 	c.refreshJobsView(s)
 	c.holdQuota(s)
-	c.loadCheckpoints(s, "", map[string]wire.CheckpointRecord{}, map[string]uint64{})
+	c.loadCheckpoints(s)
 	c.maintainMachines()
 	c.schedulingDue = true
 }
