--- a/internal/controller/attempts.go
+++ b/internal/controller/attempts.go
@@ -256,7 +256,7 @@
 		if att.state == attemptRunning {
 			m.view.images[j.sub.Image] = true
 		}
-		if r.endState == wire.StateCancelled {
+		if r.end.state == wire.StateCancelled {
 			c.stop(att, stopImmediate)
 		}
 	}
--- a/internal/controller/cancellation_cascade.go
+++ b/internal/controller/cancellation_cascade.go
@@ -153,7 +153,7 @@
 			if _, ok := w.asked[id]; ok && j.run == nil {
 				asked = append(asked, j)
 			}
-		case j.run.endInFlight || c.now < j.run.nextEndAttemptAt:
+		case j.run.end.inFlight() || c.now < j.run.end.nextAttemptAt:
 		case c.recorderOf(id) == c.cfg.Label:
 			own = append(own, j)
 		default:
@@ -185,7 +185,7 @@
 		runs[i] = j.run
 		w.recording[j.id] = true
 		if j.run != nil {
-			j.run.endInFlight, j.run.nextEndAttemptAt = true, micros.Never
+			j.run.end.sent(j.run.end.state)
 		}
 	}
 	generation := w.generation
@@ -230,16 +230,16 @@
 		}
 		return
 	}
-	r.endInFlight, r.nextEndAttemptAt = false, c.now
+	r.end.retryAt(c.now)
 	c.failWaiters(j)
 	switch {
 	case jobChanged:
-		r.endInFlight, r.endInDoubt = true, true
+		r.end.phase, r.end.inDoubt = endInFlight, true
 		c.resolveEnd(j, r)
 	case claimLost:
-		r.nextEndAttemptAt = c.now + c.jitter(micros.Second) // the watch tells the rest
+		r.end.nextAttemptAt = c.now + c.jitter(micros.Second) // the watch tells the rest
 	case outcome == txnInDoubt:
-		r.endInDoubt = true // a late copy may yet be carried out
+		r.end.inDoubt = true // a late copy may yet be carried out
 	}
 }
 
--- a/internal/controller/demand.go
+++ b/internal/controller/demand.go
@@ -270,7 +270,7 @@
 	}
 	quotas := quotaRoom{}
 	for _, j := range c.queue(s) {
-		if j.run == nil || !j.run.checkpointApplied || j.run.endState != "" || j.run.nextRetryAt != 0 {
+		if j.run == nil || !j.run.checkpointApplied || j.run.end.requested() || j.run.nextRetryAt != 0 {
 			continue
 		}
 		n := j.pending()
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -122,8 +122,8 @@
 		}
 		d.dependencyCancelled = true
 		c.cascade.add(d)
-		if d.run != nil && d.run.endState == "" {
-			d.run.endState = wire.StateCancelled // recordDependents records it
+		if d.run != nil && !d.run.end.requested() {
+			d.run.end.request(wire.StateCancelled) // recordDependents records it
 			c.ownership.shards[d.shard].queueStale = true
 			if n++; n == 1 {
 				first = d.id
--- a/internal/controller/job_end.go
+++ b/internal/controller/job_end.go
@@ -10,35 +10,54 @@
 	"garnethitch/internal/wire"
 )
 
-// How jobs end: done or cancelled, by one record, of which users hear only after it stands.
+// The end of a job, done or cancelled, is one record. Users are answered with a final state
+// only after that record stands.
+
+const (
+	// maxCancelWaiters bounds the requests that wait for one job's cancellation.
+	maxCancelWaiters = 64
+	// refusedPause is how long a write is put off that the state service refused as
+	// malformed or too large.
+	refusedPause = 15 * micros.Second
+
+	endTimeout = 1500 * micros.Millisecond
+	// endRetryInterval is the mean time to the next try of an end that was not executed.
+	endRetryInterval = 400 * micros.Millisecond
+	// endReadRetryInterval is the same for a read that resolves an end in doubt.
+	endReadRetryInterval = 500 * micros.Millisecond
+)
+
+// unavailable is the answer where this node can't say how a job stands.
+var unavailable = peer.Answer{Status: http.StatusServiceUnavailable}
 
 // cancelJob records a cancellation and answers once it stands.
 func (c *Controller) cancelJob(j *job, done func(peer.Answer)) {
-	if len(j.run.waiters) >= 64 {
-		done(peer.Answer{Status: http.StatusServiceUnavailable})
+	end := &j.run.end
+	if len(end.waiters) >= maxCancelWaiters {
+		done(unavailable)
 		return
 	}
-	j.run.waiters = append(j.run.waiters, done)
+	end.waiters = append(end.waiters, done)
 	c.requestCancellation(j)
-	if !j.run.endInFlight && j.run.endState == wire.StateCancelled {
+	if !end.inFlight() && end.state == wire.StateCancelled {
 		c.endJob(j, wire.StateCancelled)
 	}
 }
 
-// requestCancellation takes up a user's request to cancel a job. It is enough to stop the job's
-// tasks, before and whether or not the record stands: nobody has any use for what
-// they do from now on, and another node may tell "cancelled" before this one knows
-// that its record was carried out. The tasks count until they are seen gone, and the
-// owner goes on trying to record.
+// requestCancellation takes a user's request to cancel a job. The job's tasks are stopped
+// before and whether or not the record stands: nobody has any use for what they do from
+// now on, and another controller may answer "cancelled" before this one knows that its
+// record was written. The tasks count until they are seen gone, and the owner keeps trying
+// to record.
 func (c *Controller) requestCancellation(j *job) {
-	if j.run.endState != "" {
+	if j.run.end.requested() {
 		return
 	}
 	s := c.ownership.shards[j.shard]
 	c.log(Info, "job cancellation requested", "job", j.id, "shard", s.id, "epoch", s.ownerEpoch, "tasks", len(j.run.active))
-	j.run.endState = wire.StateCancelled
+	j.run.end.request(wire.StateCancelled)
 	c.stopAllTasks(j)
-	c.ownership.shards[j.shard].queueStale = true
+	s.queueStale = true
 	c.schedulingDue = true
 }
 
@@ -49,26 +68,26 @@
 	}
 }
 
-// cancelled: a user has been told, or may be at any moment, that a job is cancelled.
+// cancelled reports whether a user was answered, or may be at any moment, that a job is
+// cancelled.
 func (c *Controller) cancelled(id string) bool {
 	if f, over := c.jobs.final(id); over {
 		return f.state == wire.StateCancelled
 	}
 	j := c.jobs.open[id]
-	return j != nil && j.run != nil && j.run.endState == wire.StateCancelled
+	return j != nil && j.run != nil && j.run.end.state == wire.StateCancelled
 }
 
-// stopPending: a cancelled task is on its machine, and is not to be stopped at once yet.
+// stopPending reports whether a cancelled task is on its machine without an immediate stop.
 func (c *Controller) stopPending(att *attempt) bool {
 	return att.stopMode != stopImmediate && att.onMachine() && c.cancelled(att.key.job)
 }
 
-// stopsForCancelledTasks sees to it that the answer to a heartbeat stops each cancelled task that the
-// report lists. An answer renews the machine's lease, so the stop goes with every one, the
-// first after a claim too: the machine may not hear the next before it changes hands again.
-// It gives the stops for a machine whose list is not believed yet; its age does not matter
-// to them, since no attempt comes twice. A job that has ended and left memory may have been
-// cancelled.
+// stopsForCancelledTasks ensures that the answer to a heartbeat stops each cancelled task that the
+// heartbeat lists. An answer renews the machine's lease, so every answer has the stops, the
+// first after a claim too: the machine may not receive the next before its shard changes
+// hands again. It returns the stops for a machine that is not reconciled; the age of its
+// list does not matter to them, since no attempt number is used twice.
 func (c *Controller) stopsForCancelledTasks(s *shard, m *machine, heartbeat *wire.Heartbeat) (stops []wire.Command) {
 	if m.view.reconciled {
 		for _, att := range m.view.list {
@@ -80,115 +99,130 @@
 	}
 	for i := range heartbeat.Tasks {
 		t := &heartbeat.Tasks[i]
-		id, _, err := wire.ParseTask(t.Task)
-		if err != nil || t.State == wire.TaskExited {
-			continue
-		}
-		forgotten := !c.knows(id) && c.jobStatusOf(s, id, t.Attempt, c.now) == jobEnded
-		if forgotten {
-			c.logEndedTask(s, m, t.Task, id, t.Attempt)
-		}
-		if forgotten || c.cancelled(id) {
+		if c.mayBeCancelled(s, m, t) {
 			stops = append(stops, wire.Command{Op: wire.OpStop, Task: t.Task, Attempt: t.Attempt, GraceS: new(0.0)})
 		}
 	}
 	return stops
 }
 
-// refusedPause is how long a write that the state service refused as malformed or too
-// large is put off.
-const refusedPause = 15 * micros.Second
+// mayBeCancelled reports whether a task that a machine lists is of a job that is cancelled,
+// or that has ended and left memory, so that it may have been cancelled.
+func (c *Controller) mayBeCancelled(s *shard, m *machine, t *wire.TaskStatus) bool {
+	id, _, err := wire.ParseTask(t.Task)
+	if err != nil || t.State == wire.TaskExited {
+		return false
+	}
+	if !c.knows(id) && c.jobStatusOf(s, id, t.Attempt, c.now) == jobEnded {
+		c.logEndedTask(s, m, t.Task, id, t.Attempt)
+		return true
+	}
+	return c.cancelled(id)
+}
 
-// endJob records a job as done or cancelled. Users hear of it only after.
+// finalRecord is the record of a job that ended in a state at a time of day in milliseconds.
+func (j *job) finalRecord(state string, endMS int64) wire.JobRecord {
+	return wire.JobRecord{AcceptedMS: j.rec.AcceptedMS, State: state, Tasks: j.sub.Tasks, EndMS: endMS}
+}
+
+// endJob records a job as done or cancelled.
 func (c *Controller) endJob(j *job, state string) {
 	r := j.run
-	if r.endInFlight || !c.leaseValid() {
-		if r.endState == "" {
-			r.endState = state
-		}
+	if r.end.inFlight() || !c.leaseValid() {
+		r.end.request(state)
 		return
 	}
-	s := c.ownership.shards[j.shard]
-	rec := wire.JobRecord{AcceptedMS: j.rec.AcceptedMS, State: state, Tasks: j.sub.Tasks, EndMS: c.wall.Millis()}
+	rec := j.finalRecord(state, c.wall.Millis())
 	value, err := wire.Encode(rec)
 	if err != nil {
 		c.log(Error, "job record not encoded", "job", j.id, "error", err)
 		return
 	}
-	r.endState, r.endInFlight = state, true
-	r.nextEndAttemptAt = micros.Never
-	txn := wire.Txn{
-		If:   []wire.Condition{{Key: wire.JobKey(j.id), ModRevision: j.modRevision}, {Key: ownerKey(s.id), ModRevision: s.ownerEpoch}},
-		Then: []wire.Change{{Put: wire.JobKey(j.id), Value: value}},
-	}
-	if r.checkpoint.mayExist() {
-		txn.Then = append(txn.Then, wire.Change{Delete: wire.CheckpointKey(j.id)})
-	}
-	c.askState(classEnd, txn, 1500*micros.Millisecond, func(res Result) {
+	r.end.sent(state)
+	txn := c.endTxn(j, value)
+	c.askState(classEnd, txn, endTimeout, func(res Result) {
 		if j.run != r {
 			return
 		}
-		switch txnOutcomeOf(res) {
-		case txnApplied:
+		outcome := txnOutcomeOf(res)
+		if outcome == txnApplied {
 			c.finishJob(j.id, finalJob{state: state, tasks: j.sub.Tasks, recorded: true, endMS: rec.EndMS})
-		case txnNotExecuted:
-			r.endInFlight = false
-			r.nextEndAttemptAt = c.now + c.jitter(400*micros.Millisecond)
-			c.failWaiters(j)
-		case txnRejected:
-			// Not executed, and not to be had soon: the state service takes less than the
-			// settings say. Tried again seldom, so that no other write waits behind it.
+			return
+		}
+		if outcome == txnRejected {
 			c.log(Error, "end of a job refused by the state service", "job", j.id, "bytes", len(value), "changes", txn.Writes())
-			r.endInFlight = false
-			r.nextEndAttemptAt = c.now + c.jitter(refusedPause)
-			c.failWaiters(j)
-		default:
-			// In doubt, or something has changed: a read resolves it. Until then
-			// nothing is told from memory.
-			r.endInDoubt = true
-			c.resolveEnd(j, r)
 		}
+		c.endNotRecorded(j, r, outcome)
 	})
 }
 
-// resolveEnd reads a job whose end is in doubt.
+// endTxn is the transaction that writes the final record of a job and deletes its
+// checkpoint.
+func (c *Controller) endTxn(j *job, value wire.Raw) wire.Txn {
+	s := c.ownership.shards[j.shard]
+	txn := wire.Txn{
+		If: []wire.Condition{
+			{Key: wire.JobKey(j.id), ModRevision: j.modRevision},
+			{Key: ownerKey(s.id), ModRevision: s.ownerEpoch},
+		},
+		Then: []wire.Change{{Put: wire.JobKey(j.id), Value: value}},
+	}
+	if j.run.checkpoint.mayExist() {
+		txn.Then = append(txn.Then, wire.Change{Delete: wire.CheckpointKey(j.id)})
+	}
+	return txn
+}
+
+// endNotRecorded handles an end whose transaction did not succeed, or may not have.
+func (c *Controller) endNotRecorded(j *job, r *run, outcome txnOutcome) {
+	switch outcome {
+	case txnNotExecuted:
+		r.end.retryAt(c.now + c.jitter(endRetryInterval))
+		c.failWaiters(j)
+	case txnRejected:
+		// Tried again seldom, so that no other write waits behind it: the state service
+		// takes less than the settings say.
+		r.end.retryAt(c.now + c.jitter(refusedPause))
+		c.failWaiters(j)
+	default:
+		// In doubt, or a condition failed: a read resolves it.
+		r.end.inDoubt = true
+		c.resolveEnd(j, r)
+	}
+}
+
+// resolveEnd reads the record of a job whose end is in doubt.
 func (c *Controller) resolveEnd(j *job, r *run) {
 	c.readJob(classEnd, j.id, func(status int) {
 		if j.run != r {
-			return // final, or no longer ours
+			return // ended, or no longer owned here
 		}
 		if status == http.StatusOK {
-			// Not ended; a late copy can still end it, so that it stays unsure. j.mark
-			// is as read.
-			r.endInFlight = false
-			r.nextEndAttemptAt = c.now
-			c.failWaiters(j)
-			return
+			// Not ended, and j.modRevision is as read. A late copy of the transaction can
+			// still end it, so that it stays in doubt.
+			r.end.retryAt(c.now)
+		} else {
+			r.end.nextAttemptAt = c.now + c.jitter(endReadRetryInterval)
 		}
-		r.nextEndAttemptAt = c.now + c.jitter(500*micros.Millisecond)
 		c.failWaiters(j)
 	})
 }
 
-func (c *Controller) failWaiters(j *job) {
-	waiters := j.run.waiters
-	j.run.waiters = nil
-	for _, w := range waiters {
-		c.later(func() { w(peer.Answer{Status: http.StatusServiceUnavailable}) })
+// failWaiters answers those who wait for a job's end that it is not known.
+func (c *Controller) failWaiters(j *job) { c.answerWaiters(j.run, unavailable) }
+
+// answerWaiters answers those who wait for a job's end.
+func (c *Controller) answerWaiters(r *run, answer peer.Answer) {
+	for _, w := range r.end.takeWaiters() {
+		c.later(func() { w(answer) })
 	}
 }
 
-// finishJob takes notice that a job is over.
+// finishJob takes note that a job is over.
 func (c *Controller) finishJob(id string, f finalJob) {
 	delete(c.jobs.unusable, id)
-	if old, ok := c.jobs.final(id); ok {
-		if old.recorded || !f.recorded {
-			return
-		}
-		f.broadcast = old.broadcast
-		c.jobs.finals[id] = f // what a controller told now stands on record
-	} else {
-		c.jobs.addFinal(id, f)
+	if !c.jobs.recordFinal(id, f) {
+		return
 	}
 	c.dependencyEnded(id, f)
 	j := c.jobs.open[id]
@@ -198,24 +232,26 @@
 	delete(c.jobs.open, id)
 	c.cascade.remove(id)
 	c.unlinkDependencies(j)
-	if f.state == wire.StateCancelled {
+	switch f.state {
+	case wire.StateCancelled:
 		c.logCancelled(j, f)
 		c.broadcastCancellation(id)
-	}
-	if f.state == wire.StateDone {
+	case wire.StateDone:
 		c.notePrefetchImage(j)
 	}
-	r := j.run
-	if r == nil {
-		return
-	}
-	waiters := r.waiters
-	r.waiters = nil
-	for _, w := range waiters {
-		c.later(func() { w(finalAnswer(f)) })
+	if j.run != nil {
+		c.finishRun(j, f)
 	}
+}
+
+// finishRun ends an owner's work on a job that is over.
+func (c *Controller) finishRun(j *job, f finalJob) {
+	r := j.run
+	c.answerWaiters(r, finalAnswer(f))
 	if f.state == wire.StateDone {
-		c.log(Info, "job done", "job", id, "class", j.sub.Class, "team", j.sub.Team, "tasks", f.tasks, "waited_s", max(r.firstRunAt-r.arrivedAt, 0).Seconds(), "seconds", (c.now - r.arrivedAt).Seconds())
+		waited := max(r.firstRunAt-r.arrivedAt, 0)
+		took := c.now - r.arrivedAt
+		c.log(Info, "job done", "job", j.id, "class", j.sub.Class, "team", j.sub.Team, "tasks", f.tasks, "waited_s", waited.Seconds(), "seconds", took.Seconds())
 	}
 	c.stopAllTasks(j)
 	j.run = nil
--- /dev/null
+++ b/internal/controller/job_end_state.go
@@ -0,0 +1,82 @@
+package controller
+
+import (
+	"garnethitch/internal/micros"
+	"garnethitch/internal/peer"
+)
+
+// endPhase is how far an owner is with recording the end of a job.
+type endPhase int
+
+const (
+	// endNone: the job has no end to record.
+	endNone endPhase = iota
+	// endRequested: an end is to be recorded.
+	endRequested
+	// endInFlight: a transaction that records it was sent, or a read that resolves one.
+	endInFlight
+)
+
+var endPhaseNames = [...]string{
+	endNone:      "none",
+	endRequested: "requested",
+	endInFlight:  "in_flight",
+}
+
+func (p endPhase) String() string { return endPhaseNames[p] }
+
+// jobEnd is what the owner of a job knows of the job's end.
+type jobEnd struct {
+	phase endPhase
+	// state is the final state to record; "" in phase endNone.
+	state string
+	// inDoubt: a transaction was sent whose outcome stays unknown. A late copy of it may
+	// be executed at any time, while others read what it wrote, so the job's status is
+	// answered from memory no more.
+	inDoubt bool
+	// nextAttemptAt is when to send the transaction, or to read what came of it.
+	nextAttemptAt micros.Micros
+	// waiters are called with the answer to those who cancel the job.
+	waiters []func(peer.Answer)
+}
+
+// requested reports whether the job is to end.
+func (e *jobEnd) requested() bool { return e.phase != endNone }
+
+// inFlight reports whether a transaction or a read that resolves one is under way.
+func (e *jobEnd) inFlight() bool { return e.phase == endInFlight }
+
+// unresolved reports whether the record may say that the job has ended.
+func (e *jobEnd) unresolved() bool { return e.inFlight() || e.inDoubt }
+
+// due reports whether the next attempt is due.
+func (e *jobEnd) due(now micros.Micros) bool { return e.requested() && now >= e.nextAttemptAt }
+
+// request has the job end in a state, unless another is already requested.
+func (e *jobEnd) request(state string) {
+	if e.requested() {
+		return
+	}
+	e.phase = endRequested
+	e.state = state
+}
+
+// sent takes note that a transaction with the state was sent.
+func (e *jobEnd) sent(state string) {
+	e.phase = endInFlight
+	e.state = state
+	e.nextAttemptAt = micros.Never
+}
+
+// retryAt puts the next transaction off.
+func (e *jobEnd) retryAt(at micros.Micros) {
+	e.phase = endRequested
+	e.nextAttemptAt = at
+}
+
+// takeWaiters returns the waiters and forgets them.
+func (e *jobEnd) takeWaiters() []func(peer.Answer) {
+	waiters := e.waiters
+	e.waiters = nil
+	return waiters
+}
--- a/internal/controller/job_end_test.go
+++ b/internal/controller/job_end_test.go
@@ -6,39 +6,39 @@
 	"garnethitch/internal/wire"
 )
 
-// An end whose transaction was not answered is settled by a read; until then
-// nothing is told from memory.
+// An end whose transaction was not answered is resolved by a read; until then the job's
+// status is not answered from memory.
 func TestUnansweredEnd(t *testing.T) {
 	h := newHarness(t, nil)
 	fencingToken := h.reconcile("vm-1")
 	a := h.startOne(fencingToken)
 	h.lose, h.watchBlocked = wire.JobKey("job-000001"), wire.PrefixJob
 	h.heartbeat(heartbeatFrom("vm-1", 1, 11, fencingToken, wire.TaskStatus{Task: "job-000001/0", Attempt: a, State: wire.TaskExited, ExitReason: wire.ExitDone}))
-	// Applied, not answered: the store says done, and so must every answer.
+	// Applied, not answered: the store holds done, and so must every answer.
 	if s := h.state("job-000001"); s != wire.StateDone {
 		t.Errorf("called %q while its end stands on record", s)
 	}
 }
 
-// The gap: the owner's record of a cancellation is carried out, its answer lost, and
-// the state service refuses the owner from then on. Its machines must let the task go
-// although it can neither read nor watch. Each guard does alone; this case looks at
-// the request itself: no start follows it, and its tasks are stopped.
-func TestCancellationRequestIsEnough(t *testing.T) {
+// The owner's record of a cancellation is executed, its answer lost, and the state service
+// refuses the owner from then on. Its machines must stop the task although the owner can
+// neither read nor watch. Several guards each suffice; this case is about the request
+// itself: no start follows it, and its tasks are stopped.
+func TestCancellationRequestStopsTasks(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		// fault comes before the withdrawal, after later.
+		// fault comes before the cancellation, later after it.
 		fault func(h *harness)
 		later func(h *harness)
 	}{
 		{"refused before the record", func(h *harness) { h.stateDown, h.refused = true, true }, nil},
 		{"no answer at all", func(h *harness) { h.stateDown = true }, nil},
-		{"carried out, answer lost, then refused", func(h *harness) {
+		{"executed, answer lost, then refused", func(h *harness) {
 			h.lose, h.watchBlocked = wire.JobKey("job-000001"), wire.PrefixJob
 		}, func(h *harness) { h.stateDown, h.refused = true, true }},
-		{"kept back, then refused", func(h *harness) { h.late = wire.JobKey("job-000001") },
+		{"delayed, then refused", func(h *harness) { h.late = wire.JobKey("job-000001") },
 			func(h *harness) { h.stateDown, h.refused = true, true }},
-		{"withdrawn once the lease is over", func(h *harness) {
+		{"cancelled once the lease is over", func(h *harness) {
 			h.stateDown = true
 			for seq := uint64(100); h.now < h.c.ownership.renewedAt+h.c.bounds.LeaseValidity+sec/2; seq++ {
 				h.run(100 * ms)
@@ -61,14 +61,14 @@
 			h.step(Tick{})
 			status, body := h.heartbeat(h.running(1000, fencingToken, a))
 			if status != 200 || stops(body.Commands) != 1 {
-				t.Errorf("report answered %d, %v; want the task stopped", status, body.Commands)
+				t.Errorf("heartbeat answered %d, %v; want the task stopped", status, body.Commands)
 			}
 			for _, c := range starts(body.Commands) {
 				if c.Task == "job-000001/0" {
 					t.Errorf("started after its user asked to cancel it")
 				}
 			}
-			// A 503 says that nothing was recorded, so nobody can have told anything newer.
+			// A 503 says that nothing was recorded, so nobody can have answered anything newer.
 			if s := h.state("job-000001"); s != "" && (s != wire.StateRunning || tc.name != "refused before the record") {
 				t.Errorf("called %q while nobody can know", s)
 			}
@@ -104,9 +104,9 @@
 	}
 }
 
-// A transaction that ends a job may be carried out at any time once its answer is
-// missing, also after newer ones of the same controller were refused: its owner must
-// not speak from memory of a job that another node may call cancelled.
+// A transaction that ends a job may be executed at any time once its answer is missing,
+// also after newer ones of the same controller were refused: its owner must not answer
+// from memory about a job that another controller may call cancelled.
 func TestInDoubtEnd(t *testing.T) {
 	h := meet(t, withPeer)
 	h.runOne()
@@ -119,12 +119,12 @@
 		}
 	}
 	if len(h.lateOut) < 2 {
-		t.Fatalf("%d transactions kept back, want some", len(h.lateOut))
+		t.Fatalf("%d transactions delayed, want some", len(h.lateOut))
 	}
 	h.watchBlocked, h.stateDown, h.refused = wire.PrefixJob, true, true
 	h.run(sec / 2)
 	if n := h.carryOut(); n != 1 {
-		t.Fatalf("%d of the copies were carried out, want 1", n)
+		t.Fatalf("%d of the copies were executed, want 1", n)
 	}
 	if s := h.state("job-000001"); s == wire.StateRunning || s == wire.StatePending {
 		t.Errorf("called %q, cancelled on record", s)
@@ -135,13 +135,13 @@
 	}
 }
 
-// A cancellation, a question and a repeated submission meet the end of a job's last
-// task: whatever comes first on record is told by all.
-func TestCancelMeetsEnd(t *testing.T) {
+// A cancellation, a status request and a repeated submission coincide with the end of a
+// job's last task: every answer gives the state that was recorded first.
+func TestCancelDuringEnd(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		lose bool
-		// cancelFirst: the withdrawal is taken up before the end is heard of.
+		// cancelFirst: the cancellation comes before the heartbeat with the end.
 		cancelFirst bool
 		want        string
 	}{
@@ -166,7 +166,7 @@
 				first, asked = h.cancel("job-000001"), h.reply
 			}
 			if s := h.state("job-000001"); s != tc.want {
-				t.Errorf("a question in between: %q, want %s", s, tc.want)
+				t.Errorf("a status request in between: %q, want %s", s, tc.want)
 			}
 			if b, _ := h.submit(jobOf("job-000001", 1)).Body.(wire.JobAnswer); b.State != tc.want {
 				t.Errorf("a repeated submission in between: %q, want %s", b.State, tc.want)
@@ -177,18 +177,18 @@
 				first = h.answers[asked]
 			}
 			if b, _ := first.Body.(wire.JobAnswer); first.Status == 200 && b.State != tc.want {
-				t.Errorf("withdrawal answered %q, want %s", b.State, tc.want)
+				t.Errorf("cancellation answered %q, want %s", b.State, tc.want)
 			}
 			if b, _ := h.cancel("job-000001").Body.(wire.JobAnswer); b.State != tc.want {
-				t.Errorf("withdrawn again: %q, want %s", b.State, tc.want)
+				t.Errorf("cancelled again: %q, want %s", b.State, tc.want)
 			}
 		})
 	}
 }
 
-// With every team at its limit, cancelled tasks on machines that can't be asked count
+// With every team at its limit, cancelled tasks on machines that can't be reached count
 // until they are provably gone, also at a new owner that knows the job to be over.
-func TestCancelledStillCounts(t *testing.T) {
+func TestCancelledTasksCountUntilGone(t *testing.T) {
 	limit := func(c *Config) {
 		withPeer(c)
 		c.Teams = []Team{{Name: "t", CPUsMax: 2}}
@@ -205,7 +205,7 @@
 			t.Fatalf("%d starts, want 2", len(cmds))
 		}
 		if a := h.cancel("job-000001"); a.Status != 200 {
-			t.Fatalf("withdrawal got %d", a.Status)
+			t.Fatalf("cancellation got %d", a.Status)
 		}
 		h.submit(jobOf("job-000002", 2))
 		h.open = nil
@@ -245,8 +245,7 @@
 	})
 }
 
-// Nothing that is withheld stays so for ever: a withdrawal whose record never comes
-// about leaves a job that its next owner runs.
+// A cancellation that was never recorded ends with its owner: the next owner runs the job.
 func TestCancellationRequestEndsWithItsOwner(t *testing.T) {
 	h := meet(t, withPeer)
 	fencingToken, a := h.runOne()
@@ -258,7 +257,7 @@
 	h.c.loseLease() // as after a 404
 	h.txn(wire.Txn{Then: []wire.Change{{Delete: ownerKey(0)}, {Delete: wire.KeyLeader}}})
 	h.run(3 * sec)
-	if j := h.c.jobs.open["job-000001"]; j == nil || j.run == nil || j.run.endState != "" {
+	if j := h.c.jobs.open["job-000001"]; j == nil || j.run == nil || j.run.end.requested() {
 		t.Fatalf("the job is stuck: %+v", j)
 	}
 	fencingToken = h.c.fencingToken(h.c.ownership.shards[0], h.c.machines["vm-1"])
--- a/internal/controller/job_queue.go
+++ b/internal/controller/job_queue.go
@@ -100,7 +100,7 @@
 // runnable: a job wants tasks started, and they may be.
 func (c *Controller) runnable(s *shard, j *job) bool {
 	r := j.run
-	return r != nil && r.checkpointApplied && r.endState == "" && j.pending() > 0 && !j.blocked() && !j.dependencyCancelled && c.mayStart() &&
+	return r != nil && r.checkpointApplied && !r.end.requested() && j.pending() > 0 && !j.blocked() && !j.dependencyCancelled && c.mayStart() &&
 		j.knownAt <= c.ownership.renewedAt+c.bounds.LeaseValidity &&
 		// A former owner may have started its tasks on a machine unheard of.
 		(r.acceptedUnderClaim || s.jobsViewCurrent && s.reconciled)
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -64,15 +64,7 @@
 	arrivedAt          micros.Micros
 
 	checkpoint jobCheckpoint
-
-	endInFlight bool // a transaction that ends the job was sent and not settled
-	// endInDoubt: one was sent whose outcome is not known for good. A late copy of it may
-	// be carried out at any time, while others read what it wrote, so nothing is
-	// told of the job from memory any more.
-	endInDoubt       bool
-	endState         string
-	nextEndAttemptAt micros.Micros
-	waiters          []func(peer.Answer)
+	end        jobEnd
 
 	failuresByMachine map[string]int // failures by machine
 	failuresByTask    map[int]int    // failures by task
@@ -132,6 +124,22 @@
 	return f, ok
 }
 
+// recordFinal takes how a job has ended, and reports whether that is news: the job was
+// open, or only another controller said so and now a record does.
+func (t *jobTable) recordFinal(id string, f finalJob) bool {
+	old, ok := t.finals[id]
+	if !ok {
+		t.addFinal(id, f)
+		return true
+	}
+	if old.recorded || !f.recorded {
+		return false
+	}
+	f.broadcast = old.broadcast
+	t.finals[id] = f
+	return true
+}
+
 func (t *jobTable) addFinal(id string, f finalJob) {
 	if _, ok := t.finals[id]; ok {
 		return
@@ -235,7 +243,7 @@
 	}
 	s.queueStale = true
 	if j.dependencyCancelled {
-		j.run.endState = wire.StateCancelled // recordDependents records it
+		j.run.end.request(wire.StateCancelled) // recordDependents records it
 	}
 	if j.run.acceptedUnderClaim {
 		j.run.checkpointApplied = true
@@ -256,12 +264,9 @@
 	if j.run == nil {
 		return
 	}
-	waiters := j.run.waiters
+	c.failWaiters(j)
 	j.run = nil
 	c.ownership.shards[j.shard].queueStale = true
-	for _, w := range waiters {
-		c.later(func() { w(peer.Answer{Status: http.StatusServiceUnavailable}) })
-	}
 }
 
 // pending gives how many tasks wait for a machine.
@@ -334,7 +339,7 @@
 		}
 	}
 	r.retryBackoff, r.nextRetryAt = 0, 0
-	if r.doneCount == j.sub.Tasks && r.endState == "" {
+	if r.doneCount == j.sub.Tasks && !r.end.requested() {
 		c.endJob(j, wire.StateDone)
 	}
 }
@@ -363,10 +368,10 @@
 			continue
 		}
 		blockedHere = blockedHere || j.blocked()
-		if j.dependencyCancelled && !r.endInFlight {
+		if j.dependencyCancelled && !r.end.inFlight() {
 			continue // recordDependents does what is due
 		}
-		if r.endState != "" && c.now >= r.nextEndAttemptAt || r.checkpoint.due(c.now) {
+		if r.end.due(c.now) || r.checkpoint.due(c.now) {
 			due = append(due, j)
 		}
 	}
@@ -383,14 +388,14 @@
 	for _, j := range due {
 		r := j.run
 		switch {
-		case r.endState != "" && c.now >= r.nextEndAttemptAt:
-			if r.endInFlight {
-				r.nextEndAttemptAt = micros.Never
+		case r.end.due(c.now):
+			if r.end.inFlight() {
+				r.end.nextAttemptAt = micros.Never
 				c.resolveEnd(j, r)
 			} else {
-				c.endJob(j, r.endState)
+				c.endJob(j, r.end.state)
 			}
-		case r.endState == "":
+		case !r.end.requested():
 			c.recordCheckpoint(j)
 		}
 	}
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -274,7 +274,7 @@
 		c.cancelJob(j, done)
 		return
 	}
-	if j.run.endInFlight || j.run.endInDoubt || !c.mayWait(j) {
+	if j.run.end.unresolved() || !c.mayWait(j) {
 		done(peer.Answer{Status: http.StatusServiceUnavailable})
 		return
 	}
--- a/internal/controller/unknown_jobs_test.go
+++ b/internal/controller/unknown_jobs_test.go
@@ -194,7 +194,7 @@
 	})
 	h.put(wire.JobKey("job-000001"), wire.NewJobRecord(new(jobOf("job-000001", 1)), 1))
 	stands := h.keys[wire.JobKey("job-000001")]
-	h.c.jobs.open["job-000001"].run.endInDoubt = true // so that a question is answered by a read
+	h.c.jobs.open["job-000001"].run.end.inDoubt = true // so that a question is answered by a read
 	h.stateDown = true
 	h.jobStatus("job-000001")
 	held := h.held
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -121,7 +121,7 @@
 	}
 	s := c.ownership.shards[j.shard]
 	if c.mayAnswerFromMemory(j) {
-		if j.run.endInFlight || j.run.endInDoubt || !c.mayWait(j) {
+		if j.run.end.unresolved() || !c.mayWait(j) {
 			fresh()
 			return
 		}
