--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"net/http"
 	"slices"
 
 	"garnethitch/internal/micros"
@@ -241,31 +240,32 @@
 		}
 		t.unknown[id] = c.now + 2*micros.Second
 		t.reads++
-		c.readJob(classDependents, id, func(int) { t.reads-- })
+		c.readJob(classDependents, id, func(jobLookup) { t.reads-- })
 	}
 }
 
-// lookUpDependencies finds out whether all that a submission names was accepted: 200,
-// 404 if one surely was not, 0 if that can't be said now.
-func (c *Controller) lookUpDependencies(sub wire.Submission, done func(status int)) {
-	var ask []string
+// lookUpDependencies finds out whether all jobs that a submission names were accepted:
+// found, or missing if one surely was not, or failed if that can't be said now.
+func (c *Controller) lookUpDependencies(sub wire.Submission, done func(jobLookup)) {
+	var unknown []string
 	for _, id := range sub.DependsOn {
-		if !c.knows(id) { // as the job itself is not
-			ask = append(ask, id)
+		if !c.knows(id) {
+			unknown = append(unknown, id)
 		}
 	}
-	left, status := len(ask), http.StatusOK
-	if left == 0 {
-		done(http.StatusOK)
+	if len(unknown) == 0 {
+		done(lookupFound)
 		return
 	}
-	for _, id := range ask {
-		c.readForUser(id, func(got int) {
-			if got == http.StatusNotFound || got != http.StatusOK && status == http.StatusOK {
-				status = got
+	remaining, all := len(unknown), lookupFound
+	for _, id := range unknown {
+		c.readForUser(id, func(found jobLookup) {
+			if found == lookupMissing || found == lookupFailed && all == lookupFound {
+				all = found
 			}
-			if left--; left == 0 {
-				done(status)
+			remaining--
+			if remaining == 0 {
+				done(all)
 			}
 		})
 	}
--- a/internal/controller/job_end.go
+++ b/internal/controller/job_end.go
@@ -193,11 +193,11 @@
 
 // resolveEnd reads the record of a job whose end is in doubt.
 func (c *Controller) resolveEnd(j *job, r *run) {
-	c.readJob(classEnd, j.id, func(status int) {
+	c.readJob(classEnd, j.id, func(found jobLookup) {
 		if j.run != r {
 			return // ended, or no longer owned here
 		}
-		if status == http.StatusOK {
+		if found == lookupFound {
 			// Not ended, and j.modRevision is as read. A late copy of the transaction can
 			// still end it, so that it stays in doubt.
 			r.end.retryAt(c.now)
--- a/internal/controller/job_reads.go
+++ b/internal/controller/job_reads.go
@@ -31,10 +31,10 @@
 	longestRetryAfter = 10
 )
 
-// question waits for a job's record; done is called with 200, 404, or 0 for no answer.
+// question waits for a job's record; done is called with what its read found.
 type question struct {
 	askedAt micros.Micros
-	done    func(status int)
+	done    func(jobLookup)
 }
 
 // jobRead is a job that has been asked about and has had no answer since.
@@ -85,12 +85,12 @@
 }
 
 // readForUser reads a job's record for a user's question.
-func (c *Controller) readForUser(id string, done func(status int)) {
+func (c *Controller) readForUser(id string, done func(jobLookup)) {
 	r := &c.reads
 	read := r.byJob[id]
 	if read == nil {
 		if len(r.byJob) >= c.cfg.MaxOpenJobs {
-			done(0) // no place is kept for it
+			done(lookupFailed) // no place is kept for it
 			return
 		}
 		read = &jobRead{id: id, since: c.now}
@@ -98,7 +98,7 @@
 	}
 	read.lastAsked = c.now
 	if len(read.questions) >= maxQuestions {
-		done(0)
+		done(lookupFailed)
 		return
 	}
 	read.questions = append(read.questions, question{askedAt: c.now, done: done})
@@ -112,7 +112,7 @@
 func (c *Controller) refuseQuestions(read *jobRead) {
 	c.stateQueue.counters[classQuestion].rejected += uint64(len(read.questions))
 	for _, q := range read.questions {
-		c.later(func() { q.done(0) })
+		c.later(func() { q.done(lookupFailed) })
 	}
 	read.questions = nil
 }
@@ -161,11 +161,11 @@
 	status := c.learnRead(res)
 	switch {
 	case len(read.questions) > 0:
-		if status != 0 {
+		if status != lookupFailed {
 			read.since = read.questions[0].askedAt
 		}
 		c.waitForTurn(read)
-	case status != 0:
+	case status != lookupFailed:
 		delete(r.byJob, read.id)
 	}
 	for _, q := range answered {
@@ -199,7 +199,7 @@
 	n := 0
 	for n < len(read.questions) && c.now > read.questions[n].askedAt+readTimeout {
 		done := read.questions[n].done
-		c.later(func() { done(0) })
+		c.later(func() { done(lookupFailed) })
 		n++
 	}
 	c.stateQueue.counters[classQuestion].expired += uint64(n)
--- /dev/null
+++ b/internal/controller/job_status.go
@@ -0,0 +1,173 @@
+package controller
+
+import (
+	"net/http"
+
+	"garnethitch/internal/micros"
+	"garnethitch/internal/peer"
+	"garnethitch/internal/wire"
+)
+
+const (
+	// peerStatusTimeout is how long a status request to a job's owner may take.
+	peerStatusTimeout = 400 * micros.Millisecond
+	// peerCancelTimeout is the same for a cancellation.
+	peerCancelTimeout = 3 * micros.Second
+)
+
+// jobLookup is what a read of a job's record found.
+type jobLookup int
+
+const (
+	// lookupFailed: there was no answer, or none that can be used.
+	lookupFailed jobLookup = iota
+	// lookupFound: the record stands, and the job is known from then on.
+	lookupFound
+	// lookupMissing: there is no record.
+	lookupMissing
+)
+
+var jobLookupNames = [...]string{
+	lookupFailed:  "failed",
+	lookupFound:   "found",
+	lookupMissing: "missing",
+}
+
+func (l jobLookup) String() string { return jobLookupNames[l] }
+
+// answer is the answer about a job whose record was looked up, where memory has no more.
+func (l jobLookup) answer() peer.Answer {
+	switch l {
+	case lookupFound:
+		return peer.Answer{Status: http.StatusOK, State: wire.StatePending}
+	case lookupMissing:
+		return peer.Answer{Status: http.StatusNotFound}
+	default:
+		return unavailable
+	}
+}
+
+// handleJobStatus answers a user who asks for the status of a job.
+func (c *Controller) handleJobStatus(in JobStatusRequest) {
+	if !wire.ValidID(in.ID) {
+		// Only ids of the protocol's form exist.
+		c.answer(in.Reply, http.StatusNotFound, nil, 0)
+		return
+	}
+	c.findJobState(in.ID, func(a peer.Answer) { c.answerJobStatus(in.Reply, in.ID, a) })
+}
+
+// findJobState finds the state of a job: a final state from memory, any other from the
+// job's owner, or from a read of its record.
+func (c *Controller) findJobState(id string, done func(peer.Answer)) {
+	if f, ok := c.jobs.final(id); ok {
+		done(finalAnswer(f))
+		return
+	}
+	j := c.jobs.open[id]
+	if j == nil {
+		c.readJobState(id, done)
+		return
+	}
+	if j.dependencyCancelled && !c.hasSpareRequests() {
+		// It is to be recorded as cancelled, and the watch brings that. Reads for the
+		// users of a thousand such jobs would leave no requests for the records.
+		done(unavailable)
+		return
+	}
+	if !c.mayAnswerFromMemory(j) {
+		c.askOwner(j, done)
+		return
+	}
+	if j.run.end.unresolved() || !c.mayWait(j) {
+		c.readJobState(id, done)
+		return
+	}
+	done(c.memoryAnswer(j))
+}
+
+// askOwner asks the owner of a job for its state; without its answer the record is read.
+func (c *Controller) askOwner(j *job, done func(peer.Answer)) {
+	s := c.ownership.shards[j.shard]
+	p := c.peers[s.owner.Label]
+	if s.ownerEpoch == 0 || p == nil || !c.alive(p) {
+		c.readJobState(j.id, done)
+		return
+	}
+	c.askPeer(p, peer.Ask{ID: j.id}, peerStatusTimeout, func(a peer.Answer) {
+		if a.Status == http.StatusOK {
+			done(a)
+			return
+		}
+		c.readJobState(j.id, done)
+	})
+}
+
+// askPeer asks the owner of a job on behalf of a user.
+func (c *Controller) askPeer(p *peerView, ask peer.Ask, timeout micros.Micros, done func(peer.Answer)) {
+	if c.cfg.MaxPeerQuestions > 0 && c.peerQuestionsInFlight >= c.cfg.MaxPeerQuestions {
+		done(unavailable)
+		return
+	}
+	c.peerQuestionsInFlight++
+	req := peer.Request{From: c.cfg.Label, Ask: &ask}
+	c.call(Call{To: ToPeer, Addr: p.label, Req: req, Timeout: timeout}, func(r Result) {
+		c.peerQuestionsInFlight--
+		resp, ok := r.Body.(*peer.Response)
+		if !ok || r.Status != http.StatusOK || resp.Answer == nil {
+			done(unavailable)
+			return
+		}
+		a := *resp.Answer
+		if a.Status == http.StatusOK && isFinalState(a.State) {
+			c.finishJob(ask.ID, finalJob{state: a.State, tasks: a.Done})
+		}
+		done(a)
+	})
+}
+
+// isFinalState reports whether a job in the state is over.
+func isFinalState(state string) bool {
+	return state == wire.StateDone || state == wire.StateCancelled
+}
+
+// readJob reads a job's record on behalf of other work. For users there is readForUser.
+func (c *Controller) readJob(class requestClass, id string, done func(jobLookup)) {
+	c.askState(class, GetKey{Key: wire.JobKey(id)}, readTimeout, func(r Result) { done(c.learnRead(r)) })
+}
+
+// learnRead takes what the read of a job's record brought.
+func (c *Controller) learnRead(r Result) jobLookup {
+	switch r.Status {
+	case http.StatusOK:
+		kv, ok := r.Body.(*wire.KeyValue)
+		if !ok {
+			return lookupFailed
+		}
+		c.ownership.lastStateReplyAt = c.now
+		c.applyPut(kv.Key, kv.Value, kv.ModRevision)
+		if id := kv.Key[len(wire.PrefixJob):]; !c.knows(id) && !c.jobs.unusable[id] {
+			return lookupFailed // it has ended since; see outdated
+		}
+		return lookupFound
+	case http.StatusNotFound:
+		c.ownership.lastStateReplyAt = c.now
+		return lookupMissing
+	}
+	return lookupFailed
+}
+
+// readJobState finds the state of a job by a read of its record.
+func (c *Controller) readJobState(id string, done func(peer.Answer)) {
+	c.readForUser(id, func(found jobLookup) {
+		if f, ok := c.jobs.final(id); ok {
+			done(finalAnswer(f))
+			return
+		}
+		j := c.jobs.open[id]
+		if found == lookupFound && j != nil && !c.mayWait(j) {
+			found = lookupFailed
+		}
+		done(found.answer())
+	})
+}
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -353,6 +353,12 @@
 	j.run.checkpoint.await(att)
 }
 
+// knows reports whether a job is in the table, open or over.
+func (c *Controller) knows(id string) bool {
+	_, over := c.jobs.final(id)
+	return over || c.jobs.open[id] != nil
+}
+
 // maintainJobs does what is due for jobs: ends to retry, checkpoints to record.
 func (c *Controller) maintainJobs() {
 	if !c.leaseValid() {
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -257,9 +257,9 @@
 		}
 		if j == nil && a.Cancel && wire.ValidID(a.ID) {
 			// The watch may not have brought it yet.
-			c.readForUser(a.ID, func(status int) {
+			c.readForUser(a.ID, func(found jobLookup) {
 				_, over := c.jobs.final(a.ID)
-				if k := c.jobs.open[a.ID]; status == http.StatusOK && (over || k != nil && k.run != nil) {
+				if k := c.jobs.open[a.ID]; found == lookupFound && (over || k != nil && k.run != nil) {
 					c.askedAbout(a, done)
 					return
 				}
--- /dev/null
+++ b/internal/controller/submission.go
@@ -0,0 +1,243 @@
+package controller
+
+import (
+	"net/http"
+	"slices"
+
+	"garnethitch/internal/micros"
+	"garnethitch/internal/peer"
+	"garnethitch/internal/wire"
+)
+
+const (
+	// maxAccepting is how many records of new jobs may wait for their turn: more would
+	// not be written in time.
+	maxAccepting = 40
+	// maxCreationWaiters bounds the submissions that wait for one job's record.
+	maxCreationWaiters = 16
+
+	creationTimeout = 1200 * micros.Millisecond
+	// hintTimeout is how long the message to the owner of a new job may take.
+	hintTimeout = micros.Second
+)
+
+// jobCreation is a submission whose record is being written.
+type jobCreation struct {
+	waiters []func(peer.Answer)
+}
+
+// handleSubmit takes a user's job. A submission of a job that was accepted before is
+// answered with the state of that job, whatever the submission says now.
+func (c *Controller) handleSubmit(in SubmitRequest) {
+	if in.Err != nil {
+		c.refuseMalformed(in.Reply, in.Err)
+		return
+	}
+	id := in.Job.ID
+	if c.knows(id) {
+		c.findJobState(id, func(a peer.Answer) { c.answerJobStatus(in.Reply, id, a) })
+		return
+	}
+	if len(c.types) == 0 || !c.ownership.jobWatch.ready {
+		c.answer(in.Reply, http.StatusServiceUnavailable, nil, retrySoon)
+		return
+	}
+	if status, refused := c.refusalOf(&in.Job); refused {
+		c.refuseSubmission(in.Reply, id, status)
+		return
+	}
+	if c.jobTableFull() {
+		c.answer(in.Reply, http.StatusTooManyRequests, nil, retryWhenFull)
+		return
+	}
+	c.lookUpDependencies(in.Job, func(found jobLookup) { c.acceptSubmission(in, found) })
+}
+
+// refuseMalformed answers a submission that could not be decoded. Its job may have been
+// accepted before without this node knowing, so that a read decides.
+func (c *Controller) refuseMalformed(r ReplyID, err *wire.SubmissionError) {
+	if err.ID == "" {
+		c.answer(r, http.StatusBadRequest, nil, 0)
+		return
+	}
+	c.refuseSubmission(r, err.ID, http.StatusBadRequest)
+}
+
+// refusalOf returns the status with which a submission is refused for good, if it is. The
+// record's size is checked before the dependencies are looked up, since their list may name
+// thousands.
+func (c *Controller) refusalOf(sub *wire.Submission) (status int, refused bool) {
+	if !c.canRun(sub) {
+		return http.StatusUnprocessableEntity, true
+	}
+	if !c.fitsRecord(sub) {
+		return http.StatusBadRequest, true
+	}
+	return 0, false
+}
+
+// jobTableFull reports whether new jobs are to come later.
+func (c *Controller) jobTableFull() bool {
+	return len(c.jobs.open) >= c.cfg.MaxOpenJobs || c.stateQueue.waiting(classAccept) > maxAccepting
+}
+
+// acceptSubmission creates a job whose dependencies were looked up.
+func (c *Controller) acceptSubmission(in SubmitRequest, dependencies jobLookup) {
+	id := in.Job.ID
+	switch dependencies {
+	case lookupFound:
+		c.createJob(in.Job, func(a peer.Answer) { c.answerJob(in.Reply, id, a, retrySoon) })
+	case lookupMissing:
+		c.refuseSubmission(in.Reply, id, http.StatusUnprocessableEntity)
+	default:
+		c.answer(in.Reply, http.StatusServiceUnavailable, nil, retrySoon)
+	}
+}
+
+// fitsRecord reports whether the record of a job, dependencies included, is no larger than
+// the state service takes.
+func (c *Controller) fitsRecord(sub *wire.Submission) bool {
+	value, err := wire.Encode(wire.NewJobRecord(sub, c.wall.Millis()))
+	if err == nil && c.storable(value) {
+		return true
+	}
+	c.log(Info, "job record does not fit, refused", "job", sub.ID, "bytes", len(value), "dependencies", len(sub.DependsOn), "error", err)
+	return false
+}
+
+// refuseSubmission answers a submission that can't be accepted, unless its job was accepted
+// before: then the answer is that job's state.
+func (c *Controller) refuseSubmission(r ReplyID, id string, status int) {
+	c.findJobState(id, func(a peer.Answer) {
+		if a.Status == http.StatusNotFound {
+			c.answer(r, status, nil, 0)
+			return
+		}
+		c.answerJobStatus(r, id, a)
+	})
+}
+
+// canRun reports whether a job could ever run: its team is known, and a task fits an
+// allowed machine type in an allowed zone and its team's limit.
+func (c *Controller) canRun(sub *wire.Submission) bool {
+	team, ok := c.teamOf[sub.Team]
+	if !ok {
+		return false
+	}
+	t := c.cfg.Teams[team]
+	if t.CPUsMax > 0 && sub.CPUs > t.CPUsMax || t.GPUsMax > 0 && sub.GPUs > t.GPUsMax {
+		return false
+	}
+	return slices.ContainsFunc(c.typeIndex.names, func(name string) bool {
+		return typeAllowed(sub, name) && fitsType(sub, c.types[name])
+	})
+}
+
+// fitsType reports whether a task of a job fits an empty machine of a type, in a zone that
+// the job allows.
+func fitsType(sub *wire.Submission, mt wire.MachineType) bool {
+	if sub.CPUs > mt.CPUs || sub.GPUs > mt.GPUs || sub.MemGB > mt.MemGB {
+		return false
+	}
+	return sub.Zone == "" || slices.Contains(mt.Zones, sub.Zone)
+}
+
+// typeAllowed reports whether a job allows machines of a type.
+func typeAllowed(sub *wire.Submission, name string) bool {
+	return sub.Types == nil || slices.Contains(sub.Types, name)
+}
+
+// createJob writes the record of a new job, and answers 201 once that stands.
+func (c *Controller) createJob(sub wire.Submission, done func(peer.Answer)) {
+	id := sub.ID
+	if pending := c.jobs.pendingCreations[id]; pending != nil {
+		if len(pending.waiters) >= maxCreationWaiters {
+			done(unavailable)
+			return
+		}
+		pending.waiters = append(pending.waiters, done)
+		return
+	}
+	rec := c.newJobRecord(&sub)
+	value, err := wire.Encode(rec)
+	if err != nil {
+		c.log(Error, "job record not encoded", "job", id, "error", err)
+		done(unavailable)
+		return
+	}
+	c.jobs.pendingCreations[id] = &jobCreation{waiters: []func(peer.Answer){done}}
+	c.askState(classAccept, creationTxn(id, value), creationTimeout, func(r Result) {
+		c.handleCreation(id, rec, value, r)
+	})
+}
+
+// newJobRecord returns the record of a job that is accepted now. If the job needs a
+// cancelled one it is accepted and over in one write, so that nobody is answered "pending"
+// when the other may have been cancelled long ago.
+func (c *Controller) newJobRecord(sub *wire.Submission) wire.JobRecord {
+	rec := wire.NewJobRecord(sub, c.wall.Millis())
+	if !c.namesCancelled(sub) {
+		return rec
+	}
+	return wire.JobRecord{
+		AcceptedMS: rec.AcceptedMS,
+		State:      wire.StateCancelled,
+		Tasks:      sub.Tasks,
+		EndMS:      rec.AcceptedMS,
+	}
+}
+
+// creationTxn is the transaction that writes the record of a new job.
+func creationTxn(id string, value wire.Raw) wire.Txn {
+	return wire.Txn{
+		If:   []wire.Condition{{Key: wire.JobKey(id), ModRevision: 0}},
+		Then: []wire.Change{{Put: wire.JobKey(id), Value: value}},
+	}
+}
+
+// handleCreation takes the result of the transaction that writes the record of a new job.
+func (c *Controller) handleCreation(id string, rec wire.JobRecord, value wire.Raw, r Result) {
+	if revision, ok := txnRevision(r); ok {
+		c.ownership.lastStateReplyAt = c.now
+		c.learnJob(id, rec, revision)
+		c.sendJobRecordHint(id, revision, value)
+		c.finishCreation(id, peer.Answer{Status: http.StatusCreated, State: rec.State})
+		return
+	}
+	if txnOutcomeOf(r) == txnNotExecuted {
+		c.finishCreation(id, unavailable)
+		return
+	}
+	// A record stands already, or the outcome is unknown: a read resolves it. If there is
+	// none, a late copy may still create it; the user's retry finds it then.
+	c.readJobState(id, func(a peer.Answer) {
+		if a.Status == http.StatusNotFound {
+			a.Status = http.StatusServiceUnavailable
+		}
+		c.finishCreation(id, peer.Answer{Status: a.Status, State: a.State})
+	})
+}
+
+// finishCreation answers all who wait for the record of a new job.
+func (c *Controller) finishCreation(id string, answer peer.Answer) {
+	waiters := c.jobs.pendingCreations[id].waiters
+	delete(c.jobs.pendingCreations, id)
+	for _, done := range waiters {
+		done(answer)
+	}
+}
+
+// sendJobRecordHint sends the record of a new job to its owner, before the watch brings it.
+func (c *Controller) sendJobRecordHint(id string, modRevision uint64, record []byte) {
+	j := c.jobs.open[id]
+	if j == nil || j.run != nil {
+		return
+	}
+	p := c.peers[c.ownership.shards[j.shard].owner.Label]
+	if p == nil || !c.alive(p) {
+		return
+	}
+	hint := &peer.JobRecordHint{ID: id, ModRevision: modRevision, Record: record}
+	req := peer.Request{From: c.cfg.Label, JobRecordHint: hint}
+	c.call(Call{To: ToPeer, Addr: p.label, Req: req, Timeout: hintTimeout}, func(Result) {})
+}
