--- a/internal/controller/idempotency_test.go
+++ b/internal/controller/idempotency_test.go
@@ -12,7 +12,7 @@
 	"garnethitch/internal/wire"
 )
 
-// modRevisionsOf is what stands in the store: every key with its mark.
+// modRevisionsOf returns the revisions of all keys in the store.
 func (h *harness) modRevisionsOf() map[string]uint64 {
 	out := map[string]uint64{}
 	for k, kv := range h.keys {
@@ -21,10 +21,9 @@
 	return out
 }
 
-// A transaction that was carried out may be carried out again at any later time,
-// also after its sender has ended. Whatever the controller writes has conditions under
-// which a repeat does nothing: each of its writes, in a life with every kind of
-// them, is repeated after each later one.
+// A transaction that was executed may be executed again at any later time, also after its
+// sender has ended. Whatever the controller writes has conditions under which a repeat does
+// nothing: in a run with every kind of write, each is repeated after each later one.
 func TestRepeatedWrites(t *testing.T) {
 	h := newHarness(t, func(c *Config) {
 		c.Shards, c.MaxMachines = 2, 100
@@ -37,8 +36,8 @@
 			if status, _ := h.txn(txn); status != 200 {
 				continue
 			}
-			id, isVersion := strings.CutPrefix(txn.Then[0].Put, wire.PrefixCheckpoint)
-			if _, over := h.c.jobs.final(id); isVersion && len(txn.Then) == 1 && over {
+			id, isCheckpoint := strings.CutPrefix(txn.Then[0].Put, wire.PrefixCheckpoint)
+			if _, over := h.c.jobs.final(id); isCheckpoint && len(txn.Then) == 1 && over {
 				delete(h.keys, txn.Then[0].Put) // nobody asks for the checkpoint of a job that is over
 				continue
 			}
@@ -79,9 +78,9 @@
 		t.Fatalf("the first job is %q", h.state("job-000001"))
 	}
 	if len(slices.DeleteFunc(sortedKeys(h.keys), func(k string) bool { return len(k) < 8 || k[:8] != wire.PrefixCheckpoint })) == 0 {
-		t.Fatal("no Version was recorded")
+		t.Fatal("no checkpoint was recorded")
 	}
-	check("an end and Versions")
+	check("an end and checkpoints")
 	if a := h.ask(func(r ReplyID) Input { return CancelRequest{Reply: r, ID: "job-000002"} }); a.Status != 200 {
 		t.Fatalf("cancelled: %d", a.Status)
 	}
@@ -130,8 +129,8 @@
 	}
 }
 
-// Requests to us that were carried out and come again, late: what they find, and
-// what they get.
+// Requests to the controller that were executed and come again, late, get the state that
+// they find and change nothing.
 func TestRepeatedRequests(t *testing.T) {
 	submit := func(r ReplyID) Input { return SubmitRequest{Reply: r, Job: jobOf("job-000001", 1)} }
 	cancel := func(r ReplyID) Input { return CancelRequest{Reply: r, ID: "job-000001"} }
@@ -200,8 +199,8 @@
 	}
 }
 
-// Messages of other controllers that come again, late: an old claim silences
-// nobody, names of returned machines stay true, a release finds the machine gone
+// Messages of other controllers that come again, late, do no harm: an old claim deprives no
+// owner of its shard, names of returned machines stay true, a release finds the machine gone
 // or busy, and a hint of a job that is over does not bring it back.
 func TestRepeatedPeerMessages(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.Peers = []string{"n-1"}; c.MaxMachines = 100 })
@@ -233,9 +232,9 @@
 		h.run(sec)
 		switch {
 		case h.c.activeShard(0) == nil:
-			t.Errorf("%s: the share was given up", tc.name)
+			t.Errorf("%s: the shard was given up", tc.name)
 		case h.c.machines["vm-1"] == nil || h.c.machines["vm-1"].rec.Cordoned || len(h.c.machines["vm-1"].view.list) == 0:
-			t.Errorf("%s: a machine in use was let go", tc.name)
+			t.Errorf("%s: a machine in use was released", tc.name)
 		case h.c.jobs.open["job-000001"] != nil || h.state("job-000001") != wire.StateDone:
 			t.Errorf("%s: a job that is over came back", tc.name)
 		}
--- /dev/null
+++ b/internal/controller/readiness_test.go
@@ -0,0 +1,39 @@
+package controller
+
+import "testing"
+
+// Users go elsewhere if a controller alone has lost the state service, but not if all have,
+// also when they were started in the outage.
+func TestReadiness(t *testing.T) {
+	ready := func(h *harness) int { return h.ask(func(r ReplyID) Input { return ReadinessRequest{Reply: r} }).Status }
+	for _, tc := range []struct {
+		name              string
+		before, peerState bool // it had the state service before; a peer has it now
+		want              int
+	}{
+		{"lost by all", true, false, 200},
+		{"lost by this node alone", true, true, 503},
+		{"started without it, as all", false, false, 200},
+		{"started without it, alone", false, true, 503},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			h := newHarness(t, func(c *Config) { c.Peers = []string{"n-1"} })
+			if tc.before && ready(h) != 200 {
+				t.Fatal("not ready with everything available")
+			}
+			if !tc.before {
+				h.c = New(h.c.cfg, 2)
+				h.watches, h.answers = nil, map[ReplyID]Answer{}
+			}
+			h.stateDown, h.peersDown = true, true
+			for range 12 {
+				h.run(sec / 2)
+				p := h.c.peers["n-1"]
+				p.lastHeardAt, p.stateOK = h.now, tc.peerState
+			}
+			if got := ready(h); got != tc.want {
+				t.Errorf("readiness: %d, want %d", got, tc.want)
+			}
+		})
+	}
+}
--- a/internal/controller/user_requests_test.go
+++ b/internal/controller/user_requests_test.go
@@ -6,8 +6,8 @@
 	"garnethitch/internal/wire"
 )
 
-// Answers to submissions and questions, whether or not the job is known.
-func TestUsers(t *testing.T) {
+// Answers to submissions and status requests, whether or not the job is known.
+func TestSubmissionsAndStatusRequests(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.Teams = []Team{{Name: "t", CPUsMax: 3}, {Name: "u"}} })
 	change := func(f func(*wire.Submission)) wire.Submission {
 		s := jobOf("job-000001", 2)
@@ -42,14 +42,14 @@
 	}
 	for id, want := range map[string]int{"job-000001": 200, "job-000002": 404, "nonsense": 404} {
 		if a := h.jobStatus(id); a.Status != want {
-			t.Errorf("question about %s: %d, want %d", id, a.Status, want)
+			t.Errorf("status of %s: %d, want %d", id, a.Status, want)
 		}
 	}
 	h.stateDown = true
 	if a := h.submit(jobOf("job-000003", 1)); a.Status != 0 {
-		t.Errorf("told %d while the outcome is open", a.Status)
+		t.Errorf("answered %d while the outcome is open", a.Status)
 	}
-	h.run(2 * sec) // nothing comes back, and a read can't settle it either
+	h.run(2 * sec) // no answer comes, and a read can't resolve it either
 	for _, c := range h.held {
 		h.step(Result{ID: c.ID})
 	}
@@ -62,42 +62,6 @@
 	}
 }
 
-// Readiness: users go elsewhere if a node alone has lost the state service, but
-// not if all have, also when they were started in the outage.
-func TestReady(t *testing.T) {
-	ready := func(h *harness) int { return h.ask(func(r ReplyID) Input { return ReadinessRequest{Reply: r} }).Status }
-	for _, tc := range []struct {
-		name              string
-		before, peerState bool // it had the state service before; a peer has it now
-		want              int
-	}{
-		{"lost by all", true, false, 200},
-		{"lost by this node alone", true, true, 503},
-		{"started without it, as all", false, false, 200},
-		{"started without it, alone", false, true, 503},
-	} {
-		t.Run(tc.name, func(t *testing.T) {
-			h := newHarness(t, func(c *Config) { c.Peers = []string{"n-1"} })
-			if tc.before && ready(h) != 200 {
-				t.Fatal("not ready with all at hand")
-			}
-			if !tc.before {
-				h.c = New(h.c.cfg, 2)
-				h.watches, h.answers = nil, map[ReplyID]Answer{}
-			}
-			h.stateDown, h.peersDown = true, true
-			for range 12 {
-				h.run(sec / 2)
-				p := h.c.peers["n-1"]
-				p.lastHeardAt, p.stateOK = h.now, tc.peerState
-			}
-			if got := ready(h); got != tc.want {
-				t.Errorf("ready: %d, want %d", got, tc.want)
-			}
-		})
-	}
-}
-
 // The record of a machine that was not answered may be applied at any time, so
 // the machine is recorded under no other key meanwhile.
 func TestLateRecord(t *testing.T) {
@@ -130,10 +94,9 @@
 	}
 }
 
-// TestFullTables fills the tables of jobs and goes past them: a new job is put off
-// with a time to come back, a known one is answered as ever, and a final state
-// that was let go of is read again.
-func TestFullTables(t *testing.T) {
+// Past the bounds of the job table a new job is refused with a time to come back, a known
+// one is answered as before, and a final state that left memory is read again.
+func TestFullJobTable(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.MaxOpenJobs, c.MaxFinalJobs = 3, 2 })
 	ids := []string{"job-000001", "job-000002", "job-000003", "job-000004"}
 	for i, id := range ids {
@@ -162,13 +125,13 @@
 		}
 	}
 	if a := h.submit(jobOf(ids[3], 1)); a.Status != 201 {
-		t.Errorf("with room again: %d, want 201", a.Status)
+		t.Errorf("with space again: %d, want 201", a.Status)
 	}
 }
 
-// What can't be taken gets 400 or 422 only where the job is surely unknown, and a
-// job that is known elsewhere never does, on any node and during any fault.
-func TestOddRequests(t *testing.T) {
+// A submission that can't be accepted gets 400 or 422 only where its job is surely unknown;
+// one of a job that was accepted never does, at any controller and during any fault.
+func TestUnacceptableSubmissions(t *testing.T) {
 	bad := func(r ReplyID) Input {
 		return SubmitRequest{Reply: r, Err: &wire.SubmissionError{ID: "job-000001", Reason: "x"}}
 	}
@@ -203,7 +166,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := meet(t, withPeer)
-			h.watchBlocked = wire.PrefixJob // it hears of no job by itself
+			h.watchBlocked = wire.PrefixJob // it learns of no job by itself
 			h.run(sec)
 			if tc.set != nil {
 				tc.set(h)
