--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -18,9 +18,6 @@
 	return wire.StoredSize(value, c.cfg.ValueBytes) <= c.cfg.ValueBytes
 }
 
-// blocked: not all that the job needs is done.
-func (j *job) blocked() bool { return len(j.needs) > 0 }
-
 // linkDependencies puts a job that has become known beside those that it needs and those that need
 // it, and finds out what it inherits from either.
 func (c *Controller) linkDependencies(j *job) {
@@ -232,15 +229,15 @@
 		return
 	}
 	for _, id := range sortedKeys(t.unknown) {
-		if t.reads >= maxDependencyReads {
+		if t.readsInFlight >= maxDependencyReads {
 			return
 		}
 		if c.now < t.unknown[id] || !slices.ContainsFunc(t.dependents[id], func(d *job) bool { return d.run != nil && !d.dependencyCancelled }) {
 			continue
 		}
 		t.unknown[id] = c.now + 2*micros.Second
-		t.reads++
-		c.readJob(classDependents, id, func(jobLookup) { t.reads-- })
+		t.readsInFlight++
+		c.readJob(classDependents, id, func(jobLookup) { t.readsInFlight-- })
 	}
 }
 
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -267,7 +267,7 @@
 		{"out of memory", func(h *harness, sub wire.Submission) {
 			h.watchBlocked = wire.PrefixJob
 			h.run(sec)
-			h.c.jobs.most = 1
+			h.c.jobs.finals.limit = 1
 			h.recordEnd("job-000001", wire.StateDone, 9_000_000)
 			h.recordEnd("job-000002", wire.StateDone, 8_000_000)
 			h.submit(sub)
--- a/internal/controller/job_end.go
+++ b/internal/controller/job_end.go
@@ -247,7 +247,7 @@
 // finishRun ends an owner's work on a job that is over.
 func (c *Controller) finishRun(j *job, f finalJob) {
 	r := j.run
-	c.answerWaiters(r, finalAnswer(f))
+	c.answerWaiters(r, f.answer())
 	if f.state == wire.StateDone {
 		waited := max(r.firstRunAt-r.arrivedAt, 0)
 		took := c.now - r.arrivedAt
--- a/internal/controller/job_status.go
+++ b/internal/controller/job_status.go
@@ -61,7 +61,7 @@
 // job's owner, or from a read of its record.
 func (c *Controller) findJobState(id string, done func(peer.Answer)) {
 	if f, ok := c.jobs.final(id); ok {
-		done(finalAnswer(f))
+		done(f.answer())
 		return
 	}
 	j := c.jobs.open[id]
@@ -161,7 +161,7 @@
 func (c *Controller) readJobState(id string, done func(peer.Answer)) {
 	c.readForUser(id, func(found jobLookup) {
 		if f, ok := c.jobs.final(id); ok {
-			done(finalAnswer(f))
+			done(f.answer())
 			return
 		}
 		j := c.jobs.open[id]
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -50,12 +50,9 @@
 // acknowledged: the owner of the job may have lost the state service, and so not know
 // that its own record of it was carried out. No user's answer waits for that.
 func (c *Controller) broadcastCancellation(id string) {
-	f, ok := c.jobs.final(id)
-	if !ok || f.broadcast {
+	if !c.jobs.startBroadcast(id) {
 		return
 	}
-	f.broadcast = true
-	c.jobs.finals[id] = f
 	for _, label := range c.cfg.Peers {
 		p := c.peers[label]
 		p.cancelled = append(p.cancelled, id)
@@ -247,7 +244,7 @@
 // askedAbout answers as the owner of a job, or with 503 if this node is not.
 func (c *Controller) askedAbout(a peer.Ask, done func(peer.Answer)) {
 	if f, ok := c.jobs.final(a.ID); ok {
-		done(finalAnswer(f))
+		done(f.answer())
 		return
 	}
 	j := c.jobs.open[a.ID]
--- a/internal/controller/scale_test.go
+++ b/internal/controller/scale_test.go
@@ -312,7 +312,7 @@
 	held := func(machines, jobs, finished int) float64 {
 		h := bigHarness(b, machines, jobs, 500)
 		for i := range finished {
-			h.c.jobs.addFinal(fmt.Sprintf("job-%06d", 500_000+i), finalJob{state: wire.StateDone, tasks: 1})
+			h.c.jobs.finals.add(fmt.Sprintf("job-%06d", 500_000+i), finalJob{state: wire.StateDone, tasks: 1})
 		}
 		var ms runtime.MemStats
 		runtime.GC()
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -67,7 +67,7 @@
 // can't be used is not in the job table, and can't be cancelled.
 func (c *Controller) cancelKnownJob(id string, done func(peer.Answer)) {
 	if f, ok := c.jobs.final(id); ok {
-		done(finalAnswer(f))
+		done(f.answer())
 		return
 	}
 	j := c.jobs.open[id]
--- a/internal/controller/user_requests_test.go
+++ b/internal/controller/user_requests_test.go
@@ -116,7 +116,7 @@
 			t.Errorf("cancelling %s: %d", id, a.Status)
 		}
 	}
-	if n := len(h.c.jobs.finals); n != 2 {
+	if n := len(h.c.jobs.finals.byID); n != 2 {
 		t.Errorf("%d final states kept, want 2", n)
 	}
 	for _, id := range ids[:3] {
