--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -7,47 +7,59 @@
 	"garnethitch/internal/wire"
 )
 
-// A job may depend on others: none of its tasks starts before each of them is done by
-// its own record. Until then it is held: pending, and without a part in any limit,
-// guarantee, queue or demand. Every node knows which open jobs wait for which, and
-// how those that they need stand; the owner of a dependent acts on it, at any time:
-// when it learns of the job, takes it over, or learns of an end.
+// A job may depend on others (a DAG): none of its tasks starts before each of them is done
+// by its own record. Until then it is blocked: pending, and without a part in any limit,
+// guarantee, queue or demand. Every node knows which open jobs wait for which, and the
+// states of those that they need; the owner of a dependent acts on it when it learns of the
+// job, takes the job over, or learns of an end.
 
-// storable: the value fits the limits of the state service, those to come included.
-func (c *Controller) storable(value wire.Raw) bool {
-	return wire.StoredSize(value, c.cfg.ValueBytes) <= c.cfg.ValueBytes
-}
+const (
+	// unknownReadDelay is how long a dependency that is not known may yet come by the
+	// watch before it is read.
+	unknownReadDelay = micros.Second
+	// unknownReadInterval is the time between two reads of one.
+	unknownReadInterval = 2 * micros.Second
+	// maxDependencyReads bounds the reads of unknown dependencies in flight.
+	maxDependencyReads = 4
+	// maxBlockedViewAge is the age of the view of jobs up to which a blocked job is
+	// answered as pending, counted from when what brought the view was asked for.
+	maxBlockedViewAge = 10 * micros.Second
+)
 
-// linkDependencies puts a job that has become known beside those that it needs and those that need
-// it, and finds out what it inherits from either.
+// linkDependencies adds a job that has become known to the graph of dependencies, and
+// gives it what it inherits from the jobs that it needs and those that need it.
 func (c *Controller) linkDependencies(j *job) {
 	c.updatePriority(j)
-	t := &c.jobs
-	delete(t.unknown, j.id)
+	delete(c.jobs.unknown, j.id)
 	for _, id := range j.sub.DependsOn {
-		f, over := t.final(id)
-		switch {
-		case over && f.state == wire.StateCancelled:
-			c.markDependencyCancelled(j)
-		case over && f.recorded:
-			j.unblockedMS = max(j.unblockedMS, f.endMS)
-			continue
-		}
-		if j.needs == nil {
-			j.needs = map[string]bool{}
-		}
-		j.needs[id] = true
-		t.dependents[id] = append(t.dependents[id], j)
-		if d := t.open[id]; d == nil {
-			t.unknown[id] = c.now + micros.Second // the watch may yet bring it
-		} else if d.dependencyCancelled {
-			c.markDependencyCancelled(j)
-		}
+		c.linkDependency(j, id)
 	}
 	c.propagatePriority(j)
 }
 
-// unlinkDependencies takes a job that is over away from those that it needed.
+// linkDependency has a job wait for another, unless that is done on record.
+func (c *Controller) linkDependency(j *job, id string) {
+	t := &c.jobs
+	f, over := t.final(id)
+	if over && f.state == wire.StateCancelled {
+		c.markDependencyCancelled(j)
+	} else if over && f.recorded {
+		j.unblockedMS = max(j.unblockedMS, f.endMS)
+		return
+	}
+	if j.needs == nil {
+		j.needs = map[string]bool{}
+	}
+	j.needs[id] = true
+	t.dependents[id] = append(t.dependents[id], j)
+	if d := t.open[id]; d == nil {
+		t.unknown[id] = c.now + unknownReadDelay
+	} else if d.dependencyCancelled {
+		c.markDependencyCancelled(j)
+	}
+}
+
+// unlinkDependencies removes a job that is over from the dependents of those that it needed.
 func (c *Controller) unlinkDependencies(j *job) {
 	t := &c.jobs
 	for _, id := range j.sub.DependsOn {
@@ -65,177 +77,204 @@
 	c.propagatePriority(j)
 }
 
-// dependencyEnded lets those go on that waited for a job, or cancels them with it.
+// dependencyEnded unblocks the jobs that waited for one that is over, or cancels them with
+// it.
 func (c *Controller) dependencyEnded(id string, f finalJob) {
 	t := &c.jobs
 	delete(t.unknown, id)
+	dependents := t.dependents[id]
 	if f.state == wire.StateCancelled {
-		c.markDependencyCancelled(t.dependents[id]...)
+		c.markDependencyCancelled(dependents...)
 		return
 	}
-	waiting := t.dependents[id]
-	if len(waiting) == 0 {
+	if len(dependents) == 0 {
 		return
 	}
 	if !f.recorded {
-		t.unknown[id] = c.now // nothing starts on another controller's word
+		t.unknown[id] = c.now // read first: nothing starts on another controller's word
 		return
 	}
 	delete(t.dependents, id)
-	for _, d := range waiting {
+	endMS := f.endMS
+	if endMS == 0 {
+		endMS = c.wall.Millis() // recorded by an older version, without the time
+	}
+	for _, d := range dependents {
 		delete(d.needs, id)
-		end := f.endMS
-		if end == 0 {
-			end = c.wall.Millis() // recorded by a version that does not tell
+		d.unblockedMS = max(d.unblockedMS, endMS)
+		if !d.blocked() && !d.dependencyCancelled && d.run != nil {
+			c.jobUnblocked(d, endMS)
 		}
-		d.unblockedMS = max(d.unblockedMS, end)
-		if d.blocked() || d.dependencyCancelled || d.run == nil {
-			continue
-		}
-		s := c.ownership.shards[d.shard]
-		s.queueStale, c.schedulingDue = true, true
-		d.run.arrivedAt = c.now
-		c.noteArrival(s, d)
-		c.log(Info, "job unblocked, all its dependencies are done", "job", d.id, "after_ms", c.wall.Millis()-end, "class", d.sub.Class, "priority", d.priority)
 	}
 }
 
+// jobUnblocked lets an owned job start whose last dependency was done at a time of day.
+func (c *Controller) jobUnblocked(j *job, endMS int64) {
+	s := c.ownership.shards[j.shard]
+	s.queueStale = true
+	c.schedulingDue = true
+	j.run.arrivedAt = c.now
+	c.noteArrival(s, j)
+	c.log(Info, "job unblocked, all its dependencies are done", "job", j.id, "after_ms", c.wall.Millis()-endMS, "class", j.sub.Class, "priority", j.priority)
+}
+
 // noteArrival counts work that may start from now on.
 func (c *Controller) noteArrival(s *shard, j *job) {
-	s.arrivals.add(c.now, float64(j.sub.Tasks)*j.sub.CPUs*c.estimates.expect(j.sub).Seconds())
+	work := float64(j.sub.Tasks) * j.sub.CPUs * c.estimates.expect(j.sub).Seconds()
+	s.arrivals.add(c.now, work)
 }
 
-// markDependencyCancelled marks jobs as to be cancelled, since one that they need is, and with them all
-// that need them, however deep: none of them can ever start. Each is recorded by its
-// own owner, and called cancelled only then.
+// markDependencyCancelled marks jobs as to be cancelled, since one that they need is, and
+// with them all that need them, however deep: none of them can ever start. Each is recorded
+// by its own owner, and called cancelled only then.
 func (c *Controller) markDependencyCancelled(jobs ...*job) {
-	n, first := 0, ""
+	count, first := 0, ""
 	for stack := slices.Clone(jobs); len(stack) > 0; {
-		d := stack[len(stack)-1]
+		j := stack[len(stack)-1]
 		stack = stack[:len(stack)-1]
-		if d.dependencyCancelled {
+		if j.dependencyCancelled {
 			continue
 		}
-		d.dependencyCancelled = true
-		c.cascade.add(d)
-		if d.run != nil && !d.run.end.requested() {
-			d.run.end.request(wire.StateCancelled) // recordDependents records it
-			c.ownership.shards[d.shard].queueStale = true
-			if n++; n == 1 {
-				first = d.id
+		j.dependencyCancelled = true
+		c.cascade.add(j)
+		if c.requestDependentEnd(j) {
+			count++
+			if count == 1 {
+				first = j.id
 			}
 		}
-		stack = append(stack, c.jobs.dependents[d.id]...)
+		stack = append(stack, c.jobs.dependents[j.id]...)
 	}
-	if n > 0 {
-		c.log(Info, "cancelling dependents of a cancelled job", "first", first, "count", n)
+	if count > 0 {
+		c.log(Info, "cancelling dependents of a cancelled job", "first", first, "count", count)
 		c.wakeIn(0)
 	}
 }
 
-// namesCancelled: a job that is to be accepted needs one that is cancelled, directly
-// or through others, as far as this node knows.
+// requestDependentEnd has an owned job end as cancelled, and reports whether it was to end
+// in no way before. recordDependents records it.
+func (c *Controller) requestDependentEnd(j *job) bool {
+	if j.run == nil || j.run.end.requested() {
+		return false
+	}
+	j.run.end.request(wire.StateCancelled)
+	c.ownership.shards[j.shard].queueStale = true
+	return true
+}
+
+// namesCancelled reports whether a job that is to be accepted needs one that is cancelled,
+// directly or through others, as far as this node knows.
 func (c *Controller) namesCancelled(sub *wire.Submission) bool {
 	return slices.ContainsFunc(sub.DependsOn, func(id string) bool {
-		f, over := c.jobs.final(id)
+		if f, over := c.jobs.final(id); over && f.state == wire.StateCancelled {
+			return true
+		}
 		d := c.jobs.open[id]
-		return over && f.state == wire.StateCancelled || d != nil && d.dependencyCancelled
+		return d != nil && d.dependencyCancelled
 	})
 }
 
-// maxBlockedViewAge is how old the view of jobs may be by which a held job is called pending,
-// counted from when what brought it was asked for.
-const maxBlockedViewAge = 10 * micros.Second
-
-// mayWait: a job may be called pending as far as those go that it needs. Of one that
-// needs a cancelled job nobody is told so, and of a held one only while this node's
-// view of jobs is new enough to know: after an outage of the state service a
-// cancellation that its user was told of long ago may not have come here yet.
+// mayWait reports whether a job may be answered as pending as far as its dependencies go.
+// One that needs a cancelled job may not, and a blocked one only while this node's view of
+// jobs is new enough: after an outage of the state service a cancellation that its user was
+// answered long ago may not have come here yet.
 func (c *Controller) mayWait(j *job) bool {
-	if j.dependencyCancelled || !j.blocked() {
-		return !j.dependencyCancelled
+	if j.dependencyCancelled {
+		return false
 	}
-	w := &c.ownership.jobWatch
-	if !w.ready || c.now-w.completeAsOf > min(maxBlockedViewAge, c.cfg.Cancel/2) {
+	if !j.blocked() {
+		return true
+	}
+	watch := &c.ownership.jobWatch
+	maxAge := min(maxBlockedViewAge, c.cfg.Cancel/2)
+	if !watch.ready || c.now-watch.completeAsOf > maxAge {
 		return false
 	}
 	return c.knowsAllNeeded(j)
 }
 
-// knowsAllNeeded: of everything that a held job needs, directly or through others, this
-// node knows how it stands. A cancelled one that has left memory may be far above.
+// knowsAllNeeded reports whether this node knows the state of everything that a blocked job
+// needs, directly or through others. A cancelled one that left memory may be far above.
 func (c *Controller) knowsAllNeeded(j *job) bool {
-	seen := map[string]bool{}
+	visited := map[string]bool{}
 	for stack := []*job{j}; len(stack) > 0; {
-		at := stack[len(stack)-1]
+		dependent := stack[len(stack)-1]
 		stack = stack[:len(stack)-1]
-		for id := range at.needs {
+		for id := range dependent.needs {
 			if _, unknown := c.jobs.unknown[id]; unknown {
 				return false
 			}
-			if up := c.jobs.open[id]; up != nil && len(up.needs) > 0 && !seen[id] {
-				seen[id] = true
-				stack = append(stack, up)
+			if d := c.jobs.open[id]; d != nil && d.blocked() && !visited[id] {
+				visited[id] = true
+				stack = append(stack, d)
 			}
 		}
 	}
 	return true
 }
 
-// updatePriority sets a job's effective priority and deadline by those that need it, and tells
-// whether they have changed. It may be treated as having the priority of any of them;
-// and where one is due, it must be done as much earlier as that one takes.
+// updatePriority sets a job's effective priority and deadline, and reports whether they
+// have changed.
 func (c *Controller) updatePriority(j *job) bool {
-	prio, _ := wire.PriorityOf(j.sub.Priority)
-	due := micros.Never
+	priority, deadline := c.effectivePriority(j)
+	if priority == j.priority && deadline == j.deadline {
+		return false
+	}
+	j.priority = priority
+	j.deadline = deadline
+	c.ownership.shards[j.shard].queueStale = true
+	return true
+}
+
+// effectivePriority returns the priority of a job and its deadline by the time of day, with
+// those of its dependents: it has the highest of their priorities, and must be done before
+// each of their deadlines by as much as the dependent takes.
+func (c *Controller) effectivePriority(j *job) (priority int, deadline micros.Micros) {
+	priority, _ = wire.PriorityOf(j.sub.Priority)
+	deadline = micros.Never
 	if j.sub.DeadlineS != nil {
-		due = micros.Micros(j.rec.AcceptedMS)*micros.Millisecond + micros.FromSeconds(*j.sub.DeadlineS)
+		accepted := micros.Micros(j.rec.AcceptedMS) * micros.Millisecond
+		deadline = accepted + micros.FromSeconds(*j.sub.DeadlineS)
 	}
 	for _, d := range c.jobs.dependents[j.id] {
-		prio = max(prio, d.priority)
+		priority = max(priority, d.priority)
 		if d.deadline < micros.Never {
-			due = min(due, d.deadline-c.estimates.expect(d.sub))
+			deadline = min(deadline, d.deadline-c.estimates.expect(d.sub))
 		}
 	}
-	if prio == j.priority && due == j.deadline {
-		return false
-	}
-	j.priority, j.deadline = prio, due
-	c.ownership.shards[j.shard].queueStale = true
-	return true
+	return priority, deadline
 }
 
-// propagatePriority lets a job's priority and deadline flow up to all that it needs.
+// propagatePriority updates the priority and deadline of all jobs that a job needs, directly
+// or through others.
 func (c *Controller) propagatePriority(j *job) {
 	for stack := []*job{j}; len(stack) > 0; {
-		d := stack[len(stack)-1]
+		dependent := stack[len(stack)-1]
 		stack = stack[:len(stack)-1]
-		for id := range d.needs {
-			if up := c.jobs.open[id]; up != nil && c.updatePriority(up) {
-				stack = append(stack, up)
+		for id := range dependent.needs {
+			if d := c.jobs.open[id]; d != nil && c.updatePriority(d) {
+				stack = append(stack, d)
 			}
 		}
 	}
 }
 
-// maxDependencyReads bounds the reads of unknown dependencies under way.
-const maxDependencyReads = 4
-
-// readUnknown reads dependencies of jobs of this node that are not known here: their
-// ends may have left memory.
+// readUnknown reads dependencies of this node's jobs that are not known here: their ends
+// may have left memory.
 func (c *Controller) readUnknown() {
 	t := &c.jobs
 	if len(t.unknown) == 0 {
 		return
 	}
+	ownedAndBlocked := func(d *job) bool { return d.run != nil && !d.dependencyCancelled }
 	for _, id := range sortedKeys(t.unknown) {
 		if t.readsInFlight >= maxDependencyReads {
 			return
 		}
-		if c.now < t.unknown[id] || !slices.ContainsFunc(t.dependents[id], func(d *job) bool { return d.run != nil && !d.dependencyCancelled }) {
+		if c.now < t.unknown[id] || !slices.ContainsFunc(t.dependents[id], ownedAndBlocked) {
 			continue
 		}
-		t.unknown[id] = c.now + 2*micros.Second
+		t.unknown[id] = c.now + unknownReadInterval
 		t.readsInFlight++
 		c.readJob(classDependents, id, func(jobLookup) { t.readsInFlight-- })
 	}
--- a/internal/controller/submission.go
+++ b/internal/controller/submission.go
@@ -94,6 +94,12 @@
 	}
 }
 
+// storable reports whether a value fits the limits of the state service, those to come
+// included.
+func (c *Controller) storable(value wire.Raw) bool {
+	return wire.StoredSize(value, c.cfg.ValueBytes) <= c.cfg.ValueBytes
+}
+
 // fitsRecord reports whether the record of a job, dependencies included, is no larger than
 // the state service takes.
 func (c *Controller) fitsRecord(sub *wire.Submission) bool {
