--- a/internal/controller/cancellation_cascade_test.go
+++ b/internal/controller/cancellation_cascade_test.go
@@ -41,8 +41,8 @@
 	return cancelled
 }
 
-// A long list of dependents is recorded several at a time by their owner, which asks
-// the others to take their parts, and does those by itself if they do not.
+// A long list of dependents is recorded several at a time by their owner, which requests the
+// others to record some, and records those by itself if they do not.
 func TestDependentsAreRecorded(t *testing.T) {
 	const n = 90
 	h := cascade(t, n, 30) // some 10 a second of its own
@@ -77,8 +77,8 @@
 	}
 }
 
-// A short list is no matter for others.
-func TestFewDependentsAreNotAskedFor(t *testing.T) {
+// The owner records a short list without the others.
+func TestFewDependentsAreNotRequested(t *testing.T) {
 	h := cascade(t, 6, 30)
 	h.statusesSent = nil
 	h.recordEnd("job-000100", wire.StateCancelled, 0)
@@ -93,7 +93,7 @@
 	}
 }
 
-// A controller records dependents of another's only when their owner asks, only those
+// A controller records dependents of another's only when their owner requests it, only those
 // that it knows to need a cancelled job, and only under the claim of that owner.
 func TestRecordsForAnOwner(t *testing.T) {
 	const n = 6
@@ -180,7 +180,7 @@
 	}
 }
 
-// checkEndsWrittenOnce: no job's end is recorded a second time.
+// checkEndsWrittenOnce checks that no job's end is recorded a second time.
 func (h *harness) checkEndsWrittenOnce() {
 	ends := map[string]int{}
 	for _, e := range h.log {
@@ -196,7 +196,7 @@
 	}
 }
 
-// checkRecordedUnderAClaim: every end of a job is conditional on an owner's claim.
+// checkRecordedUnderAClaim checks that every end of a job is conditional on an owner's claim.
 func (h *harness) checkRecordedUnderAClaim() {
 	for _, txn := range h.done {
 		if len(txn.Then) > 0 && strings.HasPrefix(txn.Then[0].Put, wire.PrefixJob) &&
@@ -206,7 +206,7 @@
 	}
 }
 
-// What is more urgent goes on beside a long list of dependents: jobs are accepted, others
+// A long list of dependents does not delay what is more urgent: jobs are accepted, others
 // end, and the lease is renewed.
 func TestDependentsWaitForTheUrgent(t *testing.T) {
 	const n = 200
@@ -225,7 +225,7 @@
 		reply = h.reply
 		h.run(sec)
 		if a := h.answers[reply]; stateOf(a) != wire.StateCancelled {
-			t.Fatalf("withdrawal beside the list: %d %s", a.Status, stateOf(a))
+			t.Fatalf("cancellation beside the list: %d %s", a.Status, stateOf(a))
 		}
 	}
 	if !h.c.leaseValid() {
@@ -260,8 +260,8 @@
 	}
 }
 
-// A write that the state service refuses as too large is tried again seldom, and holds up
-// no other kind of write.
+// A write that the state service refuses as too large is retried seldom, and delays no other
+// kind of write.
 func TestRefusedAsTooLarge(t *testing.T) {
 	for _, tc := range []struct {
 		name string
@@ -269,7 +269,7 @@
 		play func(h *harness, fencingToken uint64)
 	}{
 		{"the end of a job", wire.JobKey("job-000001"), func(h *harness, _ uint64) { h.cancel("job-000001") }},
-		{"a Version", wire.PrefixCheckpoint, func(h *harness, _ uint64) {
+		{"a checkpoint", wire.PrefixCheckpoint, func(h *harness, _ uint64) {
 			j := h.c.jobs.open["job-000001"]
 			h.c.taskDone(j, 0, nil)
 		}},
@@ -301,16 +301,16 @@
 				}
 			}
 			if tc.key == wire.PrefixCheckpoint && h.keys[wire.CheckpointKey("job-000001")].ModRevision == 0 {
-				t.Error("no Version stands once the state service takes it")
+				t.Error("no checkpoint stands once the state service takes it")
 			}
 		})
 	}
 }
 
-// A question about a job that needs a cancelled one is settled by a read as long as
-// there are requests to spare, and answered 503 at once when there are none: never by
-// an older answer, and never at the cost of the records.
-func TestQuestionsAboutDependents(t *testing.T) {
+// A status request for a job that needs a cancelled one is answered by a read as long as there
+// are requests to spare, and with 503 at once when there are none: never by an older state,
+// and never at the cost of the records.
+func TestStatusOfDependents(t *testing.T) {
 	h := cascade(t, 3, 1000)
 	h.put(ownerKey(0), wire.OwnerRecord{Label: "n-1", Incarnation: 99}) // which records nothing
 	h.recordEnd("job-000100", wire.StateCancelled, 0)
@@ -330,8 +330,8 @@
 }
 
 // Dependents go before the records of machines, and leave these a part: neither waits
-// for the other to end (found by a hunt: one dependent waited for 80 s behind a fleet
-// that was returned).
+// for the other to end (found by randomized tests: one dependent waited for 80 s behind
+// a fleet that was returned).
 func TestDependentsAndMachineRecords(t *testing.T) {
 	for _, tc := range []struct {
 		name       string
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -12,7 +12,7 @@
 	"garnethitch/internal/wire"
 )
 
-// after is a plain submission that depends on others.
+// after returns a plain submission that depends on others.
 func after(id string, tasks int, dependencies ...string) wire.Submission {
 	s := jobOf(id, tasks)
 	s.DependsOn = dependencies
@@ -24,20 +24,20 @@
 	return b.State
 }
 
-// record stores a job's record as another node would.
+// record stores a job's record as another controller would.
 func (h *harness) record(s wire.Submission) {
 	h.put(wire.JobKey(s.ID), wire.NewJobRecord(&s, h.now.Millis()))
 }
 
-// recordEnd ends it on record, as another node would, at a time of day.
+// recordEnd stores the record of a job that ended at a time of day, as another controller would.
 func (h *harness) recordEnd(id, state string, endMS int64) {
 	h.put(wire.JobKey(id), wire.JobRecord{State: state, Tasks: 1, EndMS: endMS})
 }
 
-// A submission may name jobs that were accepted by anybody, in whatever state they
-// are; one that was never accepted, itself included, is 422 after a fresh read only.
+// A submission may name jobs that any controller accepted, in whatever state they are; one
+// that was never accepted, itself included, is answered 422 after a read only.
 func TestDependenciesAccepted(t *testing.T) {
-	blocked := func(h *harness) {
+	blockWatch := func(h *harness) {
 		h.watchBlocked = wire.PrefixJob
 		h.run(sec)
 	}
@@ -48,17 +48,17 @@
 		want int
 	}{
 		{"open and known", func(h *harness) { h.submit(jobOf("job-000001", 1)) }, []string{"job-000001"}, 201},
-		{"accepted elsewhere, not heard of", func(h *harness) { blocked(h); h.record(jobOf("job-000001", 1)) }, []string{"job-000001"}, 201},
-		{"done and out of memory", func(h *harness) { blocked(h); h.recordEnd("job-000001", wire.StateDone, 0) }, []string{"job-000001"}, 201},
+		{"accepted elsewhere, not known here", func(h *harness) { blockWatch(h); h.record(jobOf("job-000001", 1)) }, []string{"job-000001"}, 201},
+		{"done and out of memory", func(h *harness) { blockWatch(h); h.recordEnd("job-000001", wire.StateDone, 0) }, []string{"job-000001"}, 201},
 		{"cancelled", func(h *harness) { h.recordEnd("job-000001", wire.StateCancelled, 0) }, []string{"job-000001"}, 201},
-		{"two, one held itself", func(h *harness) {
+		{"two, one blocked itself", func(h *harness) {
 			h.submit(jobOf("job-000001", 1))
 			h.submit(after("job-000002", 1, "job-000001"))
 		}, []string{"job-000001", "job-000002"}, 201},
 		{"never accepted", nil, []string{"job-000001"}, 422},
 		{"one of two never accepted", func(h *harness) { h.submit(jobOf("job-000001", 1)) }, []string{"job-000001", "job-000002"}, 422},
 		{"itself", nil, []string{"job-000009"}, 422},
-		{"no read to be had", func(h *harness) { h.stateDown, h.refused = true, true }, []string{"job-000001"}, 503},
+		{"no read possible", func(h *harness) { h.stateDown, h.refused = true, true }, []string{"job-000001"}, 503},
 		{"too many for a record", func(h *harness) {
 			for i := range 150 {
 				h.recordEnd(fmt.Sprintf("job-%06d", 100+i), wire.StateDone, 0)
@@ -122,9 +122,10 @@
 	return out
 }
 
-// pipeline is a harness with a machine, and jobs that need each other as a diamond:
+// diamond returns a harness with a machine, and jobs that need each other as a diamond:
 // 2 and 3 need 1, 4 needs both.
 func diamond(t *testing.T) (h *harness, fencingToken uint64) {
+	t.Helper()
 	h = meet(t, withPeer)
 	fencingToken = h.reconcile("vm-1")
 	h.submit(jobOf("job-000001", 1))
@@ -135,8 +136,8 @@
 	return h, fencingToken
 }
 
-// started gives the names of the tasks that a heartbeat's answer starts; those before
-// are reported as done.
+// finishAndStart sends a heartbeat in which the tasks started before are done, and returns
+// the starts in its answer.
 func (h *harness) finishAndStart(seq uint64, fencingToken uint64, before []wire.Command) []wire.Command {
 	h.dropCalls()
 	_, body := h.heartbeat(heartbeatFrom("vm-1", 1, seq, fencingToken, shownDone(before)...))
@@ -159,7 +160,7 @@
 	return strings.Join(out, " ")
 }
 
-// A pipeline runs in order, each job once all that it needs is done on record.
+// A DAG runs in order, each job once all that it needs is done on record.
 func TestDAGRuns(t *testing.T) {
 	h, fencingToken := diamond(t)
 	seq := uint64(20)
@@ -190,9 +191,9 @@
 	}
 }
 
-// A held job is pending and takes nothing of its team's limit, guarantee or demand,
-// and nothing but a record lets it go.
-func TestBlocked(t *testing.T) {
+// A blocked job is pending and takes nothing of its team's limit, guarantee or demand, and
+// nothing but a record unblocks it.
+func TestBlockedJob(t *testing.T) {
 	h := meet(t, func(c *Config) { withPeer(c); c.Teams = []Team{{Name: "t", CPUs: 3, CPUsMax: 4}} })
 	fencingToken := h.reconcile("vm-1")
 	other := jobOf("job-000001", 1)
@@ -201,15 +202,15 @@
 	h.submit(jobOf("job-000003", 2))
 	c := h.c
 	s := c.ownership.shards[0]
-	held, free := c.jobs.open["job-000002"], c.jobs.open["job-000003"]
-	if !held.blocked() || slices.Contains(c.queue(s), held) {
-		t.Error("a held job stands in the queue")
+	blockedJob, free := c.jobs.open["job-000002"], c.jobs.open["job-000003"]
+	if !blockedJob.blocked() || slices.Contains(c.queue(s), blockedJob) {
+		t.Error("a blocked job stands in the queue")
 	}
 	if !free.withinGuarantee {
-		t.Error("a held job takes of its team's guarantee")
+		t.Error("a blocked job takes of its team's guarantee")
 	}
 	if d, _ := c.demandOf(s, maxRowBytes); waitingCPUs(&d)+d.Busy > 3+eps {
-		t.Errorf("%v CPUs are wanted: a held job is among them", waitingCPUs(&d)+d.Busy)
+		t.Errorf("%v CPUs are wanted: a blocked job is among them", waitingCPUs(&d)+d.Busy)
 	}
 	if got := h.state("job-000002"); got != wire.StatePending {
 		t.Errorf("called %q", got)
@@ -224,19 +225,19 @@
 			}
 		}
 	}
-	noStart("while held")
+	noStart("while blocked")
 	// Its dependency's task is done by a heartbeat; another controller says that the job
 	// is; the record does not.
 	c.finishJob("job-000001", finalJob{state: wire.StateDone, tasks: 1})
 	h.run(100 * ms)
-	if !held.blocked() {
-		t.Error("let go on another controller's word")
+	if !blockedJob.blocked() {
+		t.Error("unblocked on another controller's word")
 	}
 	noStart("on another controller's word")
 	h.recordEnd("job-000001", wire.StateDone, 0)
 	h.run(3 * sec) // read, since it had left the list of open jobs
-	if held.blocked() || !slices.Contains(c.queue(s), held) {
-		t.Error("still held, though its dependency is done on record")
+	if blockedJob.blocked() || !slices.Contains(c.queue(s), blockedJob) {
+		t.Error("still blocked, though its dependency is done on record")
 	}
 }
 
@@ -282,7 +283,7 @@
 			tc.turn(h, after("job-000009", 1, "job-000001", "job-000002"))
 			j := h.c.jobs.open["job-000009"]
 			if j == nil || j.blocked() {
-				t.Fatalf("%+v: held, or not known", j)
+				t.Fatalf("%+v: blocked, or not known", j)
 			}
 			if j.since() != 9_000_000 {
 				t.Errorf("counts from %d, want 9000000", j.since())
@@ -291,9 +292,9 @@
 	}
 }
 
-// A cancellation runs down to all that need the job, however deep and wide, whatever
-// the owner learns in which order; one that is answered with done leaves them alone.
-func TestCancellationRunsDown(t *testing.T) {
+// A cancellation reaches all jobs that need the cancelled one, however deep and wide, in
+// whatever order the owner learns of them; one that is answered with done reaches none.
+func TestCancellationReachesDependents(t *testing.T) {
 	chain := func(h *harness, n int) {
 		h.record(jobOf("job-000100", 1))
 		for i := 1; i < n; i++ {
@@ -312,9 +313,9 @@
 		name string
 		play func(h *harness)
 	}{
-		{"withdrawn here", func(h *harness) { chain(h, n); h.cancel("job-000100") }},
+		{"cancelled here", func(h *harness) { chain(h, n); h.cancel("job-000100") }},
 		{"recorded by another owner", func(h *harness) { chain(h, n); h.recordEnd("job-000100", wire.StateCancelled, 0) }},
-		{"told by another controller first", func(h *harness) {
+		{"broadcast by another controller first", func(h *harness) {
 			chain(h, n)
 			h.step(PeerRequest{Reply: 900, Req: peer.Request{From: "n-1", Status: &peer.Status{Cancelled: []string{"job-000100"}}}})
 			h.recordEnd("job-000100", wire.StateCancelled, 0)
@@ -327,7 +328,7 @@
 				}
 			}
 		}},
-		{"cancelled, then dependents accepted by another node", func(h *harness) {
+		{"cancelled, then dependents accepted by another controller", func(h *harness) {
 			h.recordEnd("job-000100", wire.StateCancelled, 0)
 			for i := 1; i < n; i++ {
 				h.record(after(fmt.Sprintf("job-%06d", 100+i), 1, fmt.Sprintf("job-%06d", 99+i)))
@@ -340,14 +341,14 @@
 			}
 			h.cancel("job-000100")
 		}},
-		{"learned by a node that has just begun, dependents first", func(h *harness) {
+		{"learned by a controller that has just started, dependents first", func(h *harness) {
 			h.record(after("job-000101", 1, "job-000100"))
 			for i := 2; i < n; i++ {
 				h.record(after(fmt.Sprintf("job-%06d", 100+i), 1, fmt.Sprintf("job-%06d", 99+i)))
 			}
 			h.recordEnd("job-000100", wire.StateCancelled, 0)
 		}},
-		{"the state service is away at that moment", func(h *harness) {
+		{"the state service fails at that moment", func(h *harness) {
 			chain(h, n)
 			h.recordEnd("job-000100", wire.StateCancelled, 0)
 			h.stateDown, h.refused = true, true
@@ -393,19 +394,20 @@
 		chain(h, 3)
 		h.recordEnd("job-000100", wire.StateDone, 0)
 		if a := h.cancel("job-000100"); stateOf(a) != wire.StateDone {
-			t.Fatalf("withdrawal answered %q", stateOf(a))
+			t.Fatalf("cancellation answered %q", stateOf(a))
 		}
 		h.run(3 * sec)
 		if got := all(h, 3); got[wire.StatePending] != 2 {
 			t.Errorf("states %v, want two pending", got)
 		}
 		if h.c.jobs.open["job-000101"].blocked() {
-			t.Error("still held")
+			t.Error("still blocked")
 		}
 	})
 }
 
 func encoded(t *testing.T, rec any) wire.Raw {
+	t.Helper()
 	value, err := wire.Encode(rec)
 	if err != nil {
 		t.Fatal(err)
@@ -413,8 +415,8 @@
 	return value
 }
 
-// Priority and deadline of the last job work for all that it needs, from when it is
-// submitted until it is gone.
+// Priority and deadline of a job apply to all jobs that it needs, from when it is submitted
+// until it is over.
 func TestPriorityPropagatesUp(t *testing.T) {
 	h := meet(t, withPeer)
 	low := func(id string, dependencies ...string) wire.Submission {
@@ -514,14 +516,14 @@
 	}
 }
 
-// Batches that a version with larger limits wrote are split in one transaction; what
-// runs on their machines goes on, whatever the order in which the parts are told.
+// Machine record sets that a version with larger limits wrote are split in one transaction;
+// what runs on their machines continues, in whatever order the watch brings the parts.
 func TestSplit(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		lose    bool
 		reverse bool
-	}{{"answered", false, false}, {"answer lost", true, false}, {"told in another order", true, true}} {
+	}{{"answered", false, false}, {"answer lost", true, false}, {"watched in another order", true, true}} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := meet(t, func(c *Config) {
 				withPeer(c)
@@ -577,12 +579,12 @@
 			}
 			active := len(h.c.jobs.open["job-000001"].run.active)
 			if len(h.c.recordSets) < 3 || len(in) != 50 || active != 200 {
-				t.Errorf("%d batches with %d machines, %d tasks active; want 3, 50, 200", len(h.c.recordSets), len(in), active)
+				t.Errorf("%d record sets with %d machines, %d tasks active; want 3, 50, 200", len(h.c.recordSets), len(in), active)
 			}
 			for id, times := range in {
 				m := h.c.machines[id]
 				if times != 1 || m == nil || m.view == nil || len(m.view.list) != 4 {
-					t.Fatalf("%s stands in %d batches, or its tasks are gone", id, times)
+					t.Fatalf("%s stands in %d record sets, or its tasks are gone", id, times)
 				}
 				if h.c.fencingToken(s, m) <= fencingToken {
 					t.Errorf("the token of %s did not rise", id)
@@ -630,14 +632,14 @@
 		list = append(list, m)
 	}
 	if n := wire.StoredSize(encoded(t, recordSetOf(list, nil, nil)), limit); n > limit {
-		t.Errorf("a batch of %d machines counts %d bytes", len(list), n)
+		t.Errorf("a record set of %d machines counts %d bytes", len(list), n)
 	}
 }
 
-// After an outage, a cut or a start, a node may not have heard of a cancellation that a
-// user was told of long ago: it calls no held job pending before its view is new
-// enough (found by the simulation: a node back from an outage longer than a
-// cancellation may take).
+// After an outage, a partition or a start, a controller may not know of a cancellation that a
+// user was answered long ago: it calls no blocked job pending before its view is new enough
+// (found by the simulation: a controller back from an outage longer than a cancellation may
+// take).
 func TestBlockedIsPendingOnlyWithNewView(t *testing.T) {
 	for _, tc := range []struct {
 		name string
@@ -678,14 +680,14 @@
 			h.record(jobOf("job-000003", 1))
 			h.run(sec)
 			if s := h.state("job-000002"); s != wire.StatePending {
-				t.Fatalf("called %q in calm", s)
+				t.Fatalf("called %q without faults", s)
 			}
 			tc.lose(h)
 			if a := h.jobStatus("job-000002"); a.Status != 503 {
 				t.Errorf("answered %d %q with an old view", a.Status, stateOf(a))
 			}
 			if b := h.askAs("n-1", "job-000002"); b.Status != 503 {
-				t.Errorf("another node is told %d %q with an old view", b.Status, b.State)
+				t.Errorf("another controller is answered %d %q with an old view", b.Status, b.State)
 			}
 			if s := h.state("job-000003"); s != wire.StatePending {
 				t.Errorf("a job without dependencies is called %q", s)
@@ -694,7 +696,7 @@
 	}
 }
 
-// askAs puts another controller's question.
+// askAs asks for the state of a job as another controller.
 func (h *harness) askAs(label, id string) peer.Answer {
 	a := h.ask(func(r ReplyID) Input {
 		return PeerRequest{Reply: r, Req: peer.Request{From: label, Ask: &peer.Ask{ID: id}}}
--- a/internal/controller/job_end_state.go
+++ b/internal/controller/job_end_state.go
@@ -74,6 +74,13 @@
 	e.nextAttemptAt = at
 }
 
+// resolving takes note that a condition of the transaction was not met, so that a read is to
+// find out whether the job has ended.
+func (e *jobEnd) resolving() {
+	e.phase = endInFlight
+	e.inDoubt = true
+}
+
 // takeWaiters returns the waiters and forgets them.
 func (e *jobEnd) takeWaiters() []func(peer.Answer) {
 	waiters := e.waiters
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -107,7 +107,7 @@
 // since it has its demand to tell, else the first by name.
 func (c *Controller) peerUpToDate(p *peerView) bool {
 	leader := c.ownership.leader.owner.Label
-	if c.now-p.statusAt > statusInterval*6/5 || len(p.returnedMachines) > 0 || len(p.cancelled) > 0 || len(c.askedOf(p)) > 0 || leader == p.label || leader != c.cfg.Label && c.cfg.Label < p.label {
+	if c.now-p.statusAt > statusInterval*6/5 || len(p.returnedMachines) > 0 || len(p.cancelled) > 0 || len(c.recordRequestsFor(p)) > 0 || leader == p.label || leader != c.cfg.Label && c.cfg.Label < p.label {
 		return false
 	}
 	for _, s := range c.ownership.shards {
@@ -168,7 +168,7 @@
 	}
 	sent := st.Claims
 	st.ReturnedMachines = p.returnedMachines[:min(len(p.returnedMachines), maxNamed)]
-	st.Record = c.askedOf(p)
+	st.Record = c.recordRequestsFor(p)
 	st.Cancelled = slices.Clone(p.cancelled[:min(len(p.cancelled), maxNamed)])
 	if p.quota {
 		st.Traces = c.openTraces()
@@ -221,7 +221,7 @@
 		}
 		c.applyBroadcastCancellations(p, req.Status.Cancelled)
 		c.noteTraces(req.Status.Traces)
-		c.askedToRecord(req.Status.Record, req.Status.Claims)
+		c.takeRecordRequests(req.Status.Record, req.Status.Claims)
 		resp.Status = &peer.StatusAck{About: c.about(p), QuiescedShards: quiesced}
 	case req.Ask != nil:
 		c.askedAbout(*req.Ask, func(a peer.Answer) {
