--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -9,46 +9,64 @@
 	"garnethitch/internal/wire"
 )
 
+const (
+	// statusInterval is the time between two statuses to another controller.
+	statusInterval = micros.Second
+	// peerTimeout is how long a controller that is silent counts as up.
+	peerTimeout = 5 * statusInterval / 2
+	// peerStatusOverdue is how long another controller's own statuses may be apart for its
+	// side to count as asking.
+	peerStatusOverdue = 6 * statusInterval / 5
+	// stateFreshFor is how long the state service counts as up after its last answer.
+	stateFreshFor = 5 * micros.Second / 2
+	// misdirectedFor is how long a heartbeat that belongs elsewhere is reported to the
+	// owner of its machine.
+	misdirectedFor = 10 * micros.Second
+	// maxNamed bounds how many returned machines, and how many cancelled jobs, one message
+	// names; the rest is named in the next.
+	maxNamed = 500
+	// maxMisdirectedBytes bounds the names of machines in a message that sent their
+	// heartbeats here. They show their owner that it does not receive them; as many as fit
+	// show that as well as all.
+	maxMisdirectedBytes = 192 << 10
+	// nameOverheadBytes is what a name in a message takes beside its letters.
+	nameOverheadBytes = 3
+)
+
 // peerView is what this node knows of another controller.
 type peerView struct {
 	label       string
 	lastHeardAt micros.Micros
-	// statusAt is when its last own Status came, beside answers to ours.
-	statusAt              micros.Micros
-	uptime                micros.Micros
-	stateOK               bool
-	withoutWorkers        bool
-	quota                 bool // it keeps groups
-	busy                  bool
-	nextAt                micros.Micros
-	demand                []peer.Demand
-	demandAt              micros.Micros
-	misdirectedHeartbeats map[string]bool // machines that tried it of late
-	returnedMachines      []string        // returned machines that it has not been told of
-	// cancelled are jobs of whose cancellation it has not been told.
-	cancelled []string
+	// statusAt is when its last own status came, beside answers to ours.
+	statusAt       micros.Micros
+	uptime         micros.Micros
+	stateOK        bool // it has the state service
+	withoutWorkers bool
+	quota          bool // it has quota groups
+	// statusInFlight: a status to it is not answered yet.
+	statusInFlight bool
+	nextStatusAt   micros.Micros
+	demand         []peer.Demand
+	demandAt       micros.Micros
+	// misdirectedHeartbeats are machines that sent it heartbeats of late.
+	misdirectedHeartbeats map[string]bool
+	// returnedMachines and cancelled are returned machines and cancelled jobs of which it
+	// is yet to be notified.
+	returnedMachines []string
+	cancelled        []string
 }
 
-const statusInterval = micros.Second
-
-// maxNamed bounds how many returned machines, and how many cancelled jobs, one message
-// names; the rest stands in the next.
-const maxNamed = 500
-
-// maxHeardBytes bounds the names of machines that tried this controller. They show the
-// other one that it does not hear its workers; as many as fit show that as well as all.
-const maxHeardBytes = 192 << 10
-
-// maxCancelled bounds the cancellations that a controller out of reach is yet to be told
-// of: as many as the state service records within the time that a cancellation has. Past it
-// the oldest go first: tasks of theirs are gone by then.
+// maxCancelled bounds the cancellations of which a controller that can't be reached is yet to
+// be notified: as many as the state service records within the time that a cancellation has.
+// Past it the oldest are dropped: their tasks are gone by then.
 func (c *Controller) maxCancelled() int {
-	return max(10*maxNamed, int(c.cfg.WriteRPS*c.cfg.Cancel.Seconds())+maxNamed)
+	recorded := int(c.cfg.WriteRPS * c.cfg.Cancel.Seconds())
+	return max(10*maxNamed, recorded+maxNamed)
 }
 
-// broadcastCancellation tells the other controllers of a cancellation, until each has
-// acknowledged: the owner of the job may have lost the state service, and so not know
-// that its own record of it was carried out. No user's answer waits for that.
+// broadcastCancellation notifies the other controllers of a cancellation, until each has
+// acknowledged: the owner of the job may have lost the state service, and so not know that
+// its own record of it was written. No user's answer waits for that.
 func (c *Controller) broadcastCancellation(id string) {
 	if !c.jobs.startBroadcast(id) {
 		return
@@ -56,14 +74,14 @@
 	for _, label := range c.cfg.Peers {
 		p := c.peers[label]
 		p.cancelled = append(p.cancelled, id)
-		if over := len(p.cancelled) - c.maxCancelled(); over > 0 {
-			p.cancelled = slices.Delete(p.cancelled, 0, over)
+		if excess := len(p.cancelled) - c.maxCancelled(); excess > 0 {
+			p.cancelled = slices.Delete(p.cancelled, 0, excess)
 		}
 	}
 }
 
-// applyBroadcastCancellations takes what another controller says of cancellations: they stand on
-// record, whatever the state service tells this one.
+// applyBroadcastCancellations takes the cancellations that another controller notifies of: they
+// are on record, whatever the state service answers this one.
 func (c *Controller) applyBroadcastCancellations(p *peerView, ids []string) {
 	for _, id := range ids {
 		if !wire.ValidID(id) {
@@ -80,69 +98,117 @@
 	}
 }
 
-// alive: it was heard of within the last few statuses.
-// Where this node itself was short of time, that is no sign against others.
+// alive reports whether another controller was heard of within peerTimeout. A time in which
+// this node itself was stalled does not count against others.
 func (c *Controller) alive(p *peerView) bool {
-	return p.lastHeardAt > -micros.Never && c.now-max(p.lastHeardAt, c.lastStalledAt) < 5*statusInterval/2
+	everHeard := p.lastHeardAt > -micros.Never
+	return everHeard && c.now-max(p.lastHeardAt, c.lastStalledAt) < peerTimeout
 }
 
-// stateFresh: the state service answered this node of late.
-func (c *Controller) stateFresh() bool { return c.now-c.ownership.lastStateReplyAt < 5*micros.Second/2 }
+// stateFresh reports whether the state service answered this node of late.
+func (c *Controller) stateFresh() bool { return c.now-c.ownership.lastStateReplyAt < stateFreshFor }
 
+// maintainPeers sends the statuses that are due.
 func (c *Controller) maintainPeers() {
 	for _, label := range c.cfg.Peers {
-		if p := c.peers[label]; c.now >= p.nextAt && !c.peerUpToDate(p) {
+		if p := c.peers[label]; c.now >= p.nextStatusAt && !c.peerUpToDate(p) {
 			c.sendStatus(p)
 		}
 	}
 	for id, at := range c.misdirectedHeartbeats {
-		if c.now-at > 10*micros.Second || c.machines[id] == nil {
+		if c.now-at > misdirectedFor || c.machines[id] == nil {
 			delete(c.misdirectedHeartbeats, id)
 		}
 	}
 }
 
-// peerUpToDate: the other node's own Status keeps coming, and its answers tell it all
-// that ours would. Of two nodes one then does the asking: who is not the leader,
-// since it has its demand to tell, else the first by name.
+// peerUpToDate reports whether another controller needs no status: its own keep coming, and
+// the answers to them say all that ours would.
 func (c *Controller) peerUpToDate(p *peerView) bool {
-	leader := c.ownership.leader.owner.Label
-	if c.now-p.statusAt > statusInterval*6/5 || len(p.returnedMachines) > 0 || len(p.cancelled) > 0 || len(c.recordRequestsFor(p)) > 0 || leader == p.label || leader != c.cfg.Label && c.cfg.Label < p.label {
+	return c.peerAsks(p) && !c.hasNotificationsFor(p) && c.quiescedByPeer(p)
+}
+
+// peerAsks reports whether, of this node and another controller, the other is the one that
+// sends statuses, and does so: the one that is not the leader, since it has its demand to
+// send, else the first by name.
+func (c *Controller) peerAsks(p *peerView) bool {
+	if c.now-p.statusAt > peerStatusOverdue {
 		return false
 	}
+	switch c.ownership.leader.owner.Label {
+	case p.label:
+		return false
+	case c.cfg.Label:
+		return true
+	default:
+		return p.label <= c.cfg.Label
+	}
+}
+
+// hasNotificationsFor reports whether a status would say what no answer to another
+// controller's status does.
+func (c *Controller) hasNotificationsFor(p *peerView) bool {
+	return len(p.returnedMachines) > 0 || len(p.cancelled) > 0 || len(c.recordRequestsFor(p)) > 0
+}
+
+// quiescedByPeer reports whether another controller has said of all shards of this node that
+// it issues no commands there.
+func (c *Controller) quiescedByPeer(p *peerView) bool {
 	for _, s := range c.ownership.shards {
 		if _, quiesced := s.quiescedPeers[p.label]; s.active && !quiesced {
-			return false // it has not said yet that it gives no commands there
+			return false
 		}
 	}
 	return true
 }
 
-// about is what this node tells another of itself: the shards for which it acts,
-// and the machines of the other's shards that tried it of late, among the rest.
+// about is what this node says of itself to another controller: among the rest the shards
+// for which it acts, and the machines of the other's shards that sent heartbeats here.
 func (c *Controller) about(p *peerView) peer.About {
-	out := peer.About{UptimeUS: int64(c.now - c.startedAt), StateOK: c.stateFresh(), WithoutWorkers: c.contact.lost, Quota: c.quota.ledger != nil}
+	return peer.About{
+		UptimeUS:            int64(c.now - c.startedAt),
+		StateOK:             c.stateFresh(),
+		WithoutWorkers:      c.contact.lost,
+		Quota:               c.quota.ledger != nil,
+		Claims:              c.shardClaims(),
+		MisdirectedMachines: c.misdirectedMachinesOf(p),
+	}
+}
+
+// shardClaims lists the shards for which this node acts.
+func (c *Controller) shardClaims() (claims []peer.ShardClaim) {
 	for _, s := range c.ownership.shards {
 		if c.activeShard(s.id) != nil {
-			out.Claims = append(out.Claims, peer.ShardClaim{Shard: s.id, OwnerEpoch: s.ownerEpoch})
+			claims = append(claims, peer.ShardClaim{Shard: s.id, OwnerEpoch: s.ownerEpoch})
 		}
 	}
-	remainingBytes := maxHeardBytes
+	return claims
+}
+
+// misdirectedMachinesOf lists the machines of another controller's shards that sent their
+// heartbeats here, as many as fit into a message.
+func (c *Controller) misdirectedMachinesOf(p *peerView) (ids []string) {
+	remainingBytes := maxMisdirectedBytes
 	for _, id := range sortedKeys(c.misdirectedHeartbeats) {
-		if m := c.machines[id]; m != nil && c.ownership.shards[m.rec.Shard].owner.Label == p.label && remainingBytes > len(id) {
-			remainingBytes -= len(id) + 3
-			out.MisdirectedMachines = append(out.MisdirectedMachines, id)
+		m := c.machines[id]
+		if m == nil || c.ownership.shards[m.rec.Shard].owner.Label != p.label {
+			continue
+		}
+		if remainingBytes > len(id) {
+			remainingBytes -= len(id) + nameOverheadBytes
+			ids = append(ids, id)
 		}
 	}
-	return out
+	return ids
 }
 
-// noteAbout takes what another node tells of itself, and gives the shards of its
-// for which this node gives no commands.
-func (c *Controller) noteAbout(p *peerView, a *peer.About) (quiesced []int) {
+// applyAbout takes what another controller says of itself, and returns the shards of its for
+// which this node issues no commands.
+func (c *Controller) applyAbout(p *peerView, a *peer.About) (quiesced []int) {
 	p.lastHeardAt = c.now
 	p.uptime = micros.Micros(a.UptimeUS)
-	p.stateOK, p.withoutWorkers = a.StateOK, a.WithoutWorkers
+	p.stateOK = a.StateOK
+	p.withoutWorkers = a.WithoutWorkers
 	p.quota = a.Quota
 	if a.Quota {
 		c.enableQuota()
@@ -154,52 +220,62 @@
 	return c.recordPeerClaims(a.Claims)
 }
 
+// sendStatus sends another controller a status, unless one is in flight.
 func (c *Controller) sendStatus(p *peerView) {
-	if p.busy {
-		p.nextAt = c.now
+	if p.statusInFlight {
+		p.nextStatusAt = c.now
 		return
 	}
-	p.busy = true
-	p.nextAt = c.now + statusInterval
-	st := &peer.Status{About: c.about(p)}
+	p.statusInFlight = true
+	p.nextStatusAt = c.now + statusInterval
+	status := c.statusFor(p)
+	req := peer.Request{From: c.cfg.Label, Status: status}
+	c.call(Call{To: ToPeer, Addr: p.label, Req: req, Timeout: statusInterval}, func(r Result) {
+		p.statusInFlight = false
+		resp, ok := r.Body.(*peer.Response)
+		if ok && r.Status == http.StatusOK && resp.Status != nil {
+			c.handleStatusAck(p, status, resp.Status)
+		}
+	})
+}
+
+// statusFor returns the status for another controller.
+func (c *Controller) statusFor(p *peerView) *peer.Status {
+	status := &peer.Status{About: c.about(p)}
 	if c.ownership.leader.owner.Label == p.label {
-		st.Demand = c.demands()
+		status.Demand = c.demands()
 		c.logFreeCapacities()
 	}
-	sent := st.Claims
-	st.ReturnedMachines = p.returnedMachines[:min(len(p.returnedMachines), maxNamed)]
-	st.Record = c.recordRequestsFor(p)
-	st.Cancelled = slices.Clone(p.cancelled[:min(len(p.cancelled), maxNamed)])
+	status.ReturnedMachines = p.returnedMachines[:min(len(p.returnedMachines), maxNamed)]
+	status.Record = c.recordRequestsFor(p)
+	status.Cancelled = slices.Clone(p.cancelled[:min(len(p.cancelled), maxNamed)])
 	if p.quota {
-		st.Traces = c.openTraces()
+		status.Traces = c.openTraces()
 	}
-	sentReturned := len(st.ReturnedMachines)
-	c.call(Call{To: ToPeer, Addr: p.label, Req: peer.Request{From: c.cfg.Label, Status: st}, Timeout: statusInterval}, func(r Result) {
-		p.busy = false
-		resp, ok := r.Body.(*peer.Response)
-		if !ok || r.Status != http.StatusOK || resp.Status == nil {
-			return
-		}
-		p.returnedMachines = p.returnedMachines[min(sentReturned, len(p.returnedMachines)):]
-		acknowledged := make(map[string]bool, len(st.Cancelled))
-		for _, id := range st.Cancelled {
-			acknowledged[id] = true
-		}
-		p.cancelled = slices.DeleteFunc(p.cancelled, func(id string) bool { return acknowledged[id] })
-		c.noteAbout(p, &resp.Status.About)
-		for _, id := range resp.Status.QuiescedShards {
-			for _, o := range sent {
-				if o.Shard == id && c.ownership.shards[id].ownerEpoch == o.OwnerEpoch {
-					c.recordQuiescedPeer(c.ownership.shards[id], p.label)
-				}
+	return status
+}
+
+// handleStatusAck takes another controller's answer to a status.
+func (c *Controller) handleStatusAck(p *peerView, sent *peer.Status, ack *peer.StatusAck) {
+	p.returnedMachines = p.returnedMachines[min(len(sent.ReturnedMachines), len(p.returnedMachines)):]
+	acknowledged := make(map[string]bool, len(sent.Cancelled))
+	for _, id := range sent.Cancelled {
+		acknowledged[id] = true
+	}
+	p.cancelled = slices.DeleteFunc(p.cancelled, func(id string) bool { return acknowledged[id] })
+	c.applyAbout(p, &ack.About)
+	for _, id := range ack.QuiescedShards {
+		for _, claim := range sent.Claims {
+			if claim.Shard == id && c.ownership.shards[id].ownerEpoch == claim.OwnerEpoch {
+				c.recordQuiescedPeer(c.ownership.shards[id], p.label)
 			}
 		}
-	})
+	}
 }
 
 // handlePeerRequest answers another controller.
 func (c *Controller) handlePeerRequest(in PeerRequest) {
-	req, resp := in.Req, &peer.Response{From: c.cfg.Label}
+	req := in.Req
 	if req.Quota != nil {
 		c.quotaRequest(in.Reply, *req.Quota)
 		return
@@ -209,71 +285,88 @@
 		c.answer(in.Reply, http.StatusNotFound, nil, 0)
 		return
 	}
+	resp := &peer.Response{From: c.cfg.Label}
 	switch {
 	case req.Status != nil:
-		p.statusAt = c.now
-		quiesced := c.noteAbout(p, &req.Status.About)
-		if req.Status.Demand != nil || c.leading() {
-			p.demand, p.demandAt = req.Status.Demand, c.now
-		}
-		for _, id := range req.Status.ReturnedMachines {
-			c.machineReturned(id)
-		}
-		c.applyBroadcastCancellations(p, req.Status.Cancelled)
-		c.noteTraces(req.Status.Traces)
-		c.takeRecordRequests(req.Status.Record, req.Status.Claims)
-		resp.Status = &peer.StatusAck{About: c.about(p), QuiescedShards: quiesced}
+		resp.Status = c.handleStatus(p, req.Status)
 	case req.Ask != nil:
-		c.askedAbout(*req.Ask, func(a peer.Answer) {
+		c.handleAsk(*req.Ask, func(a peer.Answer) {
 			resp.Answer = &a
 			c.answer(in.Reply, http.StatusOK, resp, 0)
 		})
 		return
 	case req.JobRecordHint != nil:
-		var rec wire.JobRecord
-		if err := wire.Decode(req.JobRecordHint.Record, &rec); err == nil && wire.ValidID(req.JobRecordHint.ID) {
-			c.learnJob(req.JobRecordHint.ID, rec, req.JobRecordHint.ModRevision)
-			resp.OK = true
-		}
+		resp.OK = c.handleJobRecordHint(req.JobRecordHint)
 	case req.Release != nil:
 		resp.OK = c.release(*req.Release)
 	}
 	c.answer(in.Reply, http.StatusOK, resp, 0)
 }
 
-// askedAbout answers as the owner of a job, or with 503 if this node is not.
-func (c *Controller) askedAbout(a peer.Ask, done func(peer.Answer)) {
-	if f, ok := c.jobs.final(a.ID); ok {
+// handleStatus takes another controller's status and returns the answer.
+func (c *Controller) handleStatus(p *peerView, status *peer.Status) *peer.StatusAck {
+	p.statusAt = c.now
+	quiesced := c.applyAbout(p, &status.About)
+	if status.Demand != nil || c.leading() {
+		p.demand = status.Demand
+		p.demandAt = c.now
+	}
+	for _, id := range status.ReturnedMachines {
+		c.machineReturned(id)
+	}
+	c.applyBroadcastCancellations(p, status.Cancelled)
+	c.noteTraces(status.Traces)
+	c.takeRecordRequests(status.Record, status.Claims)
+	return &peer.StatusAck{About: c.about(p), QuiescedShards: quiesced}
+}
+
+// handleJobRecordHint takes the record of a new job, and reports whether it is readable.
+func (c *Controller) handleJobRecordHint(hint *peer.JobRecordHint) bool {
+	var rec wire.JobRecord
+	if err := wire.Decode(hint.Record, &rec); err != nil || !wire.ValidID(hint.ID) {
+		return false
+	}
+	c.learnJob(hint.ID, rec, hint.ModRevision)
+	return true
+}
+
+// handleAsk answers as the owner of a job, or with 503 if this node is not.
+func (c *Controller) handleAsk(ask peer.Ask, done func(peer.Answer)) {
+	if f, ok := c.jobs.final(ask.ID); ok {
 		done(f.answer())
 		return
 	}
-	j := c.jobs.open[a.ID]
-	if j == nil || !c.mayAnswerFromMemory(j) {
-		if j != nil && a.Cancel {
+	j := c.jobs.open[ask.ID]
+	switch {
+	case j == nil && ask.Cancel && wire.ValidID(ask.ID):
+		c.readBeforeCancel(ask, done)
+	case j == nil:
+		done(unavailable)
+	case !c.mayAnswerFromMemory(j):
+		if ask.Cancel {
 			c.stopCancelledTasks(j)
 		}
-		if j == nil && a.Cancel && wire.ValidID(a.ID) {
-			// The watch may not have brought it yet.
-			c.readForUser(a.ID, func(found jobLookup) {
-				_, over := c.jobs.final(a.ID)
-				if k := c.jobs.open[a.ID]; found == lookupFound && (over || k != nil && k.run != nil) {
-					c.askedAbout(a, done)
-					return
-				}
-				done(peer.Answer{Status: http.StatusServiceUnavailable})
-			})
-			return
-		}
-		done(peer.Answer{Status: http.StatusServiceUnavailable})
-		return
-	}
-	if a.Cancel {
+		done(unavailable)
+	case ask.Cancel:
 		c.cancelJob(j, done)
-		return
+	case j.run.end.unresolved() || !c.mayWait(j):
+		done(unavailable)
+	default:
+		done(c.memoryAnswer(j))
 	}
-	if j.run.end.unresolved() || !c.mayWait(j) {
-		done(peer.Answer{Status: http.StatusServiceUnavailable})
-		return
-	}
-	done(c.memoryAnswer(j))
+}
+
+// readBeforeCancel reads the record of a job that another controller wants cancelled here:
+// the watch may not have brought it yet.
+func (c *Controller) readBeforeCancel(ask peer.Ask, done func(peer.Answer)) {
+	c.readForUser(ask.ID, func(found jobLookup) {
+		_, over := c.jobs.final(ask.ID)
+		j := c.jobs.open[ask.ID]
+		owned := j != nil && j.run != nil
+		if found == lookupFound && (over || owned) {
+			c.handleAsk(ask, done)
+			return
+		}
+		done(unavailable)
+	})
 }
--- a/internal/controller/peers_test.go
+++ b/internal/controller/peers_test.go
@@ -9,10 +9,10 @@
 	"garnethitch/internal/wire"
 )
 
-// A controller out of reach is told of every cancellation whose tasks may still be on
-// machines, however many there are. Which are forgotten was decided by a count, 5,000, on the
+// A controller that can't be reached is notified of every cancellation whose tasks may still be
+// on machines, however many there are. Which are dropped was decided by a count, 5,000, on the
 // assumption that the oldest are over by then: where the state service takes 200 writes a
-// second that many come about in 25 s, and a cancellation has 49.
+// second that many are recorded in 25 s, and a cancellation has 49.
 func TestPeersLearnAllCancellations(t *testing.T) {
 	for _, limits := range []struct {
 		writeRPS float64
@@ -44,15 +44,15 @@
 				}
 			}
 			if len(informed) != all {
-				t.Errorf("told of %d of %d cancellations", len(informed), all)
+				t.Errorf("notified of %d of %d cancellations", len(informed), all)
 			}
 		})
 	}
 }
 
-// TestStatusOnce: of two controllers one asks and the other answers; who is not
-// asked, has something to tell, or waits for the other to be quiet, asks itself.
-func TestStatusOnce(t *testing.T) {
+// Of two controllers one sends statuses and the other answers them; one that receives none,
+// has notifications, or waits for the other to be quiesced, sends its own.
+func TestOnePeerSendsStatus(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		asked  bool
@@ -61,8 +61,8 @@
 	}{
 		{"asked, leading", true, func(*harness) {}, false},
 		{"not asked", false, func(*harness) {}, true},
-		{"asked, with returned machines to tell of", true, func(h *harness) { h.c.peers["n-1"].returnedMachines = []string{"vm-9"} }, true},
-		{"asked, but it has not said that it is quiet", true, func(h *harness) { clear(h.c.ownership.shards[0].quiescedPeers) }, true},
+		{"asked, with returned machines to name", true, func(h *harness) { h.c.peers["n-1"].returnedMachines = []string{"vm-9"} }, true},
+		{"asked, but it has not said that it is quiesced", true, func(h *harness) { clear(h.c.ownership.shards[0].quiescedPeers) }, true},
 		{"asked by the leader", true, func(h *harness) { h.c.ownership.leader.owner.Label = "n-1" }, true},
 		{"asked by one that is later by name, a third leads", true, func(h *harness) { h.c.ownership.leader.owner.Label = "n-2" }, true},
 	} {
@@ -82,10 +82,10 @@
 	}
 }
 
-// Another controller's word ends a cancelled job at once, whatever the state service
-// says; and who has told a user goes on telling the others until they have heard.
+// Another controller's notification ends a cancelled job at once, whatever the state service
+// answers; and a controller that answered a user notifies the others until they acknowledge.
 func TestCancellationIsBroadcast(t *testing.T) {
-	t.Run("heard", func(t *testing.T) {
+	t.Run("received", func(t *testing.T) {
 		h := meet(t, withPeer)
 		fencingToken, a := h.runOne()
 		h.stateDown, h.refused = true, true
@@ -96,18 +96,18 @@
 			t.Errorf("commands %v, want the task stopped", body.Commands)
 		}
 		if s := h.state("job-000001"); s != wire.StateCancelled {
-			t.Errorf("called %q after another node told its user \"cancelled\"", s)
+			t.Errorf("called %q after another controller answered its user \"cancelled\"", s)
 		}
 	})
 	for _, tc := range []struct {
-		name string
-		tell func(h *harness)
+		name  string
+		learn func(h *harness)
 	}{
-		{"told by this node", func(h *harness) { h.cancel("job-000001") }},
+		{"cancelled by this node", func(h *harness) { h.cancel("job-000001") }},
 		{"learned by the watch", func(h *harness) {
 			h.put(wire.JobKey("job-000001"), wire.JobRecord{State: wire.StateCancelled, Tasks: 1})
 		}},
-		{"read for a question, the job never known here", func(h *harness) {
+		{"read for a status request, the job never known here", func(h *harness) {
 			h.watchBlocked = wire.PrefixJob
 			h.put(wire.JobKey("job-000003"), wire.JobRecord{State: wire.StateCancelled, Tasks: 1})
 			h.state("job-000003")
@@ -117,11 +117,11 @@
 			h := meet(t, withPeer)
 			h.runOne()
 			h.peersDown = true
-			tc.tell(h)
+			tc.learn(h)
 			h.run(4 * sec)
 			h.peersDown = false
 			for id := range h.c.calls { // what was asked meanwhile is given up
-				if len(h.c.calls) > 0 && h.c.peers["n-1"].busy {
+				if len(h.c.calls) > 0 && h.c.peers["n-1"].statusInFlight {
 					h.step(Result{ID: id})
 				}
 			}
@@ -132,7 +132,7 @@
 				times += len(st.Cancelled)
 			}
 			if times != 1 {
-				t.Errorf("told %d times, want once: acknowledged by the answer", times)
+				t.Errorf("notified %d times, want once: acknowledged by the answer", times)
 			}
 		})
 	}
@@ -168,9 +168,9 @@
 	}
 }
 
-// A controller names to another all machines of that one's shards that try it,
+// A controller names to another all machines of that one's shards that send heartbeats to it,
 // and no others: past a fixed bound those that matter went unnamed.
-func TestHeardByOwner(t *testing.T) {
+func TestMisdirectedMachinesAreNamed(t *testing.T) {
 	h := newHarness(t, func(c *Config) {
 		c.Shards = 2
 		c.Peers = []string{"n-1"}
@@ -189,7 +189,7 @@
 	h.reconcile("vm-mine")
 	for i := range machines {
 		if status, _ := h.heartbeat(heartbeatFrom(machineName(i), 1, 1, 0)); status != 421 {
-			t.Fatalf("report of another's machine answered %d", status)
+			t.Fatalf("heartbeat of another's machine answered %d", status)
 		}
 	}
 	a := h.ask(func(r ReplyID) Input {
