--- a/internal/controller/attempts.go
+++ b/internal/controller/attempts.go
@@ -334,7 +334,7 @@
 		if att.runAt > max(c.lastStalledAt, 0) { // else its end may have been seen late, for lack of time here
 			took := c.now - att.runAt
 			c.noteSpeed(m, j, took)
-			c.estimates.learn(j.sub, took)
+			c.estimates.Learn(j.sub, took)
 		}
 		clear(m.view.failuresByJob)
 		att.tracked = false
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -9,6 +9,7 @@
 	"math/rand/v2"
 	"slices"
 
+	"garnethitch/internal/controller/estimate"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/wire"
 	"garnethitch/quota"
@@ -115,7 +116,7 @@
 	scratch               []scored
 	types                 map[string]wire.MachineType
 	typeIndex             typeIndex
-	estimates             estimates
+	estimates             estimate.RunTimes
 	prefetchImages        []prefetchImage
 	misdirectedHeartbeats map[string]micros.Micros // machines that reported here but belong elsewhere
 
@@ -174,7 +175,7 @@
 	c.jobs.init(c.cfg.MaxFinalJobs)
 	c.cascade.init()
 	c.fleet.init(cfg)
-	c.estimates.init()
+	c.estimates = estimate.NewRunTimes()
 	c.quota.tree = cfg.Quota
 	if cfg.Quota != nil {
 		c.enableQuota()
--- a/internal/controller/demand.go
+++ b/internal/controller/demand.go
@@ -49,7 +49,7 @@
 // that are not busy take at most room bytes; it gives what is left of that.
 func (c *Controller) demandOf(s *shard, remainingBytes int) (peer.Demand, int) {
 	c.refresh(s)
-	d := peer.Demand{Shard: s.id, ArrivalCPUs: s.arrivals.rate(c.now), All: len(s.machines)}
+	d := peer.Demand{Shard: s.id, ArrivalCPUs: s.arrivals.Rate(c.now), All: len(s.machines)}
 	for _, j := range c.queue(s) {
 		if j.withinGuarantee && j.run != nil {
 			d.Guarantee += float64(j.sub.Tasks-j.run.doneCount) * j.sub.CPUs
@@ -177,7 +177,7 @@
 		return true
 	}
 	ran := c.now - att.runAt
-	if att.job.run.stopsByTask[att.index] > 0 || 3*ran > c.estimates.expect(att.job.sub) {
+	if att.job.run.stopsByTask[att.index] > 0 || 3*ran > c.estimates.Expect(att.job.sub) {
 		return false
 	}
 	due := c.dueOf(att.job)
@@ -297,7 +297,7 @@
 				CPUs: j.sub.CPUs, GPUs: j.sub.GPUs, MemGB: j.sub.MemGB, Priority: j.priority})
 		}
 		out[i].Waiting += fit
-		out[i].WorkUS += int64(n) * int64(c.estimates.expect(j.sub))
+		out[i].WorkUS += int64(n) * int64(c.estimates.Expect(j.sub))
 		out[i].MemGB = max(out[i].MemGB, j.sub.MemGB)
 	}
 	return out
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -120,8 +120,8 @@
 
 // noteArrival counts work that may start from now on.
 func (c *Controller) noteArrival(s *shard, j *job) {
-	work := float64(j.sub.Tasks) * j.sub.CPUs * c.estimates.expect(j.sub).Seconds()
-	s.arrivals.add(c.now, work)
+	work := float64(j.sub.Tasks) * j.sub.CPUs * c.estimates.Expect(j.sub).Seconds()
+	s.arrivals.Add(c.now, work)
 }
 
 // markDependencyCancelled marks jobs as to be cancelled, since one that they need is, and
@@ -239,7 +239,7 @@
 	for _, d := range c.jobs.dependents[j.id] {
 		priority = max(priority, d.priority)
 		if d.deadline < micros.Never {
-			deadline = min(deadline, d.deadline-c.estimates.expect(d.sub))
+			deadline = min(deadline, d.deadline-c.estimates.Expect(d.sub))
 		}
 	}
 	return priority, deadline
--- /dev/null
+++ b/internal/controller/estimate/ratemeter.go
@@ -0,0 +1,36 @@
+package estimate
+
+import (
+	"math"
+
+	"garnethitch/internal/micros"
+)
+
+// meterSpan is the time constant with which a RateMeter forgets.
+const meterSpan = 90 * micros.Second
+
+// RateMeter measures the rate at which an amount arrives, as an exponentially decaying
+// mean. The zero value has measured nothing.
+type RateMeter struct {
+	level float64
+	at    micros.Micros
+}
+
+// Add takes an amount that arrives now.
+func (r *RateMeter) Add(now micros.Micros, amount float64) {
+	r.decay(now)
+	r.level += amount
+}
+
+// Rate returns the amount per second.
+func (r *RateMeter) Rate(now micros.Micros) float64 {
+	r.decay(now)
+	return r.level / meterSpan.Seconds()
+}
+
+func (r *RateMeter) decay(now micros.Micros) {
+	if now > r.at {
+		r.level *= math.Exp(-(now - r.at).Seconds() / meterSpan.Seconds())
+		r.at = now
+	}
+}
--- a/internal/controller/first_start.go
+++ b/internal/controller/first_start.go
@@ -95,7 +95,7 @@
 
 // left is how long an attempt will probably take yet.
 func (c *Controller) left(att *attempt) micros.Micros {
-	left := c.estimates.expect(att.job.sub)
+	left := c.estimates.Expect(att.job.sub)
 	if att.runAt > 0 {
 		left = max(left-(c.now-att.runAt), left/10)
 	}
--- a/internal/controller/job_queue.go
+++ b/internal/controller/job_queue.go
@@ -58,7 +58,7 @@
 		j.startOverdue = c.overdue(j)
 		j.guaranteeOverdue = c.guaranteeOverdue(j)
 		remainingTasks := float64(j.sub.Tasks - j.run.doneCount)
-		work := remainingTasks * j.sub.CPUs * c.estimates.expect(j.sub).Seconds()
+		work := remainingTasks * j.sub.CPUs * c.estimates.Expect(j.sub).Seconds()
 		j.queueRank = float64(j.since())/1000 + agingFactor*work/cpus
 	}
 }
--- a/internal/controller/machine_health.go
+++ b/internal/controller/machine_health.go
@@ -144,7 +144,7 @@
 		case sub.CheckpointS > 0 && left > save+micros.Second/2:
 			c.stop(att, stopGraceful)
 		case att.state == attemptRunning:
-			rest := c.estimates.expect(sub) - (c.now - att.runAt)
+			rest := c.estimates.Expect(sub) - (c.now - att.runAt)
 			if rest > left {
 				c.stop(att, stopImmediate)
 			}
@@ -154,7 +154,7 @@
 
 // noteSpeed compares a run time with what the job's class led to expect.
 func (c *Controller) noteSpeed(m *machine, j *job, took micros.Micros) {
-	want := c.estimates.expect(j.sub)
+	want := c.estimates.Expect(j.sub)
 	if want <= 0 || took <= 0 {
 		return
 	}
--- a/internal/controller/machine_health_test.go
+++ b/internal/controller/machine_health_test.go
@@ -106,7 +106,7 @@
 					h.c.handleExit(att)
 				}
 			}
-			if got := len(h.c.estimates.byClass) > 0; got != tc.learns {
+			if got := h.c.estimates.Classes() > 0; got != tc.learns {
 				t.Errorf("the run time is believed: %v, want %v", got, tc.learns)
 			}
 			pass(20 * sec)
--- a/internal/controller/ownership.go
+++ b/internal/controller/ownership.go
@@ -4,6 +4,7 @@
 	"net/http"
 	"strconv"
 
+	"garnethitch/internal/controller/estimate"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/peer"
 	"garnethitch/internal/wire"
@@ -58,7 +59,7 @@
 	checkpoints            map[string]wire.CheckpointRecord
 	checkpointModRevisions map[string]uint64
 	releasing              bool
-	arrivals               rateMeter
+	arrivals               estimate.RateMeter
 }
 
 type ownership struct {
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -197,7 +197,7 @@
 // deadlineNear: the job can still be in time, but only if its tasks start within
 // some seconds.
 func (c *Controller) deadlineNear(j *job) bool {
-	slack := c.dueOf(j) - c.wall - c.estimates.expect(j.sub)
+	slack := c.dueOf(j) - c.wall - c.estimates.Expect(j.sub)
 	return slack > 0 && slack < 15*micros.Second
 }
 
@@ -252,7 +252,7 @@
 		again += 10
 	}
 	return ran*att.job.sub.CPUs*[...]float64{0.25, 1, 2, 2}[att.job.priority] +
-		prio*(4+0.25*c.estimates.expect(att.job.sub).Seconds()) + earlierStopCost*again
+		prio*(4+0.25*c.estimates.Expect(att.job.sub).Seconds()) + earlierStopCost*again
 }
 
 // earlierStopCost is what each earlier stop of a task adds to the loss of another.
