--- a/internal/controller/checkpoints.go
+++ b/internal/controller/checkpoints.go
@@ -16,10 +16,7 @@
 	// checkpointWritesFraction is the part of this node's writes that the checkpoints of
 	// a shard's jobs together take at most.
 	checkpointWritesFraction = 1.0 / 2
-	// checkpointsPerPage is how many checkpoints one listing asks for.
-	checkpointsPerPage = 200
 
-	checkpointListTimeout  = 3 * micros.Second
 	checkpointWriteTimeout = 2 * micros.Second
 	checkpointReadTimeout  = micros.Second
 )
@@ -85,104 +82,6 @@
 	p.awaiting = waiting
 }
 
-// checkpointListing collects the checkpoints of all jobs, page by page.
-type checkpointListing struct {
-	after        string // the last key of the pages so far
-	records      map[string]wire.CheckpointRecord
-	modRevisions map[string]uint64
-}
-
-// loadCheckpoints reads all checkpoints after a claim: from then on only this owner
-// writes those of its jobs.
-func (c *Controller) loadCheckpoints(s *shard) {
-	c.listCheckpoints(s, &checkpointListing{
-		records:      map[string]wire.CheckpointRecord{},
-		modRevisions: map[string]uint64{},
-	})
-}
-
-// listCheckpoints asks for the next page of checkpoints, and applies them after the last.
-func (c *Controller) listCheckpoints(s *shard, l *checkpointListing) {
-	ownerEpoch := s.ownerEpoch
-	s.loadingCheckpoints = true
-	list := ListKeys{Prefix: wire.PrefixCheckpoint, After: l.after, Limit: checkpointsPerPage}
-	c.askState(classEnd, list, checkpointListTimeout, func(r Result) {
-		if !s.active || s.ownerEpoch != ownerEpoch {
-			return
-		}
-		page, ok := r.Body.(*wire.KeyList)
-		if !ok || r.Status != http.StatusOK {
-			s.loadingCheckpoints = false // maintainMachines tries again
-			return
-		}
-		c.addCheckpointPage(l, page)
-		if page.More && len(page.Items) > 0 {
-			c.listCheckpoints(s, l)
-			return
-		}
-		c.applyCheckpoints(s, l)
-	})
-}
-
-// addCheckpointPage adds a page of checkpoints to a listing.
-func (c *Controller) addCheckpointPage(l *checkpointListing, page *wire.KeyList) {
-	for _, kv := range page.Items {
-		l.after = kv.Key
-		id := kv.Key[len(wire.PrefixCheckpoint):]
-		var rec wire.CheckpointRecord
-		if err := wire.Decode(kv.Value, &rec); err != nil {
-			c.log(Error, "checkpoint not readable, its job restarts from the beginning", "job", id, "error", err)
-		}
-		l.records[id] = rec
-		l.modRevisions[id] = kv.ModRevision
-	}
-}
-
-// applyCheckpoints has a shard's recovered jobs continue from a complete listing.
-func (c *Controller) applyCheckpoints(s *shard, l *checkpointListing) {
-	s.loadingCheckpoints = false
-	s.checkpointsLoaded = true
-	s.checkpoints = l.records
-	s.checkpointModRevisions = l.modRevisions
-	for _, id := range sortedKeys(c.jobs.open) {
-		j := c.jobs.open[id]
-		if j.shard == s.id && j.run != nil && !j.run.checkpointApplied {
-			c.applyCheckpoint(s, j)
-		}
-	}
-	// The tasks of machines reconciled before this were only noted.
-	c.reconcileAfterCheckpointLoad(s)
-	c.schedulingDue = true
-}
-
-// applyCheckpoint has a recovered job continue from its newest checkpoint.
-func (c *Controller) applyCheckpoint(s *shard, j *job) {
-	r := j.run
-	r.checkpointApplied = true
-	if rec, ok := s.checkpoints[j.id]; ok {
-		r.restore(rec, j.sub.Tasks)
-		r.checkpoint.modRevision = s.checkpointModRevisions[j.id]
-	}
-	if !r.acceptedUnderClaim {
-		r.checkpoint.addRecovery(c.wall)
-	}
-	if r.doneCount == j.sub.Tasks {
-		c.endJob(j, wire.StateDone)
-	}
-}
-
-// restore adds what a checkpoint record of a job with so many tasks says.
-func (r *run) restore(rec wire.CheckpointRecord, tasks int) {
-	for task := range checkpoint.DoneTasks(rec, tasks).All() {
-		if r.done.Add(task) {
-			r.doneCount++
-		}
-		r.checkpoint.recorded.Add(task)
-	}
-	r.steps = rec.Steps
-	r.checkpoint.recoveries = rec.Recoveries
-}
-
 // buildCheckpoint returns a job's checkpoint record, and the done tasks that it names.
 func (c *Controller) buildCheckpoint(j *job) (wire.CheckpointRecord, checkpoint.TaskSet) {
 	progress := checkpoint.Progress{
--- /dev/null
+++ b/internal/controller/record_limits_test.go
@@ -0,0 +1,146 @@
+package controller
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+
+	"garnethitch/internal/controller/checkpoint"
+	"garnethitch/internal/micros"
+	"garnethitch/internal/wire"
+)
+
+// Machine record sets that a version with larger limits wrote are split in one transaction;
+// what runs on their machines continues, in whatever order the watch brings the parts.
+func TestOversizeRecordSetsAreSplit(t *testing.T) {
+	for _, tc := range []struct {
+		name    string
+		lose    bool
+		reverse bool
+	}{{"answered", false, false}, {"answer lost", true, false}, {"watched in another order", true, true}} {
+		t.Run(tc.name, func(t *testing.T) {
+			h := meet(t, func(c *Config) {
+				withPeer(c)
+				c.ValueBytes, c.TxnOps, c.MaxMachines, c.MaxWorkerRequests = 2<<10, 4, 100, 200
+			})
+			var ids []string
+			for i := range 50 {
+				ids = append(ids, machineName(i))
+			}
+			h.c.nextSplitAt = micros.Never
+			h.putMachines("h-1-1", ids...)
+			s := h.c.ownership.shards[0]
+			fencingToken := h.c.fencingToken(s, h.c.machines[ids[0]])
+			for _, id := range ids {
+				h.heartbeat(heartbeatFrom(id, 1, 2, fencingToken))
+			}
+			h.submit(jobOf("job-000001", 200))
+			h.dropCalls()
+			running := map[string][]wire.TaskStatus{}
+			n := 0
+			for _, id := range ids {
+				_, body := h.heartbeat(heartbeatFrom(id, 1, 3, fencingToken))
+				running[id] = shown(starts(body.Commands), wire.TaskRunning)
+				h.heartbeat(heartbeatFrom(id, 1, 4, fencingToken, running[id]...))
+				n += len(running[id])
+			}
+			if n != 200 {
+				t.Fatalf("%d tasks run, want 200", n)
+			}
+			if tc.lose {
+				h.lose = wire.PrefixFleet
+			}
+			if tc.reverse {
+				h.watchBlocked = wire.PrefixControl
+			}
+			from := len(h.log)
+			h.c.nextSplitAt = 0
+			h.run(sec)
+			if tc.reverse {
+				slices.Reverse(h.log[from:])
+				h.watchBlocked = ""
+			}
+			h.giveUp()
+			h.run(sec)
+			in := map[string]int{}
+			for key, o := range h.c.recordSets {
+				if value := h.keys[key].Value; wire.StoredSize(value, 2<<10) > 2<<10 {
+					t.Errorf("%s takes %d bytes", key, len(value))
+				}
+				for _, m := range o.machines {
+					in[m.id]++
+				}
+			}
+			active := len(h.c.jobs.open["job-000001"].run.active)
+			if len(h.c.recordSets) < 3 || len(in) != 50 || active != 200 {
+				t.Errorf("%d record sets with %d machines, %d tasks active; want 3, 50, 200", len(h.c.recordSets), len(in), active)
+			}
+			for id, times := range in {
+				m := h.c.machines[id]
+				if times != 1 || m == nil || m.view == nil || len(m.view.list) != 4 {
+					t.Fatalf("%s stands in %d record sets, or its tasks are gone", id, times)
+				}
+				if h.c.fencingToken(s, m) <= fencingToken {
+					t.Errorf("the token of %s did not rise", id)
+				}
+			}
+		})
+	}
+}
+
+// smallValueBytes is the smaller of the limits that records must fit.
+const smallValueBytes = 2 << 10
+
+// withSmallLimits configures a controller with a peer and the smaller limits.
+func withSmallLimits(c *Config) {
+	withPeer(c)
+	c.ValueBytes = smallValueBytes
+	c.TxnOps = 4
+}
+
+// Checkpoints fit the limit in their textual form, and name tasks nevertheless.
+func TestCheckpointsFitLimit(t *testing.T) {
+	h := meet(t, withSmallLimits)
+	h.reconcile("vm-1")
+	for name, tasks := range map[string]int{"job-000001": 2000, "job-000002": 100_000, "job-000003": 1} {
+		for pattern, every := range map[string]int{"alternating": 2, "in threes": 3, "all but the last": 1} {
+			h.submit(jobOf(name, tasks))
+			j := h.c.jobs.open[name]
+			j.run.done, j.run.doneCount = checkpoint.NewTaskSet(tasks), 0
+			for i := 0; i < tasks-1; i += every {
+				j.run.done.Add(i)
+				j.run.doneCount++
+			}
+			j.run.steps, j.run.checkpoint.recoveries = nil, nil
+			for i := range checkpoint.MaxSteps {
+				j.run.steps = append(j.run.steps, wire.Step{Task: 99_000 + i, Machine: "vm-123456", StartMS: 1_800_000_000_000, EndMS: 1_800_000_000_000})
+			}
+			for range checkpoint.MaxRecoveries {
+				j.run.checkpoint.recoveries = append(j.run.checkpoint.recoveries, 1_800_000_000_000)
+			}
+			rec, _ := h.c.buildCheckpoint(j)
+			value := encoded(t, rec)
+			if n := wire.StoredSize(value, smallValueBytes); n > smallValueBytes {
+				t.Errorf("a checkpoint of %d tasks, %s, counts %d bytes", tasks, pattern, n)
+			}
+			if rec.Count == 0 && tasks > 1 {
+				t.Errorf("a checkpoint of %d tasks, %s, names none", tasks, pattern)
+			}
+		}
+	}
+}
+
+// The largest machine record sets fit the limit in their textual form.
+func TestRecordSetsFitLimit(t *testing.T) {
+	h := meet(t, withSmallLimits)
+	h.reconcile("vm-1")
+	var list []*machine
+	for i := range h.c.recordSetLimit() {
+		m := &machine{id: fmt.Sprintf("vm-%06d", 123456+i)}
+		m.rec = machineRecord{Addr: "10.201.230.231:9000", Type: "a-long-name-of-a-type", Zone: "birmingham", Spot: i%2 == 0, Cordoned: true}
+		list = append(list, m)
+	}
+	if n := wire.StoredSize(encoded(t, recordSetOf(list, nil, nil)), smallValueBytes); n > smallValueBytes {
+		t.Errorf("a record set of %d machines counts %d bytes", len(list), n)
+	}
+}
