--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -18,6 +18,7 @@
 	return s
 }
 
+// stateOf returns the state of a job in an answer, or "".
 func stateOf(a Answer) string {
 	b, _ := a.Body.(wire.JobAnswer)
 	return b.State
@@ -59,8 +60,8 @@
 		{"itself", nil, []string{"job-000009"}, 422},
 		{"no read possible", func(h *harness) { h.stateDown, h.refused = true, true }, []string{"job-000001"}, 503},
 		{"too many for a record", func(h *harness) {
-			for i := range 150 {
-				h.recordEnd(fmt.Sprintf("job-%06d", 100+i), wire.StateDone, 0)
+			for _, id := range names(100, 150) {
+				h.recordEnd(id, wire.StateDone, 0)
 			}
 		}, names(100, 150), 400},
 	} {
@@ -114,6 +115,7 @@
 	}
 }
 
+// names returns n ids of jobs, the first with the number from.
 func names(from, n int) (out []string) {
 	for i := range n {
 		out = append(out, fmt.Sprintf("job-%06d", from+i))
@@ -291,38 +293,47 @@
 	}
 }
 
+// chainID is the id of a job of a chain; see recordChain.
+func chainID(i int) string { return fmt.Sprintf("job-%06d", 100+i) }
+
+// recordChain stores n jobs as another controller would, each of which needs the one before.
+func (h *harness) recordChain(n int) {
+	h.t.Helper()
+	h.record(jobOf(chainID(0), 1))
+	for i := 1; i < n; i++ {
+		h.record(after(chainID(i), 1, chainID(i-1)))
+	}
+}
+
+// chainStates counts the n jobs of a chain by the state that a user is answered.
+func (h *harness) chainStates(n int) (states map[string]int) {
+	h.t.Helper()
+	states = map[string]int{}
+	for i := range n {
+		states[h.state(chainID(i))]++
+	}
+	return states
+}
+
 // A cancellation reaches all jobs that need the cancelled one, however deep and wide, in
 // whatever order the owner learns of them; one that is answered with done reaches none.
 func TestCancellationReachesDependents(t *testing.T) {
-	chain := func(h *harness, n int) {
-		h.record(jobOf("job-000100", 1))
-		for i := 1; i < n; i++ {
-			h.record(after(fmt.Sprintf("job-%06d", 100+i), 1, fmt.Sprintf("job-%06d", 99+i)))
-		}
-	}
-	all := func(h *harness, n int) (states map[string]int) {
-		states = map[string]int{}
-		for i := range n {
-			states[h.state(fmt.Sprintf("job-%06d", 100+i))]++
-		}
-		return states
-	}
 	const n = 60
 	for _, tc := range []struct {
 		name string
 		play func(h *harness)
 	}{
-		{"cancelled here", func(h *harness) { chain(h, n); h.cancel("job-000100") }},
-		{"recorded by another owner", func(h *harness) { chain(h, n); h.recordEnd("job-000100", wire.StateCancelled, 0) }},
+		{"cancelled here", func(h *harness) { h.recordChain(n); h.cancel("job-000100") }},
+		{"recorded by another owner", func(h *harness) { h.recordChain(n); h.recordEnd("job-000100", wire.StateCancelled, 0) }},
 		{"broadcast by another controller first", func(h *harness) {
-			chain(h, n)
+			h.recordChain(n)
 			h.step(PeerRequest{Reply: 900, Req: peer.Request{From: "n-1", Status: &peer.Status{Cancelled: []string{"job-000100"}}}})
 			h.recordEnd("job-000100", wire.StateCancelled, 0)
 		}},
 		{"cancelled before its dependents are submitted", func(h *harness) {
 			h.recordEnd("job-000100", wire.StateCancelled, 0)
 			for i := 1; i < n; i++ {
-				if a := h.submit(after(fmt.Sprintf("job-%06d", 100+i), 1, fmt.Sprintf("job-%06d", 99+i))); a.Status != 201 {
+				if a := h.submit(after(chainID(i), 1, chainID(i-1))); a.Status != 201 {
 					t.Fatalf("submission after a cancelled job: %d", a.Status)
 				}
 			}
@@ -330,30 +341,30 @@
 		{"cancelled, then dependents accepted by another controller", func(h *harness) {
 			h.recordEnd("job-000100", wire.StateCancelled, 0)
 			for i := 1; i < n; i++ {
-				h.record(after(fmt.Sprintf("job-%06d", 100+i), 1, fmt.Sprintf("job-%06d", 99+i)))
+				h.record(after(chainID(i), 1, chainID(i-1)))
 			}
 		}},
 		{"wide", func(h *harness) {
 			h.record(jobOf("job-000100", 1))
 			for i := 1; i < n; i++ {
-				h.record(after(fmt.Sprintf("job-%06d", 100+i), 1, "job-000100"))
+				h.record(after(chainID(i), 1, "job-000100"))
 			}
 			h.cancel("job-000100")
 		}},
 		{"learned by a controller that has just started, dependents first", func(h *harness) {
 			h.record(after("job-000101", 1, "job-000100"))
 			for i := 2; i < n; i++ {
-				h.record(after(fmt.Sprintf("job-%06d", 100+i), 1, fmt.Sprintf("job-%06d", 99+i)))
+				h.record(after(chainID(i), 1, chainID(i-1)))
 			}
 			h.recordEnd("job-000100", wire.StateCancelled, 0)
 		}},
 		{"the state service fails at that moment", func(h *harness) {
-			chain(h, n)
+			h.recordChain(n)
 			h.recordEnd("job-000100", wire.StateCancelled, 0)
 			h.stateDown, h.refused = true, true
 			h.run(sec)
 			for i := 1; i < n; i++ {
-				if s := h.state(fmt.Sprintf("job-%06d", 100+i)); s != "" && s != wire.StateCancelled {
+				if s := h.state(chainID(i)); s != "" && s != wire.StateCancelled {
 					t.Errorf("called %q with a cancelled job before it", s)
 				}
 			}
@@ -361,7 +372,7 @@
 			h.stateDown, h.refused = false, false
 		}},
 		{"the owner changes", func(h *harness) {
-			chain(h, n)
+			h.recordChain(n)
 			h.late = wire.PrefixJob
 			h.txn(wire.Txn{Then: []wire.Change{{Put: wire.JobKey("job-000100"), Value: encoded(t, wire.JobRecord{State: wire.StateCancelled, Tasks: 1})}}})
 			h.run(sec)
@@ -378,7 +389,7 @@
 			h.reconcile("vm-1")
 			tc.play(h)
 			h.run(6 * sec)
-			if got := all(h, n); got[wire.StateCancelled] != n {
+			if got := h.chainStates(n); got[wire.StateCancelled] != n {
 				t.Errorf("states %v, want all %d cancelled", got, n)
 			}
 			for _, c := range h.commandsOut() {
@@ -390,13 +401,13 @@
 	}
 	t.Run("answered with done", func(t *testing.T) {
 		h := meet(t, withPeer)
-		chain(h, 3)
+		h.recordChain(3)
 		h.recordEnd("job-000100", wire.StateDone, 0)
 		if a := h.cancel("job-000100"); stateOf(a) != wire.StateDone {
 			t.Fatalf("cancellation answered %q", stateOf(a))
 		}
 		h.run(3 * sec)
-		if got := all(h, 3); got[wire.StatePending] != 2 {
+		if got := h.chainStates(3); got[wire.StatePending] != 2 {
 			t.Errorf("states %v, want two pending", got)
 		}
 		if h.c.jobs.open["job-000101"].blocked() {
--- a/internal/controller/job_end.go
+++ b/internal/controller/job_end.go
@@ -27,14 +27,14 @@
 	endReadRetryInterval = 500 * micros.Millisecond
 )
 
-// unavailable is the answer where this node can't say how a job stands.
-var unavailable = peer.Answer{Status: http.StatusServiceUnavailable}
+// unavailable is the answer where this node can't say in what state a job is.
+func unavailable() peer.Answer { return peer.Answer{Status: http.StatusServiceUnavailable} }
 
 // cancelJob records a cancellation and answers once it stands.
 func (c *Controller) cancelJob(j *job, done func(peer.Answer)) {
 	end := &j.run.end
 	if len(end.waiters) >= maxCancelWaiters {
-		done(unavailable)
+		done(unavailable())
 		return
 	}
 	end.waiters = append(end.waiters, done)
@@ -209,7 +209,7 @@
 }
 
 // failWaiters answers those who wait for a job's end that it is not known.
-func (c *Controller) failWaiters(j *job) { c.answerWaiters(j.run, unavailable) }
+func (c *Controller) failWaiters(j *job) { c.answerWaiters(j.run, unavailable()) }
 
 // answerWaiters answers those who wait for a job's end.
 func (c *Controller) answerWaiters(r *run, answer peer.Answer) {
--- a/internal/controller/job_status.go
+++ b/internal/controller/job_status.go
@@ -43,7 +43,7 @@
 	case lookupMissing:
 		return peer.Answer{Status: http.StatusNotFound}
 	default:
-		return unavailable
+		return unavailable()
 	}
 }
 
@@ -72,7 +72,7 @@
 	if j.dependencyCancelled && !c.hasSpareRequests() {
 		// It is to be recorded as cancelled, and the watch brings that. Reads for the
 		// users of a thousand such jobs would leave no requests for the records.
-		done(unavailable)
+		done(unavailable())
 		return
 	}
 	if !c.mayAnswerFromMemory(j) {
@@ -106,7 +106,7 @@
 // askPeer asks the owner of a job on behalf of a user.
 func (c *Controller) askPeer(p *peerView, ask peer.Ask, timeout micros.Micros, done func(peer.Answer)) {
 	if c.cfg.MaxPeerQuestions > 0 && c.peerQuestionsInFlight >= c.cfg.MaxPeerQuestions {
-		done(unavailable)
+		done(unavailable())
 		return
 	}
 	c.peerQuestionsInFlight++
@@ -115,7 +115,7 @@
 		c.peerQuestionsInFlight--
 		resp, ok := r.Body.(*peer.Response)
 		if !ok || r.Status != http.StatusOK || resp.Answer == nil {
-			done(unavailable)
+			done(unavailable())
 			return
 		}
 		a := *resp.Answer
--- /dev/null
+++ b/internal/controller/peer_requests.go
@@ -0,0 +1,106 @@
+package controller
+
+import (
+	"net/http"
+
+	"garnethitch/internal/peer"
+	"garnethitch/internal/wire"
+)
+
+// handlePeerRequest answers another controller.
+func (c *Controller) handlePeerRequest(in PeerRequest) {
+	req := in.Req
+	if req.Quota != nil {
+		c.quotaRequest(in.Reply, *req.Quota)
+		return
+	}
+	p := c.peers[req.From]
+	if p == nil {
+		c.answer(in.Reply, http.StatusNotFound, nil, 0)
+		return
+	}
+	resp := &peer.Response{From: c.cfg.Label}
+	switch {
+	case req.Status != nil:
+		resp.Status = c.handleStatus(p, req.Status)
+	case req.Ask != nil:
+		c.handleAsk(*req.Ask, func(a peer.Answer) {
+			resp.Answer = &a
+			c.answer(in.Reply, http.StatusOK, resp, 0)
+		})
+		return
+	case req.JobRecordHint != nil:
+		resp.OK = c.handleJobRecordHint(req.JobRecordHint)
+	case req.Release != nil:
+		resp.OK = c.release(*req.Release)
+	}
+	c.answer(in.Reply, http.StatusOK, resp, 0)
+}
+
+// handleStatus takes another controller's status and returns the answer.
+func (c *Controller) handleStatus(p *peerView, status *peer.Status) *peer.StatusAck {
+	p.statusAt = c.now
+	quiesced := c.applyAbout(p, &status.About)
+	if status.Demand != nil || c.leading() {
+		p.demand = status.Demand
+		p.demandAt = c.now
+	}
+	for _, id := range status.ReturnedMachines {
+		c.machineReturned(id)
+	}
+	c.applyBroadcastCancellations(p, status.Cancelled)
+	c.noteTraces(status.Traces)
+	c.takeRecordRequests(status.Record, status.Claims)
+	return &peer.StatusAck{About: c.about(p), QuiescedShards: quiesced}
+}
+
+// handleJobRecordHint takes the record of a new job, and reports whether it is readable.
+func (c *Controller) handleJobRecordHint(hint *peer.JobRecordHint) bool {
+	var rec wire.JobRecord
+	if err := wire.Decode(hint.Record, &rec); err != nil || !wire.ValidID(hint.ID) {
+		return false
+	}
+	c.learnJob(hint.ID, rec, hint.ModRevision)
+	return true
+}
+
+// handleAsk answers as the owner of a job, or with 503 if this node is not.
+func (c *Controller) handleAsk(ask peer.Ask, done func(peer.Answer)) {
+	if f, ok := c.jobs.final(ask.ID); ok {
+		done(f.answer())
+		return
+	}
+	j := c.jobs.open[ask.ID]
+	switch {
+	case j == nil && ask.Cancel && wire.ValidID(ask.ID):
+		c.readBeforeCancel(ask, done)
+	case j == nil:
+		done(unavailable())
+	case !c.mayAnswerFromMemory(j):
+		if ask.Cancel {
+			c.stopCancelledTasks(j)
+		}
+		done(unavailable())
+	case ask.Cancel:
+		c.cancelJob(j, done)
+	case j.run.end.unresolved() || !c.mayWait(j):
+		done(unavailable())
+	default:
+		done(c.memoryAnswer(j))
+	}
+}
+
+// readBeforeCancel reads the record of a job that another controller wants cancelled here:
+// the watch may not have brought it yet.
+func (c *Controller) readBeforeCancel(ask peer.Ask, done func(peer.Answer)) {
+	c.readForUser(ask.ID, func(found jobLookup) {
+		_, over := c.jobs.final(ask.ID)
+		j := c.jobs.open[ask.ID]
+		owned := j != nil && j.run != nil
+		if found == lookupFound && (over || owned) {
+			c.handleAsk(ask, done)
+			return
+		}
+		done(unavailable())
+	})
+}
--- a/internal/controller/submission.go
+++ b/internal/controller/submission.go
@@ -158,7 +158,7 @@
 	id := sub.ID
 	if pending := c.jobs.pendingCreations[id]; pending != nil {
 		if len(pending.waiters) >= maxCreationWaiters {
-			done(unavailable)
+			done(unavailable())
 			return
 		}
 		pending.waiters = append(pending.waiters, done)
@@ -168,7 +168,7 @@
 	value, err := wire.Encode(rec)
 	if err != nil {
 		c.log(Error, "job record not encoded", "job", id, "error", err)
-		done(unavailable)
+		done(unavailable())
 		return
 	}
 	c.jobs.pendingCreations[id] = &jobCreation{waiters: []func(peer.Answer){done}}
@@ -211,7 +211,7 @@
 		return
 	}
 	if txnOutcomeOf(r) == txnNotExecuted {
-		c.finishCreation(id, unavailable)
+		c.finishCreation(id, unavailable())
 		return
 	}
 	// A record stands already, or the outcome is unknown: a read resolves it. If there is
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -59,7 +59,7 @@
 			done(peer.Answer{Status: http.StatusNotFound})
 			return
 		}
-		done(unavailable)
+		done(unavailable())
 	})
 }
 
@@ -72,7 +72,7 @@
 	}
 	j := c.jobs.open[id]
 	if j == nil {
-		done(unavailable)
+		done(unavailable())
 		return
 	}
 	if c.mayAnswerFromMemory(j) {
@@ -88,12 +88,12 @@
 	s := c.ownership.shards[j.shard]
 	p := c.peers[s.owner.Label]
 	if s.ownerEpoch == 0 || p == nil {
-		done(unavailable)
+		done(unavailable())
 		return
 	}
 	c.askPeer(p, peer.Ask{ID: j.id, Cancel: true}, peerCancelTimeout, func(a peer.Answer) {
 		if a.Status == http.StatusOK && !isFinalState(a.State) {
-			a = unavailable
+			a = unavailable()
 		}
 		done(a)
 	})
