--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -164,12 +164,12 @@
 
 // namesCancelled reports whether a job that is to be accepted needs one that is cancelled,
 // directly or through others, as far as this node knows.
-func (c *Controller) namesCancelled(sub *wire.Submission) bool {
+func (t *jobTable) namesCancelled(sub *wire.Submission) bool {
 	return slices.ContainsFunc(sub.DependsOn, func(id string) bool {
-		if f, over := c.jobs.final(id); over && f.state == wire.StateCancelled {
+		if f, over := t.final(id); over && f.state == wire.StateCancelled {
 			return true
 		}
-		d := c.jobs.open[id]
+		d := t.open[id]
 		return d != nil && d.dependencyCancelled
 	})
 }
@@ -190,21 +190,21 @@
 	if !watch.ready || c.now-watch.completeAsOf > maxAge {
 		return false
 	}
-	return c.knowsAllNeeded(j)
+	return c.jobs.knowsAllNeeded(j)
 }
 
 // knowsAllNeeded reports whether this node knows the state of everything that a blocked job
 // needs, directly or through others. A cancelled one that left memory may be far above.
-func (c *Controller) knowsAllNeeded(j *job) bool {
+func (t *jobTable) knowsAllNeeded(j *job) bool {
 	visited := map[string]bool{}
 	for stack := []*job{j}; len(stack) > 0; {
 		dependent := stack[len(stack)-1]
 		stack = stack[:len(stack)-1]
 		for id := range dependent.needs {
-			if _, unknown := c.jobs.unknown[id]; unknown {
+			if _, unknown := t.unknown[id]; unknown {
 				return false
 			}
-			if d := c.jobs.open[id]; d != nil && d.blocked() && !visited[id] {
+			if d := t.open[id]; d != nil && d.blocked() && !visited[id] {
 				visited[id] = true
 				stack = append(stack, d)
 			}
--- a/internal/controller/idempotency_test.go
+++ b/internal/controller/idempotency_test.go
@@ -21,71 +21,60 @@
 	return out
 }
 
-// A transaction that was executed may be executed again at any later time, also after its
-// sender has ended. Whatever the controller writes has conditions under which a repeat does
-// nothing: in a run with every kind of write, each is repeated after each later one.
-func TestRepeatedWrites(t *testing.T) {
-	h := newHarness(t, func(c *Config) {
-		c.Shards, c.MaxMachines = 2, 100
-		c.Teams = []Team{{Name: "t", CPUs: 8}, {Name: "u", CPUs: 4}}
-	})
-	check := func(after string) {
-		t.Helper()
-		before := h.modRevisionsOf()
-		for _, txn := range slices.Clone(h.done) {
-			if status, _ := h.txn(txn); status != 200 {
-				continue
-			}
-			id, isCheckpoint := strings.CutPrefix(txn.Then[0].Put, wire.PrefixCheckpoint)
-			if _, over := h.c.jobs.final(id); isCheckpoint && len(txn.Then) == 1 && over {
-				delete(h.keys, txn.Then[0].Put) // nobody asks for the checkpoint of a job that is over
-				continue
-			}
-			t.Errorf("after %s: a repeat of %v is applied", after, txn.Then)
+// checkRepeatsDoNothing executes all transactions so far again, and fails if the store
+// changes.
+func (h *harness) checkRepeatsDoNothing(after string) {
+	h.t.Helper()
+	before := h.modRevisionsOf()
+	for _, txn := range slices.Clone(h.done) {
+		if status, _ := h.txn(txn); status != 200 {
+			continue
 		}
-		if !maps.Equal(before, h.modRevisionsOf()) {
-			t.Fatalf("after %s the store has changed", after)
+		id, isCheckpoint := strings.CutPrefix(txn.Then[0].Put, wire.PrefixCheckpoint)
+		if _, over := h.c.jobs.final(id); isCheckpoint && len(txn.Then) == 1 && over {
+			delete(h.keys, txn.Then[0].Put) // nobody reads the checkpoint of a job that is over
+			continue
 		}
+		h.t.Errorf("after %s: a repeat of %v is applied", after, txn.Then)
 	}
-	check("the claims")
-	tokens := map[string]uint64{}
-	for i := range 3 {
-		tokens[machineName(i)] = h.reconcile(machineName(i))
+	if !maps.Equal(before, h.modRevisionsOf()) {
+		h.t.Fatalf("after %s the store has changed", after)
 	}
-	check("assignment")
-	h.c.fleet.planNext = micros.Never // idle machines stay for now
-	h.submit(jobOf("job-000001", 2))
-	h.submit(jobOf("job-000002", 400))
-	check("accepting")
+}
+
+// runOnMachines has each of n machines start the tasks that it is given, and report their
+// ends.
+func (h *harness) runOnMachines(n int, tokens map[string]uint64) {
+	h.t.Helper()
 	h.dropCalls()
-	for i := range 3 { // the first job's tasks run and end
+	for i := range n {
 		id := machineName(i)
 		_, body := h.heartbeat(heartbeatFrom(id, 1, 10, tokens[id]))
 		cmds := starts(body.Commands)
 		h.heartbeat(heartbeatFrom(id, 1, 11, tokens[id], shown(cmds, wire.TaskRunning)...))
-		var ends []wire.TaskStatus
-		for _, r := range shown(cmds, wire.TaskExited) {
-			r.ExitReason = wire.ExitDone
-			ends = append(ends, r)
-		}
 		h.run(sec)
 		h.dropCalls()
-		h.heartbeat(heartbeatFrom(id, 1, 12, tokens[id], ends...))
+		h.heartbeat(heartbeatFrom(id, 1, 12, tokens[id], shownDone(cmds)...))
 		h.run(3 * sec) // checkpoints
 		h.dropCalls()
 	}
-	if h.state("job-000001") != wire.StateDone {
-		t.Fatalf("the first job is %q", h.state("job-000001"))
-	}
-	if len(slices.DeleteFunc(sortedKeys(h.keys), func(k string) bool { return len(k) < 8 || k[:8] != wire.PrefixCheckpoint })) == 0 {
-		t.Fatal("no checkpoint was recorded")
-	}
-	check("an end and checkpoints")
-	if a := h.ask(func(r ReplyID) Input { return CancelRequest{Reply: r, ID: "job-000002"} }); a.Status != 200 {
-		t.Fatalf("cancelled: %d", a.Status)
+}
+
+// checkpointsStored counts the checkpoints in the store.
+func (h *harness) checkpointsStored() int {
+	n := 0
+	for key := range h.keys {
+		if strings.HasPrefix(key, wire.PrefixCheckpoint) {
+			n++
+		}
 	}
-	check("a cancellation")
-	// One machine moves, one retires, and the record set of the third is rewritten.
+	return n
+}
+
+// moveRetireAndRewrite moves the first of three machines to the other shard, retires the
+// second, and has the record set of the third rewritten.
+func (h *harness) moveRetireAndRewrite(tokens map[string]uint64) {
+	h.t.Helper()
 	h.run(3 * sec)
 	moved, retired := h.c.machines[machineName(0)], h.c.machines[machineName(1)]
 	for i := range 3 { // empty again
@@ -98,14 +87,18 @@
 	h.c.release(peer.Release{Machines: []string{retired.id}, Retire: true})
 	h.run(2 * sec)
 	if h.c.machines[moved.id].rec.Shard == from || !retired.rec.Cordoned {
-		t.Fatalf("moved %v, retired %v", h.c.machines[moved.id].rec.Shard != from, retired.rec.Cordoned)
+		h.t.Fatalf("moved %v, retired %v", h.c.machines[moved.id].rec.Shard != from, retired.rec.Cordoned)
 	}
 	third := h.c.machines[machineName(2)]
 	h.c.raiseFencingToken(h.c.ownership.shards[third.rec.Shard], third)
 	h.run(sec)
-	check("moves, a retirement and a rewrite")
+}
+
+// returnIdleMachines lets time pass until all machines are returned.
+func (h *harness) returnIdleMachines() {
+	h.t.Helper()
 	h.c.fleet.planNext = h.now
-	for seq := uint64(40); seq < 80; seq++ { // what idles is returned and leaves the record
+	for seq := uint64(40); seq < 80; seq++ {
 		h.run(sec)
 		h.dropCalls()
 		for _, id := range sortedKeys(h.c.machines) {
@@ -114,9 +107,44 @@
 		}
 	}
 	if len(h.c.machines) != 0 {
-		t.Fatalf("%d machines are left", len(h.c.machines))
+		h.t.Fatalf("%d machines are left", len(h.c.machines))
+	}
+}
+
+// A transaction that was executed may be executed again at any later time, also after its
+// sender has ended. Whatever the controller writes has conditions under which a repeat does
+// nothing: in a run with every kind of write, each is repeated after each later one.
+func TestRepeatedWrites(t *testing.T) {
+	h := newHarness(t, func(c *Config) {
+		c.Shards, c.MaxMachines = 2, 100
+		c.Teams = []Team{{Name: "t", CPUs: 8}, {Name: "u", CPUs: 4}}
+	})
+	h.checkRepeatsDoNothing("the claims")
+	tokens := map[string]uint64{}
+	for i := range 3 {
+		tokens[machineName(i)] = h.reconcile(machineName(i))
+	}
+	h.checkRepeatsDoNothing("assignment")
+	h.c.fleet.planNext = micros.Never // idle machines stay for now
+	h.submit(jobOf("job-000001", 2))
+	h.submit(jobOf("job-000002", 400))
+	h.checkRepeatsDoNothing("accepting")
+	h.runOnMachines(3, tokens)
+	if h.state("job-000001") != wire.StateDone {
+		t.Fatalf("the first job is %q", h.state("job-000001"))
+	}
+	if h.checkpointsStored() == 0 {
+		t.Fatal("no checkpoint was recorded")
+	}
+	h.checkRepeatsDoNothing("an end and checkpoints")
+	if a := h.ask(func(r ReplyID) Input { return CancelRequest{Reply: r, ID: "job-000002"} }); a.Status != 200 {
+		t.Fatalf("cancelled: %d", a.Status)
 	}
-	check("the end of all machines")
+	h.checkRepeatsDoNothing("a cancellation")
+	h.moveRetireAndRewrite(tokens)
+	h.checkRepeatsDoNothing("moves, a retirement and a rewrite")
+	h.returnIdleMachines()
+	h.checkRepeatsDoNothing("the end of all machines")
 	kinds := map[string]bool{}
 	for _, txn := range h.done {
 		for _, c := range txn.Then {
--- a/internal/controller/submission.go
+++ b/internal/controller/submission.go
@@ -182,7 +182,7 @@
 // when the other may have been cancelled long ago.
 func (c *Controller) newJobRecord(sub *wire.Submission) wire.JobRecord {
 	rec := wire.NewJobRecord(sub, c.wall.Millis())
-	if !c.namesCancelled(sub) {
+	if !c.jobs.namesCancelled(sub) {
 		return rec
 	}
 	return wire.JobRecord{
