--- a/internal/controller/attempt_end.go
+++ b/internal/controller/attempt_end.go
@@ -24,14 +24,14 @@
 	}
 	delete(j.run.active, att.index)
 	c.schedulingDue = true
-	if j.run.done.has(att.index) {
+	if j.run.done.Has(att.index) {
 		return
 	}
 	j.requeue(att.index)
 	s := c.ownership.shards[j.shard]
 	s.firstWaiting = min(s.firstWaiting, j.queuePosition)
 	if lost {
-		c.recordRecovery(j)
+		j.run.checkpoint.addRecovery(c.wall)
 		c.log(Debug, "task lost, restarting from the newest checkpoint", "task", wire.TaskName(j.id, att.index), "machine", att.machine.id)
 	}
 }
@@ -109,5 +109,5 @@
 	}
 	runTime := c.now - att.runAt
 	c.noteSpeed(att.machine, att.job, runTime)
-	c.estimates.learn(att.job.sub, runTime)
+	c.estimates.Learn(att.job.sub, runTime)
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -9,6 +9,7 @@
 	"slices"
 
 	"garnethitch/internal/controller/authority"
+	"garnethitch/internal/controller/estimate"
 	"garnethitch/internal/controller/ownership"
 	"garnethitch/internal/controller/reachability"
 	"garnethitch/internal/controller/statestore"
@@ -56,7 +57,7 @@
 
 	types          map[string]wire.MachineType
 	typeIndex      typeIndex
-	estimates      estimates
+	estimates      estimate.RunTimes
 	preemption     preemptionBudget
 	prefetchImages prefetchImages
 	scratch        []scored
@@ -113,7 +114,7 @@
 	c.jobs.init(cfg.MaxFinalJobs)
 	c.cascade.init()
 	c.fleet.init(cfg)
-	c.estimates.init()
+	c.estimates = estimate.NewRunTimes()
 	c.quota.tree = cfg.Quota
 	if cfg.Quota != nil {
 		c.enableQuota()
--- a/internal/controller/machine_health.go
+++ b/internal/controller/machine_health.go
@@ -212,7 +212,7 @@
 	if sub.CheckpointS > 0 && left > micros.FromSeconds(sub.SaveS)+drainSaveMargin {
 		return stopGraceful
 	}
-	if att.state == attemptRunning && c.estimates.expect(sub)-(c.now-att.runAt) > left {
+	if att.state == attemptRunning && c.estimates.Expect(sub)-(c.now-att.runAt) > left {
 		return stopImmediate
 	}
 	return stopNone
@@ -233,7 +233,7 @@
 
 // noteSpeed compares a run time with what the job's class led to expect.
 func (c *Controller) noteSpeed(m *machine, j *job, runTime micros.Micros) {
-	expected := c.estimates.expect(j.sub)
+	expected := c.estimates.Expect(j.sub)
 	if expected <= 0 || runTime <= 0 {
 		return
 	}
--- a/internal/controller/machine_maintenance.go
+++ b/internal/controller/machine_maintenance.go
@@ -2,7 +2,6 @@
 
 import (
 	"garnethitch/internal/peer"
-	"garnethitch/internal/wire"
 )
 
 // maintainMachines does what time alone brings to the machines of this node's shards.
@@ -18,7 +17,7 @@
 		c.splitOneRecordSet(s)
 		c.releaseByPlan(c.maintainShardMachines(s))
 		if s.active && !s.checkpointsLoaded && !s.loadingCheckpoints && c.leaseValid() {
-			c.loadCheckpoints(s, "", map[string]wire.CheckpointRecord{}, map[string]uint64{})
+			c.loadCheckpoints(s)
 		}
 	}
 }
--- a/internal/controller/ownership.go
+++ b/internal/controller/ownership.go
@@ -3,6 +3,7 @@
 import (
 	"strconv"
 
+	"garnethitch/internal/controller/estimate"
 	"garnethitch/internal/controller/ownership"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/wire"
@@ -44,7 +45,7 @@
 	// highestSeenEpoch is the highest epoch of another owner that this node heard of; it never
 	// acts below it.
 	highestSeenEpoch uint64
-	arrivals         rateMeter
+	arrivals         estimate.RateMeter
 }
 
 // ownershipState is what a node knows of the locks in the state service, and of its own lease.
--- a/internal/controller/state_requests.go
+++ b/internal/controller/state_requests.go
@@ -70,9 +70,10 @@
 	return c.reads.Waiting() == 0 && c.stateQueue.HasSpareRequests(c.now)
 }
 
-// readForUser reads a job's record for a user. done is called with 200, 404 or
-// statestore.NoAnswer.
-func (c *Controller) readForUser(id string, done func(status int)) { c.reads.Ask(c.now, id, done) }
+// readForUser reads a job's record for a user.
+func (c *Controller) readForUser(id string, done func(statestore.Lookup)) {
+	c.reads.Ask(c.now, id, done)
+}
 
 // retryAfter returns after how many seconds a user who is refused now is to try again.
 func (c *Controller) retryAfter() int { return c.reads.RetryAfter() }
--- a/internal/controller/statestore/reads_test.go
+++ b/internal/controller/statestore/reads_test.go
@@ -1,24 +1,35 @@
 package statestore
 
 import (
+	"net/http"
 	"testing"
 
 	"garnethitch/internal/micros"
 )
 
-// newTestReads returns reads whose replies' status is passed on, with a queue that lets a second's
-// 100 requests through at once.
+// newTestReads returns reads, with a queue that lets a second's 100 requests through at once.
 func newTestReads(maxRecords int) (*Reads, *Queue) {
 	q := testQueue(100, 10)
 	return NewReads(ReadsConfig{
 		Queue:      q,
 		MaxRecords: maxRecords,
 		NewRequest: func(id string) any { return id },
-		Learn:      func(r Reply) int { return r.Status },
+		Learn:      lookupByStatus,
 		Defer:      func(f func()) { f() },
 	}), q
 }
 
+// lookupByStatus returns what a reply found by its status alone.
+func lookupByStatus(r Reply) Lookup {
+	switch r.Status {
+	case http.StatusOK:
+		return LookupFound
+	case http.StatusNotFound:
+		return LookupMissing
+	}
+	return LookupFailed
+}
+
 // sendNext sends the read whose turn it is.
 func sendNext(t *testing.T, r *Reads, q *Queue, now micros.Micros) Request {
 	t.Helper()
@@ -36,7 +47,7 @@
 	r, q := newTestReads(10)
 	var answers []string
 	ask := func(name string) {
-		r.Ask(0, "a", func(status int) { answers = append(answers, name) })
+		r.Ask(0, "a", func(Lookup) { answers = append(answers, name) })
 	}
 	ask("first")
 	ask("second")
@@ -66,7 +77,7 @@
 // answer.
 func TestReadsTurns(t *testing.T) {
 	r, q := newTestReads(10)
-	ask := func(now micros.Micros, id string) { r.Ask(now, id, func(int) {}) }
+	ask := func(now micros.Micros, id string) { r.Ask(now, id, func(Lookup) {}) }
 	ask(0, "old")
 	late := ReadTimeout + 1
 	ask(late-2, "new")
@@ -83,9 +94,9 @@
 // Past each bound a question is refused, and counted where its record has a place.
 func TestReadsBounds(t *testing.T) {
 	refused := func(r *Reads, now micros.Micros, id string) bool {
-		status := -1
-		r.Ask(now, id, func(got int) { status = got })
-		return status == NoAnswer
+		status := Lookup(-1)
+		r.Ask(now, id, func(got Lookup) { status = got })
+		return status == LookupFailed
 	}
 	t.Run("records", func(t *testing.T) {
 		r, _ := newTestReads(2)
@@ -120,13 +131,13 @@
 	})
 	t.Run("time", func(t *testing.T) {
 		r, q := newTestReads(2)
-		status := -1
-		r.Ask(0, "a", func(got int) { status = got })
+		status := Lookup(-1)
+		r.Ask(0, "a", func(got Lookup) { status = got })
 		if r.Offer(ReadTimeout); status != -1 {
 			t.Error("refused before the timeout")
 		}
-		if r.Offer(ReadTimeout + 1); status != NoAnswer {
-			t.Errorf("status %d after the timeout, want no answer", status)
+		if r.Offer(ReadTimeout + 1); status != LookupFailed {
+			t.Errorf("found %v after the timeout, want no answer", status)
 		}
 		if got := q.Metrics(0)[ClassQuestion].Expired; got != 1 {
 			t.Errorf("%d counted as expired, want 1", got)
--- a/internal/controller/task_adoption.go
+++ b/internal/controller/task_adoption.go
@@ -40,7 +40,7 @@
 		// It is not known yet which tasks are done: see reconcileAfterCheckpointLoad.
 	case att.state == attemptExited:
 		c.adoptExitedTask(j, att)
-	case j.run.active[att.index] != nil || j.run.done.has(att.index):
+	case j.run.active[att.index] != nil || j.run.done.Has(att.index):
 		c.stopSurplusAttempt(j, att)
 	default:
 		c.trackAttempt(j, att)
@@ -92,7 +92,7 @@
 	if att.state == attemptRunning {
 		att.machine.view.images[j.sub.Image] = true
 	}
-	if j.run.endState == wire.StateCancelled {
+	if j.run.end.state == wire.StateCancelled {
 		c.stop(att, stopImmediate)
 	}
 }
