--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -60,8 +60,8 @@
 	return c.Do(ctx, client.Call{
 		Addr:        addr,
 		Method:      http.MethodPost,
-		Target:      "/peer",
-		ContentType: "application/msgpack",
+		Target:      peer.Path,
+		ContentType: peer.ContentType,
 		Body:        body,
 		Timeout:     timeout,
 	})
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -11,6 +11,12 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
+// Path is where a controller takes a Request, at its internal address.
+const Path = "/peer"
+
+// ContentType is the media type of every message in this package.
+const ContentType = "application/msgpack"
+
 // MaxMessage is the most that a controller takes as one message, in bytes. What grows
 // with the fleet, the rows of Demand above all, is bounded so that it fits.
 const MaxMessage = 1 << 20
--- /dev/null
+++ b/internal/runtime/calls.go
@@ -0,0 +1,133 @@
+package runtime
+
+import (
+	"errors"
+
+	"garnethitch/internal/client"
+	"garnethitch/internal/controller"
+	"garnethitch/internal/http1"
+)
+
+// cloudPart of the connections to services may be in use for calls to the cloud.
+const cloudPart = 8
+
+// callsPerWorkerRequest: beside the requests that the controller counts, as many again may
+// still be under way.
+const callsPerWorkerRequest = 2
+
+// callCounts are numbers of calls by target.
+type callCounts [controller.ToPeer + 1]int
+
+// callLimits bounds the calls under way to each target: one that does not answer must not
+// keep the lease from being renewed.
+type callLimits struct {
+	most     callCounts
+	underway callCounts
+}
+
+func newCallLimits(sizes Sizes) callLimits {
+	return callLimits{most: callCounts{
+		controller.ToState:  sizes.StateCalls,
+		controller.ToCloud:  sizes.Services / cloudPart,
+		controller.ToWorker: callsPerWorkerRequest * sizes.Asks,
+		controller.ToPeer:   sizes.PeerCalls,
+	}}
+}
+
+// acquire counts a call to a target as under way, and reports false if it may have none more.
+func (l *callLimits) acquire(to controller.Target) bool {
+	if l.underway[to] >= l.most[to] {
+		return false
+	}
+	l.underway[to]++
+	return true
+}
+
+// release takes back an acquire.
+func (l *callLimits) release(to controller.Target) { l.underway[to]-- }
+
+// startCall makes a call in the background and feeds its result back.
+func (rt *Runtime) startCall(call controller.Call) {
+	if !rt.limits.acquire(call.To) {
+		go rt.step(controller.Result{ID: call.ID, NotSent: true})
+		return
+	}
+	go func() {
+		result := rt.makeCall(call)
+		result.ID = call.ID
+		rt.mu.Lock()
+		defer rt.mu.Unlock()
+		rt.limits.release(call.To)
+		rt.stepLocked(result)
+	}()
+}
+
+// makeCall makes a call. Anything that is not a well-formed answer counts as none.
+func (rt *Runtime) makeCall(call controller.Call) controller.Result {
+	request, err := rt.request(call)
+	if err != nil {
+		rt.log.Error("request not encoded", "error", err)
+		return controller.Result{NotSent: true}
+	}
+	caller := rt.clientFor(call.To)
+	msg, err := caller.Do(rt.ctx, request)
+	if err != nil {
+		rt.log.Debug("no answer", "method", request.Method, "target", request.Target, "addr", request.Addr, "error", err)
+		return resultOfError(caller, request.Addr, err)
+	}
+	result, err := decodeResult(call, msg)
+	if err != nil {
+		rt.log.Error("answer not readable", "method", request.Method, "target", request.Target, "status", msg.Status, "error", err)
+		return controller.Result{}
+	}
+	return result
+}
+
+// resultOfError is the result of a call without an answer. Idle connections to an address
+// that did not answer are closed, since they may be as dead as the one that was used.
+func resultOfError(caller *client.Client, addr string, err error) controller.Result {
+	if errors.Is(err, http1.ErrBodyTooLarge) {
+		return controller.Result{Status: controller.TooLarge}
+	}
+	if !errors.Is(err, client.ErrBusy) {
+		caller.CloseIdle(addr)
+	}
+	return controller.Result{NotSent: errors.Is(err, client.ErrNotSent)}
+}
+
+// request returns the HTTP form of a call.
+func (rt *Runtime) request(call controller.Call) (client.Call, error) {
+	encoded, err := EncodeCall(call)
+	if err != nil {
+		return client.Call{}, err
+	}
+	return client.Call{
+		Addr:        rt.address(call),
+		Method:      encoded.Method,
+		Target:      encoded.Target,
+		ContentType: encoded.ContentType,
+		Body:        encoded.Body,
+		Timeout:     call.Timeout.Duration(),
+	}, nil
+}
+
+func (rt *Runtime) clientFor(to controller.Target) *client.Client {
+	if to == controller.ToWorker {
+		return rt.workers
+	}
+	return rt.services
+}
+
+// address is where a call is sent to.
+func (rt *Runtime) address(call controller.Call) string {
+	switch call.To {
+	case controller.ToState:
+		return rt.set.Endpoints.State
+	case controller.ToCloud:
+		return rt.set.Endpoints.Cloud
+	case controller.ToPeer:
+		return rt.peers[call.Addr]
+	default:
+		return call.Addr
+	}
+}
--- /dev/null
+++ b/internal/runtime/requests.go
@@ -0,0 +1,126 @@
+package runtime
+
+import (
+	"errors"
+	"fmt"
+	"net/http"
+
+	"garnethitch/internal/controller"
+	"garnethitch/internal/peer"
+	"garnethitch/internal/wire"
+)
+
+// ErrUnknownRequest is returned, wrapped, for a call whose request has no HTTP form.
+var ErrUnknownRequest = errors.New("runtime: request of unknown type")
+
+// EncodedCall is the HTTP form of a call without its address.
+type EncodedCall struct {
+	Method      string
+	Target      string // path and query
+	ContentType string // empty without a Body
+	Body        []byte
+}
+
+// EncodeCall returns the HTTP form of a call. It is a pure function. The error is
+// ErrUnknownRequest, or that of the encoder.
+func EncodeCall(call controller.Call) (EncodedCall, error) {
+	if call.To == controller.ToPeer {
+		return encodePeerCall(call.Req)
+	}
+	form, err := formOf(call.Req)
+	if err != nil {
+		return EncodedCall{}, err
+	}
+	encoded := EncodedCall{Method: form.method, Target: form.target}
+	if form.payload == nil {
+		return encoded, nil
+	}
+	encoded.ContentType = wire.ContentType
+	encoded.Body, err = wire.Encode(form.payload)
+	return encoded, err
+}
+
+func encodePeerCall(request any) (EncodedCall, error) {
+	body, err := peer.Encode(request)
+	return EncodedCall{
+		Method:      http.MethodPost,
+		Target:      peer.Path,
+		ContentType: wire.ContentType, // receivers look at the body alone
+		Body:        body,
+	}, err
+}
+
+// EncodeAnswer returns the content type and the encoded form of an answer's body, which
+// may be nil. It is a pure function.
+func EncodeAnswer(body any) (contentType string, encoded []byte, err error) {
+	if body == nil {
+		return wire.ContentType, nil, nil
+	}
+	if response, ok := body.(*peer.Response); ok {
+		encoded, err = peer.Encode(response)
+		return peer.ContentType, encoded, err
+	}
+	encoded, err = wire.Encode(body)
+	return wire.ContentType, encoded, err
+}
+
+// requestForm is a request whose body, if it has one, is not encoded yet.
+type requestForm struct {
+	method  string
+	target  string
+	payload any
+}
+
+func getForm(target string) requestForm {
+	return requestForm{method: http.MethodGet, target: target}
+}
+
+func postForm(target string, payload any) requestForm {
+	return requestForm{method: http.MethodPost, target: target, payload: payload}
+}
+
+// formOf returns the form of a request to the state service, the cloud or a worker. The
+// answers to the same requests stand in decodeServiceAnswer.
+func formOf(request any) (requestForm, error) {
+	switch r := request.(type) {
+	// To the state service.
+	case wire.Txn:
+		return postForm(wire.PathTxn, withConditionList(r)), nil
+	case wire.NewLease:
+		return postForm(wire.PathLeases, r), nil
+	case controller.RenewLease:
+		return postForm(wire.RenewLeasePath(r.Lease), nil), nil
+	case controller.GetKey:
+		return getForm(wire.KeyPath(r.Key)), nil
+	case controller.ListKeys:
+		return getForm(wire.ListKeysTarget(r.Prefix, r.After, r.Limit)), nil
+	case controller.Watch:
+		return getForm(wire.WatchTarget(r.Prefix, r.Since, r.WaitMS)), nil
+
+	// To the cloud.
+	case controller.GetTypes:
+		return getForm(wire.PathMachineTypes), nil
+	case controller.ListMachines:
+		return getForm(wire.ListMachinesTarget(r.After, r.Limit)), nil
+	case controller.ReturnMachines:
+		return postForm(wire.PathReturnMachines, wire.MachineNames{Machines: r.Machines}), nil
+	case wire.Rental:
+		return postForm(wire.PathMachines, r), nil
+
+	// To a worker.
+	case wire.DirectCommand:
+		return postForm(wire.PathDirectCommand, r), nil
+	case controller.GetHeartbeat:
+		return getForm(wire.PathShowHeartbeat), nil
+	}
+	return requestForm{}, fmt.Errorf("%w %T", ErrUnknownRequest, request)
+}
+
+// withConditionList returns a transaction whose list of conditions is written as an empty
+// list rather than as null when there are none.
+func withConditionList(txn wire.Txn) wire.Txn {
+	if txn.If == nil {
+		txn.If = []wire.Condition{}
+	}
+	return txn
+}
--- /dev/null
+++ b/internal/runtime/routes.go
@@ -0,0 +1,155 @@
+package runtime
+
+import (
+	"net/http"
+
+	"garnethitch/internal/controller"
+	"garnethitch/internal/peer"
+	"garnethitch/internal/server"
+	"garnethitch/internal/wire"
+)
+
+// route is how requests to a path are handled.
+type route struct {
+	method string
+	handle func(rt *Runtime, req server.Request)
+}
+
+// routeOf returns the route of a path at the public address. The protocol's sections are
+// "Users -> controller nodes" and "Workers -> controller nodes".
+func routeOf(path string) (route, bool) {
+	switch path {
+	case wire.PathHeartbeat:
+		return route{http.MethodPost, (*Runtime).handleHeartbeat}, true
+	case wire.PathReadiness:
+		return route{http.MethodGet, (*Runtime).handleReadiness}, true
+	case wire.PathSubmissions:
+		return route{http.MethodPost, (*Runtime).handleSubmission}, true
+	}
+	switch _, action := wire.ParseJobPath(path); action {
+	case wire.JobStatus:
+		return route{http.MethodGet, (*Runtime).handleJobStatus}, true
+	case wire.CancelJob:
+		return route{http.MethodPost, (*Runtime).handleCancel}, true
+	}
+	return route{}, false
+}
+
+// internalRouteOf returns the route of a path at the internal address.
+func internalRouteOf(path string) (route, bool) {
+	return route{http.MethodPost, (*Runtime).handlePeer}, path == peer.Path
+}
+
+// handle routes a request.
+func (rt *Runtime) handle(req server.Request) {
+	find := routeOf
+	if req.Listener == internalListener {
+		req.ExemptFromEviction()
+		find = internalRouteOf
+	}
+	route, found := find(req.Message.Path)
+	switch {
+	case !found:
+		req.Reply().Send(server.Response{Status: http.StatusNotFound})
+	case req.Message.Method != route.method:
+		req.Reply().Send(server.Response{Status: http.StatusMethodNotAllowed})
+	default:
+		route.handle(rt, req)
+	}
+}
+
+// handleHeartbeat exempts workers' connections from eviction: users find another node at
+// once, but a worker that is turned away from one after the other loses its lease.
+func (rt *Runtime) handleHeartbeat(req server.Request) {
+	req.ExemptFromEviction()
+	heartbeat, err := rt.heartbeats.Parse(req.Message.Body)
+	if err != nil {
+		rt.log.Debug("heartbeat not readable", "error", err)
+		req.Reply().Send(server.Response{Status: http.StatusBadRequest})
+		return
+	}
+	rt.stepWithReply(req.Reply(), func(id controller.ReplyID) controller.Input {
+		return controller.Heartbeat{Reply: id, Heartbeat: heartbeat}
+	})
+}
+
+func (rt *Runtime) handleReadiness(req server.Request) {
+	rt.stepWithReply(req.Reply(), func(id controller.ReplyID) controller.Input {
+		return controller.ReadinessRequest{Reply: id}
+	})
+}
+
+// handleSubmission leaves the answer to a malformed submission to the controller: it may
+// know the job already.
+func (rt *Runtime) handleSubmission(req server.Request) {
+	submission, err := wire.ParseSubmission(req.Message.Body)
+	rt.stepWithReply(req.Reply(), func(id controller.ReplyID) controller.Input {
+		return controller.SubmitRequest{Reply: id, Job: submission, Err: err}
+	})
+}
+
+func (rt *Runtime) handleJobStatus(req server.Request) {
+	job, _ := wire.ParseJobPath(req.Message.Path)
+	rt.stepWithReply(req.Reply(), func(id controller.ReplyID) controller.Input {
+		return controller.JobStatusRequest{Reply: id, ID: job}
+	})
+}
+
+func (rt *Runtime) handleCancel(req server.Request) {
+	job, _ := wire.ParseJobPath(req.Message.Path)
+	rt.stepWithReply(req.Reply(), func(id controller.ReplyID) controller.Input {
+		return controller.CancelRequest{Reply: id, ID: job}
+	})
+}
+
+func (rt *Runtime) handlePeer(req server.Request) {
+	var request peer.Request
+	if err := peer.Decode(req.Message.Body, &request); err != nil {
+		rt.log.Debug("peer message not readable", "error", err)
+		req.Reply().Send(server.Response{Status: http.StatusBadRequest})
+		return
+	}
+	rt.stepWithReply(req.Reply(), func(id controller.ReplyID) controller.Input {
+		return controller.PeerRequest{Reply: id, Req: request}
+	})
+}
+
+// waitingRequest is a request that waits for the controller's answer.
+type waitingRequest struct {
+	reply     *server.Reply
+	heartbeat bool // it is a worker's
+}
+
+// stepWithReply feeds the controller the input of a request, made with the id under which
+// the controller is to answer.
+func (rt *Runtime) stepWithReply(reply *server.Reply, inputOf func(controller.ReplyID) controller.Input) {
+	rt.mu.Lock()
+	defer rt.mu.Unlock()
+	rt.nextID++
+	in := inputOf(rt.nextID)
+	_, heartbeat := in.(controller.Heartbeat)
+	rt.replies[rt.nextID] = waitingRequest{reply: reply, heartbeat: heartbeat}
+	rt.stepLocked(in)
+}
+
+// answer sends the controller's answer to a request.
+func (rt *Runtime) answer(a controller.Answer) {
+	waiting, ok := rt.replies[a.Reply]
+	if !ok {
+		return
+	}
+	delete(rt.replies, a.Reply)
+	contentType, body, err := EncodeAnswer(a.Body)
+	if err != nil {
+		rt.log.Error("answer not encoded", "error", err)
+		waiting.reply.Send(server.Response{Status: http.StatusServiceUnavailable, RetryAfterSeconds: encodingErrorRetryS})
+		return
+	}
+	waiting.reply.Send(server.Response{
+		Status:            a.Status,
+		ContentType:       contentType,
+		Body:              body,
+		RetryAfterSeconds: a.RetryAfterS,
+		CloseIfCrowded:    waiting.heartbeat,
+	})
+}
--- a/internal/runtime/runtime_test.go
+++ b/internal/runtime/runtime_test.go
@@ -123,7 +123,7 @@
 	sz := SizesOf(set)
 	rt := New(set, config.Defaults(), nil, 1)
 	sum := 0
-	for side, most := range rt.most {
+	for side, most := range rt.limits.most {
 		if most < 2 {
 			t.Errorf("side %d may have %d calls", side, most)
 		}
--- /dev/null
+++ b/internal/wire/paths.go
@@ -0,0 +1,116 @@
+package wire
+
+import (
+	"net/url"
+	"strconv"
+	"strings"
+)
+
+// ContentType is the media type of every body in this package.
+const ContentType = "application/cbor"
+
+// Paths that a controller serves (protocol: "Users -> controller nodes" and "Workers ->
+// controller nodes").
+const (
+	PathHeartbeat   = "/checkin"
+	PathReadiness   = "/ready"
+	PathSubmissions = "/submissions"
+)
+
+// Paths that a worker serves (protocol: "Controller nodes -> workers").
+const (
+	PathDirectCommand = "/orders"
+	PathShowHeartbeat = "/show"
+)
+
+// Paths that the cloud serves (protocol: "Controller nodes -> cloud").
+const (
+	PathMachineTypes   = "/flavors"
+	PathMachines       = "/rentals"
+	PathReturnMachines = "/rentals/return"
+)
+
+// Paths that the state service serves (protocol: "Controller nodes -> state service").
+const (
+	PathKeys   = "/keys"
+	PathTxn    = "/multi"
+	PathLeases = "/grants"
+	PathWatch  = "/watch"
+)
+
+const (
+	cancelSuffix = "/withdraw" // of a job's path
+	renewSuffix  = "/extend"   // of a lease's path
+)
+
+// Names of query parameters.
+const (
+	queryPrefix = "starts"
+	queryAfter  = "since" // of a listing: the key or name before the first one
+	querySince  = "since" // of a watch: the revision before the first one
+	queryLimit  = "most"
+	queryWaitMS = "blockMs"
+)
+
+// JobAction is what a user asks for about one job.
+type JobAction int
+
+// The actions that a path below PathSubmissions can name.
+const (
+	NoJobAction JobAction = iota // the path names no job
+	JobStatus
+	CancelJob
+)
+
+// ParseJobPath returns the job and the action that a path below PathSubmissions names. The
+// id may have any form.
+func ParseJobPath(path string) (id string, action JobAction) {
+	id, ok := strings.CutPrefix(path, PathSubmissions+"/")
+	if !ok {
+		return "", NoJobAction
+	}
+	if cancelID, ok := strings.CutSuffix(id, cancelSuffix); ok && !strings.Contains(cancelID, "/") {
+		return cancelID, CancelJob
+	}
+	if id == "" || strings.Contains(id, "/") {
+		return "", NoJobAction
+	}
+	return id, JobStatus
+}
+
+// RenewLeasePath is the path that renews a lease.
+func RenewLeasePath(lease uint64) string {
+	return PathLeases + "/" + strconv.FormatUint(lease, 10) + renewSuffix
+}
+
+// KeyPath is the path of a key, whose slashes stay as they are.
+func KeyPath(key string) string { return PathKeys + "/" + key }
+
+// ListKeysTarget is the path and query of a page of at most limit keys with a prefix. The
+// page begins after a key; empty: with the first one.
+func ListKeysTarget(prefix, after string, limit int) string {
+	target := PathKeys + "?" + queryPrefix + "=" + url.QueryEscape(prefix) +
+		"&" + queryLimit + "=" + strconv.Itoa(limit)
+	return appendAfter(target, after)
+}
+
+// WatchTarget is the path and query of a watch for changes after a revision to keys with a
+// prefix, which waits for at most waitMS milliseconds.
+func WatchTarget(prefix string, since uint64, waitMS int64) string {
+	return PathWatch + "?" + queryPrefix + "=" + url.QueryEscape(prefix) +
+		"&" + querySince + "=" + strconv.FormatUint(since, 10) +
+		"&" + queryWaitMS + "=" + strconv.FormatInt(waitMS, 10)
+}
+
+// ListMachinesTarget is the path and query of a page of at most limit machines. The page
+// begins after a machine; empty: with the first one.
+func ListMachinesTarget(after string, limit int) string {
+	return appendAfter(PathMachines+"?"+queryLimit+"="+strconv.Itoa(limit), after)
+}
+
+func appendAfter(target, after string) string {
+	if after == "" {
+		return target
+	}
+	return target + "&" + queryAfter + "=" + url.QueryEscape(after)
+}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -216,6 +216,11 @@
 	Count   int    `cbor:"count"`
 }
 
+// Refusal is the body of a 503 from the cloud.
+type Refusal struct {
+	Error string `cbor:"error"`
+}
+
 // MachineNames is a list of machines, rented or to be returned.
 type MachineNames struct {
 	Machines []string `cbor:"posts"`
