--- a/internal/runtime/calls.go
+++ b/internal/runtime/calls.go
@@ -28,8 +28,8 @@
 func newCallLimits(sizes Sizes) callLimits {
 	return callLimits{most: callCounts{
 		controller.ToState:  sizes.StateCalls,
-		controller.ToCloud:  sizes.Services / cloudPart,
-		controller.ToWorker: callsPerWorkerRequest * sizes.Asks,
+		controller.ToCloud:  sizes.ServiceConns / cloudPart,
+		controller.ToWorker: callsPerWorkerRequest * sizes.WorkerCalls,
 		controller.ToPeer:   sizes.PeerCalls,
 	}}
 }
--- a/internal/runtime/meter.go
+++ b/internal/runtime/meter.go
@@ -11,56 +11,68 @@
 	"garnethitch/internal/micros"
 )
 
-// meter tells, at debug, what the controller's time goes into: how often each
-// kind of input came, and how long the steps took. On a fraction of a core that
-// shows what to look at when answers come late.
+// meterInterval is the time between two lines of a meter.
+const meterInterval = 10 * micros.Second
+
+// meter logs at debug what the controller's time goes into: how many inputs of each kind
+// came, and how long their steps took.
 type meter struct {
-	since micros.Micros
-	kinds map[string]tally
+	since  micros.Micros
+	byKind map[string]stepStats
 }
 
-// tally is how many inputs of a kind came, and how long they took.
-type tally struct {
-	count int
-	took  micros.Micros
+// stepStats are the number and the duration of the steps of one kind of input.
+type stepStats struct {
+	count    int
+	duration micros.Micros
 }
 
-const meterEvery = 10 * micros.Second
-
-func (m *meter) add(in controller.Input, at, took micros.Micros, open func() int, log *slog.Logger) {
+// add counts a step that began at an instant, and logs the counts once in an interval.
+func (m *meter) add(in controller.Input, at, duration micros.Micros, openConns func() int, log *slog.Logger) {
 	if !log.Enabled(context.Background(), slog.LevelDebug) {
 		return
 	}
-	if m.kinds == nil {
-		m.since, m.kinds = at, map[string]tally{}
+	if m.byKind == nil {
+		m.since = at
+		m.byKind = map[string]stepStats{}
+	}
+	kind := kindOf(in)
+	stats := m.byKind[kind]
+	stats.count++
+	stats.duration += duration
+	m.byKind[kind] = stats
+	if at-m.since < meterInterval {
+		return
+	}
+	log.Debug("steps", m.logArgs(at, openConns())...)
+	m.since = at
+	clear(m.byKind)
+}
+
+func (m *meter) logArgs(at micros.Micros, openConns int) []any {
+	args := []any{"span_ms", (at - m.since).Millis(), "connections", openConns}
+	for _, kind := range slices.Sorted(maps.Keys(m.byKind)) {
+		stats := m.byKind[kind]
+		args = append(args, kind, fmt.Sprintf("%d in %d ms", stats.count, stats.duration.Millis()))
 	}
-	kind := ""
+	return args
+}
+
+// kindOf returns the log key of an input's kind.
+func kindOf(in controller.Input) string {
 	switch in.(type) {
 	case controller.Tick:
-		kind = "tick"
+		return "tick"
 	case controller.SubmitRequest:
-		kind = "submit"
+		return "submit"
 	case controller.JobStatusRequest:
-		kind = "poll"
+		return "poll"
 	case controller.Heartbeat:
-		kind = "report"
+		return "report"
 	case controller.PeerRequest:
-		kind = "peer"
+		return "peer"
 	case controller.Result:
-		kind = "result"
-	default:
-		kind = "other"
+		return "result"
 	}
-	t := m.kinds[kind]
-	m.kinds[kind] = tally{t.count + 1, t.took + took}
-	if at-m.since < meterEvery {
-		return
-	}
-	args := []any{"span_ms", (at - m.since).Millis(), "connections", open()}
-	for _, k := range slices.Sorted(maps.Keys(m.kinds)) {
-		args = append(args, k, fmt.Sprintf("%d in %d ms", m.kinds[k].count, m.kinds[k].took.Millis()))
-	}
-	log.Debug("steps", args...)
-	m.since = at
-	clear(m.kinds)
+	return "other"
 }
--- a/internal/runtime/runtime.go
+++ b/internal/runtime/runtime.go
@@ -46,15 +46,15 @@
 	log   *slog.Logger
 	start time.Time // zero of the steady clock, but for steadyClockStart
 
-	mu         sync.Mutex // guards what follows, down to timer
-	controller *controller.Controller
-	wakeAt     micros.Micros // what the timer is set to
-	took       micros.Micros // by the step before
-	meter      meter
-	replies    map[controller.ReplyID]waitingRequest
-	nextID     controller.ReplyID
-	limits     callLimits
-	timer      *time.Timer
+	mu               sync.Mutex // guards what follows, down to timer
+	controller       *controller.Controller
+	wakeAt           micros.Micros // what the timer is set to
+	lastStepDuration micros.Micros
+	meter            meter
+	replies          map[controller.ReplyID]waitingRequest
+	nextID           controller.ReplyID
+	limits           callLimits
+	timer            *time.Timer
 
 	srv        *server.Server
 	heartbeats *wire.HeartbeatReader // used on the serving goroutine only
@@ -77,7 +77,7 @@
 		controller: controller.New(cfg, seed),
 		replies:    map[controller.ReplyID]waitingRequest{},
 		limits:     newCallLimits(sizes),
-		heartbeats: wire.NewHeartbeatReader(sizes.Lists),
+		heartbeats: wire.NewHeartbeatReader(sizes.TaskListBytes),
 		services:   newServiceClient(sizes),
 		workers:    newWorkerClient(sizes),
 		peers:      peerAddresses(set.Seeds),
@@ -89,8 +89,8 @@
 func newServiceClient(sizes Sizes) *client.Client {
 	return client.New(client.Config{
 		MaxIdle:      serviceIdleConns,
-		MaxConns:     sizes.Services,
-		MaxBodyBytes: sizes.StateBody,
+		MaxConns:     sizes.ServiceConns,
+		MaxBodyBytes: sizes.StateBodyBytes,
 		IdleTimeout:  serviceIdleTimeout,
 		DialTimeout:  dialTimeout,
 	})
@@ -99,7 +99,7 @@
 func newWorkerClient(sizes Sizes) *client.Client {
 	return client.New(client.Config{
 		MaxIdle:      workerIdleConns,
-		MaxConns:     sizes.Workers,
+		MaxConns:     sizes.WorkerConns,
 		MaxBodyBytes: maxBodyBytes,
 		IdleTimeout:  workerIdleTimeout,
 		DialTimeout:  dialTimeout,
@@ -118,10 +118,10 @@
 	return server.Config{
 		Addrs:            []string{publicListener: rt.set.ServeOn, internalListener: rt.set.InternalAddr},
 		MaxBodyBytes:     []int{publicListener: maxBodyBytes, internalListener: peer.MaxMessage},
-		MaxConns:         sizes.Serve,
-		MaxBufferedBytes: sizes.Held,
+		MaxConns:         sizes.ServedConns,
+		MaxBufferedBytes: sizes.BufferedBytes,
 		RequestTimeout:   serveTimeout,
-		IdleTimeout:      sizes.Idle,
+		IdleTimeout:      sizes.IdleTimeout,
 		Log:              rt.log,
 		Now:              time.Now,
 		Handler:          rt.handle,
@@ -182,13 +182,13 @@
 
 func (rt *Runtime) stepLocked(in controller.Input) {
 	at := rt.instant()
-	at.Took = rt.took
+	at.Took = rt.lastStepDuration
 	for _, effect := range rt.controller.Step(at, in) {
 		rt.carryOut(effect)
 	}
 	end := rt.instant().Steady
-	rt.took = end - at.Steady
-	rt.meter.add(in, at.Steady, rt.took, rt.srv.OpenConns, rt.log)
+	rt.lastStepDuration = end - at.Steady
+	rt.meter.add(in, at.Steady, rt.lastStepDuration, rt.srv.OpenConns, rt.log)
 	_, timerFired := in.(controller.Tick)
 	rt.setTimer(end, timerFired)
 }
--- a/internal/runtime/runtime_test.go
+++ b/internal/runtime/runtime_test.go
@@ -9,8 +9,8 @@
 	"garnethitch/internal/server"
 )
 
-// Of several objectives for a class the strictest counts; and what follows from
-// settings does so at any size.
+// TestControllerConfig: of several objectives for a class the strictest counts, and bounds
+// follow the settings at any size.
 func TestControllerConfig(t *testing.T) {
 	set := config.Settings{Label: "a"}
 	set.Cluster.Nodes = 3
@@ -21,9 +21,9 @@
 		{Kind: "guarantee", WithinS: 200}, {Kind: "guarantee", WithinS: 150},
 	}
 	for _, tc := range []struct {
-		sockets, asks int
-		silent        *float64
-		want          micros.Micros
+		sockets, workerCalls int
+		silent               *float64
+		want                 micros.Micros
 	}{
 		{64, 8, nil, -1},
 		{1800, 60, new(float64), 0},
@@ -33,25 +33,25 @@
 		opt := config.Defaults()
 		opt.SilentReturnS = tc.silent
 		cfg := ControllerConfig(set, opt)
-		if cfg.MaxWorkerRequests != tc.asks || cfg.SilentReturn != tc.want {
+		if cfg.MaxWorkerRequests != tc.workerCalls || cfg.SilentReturn != tc.want {
 			t.Errorf("%d sockets: %d requests to workers, silent machines returned after %d", tc.sockets, cfg.MaxWorkerRequests, cfg.SilentReturn)
 		}
 		if cfg.GuaranteeWithin != 150*micros.Second {
 			t.Errorf("work within a guarantee is wanted started within %v", cfg.GuaranteeWithin)
 		}
 		if len(cfg.StartWithin) != 1 || cfg.StartWithin["x"] != 6*micros.Second || len(cfg.FinishWithin) != 1 || cfg.FinishWithin["x"] != 250*micros.Second {
-			t.Errorf("aims %v %v", cfg.StartWithin, cfg.FinishWithin)
+			t.Errorf("objectives: start within %v, finish within %v", cfg.StartWithin, cfg.FinishWithin)
 		}
 	}
 }
 
-// What a machine and a connection take, with room to spare: see docs/account.md.
+// Memory of a machine and of a connection, with a margin: see docs/account.md.
 const (
 	machineBytes = 6 << 10
 	connBytes    = 2 << 10
 )
 
-// One controller left alone serves every worker, at half as many machines again
+// TestSizes: one controller left alone serves every worker, at half as many machines again
 // as a deployment is planned for, and some users beside; what it keeps for calls
 // is enough for them; all of it fits into what the settings give.
 func TestSizes(t *testing.T) {
@@ -78,23 +78,23 @@
 			var set config.Settings
 			set.Cluster.Resources = config.Resources{Sockets: tc.sockets, RAMMB: tc.ramMB}
 			set.Cluster.Workers.ReportS = 10
-			sz := SizesOf(set)
-			if need := tc.machines*3/2 + users; tc.machines > 0 && sz.Serve < need {
-				t.Errorf("serves %d connections, needs %d", sz.Serve, need)
+			sizes := SizesOf(set)
+			if need := tc.machines*3/2 + users; tc.machines > 0 && sizes.ServedConns < need {
+				t.Errorf("serves %d connections, needs %d", sizes.ServedConns, need)
 			}
-			if all := server.MaxSockets(sz.Serve) + sz.Services + sz.Workers; all >= tc.sockets {
+			if all := server.MaxSockets(sizes.ServedConns) + sizes.ServiceConns + sizes.WorkerConns; all >= tc.sockets {
 				t.Errorf("%d sockets planned of %d", all, tc.sockets)
 			}
-			if sz.Idle < 13*time.Second+4*time.Second || sz.Idle > 75*time.Second {
-				t.Errorf("connections without a request end after %v", sz.Idle)
+			if sizes.IdleTimeout < 13*time.Second+4*time.Second || sizes.IdleTimeout > 75*time.Second {
+				t.Errorf("connections without a request end after %v", sizes.IdleTimeout)
 			}
-			if sz.Asks > sz.Workers || sz.Serve < 1 || sz.Services < 16 {
-				t.Errorf("no room for calls: %+v", sz)
+			if sizes.WorkerCalls > sizes.WorkerConns || sizes.ServedConns < 1 || sizes.ServiceConns < 16 {
+				t.Errorf("no capacity for calls: %+v", sizes)
 			}
 			// Live data stays well below the collector's limit, at the most that it lets in.
 			limit := int(tc.ramMB * config.Defaults().MemoryShare * (1 << 20))
-			live := tc.machines*3/2*machineBytes + sz.OpenJobs*openJobBytes + sz.FinalJobs*finalJobBytes + sz.Lists + int(sz.Held) +
-				sz.Serve*connBytes + sz.StateBody
+			live := tc.machines*3/2*machineBytes + sizes.OpenJobs*openJobBytes + sizes.FinalJobs*finalJobBytes + sizes.TaskListBytes + int(sizes.BufferedBytes) +
+				sizes.ServedConns*connBytes + sizes.StateBodyBytes
 			if tc.machines > 0 && live > limit*4/5 {
 				t.Errorf("%d bytes of live data, the limit is %d", live, limit)
 			}
@@ -104,32 +104,32 @@
 			if need := tc.machines * 3 / 2; cfg.MaxRegistrations < need || cfg.MaxMachines < need {
 				t.Errorf("%d machines may wait for a record and %d be known, of %d", cfg.MaxRegistrations, cfg.MaxMachines, need)
 			}
-			if tc.machines > 0 && sz.OpenJobs < 3000 {
-				t.Errorf("%d open jobs at most", sz.OpenJobs)
+			if tc.machines > 0 && sizes.OpenJobs < 3000 {
+				t.Errorf("%d open jobs at most", sizes.OpenJobs)
 			}
-			if ram := int(tc.ramMB * (1 << 20)); sz.StateBody < 2*page || 3*sz.StateBody+int(sz.Held) > ram/2 {
-				t.Errorf("answers of %d bytes in %d", sz.StateBody, ram)
+			if ram := int(tc.ramMB * (1 << 20)); sizes.StateBodyBytes < 2*statePageBytes || 3*sizes.StateBodyBytes+int(sizes.BufferedBytes) > ram/2 {
+				t.Errorf("answers of %d bytes in %d", sizes.StateBodyBytes, ram)
 			}
 		})
 	}
 }
 
-// Whoever asks too much of one side leaves the others their calls: a call past
-// its side's bound fails at once.
+// TestCallBounds: many calls to one target leave the others theirs: each target has a bound of its own,
+// and a call past it fails at once.
 func TestCallBounds(t *testing.T) {
 	var set config.Settings
 	set.Cluster.Resources = config.Resources{Sockets: 4317, RAMMB: 441}
 	set.Cluster.Nodes = 1
-	sz := SizesOf(set)
+	sizes := SizesOf(set)
 	rt := New(set, config.Defaults(), nil, 1)
 	sum := 0
-	for side, most := range rt.limits.most {
+	for target, most := range rt.limits.most {
 		if most < 2 {
-			t.Errorf("side %d may have %d calls", side, most)
+			t.Errorf("target %d may have %d calls", target, most)
 		}
 		sum += most
 	}
-	if sum > sz.Services+sz.Workers {
-		t.Errorf("%d calls over %d connections", sum, sz.Services+sz.Workers)
+	if sum > sizes.ServiceConns+sizes.WorkerConns {
+		t.Errorf("%d calls over %d connections", sum, sizes.ServiceConns+sizes.WorkerConns)
 	}
 }
