--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		return nil, err
 	}
-	msg, err := post(ctx, addr, body)
+	msg, err := send(ctx, addr, body)
 	if err != nil {
 		return nil, fmt.Errorf("controller at %s: %w", addr, err)
 	}
@@ -49,7 +49,8 @@
 	return resp.Quota, nil
 }
 
-func post(ctx context.Context, addr string, body []byte) (http1.Message, error) {
+// send sends an encoded peer.Request to the controller at an address.
+func send(ctx context.Context, addr string, body []byte) (http1.Message, error) {
 	c := client.New(client.Config{
 		MaxIdle:      1,
 		MaxConns:     1,
