--- a/internal/wire/heartbeat.go
+++ b/internal/wire/heartbeat.go
@@ -2,27 +2,40 @@
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
 	"math"
 	"strings"
 )
 
-// ParseHeartbeat decodes and checks a worker's heartbeat.
+// Errors of ParseHeartbeat. ErrTaskName is returned as well.
+var (
+	// ErrWorkerIdentity says that a heartbeat names no usable machine or agent epoch.
+	ErrWorkerIdentity = errors.New("wire: report without a usable machine or session")
+	// ErrTaskState says that a task is in a state that the protocol does not know.
+	ErrTaskState = errors.New("wire: task state")
+)
+
+// maxMachineName leaves space in a key of the state service for what stands beside the name.
+const maxMachineName = 150 // bytes
+
+// ParseHeartbeat decodes and checks a worker's heartbeat (protocol: "POST /checkin").
 func ParseHeartbeat(body []byte) (Heartbeat, error) {
-	var r HeartbeatReader
-	return r.Parse(body)
+	var reader HeartbeatReader
+	return reader.Parse(body)
 }
 
-// HeartbeatReader parses reports, and remembers each machine's list of tasks: most
-// reports list the same as the one before, which then need not be decoded again.
-// Equal lists in a row shard one Tasks slice, so nobody may change it. A reader
-// is for one goroutine. The zero value remembers nothing; see NewHeartbeatReader.
+// HeartbeatReader parses heartbeats, and remembers each machine's list of tasks: most
+// heartbeats list the same as the one before, which need not be decoded again. Equal lists
+// in a row are one Tasks slice, which must not be changed. A reader is for one goroutine.
+// The zero value remembers nothing; see NewHeartbeatReader.
 type HeartbeatReader struct {
 	raw rawHeartbeat
-	// Lists are kept in two halves: what was not asked for while the younger one
+	// Lists are kept in two generations: a list that was not needed while the younger one
 	// filled is dropped with the older one.
-	young, old map[string]taskList
-	size, most int // bytes, of the younger one
+	young, old map[string]taskList // by machine
+	youngBytes int
+	maxBytes   int // of one generation
 }
 
 // taskList is a list of tasks in both forms.
@@ -31,77 +44,113 @@
 	tasks []TaskStatus
 }
 
-// taskBytes is what a TaskStatus takes beside its texts.
-const taskBytes = 64
+// Memory in bytes that is counted beside texts.
+const (
+	taskListBytes   = 128
+	taskStatusBytes = 64
+)
 
-// bytes is about what a list takes.
-func (l taskList) bytes() int { return 128 + 2*len(l.raw) + taskBytes*len(l.tasks) }
+// bytes estimates the memory of a list, whose texts are held in both forms.
+func (l taskList) bytes() int {
+	return taskListBytes + 2*len(l.raw) + taskStatusBytes*len(l.tasks)
+}
 
-// rawHeartbeat is a Report whose list of tasks is not decoded.
+// rawHeartbeat is a Heartbeat whose list of tasks is not decoded.
 type rawHeartbeat struct {
 	Heartbeat
-	Tasks Raw `cbor:"loads"` // in the place of Report's own
+	Tasks Raw `cbor:"loads"` // hides Heartbeat's
 }
 
-// NewHeartbeatReader makes a reader that remembers lists of at most so many bytes.
-func NewHeartbeatReader(most int) *HeartbeatReader {
-	return &HeartbeatReader{young: map[string]taskList{}, old: map[string]taskList{}, most: most / 2}
+// NewHeartbeatReader makes a reader that remembers lists of at most maxBytes.
+func NewHeartbeatReader(maxBytes int) *HeartbeatReader {
+	return &HeartbeatReader{
+		young:    map[string]taskList{},
+		old:      map[string]taskList{},
+		maxBytes: maxBytes / 2,
+	}
 }
 
-// Parse decodes and checks a heartbeat.
-func (rr *HeartbeatReader) Parse(body []byte) (Heartbeat, error) {
-	raw := &rr.raw
+// Parse decodes and checks a heartbeat. The result does not refer to body.
+func (hr *HeartbeatReader) Parse(body []byte) (Heartbeat, error) {
+	raw := &hr.raw
 	*raw = rawHeartbeat{Tasks: raw.Tasks[:0]}
 	if err := Decode(body, raw); err != nil {
 		return Heartbeat{}, err
 	}
-	r := raw.Heartbeat
-	if r.Machine == "" || len(r.Machine) > 150 || strings.ContainsAny(r.Machine, " \t\r\n") || r.AgentEpoch == 0 {
-		return r, fmt.Errorf("wire: report without a usable machine or session")
+	heartbeat := raw.Heartbeat
+	if !usableMachineName(heartbeat.Machine) || heartbeat.AgentEpoch == 0 {
+		return Heartbeat{}, ErrWorkerIdentity
 	}
-	if r.NoticeS != nil && (math.IsNaN(*r.NoticeS) || math.IsInf(*r.NoticeS, 0)) {
-		r.NoticeS = nil
+	if heartbeat.NoticeS != nil && !finite(*heartbeat.NoticeS) {
+		heartbeat.NoticeS = nil
 	}
 	if len(raw.Tasks) == 0 {
-		return r, nil
-	}
-	last, ok := rr.young[r.Machine]
-	if !ok {
-		last, ok = rr.old[r.Machine]
+		return heartbeat, nil
 	}
-	if ok && bytes.Equal(last.raw, raw.Tasks) {
-		r.Tasks = last.tasks
-		rr.keep(r.Machine, last)
-		return r, nil
+	var err error
+	heartbeat.Tasks, err = hr.parseTasks(heartbeat.Machine, raw.Tasks)
+	return heartbeat, err
+}
+
+func usableMachineName(name string) bool {
+	return name != "" && len(name) <= maxMachineName && !strings.ContainsAny(name, " \t\r\n")
+}
+
+// parseTasks decodes and checks a machine's list of tasks, unless it is the one before.
+func (hr *HeartbeatReader) parseTasks(machine string, raw Raw) ([]TaskStatus, error) {
+	last, ok := hr.lookUp(machine)
+	if !ok || !bytes.Equal(last.raw, raw) {
+		tasks, err := decodeTasks(raw)
+		if err != nil {
+			return nil, err
+		}
+		last = taskList{raw: bytes.Clone(raw), tasks: tasks}
 	}
-	if err := Decode(raw.Tasks, &r.Tasks); err != nil {
-		return r, err
+	hr.remember(machine, last)
+	return last.tasks, nil
+}
+
+func decodeTasks(raw Raw) (tasks []TaskStatus, err error) {
+	if err := Decode(raw, &tasks); err != nil {
+		return nil, err
 	}
-	for i := range r.Tasks {
-		t := &r.Tasks[i]
-		if _, _, err := ParseTask(t.Task); err != nil {
-			return r, err
+	for i := range tasks {
+		if _, _, err := ParseTask(tasks[i].Task); err != nil {
+			return nil, err
 		}
-		switch t.State {
+		switch tasks[i].State {
 		case TaskFetching, TaskRunning, TaskSaving, TaskExited:
 		default:
-			return r, fmt.Errorf("wire: task state %q", t.State)
+			return nil, fmt.Errorf("%w %q", ErrTaskState, tasks[i].State)
 		}
 	}
-	rr.keep(r.Machine, taskList{raw: bytes.Clone(raw.Tasks), tasks: r.Tasks})
-	return r, nil
+	return tasks, nil
 }
 
-// keep remembers a machine's list, as long as there is room.
-func (rr *HeartbeatReader) keep(machine string, l taskList) {
-	if l.bytes() > rr.most/4 {
+func (hr *HeartbeatReader) lookUp(machine string) (list taskList, ok bool) {
+	if list, ok = hr.young[machine]; ok {
+		return list, true
+	}
+	list, ok = hr.old[machine]
+	return list, ok
+}
+
+// remember puts a machine's list among the younger ones. A list that would take much of the
+// memory by itself is not remembered.
+func (hr *HeartbeatReader) remember(machine string, list taskList) {
+	if list.bytes() > hr.maxBytes/4 {
 		return
 	}
-	if was, ok := rr.young[machine]; ok {
-		rr.size -= was.bytes()
+	if replaced, ok := hr.young[machine]; ok {
+		hr.youngBytes -= replaced.bytes()
 	}
-	if rr.size += l.bytes(); rr.size > rr.most {
-		rr.old, rr.young, rr.size = rr.young, map[string]taskList{}, l.bytes()
+	hr.youngBytes += list.bytes()
+	if hr.youngBytes > hr.maxBytes {
+		hr.old = hr.young
+		hr.young = map[string]taskList{}
+		hr.youngBytes = list.bytes()
 	}
-	rr.young[machine] = l
+	hr.young[machine] = list
 }
+
+func finite(v float64) bool { return !math.IsNaN(v) && !math.IsInf(v, 0) }
--- a/internal/wire/records.go
+++ b/internal/wire/records.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Keys of the state service.
+// Keys and prefixes of keys in the state service.
 const (
 	PrefixControl    = "ctl/"
 	PrefixOwner      = "ctl/owner/"
@@ -17,21 +17,20 @@
 	PrefixQuota      = "quota/"
 )
 
-// OwnerRecord says which node holds a shard, or the leader's lock. Incarnation
-// is the lease that the key hangs on, new with every process.
+// OwnerRecord is the value of a lock: which controller holds a shard, or is the leader.
 type OwnerRecord struct {
 	Label       string `cbor:"label"`
-	Incarnation uint64 `cbor:"inc"`
+	Incarnation uint64 `cbor:"inc"` // the lease that the key is attached to, new with every process
 }
 
-// MachineRecordSet is a set of machines recorded together, with the shard that its
-// key names. Machines that differ in nothing but their name shard a kind.
+// MachineRecordSet is a set of machines recorded together, under a key that names their
+// shard.
 type MachineRecordSet struct {
 	Kinds    []MachineKind   `cbor:"kinds"`
 	Machines []MachineRecord `cbor:"machines"`
 }
 
-// MachineKind is what many machines have in common.
+// MachineKind is what machines have in common.
 type MachineKind struct {
 	_    struct{} `cbor:",toarray"`
 	Type string
@@ -39,32 +38,31 @@
 	Spot bool
 }
 
-// MachineRecord is a machine of a record set. The address may be missing until it is
-// known; a retiring machine takes no more tasks and is to be returned.
+// MachineRecord is a machine of a record set.
 type MachineRecord struct {
 	_        struct{} `cbor:",toarray"`
 	ID       string
-	Addr     string
-	Kind     int
-	Cordoned bool
+	Addr     string // empty until it is known
+	Kind     int    // index into the set's Kinds
+	Cordoned bool   // no task may start on it, and it is to be returned
 }
 
-// JobRecord is an accepted job. A finished one keeps only what users may still
-// ask for. The submission of a job with dependencies stands in a field of its own:
-// a version that does not know of dependencies then takes the record for one without
-// a usable submission, answers that the job is pending, and starts nothing.
+// JobRecord is an accepted job. The record of one that is over keeps only what users may
+// still ask for. The submission of a job with dependencies is in a field of its own: a
+// version that does not know of dependencies then takes the record for one without a usable
+// submission, answers that the job is pending, and starts nothing.
 type JobRecord struct {
 	Submission       *Submission `cbor:"sub,omitempty"`
 	WithDependencies *Submission `cbor:"chain,omitempty"`
-	AcceptedMS       int64       `cbor:"at"` // time of day
-	State            string      `cbor:"state"`
+	AcceptedMS       int64       `cbor:"at"`    // time of day
+	State            string      `cbor:"state"` // as users see it
 	Tasks            int         `cbor:"tasks"`
-	// EndMS is when the job ended, by the time of day of its owner: what waited for it
-	// counts from then on, at any owner. 0: not told.
+	// EndMS is when the job ended, by the time of day of its owner: the waiting time of
+	// dependent jobs counts from then on, at any owner. 0: unknown.
 	EndMS int64 `cbor:"end,omitempty"`
 }
 
-// NewJobRecord is the record of a job that is being accepted.
+// NewJobRecord returns the record of a job that is being accepted.
 func NewJobRecord(s *Submission, acceptedMS int64) JobRecord {
 	r := JobRecord{AcceptedMS: acceptedMS, State: StatePending, Tasks: s.Tasks}
 	if len(s.DependsOn) > 0 {
@@ -75,7 +73,7 @@
 	return r
 }
 
-// Job is the submission of an unfinished job; nil if the record holds none.
+// Job returns the submission of an unfinished job; nil if the record holds none.
 func (r JobRecord) Job() *Submission {
 	if r.WithDependencies != nil {
 		return r.WithDependencies
@@ -83,11 +81,11 @@
 	return r.Submission
 }
 
-// Final tells whether the job is over.
+// Final reports whether the job is over.
 func (r JobRecord) Final() bool { return r.State == StateDone || r.State == StateCancelled }
 
-// Step is a finished task in a checkpoint: where it ran, and when by the time of
-// day of the node that saw it.
+// Step is a finished task in a checkpoint: where it ran, and when, by the time of day of the
+// controller that saw it.
 type Step struct {
 	Task    int    `cbor:"t"`
 	Machine string `cbor:"m"`
@@ -95,44 +93,45 @@
 	EndMS   int64  `cbor:"e"`
 }
 
-// CheckpointRecord names a state of a job to restart from: the done tasks as
-// ranges [first, last, first, last, ...] or, where that is shorter, as a set of
-// 64-bit words, and a count, the latest steps, and a mark for each recovery that
-// preceded it.
+// CheckpointRecord is a state of a job to restart from, a Version of the paper ("Survivor").
+// The tasks that are done are in Ranges or, where that is shorter, in Set.
 type CheckpointRecord struct {
-	Ranges     []int    `cbor:"done"`
-	Set        []uint64 `cbor:"set,omitempty"`
-	Count      int      `cbor:"count"`
-	Steps      []Step   `cbor:"steps,omitempty"`
-	Recoveries []int64  `cbor:"re,omitempty"`
+	Ranges     []int    `cbor:"done"`            // [first, last, first, last, ...]
+	Set        []uint64 `cbor:"set,omitempty"`   // a bit for each task
+	Count      int      `cbor:"count"`           // of tasks that are done
+	Steps      []Step   `cbor:"steps,omitempty"` // the latest ones
+	Recoveries []int64  `cbor:"re,omitempty"`    // times of day in ms of the latest recoveries
 }
 
-// JobKey is where a job's record stands.
+// JobKey returns the key of a job's record.
 func JobKey(id string) string { return PrefixJob + id }
 
-// CheckpointKey is where a job's newest checkpoint stands.
+// CheckpointKey returns the key of a job's newest checkpoint.
 func CheckpointKey(id string) string { return PrefixCheckpoint + id }
 
-// QuotaKey is where a group's record stands.
+// QuotaKey returns the key of the quota record of a group of teams.
 func QuotaKey(group string) string { return PrefixQuota + group }
 
-// MachineRecordSetKey is where a record set of a shard's machines stands.
+// MachineRecordSetKey returns the key of a record set of a shard's machines.
 func MachineRecordSetKey(shard int, name string) string {
 	return PrefixFleet + strconv.Itoa(shard) + "/" + name
 }
 
-// ParseMachineRecordSetKey gives the shard and the name of a record set.
+// ParseMachineRecordSetKey returns the shard and the name that a record set's key holds.
 func ParseMachineRecordSetKey(key string) (shard int, name string, ok bool) {
 	rest, ok := strings.CutPrefix(key, PrefixFleet)
 	if !ok {
 		return 0, "", false
 	}
-	num, name, ok := strings.Cut(rest, "/")
-	shard, err := strconv.Atoi(num)
+	digits, name, ok := strings.Cut(rest, "/")
+	shard, err := strconv.Atoi(digits)
 	return shard, name, ok && err == nil && shard >= 0 && name != ""
 }
 
-// UsableKey tells whether the state service takes a key.
+// maxKey is the longest key in bytes (protocol: "Controller nodes -> state service").
+const maxKey = 200
+
+// UsableKey reports whether the state service takes a key, and a path can hold it unescaped.
 func UsableKey(key string) bool {
-	return len(key) >= 1 && len(key) <= 200 && !strings.ContainsAny(key, " ?#%\r\n\t")
+	return key != "" && len(key) <= maxKey && !strings.ContainsAny(key, " ?#%\r\n\t")
 }
--- a/internal/wire/submission.go
+++ b/internal/wire/submission.go
@@ -1,16 +1,37 @@
 package wire
 
 import (
+	"errors"
 	"fmt"
-	"math"
 	"strconv"
 	"strings"
 )
 
-// MaxTasks is the largest number of tasks in a job.
+// MaxTasks is the largest number of tasks in a job (protocol: "POST /submissions").
 const MaxTasks = 100_000
 
-// Submission is a job as its user describes it, checked.
+// Bounds of a submission's fields, of which the protocol sets none. Texts are in bytes.
+const (
+	maxText     = 200
+	maxTypes    = 64
+	maxTypeName = 100
+)
+
+// Form of a job's id: a prefix and digits (protocol: "POST /submissions").
+const (
+	idPrefix    = "job-"
+	minIDDigits = 6
+	maxIDDigits = 18 // as many as always fit an int64
+)
+
+// kindArray is the only kind of job: independent tasks, each of which runs to completion.
+const kindArray = "sweep"
+
+// ErrTaskName says that a text is not the name of a task. ParseTask wraps it.
+var ErrTaskName = errors.New("wire: task name")
+
+// Submission is a job as its user describes it, checked (protocol: "POST /submissions").
+// Durations are in seconds.
 type Submission struct {
 	ID          string   `cbor:"nameId"`
 	Class       string   `cbor:"herd"`
@@ -32,12 +53,12 @@
 	CheckpointS float64  `cbor:"restS"`
 	SaveS       float64  `cbor:"stowS"`
 	DeadlineS   *float64 `cbor:"dueS"`
-	// DependsOn are the jobs that have to be done before a task of this one starts,
-	// each named once.
+	// DependsOn are the jobs that must be done before a task of this one starts, each
+	// named once.
 	DependsOn []string `cbor:"follows,omitempty"`
 }
 
-// rawSubmission tells a missing or null field from a zero one.
+// rawSubmission is a Submission in which a missing or null field differs from a zero one.
 type rawSubmission struct {
 	ID          *string   `cbor:"nameId"`
 	Class       *string   `cbor:"herd"`
@@ -62,19 +83,19 @@
 	DependsOn   *[]string `cbor:"follows"`
 }
 
-// SubmissionError says what is wrong with a submission. ID is set when the
-// body still named a job properly.
+// SubmissionError says what is wrong with a submission.
 type SubmissionError struct {
-	ID, Reason string
+	ID     string // of the job, if the body names one in the protocol's form
+	Reason string
 }
 
+// Error returns the reason.
 func (e *SubmissionError) Error() string { return "submission: " + e.Reason }
 
-// ValidID tells whether an id has the protocol's form: "job-" and digits, at
-// least six of them.
+// ValidID reports whether an id has the protocol's form: "job-" and at least six digits.
 func ValidID(id string) bool {
-	digits, ok := strings.CutPrefix(id, "job-")
-	if !ok || len(digits) < 6 || len(digits) > 18 {
+	digits, ok := strings.CutPrefix(id, idPrefix)
+	if !ok || len(digits) < minIDDigits || len(digits) > maxIDDigits {
 		return false
 	}
 	for i := 0; i < len(digits); i++ {
@@ -85,71 +106,27 @@
 	return true
 }
 
-// ParseSubmission decodes and checks the body of a submission.
+// ParseSubmission decodes and checks the body of a submission (protocol: "POST
+// /submissions"). Whether the job can ever run is not checked here.
 func ParseSubmission(body []byte) (Submission, *SubmissionError) {
-	var s Submission
 	var raw rawSubmission
 	if err := Decode(body, &raw); err != nil {
-		return s, &SubmissionError{ID: idOfMalformed(body), Reason: err.Error()}
-	}
-	p := &parse{}
-	s.ID = text(p, "id", raw.ID)
-	if p.reason == "" && !ValidID(s.ID) {
-		return s, &SubmissionError{Reason: "id is of another form"}
-	}
-	s.Class = text(p, "class", raw.Class)
-	s.Team = text(p, "team", raw.Team)
-	s.Kind = text(p, "kind", raw.Kind)
-	s.Priority = text(p, "priority", raw.Priority)
-	s.Image = text(p, "image", raw.Image)
-	s.CPUs = amount(p, "cpus", raw.CPUs)
-	s.GPUs = amount(p, "gpus", raw.GPUs)
-	s.MemGB = amount(p, "memory", raw.MemGB)
-	s.ImageGB = amount(p, "image size", raw.ImageGB)
-	s.EstimateS = amount(p, "estimate", raw.EstimateS)
-	s.CheckpointS = amount(p, "checkpoint interval", raw.CheckpointS)
-	s.SaveS = amount(p, "save time", raw.SaveS)
-	s.SameZone = flag(p, "one zone", raw.SameZone)
-	s.Spread = flag(p, "apart", raw.Spread)
-	s.Spot = flag(p, "spot", raw.Spot)
-	if raw.Tasks == nil {
-		p.fail("tasks missing")
-	} else if *raw.Tasks < 1 || *raw.Tasks > MaxTasks {
-		p.fail("number of tasks out of range")
-	} else {
-		s.Tasks = int(*raw.Tasks)
-	}
-	if s.Kind != "sweep" {
-		p.fail("unknown kind of job")
-	}
-	if _, ok := PriorityOf(s.Priority); !ok {
-		p.fail("unknown priority")
-	}
-	if raw.DeadlineS != nil {
-		d := amount(p, "deadline", raw.DeadlineS)
-		s.DeadlineS = &d
-	}
-	if raw.Zone != nil {
-		s.Zone = text(p, "zone", raw.Zone)
-	}
-	if raw.Types != nil {
-		s.Types = parseTypes(p, *raw.Types)
+		return Submission{}, &SubmissionError{ID: idOfMalformed(body), Reason: err.Error()}
 	}
-	if raw.DependsOn != nil {
-		s.DependsOn = parseDependencies(p, *raw.DependsOn)
+	var check fieldCheck
+	submission := check.required(&raw)
+	check.words(submission)
+	check.optional(&raw, &submission)
+	if check.reason == "" {
+		return submission, nil
 	}
-	if p.reason != "" {
-		id := s.ID
-		if !ValidID(id) {
-			id = ""
-		}
-		return s, &SubmissionError{ID: id, Reason: p.reason}
+	if !ValidID(submission.ID) {
+		return submission, &SubmissionError{Reason: check.reason}
 	}
-	return s, nil
+	return submission, &SubmissionError{ID: submission.ID, Reason: check.reason}
 }
 
-// idOfMalformed gives the id of a job that a body names properly, whatever else is
-// wrong with it; empty if it names none.
+// idOfMalformed returns the id that a malformed body names in the protocol's form, or "".
 func idOfMalformed(body []byte) string {
 	var only struct {
 		ID any `cbor:"nameId"`
@@ -163,89 +140,157 @@
 	return ""
 }
 
-const (
-	maxTypes    = 64
-	maxTypeName = 100
-)
+// fieldCheck checks the fields of a submission one after the other. Its reason is what is
+// wrong with the first bad one.
+type fieldCheck struct{ reason string }
 
-// parseTypes checks a list of machine types. An empty one allows nothing; that is for
-// the meaning (422) to say.
-func parseTypes(p *parse, names []string) []string {
-	if len(names) > maxTypes {
-		p.fail("too many machine types")
+func (c *fieldCheck) fail(reason string) {
+	if c.reason == "" {
+		c.reason = reason
 	}
-	for _, name := range names {
-		if name == "" || len(name) > maxTypeName {
-			p.fail("a machine type has no usable name")
-		}
+}
+
+// required returns a submission with the fields that may not be missing.
+func (c *fieldCheck) required(raw *rawSubmission) Submission {
+	return Submission{
+		ID:          c.id(raw.ID),
+		Class:       c.text("class", raw.Class),
+		Team:        c.text("team", raw.Team),
+		Kind:        c.text("kind", raw.Kind),
+		Priority:    c.text("priority", raw.Priority),
+		Image:       c.text("image", raw.Image),
+		CPUs:        c.amount("cpus", raw.CPUs),
+		GPUs:        c.amount("gpus", raw.GPUs),
+		MemGB:       c.amount("memory", raw.MemGB),
+		ImageGB:     c.amount("image size", raw.ImageGB),
+		EstimateS:   c.amount("estimate", raw.EstimateS),
+		CheckpointS: c.amount("checkpoint interval", raw.CheckpointS),
+		SaveS:       c.amount("save time", raw.SaveS),
+		SameZone:    c.flag("one zone", raw.SameZone),
+		Spread:      c.flag("apart", raw.Spread),
+		Spot:        c.flag("spot", raw.Spot),
+		Tasks:       c.tasks(raw.Tasks),
 	}
-	return append([]string{}, names...)
 }
 
-// parseDependencies checks a list of jobs' ids and names each once.
-func parseDependencies(p *parse, ids []string) (out []string) {
-	named := make(map[string]bool, len(ids))
-	for _, id := range ids {
-		if !ValidID(id) {
-			p.fail("a dependency is no job's id")
-		} else if !named[id] {
-			named[id] = true
-			out = append(out, id)
-		}
+// words checks the fields that hold one of the protocol's words.
+func (c *fieldCheck) words(submission Submission) {
+	if submission.Kind != kindArray {
+		c.fail("unknown kind of job")
+	}
+	if _, known := PriorityOf(submission.Priority); !known {
+		c.fail("unknown priority")
 	}
-	return out
 }
 
-type parse struct{ reason string }
+// optional sets the fields that may be missing.
+func (c *fieldCheck) optional(raw *rawSubmission, submission *Submission) {
+	if raw.DeadlineS != nil {
+		deadline := c.amount("deadline", raw.DeadlineS)
+		submission.DeadlineS = &deadline
+	}
+	if raw.Zone != nil {
+		submission.Zone = c.text("zone", raw.Zone)
+	}
+	if raw.Types != nil {
+		submission.Types = c.types(*raw.Types)
+	}
+	if raw.DependsOn != nil {
+		submission.DependsOn = c.dependencies(*raw.DependsOn)
+	}
+}
 
-func (p *parse) fail(reason string) {
-	if p.reason == "" {
-		p.reason = reason
+func (c *fieldCheck) id(value *string) string {
+	id := c.text("id", value)
+	if !ValidID(id) {
+		c.fail("id is of another form")
 	}
+	return id
 }
 
-func text(p *parse, name string, v *string) string {
-	switch {
-	case v == nil:
-		p.fail(name + " missing")
+func (c *fieldCheck) text(name string, value *string) string {
+	if value == nil {
+		c.fail(name + " missing")
 		return ""
-	case *v == "" || len(*v) > 200:
-		p.fail(name + " empty or too long")
 	}
-	return *v
+	if *value == "" || len(*value) > maxText {
+		c.fail(name + " empty or too long")
+	}
+	return *value
 }
 
-func amount(p *parse, name string, v *float64) float64 {
-	switch {
-	case v == nil:
-		p.fail(name + " missing")
+func (c *fieldCheck) amount(name string, value *float64) float64 {
+	if value == nil {
+		c.fail(name + " missing")
 		return 0
-	case math.IsNaN(*v) || math.IsInf(*v, 0) || *v < 0:
-		p.fail(name + " negative or not finite")
 	}
-	return *v
+	if !finite(*value) || *value < 0 {
+		c.fail(name + " negative or not finite")
+	}
+	return *value
 }
 
-func flag(p *parse, name string, v *bool) bool {
-	if v == nil {
-		p.fail(name + " missing")
+func (c *fieldCheck) flag(name string, value *bool) bool {
+	if value == nil {
+		c.fail(name + " missing")
 		return false
 	}
-	return *v
+	return *value
+}
+
+func (c *fieldCheck) tasks(value *int64) int {
+	if value == nil {
+		c.fail("tasks missing")
+		return 0
+	}
+	if *value < 1 || *value > MaxTasks {
+		c.fail("number of tasks out of range")
+		return 0
+	}
+	return int(*value)
+}
+
+// types checks a list of machine types. An empty one allows none: such a job can never run,
+// but is well-formed.
+func (c *fieldCheck) types(names []string) []string {
+	if len(names) > maxTypes {
+		c.fail("too many machine types")
+	}
+	for _, name := range names {
+		if name == "" || len(name) > maxTypeName {
+			c.fail("a machine type has no usable name")
+		}
+	}
+	return append([]string{}, names...)
+}
+
+// dependencies checks a list of jobs and returns each once.
+func (c *fieldCheck) dependencies(ids []string) (unique []string) {
+	seen := make(map[string]bool, len(ids))
+	for _, id := range ids {
+		switch {
+		case !ValidID(id):
+			c.fail("a dependency is no job's id")
+		case !seen[id]:
+			seen[id] = true
+			unique = append(unique, id)
+		}
+	}
+	return unique
 }
 
-// TaskName is the name of a job's task on the wire.
+// TaskName returns the name of a job's task (protocol: "POST /submissions").
 func TaskName(job string, index int) string { return job + "/" + strconv.Itoa(index) }
 
-// ParseTask reads a task's name.
+// ParseTask reads a task's name. The error is ErrTaskName.
 func ParseTask(name string) (job string, index int, err error) {
 	job, digits, ok := strings.Cut(name, "/")
 	if !ok || !ValidID(job) {
-		return "", 0, fmt.Errorf("wire: task name %q", name)
+		return "", 0, fmt.Errorf("%w %q", ErrTaskName, name)
 	}
 	index, err = strconv.Atoi(digits)
 	if err != nil || index < 0 || index >= MaxTasks || strconv.Itoa(index) != digits {
-		return "", 0, fmt.Errorf("wire: task name %q", name)
+		return "", 0, fmt.Errorf("%w %q", ErrTaskName, name)
 	}
 	return job, index, nil
 }
