--- a/internal/controller/demand.go
+++ b/internal/controller/demand.go
@@ -231,7 +231,7 @@
 }
 
 // stateOf says how a machine counts for the leader.
-func (c *Controller) stateOf(m *machine) int {
+func (c *Controller) stateOf(m *machine) peer.MachineState {
 	v := m.view
 	switch {
 	case v.unreconciledFromPredecessor:
--- a/internal/controller/scale_in_test.go
+++ b/internal/controller/scale_in_test.go
@@ -53,7 +53,7 @@
 		t.Fatal("does not lead")
 	}
 	h.c.fleet.returned["vm-1"] = h.now
-	for _, state := range []int{peer.MachineUnreconciled, peer.MachineSilent} {
+	for _, state := range []peer.MachineState{peer.MachineUnreconciled, peer.MachineSilent} {
 		p := h.c.peers["n-1"]
 		p.returnedMachines = nil
 		d := &peer.Demand{Shard: 1, All: 1, Machines: []peer.Machine{{ID: "vm-1", State: state}}}
--- /dev/null
+++ b/internal/peer/peer_test.go
@@ -0,0 +1,48 @@
+package peer
+
+import (
+	"bytes"
+	"testing"
+)
+
+// TestMachineStateIsSentAsInteger: other versions read the state as an integer.
+func TestMachineStateIsSentAsInteger(t *testing.T) {
+	for state := MachineIdle; state <= MachineUnreconciled; state++ {
+		got, err := Encode(state)
+		if err != nil {
+			t.Fatal(err)
+		}
+		want, err := Encode(int(state))
+		if err != nil {
+			t.Fatal(err)
+		}
+		if !bytes.Equal(got, want) {
+			t.Errorf("%s is sent as %x, want %x", state, got, want)
+		}
+	}
+}
+
+func TestMachineStateString(t *testing.T) {
+	seen := map[string]bool{}
+	for state := MachineIdle; state <= MachineUnreconciled; state++ {
+		name := state.String()
+		if seen[name] || name[0] < 'a' || name[0] > 'z' {
+			t.Errorf("state %d is named %q", int(state), name)
+		}
+		seen[name] = true
+	}
+	if got := MachineState(99).String(); got != "99" {
+		t.Errorf("an unknown state is named %q", got)
+	}
+}
+
+func TestDecodeMalformed(t *testing.T) {
+	for name, body := range map[string][]byte{
+		"nothing": nil, "a reserved byte": {0xc1}, "half a map": {0x82, 0xa1, 'f'}, "a number": {0x01}, "a map of numbers": {0x81, 0x01, 0x02},
+	} {
+		var request Request
+		if err := Decode(body, &request); err == nil {
+			t.Errorf("%s is decoded as %+v", name, request)
+		}
+	}
+}
