--- a/garnethitch.go
+++ b/garnethitch.go
@@ -22,7 +22,20 @@
 // Version is the version of the program.
 const Version = "0.1.0"
 
-// Config says what to run.
+const (
+	// gcPercent makes collections rare: memory is plenty and a fraction of a core is not.
+	// The memory limit makes them more frequent when memory runs short.
+	gcPercent = 400
+	// runningThreads is how many threads run at a time. On a fraction of a core a second
+	// one would be woken by each event for nothing; docs/account.md has the counts.
+	runningThreads = 1
+	// traceCloseTimeout bounds the export of buffered spans at the end.
+	traceCloseTimeout = time.Second
+
+	bytesPerMiB = 1 << 20
+)
+
+// Config names the files and the log of a controller.
 type Config struct {
 	// SettingsPath names the platform's settings file (TOML).
 	SettingsPath string
@@ -34,14 +47,13 @@
 
 // Controller is one controller node, ready to run.
 type Controller struct {
-	rt  *service.Runtime
-	set config.Settings
-	opt config.Options
-
-	tracer *tracing.Tracer
+	rt     *service.Runtime
+	set    config.Settings
+	opt    config.Options
+	tracer *tracing.Tracer // nil: no spans are exported
 }
 
-// New reads and checks the settings.
+// New reads and checks the settings and options, and starts nothing yet.
 func New(cfg Config) (*Controller, error) {
 	set, err := config.LoadSettings(cfg.SettingsPath)
 	if err != nil {
@@ -62,21 +74,20 @@
 	if log == nil {
 		log = slog.New(slog.NewTextHandler(io.Discard, nil))
 	}
-	return &Controller{rt: service.New(set, opt, log, rand.Uint64()).WithTracer(tracer), set: set, opt: opt, tracer: tracer}, nil
+	rt := service.New(set, opt, log, rand.Uint64()).WithTracer(tracer)
+	return &Controller{rt: rt, set: set, opt: opt, tracer: tracer}, nil
 }
 
-// Run serves until ctx ends or serving becomes impossible. It sets the
-// process's memory limit and its number of running threads from the settings.
+// Run serves until ctx ends, when it returns nil, or until serving becomes impossible. It sets
+// the memory limit, the rate of garbage collection and the number of running threads of the
+// process.
 func (c *Controller) Run(ctx context.Context) error {
-	debug.SetMemoryLimit(int64(c.set.Cluster.Resources.RAMMB * c.opt.MemoryShare * (1 << 20)))
-	// Memory is plenty and a fraction of a core is not: collect seldom. The limit
-	// above makes it collect more often when memory runs short.
-	debug.SetGCPercent(400)
-	// Only one thread runs at a time, on a fraction of a core: with two, each event
-	// wakes the other for nothing. docs/account.md has the counts.
-	runtime.GOMAXPROCS(1)
+	memoryLimit := c.set.Cluster.Resources.RAMMB * c.opt.MemoryShare * bytesPerMiB
+	debug.SetMemoryLimit(int64(memoryLimit))
+	debug.SetGCPercent(gcPercent)
+	runtime.GOMAXPROCS(runningThreads)
 	err := c.rt.Run(ctx)
-	closing, cancel := context.WithTimeout(context.Background(), time.Second)
+	closing, cancel := context.WithTimeout(context.Background(), traceCloseTimeout)
 	defer cancel()
 	return errors.Join(err, c.tracer.Close(closing))
 }
--- a/internal/eventqueue/eventqueue.go
+++ b/internal/eventqueue/eventqueue.go
@@ -7,45 +7,49 @@
 	"garnethitch/internal/micros"
 )
 
-// Queue holds what is to happen, in order of time; what is due at one instant happens in
-// the order in which it was added. The zero value is empty.
+// Queue holds events in order of time, and events of the same time in the order in which they
+// were added. The zero value is empty.
 type Queue struct {
-	events events
-	added  uint64
+	events eventHeap
+	added  uint64 // number of events
 }
 
 type event struct {
-	at  micros.Micros
-	seq uint64
-	f   func()
+	at       micros.Micros
+	sequence uint64
+	run      func()
 }
 
-type events []event
+// eventHeap implements heap.Interface.
+type eventHeap []event
 
-func (e events) Len() int { return len(e) }
+func (h eventHeap) Len() int { return len(h) }
 
-func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
+func (h eventHeap) Less(i, j int) bool {
+	if h[i].at != h[j].at {
+		return h[i].at < h[j].at
+	}
+	return h[i].sequence < h[j].sequence
 }
 
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-func (e *events) Push(x any) { *e = append(*e, x.(event)) }
+func (h *eventHeap) Push(x any) { *h = append(*h, x.(event)) }
 
-func (e *events) Pop() any {
-	old := *e
-	x := old[len(old)-1]
-	*e = old[:len(old)-1]
-	return x
+func (h *eventHeap) Pop() any {
+	last := len(*h) - 1
+	removed := (*h)[last]
+	*h = (*h)[:last]
+	return removed
 }
 
-// Add has f happen at an instant.
-func (q *Queue) Add(at micros.Micros, f func()) {
+// Add adds an event at a time.
+func (q *Queue) Add(at micros.Micros, run func()) {
 	q.added++
-	heap.Push(&q.events, event{at, q.added, f})
+	heap.Push(&q.events, event{at: at, sequence: q.added, run: run})
 }
 
-// Due tells when the next event happens; ok is false if there is none.
+// Due returns the time of the next event; ok is false if there is none.
 func (q *Queue) Due() (at micros.Micros, ok bool) {
 	if len(q.events) == 0 {
 		return 0, false
@@ -53,8 +57,8 @@
 	return q.events[0].at, true
 }
 
-// Take removes the next event, and gives when it happens and what.
-func (q *Queue) Take() (at micros.Micros, f func()) {
-	e := heap.Pop(&q.events).(event)
-	return e.at, e.f
+// Take removes the next event and returns it. The queue must not be empty.
+func (q *Queue) Take() (at micros.Micros, run func()) {
+	next := heap.Pop(&q.events).(event)
+	return next.at, next.run
 }
--- a/internal/joblog/joblog.go
+++ b/internal/joblog/joblog.go
@@ -1,12 +1,13 @@
-// Package joblog puts the course of one job together from the logs of several
-// controllers: what was decided about the job, the machines that held its tasks, and who
-// was entitled to command these.
+// Package joblog merges what the logs of several controllers hold about one job: the
+// decisions about it, the machines that had its tasks, and which controller might issue
+// commands to these.
 package joblog
 
 import (
 	"cmp"
 	"fmt"
 	"io"
+	"log/slog"
 	"slices"
 	"strings"
 	"time"
@@ -14,14 +15,20 @@
 	"github.com/go-logfmt/logfmt"
 )
 
-// Log is the log of one controller. Open is called twice.
+// Log is the log of one controller.
 type Log struct {
-	Controller string
-	Open       func() (io.ReadCloser, error)
+	Controller string                        // its name
+	Open       func() (io.ReadCloser, error) // called twice
 }
 
-// field is one key with its value.
-type field struct{ key, value string }
+// timeFormat is the form in which a line's time is printed.
+const timeFormat = "15:04:05.000"
+
+// field is a key of a line with its value.
+type field struct {
+	key   string
+	value string
+}
 
 // line is a line of a log.
 type line struct {
@@ -31,6 +38,7 @@
 	fields     []field
 }
 
+// value returns the value of a key, or "" if the line does not have it.
 func (l line) value(key string) string {
 	for _, f := range l.fields {
 		if f.key == key {
@@ -40,10 +48,10 @@
 	return ""
 }
 
-// String gives the line as it is printed.
+// String returns the line as it is printed.
 func (l line) String() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s  %s  %s", l.at.UTC().Format("15:04:05.000"), l.controller, l.message)
+	fmt.Fprintf(&b, "%s  %s  %s", l.at.UTC().Format(timeFormat), l.controller, l.message)
 	for _, f := range l.fields {
 		fmt.Fprintf(&b, " %s=%s", f.key, f.value)
 	}
@@ -57,83 +65,101 @@
 	messageLeaseLoss   = "lease lost, giving up all locks"
 )
 
-// subjects are the machines and the shards that a job has to do with.
-type subjects struct {
-	job      string
-	machine  string // only this one; empty: all
-	machines map[string]bool
-	shards   map[string]bool
+// Keys of a line that select it.
+const (
+	keyJob     = "job"
+	keyTask    = "task"
+	keyMachine = "machine"
+	keyShard   = "shard"
+)
+
+// filter selects the lines that matter to a job.
+type filter struct {
+	job         string
+	onlyMachine string          // empty: all of the job's
+	machines    map[string]bool // that the job's lines name
+	shards      map[string]bool // that the job's lines name
 }
 
-// names: the line is about the job itself.
-func (s *subjects) names(l line) bool {
-	task := l.value("task")
-	return l.value("job") == s.job || strings.HasPrefix(task, s.job+"/")
+// aboutJob reports whether the line is about the job itself or one of its tasks.
+func (f *filter) aboutJob(l line) bool {
+	return l.value(keyJob) == f.job || strings.HasPrefix(l.value(keyTask), f.job+"/")
 }
 
-// note takes the machine and the shard of a line about the job.
-func (s *subjects) note(l line) {
-	if !s.names(l) {
+// learn adds the machine and the shard of a line about the job.
+func (f *filter) learn(l line) {
+	if !f.aboutJob(l) {
 		return
 	}
-	if m := l.value("machine"); m != "" {
-		s.machines[m] = true
+	if machine := l.value(keyMachine); machine != "" {
+		f.machines[machine] = true
 	}
-	if shard := l.value("shard"); shard != "" {
-		s.shards[shard] = true
+	if shard := l.value(keyShard); shard != "" {
+		f.shards[shard] = true
 	}
 }
 
-// concerns: the line belongs to the job's course.
-func (s *subjects) concerns(l line) bool {
+// selects reports whether the line matters to the job. Every line must have been learned
+// before.
+func (f *filter) selects(l line) bool {
 	switch l.message {
 	case messageEntitlement:
-		return s.shards[l.value("shard")]
+		return f.shards[l.value(keyShard)]
 	case messageLeaseGrant, messageLeaseLoss:
 		return true
 	}
-	if m := l.value("machine"); s.machine != "" && m != "" && m != s.machine {
+	machine := l.value(keyMachine)
+	if f.onlyMachine != "" && machine != "" && machine != f.onlyMachine {
 		return false
 	}
-	if s.names(l) {
+	if f.aboutJob(l) {
 		return true
 	}
-	// Another job's task on the same machine is not of interest.
-	return s.machines[l.value("machine")] && l.value("task") == "" && l.value("job") == ""
+	aboutOtherJob := l.value(keyTask) != "" || l.value(keyJob) != ""
+	return f.machines[machine] && !aboutOtherJob
 }
 
-// Write writes the course of a job in order of time; where a machine is named, only what
-// concerns that one of the job's machines.
+// Write writes the lines that matter to a job in order of time. If a machine is named, lines
+// about the job's other machines are left out.
 func Write(out io.Writer, job, machine string, logs []Log) error {
-	s := &subjects{job: job, machine: machine, machines: map[string]bool{}, shards: map[string]bool{}}
+	lines, err := selectLines(job, machine, logs)
+	if err != nil {
+		return err
+	}
+	slices.SortStableFunc(lines, func(a, b line) int {
+		return cmp.Or(a.at.Compare(b.at), cmp.Compare(a.controller, b.controller))
+	})
+	for _, l := range lines {
+		if _, err := fmt.Fprintln(out, l); err != nil {
+			return fmt.Errorf("course of %s: %w", job, err)
+		}
+	}
+	return nil
+}
+
+// selectLines reads the logs twice: a line may name a machine of the job only after others
+// that are about the machine.
+func selectLines(job, machine string, logs []Log) (selected []line, err error) {
+	f := &filter{job: job, onlyMachine: machine, machines: map[string]bool{}, shards: map[string]bool{}}
 	for _, log := range logs {
-		if err := read(log, s.note); err != nil {
-			return err
+		if err := read(log, f.learn); err != nil {
+			return nil, err
 		}
 	}
-	var course []line
 	for _, log := range logs {
 		err := read(log, func(l line) {
-			if s.concerns(l) {
-				course = append(course, l)
+			if f.selects(l) {
+				selected = append(selected, l)
 			}
 		})
 		if err != nil {
-			return err
+			return nil, err
 		}
 	}
-	slices.SortStableFunc(course, func(a, b line) int {
-		return cmp.Or(a.at.Compare(b.at), cmp.Compare(a.controller, b.controller))
-	})
-	for _, l := range course {
-		if _, err := fmt.Fprintln(out, l); err != nil {
-			return fmt.Errorf("course of %s: %w", job, err)
-		}
-	}
-	return nil
+	return selected, nil
 }
 
-// read gives the lines of a log; what is not a line of a controller is passed over.
+// read calls each for the lines of a log that have a time. Others are not a controller's.
 func read(log Log, each func(line)) error {
 	in, err := log.Open()
 	if err != nil {
@@ -144,16 +170,7 @@
 	for dec.ScanRecord() {
 		l := line{controller: log.Controller}
 		for dec.ScanKeyval() {
-			key, value := string(dec.Key()), string(dec.Value())
-			switch key {
-			case "time":
-				l.at, _ = time.Parse(time.RFC3339Nano, value)
-			case "msg":
-				l.message = value
-			case "level":
-			default:
-				l.fields = append(l.fields, field{key, value})
-			}
+			l.set(string(dec.Key()), string(dec.Value()))
 		}
 		if !l.at.IsZero() {
 			each(l)
@@ -164,3 +181,16 @@
 	}
 	return nil
 }
+
+// set sets what a key of the log stands for. A time that cannot be read is left zero.
+func (l *line) set(key, value string) {
+	switch key {
+	case slog.TimeKey:
+		l.at, _ = time.Parse(time.RFC3339Nano, value)
+	case slog.MessageKey:
+		l.message = value
+	case slog.LevelKey:
+	default:
+		l.fields = append(l.fields, field{key: key, value: value})
+	}
+}
--- a/internal/joblog/joblog_test.go
+++ b/internal/joblog/joblog_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// The course of a job holds what was said of it by all controllers, the heartbeats of
-// machines that held its tasks, and who might command them; nothing of other jobs.
+// TestWrite: the output holds what all controllers logged about the job, the heartbeats of
+// machines that had its tasks, and who might issue commands to them; nothing of other jobs.
 func TestWrite(t *testing.T) {
 	logs := map[string]string{
 		"n-0": `time=2026-12-03T10:00:01.000Z level=INFO msg="lease granted" lease=4
@@ -46,6 +46,6 @@
 		t.Fatal(err)
 	}
 	if strings.Contains(out.String(), "vm-1") || !strings.Contains(out.String(), "job cancelled") {
-		t.Errorf("of another machine:\n%s", out.String())
+		t.Errorf("with another machine named:\n%s", out.String())
 	}
 }
--- a/internal/micros/micros.go
+++ b/internal/micros/micros.go
@@ -1,5 +1,5 @@
-// Package micros holds the one unit of time that garnethitch computes with:
-// whole microseconds. Seconds and milliseconds exist only at the edges.
+// Package micros is the unit of time that garnethitch computes with: whole microseconds.
+// Seconds and milliseconds are converted where they are read and written.
 package micros
 
 import (
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Micros is a point on a steady clock, or a span, in whole microseconds.
+// Micros is a point on a clock, or a span, in whole microseconds.
 type Micros int64
 
 // Common spans.
@@ -19,8 +19,8 @@
 	Never Micros = math.MaxInt64 / 4
 )
 
-// FromSeconds converts seconds, rounding to the nearest microsecond and
-// keeping within ±Never; a value that is not a number becomes 0.
+// FromSeconds converts seconds, rounded to the nearest microsecond and clamped to ±Never. NaN
+// becomes 0.
 func FromSeconds(s float64) Micros {
 	v := s * float64(Second)
 	switch {
@@ -34,14 +34,14 @@
 	return Micros(math.Round(v))
 }
 
-// FromDuration converts a time.Duration.
+// FromDuration converts a time.Duration, rounded toward zero.
 func FromDuration(d time.Duration) Micros { return Micros(d / time.Microsecond) }
 
-// Seconds gives the span in seconds.
+// Seconds returns the span in seconds.
 func (m Micros) Seconds() float64 { return float64(m) / float64(Second) }
 
-// Millis gives the span in whole milliseconds, rounded down.
+// Millis returns the span in whole milliseconds, rounded down.
 func (m Micros) Millis() int64 { return int64(m / Millisecond) }
 
-// Duration gives the span as a time.Duration.
+// Duration returns the span as a time.Duration.
 func (m Micros) Duration() time.Duration { return time.Duration(m) * time.Microsecond }
