--- /dev/null
+++ b/dependencies_test.go
@@ -0,0 +1,171 @@
+package garnethitch_test
+
+import (
+	"bytes"
+	"fmt"
+	"io"
+	"net/http"
+	"testing"
+	"time"
+
+	"garnethitch"
+	"garnethitch/internal/wire"
+)
+
+// user sends requests to a controller at an address, as docs/operations.md describes them.
+type user struct {
+	t    *testing.T
+	addr string
+}
+
+// do sends a request and returns the answer's status and the job's state in it.
+func (u user) do(method, path string, body any) (status int, state string) {
+	u.t.Helper()
+	var in io.Reader
+	if body != nil {
+		encoded, err := wire.Encode(body)
+		if err != nil {
+			u.t.Fatal(err)
+		}
+		in = bytes.NewReader(encoded)
+	}
+	req, err := http.NewRequest(method, "http://"+u.addr+path, in)
+	if err != nil {
+		u.t.Fatal(err)
+	}
+	resp, err := http.DefaultClient.Do(req)
+	if err != nil {
+		u.t.Fatal(err)
+	}
+	defer resp.Body.Close()
+	encoded, err := io.ReadAll(resp.Body)
+	if err != nil {
+		u.t.Fatal(err)
+	}
+	var answer wire.JobAnswer
+	if len(encoded) > 0 {
+		if err := wire.Decode(encoded, &answer); err != nil {
+			u.t.Fatal(err)
+		}
+	}
+	return resp.StatusCode, answer.State
+}
+
+func (u user) submit(job map[string]any) (status int, state string) {
+	u.t.Helper()
+	return u.do("POST", "/submissions", job)
+}
+
+func (u user) status(n int) (status int, state string) {
+	u.t.Helper()
+	return u.do("GET", "/submissions/"+jobID(n), nil)
+}
+
+func (u user) cancel(n int) (status int, state string) {
+	u.t.Helper()
+	return u.do("POST", "/submissions/"+jobID(n)+"/withdraw", nil)
+}
+
+func jobID(n int) string { return fmt.Sprintf("job-%06d", n) }
+
+// dependentJob is a submission whose list of dependencies may be malformed.
+func dependentJob(n int, dependencies any) map[string]any {
+	return map[string]any{
+		"nameId": jobID(n), "herd": "c", "crew": "t", "gait": "sweep", "rank": "standard", "loads": 1,
+		"cpus": 1.0, "gpus": 0.0, "memGb": 1.0, "tack": "i", "sizeGb": 1.0, "breeds": nil, "paddock": nil,
+		"oneZone": false, "apart": false, "strays": true, "haulS": 5.0, "restS": 0.0, "stowS": 0.0, "dueS": nil,
+		"follows": dependencies,
+	}
+}
+
+// TestDependencies: dependent jobs are submitted to a whole controller over HTTP and run in
+// order, and others are cancelled with the one that they depend on.
+func TestDependencies(t *testing.T) {
+	serve, internal := freeAddr(t), freeAddr(t)
+	w, services := startWorld(t, 16, serve)
+	controller, err := garnethitch.New(garnethitch.Config{SettingsPath: writeSettings(t, serve, internal, services)})
+	if err != nil {
+		t.Fatal(err)
+	}
+	run(t, controller)
+	w.say("ready")
+	u := user{t, serve}
+	checkDependentSubmissions(u)
+	checkRunsInOrder(u, w)
+	checkCancellationCascade(u)
+	if status, state := u.cancel(503); status != 200 || state != wire.StateDone {
+		t.Errorf("cancellation of a job that is done: %d %q", status, state)
+	}
+}
+
+func checkDependentSubmissions(u user) {
+	u.t.Helper()
+	for _, tc := range []struct {
+		name   string
+		job    map[string]any
+		status int
+		state  string
+	}{
+		{"no dependencies", dependentJob(501, nil), 201, wire.StatePending},
+		{"one dependency", dependentJob(502, []string{jobID(501)}), 201, wire.StatePending},
+		{"two, one named twice", dependentJob(503, []string{jobID(502), jobID(501), jobID(502)}), 201, wire.StatePending},
+		{"repeated with other dependencies", dependentJob(503, []string{jobID(999)}), 200, wire.StatePending},
+		{"on a job that nobody submitted", dependentJob(504, []string{jobID(999)}), 422, ""},
+		{"on itself", dependentJob(505, []string{jobID(505)}), 422, ""},
+		{"no list", dependentJob(506, jobID(501)), 400, ""},
+		{"no ids", dependentJob(507, []string{"first"}), 400, ""},
+	} {
+		if status, state := u.submit(tc.job); status != tc.status || state != tc.state {
+			u.t.Errorf("%s: %d %q, want %d %q", tc.name, status, state, tc.status, tc.state)
+		}
+	}
+}
+
+// checkRunsInOrder: until the last of the three jobs is done, none has started before the one
+// that it depends on is done.
+func checkRunsInOrder(u user, w *world) {
+	u.t.Helper()
+	deadline := time.Now().Add(30 * time.Second)
+	for last := ""; last != wire.StateDone; {
+		if time.Now().After(deadline) {
+			u.t.Fatalf("the last job is called %q after 30 s", last)
+		}
+		w.say("turns 16")
+		var states [3]string
+		for i := 2; i >= 0; i-- { // the last first, so that a job before it can only be further
+			_, states[i] = u.status(501 + i)
+		}
+		for i := 1; i < 3; i++ {
+			if states[i] != wire.StatePending && states[i-1] != wire.StateDone {
+				u.t.Fatalf("states %q: %s went ahead", states, jobID(501+i))
+			}
+		}
+		last = states[2]
+		time.Sleep(50 * time.Millisecond)
+	}
+}
+
+// checkCancellationCascade: jobs that depend on a cancelled one are cancelled, directly or
+// not, and whether submitted before or after it.
+func checkCancellationCascade(u user) {
+	u.t.Helper()
+	for n, dependency := range []int{501, 601, 602} { // 501 is done
+		u.submit(dependentJob(601+n, []string{jobID(dependency)}))
+	}
+	if status, state := u.cancel(601); status != 200 || state != wire.StateCancelled {
+		u.t.Errorf("cancellation: %d %q", status, state)
+	}
+	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(20 * time.Millisecond) {
+		_, second := u.status(602)
+		status, third := u.status(603)
+		if second == wire.StateCancelled && third == wire.StateCancelled {
+			break
+		}
+		if time.Now().After(deadline) {
+			u.t.Fatalf("called %q and %d %q 10 s after the job before them was cancelled", second, status, third)
+		}
+	}
+	if status, state := u.submit(dependentJob(604, []string{jobID(603)})); status != 201 || state != wire.StateCancelled {
+		u.t.Errorf("submitted after the cancellation: %d %q", status, state)
+	}
+}
--- a/example_test.go
+++ b/example_test.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"fmt"
-	"net"
 	"os"
 	"path/filepath"
 	"time"
@@ -11,62 +10,21 @@
 	"garnethitch"
 )
 
-// settings are those of a controller alone, beside services that nobody runs: it
+// settingsFile writes the settings of a controller alone, beside services that nobody runs: it
 // starts, is not ready, and stops.
-const settings = `
-label = "n-0"
-site = "a"
-serve_on = %q
-internal_addr = %q
-
-[endpoints]
-cloud = "127.0.0.1:1"
-state = "127.0.0.1:1"
-
-[cluster]
-nodes = 1
-zones = ["a"]
-
-[[cluster.teams]]
-name = "t"
-
-[cluster.workers]
-report_s = 3.0
-lease_s = 45.0
-cancel_s = 70.0
-
-[cluster.state]
-rps = 150.0
-write_rps = 25.0
-value_kb = 8.0
-txn_ops = 8
-
-[cluster.cloud]
-rps = 5.0
-list_lag_s = 3.0
-
-[cluster.resources]
-core_share = 0.24
-ram_mb = 451.0
-sockets = 5000
-`
-
-// settingsFile writes the settings, with two free ports, to a folder.
-func settingsFile(folder string) (string, error) {
-	var ports [2]string
-	for i := range ports {
-		listener, err := net.Listen("tcp4", "127.0.0.1:0")
-		if err != nil {
-			return "", err
-		}
-		defer listener.Close()
-		ports[i] = listener.Addr().String()
+func settingsFile(folder string) (path string, err error) {
+	serve, err := freeAddress()
+	if err != nil {
+		return "", err
+	}
+	internal, err := freeAddress()
+	if err != nil {
+		return "", err
 	}
-	path := filepath.Join(folder, "settings.toml")
-	return path, os.WriteFile(path, fmt.Appendf(nil, settings, ports[0], ports[1]), 0o600)
+	return writeSettingsFile(folder, serve, internal, "127.0.0.1:1")
 }
 
-// A program embeds a controller, hears of unusable settings before anything is
+// A program embeds a controller, learns of unusable settings before anything is
 // started, and runs it until a context ends.
 func Example() {
 	folder, err := os.MkdirTemp("", "garnethitch")
--- a/internal/wire/protocolwords_test.go
+++ b/internal/wire/protocolwords_test.go
@@ -46,6 +46,7 @@
 // files play the protocol's other side (users, workers, the cloud, the state service) or
 // check the encoded form.
 var exceptions = map[string][]string{
+	"dependencies_test.go":                     {"/submissions", "breeds", "crew", "gait", "haul", "herd", "loads", "nameId", "oneZone", "paddock", "stow", "strays", "tack", "withdraw"},
 	"garnethitch_test.go":                      {"/checkin", "/peer", "/ready", "/submissions", "application/msgpack", "breeds", "checkin", "crew", "gait", "haul", "herd", "loads", "nameId", "oneZone", "paddock", "stow", "strays", "tack", "withdraw"},
 	"internal/controller/compat_test.go":       {"breeds", "crew", "gait", "haul", "herd", "paddock", "stow", "strays", "tack"},
 	"internal/controller/reachability_test.go": {"halted"},
@@ -56,7 +57,6 @@
 	"internal/simulation/cluster_machine.go":   {"/checkin", "/orders", "checkin"},
 	"internal/simulation/soak_user.go":         {"/submissions", "withdraw"},
 	"internal/simulation/world.go":             {"/checkin", "/extend", "/ready", "/submissions", "application/cbor", "blockMs", "checkin", "flavors"},
-	"pipeline_test.go":                         {"/submissions", "breeds", "crew", "gait", "haul", "herd", "loads", "nameId", "oneZone", "paddock", "stow", "strays", "tack", "withdraw"},
 }
 
 // TestProtocolWordsStayInTranslators: outside the packages that translate, no identifier and
--- a/path_test.go
+++ b/path_test.go
@@ -1,4 +1,4 @@
-package garnethitch
+package garnethitch_test
 
 import (
 	"bufio"
@@ -12,10 +12,12 @@
 	"testing"
 	"time"
 
+	"garnethitch"
 	"garnethitch/internal/simulation"
 )
 
-// A test binary started with this variable is the world around a controller.
+// worldVar makes a test binary the world around a controller: every other side of its
+// protocols.
 const worldVar = "GARNETHITCH_WORLD"
 
 func TestMain(m *testing.M) {
@@ -29,13 +31,14 @@
 	os.Exit(m.Run())
 }
 
-// world is the other process, which plays everybody but the controller.
+// world is the other process, which plays every side but the controller.
 type world struct {
 	tb  testing.TB
 	in  io.WriteCloser
 	out *bufio.Reader
 }
 
+// say sends a command and returns the answer.
 func (w *world) say(format string, args ...any) string {
 	w.tb.Helper()
 	fmt.Fprintf(w.in, format+"\n", args...)
@@ -46,8 +49,10 @@
 	return line
 }
 
-// startWorld begins a world with machines that will report to serve.
-func startWorld(tb testing.TB, machines int, serve string) (*world, string) {
+// startWorld starts a world with machines that send their heartbeats to serve, and returns the
+// address of its cloud and state service.
+func startWorld(tb testing.TB, machines int, serve string) (w *world, services string) {
+	tb.Helper()
 	self, err := os.Executable()
 	if err != nil {
 		tb.Fatal(err)
@@ -55,7 +60,7 @@
 	cmd := exec.Command(self)
 	cmd.Env = append(os.Environ(), worldVar+"=1")
 	cmd.Stderr = os.Stderr
-	w := &world{tb: tb}
+	w = &world{tb: tb}
 	out, err := cmd.StdoutPipe()
 	if err == nil {
 		w.in, err = cmd.StdinPipe()
@@ -74,36 +79,43 @@
 	return w, strings.TrimPrefix(w.say("machines %d %s", machines, serve), "at ")
 }
 
-// startPath begins a controller in this process and a world in another, with
-// every machine on record and full of tasks.
+// startPath starts a controller in this process and a world in another, and submits a job
+// that fills every machine.
 func startPath(tb testing.TB, machines int) *world {
+	tb.Helper()
 	serve, internal := freeAddr(tb), freeAddr(tb)
 	w, services := startWorld(tb, machines, serve)
 	path := writeSettings(tb, serve, internal, services)
-	// The service's limits are not what is measured.
-	text, err := os.ReadFile(path)
-	if err != nil {
-		tb.Fatal(err)
-	}
-	text = []byte(strings.NewReplacer("\nrps = 150.0", "\nrps = 100000.0", "write_rps = 25.0", "write_rps = 100000.0").Replace(string(text)))
-	if err := os.WriteFile(path, text, 0o600); err != nil {
-		tb.Fatal(err)
-	}
-	c, err := New(Config{SettingsPath: path})
+	liftStateLimits(tb, path)
+	controller, err := garnethitch.New(garnethitch.Config{SettingsPath: path})
 	if err != nil {
 		tb.Fatal(err)
 	}
 	procs := runtime.GOMAXPROCS(0)
 	tb.Cleanup(func() { runtime.GOMAXPROCS(procs) })
-	run(tb, c)
+	run(tb, controller)
 	w.say("ready")
 	w.say("job 100000")
 	return w
 }
 
-// used is the processor time that this process has taken, and how often it has
-// read and written.
+// liftStateLimits raises the state service's limits in settings, which are not what is
+// measured.
+func liftStateLimits(tb testing.TB, path string) {
+	tb.Helper()
+	text, err := os.ReadFile(path)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	replacer := strings.NewReplacer("\nrps = 150.0", "\nrps = 100000.0", "write_rps = 25.0", "write_rps = 100000.0")
+	if err := os.WriteFile(path, []byte(replacer.Replace(string(text))), 0o600); err != nil {
+		tb.Fatal(err)
+	}
+}
+
+// used returns the processor time of this process, and its numbers of reads and writes.
 func used(tb testing.TB) (cpu time.Duration, reads, writes int) {
+	tb.Helper()
 	var ru syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &ru); err != nil {
 		tb.Fatal(err)
@@ -118,10 +130,9 @@
 	return time.Duration(ru.Utime.Nano() + ru.Stime.Nano()), reads, writes
 }
 
-// TestCallsPerReport counts what a heartbeat takes of the kernel, whatever the time:
-// it is read and answered by one call each. (With evio an answer took two more, of
-// epoll_ctl, and a wait; an answer in two writes would be two packets.)
-func TestCallsPerReport(t *testing.T) {
+// TestSystemCallsPerHeartbeat: a heartbeat is read and answered by one system call each. An
+// answer in two writes would be two packets.
+func TestSystemCallsPerHeartbeat(t *testing.T) {
 	w := startPath(t, 24)
 	w.say("reports 480") // until all are on record and full
 	const n = 2400
@@ -132,13 +143,13 @@
 		t.Fatal("reads and writes are not counted here")
 	}
 	if r, w := float64(reads2-reads)/n, float64(writes2-writes)/n; r > 1.5 || w > 1.5 {
-		t.Errorf("%.2f reads and %.2f writes a report", r, w)
+		t.Errorf("%.2f reads and %.2f writes a heartbeat", r, w)
 	}
 }
 
-// BenchmarkPath is the whole path of a request in a running controller, from the
-// socket to the socket: read processor time, allocations, reads and writes per
-// request, not the time that passes. docs/account.md says how to get the parts.
+// BenchmarkPath measures the whole path of a request in a running controller, from socket to
+// socket: processor time, allocations, reads and writes per request; the time per operation
+// means little. docs/account.md says how to get the parts.
 func BenchmarkPath(b *testing.B) {
 	for _, load := range []string{"reports", "apart", "turns", "polls", "jobs"} {
 		b.Run(load, func(b *testing.B) {
