--- a/garnethitch_test.go
+++ b/garnethitch_test.go
@@ -66,7 +66,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	resp.Body.Close()
+	defer resp.Body.Close()
 	if resp.StatusCode != 400 {
 		t.Errorf("garbage from a peer: %d, want 400", resp.StatusCode)
 	}
--- /dev/null
+++ b/internal/sourcecheck/docs.go
@@ -0,0 +1,93 @@
+package main
+
+import (
+	"go/ast"
+	"go/token"
+	"slices"
+)
+
+// selfExplanatory are methods of interfaces of the standard library, whose doc says what they
+// do.
+var selfExplanatory = []string{"Error", "String", "Unwrap", "Len", "Less", "Swap", "Push", "Pop"}
+
+// missingDocs finds exported items outside test files, and packages, without a doc comment.
+// Whether a comment begins with the name is for the linter.
+func missingDocs(p sourcePackage) (findings []finding) {
+	packageHasDoc := false
+	for _, file := range p.files {
+		packageHasDoc = packageHasDoc || file.Doc != nil
+		if !isTestFile(p.source[file]) {
+			findings = append(findings, missingDocsOf(p, file)...)
+		}
+	}
+	if !packageHasDoc && !isTestFile(p.source[p.files[0]]) {
+		findings = append(findings, finding{p.fset.Position(p.files[0].Name.Pos()), "package " + p.name + " has no doc comment"})
+	}
+	return findings
+}
+
+func missingDocsOf(p sourcePackage, file *ast.File) (findings []finding) {
+	for _, declaration := range file.Decls {
+		var undocumented []*ast.Ident
+		switch d := declaration.(type) {
+		case *ast.FuncDecl:
+			undocumented = undocumentedFunction(d)
+		case *ast.GenDecl:
+			undocumented = undocumentedSpecs(d)
+		}
+		for _, name := range undocumented {
+			findings = append(findings, finding{p.fset.Position(name.Pos()), name.Name + " is exported and has no doc comment"})
+		}
+	}
+	return findings
+}
+
+func undocumentedFunction(d *ast.FuncDecl) []*ast.Ident {
+	if d.Doc != nil || !d.Name.IsExported() {
+		return nil
+	}
+	if d.Recv != nil && (!receiverIsExported(d.Recv) || slices.Contains(selfExplanatory, d.Name.Name)) {
+		return nil
+	}
+	return []*ast.Ident{d.Name}
+}
+
+func receiverIsExported(receiver *ast.FieldList) bool {
+	expr := receiver.List[0].Type
+	if pointer, ok := expr.(*ast.StarExpr); ok {
+		expr = pointer.X
+	}
+	switch generic := expr.(type) {
+	case *ast.IndexExpr:
+		expr = generic.X
+	case *ast.IndexListExpr:
+		expr = generic.X
+	}
+	name, ok := expr.(*ast.Ident)
+	return ok && name.IsExported()
+}
+
+// undocumentedSpecs returns the exported names of a declaration without a doc comment. That
+// of a group holds for its constants and variables, as does a comment at the end of a line,
+// but not for its types.
+func undocumentedSpecs(d *ast.GenDecl) (names []*ast.Ident) {
+	for _, spec := range d.Specs {
+		switch s := spec.(type) {
+		case *ast.TypeSpec:
+			ownDoc := s.Doc != nil || d.Doc != nil && d.Lparen == token.NoPos
+			if s.Name.IsExported() && !ownDoc {
+				names = append(names, s.Name)
+			}
+		case *ast.ValueSpec:
+			if d.Doc != nil || s.Doc != nil || s.Comment != nil {
+				continue
+			}
+			for _, name := range s.Names {
+				if name.IsExported() {
+					names = append(names, name)
+				}
+			}
+		}
+	}
+	return names
+}
--- a/path_test.go
+++ b/path_test.go
@@ -73,7 +73,7 @@
 	}
 	w.out = bufio.NewReader(out)
 	tb.Cleanup(func() {
-		w.in.Close()
+		_ = w.in.Close()
 		_ = cmd.Wait()
 	})
 	return w, strings.TrimPrefix(w.say("machines %d %s", machines, serve), "at ")
