--- /dev/null
+++ b/internal/runtime/answers_test.go
@@ -0,0 +1,95 @@
+package runtime
+
+import (
+	"reflect"
+	"testing"
+
+	"garnethitch/internal/controller"
+	"garnethitch/internal/http1"
+	"garnethitch/internal/peer"
+	"garnethitch/internal/wire"
+)
+
+// TestDecodeResult: the body is read for the statuses that carry one, into the type that the
+// controller expects; one that cannot be read is an error where the controller needs it.
+func TestDecodeResult(t *testing.T) {
+	heartbeat := wire.Heartbeat{Machine: "vm-1", AgentEpoch: 1}
+	null := wire.Raw{0xf6}
+	withoutMachine := wire.Heartbeat{AgentEpoch: 1}
+	for _, tc := range []struct {
+		name    string
+		request any
+		status  int
+		body    any
+		want    any // body of the result
+		fails   bool
+	}{
+		{"transaction", wire.Txn{}, 200, wire.Revision{Revision: 4}, &wire.Revision{Revision: 4}, false},
+		{"transaction, conditions fail", wire.Txn{}, 409, wire.Revision{Failed: []string{"a"}}, &wire.Revision{Failed: []string{"a"}}, false},
+		{"transaction, rejected", wire.Txn{}, 400, "text", nil, false},
+		{"transaction, not readable", wire.Txn{}, 200, "text", nil, true},
+		{"new lease", wire.NewLease{}, 200, wire.Lease{Lease: 7}, &wire.Lease{Lease: 7}, false},
+		{"lease renewed", controller.RenewLease{}, 200, "text", nil, false},
+		{"key", controller.GetKey{}, 200, wire.KeyValue{Key: "a", Value: null}, &wire.KeyValue{Key: "a", Value: null}, false},
+		{"no such key", controller.GetKey{}, 404, wire.Revision{Revision: 4}, nil, false},
+		{"keys", controller.ListKeys{}, 200, wire.KeyList{More: true}, &wire.KeyList{More: true}, false},
+		{"watch", controller.Watch{}, 200, wire.Events{Revision: 4}, &wire.Events{Revision: 4}, false},
+		{"watch from too old a revision", controller.Watch{}, 410, "text", nil, false},
+		{"machine types", controller.GetTypes{}, 200, wire.MachineTypes{}, &wire.MachineTypes{}, false},
+		{"machines", controller.ListMachines{}, 200, wire.MachineList{More: true}, &wire.MachineList{More: true}, false},
+		{"machines returned", controller.ReturnMachines{}, 200, "text", nil, false},
+		{"rental", wire.Rental{}, 200, wire.MachineNames{Machines: []string{"vm-1"}}, &wire.MachineNames{Machines: []string{"vm-1"}}, false},
+		{"rental, no capacity", wire.Rental{}, 503, wire.Refusal{Error: "no capacity"}, controller.RefusedRental, false},
+		{"rental, outage", wire.Rental{}, 503, wire.Refusal{Error: "trouble"}, nil, false},
+		{"rental, unavailable without a readable body", wire.Rental{}, 503, "text", nil, false},
+		{"command", wire.DirectCommand{}, 200, heartbeat, &heartbeat, false},
+		{"command, not a usable heartbeat", wire.DirectCommand{}, 200, withoutMachine, nil, true},
+		{"command refused", wire.DirectCommand{}, 409, withoutMachine, &withoutMachine, false},
+		{"heartbeat", controller.GetHeartbeat{}, 200, heartbeat, &heartbeat, false},
+		{"heartbeat, worker fails", controller.GetHeartbeat{}, 500, "text", nil, false},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			body, err := wire.Encode(tc.body)
+			if err != nil {
+				t.Fatal(err)
+			}
+			result, err := decodeResult(controller.Call{Req: tc.request}, http1.Message{Status: tc.status, Body: body})
+			checkResult(t, result, err, tc.status, tc.want, tc.fails)
+		})
+	}
+}
+
+func TestDecodePeerResult(t *testing.T) {
+	response := peer.Response{From: "n-1", OK: true}
+	encoded, err := peer.Encode(response)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, tc := range []struct {
+		name   string
+		status int
+		body   []byte
+		want   any
+		fails  bool
+	}{
+		{"answer", 200, encoded, &response, false},
+		{"not readable", 200, []byte{0xc1}, nil, true},
+		{"refused", 503, encoded, nil, false},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			result, err := decodeResult(controller.Call{To: controller.ToPeer, Req: peer.Request{}}, http1.Message{Status: tc.status, Body: tc.body})
+			checkResult(t, result, err, tc.status, tc.want, tc.fails)
+		})
+	}
+}
+
+func checkResult(t *testing.T, got controller.Result, err error, status int, body any, fails bool) {
+	t.Helper()
+	want := controller.Result{Status: status, Body: body}
+	if fails {
+		want = controller.Result{}
+	}
+	if (err != nil) != fails || !reflect.DeepEqual(got, want) {
+		t.Errorf("%+v, %v; want %+v, an error: %v", got, err, want, fails)
+	}
+}
--- /dev/null
+++ b/internal/runtime/requests_test.go
@@ -0,0 +1,49 @@
+package runtime
+
+import (
+	"bytes"
+	"errors"
+	"testing"
+
+	"garnethitch/internal/controller"
+	"garnethitch/internal/wire"
+)
+
+// TestEncodeCall: a request with a body names the body's type, one without it has none.
+func TestEncodeCall(t *testing.T) {
+	for _, tc := range []struct {
+		name           string
+		call           controller.Call
+		method, target string
+		body           any // nil: none
+	}{
+		{"transaction without conditions", controller.Call{Req: wire.Txn{}}, "POST", wire.PathTxn, wire.Txn{If: []wire.Condition{}}},
+		{"new lease", controller.Call{Req: wire.NewLease{TTLMS: 5000}}, "POST", wire.PathLeases, wire.NewLease{TTLMS: 5000}},
+		{"lease renewal", controller.Call{Req: controller.RenewLease{Lease: 7}}, "POST", wire.RenewLeasePath(7), nil},
+		{"key", controller.Call{Req: controller.GetKey{Key: "a/b"}}, "GET", wire.KeyPath("a/b"), nil},
+		{"machine types", controller.Call{Req: controller.GetTypes{}}, "GET", wire.PathMachineTypes, nil},
+		{"return", controller.Call{Req: controller.ReturnMachines{Machines: []string{"vm-1"}}}, "POST", wire.PathReturnMachines, wire.MachineNames{Machines: []string{"vm-1"}}},
+		{"heartbeat", controller.Call{Req: controller.GetHeartbeat{}}, "GET", wire.PathShowHeartbeat, nil},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			got, err := EncodeCall(tc.call)
+			if err != nil {
+				t.Fatal(err)
+			}
+			var body []byte
+			contentType := ""
+			if tc.body != nil {
+				contentType = wire.ContentType
+				if body, err = wire.Encode(tc.body); err != nil {
+					t.Fatal(err)
+				}
+			}
+			if got.Method != tc.method || got.Target != tc.target || got.ContentType != contentType || !bytes.Equal(got.Body, body) {
+				t.Errorf("%+v, want %s %s, %q, %x", got, tc.method, tc.target, contentType, body)
+			}
+		})
+	}
+	if _, err := EncodeCall(controller.Call{Req: "text"}); !errors.Is(err, ErrUnknownRequest) {
+		t.Errorf("a request of unknown type: %v", err)
+	}
+}
--- /dev/null
+++ b/internal/wire/codec_test.go
@@ -0,0 +1,21 @@
+package wire
+
+import "testing"
+
+// TestStoredSize: a value counts as its text does, or as what is sent if that is more.
+func TestStoredSize(t *testing.T) {
+	list := make([]bool, 300)
+	value, err := Encode(map[string]any{"k": list})
+	if err != nil {
+		t.Fatal(err)
+	}
+	text := len(`{"k":[]}`) + len("false")*300 + 299
+	for _, tc := range []struct {
+		limit int
+		fits  bool
+	}{{len(value) - 1, false}, {len(value), false}, {text - 1, false}, {text + 40, true}, {100_000, true}} {
+		if got := StoredSize(value, tc.limit) <= tc.limit; got != tc.fits {
+			t.Errorf("limit %d: fits %v, want %v", tc.limit, got, tc.fits)
+		}
+	}
+}
--- a/internal/wire/heartbeat_test.go
+++ b/internal/wire/heartbeat_test.go
@@ -1,23 +1,69 @@
 package wire
 
 import (
-	"bytes"
+	"errors"
 	"fmt"
+	"slices"
 	"testing"
 )
 
-func heartbeatOf(machine string, seq uint64, states ...string) Heartbeat {
-	r := Heartbeat{Machine: machine, AgentEpoch: 1, Sequence: seq}
-	for i, s := range states {
-		r.Tasks = append(r.Tasks, TaskStatus{Task: TaskName("job-000001", i), Attempt: 7, State: s})
+// heartbeatOf is a heartbeat of a machine with a task in each of the states.
+func heartbeatOf(machine string, sequence uint64, states ...string) Heartbeat {
+	heartbeat := Heartbeat{Machine: machine, AgentEpoch: 1, Sequence: sequence}
+	for i, state := range states {
+		heartbeat.Tasks = append(heartbeat.Tasks, TaskStatus{Task: TaskName("job-000001", i), Attempt: 7, State: state})
 	}
-	return r
+	return heartbeat
 }
 
-// A machine's list is decoded anew just when it has changed, and never taken for
+func TestParseHeartbeat(t *testing.T) {
+	task := func(name, state string) map[string]any {
+		return map[string]any{"load": name, "mount": 2, "stance": state}
+	}
+	for _, tc := range []struct {
+		name  string
+		field string
+		value any
+		ok    bool
+		err   error // nil: of the decoder
+	}{
+		{"as it is", "", nil, true, nil},
+		{"a notice", "warningS", 4.5, true, nil},
+		{"no machine", "post", "", false, ErrWorkerIdentity},
+		{"machine with a space", "post", "a b", false, ErrWorkerIdentity},
+		{"no agent epoch", "tether", 0, false, ErrWorkerIdentity},
+		{"negative token", "rein", -1, false, nil},
+		{"odd task", "loads", []any{task("x", "running")}, false, ErrTaskName},
+		{"odd state", "loads", []any{task("job-000001/0", "dancing")}, false, ErrTaskState},
+		{"a task", "loads", []any{task("job-000001/0", "running")}, true, nil},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			fields := map[string]any{
+				"post": "vm-1", "address": "a:1", "breed": "g8", "paddock": "a", "strays": true,
+				"tether": 1, "tally": 2, "rein": 3, "loads": []any{},
+			}
+			if tc.field != "" {
+				fields[tc.field] = tc.value
+			}
+			body, err := Encode(fields)
+			if err != nil {
+				t.Fatal(err)
+			}
+			_, err = ParseHeartbeat(body)
+			if (err == nil) != tc.ok {
+				t.Errorf("error %v", err)
+			}
+			if tc.err != nil && !errors.Is(err, tc.err) {
+				t.Errorf("error %v, want %v", err, tc.err)
+			}
+		})
+	}
+}
+
+// TestHeartbeatReader: a machine's list is decoded anew just when it has changed, and never taken for
 // another machine's or an older one, whatever the reader has to forget.
 func TestHeartbeatReader(t *testing.T) {
-	rr := NewHeartbeatReader(8 << 10)
+	reader := NewHeartbeatReader(8 << 10)
 	var last [3]*TaskStatus
 	for i, tc := range []struct {
 		machine int
@@ -39,19 +85,19 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		got, err := rr.Parse(body)
+		got, err := reader.Parse(body)
 		if err != nil {
 			t.Fatal(err)
 		}
 		clear(body) // it belongs to the connection: nothing may still point there
 		if fmt.Sprint(got) != fmt.Sprint(want) {
-			t.Errorf("report %d reads as %v, want %v", i, got, want)
+			t.Errorf("heartbeat %d reads as %v, want %v", i, got, want)
 		}
 		if len(got.Tasks) == 0 {
 			continue
 		}
 		if same := &got.Tasks[0] == last[tc.machine]; same != tc.same {
-			t.Errorf("report %d: the same list %v, want %v", i, same, tc.same)
+			t.Errorf("heartbeat %d: the same list %v, want %v", i, same, tc.same)
 		}
 		last[tc.machine] = &got.Tasks[0]
 	}
@@ -61,11 +107,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := rr.Parse(body); err != nil {
+		if _, err := reader.Parse(body); err != nil {
 			t.Fatal(err)
 		}
 		size := 0
-		for _, half := range []map[string]taskList{rr.young, rr.old} {
+		for _, half := range []map[string]taskList{reader.young, reader.old} {
 			for _, l := range half {
 				size += l.bytes()
 			}
@@ -78,21 +124,16 @@
 
 // TestUnchangedHeartbeatAllocs: a list that says nothing new is not decoded again.
 func TestUnchangedHeartbeatAllocs(t *testing.T) {
-	states := bytes.Split(bytes.Repeat([]byte(TaskRunning+" "), 32), []byte(" "))[:32]
-	rep := heartbeatOf("vm-1", 1)
-	for i := range states {
-		rep.Tasks = append(rep.Tasks, TaskStatus{Task: TaskName("job-000001", i), Attempt: 7, State: TaskRunning})
-	}
-	body, err := Encode(rep)
+	body, err := Encode(heartbeatOf("vm-1", 1, slices.Repeat([]string{TaskRunning}, 32)...))
 	if err != nil {
 		t.Fatal(err)
 	}
-	rr := NewHeartbeatReader(1 << 20)
+	reader := NewHeartbeatReader(1 << 20)
 	if n := testing.AllocsPerRun(100, func() {
-		if _, err := rr.Parse(body); err != nil {
+		if _, err := reader.Parse(body); err != nil {
 			t.Fatal(err)
 		}
 	}); n > 10 {
-		t.Errorf("a report of 32 tasks as before takes %.0f allocations", n)
+		t.Errorf("a heartbeat of 32 tasks as before takes %.0f allocations", n)
 	}
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/submission_test.go
@@ -1,13 +1,14 @@
 package wire
 
 import (
+	"errors"
 	"math"
 	"slices"
 	"testing"
 )
 
-// good is a submission as a user writes it.
-func good() map[string]any {
+// submissionFields are the fields of a well-formed submission.
+func submissionFields() map[string]any {
 	return map[string]any{
 		"nameId": "job-000412", "herd": "train", "crew": "vision", "gait": "sweep", "rank": "high", "loads": 16,
 		"cpus": 8.0, "gpus": 1.0, "memGb": 64.0, "tack": "img-07", "sizeGb": 6.2, "breeds": []string{"g8"}, "paddock": nil,
@@ -19,9 +20,9 @@
 	for _, tc := range []struct {
 		name  string
 		field string
-		value any // missing if it is the field's own name
+		value any // the field is left out if this is its own name
 		ok    bool
-		id    string // that the error still names
+		id    string // in the error
 	}{
 		{name: "as it is", ok: true},
 		{"unknown field", "colour", "red", true, ""},
@@ -63,13 +64,13 @@
 		{"id as a number", "nameId", 412, false, ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			m := good()
+			fields := submissionFields()
 			if tc.value == any(tc.field) && tc.field != "" {
-				delete(m, tc.field)
+				delete(fields, tc.field)
 			} else if tc.field != "" {
-				m[tc.field] = tc.value
+				fields[tc.field] = tc.value
 			}
-			body, err := Encode(m)
+			body, err := Encode(fields)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -96,10 +97,10 @@
 
 func TestParseTask(t *testing.T) {
 	for _, tc := range []struct {
-		in  string
-		job string
-		idx int
-		ok  bool
+		name  string
+		job   string
+		index int
+		ok    bool
 	}{
 		{"job-000412/3", "job-000412", 3, true},
 		{"job-000412/99999", "job-000412", 99999, true},
@@ -110,50 +111,17 @@
 		{"job-000412", "", 0, false},
 		{"job-1/2", "", 0, false},
 	} {
-		job, idx, err := ParseTask(tc.in)
-		if (err == nil) != tc.ok || job != tc.job || idx != tc.idx {
-			t.Errorf("%q is read as %q, %d, %v", tc.in, job, idx, err)
+		job, index, err := ParseTask(tc.name)
+		if (err == nil) != tc.ok || job != tc.job || index != tc.index {
+			t.Errorf("%q is read as %q, %d, %v", tc.name, job, index, err)
+		}
+		if err != nil && !errors.Is(err, ErrTaskName) {
+			t.Errorf("%q: error %v is not ErrTaskName", tc.name, err)
 		}
 	}
 }
 
-func TestParseHeartbeat(t *testing.T) {
-	task := func(name, state string) map[string]any {
-		return map[string]any{"load": name, "mount": 2, "stance": state}
-	}
-	for _, tc := range []struct {
-		name  string
-		field string
-		value any
-		ok    bool
-	}{
-		{"as it is", "", nil, true},
-		{"a notice", "warningS", 4.5, true},
-		{"no machine", "post", "", false},
-		{"machine with a space", "post", "a b", false},
-		{"no session", "tether", 0, false},
-		{"negative token", "rein", -1, false},
-		{"odd task", "loads", []any{task("x", "running")}, false},
-		{"odd state", "loads", []any{task("job-000001/0", "dancing")}, false},
-		{"a task", "loads", []any{task("job-000001/0", "running")}, true},
-	} {
-		t.Run(tc.name, func(t *testing.T) {
-			m := map[string]any{"post": "vm-1", "address": "a:1", "breed": "g8", "paddock": "a", "strays": true, "tether": 1, "tally": 2, "rein": 3, "loads": []any{}}
-			if tc.field != "" {
-				m[tc.field] = tc.value
-			}
-			body, err := Encode(m)
-			if err != nil {
-				t.Fatal(err)
-			}
-			if _, err := ParseHeartbeat(body); (err == nil) != tc.ok {
-				t.Errorf("error %v", err)
-			}
-		})
-	}
-}
-
-// Dependencies are named once each; null, absent and empty are the same.
+// TestDependencies: each is named once; null and empty are the same.
 func TestDependencies(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
@@ -165,9 +133,9 @@
 		{"one", []string{"job-000007"}, []string{"job-000007"}},
 		{"named twice", []string{"job-000007", "job-000008", "job-000007"}, []string{"job-000007", "job-000008"}},
 	} {
-		m := good()
-		m["follows"] = tc.value
-		body, err := Encode(m)
+		fields := submissionFields()
+		fields["follows"] = tc.value
+		body, err := Encode(fields)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -177,21 +145,3 @@
 		}
 	}
 }
-
-// A value counts as its text does, or as what is sent if that is more.
-func TestStoredSize(t *testing.T) {
-	list := make([]bool, 300)
-	value, err := Encode(map[string]any{"k": list})
-	if err != nil {
-		t.Fatal(err)
-	}
-	text := len(`{"k":[]}`) + len("false")*300 + 299
-	for _, tc := range []struct {
-		limit int
-		fits  bool
-	}{{len(value) - 1, false}, {len(value), false}, {text - 1, false}, {text + 40, true}, {100_000, true}} {
-		if got := StoredSize(value, tc.limit) <= tc.limit; got != tc.fits {
-			t.Errorf("limit %d: fits %v, want %v", tc.limit, got, tc.fits)
-		}
-	}
-}
