--- a/ci_test.go
+++ b/ci_test.go
@@ -23,7 +23,7 @@
 `
 
 // TestKnownRed: an entry of KNOWN-RED.txt is taken only in its form, and only for a test that
-// fails; the verdict on one that fails at times does not hang on how it went.
+// fails; one that is listed as failing at times may pass.
 func TestKnownRed(t *testing.T) {
 	script, err := filepath.Abs(".ci/known-red")
 	if err != nil {
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -18,7 +18,7 @@
 	"garnethitch/quota"
 )
 
-// A limit that an operator sets at one running controller is shown by another.
+// TestShowAndSet: a limit that an operator sets at one running controller is shown by another.
 func TestShowAndSet(t *testing.T) {
 	c, err := simulation.NewCluster(simulation.ClusterPlan{Seed: 1, Nodes: 2, Machines: 4, Teams: []string{"kigali", "rubavu", "karongi"}, Groups: simulation.GrantGroups()})
 	if err != nil {
@@ -28,10 +28,11 @@
 	addrs := c.Addresses()
 	ctx := context.Background()
 	var resp *peer.QuotaResponse
-	wait := func(what string, is func(quota.GroupStatus) bool) {
+	wait := func(what string, reached func(quota.GroupStatus) bool) {
 		t.Helper()
 		for range 100 {
-			if resp, err = admin.RequestQuota(ctx, addrs[1], peer.QuotaRequest{}); err == nil && len(resp.Groups) == 2 && is(resp.Groups[1]) {
+			resp, err = admin.RequestQuota(ctx, addrs[1], peer.QuotaRequest{})
+			if err == nil && len(resp.Groups) == 2 && reached(resp.Groups[1]) {
 				return
 			}
 			time.Sleep(100 * time.Millisecond)
@@ -66,7 +67,7 @@
 	}
 }
 
-// A request that no controller would grant is refused with the reason.
+// TestCheckSet: a request that no controller would grant is refused with the reason.
 func TestCheckSet(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "options.yaml")
 	if err := os.WriteFile(path, []byte("quota:\n  groups:\n    - {name: lake, teams: [rubavu], limit: {cpus: 5}}\n"), 0o600); err != nil {
--- a/internal/runtime/runtime_test.go
+++ b/internal/runtime/runtime_test.go
@@ -52,8 +52,8 @@
 )
 
 // TestSizes: one controller left alone serves every worker, at half as many machines again
-// as a deployment is planned for, and some users beside; what it keeps for calls
-// is enough for them; all of it fits into what the settings give.
+// as a deployment is planned for, and some users; the connections
+// kept for calls suffice; all of it fits into the sockets and the memory of the settings.
 func TestSizes(t *testing.T) {
 	const users = 200 // connections of users and probes that come and go
 	for _, tc := range []struct {
