--- a/internal/controller/authority.go
+++ b/internal/controller/authority.go
@@ -41,8 +41,8 @@
 func (c *Controller) mayCommandShard(s *shard) authority.Decision {
 	return authority.MayCommandShard(authority.ShardKnowledge{
 		Lease:            c.leaseKnowledge(),
-		Owned:            s.active,
-		Releasing:        s.releasing,
+		Owned:            s.owned(),
+		Releasing:        s.releasing(),
 		OwnerEpoch:       s.ownerEpoch,
 		HighestSeenEpoch: s.highestSeenEpoch,
 		JobsViewCurrent:  s.jobsViewCurrent,
--- a/internal/controller/authority_test.go
+++ b/internal/controller/authority_test.go
@@ -63,8 +63,8 @@
 		want  authority.Decision
 	}{
 		{"an owner with a current view", func(*Controller, *shard) {}, authority.Allow(authority.ReasonCurrentView)},
-		{"not the owner", func(_ *Controller, s *shard) { s.active = false }, authority.Refuse(authority.ReasonNotOwner)},
-		{"releasing", func(_ *Controller, s *shard) { s.releasing = true }, authority.Refuse(authority.ReasonReleasing)},
+		{"not the owner", func(_ *Controller, s *shard) { s.ownership = shardNotOwned }, authority.Refuse(authority.ReasonNotOwner)},
+		{"releasing", func(_ *Controller, s *shard) { s.ownership = shardReleasing }, authority.Refuse(authority.ReasonReleasing)},
 		{"a newer claim is known", func(_ *Controller, s *shard) { s.highestSeenEpoch = s.ownerEpoch + 1 }, authority.Refuse(authority.ReasonNewerClaim)},
 		{"the last renewal as old as it may be", func(c *Controller, _ *shard) { renewedAt(c, c.now-c.bounds.CommandValidity+1) }, authority.Allow(authority.ReasonCurrentView)},
 		{"the last renewal too old", func(c *Controller, _ *shard) { renewedAt(c, c.now-c.bounds.CommandValidity) }, authority.Refuse(authority.ReasonLeaseTooOld)},
--- a/internal/controller/checkpoint_recovery.go
+++ b/internal/controller/checkpoint_recovery.go
@@ -37,7 +37,7 @@
 	s.loadingCheckpoints = true
 	list := ListKeys{Prefix: wire.PrefixCheckpoint, After: l.after, Limit: checkpointsPerPage}
 	c.askState(statestore.ClassEnd, list, checkpointListTimeout, func(r statestore.Reply) {
-		if !s.active || s.ownerEpoch != ownerEpoch {
+		if !s.owned() || s.ownerEpoch != ownerEpoch {
 			return
 		}
 		page, ok := r.Body.(*wire.KeyList)
--- a/internal/controller/job_reads_test.go
+++ b/internal/controller/job_reads_test.go
@@ -61,7 +61,7 @@
 		{"an owner key is deleted", func(h *harness) {
 			h.c.releaseShard(h.c.ownership.shards[0])
 		}, func(h *harness) bool {
-			return h.keys[ownerKey(0)].ModRevision != h.c.ownership.shards[0].ownerEpoch || !h.c.ownership.shards[0].releasing
+			return h.keys[ownerKey(0)].ModRevision != h.c.ownership.shards[0].ownerEpoch || !h.c.ownership.shards[0].releasing()
 		}},
 		{"a cancellation is recorded", func(h *harness) {
 			h.cancel("job-000001")
@@ -78,7 +78,7 @@
 		}, func(h *harness) bool { return h.keys[wire.CheckpointKey("job-000001")].ModRevision > 0 }},
 		{"checkpoints are read after a claim", func(h *harness) {
 			h.txn(wire.Txn{Then: []wire.Change{{Delete: ownerKey(0)}}})
-		}, func(h *harness) bool { s := h.c.ownership.shards[0]; return s.active && s.checkpointsLoaded }},
+		}, func(h *harness) bool { s := h.c.ownership.shards[0]; return s.owned() && s.checkpointsLoaded }},
 	} {
 		for _, ids := range []int{1, 5000} {
 			t.Run(fmt.Sprintf("%s, questions about %d", tc.name, ids), func(t *testing.T) {
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -98,7 +98,7 @@
 func (c *Controller) addJob(j *job) {
 	c.jobs.open[j.id] = j
 	c.linkDependencies(j)
-	if s := c.ownership.shards[j.shard]; s.active {
+	if s := c.ownership.shards[j.shard]; s.owned() {
 		c.startRun(s, j)
 	}
 }
--- a/internal/controller/lease.go
+++ b/internal/controller/lease.go
@@ -84,7 +84,7 @@
 func (c *Controller) loseLease() {
 	c.ownership.lease.Lose()
 	for _, s := range c.ownership.shards {
-		if s.active {
+		if s.owned() {
 			c.deactivate(s)
 		}
 	}
--- a/internal/controller/machine_maintenance.go
+++ b/internal/controller/machine_maintenance.go
@@ -8,7 +8,7 @@
 func (c *Controller) maintainMachines() {
 	c.commandQueue.resetProbes()
 	for _, s := range c.ownership.shards {
-		if s.active && !s.jobsViewCurrent && c.leaseValid() {
+		if s.owned() && !s.jobsViewCurrent && c.leaseValid() {
 			c.refreshJobsView(s)
 		}
 		if c.activeShard(s.id) == nil {
@@ -16,7 +16,7 @@
 		}
 		c.splitOneRecordSet(s)
 		c.releaseByPlan(c.maintainShardMachines(s))
-		if s.active && !s.checkpointsLoaded && !s.loadingCheckpoints && c.leaseValid() {
+		if s.owned() && !s.checkpointsLoaded && !s.loadingCheckpoints && c.leaseValid() {
 			c.loadCheckpoints(s)
 		}
 	}
--- a/internal/controller/machine_records.go
+++ b/internal/controller/machine_records.go
@@ -97,7 +97,7 @@
 		}
 		return
 	}
-	if !s.active || m.view != nil {
+	if !s.owned() || m.view != nil {
 		return
 	}
 	c.setView(m, c.newView())
--- a/internal/controller/maintenance.go
+++ b/internal/controller/maintenance.go
@@ -57,7 +57,7 @@
 		return busyInterval
 	}
 	for _, s := range c.ownership.shards {
-		if s.ownerEpoch == 0 || s.active && !s.recovered() {
+		if s.ownerEpoch == 0 || s.owned() && !s.recovered() {
 			return busyInterval
 		}
 	}
--- a/internal/controller/ownership.go
+++ b/internal/controller/ownership.go
@@ -19,6 +19,28 @@
 	releaseInterval = 5 * micros.Second
 )
 
+// shardOwnership is what this node is to a shard.
+type shardOwnership int
+
+const (
+	// shardNotOwned: another node owns it, or none.
+	shardNotOwned shardOwnership = iota
+	// shardOwned: this node saw its own claim in the watch, so that its view of machines is at
+	// least as new as the claim.
+	shardOwned
+	// shardReleasing: this node still holds the lock, but does nothing more for the shard, and
+	// deletes its key.
+	shardReleasing
+)
+
+var shardOwnershipNames = [...]string{
+	shardNotOwned:  "not_owned",
+	shardOwned:     "owned",
+	shardReleasing: "releasing",
+}
+
+func (o shardOwnership) String() string { return shardOwnershipNames[o] }
+
 // shard is a set of teams (or of jobs) with the machines recorded to it.
 type shard struct {
 	lock
@@ -36,18 +58,20 @@
 	nextReorderAt micros.Micros // when the queue is ordered again
 	// resumeAt is the place in the queue at which the next scheduling round continues where the
 	// last one reached its limit.
-	resumeAt int
-	// active: this node saw its own claim in the watch, so that its view of machines is at least
-	// as new as the claim.
-	active bool
-	// releasing: this node does nothing more for the shard, and deletes its key.
-	releasing bool
+	resumeAt  int
+	ownership shardOwnership
 	// highestSeenEpoch is the highest epoch of another owner that this node heard of; it never
 	// acts below it.
 	highestSeenEpoch uint64
 	arrivals         estimate.RateMeter
 }
 
+// owned reports whether this node holds the shard's lock and has seen its claim.
+func (s *shard) owned() bool { return s.ownership != shardNotOwned }
+
+// releasing reports whether this node is giving the shard up.
+func (s *shard) releasing() bool { return s.ownership == shardReleasing }
+
 // ownershipState is what a node knows of the locks in the state service, and of its own lease.
 type ownershipState struct {
 	lease            ownership.Lease
@@ -176,14 +200,13 @@
 // mayReleaseShard reports whether this node owns a shard, has done so for a while, and has no machine
 // left whose reconciliation the next owner would have to begin anew.
 func (c *Controller) mayReleaseShard(s *shard) bool {
-	owned := s.active && !s.releasing
-	return owned && c.now >= s.claimedAt+stablePeriod && c.allReconciled(s)
+	return s.ownership == shardOwned && c.now >= s.claimedAt+stablePeriod && c.allReconciled(s)
 }
 
 // releaseShard ends all actions for a shard and deletes its owner key. Nobody need answer for the
 // shard until the deletion is sent: that goes with leases, before all else.
 func (c *Controller) releaseShard(s *shard) {
-	s.releasing = true
+	s.ownership = shardReleasing
 	c.dropQuota(s)
 	c.releaseLocks()
 }
@@ -201,7 +224,7 @@
 // releaseLocks deletes the keys of the locks that this node is releasing.
 func (c *Controller) releaseLocks() {
 	for _, s := range c.ownership.shards {
-		if s.releasing {
+		if s.releasing() {
 			c.releaseLock(&s.lock)
 		}
 	}
--- a/internal/controller/ownership_test.go
+++ b/internal/controller/ownership_test.go
@@ -21,7 +21,7 @@
 	h.txn(wire.Txn{Then: []wire.Change{{Delete: ownerKey(0)}}})
 	h.run(3 * sec)
 	s := h.c.ownership.shards[0]
-	if !s.active {
+	if !s.owned() {
 		t.Fatal("the shard was not claimed")
 	}
 	h.dropCalls()
@@ -129,8 +129,8 @@
 	h.put(key, wire.OwnerRecord{Label: "n-0", Incarnation: 999})
 	h.run(sec)
 	s := h.c.ownership.shards[0]
-	if !s.active || s.owner.Incarnation != lease || s.ownerEpoch <= stale {
-		t.Fatalf("holds %+v, active %v", s.owner, s.active)
+	if !s.owned() || s.owner.Incarnation != lease || s.ownerEpoch <= stale {
+		t.Fatalf("holds %+v, %v", s.owner, s.ownership)
 	}
 	if got := h.keys[key].ModRevision; got != s.ownerEpoch {
 		t.Errorf("the key's revision is %d, ours %d", got, s.ownerEpoch)
@@ -162,7 +162,7 @@
 			h.run(14 * sec)
 			h.reconcile("vm-1")
 			s := h.c.ownership.shards[0]
-			if !s.active {
+			if !s.owned() {
 				t.Fatal("the shard is not owned")
 			}
 			tc.change(h.c.machines["vm-1"].view)
@@ -170,8 +170,8 @@
 				return PeerRequest{Reply: r, Req: peer.Request{From: "n-0", Status: &peer.Status{About: peer.About{StateOK: true, UptimeUS: int64(tc.uptime)}}}}
 			})
 			h.c.releaseToPreferredOwner()
-			if s.releasing != tc.want {
-				t.Errorf("releasing: %v, want %v", s.releasing, tc.want)
+			if s.releasing() != tc.want {
+				t.Errorf("releasing: %v, want %v", s.releasing(), tc.want)
 			}
 		})
 	}
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -155,7 +155,7 @@
 // it issues no commands there.
 func (c *Controller) quiescedByPeer(p *peerView) bool {
 	for _, s := range c.ownership.shards {
-		if _, quiesced := s.quiescedPeers[p.label]; s.active && !quiesced {
+		if _, quiesced := s.quiescedPeers[p.label]; s.owned() && !quiesced {
 			return false
 		}
 	}
--- a/internal/controller/quota.go
+++ b/internal/controller/quota.go
@@ -58,7 +58,7 @@
 	q.stale = map[int]bool{}
 	q.sets = map[uint64]func(quota.SetDone){}
 	for _, s := range c.ownership.shards {
-		if s.active {
+		if s.owned() {
 			c.holdQuota(s)
 		}
 	}
@@ -134,7 +134,7 @@
 func (c *Controller) refreshQuota(s *shard, ownerEpoch uint64, after string) {
 	const page = 200
 	c.askState(statestore.ClassLease, ListKeys{Prefix: wire.PrefixQuota, After: after, Limit: page}, c.cfg.Lease, func(r statestore.Reply) {
-		if !s.active || s.ownerEpoch != ownerEpoch {
+		if !s.owned() || s.ownerEpoch != ownerEpoch {
 			return
 		}
 		body, ok := r.Body.(*wire.KeyList)
@@ -171,7 +171,7 @@
 		c.readQuota(group)
 	}
 	for _, s := range c.ownership.shards {
-		if q.stale[s.id] && s.active {
+		if q.stale[s.id] && s.owned() {
 			delete(q.stale, s.id)
 			c.refreshQuota(s, s.ownerEpoch, "")
 		}
--- a/internal/controller/shard_recovery.go
+++ b/internal/controller/shard_recovery.go
@@ -36,7 +36,7 @@
 	s.owner = rec
 	s.ownerEpoch = modRevision
 	s.claiming = false
-	if s.active {
+	if s.owned() {
 		c.deactivate(s)
 	}
 	if c.isMine(&s.lock) {
@@ -48,8 +48,7 @@
 
 // activate starts recovery of a shard that this node has just come to own.
 func (c *Controller) activate(s *shard) {
-	s.active = true
-	s.releasing = false
+	s.ownership = shardOwned
 	s.shardRecovery = shardRecovery{
 		claimedAt:      c.now,
 		machinesFreeAt: c.now + c.successorWait(),
@@ -120,7 +119,7 @@
 	sentAt := c.now
 	// Where the state service is slow, what lets renewals through lets this through.
 	c.askState(statestore.ClassLease, Watch{Prefix: w.prefix, Since: w.since}, c.cfg.Lease, func(r statestore.Reply) {
-		if s.active && s.ownerEpoch == ownerEpoch {
+		if s.owned() && s.ownerEpoch == ownerEpoch {
 			c.applyJobsRefresh(s, r, sentAt)
 		}
 	})
@@ -148,8 +147,7 @@
 // for knowledge.
 func (c *Controller) deactivate(s *shard) {
 	c.log(Info, "shard given up", "shard", s.id)
-	s.active = false
-	s.releasing = false
+	s.ownership = shardNotOwned
 	s.checkpoints = nil
 	s.checkpointModRevisions = nil
 	c.dropQuota(s)
@@ -168,7 +166,7 @@
 // Once all have said so, machines without a heartbeat need to be waited for no longer than
 // their own lease.
 func (c *Controller) recordQuiescedPeer(s *shard, label string) {
-	if !s.active {
+	if !s.owned() {
 		return
 	}
 	if _, ok := s.quiescedPeers[label]; ok {
@@ -189,10 +187,10 @@
 		}
 		s := c.ownership.shards[claim.Shard]
 		s.highestSeenEpoch = max(s.highestSeenEpoch, claim.OwnerEpoch)
-		if s.active && s.ownerEpoch < claim.OwnerEpoch {
+		if s.owned() && s.ownerEpoch < claim.OwnerEpoch {
 			c.deactivate(s)
 		}
-		if !s.active {
+		if !s.owned() {
 			quiesced = append(quiesced, claim.Shard)
 		}
 	}
--- a/internal/controller/state_records.go
+++ b/internal/controller/state_records.go
@@ -147,7 +147,7 @@
 	if s == nil {
 		return
 	}
-	if c.clearOwner(&s.lock, modRevision) && s.active {
+	if c.clearOwner(&s.lock, modRevision) && s.owned() {
 		c.deactivate(s)
 	}
 }
--- a/internal/controller/unknown_jobs_test.go
+++ b/internal/controller/unknown_jobs_test.go
@@ -111,7 +111,7 @@
 			h.txn(wire.Txn{Then: []wire.Change{{Delete: ownerKey(0)}}})
 			h.run(2 * sec)
 			s := h.c.ownership.shards[0]
-			if !s.active || s.jobsViewCurrent {
+			if !s.owned() || s.jobsViewCurrent {
 				t.Fatal("not an owner with a stale view: the case is not what it should be")
 			}
 			for seq := uint64(20); seq < 23; seq++ {
--- a/internal/controller/watch_test.go
+++ b/internal/controller/watch_test.go
@@ -22,8 +22,8 @@
 	}
 	h.txn(wire.Txn{Then: []wire.Change{{Put: wire.JobKey("job-000001"), Value: value}}})
 	h.run(2 * sec)
-	if s := h.c.ownership.shards[0]; !s.active || s.jobsViewCurrent || h.c.jobs.open["job-000001"] == nil {
-		t.Fatalf("active %v, current %v: the case is not what it should be", s.active, s.jobsViewCurrent)
+	if s := h.c.ownership.shards[0]; !s.owned() || s.jobsViewCurrent || h.c.jobs.open["job-000001"] == nil {
+		t.Fatalf("%v, current %v: the case is not what it should be", s.ownership, s.jobsViewCurrent)
 	}
 	if s := h.state("job-000001"); s != wire.StateDone {
 		t.Errorf("answered %q, but the record says done", s)
@@ -43,8 +43,8 @@
 	h.txn(wire.Txn{Then: []wire.Change{{Delete: ownerKey(0)}}})
 	h.run(2 * sec)
 	s := h.c.ownership.shards[0]
-	if !s.active || s.jobsViewCurrent {
-		t.Fatalf("active %v, current %v: the case is not what it should be", s.active, s.jobsViewCurrent)
+	if !s.owned() || s.jobsViewCurrent {
+		t.Fatalf("%v, current %v: the case is not what it should be", s.ownership, s.jobsViewCurrent)
 	}
 	complete := h.c.ownership.jobWatch.completeAsOf
 	for seq := uint64(20); h.now < complete+h.c.bounds.StaleViewGrace+4*sec; seq++ { // it can renew all the time
--- a/internal/controller/worker_contact.go
+++ b/internal/controller/worker_contact.go
@@ -164,7 +164,7 @@
 	c.contact.state = contactLost
 	c.contact.answeredProbes = 0
 	for _, s := range c.ownership.shards {
-		if s.active && !s.releasing && c.isMine(&s.lock) {
+		if s.ownership == shardOwned && c.isMine(&s.lock) {
 			c.releaseShard(s)
 		}
 	}
