--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -12,6 +12,7 @@
 	"garnethitch/internal/controller/estimate"
 	"garnethitch/internal/controller/ownership"
 	"garnethitch/internal/controller/reachability"
+	"garnethitch/internal/controller/scheduling"
 	"garnethitch/internal/controller/statestore"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/wire"
@@ -43,7 +44,7 @@
 	contact               workerContact
 	jobs                  jobTable
 	cascade               cancellationCascade
-	fleet                 fleet
+	fleet                 fleetState
 	quota                 quotas
 	peers                 map[string]*peerView
 	peerQuestionsInFlight int      // users' questions to other controllers
@@ -60,22 +61,21 @@
 	estimates      estimate.RunTimes
 	preemption     preemptionBudget
 	prefetchImages prefetchImages
-	scratch        []scored
+	scratch        []candidate
+	victimScratch  []scheduling.Victim
 	decisionLog    decisionLog
 	teamOf         map[string]int // a team's number by its name
 	shardOfTeam    []int          // by the team's number; nil where jobs are assigned to shards
 	attemptCounter uint64
 
-	schedulingDue    bool          // there is something to schedule
-	nextSchedulingAt micros.Micros // when the next scheduling round may run
-	lastMaintenance  micros.Micros // when maintain last ran
-	nextWalkAt       micros.Micros // when maintain may next walk over all machines and jobs
+	schedulingPace
+	lastMaintenance micros.Micros // when maintain last ran
+	nextWalkAt      micros.Micros // when maintain may next walk over all machines and jobs
 	// lastStalledAt is when the process was last found stalled. That nothing was received
 	// before says nothing about others.
 	lastStalledAt micros.Micros
-	// scheduledLastStep is set if the step before ran a scheduling round, walkedLastStep if
-	// it walked over all machines and jobs.
-	scheduledLastStep, walkedLastStep bool
+	// walkedLastStep is set if the step before walked over all machines and jobs.
+	walkedLastStep bool
 	// visited counts the machines, jobs and attempts that were visited, visitedBefore those
 	// up to the step under way; see Work.
 	visited, visitedBefore uint64
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -6,6 +6,7 @@
 	"strings"
 	"testing"
 
+	"garnethitch/internal/controller/fleet"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/peer"
 	"garnethitch/internal/wire"
@@ -210,8 +211,8 @@
 	if !free.withinGuarantee {
 		t.Error("a blocked job takes of its team's guarantee")
 	}
-	if d, _ := c.demandOf(s, maxRowBytes); waitingCPUs(&d)+d.Busy > 3+eps {
-		t.Errorf("%v CPUs are wanted: a blocked job is among them", waitingCPUs(&d)+d.Busy)
+	if d, _ := c.demandOf(s, maxRowBytes); fleet.WaitingCPUs(&d)+d.Busy > 3+eps {
+		t.Errorf("%v CPUs are wanted: a blocked job is among them", fleet.WaitingCPUs(&d)+d.Busy)
 	}
 	if got := h.state("job-000002"); got != wire.StatePending {
 		t.Errorf("called %q", got)
--- a/internal/controller/machine_assignment.go
+++ b/internal/controller/machine_assignment.go
@@ -4,6 +4,7 @@
 	"math"
 	"slices"
 
+	"garnethitch/internal/controller/fleet"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/peer"
 	"garnethitch/internal/wire"
@@ -32,7 +33,7 @@
 		}
 	}
 	capacity, total := c.countCapacity(list)
-	target := c.targetCPUs(demand, total)
+	target := fleet.TargetCPUs(demand, total)
 	byShard := c.chooseShards(list, target, capacity)
 	for _, s := range c.ownership.shards {
 		for chunk := range slices.Chunk(byShard[s.id], c.recordSetLimit()) {
@@ -46,7 +47,7 @@
 func (c *Controller) countCapacity(list []unassigned) (capacity map[int]float64, total float64) {
 	capacity = map[int]float64{}
 	for _, m := range list {
-		total += c.types[m.typ].CPUs
+		total += c.types[m.Type].CPUs
 	}
 	for _, s := range c.ownership.shards {
 		for _, m := range s.machines {
@@ -76,7 +77,7 @@
 	byShard := map[int][]unassigned{}
 	chosen := -1
 	for _, m := range list {
-		cpus := max(c.types[m.typ].CPUs, 1)
+		cpus := max(c.types[m.Type].CPUs, 1)
 		if chosen < 0 || target[chosen]-capacity[chosen] < cpus {
 			chosen = c.shardLackingMost(target, capacity, chosen)
 		}
--- a/internal/controller/registration.go
+++ b/internal/controller/registration.go
@@ -113,7 +113,7 @@
 	}
 	heartbeat := &in.Heartbeat
 	f.assigning[heartbeat.Machine] = true
-	f.registrations = append(f.registrations, registration{in, kind{heartbeat.Type, heartbeat.Zone, heartbeat.Spot}})
+	f.registrations = append(f.registrations, registration{in, kind{Type: heartbeat.Type, Zone: heartbeat.Zone, Spot: heartbeat.Spot}})
 	c.wakeIn(f.registrationsDueAt - c.now)
 }
 
@@ -150,7 +150,7 @@
 		if l.State != wire.MachineRunning || known || gone || !wire.UsableKey(id) {
 			continue
 		}
-		list = append(list, unassigned{wire.MachineRecord{ID: id, Addr: l.Addr}, kind{l.Type, l.Zone, l.Spot}})
+		list = append(list, unassigned{wire.MachineRecord{ID: id, Addr: l.Addr}, kind{Type: l.Type, Zone: l.Zone, Spot: l.Spot}})
 	}
 	c.assignMachines(recordSetListed, list, demand, nil)
 }
