--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -13,14 +13,14 @@
 
 	"garnethitch/internal/admin"
 	"garnethitch/internal/config"
+	"garnethitch/internal/faulttest"
 	"garnethitch/internal/peer"
-	"garnethitch/internal/simulation"
 	"garnethitch/quota"
 )
 
 // A limit that an operator sets at one running controller is shown by another.
 func TestShowAndSet(t *testing.T) {
-	c, err := simulation.NewCluster(simulation.ClusterPlan{Seed: 1, Nodes: 2, Machines: 4, Teams: []string{"kigali", "rubavu", "karongi"}, Groups: simulation.GrantGroups()})
+	c, err := faulttest.NewCluster(faulttest.ClusterPlan{Seed: 1, Nodes: 2, Machines: 4, Teams: []string{"kigali", "rubavu", "karongi"}, Groups: faulttest.GrantGroups()})
 	if err != nil {
 		t.Fatal(err)
 	}
--- /dev/null
+++ b/internal/fakes/cloud.go
@@ -0,0 +1,210 @@
+package fakes
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"net/http"
+	"slices"
+
+	"garnethitch/internal/controller"
+	"garnethitch/internal/micros"
+	"garnethitch/internal/wire"
+)
+
+const (
+	// snapshotInterval is how often the cloud takes down what its lists say.
+	snapshotInterval = 500 * millisecond
+	// maxSnapshots is how many of them a list may be made from.
+	maxSnapshots = 10
+)
+
+// machineTypes are the types that the cloud offers.
+var machineTypes = []wire.MachineType{
+	{Name: "small", CPUs: 4, MemGB: 16, CacheGB: 60, FetchGBPerS: 0.5, Price: 0.2, SpotPrice: 0.07, BootS: 6, Zones: []string{"east", "west"}},
+	{Name: "large", CPUs: 16, MemGB: 64, CacheGB: 60, FetchGBPerS: 0.5, Price: 0.8, SpotPrice: 0.3, BootS: 8, Zones: []string{"east"}},
+}
+
+// MachineTypes returns the types that the cloud offers.
+func MachineTypes() []wire.MachineType { return slices.Clone(machineTypes) }
+
+// MachineType returns the type of a name; ok is false if the cloud offers none.
+func MachineType(name string) (machineType wire.MachineType, ok bool) {
+	i := slices.IndexFunc(machineTypes, func(t wire.MachineType) bool { return t.Name == name })
+	if i < 0 {
+		return wire.MachineType{}, false
+	}
+	return machineTypes[i], true
+}
+
+// Zones returns the cloud's zones.
+func Zones() []string { return []string{"east", "west"} }
+
+// MachineKind is what a rental asks for.
+type MachineKind struct {
+	Type, Zone string
+	Spot       bool
+}
+
+// Machine is a rented machine.
+type Machine struct {
+	ID string
+	MachineKind
+	RentedAt  micros.Micros
+	UpAt      micros.Micros // when it has booted
+	Dead      bool          // it runs no more
+	Returned  bool          // by the controllers
+	Reclaimed bool          // by the cloud
+}
+
+// CloudConfig is what a Cloud is made of.
+type CloudConfig struct {
+	Scheduler   Scheduler
+	Rand        *rand.Rand
+	MaxMachines int // that run at a time
+	// BootTime draws how long a rented machine takes to boot.
+	BootTime func() micros.Micros
+	// OnRent is called with each new machine.
+	OnRent func(*Machine)
+	// OnReturn is called with each machine that is returned, before it ends.
+	OnReturn func(*Machine)
+}
+
+// Cloud is a fake of the cloud, which rents out machines. Its lists are old, now more, now less.
+type Cloud struct {
+	config      CloudConfig
+	machines    []*Machine
+	byID        map[string]*Machine
+	rentals     map[string][]string // names of machines by request
+	snapshots   [][]wire.ListedMachine
+	outageUntil micros.Micros
+}
+
+// NewCloud returns a cloud without machines.
+func NewCloud(config CloudConfig) *Cloud {
+	c := &Cloud{config: config, byID: map[string]*Machine{}, rentals: map[string][]string{}}
+	config.Scheduler.After(snapshotInterval, c.takeSnapshot)
+	return c
+}
+
+// SetOutage has the cloud answer nothing but 503 until a time.
+func (c *Cloud) SetOutage(until micros.Micros) { c.outageUntil = until }
+
+// Add adds a machine, and returns its name.
+func (c *Cloud) Add(kind MachineKind, boot micros.Micros) string {
+	now := c.config.Scheduler.Now()
+	m := &Machine{ID: fmt.Sprintf("vm-%06d", len(c.machines)), MachineKind: kind, RentedAt: now, UpAt: now + boot}
+	c.machines = append(c.machines, m)
+	c.byID[m.ID] = m
+	c.config.OnRent(m)
+	return m.ID
+}
+
+// Serve answers a request of a controller.
+func (c *Cloud) Serve(request any, reply Reply) {
+	if c.config.Scheduler.Now() < c.outageUntil {
+		reply.status(http.StatusServiceUnavailable)
+		return
+	}
+	switch r := request.(type) {
+	case controller.GetTypes:
+		reply.body(http.StatusOK, &wire.MachineTypes{Types: MachineTypes()})
+	case controller.ListMachines:
+		reply.body(http.StatusOK, c.list(r.After))
+	case wire.Rental:
+		c.rent(r, reply)
+	case controller.ReturnMachines:
+		c.takeBack(r.Machines)
+		reply.status(http.StatusOK)
+	}
+}
+
+// takeSnapshot takes down the machines, now and again and again.
+func (c *Cloud) takeSnapshot() {
+	now := c.config.Scheduler.Now()
+	var snapshot []wire.ListedMachine
+	for _, m := range c.machines {
+		if m.listed() {
+			snapshot = append(snapshot, wire.ListedMachine{ID: m.ID, Addr: m.ID, Type: m.Type, Zone: m.Zone, Spot: m.Spot, State: m.state(now), AgeS: (now - m.RentedAt).Seconds()})
+		}
+	}
+	c.snapshots = append(c.snapshots, snapshot)
+	if len(c.snapshots) > maxSnapshots {
+		c.snapshots = c.snapshots[1:]
+	}
+	c.config.Scheduler.After(snapshotInterval, c.takeSnapshot)
+}
+
+// listed reports whether the cloud lists a machine.
+func (m *Machine) listed() bool {
+	reclaimed := m.Dead && m.Reclaimed
+	return !m.Returned && !reclaimed
+}
+
+// state returns a machine's state as the cloud calls it.
+func (m *Machine) state(now micros.Micros) string {
+	switch {
+	case m.Dead:
+		return wire.MachineFailed
+	case now < m.UpAt:
+		return wire.MachineBooting
+	}
+	return wire.MachineRunning
+}
+
+// list returns the machines after a name, by any of the snapshots.
+func (c *Cloud) list(after string) *wire.MachineList {
+	list := &wire.MachineList{}
+	if len(c.snapshots) == 0 {
+		return list
+	}
+	for _, m := range c.snapshots[c.config.Rand.IntN(len(c.snapshots))] {
+		if m.ID > after {
+			list.Machines = append(list.Machines, m)
+		}
+	}
+	return list
+}
+
+// rent answers a repeated request as the first one.
+func (c *Cloud) rent(request wire.Rental, reply Reply) {
+	names, repeated := c.rentals[request.Request]
+	if !repeated {
+		names = c.addMachines(request)
+		if len(names) == 0 {
+			reply.body(http.StatusServiceUnavailable, controller.RefusedRental)
+			return
+		}
+		c.rentals[request.Request] = names
+	}
+	reply.body(http.StatusOK, &wire.MachineNames{Machines: names})
+}
+
+// addMachines adds as many of the machines that are asked for as there may be.
+func (c *Cloud) addMachines(request wire.Rental) (names []string) {
+	running := c.running()
+	for len(names) < request.Count && running < c.config.MaxMachines {
+		names = append(names, c.Add(MachineKind{request.Type, request.Zone, request.Spot}, c.config.BootTime()))
+		running++
+	}
+	return names
+}
+
+func (c *Cloud) running() (count int) {
+	for _, m := range c.machines {
+		if !m.Dead {
+			count++
+		}
+	}
+	return count
+}
+
+func (c *Cloud) takeBack(names []string) {
+	for _, name := range names {
+		m := c.byID[name]
+		if m == nil {
+			continue
+		}
+		c.config.OnReturn(m)
+		m.Dead, m.Returned = true, true
+	}
+}
--- /dev/null
+++ b/internal/fakes/server.go
@@ -0,0 +1,163 @@
+package fakes
+
+import (
+	"bytes"
+	"io"
+	"net/http"
+	"net/url"
+	"strconv"
+	"strings"
+	"time"
+
+	"garnethitch/internal/controller"
+	"garnethitch/internal/wire"
+)
+
+// FixedMachine is a machine of a fleet that does not change.
+type FixedMachine struct {
+	ID, Address string
+}
+
+// Heartbeat returns what a machine of a fixed fleet says of itself, without its tasks.
+func (m FixedMachine) Heartbeat() wire.Heartbeat {
+	offered := machineTypes[0]
+	return wire.Heartbeat{Machine: m.ID, Addr: m.Address, Type: offered.Name, Zone: offered.Zones[0]}
+}
+
+// Server serves the state service and a cloud with a fixed fleet over HTTP, in real time.
+type Server struct {
+	Clock *WallClock
+	// State may be used within Clock.Run only.
+	State *State
+	fleet []FixedMachine
+}
+
+// NewServer returns a server with an empty state service and no machines.
+func NewServer(limits StateLimits) *Server {
+	clock := NewWallClock()
+	return &Server{Clock: clock, State: NewState(clock, limits)}
+}
+
+// AddMachine adds a machine to the fleet, before the server is used.
+func (s *Server) AddMachine(m FixedMachine) {
+	s.fleet = append(s.fleet, m)
+}
+
+// KeepTime lets what is due happen at each interval, for as long as pause, which waits for a
+// duration, returns true.
+func (s *Server) KeepTime(interval time.Duration, pause func(time.Duration) bool) {
+	for pause(interval) {
+		s.Clock.Run(func() {})
+	}
+}
+
+// ServeHTTP answers a request to the state service or the cloud.
+func (s *Server) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
+	body, err := io.ReadAll(r.Body)
+	if err != nil {
+		return
+	}
+	path := strings.TrimPrefix(r.URL.Path, "/")
+	service, rest, _ := strings.Cut(path, "/")
+	query := r.URL.Query()
+	switch service {
+	case "flavors":
+		WriteAnswer(rw, http.StatusOK, wire.MachineTypes{Types: MachineTypes()})
+	case "rentals":
+		status, answer := s.rentals(rest, query)
+		WriteAnswer(rw, status, answer)
+	default:
+		request, ok := stateRequest(service, rest, query, body)
+		if !ok {
+			WriteAnswer(rw, http.StatusNotFound, nil)
+			return
+		}
+		result := s.serveState(request)
+		WriteAnswer(rw, result.Status, result.Body)
+	}
+}
+
+// serveState waits for the state service's answer to a request.
+func (s *Server) serveState(request any) controller.Result {
+	answered := make(chan controller.Result, 1)
+	s.Clock.Run(func() {
+		s.State.Serve(request, func(result controller.Result) { answered <- result })
+	})
+	return <-answered
+}
+
+// stateRequest decodes a request to the state service; ok is false if it is none.
+func stateRequest(service, rest string, query url.Values, body []byte) (request any, ok bool) {
+	switch service {
+	case "keys":
+		if rest != "" {
+			return controller.GetKey{Key: rest}, true
+		}
+		return controller.ListKeys{Prefix: query.Get("starts"), After: query.Get("since"), Limit: int(number(query.Get("most")))}, true
+	case "watch":
+		return controller.Watch{Prefix: query.Get("starts"), Since: number(query.Get("since")), WaitMS: int64(number(query.Get("blockMs")))}, true
+	case "multi":
+		var txn wire.Txn
+		err := wire.Decode(body, &txn)
+		return txn, err == nil
+	case "grants":
+		if id, renewal := strings.CutSuffix(rest, "/extend"); renewal {
+			return controller.RenewLease{Lease: number(id)}, true
+		}
+		var lease wire.NewLease
+		err := wire.Decode(body, &lease)
+		return lease, err == nil
+	}
+	return nil, false
+}
+
+// number parses a number; what is none counts as 0.
+func number(text string) uint64 {
+	n, _ := strconv.ParseUint(text, 10, 64)
+	return n
+}
+
+// rentals lists the fleet, and refuses to rent out or to take back machines.
+func (s *Server) rentals(path string, query url.Values) (status int, answer any) {
+	if path == "return" {
+		return http.StatusServiceUnavailable, nil
+	}
+	limit := int(number(query.Get("most")))
+	if limit == 0 {
+		return http.StatusServiceUnavailable, map[string]string{"error": string(controller.RefusedRental)}
+	}
+	return http.StatusOK, s.listFleet(query.Get("since"), limit)
+}
+
+// listFleet lists at most limit machines after a name.
+func (s *Server) listFleet(after string, limit int) wire.MachineList {
+	list := wire.MachineList{}
+	age := time.Since(s.Clock.Began()).Seconds()
+	for _, m := range s.fleet {
+		if m.ID <= after {
+			continue
+		}
+		if len(list.Machines) == limit {
+			list.More = true
+			break
+		}
+		heartbeat := m.Heartbeat()
+		list.Machines = append(list.Machines, wire.ListedMachine{ID: m.ID, Addr: m.Address, Type: heartbeat.Type, Zone: heartbeat.Zone, State: wire.MachineRunning, AgeS: age})
+	}
+	return list
+}
+
+// WriteAnswer writes an answer; one that is nil has no body.
+func WriteAnswer(rw http.ResponseWriter, status int, answer any) {
+	var body []byte
+	if answer != nil {
+		encoded, err := wire.Encode(answer)
+		if err != nil {
+			status = http.StatusInternalServerError
+		}
+		body = encoded
+	}
+	rw.Header().Set("Content-Length", strconv.Itoa(len(body)))
+	rw.WriteHeader(status)
+	_, _ = io.Copy(rw, bytes.NewReader(body))
+}
--- /dev/null
+++ b/internal/fakes/world.go
@@ -0,0 +1,298 @@
+package fakes
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"garnethitch/internal/wire"
+)
+
+// World is everybody around one real controller, in real time on the loopback: the services
+// of a Server, the workers of its fleet and a user. It is driven by lines of text, so that it
+// can live in a process of its own and what the controller's process takes is the
+// controller's alone.
+type World struct {
+	server       *Server
+	workers      []*loadWorker
+	workerByHost map[string]*loadWorker
+	port         string // of the server and of all workers
+	controller   string // its address
+	user         *Connection
+	laneUsers    []*Connection // one for each lane
+	jobs         int           // submitted so far
+}
+
+const (
+	// lanes is how many requests of a load are under way at a time.
+	lanes = 8
+	// worldValueBytes and worldTxnOps are what the world's state service takes.
+	worldValueBytes = 64 << 10
+	worldTxnOps     = 8
+	// worldTick is how often the world looks for what is due.
+	worldTick = 20 * time.Millisecond
+	// pacedPause is the pause between heartbeats of the command "apart".
+	pacedPause = 5 * time.Millisecond
+)
+
+var errUsage = errors.New("wrong number of words")
+
+// ServeWorld reads commands from in until it ends, and answers each on out with "ok", unless
+// something else is said here, or "failed:" and the reason:
+//
+//	machines N ADDR   a fleet of N and the controller's address; answers "at ADDR"
+//	ready             waits until the controller says so
+//	job N             submits an array of N tasks
+//	reports N         N heartbeats that say nothing new, over all machines in turn
+//	apart N           the same, one at a time with pauses
+//	turns N           N heartbeats, each with a task's end
+//	polls N           N requests for the status of the last job
+//	jobs N            N submissions of one task each
+func ServeWorld(in io.Reader, out io.Writer) error {
+	w := &World{
+		server:       NewServer(StateLimits{ValueBytes: worldValueBytes, TxnOps: worldTxnOps}),
+		workerByHost: map[string]*loadWorker{},
+	}
+	listener, err := net.Listen("tcp4", "0.0.0.0:0")
+	if err != nil {
+		return fmt.Errorf("fake world: %w", err)
+	}
+	defer listener.Close()
+	_, w.port, _ = net.SplitHostPort(listener.Addr().String())
+	go func() { _ = http.Serve(listener, w) }()
+	go w.server.KeepTime(worldTick, func(d time.Duration) bool {
+		time.Sleep(d)
+		return true
+	})
+	return w.serveCommands(in, out)
+}
+
+// serveCommands carries out one line after the other.
+func (w *World) serveCommands(in io.Reader, out io.Writer) error {
+	lines := bufio.NewScanner(in)
+	for lines.Scan() {
+		words := strings.Fields(lines.Text())
+		if len(words) == 0 {
+			continue
+		}
+		answer, err := w.execute(words[0], words[1:])
+		if err != nil {
+			answer = "failed: " + err.Error()
+		}
+		if _, err := fmt.Fprintln(out, answer); err != nil {
+			return fmt.Errorf("fake world: %w", err)
+		}
+	}
+	return nil
+}
+
+// execute carries out one command and returns the answer to it.
+func (w *World) execute(name string, arguments []string) (answer string, err error) {
+	if name == "machines" {
+		return w.startFleet(arguments)
+	}
+	count := 0
+	if len(arguments) > 0 {
+		count, _ = strconv.Atoi(arguments[0])
+	}
+	command := w.commands()[name]
+	if command == nil {
+		return "", fmt.Errorf("unknown command %q", name)
+	}
+	return "ok", command(count)
+}
+
+// commands returns the commands that are about a count.
+func (w *World) commands() map[string]func(count int) error {
+	return map[string]func(count int) error{
+		"ready":   func(int) error { return w.awaitReady() },
+		"job":     func(tasks int) error { return w.submit(NewConnection(w.controller, 0), tasks) },
+		"reports": w.sendHeartbeats,
+		"apart":   w.sendPacedHeartbeats,
+		"turns":   w.endTasks,
+		"polls":   w.requestStatus,
+		"jobs":    w.submitJobs,
+	}
+}
+
+// startFleet begins a fleet, given its size and the controller's address.
+func (w *World) startFleet(arguments []string) (answer string, err error) {
+	if len(arguments) != 2 {
+		return "", errUsage
+	}
+	count, err := strconv.Atoi(arguments[0])
+	if err != nil {
+		return "", err
+	}
+	w.controller = arguments[1]
+	w.user = NewConnection(w.controller, 0)
+	for range lanes {
+		w.laneUsers = append(w.laneUsers, NewConnection(w.controller, 0))
+	}
+	for i := range count {
+		w.addWorker(i)
+	}
+	return "at 127.0.0.1:" + w.port, nil
+}
+
+func (w *World) addWorker(i int) {
+	m := LoopbackMachine(i, w.port)
+	worker := newLoadWorker(m, NewConnection(w.controller, 0))
+	w.workers = append(w.workers, worker)
+	w.workerByHost[m.Address] = worker
+	w.server.AddMachine(m)
+}
+
+// machinesPerSubnet is how many machines have addresses that differ in the last byte alone.
+const machinesPerSubnet = 200
+
+// LoopbackMachine returns a machine with an address of its own on the loopback.
+func LoopbackMachine(i int, port string) FixedMachine {
+	return FixedMachine{
+		ID:      fmt.Sprintf("vm-%06d", i),
+		Address: fmt.Sprintf("127.1.%d.%d:%s", i/machinesPerSubnet, i%machinesPerSubnet+1, port),
+	}
+}
+
+// ServeHTTP serves the workers' direct commands, the state service and the cloud.
+func (w *World) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
+	if !strings.HasPrefix(r.URL.Path, "/orders") {
+		w.server.ServeHTTP(rw, r)
+		return
+	}
+	body, err := io.ReadAll(r.Body)
+	if err != nil {
+		return
+	}
+	var command wire.DirectCommand
+	worker := w.workerByHost[r.Host]
+	if worker == nil || wire.Decode(body, &command) != nil {
+		WriteAnswer(rw, http.StatusNotFound, nil)
+		return
+	}
+	status, heartbeat := worker.handleDirectCommand(command)
+	WriteAnswer(rw, status, heartbeat)
+}
+
+// awaitReady waits until the controller is ready, for a minute at most.
+func (w *World) awaitReady() error {
+	const (
+		attempts = 6000
+		pause    = 10 * time.Millisecond
+	)
+	var last error
+	for range attempts {
+		msg, err := RequestOnce(w.controller, 0, "GET", "/ready", nil)
+		if err == nil && msg.Status == http.StatusOK {
+			return nil
+		}
+		last = err
+		time.Sleep(pause)
+	}
+	return fmt.Errorf("not ready: %w", last)
+}
+
+// submit submits a job, again and again until it is accepted.
+func (w *World) submit(connection *Connection, tasks int) error {
+	const (
+		attempts = 600
+		pause    = 20 * time.Millisecond
+	)
+	w.jobs++
+	body, err := wire.Encode(wire.Submission{
+		ID: w.lastJob(), Class: "c", Team: "t", Kind: "sweep", Priority: "standard",
+		Tasks: tasks, CPUs: 1, MemGB: 1, Image: "i", ImageGB: 1, Spot: true, EstimateS: 600,
+	})
+	if err != nil {
+		return fmt.Errorf("submission: %w", err)
+	}
+	for range attempts {
+		msg, err := connection.Request("POST", "/submissions", body)
+		if err != nil {
+			return err
+		}
+		switch msg.Status {
+		case http.StatusOK, http.StatusCreated:
+			return nil
+		case http.StatusTooManyRequests, http.StatusServiceUnavailable:
+			time.Sleep(pause)
+		default:
+			return fmt.Errorf("submission: status %d", msg.Status)
+		}
+	}
+	return errors.New("submission: not accepted")
+}
+
+// lastJob returns the name of the job that was submitted last.
+func (w *World) lastJob() string { return fmt.Sprintf("job-%06d", w.jobs) }
+
+func (w *World) submitJobs(count int) error {
+	for range count {
+		if err := w.submit(w.user, 1); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (w *World) sendHeartbeats(count int) error {
+	return w.inLanes(count, func(_ int, worker *loadWorker) error { return worker.heartbeat(false) })
+}
+
+func (w *World) sendPacedHeartbeats(count int) error {
+	for i := range count {
+		if err := w.workers[i%len(w.workers)].heartbeat(false); err != nil {
+			return err
+		}
+		time.Sleep(pacedPause)
+	}
+	return nil
+}
+
+func (w *World) endTasks(count int) error {
+	return w.inLanes(count, func(_ int, worker *loadWorker) error { return worker.heartbeat(true) })
+}
+
+func (w *World) requestStatus(count int) error {
+	path := "/submissions/" + w.lastJob()
+	return w.inLanes(count, func(lane int, _ *loadWorker) error {
+		msg, err := w.laneUsers[lane].Request("GET", path, nil)
+		if err == nil && msg.Status != http.StatusOK {
+			err = fmt.Errorf("job status: status %d", msg.Status)
+		}
+		return err
+	})
+}
+
+// inLanes spreads requests over the workers in turn, some at a time; a worker has one under
+// way at most.
+func (w *World) inLanes(count int, request func(lane int, worker *loadWorker) error) error {
+	results := make(chan error, lanes)
+	for lane := range lanes {
+		go func() { results <- w.runLane(lane, count, request) }()
+	}
+	var first error
+	for range lanes {
+		if err := <-results; err != nil && first == nil {
+			first = err
+		}
+	}
+	return first
+}
+
+// runLane sends the requests of one lane. A lane has workers of its own.
+func (w *World) runLane(lane, count int, request func(lane int, worker *loadWorker) error) error {
+	inTurn := len(w.workers) / lanes * lanes
+	for i := lane; i < count; i += lanes {
+		if err := request(lane, w.workers[i%inTurn]); err != nil {
+			return err
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/fakes/write_limit.go
@@ -0,0 +1,22 @@
+package fakes
+
+import "garnethitch/internal/micros"
+
+// writeLimit is a token bucket of changes, which holds those of one second.
+type writeLimit struct {
+	rate, tokens float64
+	updatedAt    micros.Micros
+}
+
+func newWriteLimit(rate float64) *writeLimit { return &writeLimit{rate: rate, tokens: rate} }
+
+// take reports whether so many changes may be made now, and counts them.
+func (l *writeLimit) take(now micros.Micros, writes int) bool {
+	l.tokens = min(l.rate, l.tokens+l.rate*(now-l.updatedAt).Seconds())
+	l.updatedAt = now
+	if l.tokens < float64(writes) {
+		return false
+	}
+	l.tokens -= float64(writes)
+	return true
+}
--- a/internal/simulation/cluster.go
+++ b/internal/faulttest/cluster.go
@@ -1,4 +1,4 @@
-package simulation
+package faulttest
 
 import (
 	"cmp"
@@ -17,6 +17,7 @@
 	"time"
 
 	"garnethitch/internal/config"
+	"garnethitch/internal/fakes"
 	"garnethitch/internal/runtime"
 	"garnethitch/internal/wire"
 	"garnethitch/quota"
@@ -27,7 +28,7 @@
 // service by an address of its own, so that it alone can be cut off, or lose answers.
 // What workers run and what the state service says is recorded, to be checked apart.
 type Cluster struct {
-	world    *World
+	server   *fakes.Server
 	number   uint32
 	plan     ClusterPlan
 	machines []*clusterMachine
@@ -106,28 +107,35 @@
 	process  *controllerProcess // where controllers are processes
 }
 
+const (
+	// stateValueBytes and stateTxnOps are what the cluster's state service takes.
+	stateValueBytes = 64 << 10
+	stateTxnOps     = 8
+	// serverTick is how often it looks for what is due.
+	serverTick = 10 * time.Millisecond
+)
+
 // NewCluster starts a cluster; Close ends it.
 func NewCluster(p ClusterPlan) (*Cluster, error) {
 	p.Times.fill()
 	c := &Cluster{number: clusters.Add(1), plan: p, rng: rand.New(rand.NewPCG(p.Seed, 5)), byHost: map[string]*clusterMachine{}}
 	c.ctx, c.stop = context.WithCancel(context.Background())
-	c.world = &World{sim: base(Plan{Seed: p.Seed, Nodes: p.Nodes}), began: time.Now(), byHost: map[string]*worldMachine{}}
-	c.world.sim.State.valueBytes = 64 << 10
-	c.world.sim.State.stored = c.stored
+	c.server = fakes.NewServer(fakes.StateLimits{ValueBytes: stateValueBytes, TxnOps: stateTxnOps})
+	c.server.State.OnPut = c.recordPut
 	workers, err := c.listen(http.HandlerFunc(c.serveWorker))
 	if err != nil {
 		return nil, err
 	}
-	cloud, err := c.listen(http.HandlerFunc(c.world.handle))
+	cloud, err := c.listen(c.server)
 	if err != nil {
 		return nil, err
 	}
 	_, port, _ := net.SplitHostPort(workers)
 	for i := range p.Machines {
-		m := &clusterMachine{cluster: c, id: fmt.Sprintf("vm-%06d", i), addr: fmt.Sprintf("127.1.%d.%d:%s", i/200, i%200+1, port), agentEpoch: 1, answeredAt: time.Now(), wake: make(chan struct{}, 1)}
+		m := &clusterMachine{cluster: c, FixedMachine: fakes.LoopbackMachine(i, port), agentEpoch: 1, answeredAt: time.Now(), wake: make(chan struct{}, 1)}
 		c.machines = append(c.machines, m)
-		c.byHost[m.addr] = m
-		c.world.machines = append(c.world.machines, &worldMachine{id: m.id, addr: m.addr}) // what the cloud lists
+		c.byHost[m.Address] = m
+		c.server.AddMachine(m.FixedMachine)
 	}
 	if err := c.addNodes(cloud); err != nil {
 		return nil, err
@@ -135,16 +143,14 @@
 	c.wait.Add(1)
 	go func() {
 		defer c.wait.Done()
-		for c.pause(10 * time.Millisecond) {
-			c.world.with(func() {})
-		}
+		c.server.KeepTime(serverTick, c.pause)
 	}()
 	for _, n := range c.nodes {
 		n.start()
 	}
 	for _, m := range c.machines {
 		for _, n := range c.nodes {
-			m.links = append(m.links, &link{addr: n.set.ServeOn, timeout: answerTimeout})
+			m.links = append(m.links, fakes.NewConnection(n.set.ServeOn, answerTimeout))
 		}
 		m.node = c.draw(len(c.nodes))
 		c.wait.Add(1)
@@ -157,7 +163,7 @@
 func (c *Cluster) listen(h http.Handler) (string, error) {
 	ln, err := net.Listen("tcp4", "0.0.0.0:0")
 	if err != nil {
-		return "", fmt.Errorf("stand-in cluster: %w", err)
+		return "", fmt.Errorf("test cluster: %w", err)
 	}
 	srv := &http.Server{Handler: h, ReadHeaderTimeout: time.Minute}
 	go func() { _ = srv.Serve(ln) }()
@@ -180,7 +186,7 @@
 		n.set = config.Settings{Label: fmt.Sprintf("node-%d", i), Endpoints: config.Endpoints{Cloud: cloud, State: state}}
 		n.set.ServeOn, n.set.InternalAddr = c.ownAddress(i, 0), c.ownAddress(i, 1)
 		cl := &n.set.Cluster
-		cl.Nodes, cl.Teams, cl.Zones = c.plan.Nodes, teams, zones[:]
+		cl.Nodes, cl.Teams, cl.Zones = c.plan.Nodes, teams, fakes.Zones()
 		times := c.plan.Times
 		cl.Workers = config.Workers{ReportS: times.HeartbeatInterval.Seconds(), LeaseS: times.WorkerLease.Seconds(), CancelS: times.Cancel.Seconds()}
 		cl.State = config.StateLimits{RPS: cmp.Or(c.plan.StateRPS, 2000), WriteRPS: cmp.Or(c.plan.WriteRPS, 400), ValueKB: 8, TxnOps: 8}
@@ -253,7 +259,7 @@
 func (c *Cluster) note(e HistoryEvent) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	e.At = time.Since(c.world.began)
+	e.At = time.Since(c.server.Clock.Began())
 	c.history = append(c.history, e)
 }
 
@@ -264,8 +270,8 @@
 	return slices.Clone(c.history)
 }
 
-// stored notes a record of a group as the state service takes it.
-func (c *Cluster) stored(key string, value wire.Raw, modRevision uint64) {
+// recordPut notes a record of a group as the state service takes it.
+func (c *Cluster) recordPut(key string, value wire.Raw, modRevision uint64) {
 	name, ok := strings.CutPrefix(key, wire.PrefixQuota)
 	if !ok {
 		return
@@ -365,10 +371,10 @@
 		lose = true // held back, and carried out after the cut
 	}
 	if lose {
-		c.world.handle(discard{}, r)
+		c.server.ServeHTTP(discard{}, r)
 		panic(http.ErrAbortHandler)
 	}
-	c.world.handle(rw, r)
+	c.server.ServeHTTP(rw, r)
 }
 
 // discard is where a lost answer goes.
@@ -396,10 +402,10 @@
 	sub.Team = c.teamOf(sub.ID)
 	body, err := wire.Encode(sub)
 	if err != nil {
-		return fmt.Errorf("stand-in cluster: %w", err)
+		return fmt.Errorf("test cluster: %w", err)
 	}
 	for range 600 {
-		msg, err := once(c.nodes[c.draw(len(c.nodes))].set.ServeOn, 0, "POST", "/submissions", body)
+		msg, err := fakes.RequestOnce(c.nodes[c.draw(len(c.nodes))].set.ServeOn, 0, "POST", "/submissions", body)
 		if err == nil && (msg.Status == 200 || msg.Status == 201) {
 			return nil
 		}
@@ -407,5 +413,5 @@
 			break
 		}
 	}
-	return fmt.Errorf("stand-in cluster: %s not taken", sub.ID)
+	return fmt.Errorf("test cluster: %s not taken", sub.ID)
 }
--- a/internal/simulation/cluster_faults.go
+++ b/internal/faulttest/cluster_faults.go
@@ -1,4 +1,4 @@
-package simulation
+package faulttest
 
 import (
 	"io"
@@ -8,6 +8,7 @@
 	"sync"
 	"time"
 
+	"garnethitch/internal/fakes"
 	"garnethitch/internal/wire"
 )
 
@@ -79,7 +80,7 @@
 	to := c.nodes[c.draw(len(c.nodes))].set.ServeOn
 	d := time.Duration(c.draw(int(2*c.plan.Times.WorkerLease.Milliseconds()))) * time.Millisecond
 	time.AfterFunc(d, func() {
-		_, _ = once(to, answerTimeout, "POST", "/checkin", body)
+		_, _ = fakes.RequestOnce(to, answerTimeout, "POST", "/checkin", body)
 	})
 }
 
@@ -114,7 +115,7 @@
 		}
 		again := r.Clone(c.ctx)
 		again.Body = io.NopCloser(strings.NewReader(string(body)))
-		time.AfterFunc(time.Duration(200+c.draw(2000))*time.Millisecond, func() { c.world.handle(discard{}, again) })
+		time.AfterFunc(time.Duration(200+c.draw(2000))*time.Millisecond, func() { c.server.ServeHTTP(discard{}, again) })
 		c.pause(2 * time.Second)
 		panic(http.ErrAbortHandler)
 	default:
--- a/internal/simulation/cluster_machine.go
+++ b/internal/faulttest/cluster_machine.go
@@ -1,4 +1,4 @@
-package simulation
+package faulttest
 
 import (
 	"io"
@@ -7,16 +7,17 @@
 	"sync"
 	"time"
 
+	"garnethitch/internal/fakes"
 	"garnethitch/internal/wire"
 )
 
 // clusterMachine is a worker that reports to one controller at a time.
 type clusterMachine struct {
-	mu                   sync.Mutex
-	cluster              *Cluster
-	id, addr             string
+	mu      sync.Mutex
+	cluster *Cluster
+	fakes.FixedMachine
 	node                 int
-	links                []*link
+	links                []*fakes.Connection
 	agentEpoch, sequence uint64
 	fencingToken         uint64
 	answeredAt           time.Time // when the last answered report was sent
@@ -57,13 +58,16 @@
 	}
 	heartbeat := m.heartbeat()
 	m.mu.Unlock()
-	reply(rw, status, heartbeat)
+	fakes.WriteAnswer(rw, status, heartbeat)
 }
 
 // heartbeat is what the machine says; its lock is held.
 func (m *clusterMachine) heartbeat() wire.Heartbeat {
 	m.sequence++
-	heartbeat := wire.Heartbeat{Machine: m.id, Addr: m.addr, Type: offer[0].Name, Zone: offer[0].Zones[0], AgentEpoch: m.agentEpoch, Sequence: m.sequence, FencingToken: m.fencingToken}
+	heartbeat := m.FixedMachine.Heartbeat()
+	heartbeat.AgentEpoch = m.agentEpoch
+	heartbeat.Sequence = m.sequence
+	heartbeat.FencingToken = m.fencingToken
 	for _, t := range m.tasks {
 		heartbeat.Tasks = append(heartbeat.Tasks, t.TaskStatus)
 	}
@@ -117,7 +121,7 @@
 		return
 	}
 	m.copyLater(body)
-	msg, err := m.links[m.node].do("POST", "/checkin", body)
+	msg, err := m.links[m.node].Request("POST", "/checkin", body)
 	m.awaitAwake()
 	if m.deaf() || time.Since(sent) > answerTimeout {
 		return // the answer is lost, or too late
@@ -181,7 +185,7 @@
 	}
 	m.tasks = append(m.tasks, t)
 	m.cluster.note(HistoryEvent{Team: t.team, CPUs: 1})
-	m.tasks[len(m.tasks)-1].stay = m.cluster.stays.begin(c.Task, m.id)
+	m.tasks[len(m.tasks)-1].stay = m.cluster.stays.begin(c.Task, m.ID)
 	agentEpoch, times := m.agentEpoch, m.cluster.plan.Times
 	runs := times.TaskFrom + time.Duration(m.cluster.draw(int(max((times.TaskTo-times.TaskFrom).Milliseconds(), 1))))*time.Millisecond
 	time.AfterFunc(runs, func() {
--- a/internal/simulation/cluster_test.go
+++ b/internal/faulttest/cluster_test.go
@@ -1,13 +1,23 @@
-package simulation
+package faulttest
 
 import (
 	"fmt"
+	"os"
+	"strconv"
 	"testing"
 	"time"
 
 	"garnethitch/quota"
 )
 
+// seeds lets a longer search be asked for: GARNETHITCH_SEEDS=500.
+func seeds(n int) int {
+	if v, err := strconv.Atoi(os.Getenv("GARNETHITCH_SEEDS")); err == nil && v > 0 {
+		return v
+	}
+	return n
+}
+
 // TestClusterGrants has real controllers grant at once over loopback sockets, through
 // limits that change, ends, cuts and lost answers. A longer run: go run ./internal/measure grants.
 func TestClusterGrants(t *testing.T) {
--- a/internal/simulation/grants.go
+++ b/internal/faulttest/grants.go
@@ -1,4 +1,4 @@
-package simulation
+package faulttest
 
 import (
 	"context"
--- a/internal/simulation/history.go
+++ b/internal/faulttest/history.go
@@ -1,10 +1,10 @@
-package simulation
+package faulttest
 
 import (
 	"fmt"
-	"slices"
 	"time"
 
+	"garnethitch/internal/quotatest"
 	"garnethitch/quota"
 )
 
@@ -33,7 +33,7 @@
 				continue
 			}
 			sum := 0.0
-			for _, team := range membersOf(groups, g.Name) {
+			for _, team := range quotatest.TeamsWithin(groups, g.Name) {
 				sum += used[team]
 			}
 			if !(quota.Amount{CPUs: sum}).Within(limit.Amount()) {
@@ -44,26 +44,6 @@
 	return found
 }
 
-// groupsAround gives a group and all around it, the innermost first.
-func groupsAround(groups []quota.GroupOptions, name string) (path []string) {
-	for name != "" {
-		path = append(path, name)
-		i := slices.IndexFunc(groups, func(g quota.GroupOptions) bool { return g.Name == name })
-		name = groups[i].Parent
-	}
-	return path
-}
-
-// membersOf lists the teams in a group and in all groups within it.
-func membersOf(groups []quota.GroupOptions, name string) (teams []string) {
-	for _, g := range groups {
-		if slices.Contains(groupsAround(groups, g.Name), name) {
-			teams = append(teams, g.Teams...)
-		}
-	}
-	return teams
-}
-
 // Grants counts the starts of a history.
 func Grants(history []HistoryEvent) (n int) {
 	for _, e := range history {
--- a/internal/simulation/soak.go
+++ b/internal/faulttest/soak.go
@@ -1,4 +1,4 @@
-package simulation
+package faulttest
 
 import (
 	"fmt"
@@ -197,7 +197,7 @@
 			}
 		}
 	case FaultOutage:
-		c.world.with(func() { c.world.sim.State.downUntil = c.world.sim.now + micros.FromDuration(t.Duration) })
+		c.server.Clock.Run(func() { c.server.State.SetOutage(c.server.Clock.Now() + micros.FromDuration(t.Duration)) })
 	case FaultMachinesHang:
 		machines(func(f *machineFaults) *time.Time { return &f.hungUntil })
 	case FaultMachinesDeaf:
@@ -214,7 +214,7 @@
 // mostClaims is the controller that holds the most locks by the state service.
 func (c *Cluster) mostClaims() (node int) {
 	var holds map[string]int
-	c.world.with(func() { holds = c.world.sim.State.locksByController() })
+	c.server.Clock.Run(func() { holds = c.server.State.LocksByController() })
 	for i, n := range c.nodes {
 		if holds[n.set.Label] > holds[c.nodes[node].set.Label] {
 			node = i
--- a/internal/simulation/soak_user.go
+++ b/internal/faulttest/soak_user.go
@@ -1,4 +1,4 @@
-package simulation
+package faulttest
 
 import (
 	"fmt"
@@ -6,6 +6,7 @@
 	"sync"
 	"time"
 
+	"garnethitch/internal/fakes"
 	"garnethitch/internal/wire"
 )
 
@@ -145,7 +146,7 @@
 
 // ask sends one request to a controller.
 func (s *soak) ask(node int, method, path string, body []byte) (int, wire.JobAnswer) {
-	msg, err := once(s.cluster.nodes[node].set.ServeOn, 2*time.Second, method, path, body)
+	msg, err := fakes.RequestOnce(s.cluster.nodes[node].set.ServeOn, 2*time.Second, method, path, body)
 	var answer wire.JobAnswer
 	if err != nil {
 		return 0, answer
@@ -218,6 +219,6 @@
 }
 
 func (s *soak) brokenLocked(format string, args ...any) {
-	at := time.Since(s.cluster.world.began)
+	at := time.Since(s.cluster.server.Clock.Began())
 	s.broken = append(s.broken, fmt.Sprintf("%.1f s: ", at.Seconds())+fmt.Sprintf(format, args...))
 }
--- a/internal/measure/cluster.go
+++ b/internal/measure/cluster.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"garnethitch/internal/simulation"
+	"garnethitch/internal/faulttest"
 )
 
 // clusterCommand runs a cluster to try things on.
@@ -15,7 +15,7 @@
 
 // Run prints the controllers' internal addresses, and submits work until the end.
 func (c *clusterCommand) Run() error {
-	cluster, err := simulation.NewCluster(simulation.ClusterPlan{Seed: 1, Nodes: c.Nodes, Machines: 24, Teams: []string{"kigali", "rubavu", "karongi"}, Groups: simulation.GrantGroups()})
+	cluster, err := faulttest.NewCluster(faulttest.ClusterPlan{Seed: 1, Nodes: c.Nodes, Machines: 24, Teams: []string{"kigali", "rubavu", "karongi"}, Groups: faulttest.GrantGroups()})
 	if err != nil {
 		return err
 	}
--- a/internal/measure/grants.go
+++ b/internal/measure/grants.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"garnethitch/internal/simulation"
+	"garnethitch/internal/faulttest"
 )
 
 // grantsCommand plays many seeds of concurrent grants.
@@ -18,12 +18,12 @@
 
 // Run plays the seeds; an overshoot is an error.
 func (g *grantsCommand) Run() error {
-	play := func(seed uint64) (simulation.GrantsResult, error) {
-		return simulation.PlayGrants(simulation.GrantsPlan{Seed: seed, Nodes: nodesFor(seed), Grants: g.Grants, Most: 3 * time.Minute, Faults: !g.Calm})
+	play := func(seed uint64) (faulttest.GrantsResult, error) {
+		return faulttest.PlayGrants(faulttest.GrantsPlan{Seed: seed, Nodes: nodesFor(seed), Grants: g.Grants, Most: 3 * time.Minute, Faults: !g.Calm})
 	}
-	var sum simulation.GrantsResult
+	var sum faulttest.GrantsResult
 	var rates, inForce []float64
-	err := playSeeds(seedsFrom(g.Seed, g.Seeds), g.Parallel, play, func(seed uint64, r simulation.GrantsResult) {
+	err := playSeeds(seedsFrom(g.Seed, g.Seeds), g.Parallel, play, func(seed uint64, r faulttest.GrantsResult) {
 		fmt.Printf("seed %d: %s\n", seed, r)
 		for _, line := range r.Overshoots {
 			fmt.Printf("seed %d: overshoot: %s\n", seed, line)
--- a/internal/measure/soak.go
+++ b/internal/measure/soak.go
@@ -8,7 +8,7 @@
 	"path/filepath"
 	"time"
 
-	"garnethitch/internal/simulation"
+	"garnethitch/internal/faulttest"
 )
 
 // soakCommand plays soaks of real processes.
@@ -47,7 +47,7 @@
 		return err
 	}
 	breaks, cancelled, tasks := 0, 0, 0
-	err := playSeeds(seeds, s.Parallel, s.play, func(seed uint64, r simulation.SoakResult) {
+	err := playSeeds(seeds, s.Parallel, s.play, func(seed uint64, r faulttest.SoakResult) {
 		fmt.Printf("seed %d, %d controllers: %s\n", seed, s.plan(seed).Nodes, r)
 		for _, line := range r.Broken {
 			fmt.Printf("seed %d: %s\n", seed, line)
@@ -67,21 +67,21 @@
 }
 
 // plan is what a seed is played with.
-func (s *soakCommand) plan(seed uint64) simulation.SoakPlan {
-	return simulation.SoakPlan{Seed: seed, Nodes: cmp.Or(s.Nodes, nodesFor(seed)), Workers: s.Workers, Questions: s.Questions, StateRPS: s.StateRPS, WriteRPS: s.WriteRPS, Length: time.Duration(s.Minutes * float64(time.Minute)),
+func (s *soakCommand) plan(seed uint64) faulttest.SoakPlan {
+	return faulttest.SoakPlan{Seed: seed, Nodes: cmp.Or(s.Nodes, nodesFor(seed)), Workers: s.Workers, Questions: s.Questions, StateRPS: s.StateRPS, WriteRPS: s.WriteRPS, Length: time.Duration(s.Minutes * float64(time.Minute)),
 		Binary: s.Binary, Dir: filepath.Join(s.Dir, fmt.Sprintf("seed-%d", seed)), Only: s.Only}
 }
 
 // play plays one seed; what an earlier play left in its directory goes.
-func (s *soakCommand) play(seed uint64) (simulation.SoakResult, error) {
+func (s *soakCommand) play(seed uint64) (faulttest.SoakResult, error) {
 	p := s.plan(seed)
 	if err := os.RemoveAll(p.Dir); err != nil {
-		return simulation.SoakResult{}, err
+		return faulttest.SoakResult{}, err
 	}
 	if err := os.MkdirAll(p.Dir, 0o755); err != nil {
-		return simulation.SoakResult{}, err
+		return faulttest.SoakResult{}, err
 	}
-	return simulation.PlaySoak(p)
+	return faulttest.PlaySoak(p)
 }
 
 // build builds the program that is to be tried, unless one was named.
--- a/internal/simulation/cascade.go
+++ b/internal/simulation/cascade.go
@@ -4,6 +4,7 @@
 	"slices"
 
 	"garnethitch/internal/controller"
+	"garnethitch/internal/fakes"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/wire"
 )
@@ -66,7 +67,9 @@
 
 // newCascade submits the jobs, and cancels one of them once all are accepted.
 func (s *Simulation) newCascade(w Cascade) {
-	s.State.writes = newWriteLimit(s.cfg.WriteRPS)
+	limits := s.state.Limits()
+	limits.WritesPerSecond = s.cfg.WriteRPS
+	s.state.SetLimits(limits)
 	if w.Limited {
 		s.lowerLimits()
 	}
@@ -135,7 +138,7 @@
 		links = append(links, n.peerLinks()...)
 		s.cut(links, cutHold, 15*sec)
 	case OwnerRefused:
-		s.State.refuse[n.label] = s.now + 15*sec
+		n.stateRefusedUntil = s.now + 15*sec
 	case LimitsLowered:
 		s.lowerLimits()
 	}
@@ -144,10 +147,11 @@
 // lowerLimits gives the state service its lower limits.
 func (s *Simulation) lowerLimits() {
 	s.trace("the state service lowers its limits")
-	s.State.valueBytes, s.State.txnOps = lowerValue, lowerOps
-	if s.State.writes != nil {
-		s.State.writes.rate = lowerWrite
+	limits := fakes.StateLimits{ValueBytes: lowerValue, TxnOps: lowerOps}
+	if s.state.Limits().WritesPerSecond > 0 {
+		limits.WritesPerSecond = lowerWrite
 	}
+	s.state.SetLimits(limits)
 }
 
 // ownerOf is the controller that owns a job's shard, as far as the state service knows.
@@ -189,35 +193,16 @@
 	})
 }
 
-// recordSetOf is a job's record in the state service.
+// recordOf is a job's record in the state service.
 func (s *Simulation) recordOf(u *user) (rec wire.JobRecord) {
-	if e := s.State.keys[wire.JobKey(u.sub.ID)]; e != nil {
-		if err := wire.Decode(e.value, &rec); err != nil {
+	if value, ok := s.state.Value(wire.JobKey(u.sub.ID)); ok {
+		if err := wire.Decode(value, &rec); err != nil {
 			s.broken("record of %s: %v", u.sub.ID, err)
 		}
 	}
 	return rec
 }
 
-// writeLimit is the state service's limit on changes: bursts of a second's worth.
-type writeLimit struct {
-	rate, level float64
-	at          micros.Micros
-}
-
-func newWriteLimit(rate float64) *writeLimit { return &writeLimit{rate: rate, level: rate} }
-
-// take tells whether so many changes may be made now, and counts them.
-func (l *writeLimit) take(now micros.Micros, writes int) bool {
-	l.level = min(l.rate, l.level+l.rate*(now-l.at).Seconds())
-	l.at = now
-	if l.level < float64(writes) {
-		return false
-	}
-	l.level -= float64(writes)
-	return true
-}
-
 // bound is how many dependents the settings allow for a cascade.
 func (s *Simulation) bound(w Cascade) int {
 	cfg := s.config(true)
--- a/internal/simulation/checks.go
+++ b/internal/simulation/checks.go
@@ -92,7 +92,7 @@
 
 // here tells whether a worker's task is on its machine.
 func (s *Simulation) here(w *Worker, t *task) bool {
-	return t.onMachine() && !w.dead && w.clock() <= w.began+s.cfg.WorkerLease // a hanging machine's tasks end with its lease, though it tells later
+	return t.onMachine() && !w.Dead && w.clock() <= w.began+s.cfg.WorkerLease // a hanging machine's tasks end with its lease, though it tells later
 }
 
 // starting checks the rules at the moment when a task has its image.
@@ -101,7 +101,7 @@
 	if u := s.userOf(t.job); u != nil {
 		u.started++
 	}
-	s.trace("start %s attempt %x on %s session %d", t.name, t.attempt, w.id, w.agentEpoch)
+	s.trace("start %s attempt %x on %s session %d", t.name, t.attempt, w.ID, w.agentEpoch)
 	u := s.userOf(t.job)
 	if u == nil {
 		s.broken("invented: %s started, nobody submitted it", t.name)
@@ -130,7 +130,7 @@
 		if t.state == wire.TaskExited || u == nil || u.cancelConfirmed == 0 || ends <= u.cancelConfirmed+s.cfg.Cancel+renewalMargin {
 			continue
 		}
-		s.broken("renewed: the lease of %s, which ends %v s after %s was called cancelled, and %s has not been stopped", w.id, (ends - u.cancelConfirmed).Seconds(), t.job, t.name)
+		s.broken("renewed: the lease of %s, which ends %v s after %s was called cancelled, and %s has not been stopped", w.ID, (ends - u.cancelConfirmed).Seconds(), t.job, t.name)
 	}
 }
 
@@ -141,7 +141,8 @@
 	i := slices.Index(args, any("job"))
 	job, _ := args[i+1].(string)
 	var rec wire.JobRecord
-	if e := s.State.keys[wire.JobKey(job)]; e != nil && (wire.Decode(e.value, &rec) != nil || !rec.Final()) {
+	value, ok := s.state.Value(wire.JobKey(job))
+	if ok && (wire.Decode(value, &rec) != nil || !rec.Final()) {
 		s.broken("stopped: %s stops a task of %s, which is open: %v", n.label, job, args)
 	}
 }
@@ -154,10 +155,10 @@
 			continue
 		}
 		if o != w && other.name == t.name {
-			s.broken("ran_twice: %s runs on %s and is started on %s", t.name, o.id, w.id)
+			s.broken("ran_twice: %s runs on %s and is started on %s", t.name, o.ID, w.ID)
 		}
 		if o != w || other.name != t.name {
-			zones[o.zone]++
+			zones[o.Zone]++
 		}
 	}
 	return zones
@@ -192,15 +193,15 @@
 
 // checkPlace: a task starts only where its job allows, given the job's others.
 func (s *Simulation) checkPlace(w *Worker, t *task, sub *wire.Submission, zones map[string]int) {
-	if sub.Types != nil && !slices.Contains(sub.Types, w.typ) || sub.Zone != "" && sub.Zone != w.zone || w.spot && !sub.Spot {
-		s.broken("wrong_place: %s on %s", t.name, w.id)
+	if sub.Types != nil && !slices.Contains(sub.Types, w.Type) || sub.Zone != "" && sub.Zone != w.Zone || w.Spot && !sub.Spot {
+		s.broken("wrong_place: %s on %s", t.name, w.ID)
 	}
 	for z, n := range zones {
-		if sub.SameZone && n > 0 && z != w.zone {
-			s.broken("wrong_place: %s in %s, others are in %s", t.name, w.zone, z)
+		if sub.SameZone && n > 0 && z != w.Zone {
+			s.broken("wrong_place: %s in %s, others are in %s", t.name, w.Zone, z)
 		}
 	}
-	if sub.Spread && zones[w.zone]+1 > (sub.Tasks+1)/2 {
-		s.broken("wrong_place: %s is one too many in %s", t.name, w.zone)
+	if sub.Spread && zones[w.Zone]+1 > (sub.Tasks+1)/2 {
+		s.broken("wrong_place: %s is one too many in %s", t.name, w.Zone)
 	}
 }
--- a/internal/simulation/concurrent_faults.go
+++ b/internal/simulation/concurrent_faults.go
@@ -94,9 +94,9 @@
 		}
 		running := false
 		for t, w := range s.onJob[u.sub.ID] {
-			if t.onMachine() && !w.dead && t.until > s.now+left {
+			if t.onMachine() && !w.Dead && t.until > s.now+left {
 				running = true
-				hung = append(hung, w.id)
+				hung = append(hung, w.ID)
 			}
 		}
 		if running {
@@ -241,9 +241,9 @@
 func (s *Simulation) waitsBesideRoom(u *user) bool {
 	placed, zones := map[int]bool{}, map[string]int{}
 	for t, w := range s.onJob[u.sub.ID] {
-		if t.state != wire.TaskExited && !w.dead {
+		if t.state != wire.TaskExited && !w.Dead {
 			placed[t.idx] = true
-			zones[w.zone]++
+			zones[w.Zone]++
 		}
 	}
 	waits := 0
@@ -257,15 +257,15 @@
 	}
 	for _, name := range s.names {
 		w := s.workers[name]
-		if w.dead || w.takenAt != 0 || s.now < w.upAt+10*sec || s.now < w.hungUntil || s.now < w.faultyUntil || s.now < w.unreachableUntil || s.now < w.cutOffUntil ||
-			w.spot && !u.sub.Spot || u.sub.Types != nil && !slices.Contains(u.sub.Types, w.typ) || !w.fits(u) {
+		if w.Dead || w.reclaimAt != 0 || s.now < w.UpAt+10*sec || s.now < w.hungUntil || s.now < w.faultyUntil || s.now < w.unreachableUntil || s.now < w.cutOffUntil ||
+			w.Spot && !u.sub.Spot || u.sub.Types != nil && !slices.Contains(u.sub.Types, w.Type) || !w.fits(u) {
 			continue
 		}
 		elsewhere := false
 		for z, n := range zones {
-			elsewhere = elsewhere || u.sub.SameZone && n > 0 && z != w.zone
+			elsewhere = elsewhere || u.sub.SameZone && n > 0 && z != w.Zone
 		}
-		if !elsewhere && (!u.sub.Spread || zones[w.zone]+1 <= (u.sub.Tasks+1)/2) {
+		if !elsewhere && (!u.sub.Spread || zones[w.Zone]+1 <= (u.sub.Tasks+1)/2) {
 			return true
 		}
 	}
@@ -281,7 +281,7 @@
 		used := u.sub.CPUs
 		for _, o := range s.users {
 			for t, w := range s.onJob[o.sub.ID] {
-				if o.sub.Team == team.Name && t.state != wire.TaskExited && !w.dead {
+				if o.sub.Team == team.Name && t.state != wire.TaskExited && !w.Dead {
 					used += o.sub.CPUs
 				}
 			}
@@ -310,7 +310,7 @@
 // owner is the controller that owns most shards and leads, as far as the state
 // service knows.
 func (s *Simulation) owner() *Node {
-	holds := s.State.locksByController()
+	holds := s.state.LocksByController()
 	best := s.Nodes[0]
 	for _, n := range s.Nodes {
 		if holds[n.label] > holds[best.label] {
@@ -381,10 +381,10 @@
 		// The state service refuses the leader alone and then everybody for longer than
 		// a cancellation has, while users cancel and ask.
 		func() {
-			s.State.refuse[s.owner().label] = s.now + s.span(2*sec, 8*sec)
+			s.owner().stateRefusedUntil = s.now + s.span(2*sec, 8*sec)
 			s.cancelNow(3, 0)
 			s.after(s.span(sec, 5*sec), func() {
-				s.State.downUntil = s.now + s.cfg.Cancel + 5*sec
+				s.state.SetOutage(s.now + s.cfg.Cancel + 5*sec)
 				s.cancelNow(2, 0)
 			})
 		},
@@ -394,7 +394,7 @@
 				s.after(micros.Micros(i)*3*sec, func() { s.owner().crash(s.span(20*ms, sec)) })
 			}
 			s.after(s.span(5*sec, 25*sec), func() { all(500 * ms) })
-			s.after(s.span(5*sec, 25*sec), func() { s.State.downUntil = s.now + s.span(sec, 6*sec) })
+			s.after(s.span(5*sec, 25*sec), func() { s.state.SetOutage(s.now + s.span(sec, 6*sec)) })
 			s.after(s.span(5*sec, 25*sec), func() { s.cancelNow(2, 0) })
 		},
 	}
@@ -442,10 +442,10 @@
 		n := s.owner()
 		s.concurrent.Gaps++
 		s.concurrent.lateFraction, s.concurrent.atOnce, s.concurrent.lateUntil, s.concurrent.only = 1, true, s.now+600*ms, n
-		s.State.watchCutOff[n.label] = s.now + 10*sec
-		s.after(600*ms, func() { s.State.refuse[n.label] = s.now + s.span(3*sec, 8*sec) })
+		n.watchesLostUntil = s.now + 10*sec
+		s.after(600*ms, func() { n.stateRefusedUntil = s.now + s.span(3*sec, 8*sec) })
 		s.cancelNow(6, 0)
-		s.after(s.span(1500*ms, 2500*ms), func() { s.State.downUntil = s.now + s.cfg.Cancel + 6*sec })
+		s.after(s.span(1500*ms, 2500*ms), func() { s.state.SetOutage(s.now + s.cfg.Cancel + 6*sec) })
 		if s.chance(0.4) { // and it can't hear the others either
 			var links []string
 			for _, o := range s.Nodes {
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -92,11 +92,11 @@
 			}
 		}
 	case faultStateOutage:
-		s.State.downUntil = s.now + d
+		s.state.SetOutage(s.now + d)
 	case faultRefused:
-		s.State.refuse[n.label] = s.now + d
+		n.stateRefusedUntil = s.now + d
 	case faultCloudOutage:
-		s.Cloud.downUntil = s.now + d
+		s.cloud.SetOutage(s.now + d)
 	}
 }
 
@@ -134,13 +134,13 @@
 	case 1: // fails every task
 		w.faultyUntil = s.now + 40*sec
 	case 2: // taken away
-		if w.spot {
+		if w.Spot {
 			w.notice(s.span(0, 6*sec))
 		}
 	case 3: // cut off from the nodes
 		var links []string
 		for _, o := range s.Nodes {
-			links = append(links, o.label+"-"+w.id)
+			links = append(links, o.label+"-"+w.ID)
 		}
 		s.cut(links, mode, s.pause())
 	}
--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -4,14 +4,16 @@
 	"slices"
 
 	"garnethitch/internal/controller"
+	"garnethitch/internal/fakes"
 	"garnethitch/internal/micros"
 )
 
 // Faults that hit many at a time: a zone, a part of the fleet, all controllers.
 
-var zones = [...]string{"east", "west"}
-
-func (n *Node) zone() string { return zones[n.id%len(zones)] }
+func (n *Node) zone() string {
+	zones := fakes.Zones()
+	return zones[n.id%len(zones)]
+}
 
 // cutZone parts a zone from everything: its machines from the controllers
 // outside, and the controllers inside from the services, the users and the
@@ -23,7 +25,7 @@
 	for _, n := range s.Nodes {
 		in := n.zone() == zone
 		for _, name := range s.names {
-			if (s.workers[name].zone == zone) != in {
+			if (s.workers[name].Zone == zone) != in {
 				links = append(links, n.label+"-"+name)
 			}
 		}
@@ -43,7 +45,7 @@
 // some draws a part of the machines that are up.
 func (s *Simulation) some(part float64) (out []*Worker) {
 	for _, name := range s.names {
-		if w := s.workers[name]; !w.dead && s.now >= w.upAt && s.chance(part) {
+		if w := s.workers[name]; !w.Dead && s.now >= w.UpAt && s.chance(part) {
 			out = append(out, w)
 		}
 	}
@@ -54,7 +56,7 @@
 // and massTaken has the cloud take back a part of the cheap machines.
 func (s *Simulation) massDeath(part float64) {
 	for _, w := range s.some(part) {
-		w.dead = true
+		w.Dead = true
 		s.Died++
 	}
 }
@@ -68,7 +70,7 @@
 
 func (s *Simulation) massTaken(part float64) {
 	for _, w := range s.some(part) {
-		if w.spot {
+		if w.Spot {
 			w.notice(s.span(0, 6*sec))
 		}
 	}
@@ -120,7 +122,7 @@
 		func() { s.cutZone(s.zone(), cutReset, s.span(4*sec, 20*sec)) },
 		func() { s.massDeath(0.1) },
 		func() {
-			s.Cloud.downUntil = s.now + s.span(5*sec, 20*sec)
+			s.cloud.SetOutage(s.now + s.span(5*sec, 20*sec))
 			s.massDeath(0.3)
 		},
 		func() { s.massHang(0.1, s.span(2*sec, 2*s.cfg.WorkerLease)) },
--- a/internal/simulation/groups.go
+++ b/internal/simulation/groups.go
@@ -6,6 +6,7 @@
 
 	"garnethitch/internal/controller"
 	"garnethitch/internal/peer"
+	"garnethitch/internal/quotatest"
 	"garnethitch/internal/wire"
 	"garnethitch/quota"
 )
@@ -127,7 +128,7 @@
 func (s *Simulation) groupPath(team string) []string {
 	for _, g := range s.plan.Groups {
 		if slices.Contains(g.Teams, team) {
-			return groupsAround(s.plan.Groups, g.Name)
+			return quotatest.EnclosingGroups(s.plan.Groups, g.Name)
 		}
 	}
 	return nil
@@ -135,7 +136,7 @@
 
 // groupUse is what a group's tasks use.
 func (s *Simulation) groupUse(name string) quota.Amount {
-	return quota.Amount{CPUs: s.usedBy(membersOf(s.plan.Groups, name)...)}
+	return quota.Amount{CPUs: s.usedBy(quotatest.TeamsWithin(s.plan.Groups, name)...)}
 }
 
 // underGroups: one more of a job's tasks is within the limits of all its groups.
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -3,6 +3,7 @@
 import (
 	"garnethitch/internal/controller"
 	"garnethitch/internal/micros"
+	"garnethitch/internal/peer"
 )
 
 // The simulation's network: messages are delayed, lost, held back and cut.
@@ -77,13 +78,13 @@
 func (s *Simulation) serve(call controller.Call, reply func(controller.Result)) {
 	switch call.To {
 	case controller.ToState:
-		s.State.serve(call.Req, reply)
+		s.state.Serve(call.Req, reply)
 	case controller.ToCloud:
-		s.Cloud.serve(call.Req, reply)
+		s.cloud.Serve(call.Req, reply)
 	case controller.ToWorker:
 		if w := s.workers[call.Addr]; w != nil && s.now >= w.unreachableUntil {
 			w.serve(call.Req, func(r controller.Result) {
-				if s.now >= s.lostCommandReplies[w.id] {
+				if s.now >= s.lostCommandReplies[w.ID] {
 					reply(r)
 				}
 			})
@@ -92,3 +93,26 @@
 		s.servePeer(call, reply)
 	}
 }
+
+// servePeer hands a message to another controller, encoded and decoded as on
+// the wire.
+func (s *Simulation) servePeer(call controller.Call, reply func(controller.Result)) {
+	for _, n := range s.Nodes {
+		if n.label != call.Addr || n.controller == nil {
+			continue
+		}
+		var req peer.Request
+		b, err := peer.Encode(call.Req)
+		if err == nil {
+			err = peer.Decode(b, &req)
+		}
+		if err != nil {
+			s.broken("peer message: %v", err)
+			return
+		}
+		n.release.receivedRequest(&req)
+		n.ask(func(id controller.ReplyID) controller.Input { return controller.PeerRequest{Reply: id, Req: req} }, func(a controller.Answer) {
+			reply(controller.Result{Status: a.Status, Body: a.Body})
+		})
+	}
+}
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -30,6 +30,9 @@
 	frozenUntil micros.Micros
 	waiting     []controller.Input
 	release     Release // which version it runs
+	// stateRefusedUntil: until then the state service refuses it alone, and watchesLostUntil:
+	// until then its watches bring nothing.
+	stateRefusedUntil, watchesLostUntil micros.Micros
 }
 
 func (n *Node) start() {
@@ -181,7 +184,7 @@
 	}
 	exchange(n.sim, n.link(call), call.Timeout,
 		func(reply func(controller.Result)) {
-			if call.To == controller.ToState && n.sim.now < n.sim.State.refuse[n.label] {
+			if call.To == controller.ToState && n.sim.now < n.stateRefusedUntil {
 				if _, isWatch := call.Req.(controller.Watch); !isWatch {
 					reply(controller.Result{Status: 503}) // watches wait, as in an outage
 				}
@@ -194,7 +197,7 @@
 			if call.To == controller.ToState && n.sim.lateWrite(n, call) {
 				return
 			}
-			if _, isWatch := call.Req.(controller.Watch); isWatch && n.sim.now < n.sim.State.watchCutOff[n.label] {
+			if _, isWatch := call.Req.(controller.Watch); isWatch && n.sim.now < n.watchesLostUntil {
 				return // what it would bring is lost on the way
 			}
 			n.sim.serve(call, reply)
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -12,7 +12,9 @@
 	"garnethitch/internal/controller"
 	"garnethitch/internal/controller/statestore"
 	"garnethitch/internal/eventqueue"
+	"garnethitch/internal/fakes"
 	"garnethitch/internal/micros"
+	"garnethitch/internal/wire"
 	"garnethitch/quota"
 )
 
@@ -79,8 +81,8 @@
 	now                micros.Micros
 	queue              eventqueue.Queue
 	Nodes              []*Node
-	State              *State
-	Cloud              *Cloud
+	state              *fakes.State
+	cloud              *fakes.Cloud
 	workers            map[string]*Worker
 	names              []string
 	users              []*user
@@ -89,6 +91,7 @@
 	cuts               map[string]cutMode
 	held               map[string][]func()
 	lostCommandReplies map[string]micros.Micros // machines whose answers to orders are lost
+	jobsRefusedUntil   micros.Micros            // until then nobody reads jobs; see refusesJobs
 	cfg                controller.Config
 	// Broken lists the rules that were broken, with time and circumstances.
 	Broken []string
@@ -144,8 +147,6 @@
 		lostCommandReplies: map[string]micros.Micros{},
 		byJob:              map[string]*user{}, onJob: map[string]map[*task]*Worker{},
 	}
-	s.State = newState(s)
-	s.Cloud = newCloud(s)
 	s.cfg = controller.Config{
 		Shards: p.Nodes, Teams: p.Teams,
 		Lease: 3 * sec, HeartbeatInterval: 2 * sec, WorkerLease: 12 * sec, Cancel: 25 * sec,
@@ -154,7 +155,11 @@
 		DrainHorizon: 30 * sec, IdleReturn: 15 * sec, BeginWithin: 60 * sec, CordonFor: 30 * sec, MaxMachines: p.Machines,
 		StartWithin: map[string]micros.Micros{"rush": 3 * sec}, MaxFinalJobs: p.FinalJobs,
 	}
-	s.State.valueBytes, s.State.txnOps = s.cfg.ValueBytes, s.cfg.TxnOps
+	s.state = fakes.NewState(scheduler{s}, fakes.StateLimits{ValueBytes: s.cfg.ValueBytes, TxnOps: s.cfg.TxnOps})
+	s.state.OnPut = s.handlePut
+	s.cloud = fakes.NewCloud(fakes.CloudConfig{
+		Scheduler: scheduler{s}, Rand: s.rng, MaxMachines: p.Machines, BootTime: s.boot, OnRent: s.addWorker, OnReturn: s.checkReturn,
+	})
 	if p.Gap {
 		s.cfg.Lease = 6 * sec // twice the margin of the bounds, which must not hide what they leave out
 	}
@@ -173,7 +178,7 @@
 	}
 	up = cmp.Or(p.Up, up)
 	for range up {
-		s.Cloud.add(kind{typ: "small", zone: s.zone()}, 0)
+		s.cloud.Add(fakes.MachineKind{Type: "small", Zone: s.zone()}, 0)
 	}
 	for _, n := range s.Nodes {
 		s.after(s.span(0, 300*ms), n.start)
@@ -283,6 +288,40 @@
 
 func (s *Simulation) chance(p float64) bool { return s.rng.Float64() < p }
 
-func (s *Simulation) zone() string { return zones[s.rng.IntN(len(zones))] }
+func (s *Simulation) zone() string {
+	zones := fakes.Zones()
+	return zones[s.rng.IntN(len(zones))]
+}
+
+// scheduler has the fakes live by the simulation's time.
+type scheduler struct{ sim *Simulation }
+
+func (s scheduler) Now() micros.Micros { return s.sim.now }
+
+func (s scheduler) After(d micros.Micros, f func()) { s.sim.after(d, f) }
+
+// addWorker starts a worker on a new machine.
+func (s *Simulation) addWorker(m *fakes.Machine) {
+	s.workers[m.ID] = newWorker(s, m)
+	s.names = append(s.names, m.ID)
+}
+
+// handlePut follows what controllers write.
+func (s *Simulation) handlePut(key string, value wire.Raw, _ uint64) {
+	if fakes.IsLock(key) {
+		s.releaseKept()
+	}
+	s.noteGroup(key, value)
+}
+
+// checkReturn counts machines that are returned with work on them although nothing is wrong.
+func (s *Simulation) checkReturn(m *fakes.Machine) {
+	p := s.plan
+	faulty := p.Faults || p.Fleet || p.ConcurrentFaults || p.Gap || p.Stale
+	if !faulty && !m.Dead && s.atWork(s.workers[m.ID]) {
+		s.Wasted++
+		s.trace("%s returned with work on it", m.ID)
+	}
+}
 
 func (s *Simulation) userOf(job string) *user { return s.byJob[job] }
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -174,7 +174,7 @@
 	play := func() string {
 		s := New(Plan{Seed: 5, Nodes: 3, Machines: 8, Jobs: 15, Faults: true, Teams: fourTeam, Length: 60 * sec, Rest: 200 * sec})
 		s.Run()
-		return fmt.Sprint(s.now, s.Started, s.Finished, s.Restarts, s.State.rev, s.Broken)
+		return fmt.Sprint(s.now, s.Started, s.Finished, s.Restarts, s.state.Revision(), s.Broken)
 	}
 	if a, b := play(), play(); a != b {
 		t.Errorf("two runs of one seed differ:\n%s\n%s", a, b)
--- a/internal/simulation/stale.go
+++ b/internal/simulation/stale.go
@@ -13,7 +13,7 @@
 // refusesJobs: the state service takes claims, renewals and writes of a controller, and
 // refuses what would tell it of jobs, as one does that is short of requests.
 func (s *Simulation) refusesJobs(call controller.Call) bool {
-	if call.To != controller.ToState || s.now >= s.State.jobsRefusedUntil {
+	if call.To != controller.ToState || s.now >= s.jobsRefusedUntil {
 		return false
 	}
 	switch r := call.Req.(type) {
@@ -34,7 +34,7 @@
 		s.Stale++
 		s.cancelNow(4, s.span(0, s.cfg.WorkerLease))
 		s.after(s.span(100*ms, 600*ms), func() {
-			s.State.jobsRefusedUntil = s.now + s.span(s.cfg.Cancel/2, 2*s.cfg.Cancel)
+			s.jobsRefusedUntil = s.now + s.span(s.cfg.Cancel/2, 2*s.cfg.Cancel)
 			s.owner().crash(s.span(20*ms, 2*sec))
 		})
 		at := micros.Micros(0)
--- a/internal/simulation/waves.go
+++ b/internal/simulation/waves.go
@@ -41,7 +41,7 @@
 // up counts the machines that are up.
 func (s *Simulation) up() (n int) {
 	for _, w := range s.workers {
-		if !w.dead && s.now >= w.upAt {
+		if !w.Dead && s.now >= w.UpAt {
 			n++
 		}
 	}
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -5,23 +5,17 @@
 	"strconv"
 
 	"garnethitch/internal/controller"
+	"garnethitch/internal/fakes"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/wire"
 )
 
 // Worker is a machine with its worker.
 type Worker struct {
+	*fakes.Machine
 	sim              *Simulation
-	id               string
-	typ, zone        string
-	spot             bool
 	rate             int64
-	born             micros.Micros
-	upAt             micros.Micros
-	dead             bool
-	returned         bool
-	taken            bool
-	takenAt          micros.Micros
+	reclaimAt        micros.Micros // when the cloud takes it back; 0: it has not said so
 	hungUntil        micros.Micros
 	faultyUntil      micros.Micros
 	unreachableUntil micros.Micros // until then nothing that is sent to it arrives
@@ -49,13 +43,16 @@
 	until      micros.Micros
 }
 
+// rounding is by how much sums of CPUs and of memory may be off.
+const rounding = 1e-6
+
 // onMachine: it has its image and has not exited.
 func (t *task) onMachine() bool { return t.state == wire.TaskRunning || t.state == wire.TaskSaving }
 
-func newWorker(s *Simulation, id string, k kind, boot micros.Micros) *Worker {
-	w := &Worker{sim: s, id: id, typ: k.typ, zone: k.zone, spot: k.spot, born: s.now, upAt: s.now + boot,
+func newWorker(s *Simulation, machine *fakes.Machine) *Worker {
+	w := &Worker{Machine: machine, sim: s,
 		agentEpoch: 1, tasks: map[string]*task{}, images: map[string]bool{}, node: s.rng.IntN(s.plan.Nodes), rate: s.rng.Int64N(501)}
-	s.after(boot, func() {
+	s.at(machine.UpAt, func() {
 		w.began = w.clock()
 		w.tick()
 	})
@@ -78,19 +75,19 @@
 
 // notice announces that the cloud takes the machine, or takes it at once.
 func (w *Worker) notice(d micros.Micros) {
-	if w.dead || w.takenAt != 0 {
+	if w.Dead || w.reclaimAt != 0 {
 		return
 	}
-	w.takenAt = w.sim.now + d
+	w.reclaimAt = w.sim.now + d
 	w.changed = true
-	w.sim.after(d, func() { w.dead, w.taken = true, true })
+	w.sim.after(d, func() { w.Dead, w.Reclaimed = true, true })
 }
 
 // tick lets time pass on the machine. A hanging one does nothing, and looks at
 // its lease first when it goes on.
 func (w *Worker) tick() {
 	s := w.sim
-	if w.dead {
+	if w.Dead {
 		return
 	}
 	if s.now < w.hungUntil {
@@ -146,13 +143,13 @@
 			w.changed = true
 		}
 		if t.onMachine() && u.cancelConfirmed != 0 && s.now > u.cancelConfirmed+s.cfg.Cancel {
-			s.broken("ran_cancelled: %s is still on %s", t.name, w.id)
+			s.broken("ran_cancelled: %s is still on %s", t.name, w.ID)
 		}
 	}
 	for _, key := range w.directCommand() {
 		t := w.tasks[key]
 		if u := s.userOf(t.job); t.onMachine() && u.cancelConfirmed != 0 && s.now > u.cancelConfirmed+s.cfg.Cancel {
-			s.broken("ran_cancelled: %s is still on %s", t.name, w.id)
+			s.broken("ran_cancelled: %s is still on %s", t.name, w.ID)
 		}
 	}
 	if !w.busy && (s.now >= w.nextHeartbeat || w.changed && s.now >= w.lastHeartbeat+500*ms) {
@@ -164,7 +161,7 @@
 func (w *Worker) lapse() {
 	if w.clock() > w.began+w.sim.cfg.WorkerLease {
 		w.agentEpoch++
-		w.sim.trace("%s lease over, session %d, %d tasks killed", w.id, w.agentEpoch, len(w.tasks))
+		w.sim.trace("%s lease over, session %d, %d tasks killed", w.ID, w.agentEpoch, len(w.tasks))
 		for _, t := range w.tasks {
 			delete(w.sim.onJob[t.job], t)
 		}
@@ -176,9 +173,9 @@
 
 func (w *Worker) heartbeatBody() *wire.Heartbeat {
 	w.sequence++
-	r := &wire.Heartbeat{Machine: w.id, Addr: w.id, Type: w.typ, Zone: w.zone, Spot: w.spot, AgentEpoch: w.agentEpoch, Sequence: w.sequence, FencingToken: w.fencingToken}
-	if w.takenAt != 0 {
-		left := (w.takenAt - w.sim.now).Seconds()
+	r := &wire.Heartbeat{Machine: w.ID, Addr: w.ID, Type: w.Type, Zone: w.Zone, Spot: w.Spot, AgentEpoch: w.agentEpoch, Sequence: w.sequence, FencingToken: w.fencingToken}
+	if w.reclaimAt != 0 {
+		left := (w.reclaimAt - w.sim.now).Seconds()
 		r.NoticeS = &left
 	}
 	for _, key := range w.directCommand() {
@@ -200,7 +197,7 @@
 		s.after(300*ms, func() { w.busy = false; w.answered(controller.Answer{}, false, sent, agentEpoch) })
 		return
 	}
-	exchange(s, n.label+"-"+w.id, 4*sec,
+	exchange(s, n.label+"-"+w.ID, 4*sec,
 		func(reply func(controller.Answer)) {
 			n.heartbeat(heartbeat, func(a controller.Answer) {
 				if s.now >= w.unreachableUntil {
@@ -242,7 +239,7 @@
 
 func (w *Worker) answered(a controller.Answer, ok bool, sent micros.Micros, agentEpoch uint64) {
 	s := w.sim
-	if w.dead {
+	if w.Dead {
 		return
 	}
 	w.lapse()
@@ -289,7 +286,7 @@
 }
 
 func (w *Worker) serve(req any, reply func(controller.Result)) {
-	if w.dead || w.sim.now < w.upAt {
+	if w.Dead || w.sim.now < w.UpAt {
 		return
 	}
 	if w.sim.now < w.hungUntil {
@@ -315,7 +312,7 @@
 func (w *Worker) execute(commands []wire.Command) {
 	s := w.sim
 	for _, c := range commands {
-		s.trace("%s %s %s attempt %x", w.id, c.Op, c.Task, c.Attempt)
+		s.trace("%s %s %s attempt %x", w.ID, c.Op, c.Task, c.Attempt)
 		key := c.Task + "@" + strconv.FormatUint(c.Attempt, 10)
 		t := w.tasks[key]
 		switch c.Op {
@@ -375,19 +372,17 @@
 }
 
 func (w *Worker) fits(u *user) bool {
-	for _, mt := range offer {
-		if mt.Name != w.typ {
-			continue
-		}
-		cpus, mem := mt.CPUs, mt.MemGB
-		for _, t := range w.tasks {
-			if t.state != wire.TaskExited {
-				o := w.sim.userOf(t.job)
-				cpus -= o.sub.CPUs
-				mem -= o.sub.MemGB
-			}
+	machineType, ok := fakes.MachineType(w.Type)
+	if !ok {
+		return false
+	}
+	cpus, memory := machineType.CPUs, machineType.MemGB
+	for _, t := range w.tasks {
+		if t.state != wire.TaskExited {
+			other := w.sim.userOf(t.job)
+			cpus -= other.sub.CPUs
+			memory -= other.sub.MemGB
 		}
-		return cpus+1e-6 >= u.sub.CPUs && mem+1e-6 >= u.sub.MemGB
 	}
-	return false
+	return cpus+rounding >= u.sub.CPUs && memory+rounding >= u.sub.MemGB
 }
--- a/path_test.go
+++ b/path_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"garnethitch/internal/simulation"
+	"garnethitch/internal/fakes"
 )
 
 // A test binary started with this variable is the world around a controller.
@@ -20,7 +20,7 @@
 
 func TestMain(m *testing.M) {
 	if os.Getenv(worldVar) != "" {
-		if err := simulation.ServeWorld(os.Stdin, os.Stdout); err != nil {
+		if err := fakes.ServeWorld(os.Stdin, os.Stdout); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
