--- a/internal/faulttest/grants.go
+++ b/internal/faulttest/grants.go
@@ -10,11 +10,24 @@
 	"garnethitch/quota"
 )
 
+const (
+	// grantMachines is how many machines controllers grant from.
+	grantMachines = 24
+	// lostGrantAnswers is the fraction of the state service's answers that are lost.
+	lostGrantAnswers = 0.03
+	// grantJobTasks is how many tasks a job has.
+	grantJobTasks = 40
+	// grantBacklog is how many tasks may wait beyond those that were granted.
+	grantBacklog = 20 * grantJobTasks
+	// limitRequestTimeout is that of a request to set a limit.
+	limitRequestTimeout = time.Second
+)
+
 // GrantsPlan says how controllers are made to grant at once from groups whose limits change.
 type GrantsPlan struct {
 	Seed   uint64
 	Nodes  int
-	Grants int // enough
+	Grants int // that are enough
 	// Most is how long it may take.
 	Most time.Duration
 	// Faults ends and cuts off controllers, loses answers and changes limits; without,
@@ -30,7 +43,15 @@
 	ToInForce                             []time.Duration
 }
 
-// GrantGroups are the groups of PlayGrants: all in one limit, two teams in a narrower one.
+// String returns the figures in a line.
+func (r GrantsResult) String() string {
+	return fmt.Sprintf("%d grants in %.1f s, %d writes, %d limits set, %d ends, %d cuts, %d overshoots", r.Grants, r.Took.Seconds(), r.Writes, r.LimitsSet, r.Ends, r.Cuts, len(r.Overshoots))
+}
+
+// Teams returns the teams that the groups of GrantGroups are made of.
+func Teams() []string { return []string{"kigali", "rubavu", "karongi"} }
+
+// GrantGroups returns the groups of PlayGrants: all in one limit, two teams in a narrower one.
 func GrantGroups() []quota.GroupOptions {
 	return []quota.GroupOptions{
 		{Name: "all", Teams: []string{"kigali"}, Limit: quota.CPULimit(60)},
@@ -41,18 +62,25 @@
 // PlayGrants has the controllers of a cluster grant at once until that many tasks were
 // started, and checks what was recorded.
 func PlayGrants(p GrantsPlan) (GrantsResult, error) {
-	plan := ClusterPlan{Seed: p.Seed, Nodes: p.Nodes, Machines: 24, Teams: []string{"kigali", "rubavu", "karongi"}, Groups: GrantGroups()}
+	plan := ClusterPlan{Seed: p.Seed, Nodes: p.Nodes, Machines: grantMachines, Teams: Teams(), Groups: GrantGroups()}
 	if p.Faults {
-		plan.LostAnswers = 0.03
+		plan.LostAnswers = lostGrantAnswers
 	}
 	c, err := NewCluster(plan)
 	if err != nil {
 		return GrantsResult{}, err
 	}
 	defer c.Close()
-	var r GrantsResult
-	feed := make(chan error, 1)
-	go func() { feed <- c.feed(p.Grants) }()
+	submitted := make(chan error, 1)
+	go func() { submitted <- c.submitAhead(p.Grants) }()
+	result := c.playGrants(p)
+	c.stop()
+	<-submitted
+	return result, nil
+}
+
+// playGrants brings faults about until there are enough grants, and checks the history.
+func (c *Cluster) playGrants(p GrantsPlan) (r GrantsResult) {
 	began := time.Now()
 	for Grants(c.History()) < p.Grants && time.Since(began) < p.Most {
 		if !p.Faults {
@@ -60,26 +88,24 @@
 			continue
 		}
 		c.pause(time.Duration(200+c.draw(500)) * time.Millisecond)
-		c.fault(&r)
+		c.injectGrantFault(&r)
 	}
 	r.Took = time.Since(began)
 	history := c.History()
-	r.Grants, r.Writes = Grants(history), QuotaWrites(history)
-	r.Overshoots = Overshoots(history, plan.Groups)
+	r.Grants = Grants(history)
+	r.Writes = QuotaWrites(history)
+	r.Overshoots = Overshoots(history, c.plan.Groups)
 	r.ToInForce = ToInForce(history)
-	c.stop()
-	<-feed
-	return r, nil
+	return r
 }
 
-// feed submits more work than fits, for as long as it is wanted.
-func (c *Cluster) feed(grants int) error {
-	const tasks = 40
-	for submitted := 0; submitted < 2*grants; submitted += tasks {
-		if err := c.Submit(tasks); err != nil {
+// submitAhead submits more work than fits, for as long as it is wanted.
+func (c *Cluster) submitAhead(grants int) error {
+	for submitted := 0; submitted < 2*grants; submitted += grantJobTasks {
+		if err := c.Submit(grantJobTasks); err != nil {
 			return err
 		}
-		for submitted > Grants(c.History())+20*tasks {
+		for submitted > Grants(c.History())+grantBacklog {
 			if !c.pause(50 * time.Millisecond) {
 				return nil
 			}
@@ -88,22 +114,28 @@
 	return nil
 }
 
-// fault brings one fault about, mostly a limit that changes.
-func (c *Cluster) fault(r *GrantsResult) {
-	switch node := c.draw(len(c.nodes)); c.draw(10) {
+// injectGrantFault brings one fault about, mostly limits that change.
+func (c *Cluster) injectGrantFault(r *GrantsResult) {
+	node := c.draw(len(c.nodes))
+	switch c.draw(10) {
 	case 0:
-		c.End(node, time.Duration(c.draw(1500))*time.Millisecond)
+		c.Restart(node, time.Duration(c.draw(1500))*time.Millisecond)
 		r.Ends++
 	case 1:
-		c.Cut(node, time.Duration(200+c.draw(2000))*time.Millisecond)
+		c.CutFromState(node, time.Duration(200+c.draw(2000))*time.Millisecond)
 		r.Cuts++
 	default:
-		g := GrantGroups()[c.draw(2)]
-		for range 1 + c.draw(2) { // and again before it is in force
-			limit := quota.CPULimit(float64(c.draw(int(*g.Limit.CPUs) + 8)))
-			if c.SetLimit(c.draw(len(c.nodes)), g.Name, &limit) == nil {
-				r.LimitsSet++
-			}
+		c.changeLimit(r)
+	}
+}
+
+// changeLimit sets a group's limit, and sometimes again before the first is in force.
+func (c *Cluster) changeLimit(r *GrantsResult) {
+	group := GrantGroups()[c.draw(2)]
+	for range 1 + c.draw(2) {
+		limit := quota.CPULimit(float64(c.draw(int(*group.Limit.CPUs) + 8)))
+		if c.SetLimit(c.draw(len(c.nodes)), group.Name, &limit) == nil {
+			r.LimitsSet++
 		}
 	}
 }
@@ -114,12 +146,8 @@
 	if limit != nil {
 		set.Limit = *limit
 	}
-	ctx, cancel := context.WithTimeout(c.ctx, time.Second)
+	ctx, cancel := context.WithTimeout(c.ctx, limitRequestTimeout)
 	defer cancel()
-	_, err := admin.RequestQuota(ctx, c.nodes[node].set.InternalAddr, peer.QuotaRequest{Set: &set})
+	_, err := admin.RequestQuota(ctx, c.nodes[node].settings.InternalAddr, peer.QuotaRequest{Set: &set})
 	return err
 }
-
-func (r GrantsResult) String() string {
-	return fmt.Sprintf("%d grants in %.1f s, %d writes, %d limits set, %d ends, %d cuts, %d overshoots", r.Grants, r.Took.Seconds(), r.Writes, r.LimitsSet, r.Ends, r.Cuts, len(r.Overshoots))
-}
--- /dev/null
+++ b/internal/faulttest/grants_test.go
@@ -0,0 +1,39 @@
+package faulttest
+
+import (
+	"fmt"
+	"os"
+	"strconv"
+	"testing"
+	"time"
+)
+
+// seeds lets a longer search be asked for: GARNETHITCH_SEEDS=500.
+func seeds(n int) int {
+	if v, err := strconv.Atoi(os.Getenv("GARNETHITCH_SEEDS")); err == nil && v > 0 {
+		return v
+	}
+	return n
+}
+
+// TestClusterGrants has real controllers grant at once over loopback sockets, through
+// limits that change, ends, cuts and lost answers. A longer run: go run ./internal/measure grants.
+func TestClusterGrants(t *testing.T) {
+	for seed := range uint64(seeds(2)) {
+		t.Run(fmt.Sprint(seed), func(t *testing.T) {
+			t.Parallel()
+			nodes := []int{3, 2, 5}[seed%3]
+			r, err := PlayGrants(GrantsPlan{Seed: seed + 1, Nodes: nodes, Grants: 600, Most: 25 * time.Second, Faults: true})
+			if err != nil {
+				t.Fatal(err)
+			}
+			for _, o := range r.Overshoots {
+				t.Error(o)
+			}
+			if r.Grants < 200 || r.LimitsSet == 0 || r.Writes < 10 {
+				t.Errorf("too little happened: %s", r)
+			}
+			t.Log(r)
+		})
+	}
+}
--- a/internal/faulttest/history.go
+++ b/internal/faulttest/history.go
@@ -8,79 +8,114 @@
 	"garnethitch/quota"
 )
 
-// A checker of recorded histories, apart from the code that made them.
+// HistoryEvent is a task's start or end, or a group's record as it was stored.
+type HistoryEvent struct {
+	At   time.Duration
+	Team string  // of a task
+	CPUs float64 // of a task: above 0 where it starts, below where it ends
+	// Group, and its record; empty: the event is about a task.
+	Group       string
+	Record      quota.Record
+	ModRevision uint64
+}
+
+// usage is what a history has come to.
+type usage struct {
+	groups []quota.GroupOptions
+	teams  map[string]float64 // CPUs in use
+	limits map[string]*quota.Limit
+}
 
 // Overshoots lists the instants at which a group's tasks used more than the limit in
 // force, and those at which the allowances of a record did. groups are the definitions.
 func Overshoots(history []HistoryEvent, groups []quota.GroupOptions) (found []string) {
-	used := map[string]float64{} // by team
-	inForce := map[string]*quota.Limit{}
-	for _, e := range history {
-		if e.Group != "" {
-			inForce[e.Group] = e.Record.Applied
-			if sum := e.Record.Allowed(); e.Record.Applied != nil && !sum.Within(e.Record.Applied.Amount()) {
-				found = append(found, fmt.Sprintf("%v: allowances of %s add up to %g CPUs, in force is %s", e.At, e.Group, sum.CPUs, e.Record.Applied))
-			}
-		} else {
-			used[e.Team] += e.CPUs
-			if e.CPUs < 0 {
-				continue
-			}
+	u := &usage{groups: groups, teams: map[string]float64{}, limits: map[string]*quota.Limit{}}
+	for _, event := range history {
+		if event.Group != "" {
+			u.limits[event.Group] = event.Record.Applied
+			found = append(found, allowanceOvershoots(event)...)
+			found = append(found, u.overshoots(event.At)...)
+			continue
+		}
+		u.teams[event.Team] += event.CPUs
+		if event.CPUs >= 0 {
+			found = append(found, u.overshoots(event.At)...)
+		}
+	}
+	return found
+}
+
+// allowanceOvershoots reports a record whose allowances are more than the limit in force.
+func allowanceOvershoots(event HistoryEvent) []string {
+	limit := event.Record.Applied
+	sum := event.Record.Allowed()
+	if limit == nil || sum.Within(limit.Amount()) {
+		return nil
+	}
+	return []string{fmt.Sprintf("%v: allowances of %s add up to %g CPUs, in force is %s", event.At, event.Group, sum.CPUs, limit)}
+}
+
+// overshoots lists the groups that use more than their limits.
+func (u *usage) overshoots(at time.Duration) (found []string) {
+	for _, g := range u.groups {
+		limit := u.limits[g.Name]
+		if limit == nil {
+			continue
 		}
-		for _, g := range groups {
-			limit := inForce[g.Name]
-			if limit == nil {
-				continue
-			}
-			sum := 0.0
-			for _, team := range quotatest.TeamsWithin(groups, g.Name) {
-				sum += used[team]
-			}
-			if !(quota.Amount{CPUs: sum}).Within(limit.Amount()) {
-				found = append(found, fmt.Sprintf("%v: %s uses %g CPUs, in force is %s", e.At, g.Name, sum, limit))
-			}
+		sum := 0.0
+		for _, team := range quotatest.TeamsWithin(u.groups, g.Name) {
+			sum += u.teams[team]
+		}
+		if !(quota.Amount{CPUs: sum}).Within(limit.Amount()) {
+			found = append(found, fmt.Sprintf("%v: %s uses %g CPUs, in force is %s", at, g.Name, sum, limit))
 		}
 	}
 	return found
 }
 
 // Grants counts the starts of a history.
-func Grants(history []HistoryEvent) (n int) {
-	for _, e := range history {
-		if e.CPUs > 0 {
-			n++
+func Grants(history []HistoryEvent) (count int) {
+	for _, event := range history {
+		if event.CPUs > 0 {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
 // QuotaWrites counts the writes of groups' records.
-func QuotaWrites(history []HistoryEvent) (n int) {
-	for _, e := range history {
-		if e.Group != "" {
-			n++
+func QuotaWrites(history []HistoryEvent) (count int) {
+	for _, event := range history {
+		if event.Group != "" {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// ToInForce gives, for each limit that was announced and came into force before the next,
+// ToInForce returns, for each limit that was announced and came into force before the next,
 // how long that took.
-func ToInForce(history []HistoryEvent) (out []time.Duration) {
-	announced := map[string]HistoryEvent{}
-	for _, e := range history {
-		if e.Group == "" {
+func ToInForce(history []HistoryEvent) (durations []time.Duration) {
+	type announcement struct {
+		epoch   uint64
+		at      time.Duration
+		inForce bool
+	}
+	announced := map[string]*announcement{}
+	for _, event := range history {
+		if event.Group == "" {
 			continue
 		}
-		was, ok := announced[e.Group]
-		if !ok || e.Record.Epoch != was.Record.Epoch {
-			announced[e.Group], was = e, e
+		last := announced[event.Group]
+		if last == nil || event.Record.Epoch != last.epoch {
+			last = &announcement{epoch: event.Record.Epoch, at: event.At}
+			announced[event.Group] = last
 		}
-		if was.At >= 0 && e.Record.Applied != nil && e.Record.Applied.Equal(e.Record.Limit) {
-			out = append(out, e.At-was.At)
-			was.At = -1
-			announced[e.Group] = was
+		applied := event.Record.Applied
+		if !last.inForce && applied != nil && applied.Equal(event.Record.Limit) {
+			durations = append(durations, event.At-last.at)
+			last.inForce = true
 		}
 	}
-	return out
+	return durations
 }
--- /dev/null
+++ b/internal/faulttest/link.go
@@ -0,0 +1,120 @@
+package faulttest
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"sync"
+	"time"
+)
+
+const (
+	linkDialTimeout = time.Second
+	linkBufferBytes = 32 << 10
+	// linkPollInterval is how often a link that holds data back looks whether it still does.
+	linkPollInterval = 50 * time.Millisecond
+)
+
+// link is a proxy from one controller to another, which can hold back what is sent, or break
+// connections.
+type link struct {
+	from, to   int // controllers
+	target     string
+	mu         sync.Mutex
+	heldUntil  time.Time
+	resetUntil time.Time
+}
+
+// addressFor returns where one controller reaches another: itself, or by a link.
+func (c *Cluster) addressFor(from, to *node) (string, error) {
+	if c.plan.Binary == "" {
+		return to.settings.InternalAddr, nil
+	}
+	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		return "", fmt.Errorf("test cluster: link: %w", err)
+	}
+	l := &link{from: from.id, to: to.id, target: to.settings.InternalAddr}
+	c.links = append(c.links, l)
+	context.AfterFunc(c.ctx, func() { ln.Close() })
+	go l.accept(ln)
+	return ln.Addr().String(), nil
+}
+
+// accept carries connections until the listener is closed.
+func (l *link) accept(ln net.Listener) {
+	for {
+		conn, err := ln.Accept()
+		if err != nil {
+			return
+		}
+		go l.carry(conn)
+	}
+}
+
+// carry passes a connection on, both ways, until one of them ends.
+func (l *link) carry(in net.Conn) {
+	defer in.Close()
+	out, err := net.DialTimeout("tcp4", l.target, linkDialTimeout)
+	if err != nil {
+		return
+	}
+	defer out.Close()
+	done := make(chan struct{}, 2)
+	for _, way := range [][2]net.Conn{{in, out}, {out, in}} {
+		go func() {
+			l.pump(way[0], way[1])
+			done <- struct{}{}
+		}()
+	}
+	<-done
+}
+
+// pump passes data on until the connection ends or is broken.
+func (l *link) pump(from, to net.Conn) {
+	buffer := make([]byte, linkBufferBytes)
+	for {
+		n, err := from.Read(buffer)
+		if n > 0 {
+			if !l.awaitPassage() {
+				return
+			}
+			if _, err := to.Write(buffer[:n]); err != nil {
+				return
+			}
+		}
+		if err != nil {
+			return
+		}
+	}
+}
+
+// awaitPassage waits while the link holds data back; false: it breaks connections.
+func (l *link) awaitPassage() bool {
+	for {
+		l.mu.Lock()
+		held, reset := time.Until(l.heldUntil), time.Until(l.resetUntil)
+		l.mu.Unlock()
+		if reset > 0 {
+			return false
+		}
+		if held <= 0 {
+			return true
+		}
+		time.Sleep(min(held, linkPollInterval))
+	}
+}
+
+// hold holds data back for a while.
+func (l *link) hold(d time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.heldUntil = time.Now().Add(d)
+}
+
+// reset breaks connections for a while.
+func (l *link) reset(d time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.resetUntil = time.Now().Add(d)
+}
--- /dev/null
+++ b/internal/faulttest/node.go
@@ -0,0 +1,156 @@
+package faulttest
+
+import (
+	"cmp"
+	"context"
+	"fmt"
+	"io"
+	"log/slog"
+	"os"
+	"time"
+
+	"garnethitch/internal/config"
+	"garnethitch/internal/fakes"
+	"garnethitch/internal/runtime"
+)
+
+// restartPause is how long a controller that ended by itself waits to be started again.
+const restartPause = 100 * time.Millisecond
+
+// node is one controller of a cluster.
+type node struct {
+	cluster  *Cluster
+	id       int
+	settings config.Settings
+	options  config.Options
+	faults   stateFaults // guarded by the cluster's lock
+
+	// Where controllers run in this process; guarded by the cluster's lock.
+	cancel context.CancelFunc // nil: it doesn't run
+	ended  chan struct{}
+	// Where controllers are processes.
+	process *process
+}
+
+// addNodes makes the controllers, and has them know of each other.
+func (c *Cluster) addNodes(cloud string) error {
+	for i := range c.plan.Nodes {
+		n, err := c.newNode(i, cloud)
+		if err != nil {
+			return err
+		}
+		c.nodes = append(c.nodes, n)
+	}
+	for _, n := range c.nodes {
+		if err := n.addPeers(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (c *Cluster) newNode(id int, cloud string) (*node, error) {
+	n := &node{cluster: c, id: id, options: config.Defaults()}
+	state, err := c.listen(&stateProxy{node: n})
+	if err != nil {
+		return nil, err
+	}
+	n.settings = config.Settings{
+		Label:     fmt.Sprintf("node-%d", id),
+		Endpoints: config.Endpoints{Cloud: cloud, State: state},
+	}
+	n.settings.ServeOn = c.ownAddress(id, 0)
+	n.settings.InternalAddr = c.ownAddress(id, 1)
+	c.configure(&n.settings.Cluster)
+	n.options.LeaseMS = c.plan.Times.ControllerLease.Milliseconds()
+	n.options.Quota.Groups = c.plan.Groups
+	if err := n.options.BuildGroups("plan", n.settings); err != nil {
+		return nil, err
+	}
+	return n, nil
+}
+
+// configure fills in what all controllers are told of the cluster.
+func (c *Cluster) configure(cluster *config.Cluster) {
+	for _, name := range c.plan.Teams {
+		cluster.Teams = append(cluster.Teams, config.Team{Name: name})
+	}
+	cluster.Nodes = c.plan.Nodes
+	cluster.Zones = fakes.Zones()
+	times := c.plan.Times
+	cluster.Workers = config.Workers{ReportS: times.HeartbeatInterval.Seconds(), LeaseS: times.WorkerLease.Seconds(), CancelS: times.Cancel.Seconds()}
+	cluster.State = config.StateLimits{RPS: cmp.Or(c.plan.StateRPS, 2000), WriteRPS: cmp.Or(c.plan.WriteRPS, 400), ValueKB: 8, TxnOps: stateTxnOps}
+	cluster.Cloud = config.CloudLimits{RPS: 10, ListLagS: 0.2}
+	cluster.Resources = config.Resources{CoreShare: 0.5, RAMMB: 128, Sockets: 1024}
+}
+
+// addPeers has a controller know of the others.
+func (n *node) addPeers() error {
+	for _, peer := range n.cluster.nodes {
+		if peer == n {
+			continue
+		}
+		address, err := n.cluster.addressFor(n, peer)
+		if err != nil {
+			return err
+		}
+		n.settings.Seeds = append(n.settings.Seeds, config.Seed{Label: peer.settings.Label, Address: address})
+	}
+	return nil
+}
+
+// ownAddress returns a loopback address that no other cluster uses, of this process or another:
+// on a port that was free a moment ago a controller of one may meet workers of another.
+func (c *Cluster) ownAddress(node, listener int) string {
+	pid := os.Getpid()
+	port := 18080 + 2*int(c.number%1000) + listener
+	return fmt.Sprintf("127.%d.%d.%d:%d", 32+pid%200, 1+pid/200%250, node+1, port)
+}
+
+// start starts a controller that doesn't run.
+func (n *node) start() {
+	n.cluster.mu.Lock()
+	defer n.cluster.mu.Unlock()
+	if n.cancel != nil || n.cluster.ctx.Err() != nil {
+		return
+	}
+	if n.cluster.plan.Binary != "" {
+		n.startProcess()
+		return
+	}
+	ctx, cancel := context.WithCancel(n.cluster.ctx)
+	ended := make(chan struct{})
+	n.cancel = cancel
+	n.ended = ended
+	seed := n.cluster.rng.Uint64()
+	go func() {
+		defer close(ended)
+		n.runUntil(ctx, seed)
+	}()
+}
+
+// runUntil runs a controller in this process. One that ends by itself, since the port of its
+// former run is still taken, is started again, as a platform would.
+func (n *node) runUntil(ctx context.Context, seed uint64) {
+	logger := slog.New(slog.NewTextHandler(io.Discard, nil))
+	for ctx.Err() == nil {
+		_ = runtime.New(n.settings, n.options, logger, seed).Run(ctx)
+		n.cluster.pause(restartPause)
+	}
+}
+
+// end ends a controller, and waits until it has ended.
+func (n *node) end() {
+	if n.process != nil {
+		n.process.kill()
+		return
+	}
+	n.cluster.mu.Lock()
+	cancel, ended := n.cancel, n.ended
+	n.cancel = nil
+	n.cluster.mu.Unlock()
+	if cancel != nil {
+		cancel()
+		<-ended
+	}
+}
--- a/internal/faulttest/cluster_process.go
+++ b/internal/faulttest/process.go
@@ -13,8 +13,11 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// controllerProcess is a controller that runs as a process of its own.
-type controllerProcess struct {
+// filePermissions are those of the files of a cluster.
+const filePermissions = 0o600
+
+// process is a controller that runs as a process of its own.
+type process struct {
 	mu     sync.Mutex
 	cmd    *exec.Cmd
 	ended  chan struct{}
@@ -27,9 +30,9 @@
 }
 
 // startProcess starts the controller's program; the cluster's lock is held.
-func (n *clusterNode) startProcess() {
+func (n *node) startProcess() {
 	if n.process == nil {
-		n.process = &controllerProcess{}
+		n.process = &process{}
 	}
 	p := n.process
 	p.mu.Lock()
@@ -42,33 +45,27 @@
 		err = cmd.Start()
 	}
 	if err != nil {
-		n.cluster.problems = append(n.cluster.problems, fmt.Sprintf("%s does not start: %v", n.set.Label, err))
+		n.cluster.addProblemLocked("%s does not start: %v", n.settings.Label, err)
 		return
 	}
-	p.cmd, p.ended, p.killed = cmd, make(chan struct{}), false
+	p.cmd = cmd
+	p.ended = make(chan struct{})
+	p.killed = false
 	go n.await(cmd, p.ended)
 }
 
-// command writes the controller's files, and gives what starts it.
-func (n *clusterNode) command() (*exec.Cmd, error) {
-	dir := n.cluster.plan.Dir
-	settings, options := filepath.Join(dir, n.set.Label+".toml"), filepath.Join(dir, n.set.Label+".yaml")
-	file, err := os.Create(settings)
-	if err != nil {
-		return nil, fmt.Errorf("settings: %w", err)
-	}
-	defer file.Close()
-	if err := toml.NewEncoder(file).Encode(n.set); err != nil {
+// command writes the controller's settings and options, and returns what starts it.
+func (n *node) command() (*exec.Cmd, error) {
+	path := filepath.Join(n.cluster.plan.Dir, n.settings.Label)
+	settings := path + ".toml"
+	if err := n.writeSettings(settings); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	text, err := yaml.Marshal(processOptions{LeaseMS: n.opt.LeaseMS})
-	if err != nil {
-		return nil, fmt.Errorf("options: %w", err)
-	}
-	if err := os.WriteFile(options, text, 0o600); err != nil {
+	options := path + ".yaml"
+	if err := n.writeOptions(options); err != nil {
 		return nil, fmt.Errorf("options: %w", err)
 	}
-	log, err := os.OpenFile(filepath.Join(dir, n.set.Label+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	log, err := os.OpenFile(path+".log", os.O_CREATE|os.O_APPEND|os.O_WRONLY, filePermissions)
 	if err != nil {
 		return nil, fmt.Errorf("log: %w", err)
 	}
@@ -78,9 +75,26 @@
 	return cmd, nil
 }
 
+func (n *node) writeSettings(path string) error {
+	file, err := os.Create(path)
+	if err != nil {
+		return err
+	}
+	defer file.Close()
+	return toml.NewEncoder(file).Encode(n.settings)
+}
+
+func (n *node) writeOptions(path string) error {
+	text, err := yaml.Marshal(processOptions{LeaseMS: n.options.LeaseMS})
+	if err != nil {
+		return err
+	}
+	return os.WriteFile(path, text, filePermissions)
+}
+
 // await waits for the end of a process. One that ends by itself is started again, as a
 // platform would, and counted.
-func (n *clusterNode) await(cmd *exec.Cmd, ended chan struct{}) {
+func (n *node) await(cmd *exec.Cmd, ended chan struct{}) {
 	err := cmd.Wait()
 	p := n.process
 	p.mu.Lock()
@@ -91,14 +105,14 @@
 	if killed || n.cluster.ctx.Err() != nil {
 		return
 	}
-	n.cluster.problem("%s ended by itself: %v", n.set.Label, err)
-	if n.cluster.pause(100 * time.Millisecond) {
+	n.cluster.addProblem("%s ended by itself: %v", n.settings.Label, err)
+	if n.cluster.pause(restartPause) {
 		n.start()
 	}
 }
 
 // kill ends the process at once, also one that stands still.
-func (p *controllerProcess) kill() {
+func (p *process) kill() {
 	p.mu.Lock()
 	cmd, ended := p.cmd, p.ended
 	p.killed = true
@@ -110,7 +124,7 @@
 }
 
 // freeze lets the process stand still for a while; its clocks run on.
-func (p *controllerProcess) freeze(d time.Duration) {
+func (p *process) freeze(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	cmd := p.cmd
--- /dev/null
+++ b/internal/faulttest/soak_faults.go
@@ -0,0 +1,200 @@
+package faulttest
+
+import (
+	"cmp"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"garnethitch/internal/micros"
+)
+
+const (
+	// soakSeedStream tells the random numbers of a soak's faults from others of the same seed.
+	soakSeedStream = 11
+	// firstFaultAt is when the first fault may come, faultsEndMargin how long before the end
+	// of a soak the last one may.
+	firstFaultAt    = 4 * time.Second
+	faultsEndMargin = 2 * time.Second
+	// ownersInSeries is how many owners end one after the other while machines are rarely reached.
+	ownersInSeries = 6
+)
+
+// FaultKind is what goes wrong.
+type FaultKind int
+
+// Kinds of faults. Their order is part of what a seed means.
+const (
+	FaultKill FaultKind = iota
+	FaultKillOwner
+	FaultFreeze
+	FaultCutFromState
+	FaultStateRefuses
+	FaultStateRefusesJobs
+	FaultLateWrites
+	FaultLinkHeld
+	FaultLinkReset
+	FaultStateOutage
+	FaultMachinesHang
+	FaultMachinesReceiveNothing
+	FaultMachinesSendNothing
+	FaultLateHeartbeats
+	FaultMachinesRarelyReached
+	faultKindCount
+)
+
+// String returns the kind in words.
+func (k FaultKind) String() string {
+	names := [faultKindCount]string{
+		"kill", "kill owner", "freeze", "cut from state", "state refuses", "state refuses jobs", "late writes", "link held", "link reset",
+		"outage of the state service", "machines hang", "machines receive nothing", "machines send nothing", "late heartbeats", "machines rarely reached",
+	}
+	return names[k]
+}
+
+// Fault is one thing that goes wrong.
+type Fault struct {
+	At, Duration time.Duration
+	Kind         FaultKind
+	Node, Other  int     // controllers
+	Fraction     float64 // of the machines
+}
+
+// String returns the fault in a line.
+func (f Fault) String() string {
+	return fmt.Sprintf("%5.1f s: %s, node %d, other %d, fraction %.2f, for %.1f s", f.At.Seconds(), f.Kind, f.Node, f.Other, f.Fraction, f.Duration.Seconds())
+}
+
+// faultDraw draws faults.
+type faultDraw struct {
+	rng    *rand.Rand
+	nodes  int
+	faults []Fault
+}
+
+// Faults draws what goes wrong, from the seed alone; two or three overlap, and owners end
+// in series.
+func (p SoakPlan) Faults() []Fault {
+	d := &faultDraw{rng: rand.New(rand.NewPCG(p.Seed, soakSeedStream)), nodes: p.Nodes}
+	calm := SoakTimes().Cancel
+	for at := firstFaultAt; at < p.Length-calm; at += d.duration(time.Second, 3*time.Second) {
+		kind := FaultKind(d.rng.IntN(int(faultKindCount)))
+		d.add(at, kind, d.duration(300*time.Millisecond, 8*time.Second))
+		if d.rng.IntN(8) == 0 {
+			d.addOwnersInSeries(at)
+		}
+	}
+	faults := slices.DeleteFunc(d.faults, func(f Fault) bool { return f.At > p.Length-faultsEndMargin })
+	slices.SortStableFunc(faults, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
+	return faults
+}
+
+// addOwnersInSeries ends owners one after the other while machines are rarely reached.
+func (d *faultDraw) addOwnersInSeries(at time.Duration) {
+	d.add(at, FaultMachinesRarelyReached, d.duration(12*time.Second, 24*time.Second))
+	for i := range time.Duration(ownersInSeries) {
+		d.add(at+i*(rareReplyInterval+500*time.Millisecond), FaultKillOwner, d.duration(50*time.Millisecond, 2*time.Second))
+	}
+}
+
+func (d *faultDraw) add(at time.Duration, kind FaultKind, duration time.Duration) {
+	node := d.rng.IntN(d.nodes)
+	other := (node + 1 + d.rng.IntN(d.nodes-1)) % d.nodes
+	fraction := 0.1 + 0.4*d.rng.Float64()
+	d.faults = append(d.faults, Fault{At: at, Duration: duration, Kind: kind, Node: node, Other: other, Fraction: fraction})
+}
+
+func (d *faultDraw) duration(from, to time.Duration) time.Duration {
+	return from + time.Duration(d.rng.Int64N(int64(to-from)))
+}
+
+// inject brings one fault about.
+func (c *Cluster) inject(f Fault) {
+	switch f.Kind {
+	case FaultKill, FaultKillOwner, FaultFreeze:
+		c.injectProcessFault(f)
+	case FaultLinkHeld, FaultLinkReset:
+		c.injectLinkFault(f)
+	case FaultStateOutage:
+		c.server.Clock.Run(func() {
+			c.server.State.SetOutage(c.server.Clock.Now() + micros.FromDuration(f.Duration))
+		})
+	case FaultCutFromState, FaultStateRefuses, FaultStateRefusesJobs, FaultLateWrites:
+		c.injectStateFault(f)
+	default:
+		c.injectMachineFault(f)
+	}
+}
+
+func (c *Cluster) injectProcessFault(f Fault) {
+	switch f.Kind {
+	case FaultKill:
+		c.Restart(f.Node, f.Duration/4)
+	case FaultKillOwner:
+		c.Restart(c.nodeWithMostLocks(), f.Duration)
+	case FaultFreeze:
+		if process := c.nodes[f.Node].process; process != nil {
+			process.freeze(f.Duration)
+		}
+	}
+}
+
+// nodeWithMostLocks returns the controller that holds the most locks by the state service.
+func (c *Cluster) nodeWithMostLocks() (node int) {
+	var locks map[string]int
+	c.server.Clock.Run(func() { locks = c.server.State.LocksByController() })
+	for i, n := range c.nodes {
+		if locks[n.settings.Label] > locks[c.nodes[node].settings.Label] {
+			node = i
+		}
+	}
+	return node
+}
+
+func (c *Cluster) injectLinkFault(f Fault) {
+	for _, l := range c.links {
+		if l.from != f.Node || l.to != f.Other {
+			continue
+		}
+		if f.Kind == FaultLinkHeld {
+			l.hold(f.Duration)
+		} else {
+			l.reset(f.Duration)
+		}
+	}
+}
+
+func (c *Cluster) injectStateFault(f Fault) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	until := time.Now().Add(f.Duration)
+	faults := &c.nodes[f.Node].faults
+	switch f.Kind {
+	case FaultCutFromState:
+		faults.cutUntil = until
+	case FaultStateRefuses:
+		faults.refuseUntil = until
+	case FaultLateWrites:
+		faults.lateUntil = until
+	case FaultStateRefusesJobs:
+		for _, n := range c.nodes {
+			n.faults.refuseJobsUntil = until
+		}
+	}
+}
+
+func (c *Cluster) injectMachineFault(f Fault) {
+	fault := map[FaultKind]machineFault{
+		FaultMachinesHang:           faultHangs,
+		FaultMachinesReceiveNothing: faultReceivesNothing,
+		FaultMachinesSendNothing:    faultSendsNothing,
+		FaultLateHeartbeats:         faultCopies,
+		FaultMachinesRarelyReached:  faultRarelyReached,
+	}[f.Kind]
+	for _, m := range c.machines {
+		if c.chance(f.Fraction) {
+			m.faults.begin(fault, f.Duration)
+		}
+	}
+}
--- /dev/null
+++ b/internal/faulttest/soak_faults_test.go
@@ -0,0 +1,28 @@
+package faulttest
+
+import (
+	"slices"
+	"testing"
+	"time"
+)
+
+// TestSoakFaults: a soak's faults come of its seed alone, and are of every kind.
+func TestSoakFaults(t *testing.T) {
+	kinds := map[FaultKind]int{}
+	for seed := range uint64(20) {
+		p := SoakPlan{Seed: seed, Nodes: 3, Workers: 60, Length: time.Minute}
+		list := p.Faults()
+		if again := p.Faults(); !slices.Equal(list, again) {
+			t.Fatalf("seed %d: two plans differ", seed)
+		}
+		for _, fault := range list {
+			kinds[fault.Kind]++
+			if fault.Node == fault.Other || fault.At > p.Length {
+				t.Errorf("seed %d: %s", seed, fault)
+			}
+		}
+	}
+	if len(kinds) != int(faultKindCount) {
+		t.Errorf("%d kinds of %d", len(kinds), faultKindCount)
+	}
+}
--- /dev/null
+++ b/internal/faulttest/soak_users.go
@@ -0,0 +1,245 @@
+package faulttest
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"net/http"
+	"sync"
+	"time"
+
+	"garnethitch/internal/fakes"
+	"garnethitch/internal/wire"
+)
+
+const (
+	// maxUnanswered is how long a job may be asked about in vain.
+	maxUnanswered = 75 * time.Second
+	// userRequestTimeout is that of a user's request.
+	userRequestTimeout = 2 * time.Second
+	// submitPause is how long a user waits before a submission is repeated.
+	submitPause = 200 * time.Millisecond
+	// latestCancel is how long after its submission a job may be cancelled.
+	latestCancel = 15 * time.Second
+	// unknownJobs is the number of the first of the jobs that nobody submits.
+	unknownJobs      = 800_000
+	unknownJobsCount = 100_000
+	// Streams tell the random numbers of users from others of the same seed.
+	questionsSeedStream  = 99
+	firstUserSeedStream  = 100
+	jobNumbersOfEachUser = 1000
+)
+
+// soak is one under way: its cluster and what its users have seen.
+type soak struct {
+	cluster *Cluster
+	plan    SoakPlan
+
+	mu      sync.Mutex // guards what follows, and the jobs' fields
+	jobs    []*soakJob
+	answers int
+	broken  []string
+	// questions and refused count what askAboutUnknownJobs asked, and what was not answered.
+	questions, refused int
+	unanswered         time.Duration // the longest
+}
+
+// soakJob is a job as its user knows it.
+type soakJob struct {
+	id              string
+	tasks           int
+	cancelRequested bool
+	finalState      string    // empty: none was reported
+	cancelledAt     time.Time // when it was first reported as cancelled
+	answeredAt      time.Time // when a question about it was last answered, or it was accepted
+}
+
+// askAboutUnknownJobs asks all controllers about jobs that nobody submitted, at a pace that
+// does not wait for answers.
+func (s *soak) askAboutUnknownJobs(until time.Time) {
+	r := rand.New(rand.NewPCG(s.plan.Seed, questionsSeedStream))
+	interval := time.Duration(float64(time.Second) / s.plan.Questions)
+	var wait sync.WaitGroup
+	for time.Now().Before(until) {
+		id := fmt.Sprintf("job-%06d", unknownJobs+r.IntN(unknownJobsCount))
+		for node := range s.cluster.nodes {
+			wait.Go(func() { s.askAboutUnknownJob(node, id) })
+		}
+		s.cluster.pause(interval)
+	}
+	wait.Wait()
+}
+
+func (s *soak) askAboutUnknownJob(node int, id string) {
+	status, _ := s.send(node, "GET", "/submissions/"+id, nil)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.questions++
+	switch status {
+	case http.StatusOK:
+		s.addBrokenLocked("invented: %s at node %d", id, node)
+	case http.StatusNotFound:
+	default:
+		s.refused++
+	}
+}
+
+// runUser submits one job after the other until the end; the user cancels most, asks all
+// controllers within milliseconds, and repeats.
+func (s *soak) runUser(number int, until time.Time) {
+	r := rand.New(rand.NewPCG(s.plan.Seed, uint64(firstUserSeedStream+number)))
+	for n := 0; time.Now().Before(until); n++ {
+		j := &soakJob{id: fmt.Sprintf("job-%06d", number*jobNumbersOfEachUser+n), tasks: 1 + r.IntN(24)}
+		if s.submit(j, r, until) {
+			s.follow(j, r, until)
+		}
+	}
+}
+
+// follow asks about a job, and perhaps cancels it, until it has ended.
+func (s *soak) follow(j *soakJob, r *rand.Rand, until time.Time) {
+	cancelAt := time.Now().Add(time.Duration(r.IntN(int(latestCancel.Milliseconds()))) * time.Millisecond)
+	cancels := r.IntN(4) > 0
+	for time.Now().Before(until) && !s.ended(j) {
+		node := r.IntN(len(s.cluster.nodes))
+		if cancels && time.Now().After(cancelAt) {
+			s.setCancelRequested(j)
+			s.request(j, node, "POST", "/withdraw")
+		} else {
+			s.request(j, node, "GET", "")
+		}
+		if s.ended(j) || r.IntN(6) == 0 {
+			s.askAll(j)
+		}
+		s.cluster.pause(time.Duration(300+r.IntN(700)) * time.Millisecond)
+	}
+}
+
+func (s *soak) ended(j *soakJob) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return j.finalState != ""
+}
+
+func (s *soak) setCancelRequested(j *soakJob) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	j.cancelRequested = true
+}
+
+// submit submits a job until it is accepted, and reports whether it was.
+func (s *soak) submit(j *soakJob, r *rand.Rand, until time.Time) bool {
+	body, err := wire.Encode(s.cluster.submission(j.id, j.tasks, 20))
+	if err != nil {
+		s.addBroken("submission: %v", err)
+		return false
+	}
+	for time.Now().Before(until) {
+		status, _ := s.send(r.IntN(len(s.cluster.nodes)), "POST", "/submissions", body)
+		switch status {
+		case http.StatusOK, http.StatusCreated:
+			s.addJob(j)
+			return true
+		case http.StatusBadRequest, http.StatusUnprocessableEntity:
+			s.addBroken("a good submission of %s got %d", j.id, status)
+			return false
+		}
+		s.cluster.pause(submitPause)
+	}
+	return false
+}
+
+func (s *soak) addJob(j *soakJob) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	j.answeredAt = time.Now()
+	s.jobs = append(s.jobs, j)
+}
+
+// send sends one request to a controller. Status 0 is no answer, or none that can be read.
+func (s *soak) send(node int, method, path string, body []byte) (status int, answer wire.JobAnswer) {
+	msg, err := fakes.RequestOnce(s.cluster.nodes[node].settings.ServeOn, userRequestTimeout, method, path, body)
+	if err != nil {
+		return 0, answer
+	}
+	if msg.Status == http.StatusOK || msg.Status == http.StatusCreated {
+		if wire.Decode(msg.Body, &answer) != nil {
+			return 0, answer
+		}
+	}
+	return msg.Status, answer
+}
+
+// askAll asks all controllers at once, twice.
+func (s *soak) askAll(j *soakJob) {
+	var wait sync.WaitGroup
+	for i := range 2 * len(s.cluster.nodes) {
+		wait.Go(func() {
+			time.Sleep(time.Duration(i) * time.Millisecond)
+			s.request(j, i%len(s.cluster.nodes), "GET", "")
+		})
+	}
+	wait.Wait()
+}
+
+// request asks a controller about a job, or to cancel it, and checks the answer. Only what was
+// reported before the request was sent binds the answer to it.
+func (s *soak) request(j *soakJob, node int, method, operation string) {
+	before := s.finalState(j)
+	status, answer := s.send(node, method, "/submissions/"+j.id+operation, nil)
+	switch status {
+	case http.StatusNotFound:
+		s.addBroken("forgotten: %s got 404 from node %d", j.id, node)
+	case http.StatusOK:
+		s.checkAnswer(j, node, before, answer.State)
+	}
+}
+
+func (s *soak) finalState(j *soakJob) string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return j.finalState
+}
+
+// checkAnswer checks a job's state against the final state that was reported before.
+func (s *soak) checkAnswer(j *soakJob, node int, before, state string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.answers++
+	s.checkWait(j, time.Now())
+	if before != "" && state != before {
+		s.addBrokenLocked("went_back: %s was %s, node %d calls it %s", j.id, before, node, state)
+	}
+	switch state {
+	case wire.StateCancelled:
+		if !j.cancelRequested {
+			s.addBrokenLocked("went_back: %s is called cancelled, nobody asked for it", j.id)
+		}
+		if j.cancelledAt.IsZero() {
+			j.cancelledAt = time.Now()
+		}
+		j.finalState = state
+	case wire.StateDone:
+		j.finalState = state
+	}
+}
+
+// checkWait checks how long a job was asked about in vain. The lock is held.
+func (s *soak) checkWait(j *soakJob, now time.Time) {
+	waited := now.Sub(j.answeredAt)
+	s.unanswered = max(s.unanswered, waited)
+	if waited > maxUnanswered {
+		s.addBrokenLocked("forgotten: no question about %s was answered for %.1f s", j.id, waited.Seconds())
+	}
+	j.answeredAt = now
+}
+
+func (s *soak) addBroken(format string, args ...any) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.addBrokenLocked(format, args...)
+}
+
+func (s *soak) addBrokenLocked(format string, args ...any) {
+	at := time.Since(s.cluster.server.Clock.Began())
+	s.broken = append(s.broken, fmt.Sprintf("%.1f s: ", at.Seconds())+fmt.Sprintf(format, args...))
+}
--- /dev/null
+++ b/internal/faulttest/state_faults.go
@@ -0,0 +1,111 @@
+package faulttest
+
+import (
+	"bytes"
+	"io"
+	"net/http"
+	"strings"
+	"time"
+
+	"garnethitch/internal/wire"
+)
+
+const (
+	// heldFraction of the requests of a controller that is cut off are carried out after the
+	// cut; the others are lost.
+	heldFraction = 0.3
+	// lateFraction of transactions are carried out late.
+	lateFraction = 0.3
+	// A late transaction is carried out lateFrom to lateFrom+lateSpread after it came, and its
+	// connection ends after lateAbort.
+	lateFrom   = 200 * time.Millisecond
+	lateSpread = 2000 * time.Millisecond
+	lateAbort  = 2 * time.Second
+)
+
+// stateFaults are how the state service treats one controller; guarded by the cluster's lock.
+type stateFaults struct {
+	cutUntil        time.Time // no answer; some requests are carried out afterwards
+	refuseUntil     time.Time // 503 for all but watches, which wait
+	refuseJobsUntil time.Time // 429 for what would tell it of jobs
+	lateUntil       time.Time // a part of its transactions is carried out late, without an answer
+}
+
+// stateProxy is the state service as one controller reaches it.
+type stateProxy struct{ node *node }
+
+func (p *stateProxy) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
+	c := p.node.cluster
+	c.mu.Lock()
+	faults := p.node.faults
+	c.mu.Unlock()
+	now := time.Now()
+	switch {
+	case now.Before(faults.refuseUntil):
+		p.refuse(rw, r, faults.refuseUntil)
+	case now.Before(faults.refuseJobsUntil) && readsJobs(r):
+		rw.WriteHeader(http.StatusTooManyRequests)
+	case now.Before(faults.lateUntil) && isTransaction(r) && c.chance(lateFraction):
+		p.carryOutLate(r)
+	default:
+		p.serve(rw, r, faults.cutUntil)
+	}
+}
+
+// refuse answers 503. Watches wait, as in an outage.
+func (p *stateProxy) refuse(rw http.ResponseWriter, r *http.Request, until time.Time) {
+	if strings.HasPrefix(r.URL.Path, "/watch") {
+		p.node.cluster.pause(time.Until(until))
+		panic(http.ErrAbortHandler)
+	}
+	rw.WriteHeader(http.StatusServiceUnavailable)
+}
+
+// carryOutLate carries a request out later, and never answers it.
+func (p *stateProxy) carryOutLate(r *http.Request) {
+	c := p.node.cluster
+	body, err := io.ReadAll(r.Body)
+	if err != nil {
+		panic(http.ErrAbortHandler)
+	}
+	again := r.Clone(c.ctx)
+	again.Body = io.NopCloser(bytes.NewReader(body))
+	delay := lateFrom + time.Duration(c.draw(int(lateSpread.Milliseconds())))*time.Millisecond
+	time.AfterFunc(delay, func() { c.server.ServeHTTP(discard{}, again) })
+	c.pause(lateAbort)
+	panic(http.ErrAbortHandler)
+}
+
+// serve passes a request on, unless it is lost, or its answer is.
+func (p *stateProxy) serve(rw http.ResponseWriter, r *http.Request, cutUntil time.Time) {
+	c := p.node.cluster
+	lost := c.plan.LostAnswers > 0 && isTransaction(r) && c.chance(c.plan.LostAnswers)
+	if cut := time.Until(cutUntil); cut > 0 {
+		held := c.chance(heldFraction) && c.pause(cut)
+		if !held {
+			panic(http.ErrAbortHandler)
+		}
+		lost = true
+	}
+	if lost {
+		c.server.ServeHTTP(discard{}, r)
+		panic(http.ErrAbortHandler)
+	}
+	c.server.ServeHTTP(rw, r)
+}
+
+func isTransaction(r *http.Request) bool { return strings.HasSuffix(r.URL.Path, "/multi") }
+
+// readsJobs reports whether the answer to a request would tell of jobs.
+func readsJobs(r *http.Request) bool {
+	ofKey := strings.HasPrefix(r.URL.Path, "/keys/"+wire.PrefixJob)
+	ofPrefix := strings.HasPrefix(r.URL.Query().Get("starts"), wire.PrefixJob)
+	return ofKey || ofPrefix
+}
+
+// discard is where a lost answer goes.
+type discard struct{}
+
+func (discard) Header() http.Header         { return http.Header{} }
+func (discard) Write(b []byte) (int, error) { return len(b), nil }
+func (discard) WriteHeader(int)             {}
