--- a/internal/digest/digest_test.go
+++ b/internal/digest/digest_test.go
@@ -92,23 +92,23 @@
 
 // outcome is what a run comes to.
 type outcome struct {
-	started  int
-	finished int
-	restarts int
-	copies   int
-	broken   int
-	waited   micros.Micros
-	requests string
+	started    int
+	finished   int
+	restarts   int
+	copies     int
+	violations int
+	waited     micros.Micros
+	requests   string
 }
 
 func outcomeOf(sim *simulation.Simulation) outcome {
 	return outcome{
-		started:  sim.Started,
-		finished: sim.Finished,
-		restarts: sim.Restarts,
-		copies:   sim.Copies,
-		broken:   len(sim.Broken),
-		waited:   sim.Waited,
-		requests: fmt.Sprint(sim.StateRequests()),
+		started:    sim.Started,
+		finished:   sim.Finished,
+		restarts:   sim.Restarts,
+		copies:     sim.CopiedHeartbeats,
+		violations: len(sim.Violations),
+		waited:     sim.LongestInputWait,
+		requests:   fmt.Sprint(sim.StateRequests()),
 	}
 }
--- a/internal/measure/size.go
+++ b/internal/measure/size.go
@@ -26,23 +26,23 @@
 	breaks := 0
 	for i := range s.Seeds {
 		p := simulation.Plan{
-			Seed: s.First + uint64(i), Nodes: 3, Machines: s.Machines, Up: s.Machines, Jobs: s.Machines / 8, Grown: true, Stale: true,
-			Faults: s.Faults, Fleet: s.Fleet, Slow: s.Slow, StateRPS: s.StateRPS, WriteRPS: s.WriteRPS, Questions: s.Questions,
-			Teams: []controller.Team{{Name: "solo"}}, Length: 90 * micros.Second, Rest: 300 * micros.Second,
+			Seed: s.First + uint64(i), Nodes: 3, Machines: s.Machines, InitialMachines: s.Machines, Jobs: s.Machines / 8, Large: true, StaleJobs: true,
+			Faults: s.Faults, FleetFaults: s.Fleet, SlowStep: s.Slow, StateRPS: s.StateRPS, WriteRPS: s.WriteRPS, StatusRequestRate: s.Questions,
+			Teams: []controller.Team{{Name: "solo"}}, Length: 90 * micros.Second, RecoveryTime: 300 * micros.Second,
 		}
 		sim := simulation.New(p)
 		sim.Run()
-		fmt.Printf("seed %d: %d tasks started, %d restarts, %d times with little knowledge, %d breaks\n", p.Seed, sim.Started, sim.Restarts, sim.Stale, len(sim.Broken))
+		fmt.Printf("seed %d: %d tasks started, %d restarts, %d times with little knowledge, %d breaks\n", p.Seed, sim.Started, sim.Restarts, sim.StaleEpisodes, len(sim.Violations))
 		if s.Questions > 0 {
-			fmt.Printf("seed %d: %d questions at all controllers, %d answers refused\n", p.Seed, sim.Questions, sim.Refused)
+			fmt.Printf("seed %d: %d questions at all controllers, %d answers refused\n", p.Seed, sim.StatusRequests, sim.RefusedRequests)
 		}
 		for _, m := range sim.StateRequests() {
 			fmt.Printf("seed %d: requests to the state service, class %s: %d sent, %d expired unsent, %d rejected, longest wait %d ms\n", p.Seed, m.Class, m.Sent, m.Expired, m.Rejected, m.LongestWait.Millis())
 		}
-		for _, line := range sim.Broken {
+		for _, line := range sim.Violations {
 			fmt.Printf("seed %d: %s\n", p.Seed, line)
 		}
-		breaks += len(sim.Broken)
+		breaks += len(sim.Violations)
 	}
 	if breaks > 0 {
 		return fmt.Errorf("%d breaks", breaks)
--- a/internal/simulation/cascade.go
+++ b/internal/simulation/cascade.go
@@ -9,19 +9,26 @@
 	"garnethitch/internal/wire"
 )
 
-// A cancellation that reaches many jobs: a plan of its own, since its users, and the
-// limit on writes that they run into, would drown whatever else a run is about.
+// A cancellation that reaches many jobs is a plan of its own, since its users, and the
+// limit on writes that they run into, would hide whatever else a run is about.
 
-// CascadeShape is how the jobs need each other.
+const (
+	// cascadeAcceptedBy is when the jobs of a cascade may be accepted.
+	cascadeAcceptedBy = 20 * sec
+	// cascadeFaultTime is how long a cascade's fault lasts.
+	cascadeFaultTime = 15 * sec
+)
+
+// CascadeShape is how the jobs depend on each other.
 type CascadeShape int
 
 // Shapes of a cascade.
 const (
-	// Wide: all need the same job.
+	// Wide: all depend on the same job.
 	Wide CascadeShape = iota + 1
-	// Deep: each needs the one before it.
+	// Deep: each depends on the one before it.
 	Deep
-	// Diamonds: pairs that need the one before them both, and one that needs the pair.
+	// Diamonds: pairs that depend on the one before them both, and one that depends on the pair.
 	Diamonds
 )
 
@@ -52,93 +59,113 @@
 	Fault  CascadeFault
 	// Limited lowers the limits before the jobs are submitted.
 	Limited bool
-	// Roll is the version that a roll begins with, the cancellation coming while it lasts.
-	Roll Release
+	// UpgradeFrom is the version that a rolling upgrade begins with, the cancellation coming
+	// while it lasts.
+	UpgradeFrom Release
 }
 
-// away is how many controllers the fault takes away for longer than a lease.
-func (w Cascade) away() int {
-	switch w.Fault {
+// ownersAway returns how many controllers the fault takes away for longer than a lease.
+func (c Cascade) ownersAway() int {
+	switch c.Fault {
 	case OwnerEnds, OwnerCutOff, OwnerRefused:
 		return 1
 	}
 	return 0
 }
 
-// newCascade submits the jobs, and cancels one of them once all are accepted.
-func (s *Simulation) newCascade(w Cascade) {
+// cascade is one under way.
+type cascade struct {
+	Cascade
+	sim     *Simulation
+	members []*user
+	target  *user // whose job is cancelled
+}
+
+// addCascade submits the jobs, and cancels one of them once all are accepted.
+func (s *Simulation) addCascade(plan Cascade) {
 	limits := s.state.Limits()
 	limits.WritesPerSecond = s.cfg.WriteRPS
 	s.state.SetLimits(limits)
-	if w.Limited {
+	if plan.Limited {
 		s.lowerLimits()
 	}
-	team := s.plan.Teams[0].Name
-	add := func(needs ...*user) *user {
-		u := newUser(s, len(s.users))
-		u.sub.Class, u.sub.Team, u.sub.Priority, u.sub.Tasks = "plain", team, "standard", 1
-		u.sub.CPUs, u.sub.SameZone, u.sub.Spread, u.sub.Types, u.sub.Spot = 1, false, false, nil, true
-		u.bad, u.cancels, u.needs = false, false, needs
-		u.runs, u.progress = []micros.Micros{4 * sec}, make([]micros.Micros, 1)
-		for _, d := range needs {
-			u.sub.DependsOn = append(u.sub.DependsOn, d.sub.ID)
-		}
-		s.users = append(s.users, u)
-		s.byJob[u.sub.ID] = u
-		s.after(s.span(5*sec, 20*sec), func() { u.submitAfter(false) })
-		return u
+	c := &cascade{Cascade: plan, sim: s}
+	c.addMembers()
+	c.target = c.members[0]
+	if c.Middle {
+		c.target = c.members[len(c.members)/2]
 	}
-	first := add()
+	s.after(cascadeAcceptedBy, c.start)
+}
+
+// addMembers adds the users of the jobs, the one that all depend on first.
+func (c *cascade) addMembers() {
+	first := c.add()
 	first.runs[0] = 5 * micros.Minute // it is not done before it is cancelled
-	members := []*user{first}
-	for last := first; len(members) <= w.Dependents; {
-		switch w.Shape {
+	for last := first; len(c.members) <= c.Dependents; {
+		switch c.Shape {
 		case Wide:
-			members = append(members, add(first))
+			c.add(first)
 		case Deep:
-			last = add(last)
-			members = append(members, last)
+			last = c.add(last)
 		case Diamonds:
-			a, b := add(last), add(last)
-			last = add(a, b)
-			members = append(members, a, b, last)
+			left, right := c.add(last), c.add(last)
+			last = c.add(left, right)
 		}
 	}
-	target := first
-	if w.Middle {
-		target = members[len(members)/2]
-	}
-	s.after(20*sec, func() { s.startCascade(w, members, target) })
 }
 
-// startCascade cancels a job once all are accepted, and brings the fault about.
-func (s *Simulation) startCascade(w Cascade, members []*user, target *user) {
-	for _, u := range members {
-		if !u.accepted {
-			s.after(200*ms, func() { s.startCascade(w, members, target) })
-			return
-		}
+// add adds a user with a job of one task that depends on others.
+func (c *cascade) add(dependencies ...*user) *user {
+	s := c.sim
+	u := newUser(s, len(s.users))
+	u.sub.Class = "plain"
+	u.sub.Team = s.plan.Teams[0].Name
+	u.sub.Priority = "standard"
+	u.sub.Tasks = 1
+	u.sub.CPUs = 1
+	u.sub.SameZone = false
+	u.sub.Spread = false
+	u.sub.Types = nil
+	u.sub.Spot = true
+	u.fails = false
+	u.willCancel = false
+	u.runs = []micros.Micros{4 * sec}
+	u.progress = make([]micros.Micros, 1)
+	u.dependOn(dependencies)
+	s.addUser(u)
+	c.members = append(c.members, u)
+	s.after(s.between(5*sec, cascadeAcceptedBy), func() { u.submitAfterDependencies(false) })
+	return u
+}
+
+// start cancels a job once all are accepted, and brings the fault about.
+func (c *cascade) start() {
+	s := c.sim
+	if slices.ContainsFunc(c.members, func(u *user) bool { return !u.accepted }) {
+		s.after(submitRetry, c.start)
+		return
 	}
-	s.trace("all accepted, %s is cancelled", target.sub.ID)
-	owner := s.ownerOf(members[len(members)-1])
-	target.requestCancel()
-	s.after(s.span(0, 300*ms), func() { s.bringAbout(w.Fault, owner) })
-	s.checkCascade(members, target)
+	s.trace("all accepted, %s is cancelled", c.target.sub.ID)
+	owner := s.ownerOf(c.members[len(c.members)-1])
+	c.target.requestCancel()
+	s.after(s.between(0, 300*ms), func() { s.injectCascadeFault(c.Fault, owner) })
+	c.awaitConfirmation()
 }
 
-// bringAbout lets a cascade's fault happen to a controller.
-func (s *Simulation) bringAbout(fault CascadeFault, n *Node) {
+// injectCascadeFault lets a cascade's fault happen to a controller.
+func (s *Simulation) injectCascadeFault(fault CascadeFault, n *Node) {
 	switch fault {
 	case OwnerEnds:
-		n.crash(15 * sec)
+		n.crash(cascadeFaultTime)
 	case OwnerReturns:
 		n.crash(200 * ms)
 	case OwnerCutOff:
-		links := append(n.workerLinks(), n.label+"-state", n.label+"-cloud", "user-"+n.label)
+		links := append(n.workerLinks(), n.stateLink(), n.cloudLink(), n.userLink())
 		links = append(links, n.peerLinks()...)
-		s.cut(links, cutHold, 15*sec)
+		s.cut(links, cutHold, cascadeFaultTime)
 	case OwnerRefused:
-		n.stateRefusedUntil = s.now + 15*sec
+		n.stateRefusedUntil = s.now + cascadeFaultTime
 	case LimitsLowered:
 		s.lowerLimits()
 	}
@@ -147,65 +174,71 @@
 // lowerLimits gives the state service its lower limits.
 func (s *Simulation) lowerLimits() {
 	s.trace("the state service lowers its limits")
-	limits := fakes.StateLimits{ValueBytes: lowerValue, TxnOps: lowerOps}
+	limits := fakes.StateLimits{ValueBytes: loweredValueBytes, TxnOps: loweredTxnOps}
 	if s.state.Limits().WritesPerSecond > 0 {
-		limits.WritesPerSecond = lowerWrite
+		limits.WritesPerSecond = loweredWriteRate
 	}
 	s.state.SetLimits(limits)
 }
 
-// ownerOf is the controller that owns a job's shard, as far as the state service knows.
+// ownerOf returns the controller that owns a job's shard, by its own word.
 func (s *Simulation) ownerOf(u *user) *Node {
-	for _, n := range s.Nodes {
+	for _, n := range s.nodes {
 		if n.controller != nil && n.controller.Owns(u.sub.ID) {
 			return n
 		}
 	}
-	return s.Nodes[0]
+	return s.nodes[0]
 }
 
-// checkCascade: when the time of the cancellation is over, all that need the job stand as
-// cancelled, and nothing else does.
-func (s *Simulation) checkCascade(members []*user, target *user) {
-	if target.cancelConfirmed == 0 {
-		s.after(100*ms, func() { s.checkCascade(members, target) })
+// awaitConfirmation waits until the cancellation is reported, and then for its time.
+func (c *cascade) awaitConfirmation() {
+	until, cancelled := c.target.cancelTime()
+	if !cancelled {
+		c.sim.after(100*ms, c.awaitConfirmation)
 		return
 	}
-	s.after(target.cancelConfirmed+s.cfg.Cancel-s.now, func() {
-		late := 0
-		for _, u := range members {
-			cancelled := s.recordOf(u).State == wire.StateCancelled
-			wanted := u == target || slices.Contains(u.ancestors(), target)
-			if wanted && !cancelled {
-				late++
-			}
-			if cancelled && !wanted {
-				s.broken("went_back: %s is cancelled, nothing that it needs is", u.sub.ID)
-			}
-			if cancelled {
-				s.CascadeCancelled++
-			}
+	c.sim.after(until-c.sim.now, c.check)
+}
+
+// check checks that all jobs that depend on the target are cancelled, and no others.
+func (c *cascade) check() {
+	s := c.sim
+	late := 0
+	for _, u := range c.members {
+		cancelled := s.recordOf(u).State == wire.StateCancelled
+		wanted := u == c.target || slices.Contains(u.ancestors(), c.target)
+		if wanted && !cancelled {
+			late++
 		}
-		if late > 0 {
-			s.broken("orphaned: %d of %d jobs are not cancelled %v s after the one that they need", late, len(members), s.cfg.Cancel.Seconds())
+		if cancelled && !wanted {
+			s.violated("went_back: %s is cancelled, nothing that it needs is", u.sub.ID)
 		}
-		members[0].requestCancel() // what is left would take hours to run in order
-	})
+		if cancelled {
+			s.CascadeCancelled++
+		}
+	}
+	if late > 0 {
+		s.violated("orphaned: %d of %d jobs are not cancelled %v s after the one that they need", late, len(c.members), s.cfg.Cancel.Seconds())
+	}
+	c.members[0].requestCancel() // what is left would take hours to run in order
 }
 
-// recordOf is a job's record in the state service.
-func (s *Simulation) recordOf(u *user) (rec wire.JobRecord) {
-	if value, ok := s.state.Value(wire.JobKey(u.sub.ID)); ok {
-		if err := wire.Decode(value, &rec); err != nil {
-			s.broken("record of %s: %v", u.sub.ID, err)
-		}
+// recordOf returns a job's record in the state service.
+func (s *Simulation) recordOf(u *user) (record wire.JobRecord) {
+	value, ok := s.state.Value(wire.JobKey(u.sub.ID))
+	if !ok {
+		return record
+	}
+	if err := wire.Decode(value, &record); err != nil {
+		s.violated("record of %s: %v", u.sub.ID, err)
 	}
-	return rec
+	return record
 }
 
-// bound is how many dependents the settings allow for a cascade.
-func (s *Simulation) bound(w Cascade) int {
-	cfg := s.config(true)
+// maxDependents returns how many dependents the settings allow for a cascade.
+func (s *Simulation) maxDependents(c Cascade) int {
+	cfg := s.settingsFor(ReleaseCurrent)
 	cfg.Peers = make([]string, s.plan.Nodes-1)
-	return controller.CancellableDependents(cfg, w.away(), 0)
+	return controller.CancellableDependents(cfg, c.ownersAway(), 0)
 }
--- /dev/null
+++ b/internal/simulation/check_answers.go
@@ -0,0 +1,98 @@
+package simulation
+
+import (
+	"net/http"
+
+	"garnethitch/internal/controller"
+	"garnethitch/internal/micros"
+	"garnethitch/internal/wire"
+)
+
+// maxUnanswered is how long, once faults are over, no request about an accepted job may go
+// unanswered.
+const maxUnanswered = 75 * sec
+
+// checkAnswer checks an answer against what was reported before and what is true. finalState is
+// what had been reported before the request was sent; only that binds the answer, as answers to
+// requests under way at the same time may overtake each other.
+func (u *user) checkAnswer(a controller.Answer, finalState string) {
+	s := u.sim
+	if a.Status == http.StatusNotFound && u.accepted {
+		s.violated("forgotten: %s got 404", u.sub.ID)
+		return
+	}
+	answer, ok := a.Body.(wire.JobAnswer)
+	answered := a.Status == http.StatusOK || a.Status == http.StatusCreated
+	if !ok || !answered {
+		return
+	}
+	u.answeredAt = s.now
+	u.checkDependenciesCancelled(answer.State)
+	if finalState != "" && answer.State != finalState {
+		s.violated("went_back: %s was %s and is now %s", u.sub.ID, finalState, answer.State)
+	}
+	before := u.finalState
+	u.checkState(answer.State)
+	if answer.Done != nil && *answer.Done > u.sub.Tasks {
+		s.violated("not_done: %s says %d of %d tasks are done", u.sub.ID, *answer.Done, u.sub.Tasks)
+	}
+	if u.finalState != before {
+		u.requestRepeatedly()
+	}
+}
+
+// checkState checks a reported state against what is true, and remembers one that is final.
+func (u *user) checkState(state string) {
+	s := u.sim
+	switch state {
+	case wire.StateDone:
+		if !u.completed() {
+			s.violated("not_done: %s called done, %d of %d tasks are", u.sub.ID, len(u.done), u.sub.Tasks)
+		}
+		u.finalState = state
+	case wire.StateCancelled:
+		if !u.mayBeCancelled() {
+			s.violated("went_back: %s is called cancelled, nobody asked for it", u.sub.ID)
+		}
+		if u.cancelConfirmed == 0 {
+			u.cancelConfirmed = s.now
+		}
+		u.finalState = state
+	}
+}
+
+// cancelTime returns until when a job's tasks may run that was reported as cancelled; ok is
+// false if it was not.
+func (u *user) cancelTime() (until micros.Micros, ok bool) {
+	return u.cancelConfirmed + u.sim.cfg.Cancel, u.cancelConfirmed != 0
+}
+
+// pastCancelTime reports whether the time of the job's cancellation is over.
+func (u *user) pastCancelTime() bool {
+	until, cancelled := u.cancelTime()
+	return cancelled && u.sim.now > until
+}
+
+// checkAnswered checks that requests about accepted jobs that were not cancelled are answered
+// once faults are over.
+func (s *Simulation) checkAnswered() {
+	if s.now <= s.plan.Length+maxUnanswered {
+		return
+	}
+	for _, u := range s.users {
+		unanswered := s.now - max(u.answeredAt, s.plan.Length)
+		if u.accepted && !u.mayBeCancelled() && unanswered > maxUnanswered {
+			s.violated("forgotten: no question about %s was answered for %v s", u.sub.ID, (s.now - u.answeredAt).Seconds())
+		}
+	}
+}
+
+// checkEnded checks, at the end of a run, that all accepted jobs have ended.
+func (s *Simulation) checkEnded() {
+	for _, u := range s.users {
+		if u.accepted && u.finalState == "" {
+			s.violated("stuck: %s (%s) has not ended %v s after the last fault; %d of %d tasks done",
+				u.sub.ID, u.sub.Class, s.plan.RecoveryTime.Seconds(), len(u.done), u.sub.Tasks)
+		}
+	}
+}
--- a/internal/simulation/groups.go
+++ b/internal/simulation/groups.go
@@ -11,15 +11,22 @@
 	"garnethitch/quota"
 )
 
-// Groups of teams in the simulation: operators change limits at any moment, and what runs
-// is held against the limit that the record in the state service says is in force.
+// Groups of teams: operators change limits at any moment, and what runs is checked against the
+// limit that the record in the state service says is in force.
 
-// groupsOver are groups around the teams of a plan.
+const (
+	// limitChanges is how often operators change limits.
+	limitChanges = 6
+	// limitTimeout is that of a request to set a limit, and limitRetry when it is repeated.
+	limitTimeout = 5 * sec
+	limitRetry   = 2 * sec
+	// clearAttempts is how often a limit that was set by hand is tried to be cleared again.
+	clearAttempts = 20
+)
+
+// groupsOver returns groups around the teams of a plan.
 func groupsOver(teams []controller.Team, cpus float64) []quota.GroupOptions {
-	var names []string
-	for _, t := range teams {
-		names = append(names, t.Name)
-	}
+	names := teamNames(teams)
 	half := len(names) / 2
 	if half == 0 {
 		return []quota.GroupOptions{{Name: "all", Teams: names, Limit: quota.CPULimit(cpus)}}
@@ -31,28 +38,33 @@
 	}
 }
 
-// newGroups makes the groups of a plan.
-func (s *Simulation) newGroups() {
+func teamNames(teams []controller.Team) (names []string) {
+	for _, t := range teams {
+		names = append(names, t.Name)
+	}
+	return names
+}
+
+// addGroups makes the groups of a plan, and has operators change their limits. After Length
+// what the options say counts again.
+func (s *Simulation) addGroups() {
 	if s.plan.Groups == nil {
 		return
 	}
-	var names []string
-	for _, t := range s.plan.Teams {
-		names = append(names, t.Name)
-	}
-	tree, err := quota.NewTree(quota.Options{Groups: s.plan.Groups}, names)
+	tree, err := quota.NewTree(quota.Options{Groups: s.plan.Groups}, teamNames(s.plan.Teams))
 	if err != nil {
-		s.broken("groups: %v", err)
+		s.violated("groups: %v", err)
 		return
 	}
-	s.cfg.Quota, s.cfg.Trace = tree, true
+	s.cfg.Quota = tree
+	s.cfg.Trace = true
 	s.groups = map[string]quota.Record{}
-	for range 6 {
-		s.after(s.span(8*sec, s.plan.Length), s.changeLimit)
+	for range limitChanges {
+		s.after(s.between(8*sec, s.plan.Length), s.changeLimit)
 	}
-	s.after(s.plan.Length, func() { // what the options say counts again
+	s.after(s.plan.Length, func() {
 		for _, g := range s.plan.Groups {
-			s.setLimit(g.Name, nil, 20)
+			s.setLimit(g.Name, nil, clearAttempts)
 		}
 	})
 }
@@ -67,64 +79,66 @@
 	}
 }
 
-// setLimit asks a controller to set a limit, or to clear what was set, and again if it
-// could not.
-func (s *Simulation) setLimit(group string, limit *quota.Limit, again int) {
-	n := s.Nodes[s.rng.IntN(len(s.Nodes))]
-	req := peer.QuotaRequest{Set: &peer.SetLimit{Group: group, Clear: limit == nil}}
+// setLimit asks a controller to set a limit, or to clear what was set if it is nil, and repeats
+// that at most so many times if it could not.
+func (s *Simulation) setLimit(group string, limit *quota.Limit, retries int) {
+	n := s.drawNode()
+	request := peer.QuotaRequest{Set: &peer.SetLimit{Group: group, Clear: limit == nil}}
 	if limit != nil {
-		req.Set.Limit = *limit
+		request.Set.Limit = *limit
 	}
 	s.trace("operator sets %s to %v at %s", group, limit, n.label)
-	exchange(s, "user-"+n.label, 5*sec, func(reply func(controller.Answer)) {
-		n.ask(func(id controller.ReplyID) controller.Input {
-			return controller.PeerRequest{Reply: id, Req: peer.Request{Quota: &req}}
+	exchange(s, n.userLink(), limitTimeout, func(reply func(controller.Answer)) {
+		n.request(func(id controller.ReplyID) controller.Input {
+			return controller.PeerRequest{Reply: id, Req: peer.Request{Quota: &request}}
 		}, reply)
 	}, func(a controller.Answer, ok bool) {
-		if resp, is := a.Body.(*peer.Response); ok && is && resp.Quota.Problem == "" {
+		response, isResponse := a.Body.(*peer.Response)
+		switch {
+		case ok && isResponse && response.Quota.Problem == "":
 			s.LimitsSet++
-		} else if again > 0 {
-			s.after(2*sec, func() { s.setLimit(group, limit, again-1) })
+		case retries > 0:
+			s.after(limitRetry, func() { s.setLimit(group, limit, retries-1) })
 		}
 	})
 }
 
-// noteGroup takes a group's record as it is stored.
-func (s *Simulation) noteGroup(key string, value wire.Raw) {
+// handleGroupRecord takes a group's record as it is stored.
+func (s *Simulation) handleGroupRecord(key string, value wire.Raw) {
 	name, ok := strings.CutPrefix(key, wire.PrefixQuota)
 	if !ok || s.groups == nil {
 		return
 	}
-	var rec quota.Record
-	if err := wire.Decode(value, &rec); err != nil {
-		s.broken("record of group %s: %v", name, err)
+	var record quota.Record
+	if err := wire.Decode(value, &record); err != nil {
+		s.violated("record of group %s: %v", name, err)
 		return
 	}
-	s.groups[name] = rec
+	s.groups[name] = record
 	s.GroupWrites++
 	s.checkGroup(name)
 }
 
-// checkGroup holds what a group's tasks use against the limit in force. Controllers that
+// checkGroup checks what a group's tasks use against the limit in force. Controllers that
 // know no groups are not bound by one.
 func (s *Simulation) checkGroup(name string) {
-	rec := s.groups[name]
-	if rec.Applied == nil || rec.Removed || s.plan.Roll != Current {
+	record := s.groups[name]
+	if record.Applied == nil || record.Removed || s.plan.UpgradeFrom != ReleaseCurrent {
 		return
 	}
-	if used := s.groupUse(name); !used.Within(rec.Applied.Amount()) {
-		s.broken("group: %s uses %g CPUs, in force is %s", name, used.CPUs, rec.Applied)
+	if used := s.groupUsage(name); !used.Within(record.Applied.Amount()) {
+		s.violated("group: %s uses %g CPUs, in force is %s", name, used.CPUs, record.Applied)
 	}
 }
 
-// checkGroupsOf looks at all groups that a team is in.
+// checkGroupsOf checks all groups that a team is in.
 func (s *Simulation) checkGroupsOf(team string) {
 	for _, g := range s.groupPath(team) {
 		s.checkGroup(g)
 	}
 }
 
-// groupPath gives the groups that a team is in, the innermost first.
+// groupPath returns the groups that a team is in, the innermost first.
 func (s *Simulation) groupPath(team string) []string {
 	for _, g := range s.plan.Groups {
 		if slices.Contains(g.Teams, team) {
@@ -134,16 +148,18 @@
 	return nil
 }
 
-// groupUse is what a group's tasks use.
-func (s *Simulation) groupUse(name string) quota.Amount {
-	return quota.Amount{CPUs: s.usedBy(quotatest.TeamsWithin(s.plan.Groups, name)...)}
+// groupUsage returns what a group's tasks use.
+func (s *Simulation) groupUsage(name string) quota.Amount {
+	return quota.Amount{CPUs: s.usageOf(quotatest.TeamsWithin(s.plan.Groups, name)...)}
 }
 
-// underGroups: one more of a job's tasks is within the limits of all its groups.
-func (s *Simulation) underGroups(u *user) bool {
+// withinGroupLimits reports whether one more of a job's tasks is within the limits of all its
+// groups.
+func (s *Simulation) withinGroupLimits(u *user) bool {
+	one := quota.Amount{CPUs: u.sub.CPUs}
 	for _, g := range s.groupPath(u.sub.Team) {
-		rec, ok := s.groups[g]
-		if ok && !s.groupUse(g).Plus(quota.Amount{CPUs: u.sub.CPUs}).Within(rec.Limit.Amount()) {
+		record, ok := s.groups[g]
+		if ok && !s.groupUsage(g).Plus(one).Within(record.Limit.Amount()) {
 			return false
 		}
 	}
--- /dev/null
+++ b/internal/simulation/jobs.go
@@ -0,0 +1,123 @@
+package simulation
+
+import (
+	"fmt"
+
+	"garnethitch/internal/micros"
+	"garnethitch/internal/wire"
+)
+
+const (
+	// firstJob is the number of the first job, jobStep how far numbers are apart.
+	firstJob = 100000
+	jobStep  = 37
+	// Numbers of jobs that nobody submits: those that users ask about, those that
+	// StatusRequestRate asks about, and those of invalid submissions.
+	firstUnknownPolled  = 900000
+	unknownPolled       = 1000
+	firstUnknownRequest = 800000
+	unknownRequests     = 100_000
+	firstUnknownInvalid = 700000
+	unknownInvalid      = 1000
+)
+
+func jobID(number int) string { return fmt.Sprintf("job-%06d", number) }
+
+// drawUnknownJob draws a job that nobody submits.
+func (s *Simulation) drawUnknownJob(first, count int) string {
+	return jobID(first + s.rng.IntN(count))
+}
+
+// newUser draws a user with a job.
+func newUser(s *Simulation, i int) *user {
+	u := &user{sim: s, sub: s.drawSubmission(i)}
+	u.done = map[int]bool{}
+	u.willCancel = s.rng.IntN(6) == 0
+	if s.rng.IntN(12) == 0 {
+		u.fails = true
+		u.willCancel = true
+	}
+	if s.plan.Churn {
+		u.adaptToChurn(i)
+	}
+	shortest, longest := u.drawTaskLengths()
+	for range u.sub.Tasks {
+		u.runs = append(u.runs, s.between(shortest, longest))
+	}
+	u.progress = make([]micros.Micros, u.sub.Tasks)
+	return u
+}
+
+// drawSubmission draws a job's submission.
+func (s *Simulation) drawSubmission(i int) wire.Submission {
+	r := s.rng
+	sub := wire.Submission{
+		ID: jobID(firstJob + i*jobStep), Class: "plain", Team: s.plan.Teams[r.IntN(len(s.plan.Teams))].Name,
+		Kind: "sweep", Priority: "standard", Tasks: 1 + r.IntN(10), CPUs: float64(1 + r.IntN(2)), MemGB: 2,
+		Image: fmt.Sprintf("img-%d", r.IntN(3)), ImageGB: 1, Spot: true, EstimateS: 6,
+	}
+	switch r.IntN(6) {
+	case 0:
+		sub.Class, sub.Priority, sub.Tasks = "rush", "high", 1+r.IntN(3)
+	case 1:
+		sub.Priority, sub.CheckpointS, sub.SaveS, sub.CPUs = "best_effort", 3, 1, 4
+	case 2:
+		sub.SameZone = true
+	case 3:
+		sub.Spread = true
+	case 4:
+		sub.Spot, sub.Types = false, []string{"small"}
+	}
+	if s.plan.Large {
+		sub.Tasks = s.drawLargeTasks(sub.Class)
+	}
+	return sub
+}
+
+// drawLargeTasks draws the number of tasks of a job of a large plan.
+func (s *Simulation) drawLargeTasks(class string) int {
+	tasks := 1 + s.rng.IntN(40)
+	if s.rng.IntN(3) == 0 {
+		tasks = 100 + s.rng.IntN(300)
+	}
+	if class == "rush" {
+		tasks = 1 + s.rng.IntN(30)
+	}
+	return tasks
+}
+
+// adaptToChurn makes the job one small task, a quarter of them cancelled.
+func (u *user) adaptToChurn(i int) {
+	u.sub.Tasks = 1
+	u.sub.CPUs = 1
+	u.sub.SameZone = false
+	u.sub.Spread = false
+	u.fails = false
+	u.willCancel = i%4 == 0
+}
+
+// drawTaskLengths draws how long the tasks run, and adapts the job to that.
+func (u *user) drawTaskLengths() (shortest, longest micros.Micros) {
+	s := u.sim
+	shortest, longest = 2*sec, 12*sec
+	if u.willCancel {
+		longest = micros.Minute // or it would be over before its cancellation has to be
+	}
+	if s.plan.hasLongTasks() && !s.plan.Churn && s.rng.IntN(3) == 0 {
+		longest = 50 * sec // a few tasks that end far apart, and jobs to cancel
+		u.sub.Tasks = min(u.sub.Tasks, 3)
+	}
+	if s.plan.ReconnectionWaves {
+		longest = micros.Minute // work for the whole fleet all the time
+		u.sub.EstimateS = longest.Seconds() / 2
+	}
+	if s.plan.LongOutage && s.rng.IntN(2) == 0 {
+		shortest, longest = s.cfg.Cancel+15*sec, s.cfg.Cancel+40*sec // so that a task that is left running outlasts its cancellation
+		u.fails = false
+		u.willCancel = false
+		u.sub.Tasks = min(u.sub.Tasks, 2)
+		u.sub.CPUs = 1
+		u.sub.EstimateS = s.cfg.Cancel.Seconds()
+	}
+	return shortest, longest
+}
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -1,250 +1,305 @@
 package simulation
 
 import (
+	"net/http"
+
 	"garnethitch/internal/controller"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/wire"
 )
 
-// A controller of the simulation: its process, its clock and its calls.
+const (
+	// maxRecentCalls is how many of its last calls may be repeated when a controller crashes.
+	maxRecentCalls = 12
+	// repeatedCallFraction of these are.
+	repeatedCallFraction = 0.2
+	// maxHeartbeatBytes bounds a heartbeat.
+	maxHeartbeatBytes = 1 << 20
+	// wallClockStep is how far the wall clocks of two controllers in a row are apart.
+	wallClockStep = 3 * ms
+)
 
-// Node is one controller.
+// Node is one controller of the simulation: its process, its clock and its calls.
 type Node struct {
 	sim        *Simulation
 	id         int
 	label      string
-	rate       int64 // its steady clock runs this many millionths fast
-	controller *controller.Controller
-	life       int
-	nextID     controller.ReplyID
-	answer     map[controller.ReplyID]func(controller.Answer)
-	wake       micros.Micros
-	recent     []controller.Call
-	// cost is how long a step takes at present; backlog waits for the one under way.
-	cost    micros.Micros
-	working bool
-	backlog []queuedInput
-	// heartbeats decodes what workers say, as a real controller does.
-	heartbeats *wire.HeartbeatReader
-	// frozenUntil: until then the process stands still, and what comes in waits.
-	frozenUntil micros.Micros
-	waiting     []controller.Input
-	release     Release // which version it runs
+	clockDrift int64
+	release    Release // which version it runs
+
+	// The process; controller is nil while there is none.
+	controller     *controller.Controller
+	incarnation    int
+	nextReplyID    controller.ReplyID
+	pendingReplies map[controller.ReplyID]func(controller.Answer)
+	wakeAt         micros.Micros
+	recentCalls    []controller.Call
+	heartbeats     *wire.HeartbeatReader // decodes heartbeats, as that of a real controller
+
+	// stepTime is how long a step takes at present; backlog waits for the one under way.
+	stepTime micros.Micros
+	working  bool
+	backlog  []queuedInput
+	// frozenUntil: until then the process stands still, and inputs wait.
+	frozenUntil  micros.Micros
+	frozenInputs []controller.Input
+
 	// stateRefusedUntil: until then the state service refuses it alone, and watchesLostUntil:
 	// until then its watches bring nothing.
 	stateRefusedUntil, watchesLostUntil micros.Micros
 }
 
+// start starts the process, if there is none.
 func (n *Node) start() {
 	if n.controller != nil {
 		return
 	}
 	cfg := n.config()
 	cfg.Label = n.label
-	for _, o := range n.sim.Nodes {
-		if o != n {
-			cfg.Peers = append(cfg.Peers, o.label)
+	for _, peer := range n.sim.nodes {
+		if peer != n {
+			cfg.Peers = append(cfg.Peers, peer.label)
 		}
 	}
-	n.life++
-	n.frozenUntil, n.waiting = 0, nil
+	n.incarnation++
+	n.frozenUntil, n.frozenInputs = 0, nil
 	n.working, n.backlog = false, nil
-	n.heartbeats = wire.NewHeartbeatReader(1 << 20)
+	n.heartbeats = wire.NewHeartbeatReader(maxHeartbeatBytes)
 	n.controller = controller.New(cfg, n.sim.rng.Uint64())
-	n.answer = map[controller.ReplyID]func(controller.Answer){}
-	n.wake = micros.Never
+	n.pendingReplies = map[controller.ReplyID]func(controller.Answer){}
+	n.wakeAt = micros.Never
 	n.step(controller.Tick{})
 }
 
-// crash ends the process without a word. Some of what it sent may be repeated.
+// crash ends the process at once, for a while. Some of what it sent may be repeated.
 func (n *Node) crash(down micros.Micros) {
 	if n.controller == nil {
 		return
 	}
-	n.sim.noteStateRequests(n.controller)
-	n.controller, n.answer = nil, nil
+	n.sim.addStateRequests(n.controller)
+	n.controller, n.pendingReplies = nil, nil
 	n.sim.Restarts++
 	n.sim.trace("%s crashes for %v s", n.label, down.Seconds())
-	for _, call := range n.recent {
-		if n.sim.chance(0.2) {
-			n.sim.after(n.sim.span(0, 4*sec), func() { n.sim.serve(call, func(controller.Result) {}) })
+	for _, call := range n.recentCalls {
+		if n.sim.chance(repeatedCallFraction) {
+			n.sim.after(n.sim.between(0, 4*sec), func() { n.sim.serve(call, func(controller.Result) {}) })
 		}
 	}
-	n.recent = nil
+	n.recentCalls = nil
 	n.sim.after(down, n.start)
 }
 
-func (n *Node) steady() micros.Micros {
-	t := n.sim.now
-	return t + micros.Micros(int64(t)*n.rate/1_000_000)
-}
+// steadyClock returns what the process's steady clock shows.
+func (n *Node) steadyClock() micros.Micros { return drifted(n.sim.now, n.clockDrift) }
+
+// wallClock returns what the process's wall clock shows.
+func (n *Node) wallClock() micros.Micros { return n.sim.now + micros.Micros(n.id)*wallClockStep }
 
+// step gives the controller an input, which waits while the process stands still or is busy.
 func (n *Node) step(in controller.Input) {
-	if n.controller == nil {
-		return
-	}
-	if n.sim.now < n.frozenUntil {
-		n.waiting = append(n.waiting, in)
-		return
-	}
-	if n.cost > 0 || n.working {
+	switch {
+	case n.controller == nil:
+	case n.sim.now < n.frozenUntil:
+		n.frozenInputs = append(n.frozenInputs, in)
+	case n.stepTime > 0 || n.working:
 		n.backlog = append(n.backlog, queuedInput{in, n.sim.now})
 		n.work()
-		return
+	default:
+		n.process(in, 0)
 	}
-	n.carryOut(in, 0)
 }
 
-func (n *Node) carryOut(in controller.Input, took micros.Micros) {
-	at := controller.Instant{Steady: n.steady(), Wall: n.sim.now + micros.Micros(n.id)*3*ms, Took: took}
+// process has the controller take an input, and carries out the effects.
+func (n *Node) process(in controller.Input, took micros.Micros) {
+	at := controller.Instant{Steady: n.steadyClock(), Wall: n.wallClock(), Took: took}
 	effects := n.controller.Step(at, in)
 	n.sim.countWork(in, n.controller.LastWork())
-	for _, e := range effects {
-		switch e := e.(type) {
-		case controller.Answer:
-			n.sent(e)
-			if a, ok := e.Body.(wire.HeartbeatReply); ok {
-				n.sim.checkStarts(n, a.Commands)
-			}
-			if f := n.answer[e.Reply]; f != nil {
-				delete(n.answer, e.Reply)
-				f(e)
-			}
-		case controller.Call:
-			n.sent(e)
-			if o, ok := e.Req.(wire.DirectCommand); ok {
-				n.sim.checkStarts(n, o.Commands)
-			}
-			n.call(e)
-		case controller.Log:
-			n.sim.trace("%s %s %v", n.label, e.Text, e.Args)
-			if e.Level == controller.Error && e.Text == controller.InvariantBroken {
-				n.sim.broken("%s: %s %v", n.label, e.Text, e.Args)
-			}
-			if e.Text == controller.EndedTaskStopped {
-				n.sim.checkEndedStop(n, e.Args)
-			}
-		}
+	for _, effect := range effects {
+		n.carryOut(effect)
 	}
-	if w := n.controller.Wake(); w < n.wake || n.wake <= at.Steady {
-		n.wake = w
-		life := n.life
-		n.sim.after(max(w-at.Steady, ms), func() {
-			if n.life == life && n.controller != nil && n.steady() >= n.wake {
-				n.step(controller.Tick{})
-			}
-		})
+	n.scheduleWake(at.Steady)
+}
+
+func (n *Node) carryOut(effect controller.Effect) {
+	switch e := effect.(type) {
+	case controller.Answer:
+		n.passToHook(e)
+		n.deliverAnswer(e)
+	case controller.Call:
+		n.passToHook(e)
+		if command, ok := e.Req.(wire.DirectCommand); ok {
+			n.sim.checkStartsSent(n, command.Commands)
+		}
+		n.call(e)
+	case controller.Log:
+		n.handleLog(e)
 	}
 }
 
-// sent passes an effect to the hook of the simulation.
-func (n *Node) sent(effect controller.Effect) {
+func (n *Node) passToHook(effect controller.Effect) {
 	if n.sim.Sent != nil {
 		n.sim.Sent(n.sim.now, n.label, effect)
 	}
 }
 
-// ask gives the node a request; f gets the answer, if one comes.
-func (n *Node) ask(make func(controller.ReplyID) controller.Input, f func(controller.Answer)) {
+func (n *Node) deliverAnswer(answer controller.Answer) {
+	if reply, ok := answer.Body.(wire.HeartbeatReply); ok {
+		n.sim.checkStartsSent(n, reply.Commands)
+	}
+	if deliver := n.pendingReplies[answer.Reply]; deliver != nil {
+		delete(n.pendingReplies, answer.Reply)
+		deliver(answer)
+	}
+}
+
+// handleLog follows what the controller logs, and takes an invariant that it finds broken as
+// a violation.
+func (n *Node) handleLog(entry controller.Log) {
+	n.sim.trace("%s %s %v", n.label, entry.Text, entry.Args)
+	if entry.Level == controller.Error && entry.Text == controller.InvariantBroken {
+		n.sim.violated("%s: %s %v", n.label, entry.Text, entry.Args)
+	}
+	if entry.Text == controller.EndedTaskStopped {
+		n.sim.checkEndedTaskStop(n, entry.Args)
+	}
+}
+
+// scheduleWake gives the controller a tick when it wants one.
+func (n *Node) scheduleWake(steadyNow micros.Micros) {
+	wake := n.controller.Wake()
+	planned := n.wakeAt > steadyNow && wake >= n.wakeAt
+	if planned {
+		return
+	}
+	n.wakeAt = wake
+	incarnation := n.incarnation
+	n.sim.after(max(wake-steadyNow, ms), func() {
+		if n.lives(incarnation) && n.steadyClock() >= n.wakeAt {
+			n.step(controller.Tick{})
+		}
+	})
+}
+
+// lives reports whether a process has not ended.
+func (n *Node) lives(incarnation int) bool {
+	return n.incarnation == incarnation && n.controller != nil
+}
+
+// request gives the controller a request; deliver gets the answer, if one comes.
+func (n *Node) request(make func(controller.ReplyID) controller.Input, deliver func(controller.Answer)) {
 	if n.controller == nil {
 		return
 	}
-	n.nextID++
-	n.answer[n.nextID] = f
-	n.step(make(n.nextID))
+	n.nextReplyID++
+	n.pendingReplies[n.nextReplyID] = deliver
+	n.step(make(n.nextReplyID))
 }
 
-// heartbeat gives the node a worker's heartbeat, encoded and decoded as on the wire.
-func (n *Node) heartbeat(heartbeat *wire.Heartbeat, f func(controller.Answer)) {
+// heartbeat gives the controller a worker's heartbeat, encoded and decoded as on the wire.
+func (n *Node) heartbeat(sent *wire.Heartbeat, deliver func(controller.Answer)) {
 	if n.controller == nil {
 		return
 	}
-	body, err := wire.Encode(heartbeat)
+	body, err := wire.Encode(sent)
 	if err != nil {
-		n.sim.broken("report: %v", err)
+		n.sim.violated("heartbeat: %v", err)
 		return
 	}
-	got, err := n.heartbeats.Parse(body)
+	received, err := n.heartbeats.Parse(body)
 	if err != nil {
-		n.sim.broken("report: %v", err)
+		n.sim.violated("heartbeat: %v", err)
 		return
 	}
-	n.ask(func(id controller.ReplyID) controller.Input { return controller.Heartbeat{Reply: id, Heartbeat: got} }, f)
+	n.request(func(id controller.ReplyID) controller.Input {
+		return controller.Heartbeat{Reply: id, Heartbeat: received}
+	}, deliver)
 }
 
+// call carries a call of the controller, and gives it the result.
 func (n *Node) call(call controller.Call) {
-	life, release := n.life, n.release
-	if t, ok := call.Req.(wire.Txn); ok {
-		n.checkLimits(t)
-	}
-	call = release.sent(call)
-	n.recent = append(n.recent, call)
-	if len(n.recent) > 12 {
-		n.recent = n.recent[1:]
-	}
-	exchange(n.sim, n.link(call), call.Timeout,
-		func(reply func(controller.Result)) {
-			if call.To == controller.ToState && n.sim.now < n.stateRefusedUntil {
-				if _, isWatch := call.Req.(controller.Watch); !isWatch {
-					reply(controller.Result{Status: 503}) // watches wait, as in an outage
-				}
-				return
-			}
-			if n.sim.refusesJobs(call) {
-				reply(controller.Result{Status: 429})
-				return
-			}
-			if call.To == controller.ToState && n.sim.lateWrite(n, call) {
-				return
-			}
-			if _, isWatch := call.Req.(controller.Watch); isWatch && n.sim.now < n.watchesLostUntil {
-				return // what it would bring is lost on the way
-			}
-			n.sim.serve(call, reply)
-		},
-		func(r controller.Result, ok bool) {
-			if n.life != life || n.controller == nil {
-				return
-			}
-			if !ok {
-				r = controller.Result{}
-			}
-			r = release.received(r)
-			r.ID = call.ID
-			n.step(r)
-		})
+	if txn, ok := call.Req.(wire.Txn); ok {
+		n.checkLimits(txn)
+	}
+	incarnation, release := n.incarnation, n.release
+	call = release.downgradeCall(call)
+	n.recentCalls = append(n.recentCalls, call)
+	if len(n.recentCalls) > maxRecentCalls {
+		n.recentCalls = n.recentCalls[1:]
+	}
+	exchange(n.sim, n.link(call), call.Timeout, func(reply func(controller.Result)) {
+		n.serveCall(call, reply)
+	}, func(result controller.Result, ok bool) {
+		if !n.lives(incarnation) {
+			return
+		}
+		if !ok {
+			result = controller.Result{}
+		}
+		result = release.downgradeResult(result)
+		result.ID = call.ID
+		n.step(result)
+	})
 }
 
+// serveCall lets the called side answer, unless a fault is in the way.
+func (n *Node) serveCall(call controller.Call, reply func(controller.Result)) {
+	s := n.sim
+	toState := call.To == controller.ToState
+	_, isWatch := call.Req.(controller.Watch)
+	switch {
+	case toState && s.now < n.stateRefusedUntil:
+		if !isWatch { // watches wait, as in an outage
+			reply(controller.Result{Status: http.StatusServiceUnavailable})
+		}
+	case s.refusesJobs(call):
+		reply(controller.Result{Status: http.StatusTooManyRequests})
+	case toState && s.carryOutLate(n, call):
+	case isWatch && s.now < n.watchesLostUntil:
+	default:
+		s.serve(call, reply)
+	}
+}
+
+// link returns the link that a call goes over.
 func (n *Node) link(call controller.Call) string {
 	switch call.To {
 	case controller.ToState:
-		return n.label + "-state"
+		return n.stateLink()
 	case controller.ToCloud:
-		return n.label + "-cloud"
+		return n.cloudLink()
 	case controller.ToPeer:
 		return n.peerLink(call.Addr)
 	}
-	return n.label + "-" + call.Addr
+	return n.workerLink(call.Addr)
+}
+
+func (n *Node) stateLink() string { return n.label + "-state" }
+
+func (n *Node) cloudLink() string { return n.label + "-cloud" }
+
+func (n *Node) userLink() string { return "user-" + n.label }
+
+func (n *Node) workerLink(machine string) string { return n.label + "-" + machine }
+
+// peerLink is named alike from both ends.
+func (n *Node) peerLink(peer string) string {
+	return min(n.label, peer) + "-" + max(n.label, peer)
 }
 
-// workerLinks are a controller's links to all machines, peerLinks those to the others.
+// workerLinks returns the links to all machines.
 func (n *Node) workerLinks() (links []string) {
-	for _, name := range n.sim.names {
-		links = append(links, n.label+"-"+name)
+	for _, name := range n.sim.machineNames {
+		links = append(links, n.workerLink(name))
 	}
 	return links
 }
 
+// peerLinks returns the links to all other controllers.
 func (n *Node) peerLinks() (links []string) {
-	for _, o := range n.sim.Nodes {
-		if o != n {
-			links = append(links, n.peerLink(o.label))
+	for _, peer := range n.sim.nodes {
+		if peer != n {
+			links = append(links, n.peerLink(peer.label))
 		}
 	}
 	return links
 }
-
-// peerLink is named alike from both ends.
-func (n *Node) peerLink(other string) string {
-	return min(n.label, other) + "-" + max(n.label, other)
-}
--- /dev/null
+++ b/internal/simulation/outages.go
@@ -0,0 +1,81 @@
+package simulation
+
+import (
+	"strings"
+
+	"garnethitch/internal/controller"
+	"garnethitch/internal/micros"
+	"garnethitch/internal/wire"
+)
+
+// Faults in which controllers act on old knowledge.
+
+// lostAnswersTime is for how long the owner's answers are lost before a long outage.
+const lostAnswersTime = 600 * ms
+
+// scheduleLongOutages plays a long outage twice.
+func (s *Simulation) scheduleLongOutages() {
+	s.after(s.between(15*sec, 25*sec), s.longOutage)
+	s.after(s.plan.Length*2/3, s.longOutage)
+}
+
+// longOutage: what the owner writes is carried out, but its answers are lost and its watches
+// bring nothing; a moment later it is refused; then the state service is away for all for
+// longer than cancelled tasks may last.
+func (s *Simulation) longOutage() {
+	n := s.owner()
+	s.Concurrent.LongOutages++
+	s.startLateWrites(1, true, lostAnswersTime)
+	s.concurrent.lateWrites.only = n
+	n.watchesLostUntil = s.now + 10*sec
+	s.after(lostAnswersTime, func() { n.stateRefusedUntil = s.now + s.between(3*sec, 8*sec) })
+	s.cancelRunning(6, 0)
+	s.after(s.between(1500*ms, 2500*ms), func() { s.state.SetOutage(s.now + s.cfg.Cancel + 6*sec) })
+	if s.chance(0.4) { // and the others can't reach it either
+		links := n.peerLinks()
+		s.after(lostAnswersTime, func() { s.cut(links, cutReset, s.cfg.Cancel) })
+	}
+}
+
+// refusesJobs reports whether the state service refuses a call since it would tell of jobs. It
+// still takes a controller's locks, renewals and writes, as one does that is short of requests.
+func (s *Simulation) refusesJobs(call controller.Call) bool {
+	if call.To != controller.ToState || s.now >= s.jobsRefusedUntil {
+		return false
+	}
+	switch r := call.Req.(type) {
+	case controller.GetKey:
+		return strings.HasPrefix(r.Key, wire.PrefixJob)
+	case controller.ListKeys:
+		return strings.HasPrefix(r.Prefix, wire.PrefixJob)
+	case controller.Watch:
+		return strings.HasPrefix(r.Prefix, wire.PrefixJob)
+	}
+	return false
+}
+
+// scheduleStaleJobs plays an episode of old knowledge twice.
+func (s *Simulation) scheduleStaleJobs() {
+	s.after(s.between(10*sec, 15*sec), s.staleJobs)
+	s.after(s.plan.Length/2, s.staleJobs)
+}
+
+// staleJobs: jobs are cancelled just before reads of jobs are refused and owners end one after
+// the other; some of the machines hang meanwhile.
+func (s *Simulation) staleJobs() {
+	const owners = 6
+	s.StaleEpisodes++
+	s.cancelRunning(4, s.between(0, s.cfg.WorkerLease))
+	s.after(s.between(100*ms, 600*ms), func() {
+		s.jobsRefusedUntil = s.now + s.between(s.cfg.Cancel/2, 2*s.cfg.Cancel)
+		s.crashOwner(2 * sec)
+	})
+	at := micros.Micros(0)
+	for range owners {
+		at += s.between(s.cfg.Lease, 2*s.cfg.Lease+2*sec)
+		s.after(at, func() { s.crashOwner(3 * sec) })
+		if s.chance(0.5) {
+			s.after(at+s.between(0, sec), func() { s.cancelRunning(2, s.between(0, s.cfg.WorkerLease)) })
+		}
+	}
+}
--- a/internal/simulation/state_requests.go
+++ b/internal/simulation/state_requests.go
@@ -7,8 +7,8 @@
 
 // Requests to the state service, counted over all controllers and their former processes.
 
-// noteStateRequests adds what a process counted until its end.
-func (s *Simulation) noteStateRequests(c *controller.Controller) {
+// addStateRequests adds what a process counted until its end.
+func (s *Simulation) addStateRequests(c *controller.Controller) {
 	for i, m := range c.StateRequests() {
 		if i == len(s.stateRequests) {
 			s.stateRequests = append(s.stateRequests, statestore.ClassMetrics{Class: m.Class})
@@ -23,9 +23,9 @@
 
 // StateRequests gives the sums of a run that is over, by class; call it once.
 func (s *Simulation) StateRequests() []statestore.ClassMetrics {
-	for _, n := range s.Nodes {
+	for _, n := range s.nodes {
 		if n.controller != nil {
-			s.noteStateRequests(n.controller)
+			s.addStateRequests(n.controller)
 		}
 	}
 	return s.stateRequests
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -1,8 +1,9 @@
 package simulation
 
 import (
+	"maps"
+	"net/http"
 	"slices"
-	"strconv"
 
 	"garnethitch/internal/controller"
 	"garnethitch/internal/fakes"
@@ -10,71 +11,67 @@
 	"garnethitch/internal/wire"
 )
 
+const (
+	// heartbeatTimeout is how long a worker waits for the reply to a heartbeat.
+	heartbeatTimeout = 4 * sec
+	// minHeartbeatGap is how long a worker waits at least until a heartbeat that says
+	// something new.
+	minHeartbeatGap = 500 * ms
+	// cutOffPause is how long a worker that reaches no controller takes to notice.
+	cutOffPause = 300 * ms
+	// rounding is by how much sums of CPUs and of memory may be off.
+	rounding = 1e-6
+)
+
 // Worker is a machine with its worker.
 type Worker struct {
 	*fakes.Machine
-	sim              *Simulation
-	rate             int64
-	reclaimAt        micros.Micros // when the cloud takes it back; 0: it has not said so
-	hungUntil        micros.Micros
-	faultyUntil      micros.Micros
-	unreachableUntil micros.Micros // until then nothing that is sent to it arrives
-	cutOffUntil      micros.Micros // until then it reaches no controller
+	sim        *Simulation
+	clockDrift int64
 
 	agentEpoch, sequence, fencingToken uint64
-	began                              micros.Micros // of the session, or when the last answered report was sent
-	tasks                              map[string]*task
-	images                             map[string]bool
-	node                               int
-	busy                               bool
-	nextHeartbeat                      micros.Micros
-	lastHeartbeat                      micros.Micros
-	changed                            bool
-	pendingCalls                       []func()
-}
-
-type task struct {
-	name, job  string
-	idx        int
-	attempt    uint64
-	state      string
-	exitReason string
-	kept       bool
-	until      micros.Micros
-}
 
-// rounding is by how much sums of CPUs and of memory may be off.
-const rounding = 1e-6
+	leaseFrom     micros.Micros // when the agent's epoch began, or the last heartbeat that was answered was sent
+	tasks         map[taskKey]*task
+	images        map[string]bool
+	nodeIndex     int // the controller that heartbeats go to
+	awaitingReply bool
+	nextHeartbeat micros.Micros
+	lastHeartbeat micros.Micros
+	changed       bool     // since the last heartbeat
+	deferred      []func() // until it hangs no more
 
-// onMachine: it has its image and has not exited.
-func (t *task) onMachine() bool { return t.state == wire.TaskRunning || t.state == wire.TaskSaving }
+	reclaimAt        micros.Micros // when the cloud takes it back; 0: it has not announced that
+	hungUntil        micros.Micros
+	faultyUntil      micros.Micros // until then every task fails
+	unreachableUntil micros.Micros // until then nothing that is sent to it arrives
+	cutOffUntil      micros.Micros // until then it reaches no controller
+}
 
 func newWorker(s *Simulation, machine *fakes.Machine) *Worker {
-	w := &Worker{Machine: machine, sim: s,
-		agentEpoch: 1, tasks: map[string]*task{}, images: map[string]bool{}, node: s.rng.IntN(s.plan.Nodes), rate: s.rng.Int64N(501)}
+	w := &Worker{
+		Machine: machine, sim: s, agentEpoch: 1, tasks: map[taskKey]*task{}, images: map[string]bool{},
+		nodeIndex: s.rng.IntN(s.plan.Nodes), clockDrift: s.drawClockDrift(),
+	}
 	s.at(machine.UpAt, func() {
-		w.began = w.clock()
+		w.leaseFrom = w.clock()
 		w.tick()
 	})
 	return w
 }
 
-// clock is the worker's steady clock.
-func (w *Worker) clock() micros.Micros {
-	return w.sim.now + micros.Micros(int64(w.sim.now)*w.rate/1_000_000)
-}
+// clock returns what the worker's steady clock shows.
+func (w *Worker) clock() micros.Micros { return drifted(w.sim.now, w.clockDrift) }
 
-func (w *Worker) directCommand() []string {
-	var out []string
-	for k := range w.tasks {
-		out = append(out, k)
-	}
-	slices.Sort(out)
-	return out
+// leaseExpired reports whether the worker's lease has run out by its clock.
+func (w *Worker) leaseExpired() bool {
+	return w.clock() > w.leaseFrom+w.sim.cfg.WorkerLease
 }
 
-// notice announces that the cloud takes the machine, or takes it at once.
-func (w *Worker) notice(d micros.Micros) {
+func (w *Worker) hangs() bool { return w.sim.now < w.hungUntil }
+
+// announceReclaim announces that the cloud takes the machine back, and has it do so.
+func (w *Worker) announceReclaim(d micros.Micros) {
 	if w.Dead || w.reclaimAt != 0 {
 		return
 	}
@@ -90,279 +87,224 @@
 	if w.Dead {
 		return
 	}
-	if s.now < w.hungUntil {
+	if w.hangs() {
 		s.at(w.hungUntil, w.tick)
 		return
 	}
-	if s.plan.Grown {
-		s.after(s.span(300*ms, 500*ms), w.tick)
-	} else {
-		s.after(s.span(80*ms, 120*ms), w.tick)
-	}
-	w.lapse()
-	for _, f := range w.pendingCalls {
-		f()
+	s.after(s.drawTickInterval(), w.tick)
+	w.checkLease()
+	w.runDeferred()
+	w.advanceTasks()
+	w.checkCancelledTasks()
+	due := s.now >= w.nextHeartbeat || w.changed && s.now >= w.lastHeartbeat+minHeartbeatGap
+	if due && !w.awaitingReply {
+		w.sendHeartbeat()
 	}
-	w.pendingCalls = nil
-	for _, key := range w.directCommand() {
-		t := w.tasks[key]
-		u := s.userOf(t.job)
-		if s.now < t.until {
-			continue
-		}
-		switch t.state {
-		case wire.TaskFetching:
-			w.images[u.sub.Image] = true
-			if u.done[t.idx] {
-				t.state, t.exitReason = wire.TaskExited, wire.ExitDone
-			} else {
-				t.state = wire.TaskRunning
-				t.until = s.now + u.runs[t.idx] - u.progress[t.idx]
-				if u.startedAt == 0 {
-					u.startedAt = s.now
-				}
-				s.starting(w, t)
-				if s.now < w.faultyUntil || u.bad {
-					t.until = s.now + s.span(200*ms, sec)
-				}
-			}
-			w.changed = true
-		case wire.TaskRunning:
-			if s.now < w.faultyUntil || u.bad {
-				t.state, t.exitReason = wire.TaskExited, wire.ExitError
-			} else {
-				t.state, t.exitReason = wire.TaskExited, wire.ExitDone
-				u.done[t.idx] = true
-				u.doneAt = s.now
-				s.Finished++
-				s.maybeCancelAtEnd(u)
-			}
-			w.changed = true
-		case wire.TaskSaving:
-			t.state, t.exitReason, t.kept = wire.TaskExited, wire.ExitStopped, true
-			w.changed = true
-		}
-		if t.onMachine() && u.cancelConfirmed != 0 && s.now > u.cancelConfirmed+s.cfg.Cancel {
-			s.broken("ran_cancelled: %s is still on %s", t.name, w.ID)
-		}
-	}
-	for _, key := range w.directCommand() {
-		t := w.tasks[key]
-		if u := s.userOf(t.job); t.onMachine() && u.cancelConfirmed != 0 && s.now > u.cancelConfirmed+s.cfg.Cancel {
-			s.broken("ran_cancelled: %s is still on %s", t.name, w.ID)
-		}
+}
+
+// drawTickInterval draws when a worker looks at its tasks next.
+func (s *Simulation) drawTickInterval() micros.Micros {
+	if s.plan.Large {
+		return s.between(300*ms, 500*ms)
 	}
-	if !w.busy && (s.now >= w.nextHeartbeat || w.changed && s.now >= w.lastHeartbeat+500*ms) {
-		w.heartbeat()
+	return s.between(80*ms, 120*ms)
+}
+
+func (w *Worker) runDeferred() {
+	for _, f := range w.deferred {
+		f()
 	}
+	w.deferred = nil
 }
 
-// lapse ends the session once the lease has run out.
-func (w *Worker) lapse() {
-	if w.clock() > w.began+w.sim.cfg.WorkerLease {
-		w.agentEpoch++
-		w.sim.trace("%s lease over, session %d, %d tasks killed", w.ID, w.agentEpoch, len(w.tasks))
-		for _, t := range w.tasks {
-			delete(w.sim.onJob[t.job], t)
-		}
-		w.tasks = map[string]*task{}
-		w.began = w.clock()
-		w.changed = true
+// checkLease ends the agent's epoch and its tasks once the lease has run out.
+func (w *Worker) checkLease() {
+	if !w.leaseExpired() {
+		return
+	}
+	w.agentEpoch++
+	w.sim.trace("%s lease over, session %d, %d tasks killed", w.ID, w.agentEpoch, len(w.tasks))
+	for _, t := range w.tasks {
+		delete(w.sim.tasksByJob[t.job], t)
 	}
+	w.tasks = map[taskKey]*task{}
+	w.leaseFrom = w.clock()
+	w.changed = true
 }
 
-func (w *Worker) heartbeatBody() *wire.Heartbeat {
+// heartbeat returns the next heartbeat.
+func (w *Worker) heartbeat() *wire.Heartbeat {
 	w.sequence++
-	r := &wire.Heartbeat{Machine: w.ID, Addr: w.ID, Type: w.Type, Zone: w.Zone, Spot: w.Spot, AgentEpoch: w.agentEpoch, Sequence: w.sequence, FencingToken: w.fencingToken}
+	heartbeat := &wire.Heartbeat{
+		Machine: w.ID, Addr: w.ID, Type: w.Type, Zone: w.Zone, Spot: w.Spot,
+		AgentEpoch: w.agentEpoch, Sequence: w.sequence, FencingToken: w.fencingToken,
+	}
 	if w.reclaimAt != 0 {
 		left := (w.reclaimAt - w.sim.now).Seconds()
-		r.NoticeS = &left
+		heartbeat.NoticeS = &left
 	}
-	for _, key := range w.directCommand() {
-		t := w.tasks[key]
-		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: t.name, Attempt: t.attempt, State: t.state, ExitReason: t.exitReason, Saved: t.kept})
+	for _, t := range w.sortedTasks() {
+		heartbeat.Tasks = append(heartbeat.Tasks, t.status())
 	}
-	return r
+	return heartbeat
 }
 
-func (w *Worker) heartbeat() {
+// sendHeartbeat sends a heartbeat, and handles the reply unless the machine hangs.
+func (w *Worker) sendHeartbeat() {
 	s := w.sim
-	w.busy, w.changed = true, false
+	w.awaitingReply = true
+	w.changed = false
 	w.lastHeartbeat = s.now
-	w.nextHeartbeat = s.now + s.span(s.cfg.HeartbeatInterval*3/4, s.cfg.HeartbeatInterval*5/4)
-	heartbeat, sent, agentEpoch := w.heartbeatBody(), w.clock(), w.agentEpoch
-	n := s.Nodes[w.node]
+	w.nextHeartbeat = s.now + s.between(s.cfg.HeartbeatInterval*3/4, s.cfg.HeartbeatInterval*5/4)
+	heartbeat, sentAt := w.heartbeat(), w.clock()
+	n := s.nodes[w.nodeIndex]
 	w.copyLater(heartbeat)
 	if s.now < w.cutOffUntil {
-		s.after(300*ms, func() { w.busy = false; w.answered(controller.Answer{}, false, sent, agentEpoch) })
+		s.after(cutOffPause, func() {
+			w.awaitingReply = false
+			w.handleReply(controller.Answer{}, false, sentAt, heartbeat.AgentEpoch)
+		})
 		return
 	}
-	exchange(s, n.label+"-"+w.ID, 4*sec,
-		func(reply func(controller.Answer)) {
-			n.heartbeat(heartbeat, func(a controller.Answer) {
-				if s.now >= w.unreachableUntil {
-					reply(a)
-				}
-			})
-		},
-		func(a controller.Answer, ok bool) {
-			act := func() {
-				w.busy = false
-				w.answered(a, ok, sent, agentEpoch)
-			}
-			if s.now < w.hungUntil {
-				w.pendingCalls = append(w.pendingCalls, act)
-				return
+	exchange(s, n.workerLink(w.ID), heartbeatTimeout, func(reply func(controller.Answer)) {
+		n.heartbeat(heartbeat, func(a controller.Answer) {
+			if s.now >= w.unreachableUntil {
+				reply(a)
 			}
-			act()
 		})
+	}, func(a controller.Answer, ok bool) {
+		w.unlessHanging(func() {
+			w.awaitingReply = false
+			w.handleReply(a, ok, sentAt, heartbeat.AgentEpoch)
+		})
+	})
+}
+
+// unlessHanging calls f, or has it called once the machine hangs no more.
+func (w *Worker) unlessHanging(f func()) {
+	if w.hangs() {
+		w.deferred = append(w.deferred, f)
+		return
+	}
+	f()
 }
 
-// copyLater may deliver a copy of a heartbeat again, to any node, from seconds to
-// well over a lease later. Nobody hears the answer.
+// copyLater may deliver a copy of a heartbeat again, to any controller, from seconds to
+// well over a lease later. The reply to it is lost.
 func (w *Worker) copyLater(heartbeat *wire.Heartbeat) {
 	s := w.sim
 	s.keepHeartbeat(heartbeat)
-	if !s.plan.Faults || !s.chance(0.01) && !(s.now < s.copiesUntil && s.chance(0.5)) {
+	if !s.plan.Faults {
+		return
+	}
+	copied := s.chance(0.01) || s.now < s.copiesUntil && s.chance(0.5)
+	if !copied {
 		return
 	}
-	d := s.span(200*ms, 8*sec)
+	delay := s.between(200*ms, 8*sec)
 	if s.chance(0.5) {
-		d = s.span(s.cfg.WorkerLease/2, 3*s.cfg.WorkerLease)
+		delay = s.between(s.cfg.WorkerLease/2, 3*s.cfg.WorkerLease)
 	}
-	n := s.Nodes[s.rng.IntN(len(s.Nodes))]
-	s.Copies++
-	s.after(d, func() {
+	n := s.drawNode()
+	s.CopiedHeartbeats++
+	s.after(delay, func() {
 		n.heartbeat(heartbeat, func(controller.Answer) {})
 	})
 }
 
-func (w *Worker) answered(a controller.Answer, ok bool, sent micros.Micros, agentEpoch uint64) {
+// handleReply renews the lease and carries commands out, unless the reply is that of an old
+// owner, late, or to an earlier epoch of the agent. ok is false if there is no reply.
+func (w *Worker) handleReply(a controller.Answer, ok bool, sentAt micros.Micros, agentEpoch uint64) {
 	s := w.sim
 	if w.Dead {
 		return
 	}
-	w.lapse()
-	next := func() {
-		w.node = (w.node + 1) % len(s.Nodes)
-		w.nextHeartbeat = s.now + sec
-	}
-	if !ok {
-		next()
+	w.checkLease()
+	if redirect, isRedirect := a.Body.(wire.Redirect); ok && isRedirect && a.Status == http.StatusMisdirectedRequest {
+		w.follow(redirect)
 		return
 	}
-	if a.Status == 421 {
-		if rd, ok := a.Body.(wire.Redirect); ok {
-			for i, n := range s.Nodes {
-				if n.label == rd.ReportTo && i != w.node {
-					w.node = i
-					w.nextHeartbeat = s.now
-					return
-				}
-			}
-		}
-		next()
+	reply, isReply := a.Body.(wire.HeartbeatReply)
+	if !ok || !isReply || a.Status != http.StatusOK {
+		w.turnToNextNode()
 		return
 	}
-	body, isAnswer := a.Body.(wire.HeartbeatReply)
-	if a.Status != 200 || !isAnswer {
-		next()
+	late := s.now-w.lastHeartbeat > heartbeatTimeout
+	if late || agentEpoch != w.agentEpoch || reply.FencingToken < w.fencingToken {
 		return
 	}
-	if agentEpoch != w.agentEpoch || body.FencingToken < w.fencingToken || s.now-w.lastHeartbeat > 4*sec {
+	w.raiseFencingToken(reply.FencingToken)
+	w.leaseFrom = max(w.leaseFrom, sentAt)
+	w.execute(reply.Commands)
+	s.checkLeaseRenewal(w)
+}
+
+// follow turns to the controller that another one named.
+func (w *Worker) follow(redirect wire.Redirect) {
+	i := slices.IndexFunc(w.sim.nodes, func(n *Node) bool { return n.label == redirect.ReportTo })
+	if i < 0 || i == w.nodeIndex {
+		w.turnToNextNode()
 		return
 	}
-	w.raise(body.FencingToken)
-	w.began = max(w.began, sent)
-	w.execute(body.Commands)
-	s.checkRenewed(w)
+	w.nodeIndex = i
+	w.nextHeartbeat = w.sim.now
 }
 
-func (w *Worker) raise(fencingToken uint64) {
+func (w *Worker) turnToNextNode() {
+	w.nodeIndex = (w.nodeIndex + 1) % len(w.sim.nodes)
+	w.nextHeartbeat = w.sim.now + sec
+}
+
+func (w *Worker) raiseFencingToken(fencingToken uint64) {
 	if fencingToken > w.fencingToken {
 		w.fencingToken = fencingToken
 		w.changed = true
 	}
 }
 
-func (w *Worker) serve(req any, reply func(controller.Result)) {
+// serve answers a direct command or a question of a controller. While the machine hangs, it is
+// held in its sockets; in which order things then happen is open.
+func (w *Worker) serve(request any, reply func(controller.Result)) {
 	if w.Dead || w.sim.now < w.UpAt {
 		return
 	}
-	if w.sim.now < w.hungUntil {
-		// Held in its sockets until it goes on; the order of things then is open.
-		w.pendingCalls = append(w.pendingCalls, func() { w.serve(req, reply) })
+	w.unlessHanging(func() { w.answer(request, reply) })
+}
+
+func (w *Worker) answer(request any, reply func(controller.Result)) {
+	if w.Dead {
 		return
 	}
-	w.lapse()
-	o, isOrders := req.(wire.DirectCommand)
-	if !isOrders {
-		reply(controller.Result{Status: 200, Body: w.heartbeatBody()})
-		return
+	w.checkLease()
+	status := http.StatusOK
+	if command, ok := request.(wire.DirectCommand); ok {
+		status = w.handleDirectCommand(command)
 	}
-	if o.FencingToken < w.fencingToken || o.AgentEpoch != w.agentEpoch {
-		reply(controller.Result{Status: 409, Body: w.heartbeatBody()})
-		return
+	reply(controller.Result{Status: status, Body: w.heartbeat()})
+}
+
+// handleDirectCommand carries a direct command out, unless it is of an old owner or for an
+// earlier epoch of the agent, and returns the status to answer.
+func (w *Worker) handleDirectCommand(command wire.DirectCommand) int {
+	if command.FencingToken < w.fencingToken || command.AgentEpoch != w.agentEpoch {
+		return http.StatusConflict
 	}
-	w.raise(o.FencingToken)
-	w.execute(o.Commands)
-	reply(controller.Result{Status: 200, Body: w.heartbeatBody()})
+	w.raiseFencingToken(command.FencingToken)
+	w.execute(command.Commands)
+	return http.StatusOK
 }
 
-func (w *Worker) execute(commands []wire.Command) {
-	s := w.sim
-	for _, c := range commands {
-		s.trace("%s %s %s attempt %x", w.ID, c.Op, c.Task, c.Attempt)
-		key := c.Task + "@" + strconv.FormatUint(c.Attempt, 10)
-		t := w.tasks[key]
-		switch c.Op {
-		case wire.OpStart:
-			if t != nil {
-				continue
-			}
-			job, idx, err := wire.ParseTask(c.Task)
-			u := s.userOf(job)
-			t = &task{name: c.Task, job: job, idx: idx, attempt: c.Attempt, state: wire.TaskFetching}
-			switch {
-			case err != nil || u == nil || idx >= u.sub.Tasks:
-				t.state, t.exitReason = wire.TaskExited, wire.ExitUnknown
-			case w.holds(c.Task):
-				t.state, t.exitReason = wire.TaskExited, wire.ExitInUse
-			case !w.fits(u):
-				t.state, t.exitReason = wire.TaskExited, wire.ExitNoCapacity
-			case !w.images[u.sub.Image]:
-				t.until = s.now + s.span(sec/2, 3*sec)
-			}
-			w.tasks[key] = t
-			if u != nil {
-				if s.onJob[job] == nil {
-					s.onJob[job] = map[*task]*Worker{}
-				}
-				s.onJob[job][t] = w
-			}
-			w.changed = true
-		case wire.OpStop:
-			if t == nil || t.state == wire.TaskExited {
-				continue
-			}
-			u := s.userOf(t.job)
-			if t.state == wire.TaskRunning && u.sub.CheckpointS > 0 && c.GraceS != nil && *c.GraceS >= u.sub.SaveS {
-				u.progress[t.idx] = max(0, u.runs[t.idx]-(t.until-s.now))
-				t.state, t.until = wire.TaskSaving, s.now+micros.FromSeconds(u.sub.SaveS)
-			} else if t.state != wire.TaskSaving || c.GraceS != nil && *c.GraceS == 0 {
-				t.state, t.exitReason = wire.TaskExited, wire.ExitStopped
-			}
-			w.changed = true
-		case wire.OpForget:
-			if t != nil && t.state == wire.TaskExited {
-				delete(w.tasks, key)
-				delete(s.onJob[t.job], t)
-			}
-		}
+// sortedTasks returns the tasks in an order that is always the same.
+func (w *Worker) sortedTasks() (tasks []*task) {
+	keys := slices.SortedFunc(maps.Keys(w.tasks), taskKey.compare)
+	for _, key := range keys {
+		tasks = append(tasks, w.tasks[key])
 	}
+	return tasks
 }
 
-func (w *Worker) holds(name string) bool {
+// runsTask reports whether an attempt of a task is on the machine.
+func (w *Worker) runsTask(name string) bool {
 	for _, t := range w.tasks {
 		if t.name == name && t.state != wire.TaskExited {
 			return true
@@ -371,6 +313,7 @@
 	return false
 }
 
+// fits reports whether there is room for one more task of a job.
 func (w *Worker) fits(u *user) bool {
 	machineType, ok := fakes.MachineType(w.Type)
 	if !ok {
@@ -386,3 +329,13 @@
 	}
 	return cpus+rounding >= u.sub.CPUs && memory+rounding >= u.sub.MemGB
 }
+
+// working reports whether a task runs on the machine whose user has not cancelled it.
+func (w *Worker) working() bool {
+	for _, t := range w.tasks {
+		if t.onMachine() && !w.sim.userOf(t.job).cancelRequested {
+			return true
+		}
+	}
+	return false
+}
