--- a/internal/digest/digest.go
+++ b/internal/digest/digest.go
@@ -30,7 +30,7 @@
 	Seed uint64
 }
 
-// Digest sums up all messages that the controllers sent in one run.
+// Digest is the hash of all messages that the controllers sent in one run.
 type Digest struct {
 	Plan     string
 	Seed     uint64
@@ -60,11 +60,11 @@
 	}, nil
 }
 
-// recorder hashes messages in the order in which they are sent. Its err is the first one.
+// recorder hashes messages in the order in which they are sent.
 type recorder struct {
 	hash     hash.Hash
 	messages int
-	err      error
+	err      error // the first
 }
 
 func newRecorder() *recorder {
@@ -111,7 +111,7 @@
 	r.bytes(encoded.Body)
 }
 
-// target returns a fixed word for each kind of target.
+// target returns the fixed name of each kind of target.
 func (r *recorder) target(to controller.Target) string {
 	switch to {
 	case controller.ToState:
@@ -154,11 +154,12 @@
 	r.fail(err)
 }
 
-// Default numbers of seeds of each plan, and from how many machines on a plan is large.
 const (
+	// defaultSeeds and defaultSeedsLarge are how many seeds of a plan are played by default.
 	defaultSeeds      = 2
 	defaultSeedsLarge = 1
-	largeMachines     = 300
+	// largeMachines is from how many machines on a plan is large.
+	largeMachines = 300
 )
 
 // Runs lists the runs of the plans whose names contain pattern, ordered by plan, then by
--- a/internal/faulttest/link.go
+++ b/internal/faulttest/link.go
@@ -89,7 +89,7 @@
 	}
 }
 
-// awaitPassage waits while the link holds data back; false: it breaks connections.
+// awaitPassage waits while the link holds data back; false: it violations connections.
 func (l *link) awaitPassage() bool {
 	for {
 		l.mu.Lock()
@@ -112,7 +112,7 @@
 	l.heldUntil = time.Now().Add(d)
 }
 
-// reset breaks connections for a while.
+// reset violations connections for a while.
 func (l *link) reset(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/faulttest/soak.go
+++ b/internal/faulttest/soak.go
@@ -41,13 +41,13 @@
 	// could not be given. Unanswered is the longest that a job was asked about in vain.
 	Questions, Refused int
 	Unanswered         time.Duration
-	Broken             []string
+	Violations         []string
 }
 
 // String returns the figures in a line.
 func (r SoakResult) String() string {
-	return fmt.Sprintf("%d jobs, %d called cancelled, %d tasks started, %d answers to users, %.1f s unanswered at most, %d other questions, %d refused, %d faults, %d breaks",
-		r.Jobs, r.Cancelled, r.Tasks, r.Answers, r.Unanswered.Seconds(), r.Questions, r.Refused, r.Faults, len(r.Broken))
+	return fmt.Sprintf("%d jobs, %d called cancelled, %d tasks started, %d answers to users, %.1f s unanswered at most, %d other questions, %d refused, %d faults, %d violations",
+		r.Jobs, r.Cancelled, r.Tasks, r.Answers, r.Unanswered.Seconds(), r.Questions, r.Refused, r.Faults, len(r.Violations))
 }
 
 // SoakTimes returns the intervals of a soak. They keep about the proportions of the real
@@ -117,7 +117,7 @@
 	}
 	s.cluster.mu.Lock()
 	defer s.cluster.mu.Unlock()
-	r.Broken = slices.Concat(s.broken, CheckTaskRuns(runs, cancelledAt, s.cluster.plan.Times.Cancel), s.cluster.problems)
+	r.Violations = slices.Concat(s.violations, CheckTaskRuns(runs, cancelledAt, s.cluster.plan.Times.Cancel), s.cluster.problems)
 	return r
 }
 
--- a/internal/faulttest/soak_users.go
+++ b/internal/faulttest/soak_users.go
@@ -34,10 +34,10 @@
 	cluster *Cluster
 	plan    SoakPlan
 
-	mu      sync.Mutex // guards what follows, and the jobs' fields
-	jobs    []*soakJob
-	answers int
-	broken  []string
+	mu         sync.Mutex // guards what follows, and the jobs' fields
+	jobs       []*soakJob
+	answers    int
+	violations []string
 	// questions and refused count what askAboutUnknownJobs asked, and what was not answered.
 	questions, refused int
 	unanswered         time.Duration // the longest
@@ -76,7 +76,7 @@
 	s.questions++
 	switch status {
 	case http.StatusOK:
-		s.addBrokenLocked("invented: %s at node %d", id, node)
+		s.addViolationLocked("invented: %s at node %d", id, node)
 	case http.StatusNotFound:
 	default:
 		s.refused++
@@ -130,7 +130,7 @@
 func (s *soak) submit(j *soakJob, r *rand.Rand, until time.Time) bool {
 	body, err := wire.Encode(s.cluster.submission(j.id, j.tasks, 20))
 	if err != nil {
-		s.addBroken("submission: %v", err)
+		s.addViolation("submission: %v", err)
 		return false
 	}
 	for time.Now().Before(until) {
@@ -140,7 +140,7 @@
 			s.addJob(j)
 			return true
 		case http.StatusBadRequest, http.StatusUnprocessableEntity:
-			s.addBroken("a good submission of %s got %d", j.id, status)
+			s.addViolation("a good submission of %s got %d", j.id, status)
 			return false
 		}
 		s.cluster.pause(submitPause)
@@ -188,7 +188,7 @@
 	status, answer := s.send(node, method, "/submissions/"+j.id+operation, nil)
 	switch status {
 	case http.StatusNotFound:
-		s.addBroken("forgotten: %s got 404 from node %d", j.id, node)
+		s.addViolation("forgotten: %s got 404 from node %d", j.id, node)
 	case http.StatusOK:
 		s.checkAnswer(j, node, before, answer.State)
 	}
@@ -207,12 +207,12 @@
 	s.answers++
 	s.checkWait(j, time.Now())
 	if before != "" && state != before {
-		s.addBrokenLocked("went_back: %s was %s, node %d calls it %s", j.id, before, node, state)
+		s.addViolationLocked("went_back: %s was %s, node %d calls it %s", j.id, before, node, state)
 	}
 	switch state {
 	case wire.StateCancelled:
 		if !j.cancelRequested {
-			s.addBrokenLocked("went_back: %s is called cancelled, nobody asked for it", j.id)
+			s.addViolationLocked("went_back: %s is called cancelled, nobody asked for it", j.id)
 		}
 		if j.cancelledAt.IsZero() {
 			j.cancelledAt = time.Now()
@@ -228,18 +228,18 @@
 	waited := now.Sub(j.answeredAt)
 	s.unanswered = max(s.unanswered, waited)
 	if waited > maxUnanswered {
-		s.addBrokenLocked("forgotten: no question about %s was answered for %.1f s", j.id, waited.Seconds())
+		s.addViolationLocked("forgotten: no question about %s was answered for %.1f s", j.id, waited.Seconds())
 	}
 	j.answeredAt = now
 }
 
-func (s *soak) addBroken(format string, args ...any) {
+func (s *soak) addViolation(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.addBrokenLocked(format, args...)
+	s.addViolationLocked(format, args...)
 }
 
-func (s *soak) addBrokenLocked(format string, args ...any) {
+func (s *soak) addViolationLocked(format string, args ...any) {
 	at := time.Since(s.cluster.server.Clock.Began())
-	s.broken = append(s.broken, fmt.Sprintf("%.1f s: ", at.Seconds())+fmt.Sprintf(format, args...))
+	s.violations = append(s.violations, fmt.Sprintf("%.1f s: ", at.Seconds())+fmt.Sprintf(format, args...))
 }
--- a/internal/faulttest/task_runs.go
+++ b/internal/faulttest/task_runs.go
@@ -65,19 +65,19 @@
 // CheckTaskRuns finds tasks that ran on for longer than cancel after their job was reported as
 // cancelled, and tasks that started on one machine while they were on another. The runs are
 // by task and start; cancelledAt is by job.
-func CheckTaskRuns(runs []TaskRun, cancelledAt map[string]time.Time, cancel time.Duration) (broken []string) {
+func CheckTaskRuns(runs []TaskRun, cancelledAt map[string]time.Time, cancel time.Duration) (violations []string) {
 	for i, run := range runs {
 		if at, ok := cancelledAt[run.job()]; ok && run.To.Sub(at) > cancel {
-			broken = append(broken, fmt.Sprintf("ran_cancelled: %s was on %s until %.1f s after its job was called cancelled", run.Task, run.Machine, run.To.Sub(at).Seconds()))
+			violations = append(violations, fmt.Sprintf("ran_cancelled: %s was on %s until %.1f s after its job was called cancelled", run.Task, run.Machine, run.To.Sub(at).Seconds()))
 		}
 		for _, later := range runs[i+1:] {
 			if later.Task != run.Task {
 				break
 			}
 			if later.Machine != run.Machine && later.From.Before(run.To) {
-				broken = append(broken, fmt.Sprintf("ran_twice: %s started on %s while it was on %s for another %.1f s", run.Task, later.Machine, run.Machine, run.To.Sub(later.From).Seconds()))
+				violations = append(violations, fmt.Sprintf("ran_twice: %s started on %s while it was on %s for another %.1f s", run.Task, later.Machine, run.Machine, run.To.Sub(later.From).Seconds()))
 			}
 		}
 	}
-	return broken
+	return violations
 }
--- a/internal/faulttest/task_runs_test.go
+++ b/internal/faulttest/task_runs_test.go
@@ -25,7 +25,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if got := CheckTaskRuns(tc.runs, cancelledAt, 10*time.Second); len(got) != tc.found {
-				t.Errorf("%d breaks, want %d: %v", len(got), tc.found, got)
+				t.Errorf("%d violations, want %d: %v", len(got), tc.found, got)
 			}
 		})
 	}
--- a/internal/measure/cluster.go
+++ b/internal/measure/cluster.go
@@ -7,7 +7,7 @@
 	"garnethitch/internal/faulttest"
 )
 
-// clusterCommand runs a cluster to try things on.
+// clusterCommand runs a cluster to try the command line on.
 type clusterCommand struct {
 	Nodes int           `default:"3" help:"Controllers."`
 	For   time.Duration `default:"1m" help:"How long it runs."`
@@ -15,7 +15,9 @@
 
 // Run prints the controllers' internal addresses, and submits work until the end.
 func (c *clusterCommand) Run() error {
-	cluster, err := faulttest.NewCluster(faulttest.ClusterPlan{Seed: 1, Nodes: c.Nodes, Machines: 24, Teams: []string{"kigali", "rubavu", "karongi"}, Groups: faulttest.GrantGroups()})
+	cluster, err := faulttest.NewCluster(faulttest.ClusterPlan{
+		Seed: 1, Nodes: c.Nodes, Machines: 24, Teams: faulttest.Teams(), Groups: faulttest.GrantGroups(),
+	})
 	if err != nil {
 		return err
 	}
--- a/internal/measure/digest.go
+++ b/internal/measure/digest.go
@@ -15,7 +15,7 @@
 	Parallel int    `default:"4" help:"How many runs at a time."`
 }
 
-// Run plays the plans and prints one line per run, in a command that is always the same.
+// Run plays the plans and prints one line per run, in an order that is always the same.
 func (d *digestCommand) Run() error {
 	runs := digest.Runs(simulation.RulePlans(), d.Plan, d.Seeds)
 	if len(runs) == 0 {
--- a/internal/measure/grants.go
+++ b/internal/measure/grants.go
@@ -13,7 +13,7 @@
 	Seeds    int    `default:"50" help:"How many seeds."`
 	Grants   int    `default:"2000" help:"Grants of each seed."`
 	Parallel int    `default:"4" help:"Seeds played at a time."`
-	Calm     bool   `help:"No troubles, and limits that stay."`
+	Calm     bool   `help:"No faults, and limits that stay."`
 }
 
 // Run plays the seeds; an overshoot is an error.
--- a/internal/measure/main.go
+++ b/internal/measure/main.go
@@ -1,7 +1,7 @@
 // Command measure takes measurements that are too long for the tests. Each prints its
-// figures, writes one heartbeat, and stops by itself.
+// figures and stops by itself.
 //
-//	go run ./internal/measure digest --plan quiet
+//	go run ./internal/measure digest --plan churn
 //	go run ./internal/measure grants --seeds 50 --grants 2000
 //	go run ./internal/measure quota --seed 1
 //	go run ./internal/measure soak --seeds 50 --first 1
@@ -21,8 +21,8 @@
 	Digest  digestCommand  `cmd:"" help:"Hashes of all messages that controllers send in the simulation."`
 	Grants  grantsCommand  `cmd:"" help:"Concurrent grants of real controllers on loopback, checked for overshoots."`
 	Cluster clusterCommand `cmd:"" help:"Run controllers on loopback for a while, to try the command line on."`
-	Size    sizeCommand    `cmd:"" help:"The simulation at production size, controllers that know little."`
-	Soak    soakCommand    `cmd:"" help:"Real processes on loopback, through troubles, with users who cancel."`
+	Size    sizeCommand    `cmd:"" help:"The simulation at production size, controllers with old knowledge."`
+	Soak    soakCommand    `cmd:"" help:"Real processes on loopback, through faults, with users who cancel."`
 	Quota   quotaCommand   `cmd:"" help:"Three ways to keep a limit across controllers, simulated."`
 }
 
@@ -35,7 +35,7 @@
 	}
 }
 
-// figures sum up samples.
+// figures are the summary of samples.
 type figures struct {
 	count             int
 	median, p99, most float64
--- /dev/null
+++ b/internal/measure/quota_mechanisms.go
@@ -0,0 +1,236 @@
+package main
+
+import (
+	"garnethitch/internal/micros"
+	"garnethitch/quota"
+)
+
+// mechanism is one way to keep a limit.
+type mechanism interface {
+	// request asks for a start by a controller; start is called if and when it is granted.
+	request(node int, start func())
+	// ended says that a task has ended.
+	ended(node int)
+	// controllerReplaced says that the controller that had ended is replaced.
+	controllerReplaced()
+	// lowerLimit lowers the limit.
+	lowerLimit(limit float64)
+	// inForce reports whether the limit that was lowered to holds.
+	inForce() bool
+	writes() int
+}
+
+// oneOwner has controller 0 count for all; the others ask it.
+type oneOwner struct {
+	run   *quotaRun
+	limit float64
+	used  float64
+	queue []func()
+}
+
+func (o *oneOwner) request(_ int, start func()) {
+	o.run.after(o.run.between(ms, 4*ms), func() {
+		o.queue = append(o.queue, start)
+		o.grant()
+	})
+}
+
+func (o *oneOwner) grant() {
+	for o.run.dead != 0 && len(o.queue) > 0 && o.used < o.limit {
+		start := o.queue[0]
+		o.queue = o.queue[1:]
+		o.used++
+		o.run.after(o.run.between(ms, 4*ms), start)
+	}
+}
+
+func (o *oneOwner) ended(int) {
+	o.run.after(o.run.between(ms, 4*ms), func() {
+		o.used--
+		o.grant()
+	})
+}
+
+func (o *oneOwner) controllerReplaced() { o.grant() }
+
+func (o *oneOwner) lowerLimit(limit float64) { o.limit = limit }
+func (o *oneOwner) inForce() bool            { return o.used <= o.limit }
+func (o *oneOwner) writes() int              { return 0 }
+
+// writePerGrant makes each start and end a conditional write of one record.
+type writePerGrant struct {
+	run    *quotaRun
+	limit  float64
+	used   float64
+	count  int
+	queues [controllers][]func()
+	ends   [controllers]int
+	busy   [controllers]bool
+}
+
+func (w *writePerGrant) request(node int, start func()) {
+	w.queues[node] = append(w.queues[node], start)
+	w.write(node)
+}
+
+func (w *writePerGrant) ended(node int) {
+	w.ends[node]++
+	w.write(node)
+}
+
+// write sends the next write of a controller: ends together, starts one by one.
+func (w *writePerGrant) write(node int) {
+	if w.busy[node] {
+		return
+	}
+	w.busy[node] = true
+	w.run.after(w.run.between(2*ms, 10*ms), func() {
+		again := func(d micros.Micros) {
+			w.busy[node] = false
+			w.run.after(d, func() { w.write(node) })
+		}
+		switch {
+		case w.ends[node] == 0 && (len(w.queues[node]) == 0 || w.used >= w.limit):
+			again(20 * ms)
+		case w.run.dead == node || w.run.cut == node:
+			again(100 * ms)
+		case !w.run.mayWrite():
+			again(w.run.between(20*ms, 60*ms))
+		case w.ends[node] > 0:
+			w.count++
+			w.used -= float64(w.ends[node])
+			w.ends[node] = 0
+			again(0)
+		default:
+			w.count++
+			start := w.queues[node][0]
+			w.queues[node] = w.queues[node][1:]
+			w.used++
+			w.run.after(w.run.between(2*ms, 10*ms), start)
+			again(0)
+		}
+	})
+}
+
+func (w *writePerGrant) controllerReplaced() {}
+
+func (w *writePerGrant) lowerLimit(limit float64) { w.limit = limit }
+func (w *writePerGrant) inForce() bool            { return w.used <= w.limit }
+func (w *writePerGrant) writes() int              { return w.count }
+
+// allowances is package quota over a simulated store.
+type allowances struct {
+	run         *quotaRun
+	rec         quota.Record
+	modRevision uint64
+	count       int
+	ledgers     [controllers]*quota.Ledger
+	queues      [controllers][]func()
+	used        [controllers]float64
+}
+
+const group = "all"
+
+func newAllowances(run *quotaRun) mechanism {
+	a := &allowances{run: run, modRevision: 1}
+	a.rec = quota.Record{Definition: quota.Definition{Name: group, Teams: []string{"t"}, Limit: quota.CPULimit(limitBefore)}, Epoch: 1}
+	for i := range a.ledgers {
+		a.ledgers[i] = quota.NewLedger(quota.Config{Shards: controllers, Timing: quota.DefaultTiming()})
+		a.step(i, quota.Held{Shard: i})
+		a.step(i, quota.Learned{Group: group, Record: a.rec, ModRevision: a.modRevision})
+		a.step(i, quota.Refreshed{Shard: i})
+		a.reportUsage(i)
+	}
+	return a
+}
+
+func (a *allowances) request(node int, start func()) {
+	a.queues[node] = append(a.queues[node], start)
+	a.grant(node)
+}
+
+func (a *allowances) ended(node int) {
+	a.used[node]--
+	a.grant(node)
+}
+
+// grant starts what waits at a controller, up to its allowance.
+func (a *allowances) grant(node int) {
+	for a.run.dead != node && len(a.queues[node]) > 0 && a.used[node] < a.ledgers[node].Allowed(node, group).CPUs {
+		start := a.queues[node][0]
+		a.queues[node] = a.queues[node][1:]
+		a.used[node]++
+		a.ledgers[node].Granted(node, group, quota.Amount{CPUs: 1})
+		a.run.after(0, start)
+	}
+}
+
+// reportUsage tells a controller's ledger what is used, now and four times a second.
+func (a *allowances) reportUsage(node int) {
+	a.run.after(250*ms, func() { a.reportUsage(node) })
+	if a.run.dead == node {
+		return
+	}
+	team := quota.TeamDemand{Groups: []string{group}, Used: quota.Amount{CPUs: a.used[node]}}
+	if n := len(a.queues[node]); n > 0 {
+		team.Waiting = []quota.WaitingTasks{{Size: quota.Amount{CPUs: 1}, Count: n, SinceMS: 1}}
+	}
+	a.step(node, quota.Used{Shard: node, Groups: a.ledgers[node].Claims(node, true, []quota.TeamDemand{team})})
+}
+
+// step gives a controller's ledger an input, and carries out what it asks for.
+func (a *allowances) step(node int, in quota.Input) {
+	now := quota.Instant{Steady: a.run.now, WallMS: a.run.now.Millis()}
+	for _, e := range a.ledgers[node].Step(now, in) {
+		switch e := e.(type) {
+		case quota.Write:
+			a.write(node, e)
+		case quota.Read:
+			a.deliver(node)
+		}
+	}
+	a.grant(node)
+}
+
+func (a *allowances) write(node int, w quota.Write) {
+	a.run.after(a.run.between(2*ms, 10*ms), func() {
+		out := quota.Wrote{ID: w.ID, Outcome: quota.Refused}
+		switch {
+		case a.run.dead == node || a.run.cut == node || !a.run.mayWrite():
+			out.Outcome = quota.NotSent
+		case a.modRevision == w.ModRevision:
+			a.modRevision++
+			a.count++
+			a.rec, out.Outcome, out.ModRevision = w.Record, quota.Applied, a.modRevision
+			for other := range a.ledgers {
+				a.deliver(other)
+			}
+		}
+		a.run.after(a.run.between(2*ms, 10*ms), func() { a.step(node, out) })
+	})
+}
+
+// deliver brings the record by a read or a watch.
+func (a *allowances) deliver(node int) {
+	rec, modRevision := a.rec, a.modRevision
+	a.run.after(a.run.between(5*ms, 100*ms), func() {
+		if a.run.cut == node || a.run.dead == node {
+			a.run.after(500*ms, func() { a.deliver(node) })
+			return
+		}
+		a.step(node, quota.Learned{Group: group, Record: rec, ModRevision: modRevision})
+	})
+}
+
+func (a *allowances) controllerReplaced() {}
+
+func (a *allowances) lowerLimit(limit float64) {
+	l := quota.CPULimit(limit)
+	a.step(1, quota.Set{Token: 1, Group: group, Limit: &l})
+}
+
+func (a *allowances) inForce() bool {
+	return a.rec.Limit.Equal(quota.CPULimit(limitAfter)) && a.rec.InForce(controllers)
+}
+
+func (a *allowances) writes() int { return a.count }
--- a/internal/measure/seeds.go
+++ b/internal/measure/seeds.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// seedsFrom lists a number of seeds.
+// seedsFrom returns count seeds, beginning with first.
 func seedsFrom(first uint64, count int) (seeds []uint64) {
 	for i := range count {
 		seeds = append(seeds, first+uint64(i))
@@ -10,7 +10,7 @@
 	return seeds
 }
 
-// nodesFor is how many controllers a seed is played with, where nobody says.
+// nodesFor returns how many controllers a seed is played with by default.
 func nodesFor(seed uint64) int { return []int{3, 2, 5}[seed%3] }
 
 // playSeeds plays seeds, so many at a time, and hands each result on as it comes. The first
--- a/internal/measure/size.go
+++ b/internal/measure/size.go
@@ -16,14 +16,14 @@
 	StateRPS  float64       `default:"60" help:"Requests a second that the state service takes."`
 	WriteRPS  float64       `default:"20" help:"Writes a second that it takes."`
 	Slow      micros.Micros `default:"0" help:"How long a step takes for a while on one controller and then on all, in microseconds."`
-	Questions float64       `help:"Questions of users a second, each at all controllers, beside their polls."`
-	Faults    bool          `help:"Troubles of single parts, too."`
-	Fleet     bool          `help:"Troubles that hit many machines or all controllers at a time, too."`
+	Questions float64       `help:"Questions of users a second, each at all controllers, beside what they ask about their own jobs."`
+	Faults    bool          `help:"Faults of single parts, too."`
+	Fleet     bool          `help:"Faults that hit many machines or all controllers at a time, too."`
 }
 
 // Run plays the seeds; a broken rule is an error.
 func (s *sizeCommand) Run() error {
-	breaks := 0
+	violations := 0
 	for i := range s.Seeds {
 		p := simulation.Plan{
 			Seed: s.First + uint64(i), Nodes: 3, Machines: s.Machines, InitialMachines: s.Machines, Jobs: s.Machines / 8, Large: true, StaleJobs: true,
@@ -32,9 +32,9 @@
 		}
 		sim := simulation.New(p)
 		sim.Run()
-		fmt.Printf("seed %d: %d tasks started, %d restarts, %d times with little knowledge, %d breaks\n", p.Seed, sim.Started, sim.Restarts, sim.StaleEpisodes, len(sim.Violations))
+		fmt.Printf("seed %d: %d tasks started, %d restarts, %d episodes of old knowledge, %d violations\n", p.Seed, sim.Started, sim.Restarts, sim.StaleEpisodes, len(sim.Violations))
 		if s.Questions > 0 {
-			fmt.Printf("seed %d: %d questions at all controllers, %d answers refused\n", p.Seed, sim.StatusRequests, sim.RefusedRequests)
+			fmt.Printf("seed %d: %d status requests at all controllers, %d answers refused\n", p.Seed, sim.StatusRequests, sim.RefusedRequests)
 		}
 		for _, m := range sim.StateRequests() {
 			fmt.Printf("seed %d: requests to the state service, class %s: %d sent, %d expired unsent, %d rejected, longest wait %d ms\n", p.Seed, m.Class, m.Sent, m.Expired, m.Rejected, m.LongestWait.Millis())
@@ -42,10 +42,10 @@
 		for _, line := range sim.Violations {
 			fmt.Printf("seed %d: %s\n", p.Seed, line)
 		}
-		breaks += len(sim.Violations)
+		violations += len(sim.Violations)
 	}
-	if breaks > 0 {
-		return fmt.Errorf("%d breaks", breaks)
+	if violations > 0 {
+		return fmt.Errorf("%d violations", violations)
 	}
 	return nil
 }
--- a/internal/measure/soak.go
+++ b/internal/measure/soak.go
@@ -23,10 +23,10 @@
 	Questions float64 `help:"Questions a second, at all controllers, about jobs that nobody submitted."`
 	StateRPS  float64 `help:"Requests a second that the state service takes by the settings; 0: plenty."`
 	WriteRPS  float64 `help:"Writes a second that it takes; 0: plenty."`
-	Only      []int   `help:"Play only the troubles of these numbers."`
+	Only      []int   `help:"Play only the faults of these numbers."`
 	Dir       string  `default:"target/soak" help:"For the binary, settings and logs."`
 	Binary    string  `type:"existingfile" help:"A controller's program; left out, it is built."`
-	Plan      bool    `help:"Print the troubles and stop."`
+	Plan      bool    `help:"Print the faults and stop."`
 }
 
 // Run plays the seeds; a break is an error.
@@ -37,8 +37,8 @@
 	}
 	if s.Plan {
 		for _, seed := range seeds {
-			for i, t := range s.plan(seed).Faults() {
-				fmt.Printf("seed %d, trouble %d: %s\n", seed, i, t)
+			for i, fault := range s.plan(seed).Faults() {
+				fmt.Printf("seed %d, fault %d: %s\n", seed, i, fault)
 			}
 		}
 		return nil
@@ -46,30 +46,33 @@
 	if err := s.build(); err != nil {
 		return err
 	}
-	breaks, cancelled, tasks := 0, 0, 0
+	violations, cancelled, tasks := 0, 0, 0
 	err := playSeeds(seeds, s.Parallel, s.play, func(seed uint64, r faulttest.SoakResult) {
 		fmt.Printf("seed %d, %d controllers: %s\n", seed, s.plan(seed).Nodes, r)
-		for _, line := range r.Broken {
+		for _, line := range r.Violations {
 			fmt.Printf("seed %d: %s\n", seed, line)
 		}
-		breaks += len(r.Broken)
+		violations += len(r.Violations)
 		cancelled += r.Cancelled
 		tasks += r.Tasks
 	})
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%d seeds of %.1f minutes, %d workers: %d jobs called cancelled, %d tasks started, %d breaks; logs in %s\n", len(seeds), s.Minutes, s.Workers, cancelled, tasks, breaks, s.Dir)
-	if breaks > 0 {
-		return fmt.Errorf("%d breaks", breaks)
+	fmt.Printf("%d seeds of %.1f minutes, %d workers: %d jobs called cancelled, %d tasks started, %d violations; logs in %s\n", len(seeds), s.Minutes, s.Workers, cancelled, tasks, violations, s.Dir)
+	if violations > 0 {
+		return fmt.Errorf("%d violations", violations)
 	}
 	return nil
 }
 
-// plan is what a seed is played with.
+// plan returns what a seed is played with.
 func (s *soakCommand) plan(seed uint64) faulttest.SoakPlan {
-	return faulttest.SoakPlan{Seed: seed, Nodes: cmp.Or(s.Nodes, nodesFor(seed)), Workers: s.Workers, Questions: s.Questions, StateRPS: s.StateRPS, WriteRPS: s.WriteRPS, Length: time.Duration(s.Minutes * float64(time.Minute)),
-		Binary: s.Binary, Dir: filepath.Join(s.Dir, fmt.Sprintf("seed-%d", seed)), Only: s.Only}
+	return faulttest.SoakPlan{
+		Seed: seed, Nodes: cmp.Or(s.Nodes, nodesFor(seed)), Workers: s.Workers, Length: time.Duration(s.Minutes * float64(time.Minute)),
+		Questions: s.Questions, StateRPS: s.StateRPS, WriteRPS: s.WriteRPS,
+		Binary: s.Binary, Dir: filepath.Join(s.Dir, fmt.Sprintf("seed-%d", seed)), Only: s.Only,
+	}
 }
 
 // play plays one seed; what an earlier play left in its directory goes.
--- a/internal/simulation/check_service.go
+++ b/internal/simulation/check_service.go
@@ -128,7 +128,7 @@
 		return
 	}
 	if waited := s.now - u.waitingSince; waited > maxWaitDespiteCapacity {
-		s.violated("left waiting: %s (%s) for %v s beside free room, %d of %d tasks done", u.sub.ID, u.sub.Class, waited.Seconds(), len(u.done), u.sub.Tasks)
+		s.violated("left waiting: %s (%s) for %v s beside free capacity, %d of %d tasks done", u.sub.ID, u.sub.Class, waited.Seconds(), len(u.done), u.sub.Tasks)
 	}
 }
 
--- a/internal/simulation/check_tasks.go
+++ b/internal/simulation/check_tasks.go
@@ -136,7 +136,7 @@
 		job, _, err := wire.ParseTask(command.Task)
 		u := s.userOf(job)
 		if err == nil && u != nil && u.cancelConfirmed != 0 {
-			s.violated("%s sends a start of %s %v s after its user was told that it is cancelled", n.label, command.Task, (s.now - u.cancelConfirmed).Seconds())
+			s.violated("%s sends a start of %s %v s after its cancellation was confirmed", n.label, command.Task, (s.now - u.cancelConfirmed).Seconds())
 		}
 	}
 }
--- a/internal/simulation/large_fleet_test.go
+++ b/internal/simulation/large_fleet_test.go
@@ -22,7 +22,7 @@
 		if s.Started == 0 || s.Finished == 0 {
 			t.Errorf("nothing ran: %d started, %d finished", s.Started, s.Finished)
 		}
-		t.Logf("%d machines: %d heartbeats, %.1f looked at by each; %d rounds, %.0f by each, %d at most; %d tasks",
+		t.Logf("%d machines: %d heartbeats, %.1f visited by each; %d rounds, %.0f by each, %d at most; %d tasks",
 			machines, s.Heartbeats.steps, s.Heartbeats.mean(), s.Rounds.steps, s.Rounds.mean(), s.Rounds.most, s.Finished)
 		return cost{s.Heartbeats.mean(), s.Rounds.mean() / float64(machines), float64(s.Rounds.most) / float64(machines)}
 	}
@@ -38,13 +38,13 @@
 	}
 	large := play(4000, 1)
 	if large.heartbeat > small.heartbeat+maxMoreVisited {
-		t.Errorf("a heartbeat makes a controller look at %.1f machines, jobs and attempts, at 1000 machines at %.1f", large.heartbeat, small.heartbeat)
+		t.Errorf("a heartbeat makes a controller visit %.1f machines, jobs and attempts, at 1000 machines at %.1f", large.heartbeat, small.heartbeat)
 	}
 	if large.round > 1.5*small.round {
-		t.Errorf("a round looks %.2f times at each machine, at 1000 machines %.2f times", large.round, small.round)
+		t.Errorf("a round visits each machine %.2f times, at 1000 machines %.2f times", large.round, small.round)
 	}
 	if large.mostRound > 2*small.mostRound+1 {
-		t.Errorf("the costliest round looks %.1f times at each machine, at 1000 machines %.1f times", large.mostRound, small.mostRound)
+		t.Errorf("the costliest round visits each machine %.1f times, at 1000 machines %.1f times", large.mostRound, small.mostRound)
 	}
 }
 
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -23,7 +23,7 @@
 	rounding = 1e-6
 )
 
-// Worker is a machine with its worker.
+// Worker is a machine and the worker on it.
 type Worker struct {
 	*fakes.Machine
 	sim        *Simulation
@@ -80,7 +80,7 @@
 	w.sim.after(d, func() { w.Dead, w.Reclaimed = true, true })
 }
 
-// tick lets time pass on the machine. A hanging one does nothing, and looks at
+// tick lets time pass on the machine. A hanging one does nothing, and checks
 // its lease first when it goes on.
 func (w *Worker) tick() {
 	s := w.sim
