--- a/internal/digest/digest_test.go
+++ b/internal/digest/digest_test.go
@@ -31,15 +31,15 @@
 	lines := recorded(t)
 	plans := simulation.RulePlans()
 	for _, name := range []string{
-		"quiet, jobs parted",
-		"troubles, teams parted",
-		"meetings, teams parted",
-		"stale, jobs parted",
-		"pipelines and troubles, jobs parted",
-		"a roll, jobs parted",
-		"a roll from the last landing and meetings",
-		"groups and meetings, teams parted",
-		"groups, a roll from the version before and back",
+		"no faults, sharded by job",
+		"faults, sharded by team",
+		"concurrent faults, sharded by team",
+		"stale jobs, sharded by job",
+		"DAGs and faults, sharded by job",
+		"upgrade, sharded by job",
+		"upgrade from the previous release and concurrent faults",
+		"groups and concurrent faults, sharded by team",
+		"groups, upgrade from a release without groups, and back",
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/simulation/plans.go
+++ b/internal/simulation/plans.go
@@ -77,103 +77,103 @@
 // faultPlans are about faults of single parts, and of many at a time.
 func faultPlans() []NamedPlan {
 	return []NamedPlan{
-		{"quiet, jobs parted", Plan{Teams: oneTeam(), Nodes: 3, Machines: 8, Jobs: 20}, 2},
-		{"quiet, teams parted", Plan{Teams: fourTeams(), Nodes: 3, Machines: 10, Jobs: 25}, 2},
-		{"troubles, jobs parted", Plan{Teams: oneTeam(), Nodes: 3, Machines: 8, Jobs: 20, Faults: true}, 24},
-		{"troubles, teams parted", Plan{Teams: fourTeams(), Nodes: 3, Machines: 10, Jobs: 25, Faults: true}, 24},
-		{"troubles, two nodes", Plan{Teams: fourTeams(), Nodes: 2, Machines: 6, Jobs: 12, Faults: true}, 8},
-		{"troubles, one node", Plan{Teams: oneTeam(), Nodes: 1, Machines: 6, Jobs: 12, Faults: true}, 6},
-		{"grown, jobs parted", Plan{Teams: oneTeam(), Nodes: 3, Machines: 300, Jobs: 60, Large: true, Faults: true}, 2},
-		{"grown, teams parted", Plan{Teams: largeTeams(), Nodes: 3, Machines: 300, Jobs: 60, Large: true, Faults: true}, 2},
-		{"many at a time, jobs parted", Plan{Teams: oneTeam(), Nodes: 3, Machines: 20, Jobs: 30, Faults: true, FleetFaults: true}, 12},
-		{"many at a time, teams parted", Plan{Teams: fourTeams(), Nodes: 3, Machines: 20, Jobs: 30, Faults: true, FleetFaults: true}, 12},
-		{"fleet, jobs parted", Plan{Teams: oneTeam(), Nodes: 3, Machines: 1200, Jobs: 120, Large: true, Faults: true, FleetFaults: true}, 2},
-		{"fleet, teams parted", Plan{Teams: fleetTeams(), Nodes: 3, Machines: 1200, Jobs: 120, Large: true, Faults: true, FleetFaults: true}, 2},
+		{"no faults, sharded by job", Plan{Teams: oneTeam(), Nodes: 3, Machines: 8, Jobs: 20}, 2},
+		{"no faults, sharded by team", Plan{Teams: fourTeams(), Nodes: 3, Machines: 10, Jobs: 25}, 2},
+		{"faults, sharded by job", Plan{Teams: oneTeam(), Nodes: 3, Machines: 8, Jobs: 20, Faults: true}, 24},
+		{"faults, sharded by team", Plan{Teams: fourTeams(), Nodes: 3, Machines: 10, Jobs: 25, Faults: true}, 24},
+		{"faults, two nodes", Plan{Teams: fourTeams(), Nodes: 2, Machines: 6, Jobs: 12, Faults: true}, 8},
+		{"faults, one node", Plan{Teams: oneTeam(), Nodes: 1, Machines: 6, Jobs: 12, Faults: true}, 6},
+		{"large, sharded by job", Plan{Teams: oneTeam(), Nodes: 3, Machines: 300, Jobs: 60, Large: true, Faults: true}, 2},
+		{"large, sharded by team", Plan{Teams: largeTeams(), Nodes: 3, Machines: 300, Jobs: 60, Large: true, Faults: true}, 2},
+		{"fleet faults, sharded by job", Plan{Teams: oneTeam(), Nodes: 3, Machines: 20, Jobs: 30, Faults: true, FleetFaults: true}, 12},
+		{"fleet faults, sharded by team", Plan{Teams: fourTeams(), Nodes: 3, Machines: 20, Jobs: 30, Faults: true, FleetFaults: true}, 12},
+		{"large fleet, sharded by job", Plan{Teams: oneTeam(), Nodes: 3, Machines: 1200, Jobs: 120, Large: true, Faults: true, FleetFaults: true}, 2},
+		{"large fleet, sharded by team", Plan{Teams: fleetTeams(), Nodes: 3, Machines: 1200, Jobs: 120, Large: true, Faults: true, FleetFaults: true}, 2},
 	}
 }
 
 // slowPlans are about steps that take so long that inputs come twice, and ten times, as fast as they can be taken.
 func slowPlans() []NamedPlan {
 	return []NamedPlan{
-		{"slow, jobs parted", Plan{Teams: oneTeam(), Nodes: 3, Machines: 8, Jobs: 20, SlowStep: 30 * ms}, 4},
-		{"slow, teams parted", Plan{Teams: fourTeams(), Nodes: 3, Machines: 10, Jobs: 25, SlowStep: 30 * ms}, 4},
-		{"ten times too slow, jobs parted", Plan{Teams: oneTeam(), Nodes: 3, Machines: 8, Jobs: 20, SlowStep: 300 * ms}, 4},
-		{"ten times too slow, teams parted", Plan{Teams: fourTeams(), Nodes: 3, Machines: 10, Jobs: 25, SlowStep: 300 * ms}, 4},
+		{"slow steps, sharded by job", Plan{Teams: oneTeam(), Nodes: 3, Machines: 8, Jobs: 20, SlowStep: 30 * ms}, 4},
+		{"slow steps, sharded by team", Plan{Teams: fourTeams(), Nodes: 3, Machines: 10, Jobs: 25, SlowStep: 30 * ms}, 4},
+		{"very slow steps, sharded by job", Plan{Teams: oneTeam(), Nodes: 3, Machines: 8, Jobs: 20, SlowStep: 300 * ms}, 4},
+		{"very slow steps, sharded by team", Plan{Teams: fourTeams(), Nodes: 3, Machines: 10, Jobs: 25, SlowStep: 300 * ms}, 4},
 	}
 }
 
 // concurrentFaultPlans are about concurrent faults, and controllers that act on old knowledge.
 func concurrentFaultPlans() []NamedPlan {
 	return []NamedPlan{
-		{"the gap, jobs parted", Plan{Teams: oneTeam(), Nodes: 3, Machines: 14, Jobs: 40, LongOutage: true}, 6},
-		{"the gap, teams parted", Plan{Teams: fourTeams(), Nodes: 3, Machines: 14, Jobs: 40, LongOutage: true}, 6},
-		{"meetings, jobs parted", Plan{Teams: oneTeam(), Nodes: 3, Machines: 12, Jobs: 30, ConcurrentFaults: true}, 16},
-		{"meetings, teams parted", Plan{Teams: fourTeams(), Nodes: 3, Machines: 12, Jobs: 30, ConcurrentFaults: true}, 16},
-		{"meetings and troubles, jobs parted", Plan{Teams: oneTeam(), Nodes: 3, Machines: 12, Jobs: 30, ConcurrentFaults: true, Faults: true}, 8},
-		{"meetings and troubles, teams parted", Plan{Teams: fourTeams(), Nodes: 3, Machines: 12, Jobs: 30, ConcurrentFaults: true, Faults: true}, 8},
-		{"stale, jobs parted", Plan{Teams: oneTeam(), Nodes: 3, Machines: 14, Jobs: 40, StaleJobs: true}, 24},
-		{"stale, teams parted", Plan{Teams: fourTeams(), Nodes: 3, Machines: 14, Jobs: 40, StaleJobs: true}, 8},
-		{"stale, few ends kept", Plan{Teams: oneTeam(), Nodes: 3, Machines: 14, Jobs: 40, StaleJobs: true, MaxFinalJobs: 1}, 24},
-		{"stale and troubles, few ends kept", Plan{Teams: fourTeams(), Nodes: 3, Machines: 14, Jobs: 40, StaleJobs: true, MaxFinalJobs: 1, Faults: true}, 12},
-		{"a roll while controllers know little, few ends kept", Plan{Teams: fourTeams(), Nodes: 3, Machines: 14, Jobs: 40, StaleJobs: true, MaxFinalJobs: 1, UpgradeFrom: ReleaseWithoutDependencies}, 8},
+		{"long outage, sharded by job", Plan{Teams: oneTeam(), Nodes: 3, Machines: 14, Jobs: 40, LongOutage: true}, 6},
+		{"long outage, sharded by team", Plan{Teams: fourTeams(), Nodes: 3, Machines: 14, Jobs: 40, LongOutage: true}, 6},
+		{"concurrent faults, sharded by job", Plan{Teams: oneTeam(), Nodes: 3, Machines: 12, Jobs: 30, ConcurrentFaults: true}, 16},
+		{"concurrent faults, sharded by team", Plan{Teams: fourTeams(), Nodes: 3, Machines: 12, Jobs: 30, ConcurrentFaults: true}, 16},
+		{"concurrent and single faults, sharded by job", Plan{Teams: oneTeam(), Nodes: 3, Machines: 12, Jobs: 30, ConcurrentFaults: true, Faults: true}, 8},
+		{"concurrent and single faults, sharded by team", Plan{Teams: fourTeams(), Nodes: 3, Machines: 12, Jobs: 30, ConcurrentFaults: true, Faults: true}, 8},
+		{"stale jobs, sharded by job", Plan{Teams: oneTeam(), Nodes: 3, Machines: 14, Jobs: 40, StaleJobs: true}, 24},
+		{"stale jobs, sharded by team", Plan{Teams: fourTeams(), Nodes: 3, Machines: 14, Jobs: 40, StaleJobs: true}, 8},
+		{"stale jobs, few final jobs kept", Plan{Teams: oneTeam(), Nodes: 3, Machines: 14, Jobs: 40, StaleJobs: true, MaxFinalJobs: 1}, 24},
+		{"stale jobs and faults, few final jobs kept", Plan{Teams: fourTeams(), Nodes: 3, Machines: 14, Jobs: 40, StaleJobs: true, MaxFinalJobs: 1, Faults: true}, 12},
+		{"upgrade with stale jobs, few final jobs kept", Plan{Teams: fourTeams(), Nodes: 3, Machines: 14, Jobs: 40, StaleJobs: true, MaxFinalJobs: 1, UpgradeFrom: ReleaseWithoutDependencies}, 8},
 	}
 }
 
 // loadPlans are about users who ask more than the state service takes, and many small jobs.
 func loadPlans() []NamedPlan {
 	return []NamedPlan{
-		{"questions, jobs parted", Plan{Teams: oneTeam(), Nodes: 3, Machines: 14, Jobs: 40, StatusRequestRate: 50, StateRPS: 60, WriteRPS: 20}, 4},
-		{"questions and troubles, teams parted", Plan{Teams: fourTeams(), Nodes: 3, Machines: 14, Jobs: 40, StatusRequestRate: 50, StateRPS: 60, WriteRPS: 20, Faults: true}, 8},
-		{"questions while controllers know little", Plan{Teams: oneTeam(), Nodes: 3, Machines: 14, Jobs: 40, StatusRequestRate: 50, StateRPS: 60, WriteRPS: 20, StaleJobs: true}, 8},
-		{"churn, jobs parted", Plan{Teams: oneTeam(), Nodes: 3, Machines: 20, Jobs: 240, Churn: true}, 2},
-		{"churn and meetings, teams parted", Plan{Teams: fourTeams(), Nodes: 3, Machines: 20, Jobs: 240, Churn: true, ConcurrentFaults: true}, 3},
+		{"status requests, sharded by job", Plan{Teams: oneTeam(), Nodes: 3, Machines: 14, Jobs: 40, StatusRequestRate: 50, StateRPS: 60, WriteRPS: 20}, 4},
+		{"status requests and faults, sharded by team", Plan{Teams: fourTeams(), Nodes: 3, Machines: 14, Jobs: 40, StatusRequestRate: 50, StateRPS: 60, WriteRPS: 20, Faults: true}, 8},
+		{"status requests with stale jobs", Plan{Teams: oneTeam(), Nodes: 3, Machines: 14, Jobs: 40, StatusRequestRate: 50, StateRPS: 60, WriteRPS: 20, StaleJobs: true}, 8},
+		{"churn, sharded by job", Plan{Teams: oneTeam(), Nodes: 3, Machines: 20, Jobs: 240, Churn: true}, 2},
+		{"churn and concurrent faults, sharded by team", Plan{Teams: fourTeams(), Nodes: 3, Machines: 20, Jobs: 240, Churn: true, ConcurrentFaults: true}, 3},
 	}
 }
 
 // dagPlans are about jobs that depend on each other.
 func dagPlans() []NamedPlan {
 	return []NamedPlan{
-		{"pipelines, jobs parted", Plan{Teams: oneTeam(), Nodes: 3, Machines: 12, Jobs: 12, DAGs: 4}, 3},
-		{"pipelines, teams parted", Plan{Teams: fourTeams(), Nodes: 3, Machines: 12, Jobs: 12, DAGs: 4}, 3},
-		{"pipelines and troubles, jobs parted", Plan{Teams: oneTeam(), Nodes: 3, Machines: 12, Jobs: 12, DAGs: 4, Faults: true}, 12},
-		{"pipelines and troubles, teams parted", Plan{Teams: fourTeams(), Nodes: 3, Machines: 12, Jobs: 12, DAGs: 4, Faults: true}, 12},
-		{"pipelines and meetings, jobs parted", Plan{Teams: oneTeam(), Nodes: 3, Machines: 12, Jobs: 12, DAGs: 4, ConcurrentFaults: true}, 10},
-		{"pipelines and meetings, teams parted", Plan{Teams: fourTeams(), Nodes: 3, Machines: 12, Jobs: 12, DAGs: 4, ConcurrentFaults: true}, 10},
+		{"DAGs, sharded by job", Plan{Teams: oneTeam(), Nodes: 3, Machines: 12, Jobs: 12, DAGs: 4}, 3},
+		{"DAGs, sharded by team", Plan{Teams: fourTeams(), Nodes: 3, Machines: 12, Jobs: 12, DAGs: 4}, 3},
+		{"DAGs and faults, sharded by job", Plan{Teams: oneTeam(), Nodes: 3, Machines: 12, Jobs: 12, DAGs: 4, Faults: true}, 12},
+		{"DAGs and faults, sharded by team", Plan{Teams: fourTeams(), Nodes: 3, Machines: 12, Jobs: 12, DAGs: 4, Faults: true}, 12},
+		{"DAGs and concurrent faults, sharded by job", Plan{Teams: oneTeam(), Nodes: 3, Machines: 12, Jobs: 12, DAGs: 4, ConcurrentFaults: true}, 10},
+		{"DAGs and concurrent faults, sharded by team", Plan{Teams: fourTeams(), Nodes: 3, Machines: 12, Jobs: 12, DAGs: 4, ConcurrentFaults: true}, 10},
 	}
 }
 
 // upgradePlans are about rolling upgrades.
 func upgradePlans() []NamedPlan {
 	return []NamedPlan{
-		{"a roll, jobs parted", Plan{Teams: oneTeam(), Nodes: 3, Machines: 12, Jobs: 16, DAGs: 4, UpgradeFrom: ReleaseWithoutDependencies}, 4},
-		{"a roll and troubles, jobs parted", Plan{Teams: oneTeam(), Nodes: 3, Machines: 12, Jobs: 16, DAGs: 4, UpgradeFrom: ReleaseWithoutDependencies, Faults: true}, 12},
-		{"a roll and troubles, teams parted", Plan{Teams: fourTeams(), Nodes: 3, Machines: 12, Jobs: 16, DAGs: 4, UpgradeFrom: ReleaseWithoutDependencies, Faults: true}, 12},
-		{"a roll of a grown deployment", Plan{Teams: largeTeams(), Nodes: 3, Machines: 300, Jobs: 40, DAGs: 6, Large: true, UpgradeFrom: ReleaseWithoutDependencies, Faults: true}, 2},
-		{"a roll from the last landing, jobs parted", Plan{Teams: oneTeam(), Nodes: 3, Machines: 12, Jobs: 16, DAGs: 4, UpgradeFrom: ReleaseWithoutDependentRecords, Faults: true}, 6},
-		{"a roll from the last landing, teams parted", Plan{Teams: fourTeams(), Nodes: 3, Machines: 12, Jobs: 16, DAGs: 4, UpgradeFrom: ReleaseWithoutDependentRecords, Faults: true}, 6},
-		{"a roll from the last landing and meetings", Plan{Teams: fourTeams(), Nodes: 3, Machines: 12, Jobs: 16, DAGs: 4, UpgradeFrom: ReleaseWithoutDependentRecords, ConcurrentFaults: true}, 4},
+		{"upgrade, sharded by job", Plan{Teams: oneTeam(), Nodes: 3, Machines: 12, Jobs: 16, DAGs: 4, UpgradeFrom: ReleaseWithoutDependencies}, 4},
+		{"upgrade and faults, sharded by job", Plan{Teams: oneTeam(), Nodes: 3, Machines: 12, Jobs: 16, DAGs: 4, UpgradeFrom: ReleaseWithoutDependencies, Faults: true}, 12},
+		{"upgrade and faults, sharded by team", Plan{Teams: fourTeams(), Nodes: 3, Machines: 12, Jobs: 16, DAGs: 4, UpgradeFrom: ReleaseWithoutDependencies, Faults: true}, 12},
+		{"upgrade of a large deployment", Plan{Teams: largeTeams(), Nodes: 3, Machines: 300, Jobs: 40, DAGs: 6, Large: true, UpgradeFrom: ReleaseWithoutDependencies, Faults: true}, 2},
+		{"upgrade from the previous release, sharded by job", Plan{Teams: oneTeam(), Nodes: 3, Machines: 12, Jobs: 16, DAGs: 4, UpgradeFrom: ReleaseWithoutDependentRecords, Faults: true}, 6},
+		{"upgrade from the previous release, sharded by team", Plan{Teams: fourTeams(), Nodes: 3, Machines: 12, Jobs: 16, DAGs: 4, UpgradeFrom: ReleaseWithoutDependentRecords, Faults: true}, 6},
+		{"upgrade from the previous release and concurrent faults", Plan{Teams: fourTeams(), Nodes: 3, Machines: 12, Jobs: 16, DAGs: 4, UpgradeFrom: ReleaseWithoutDependentRecords, ConcurrentFaults: true}, 4},
 	}
 }
 
 // groupPlans are about groups of teams, whose limits operators change meanwhile.
 func groupPlans() []NamedPlan {
 	return []NamedPlan{
-		{"groups, jobs parted", Plan{Teams: oneTeam(), Nodes: 3, Machines: 10, Jobs: 25, Groups: groupsOver(oneTeam(), 16), Faults: true}, 12},
-		{"groups, teams parted", Plan{Teams: fourTeams(), Nodes: 3, Machines: 10, Jobs: 25, Groups: groupsOver(fourTeams(), 20), Faults: true}, 16},
+		{"groups, sharded by job", Plan{Teams: oneTeam(), Nodes: 3, Machines: 10, Jobs: 25, Groups: groupsOver(oneTeam(), 16), Faults: true}, 12},
+		{"groups, sharded by team", Plan{Teams: fourTeams(), Nodes: 3, Machines: 10, Jobs: 25, Groups: groupsOver(fourTeams(), 20), Faults: true}, 16},
 		{"groups, one team in none", Plan{Teams: fourTeams(), Nodes: 3, Machines: 10, Jobs: 25, Groups: groupsOver(fourTeams()[:3], 16), Faults: true}, 4},
-		{"groups and meetings, jobs parted", Plan{Teams: oneTeam(), Nodes: 3, Machines: 12, Jobs: 25, Groups: groupsOver(oneTeam(), 16), ConcurrentFaults: true}, 8},
-		{"groups and meetings, teams parted", Plan{Teams: fourTeams(), Nodes: 3, Machines: 12, Jobs: 25, Groups: groupsOver(fourTeams(), 20), ConcurrentFaults: true, Faults: true}, 8},
-		{"groups, many at a time", Plan{Teams: fourTeams(), Nodes: 3, Machines: 20, Jobs: 30, Groups: groupsOver(fourTeams(), 24), Faults: true, FleetFaults: true}, 6},
-		{"groups, a roll", Plan{Teams: fourTeams(), Nodes: 3, Machines: 12, Jobs: 16, Groups: groupsOver(fourTeams(), 20), UpgradeFrom: ReleaseWithoutDependencies, Faults: true}, 6},
-		{"groups, a roll from the last landing", Plan{Teams: oneTeam(), Nodes: 3, Machines: 12, Jobs: 16, Groups: groupsOver(oneTeam(), 16), UpgradeFrom: ReleaseWithoutDependentRecords, Faults: true}, 4},
-		{"groups, a roll from the version before and back", Plan{Teams: fourTeams(), Nodes: 3, Machines: 12, Jobs: 16, DAGs: 2, Groups: groupsOver(fourTeams(), 20), UpgradeFrom: ReleaseWithoutGroups, Rollback: true, Faults: true}, 6},
-		{"groups, a roll and back, jobs parted", Plan{Teams: oneTeam(), Nodes: 3, Machines: 12, Jobs: 16, Groups: groupsOver(oneTeam(), 16), UpgradeFrom: ReleaseWithoutDependencies, Rollback: true, ConcurrentFaults: true}, 4},
+		{"groups and concurrent faults, sharded by job", Plan{Teams: oneTeam(), Nodes: 3, Machines: 12, Jobs: 25, Groups: groupsOver(oneTeam(), 16), ConcurrentFaults: true}, 8},
+		{"groups and concurrent faults, sharded by team", Plan{Teams: fourTeams(), Nodes: 3, Machines: 12, Jobs: 25, Groups: groupsOver(fourTeams(), 20), ConcurrentFaults: true, Faults: true}, 8},
+		{"groups, fleet faults", Plan{Teams: fourTeams(), Nodes: 3, Machines: 20, Jobs: 30, Groups: groupsOver(fourTeams(), 24), Faults: true, FleetFaults: true}, 6},
+		{"groups, upgrade", Plan{Teams: fourTeams(), Nodes: 3, Machines: 12, Jobs: 16, Groups: groupsOver(fourTeams(), 20), UpgradeFrom: ReleaseWithoutDependencies, Faults: true}, 6},
+		{"groups, upgrade from the previous release", Plan{Teams: oneTeam(), Nodes: 3, Machines: 12, Jobs: 16, Groups: groupsOver(oneTeam(), 16), UpgradeFrom: ReleaseWithoutDependentRecords, Faults: true}, 4},
+		{"groups, upgrade from a release without groups, and back", Plan{Teams: fourTeams(), Nodes: 3, Machines: 12, Jobs: 16, DAGs: 2, Groups: groupsOver(fourTeams(), 20), UpgradeFrom: ReleaseWithoutGroups, Rollback: true, Faults: true}, 6},
+		{"groups, upgrade and back, sharded by job", Plan{Teams: oneTeam(), Nodes: 3, Machines: 12, Jobs: 16, Groups: groupsOver(oneTeam(), 16), UpgradeFrom: ReleaseWithoutDependencies, Rollback: true, ConcurrentFaults: true}, 4},
 	}
 }
 
 // slowFaultPlans are about slow steps together with other faults.
 func slowFaultPlans() []NamedPlan {
 	return []NamedPlan{
-		{"ten times too slow, troubles", Plan{Teams: fourTeams(), Nodes: 3, Machines: 10, Jobs: 25, Faults: true, SlowStep: 300 * ms}, 6},
+		{"very slow steps, faults", Plan{Teams: fourTeams(), Nodes: 3, Machines: 10, Jobs: 25, Faults: true, SlowStep: 300 * ms}, 6},
 	}
 }
