--- a/internal/fakes/cloud.go
+++ b/internal/fakes/cloud.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"math/rand/v2"
 	"net/http"
 	"slices"
 
@@ -59,7 +58,7 @@
 // CloudConfig is what a Cloud is made of.
 type CloudConfig struct {
 	Scheduler   Scheduler
-	Rand        *rand.Rand
+	Random      Random
 	MaxMachines int // that run at a time
 	// BootTime draws how long a rented machine takes to boot.
 	BootTime func() micros.Micros
@@ -157,7 +156,7 @@
 	if len(c.snapshots) == 0 {
 		return list
 	}
-	for _, m := range c.snapshots[c.config.Rand.IntN(len(c.snapshots))] {
+	for _, m := range c.snapshots[c.config.Random.IntN(len(c.snapshots))] {
 		if m.ID > after {
 			list.Machines = append(list.Machines, m)
 		}
--- a/internal/fakes/fakes.go
+++ b/internal/fakes/fakes.go
@@ -1,7 +1,7 @@
-// Package fakes holds fakes of the services that a controller talks to: the state service
-// and the cloud. They answer typed requests, and live by a Scheduler, which may be that of a
-// simulation or the wall clock. Server serves them over HTTP, and ServeWorld plays everybody
-// around one controller in a process of its own.
+// Package fakes holds fakes of the services that a controller talks to: the state service,
+// the cloud and the workers. They take and give typed messages, and live by a Scheduler, which
+// may be that of a simulation or the wall clock. Server serves the state service and a cloud
+// over HTTP, and ServeWorld plays everybody around one controller in a process of its own.
 package fakes
 
 import (
--- /dev/null
+++ b/internal/fakes/job.go
@@ -0,0 +1,23 @@
+package fakes
+
+import (
+	"garnethitch/internal/micros"
+	"garnethitch/internal/wire"
+)
+
+// Job is a job as it is, whatever the controllers know of it: what its tasks need and do.
+type Job struct {
+	Submission wire.Submission
+	Runs       []micros.Micros // how long each task runs
+	Progress   []micros.Micros // what a task has saved of that
+	Done       map[int]bool    // tasks that are completed
+	Fails      bool            // its tasks fail everywhere
+	StartedAt  micros.Micros   // when its first task began; 0: none has
+	DoneAt     micros.Micros   // when a task of it was last completed
+}
+
+// Completed reports whether all tasks are done.
+func (j *Job) Completed() bool { return len(j.Done) == j.Submission.Tasks }
+
+// has reports whether the job has a task of an index.
+func (j *Job) has(index int) bool { return index < j.Submission.Tasks }
--- /dev/null
+++ b/internal/fakes/task.go
@@ -0,0 +1,206 @@
+package fakes
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"strconv"
+
+	"garnethitch/internal/micros"
+	"garnethitch/internal/wire"
+)
+
+const (
+	// A task that fails runs for failFrom to failTo.
+	failFrom = 200 * millisecond
+	failTo   = second
+	// An image is fetched within fetchFrom to fetchTo.
+	fetchFrom = second / 2
+	fetchTo   = 3 * second
+)
+
+// Task is an attempt of a task on a machine.
+type Task struct {
+	Name, Job string
+	Index     int
+	Attempt   uint64
+	State     string        // as heartbeats say it
+	Until     micros.Micros // when it goes on to its next state
+
+	exitReason string
+	saved      bool
+}
+
+// OnMachine reports whether the task has its image and has not exited.
+func (t *Task) OnMachine() bool { return t.State == wire.TaskRunning || t.State == wire.TaskSaving }
+
+// Exited reports whether the task has exited.
+func (t *Task) Exited() bool { return t.State == wire.TaskExited }
+
+func (t *Task) exit(reason string) {
+	t.State = wire.TaskExited
+	t.exitReason = reason
+}
+
+// status returns what a heartbeat says of the task.
+func (t *Task) status() wire.TaskStatus {
+	return wire.TaskStatus{Task: t.Name, Attempt: t.Attempt, State: t.State, ExitReason: t.exitReason, Saved: t.saved}
+}
+
+// taskKey names an attempt of a task: the task's name, and the attempt in decimal.
+type taskKey string
+
+func keyOf(command wire.Command) taskKey {
+	return taskKey(command.Task + "@" + strconv.FormatUint(command.Attempt, 10))
+}
+
+func (k taskKey) compare(other taskKey) int { return cmp.Compare(k, other) }
+
+// Tasks returns the tasks in an order that is always the same.
+func (w *Worker) Tasks() (tasks []*Task) {
+	keys := slices.SortedFunc(maps.Keys(w.tasks), taskKey.compare)
+	for _, key := range keys {
+		tasks = append(tasks, w.tasks[key])
+	}
+	return tasks
+}
+
+// runs reports whether an attempt of a task is on the machine.
+func (w *Worker) runs(name string) bool {
+	for _, t := range w.tasks {
+		if t.Name == name && !t.Exited() {
+			return true
+		}
+	}
+	return false
+}
+
+// Fits reports whether there is room for one more task of a job.
+func (w *Worker) Fits(job *Job) bool {
+	machineType, ok := MachineType(w.Type)
+	if !ok {
+		return false
+	}
+	cpus, memory := machineType.CPUs, machineType.MemGB
+	for _, t := range w.tasks {
+		if !t.Exited() {
+			other := w.host.Job(t.Job)
+			cpus -= other.Submission.CPUs
+			memory -= other.Submission.MemGB
+		}
+	}
+	return cpus+Rounding >= job.Submission.CPUs && memory+Rounding >= job.Submission.MemGB
+}
+
+// advanceTasks takes tasks whose time has come to their next states.
+func (w *Worker) advanceTasks() {
+	for _, t := range w.Tasks() {
+		if w.now() < t.Until {
+			continue
+		}
+		switch t.State {
+		case wire.TaskFetching:
+			w.begin(t)
+			w.changed = true
+		case wire.TaskRunning:
+			w.complete(t)
+			w.changed = true
+		case wire.TaskSaving:
+			t.exit(wire.ExitStopped)
+			t.saved = true
+			w.changed = true
+		}
+	}
+}
+
+// begin has a task run that has its image, unless it was completed elsewhere meanwhile.
+func (w *Worker) begin(t *Task) {
+	job := w.host.Job(t.Job)
+	w.images[job.Submission.Image] = true
+	if job.Done[t.Index] {
+		t.exit(wire.ExitDone)
+		return
+	}
+	t.State = wire.TaskRunning
+	t.Until = w.now() + job.Runs[t.Index] - job.Progress[t.Index]
+	if job.StartedAt == 0 {
+		job.StartedAt = w.now()
+	}
+	w.host.TaskStarted(t)
+	if w.failsTasksOf(job) {
+		t.Until = w.now() + w.config.Random.Between(failFrom, failTo)
+	}
+}
+
+// complete ends a task that has run its time.
+func (w *Worker) complete(t *Task) {
+	job := w.host.Job(t.Job)
+	if w.failsTasksOf(job) {
+		t.exit(wire.ExitError)
+		return
+	}
+	t.exit(wire.ExitDone)
+	job.Done[t.Index] = true
+	job.DoneAt = w.now()
+	w.host.TaskCompleted(t)
+}
+
+// failsTasksOf reports whether the tasks of a job fail on the machine.
+func (w *Worker) failsTasksOf(job *Job) bool { return job.Fails || w.now() < w.FaultyUntil }
+
+// execute carries commands out.
+func (w *Worker) execute(commands []wire.Command) {
+	for _, command := range commands {
+		w.host.Trace("%s %s %s attempt %x", w.ID, command.Op, command.Task, command.Attempt)
+		t := w.tasks[keyOf(command)]
+		switch {
+		case command.Op == wire.OpStart && t == nil:
+			w.start(command)
+		case command.Op == wire.OpStop && t != nil:
+			w.stop(t, command)
+		case command.Op == wire.OpForget && t != nil && t.Exited():
+			delete(w.tasks, keyOf(command))
+			w.host.TaskForgotten(t)
+		}
+	}
+}
+
+// start starts a task, which gets its image first, or exits at once if it can't run.
+func (w *Worker) start(command wire.Command) {
+	name, index, err := wire.ParseTask(command.Task)
+	job := w.host.Job(name)
+	t := &Task{Name: command.Task, Job: name, Index: index, Attempt: command.Attempt, State: wire.TaskFetching}
+	switch {
+	case err != nil || job == nil || !job.has(index):
+		t.exit(wire.ExitUnknown)
+	case w.runs(command.Task):
+		t.exit(wire.ExitInUse)
+	case !w.Fits(job):
+		t.exit(wire.ExitNoCapacity)
+	case !w.images[job.Submission.Image]:
+		t.Until = w.now() + w.config.Random.Between(fetchFrom, fetchTo)
+	}
+	w.tasks[keyOf(command)] = t
+	w.changed = true
+	w.host.TaskAdded(t)
+}
+
+// stop stops a task at once, or has it save its progress first if the command leaves time for it.
+func (w *Worker) stop(t *Task, command wire.Command) {
+	if t.Exited() {
+		return
+	}
+	job := w.host.Job(t.Job)
+	sub := &job.Submission
+	graceful := sub.CheckpointS > 0 && command.GraceS != nil && *command.GraceS >= sub.SaveS
+	immediate := command.GraceS != nil && *command.GraceS == 0
+	switch {
+	case t.State == wire.TaskRunning && graceful:
+		job.Progress[t.Index] = max(0, job.Runs[t.Index]-(t.Until-w.now()))
+		t.State = wire.TaskSaving
+		t.Until = w.now() + micros.FromSeconds(sub.SaveS)
+	case t.State != wire.TaskSaving || immediate:
+		t.exit(wire.ExitStopped)
+	}
+	w.changed = true
+}
--- a/internal/simulation/cascade.go
+++ b/internal/simulation/cascade.go
@@ -101,7 +101,7 @@
 // addMembers adds the users of the jobs, the one that all depend on first.
 func (c *cascade) addMembers() {
 	first := c.add()
-	first.runs[0] = 5 * micros.Minute // it is not done before it is cancelled
+	first.Runs[0] = 5 * micros.Minute // it is not done before it is cancelled
 	for last := first; len(c.members) <= c.Dependents; {
 		switch c.Shape {
 		case Wide:
@@ -119,19 +119,19 @@
 func (c *cascade) add(dependencies ...*user) *user {
 	s := c.sim
 	u := newUser(s, len(s.users))
-	u.sub.Class = "plain"
-	u.sub.Team = s.plan.Teams[0].Name
-	u.sub.Priority = "standard"
-	u.sub.Tasks = 1
-	u.sub.CPUs = 1
-	u.sub.SameZone = false
-	u.sub.Spread = false
-	u.sub.Types = nil
-	u.sub.Spot = true
-	u.fails = false
+	u.Submission.Class = "plain"
+	u.Submission.Team = s.plan.Teams[0].Name
+	u.Submission.Priority = "standard"
+	u.Submission.Tasks = 1
+	u.Submission.CPUs = 1
+	u.Submission.SameZone = false
+	u.Submission.Spread = false
+	u.Submission.Types = nil
+	u.Submission.Spot = true
+	u.Fails = false
 	u.willCancel = false
-	u.runs = []micros.Micros{4 * sec}
-	u.progress = make([]micros.Micros, 1)
+	u.Runs = []micros.Micros{4 * sec}
+	u.Progress = make([]micros.Micros, 1)
 	u.dependOn(dependencies)
 	s.addUser(u)
 	c.members = append(c.members, u)
@@ -146,7 +146,7 @@
 		s.after(submitRetry, c.start)
 		return
 	}
-	s.trace("all accepted, %s is cancelled", c.target.sub.ID)
+	s.trace("all accepted, %s is cancelled", c.target.Submission.ID)
 	owner := s.ownerOf(c.members[len(c.members)-1])
 	c.target.requestCancel()
 	s.after(s.between(0, 300*ms), func() { s.injectCascadeFault(c.Fault, owner) })
@@ -154,7 +154,7 @@
 }
 
 // injectCascadeFault lets a cascade's fault happen to a controller.
-func (s *Simulation) injectCascadeFault(fault CascadeFault, n *Node) {
+func (s *Simulation) injectCascadeFault(fault CascadeFault, n *node) {
 	switch fault {
 	case OwnerEnds:
 		n.crash(cascadeFaultTime)
@@ -182,9 +182,9 @@
 }
 
 // ownerOf returns the controller that owns a job's shard, by its own word.
-func (s *Simulation) ownerOf(u *user) *Node {
+func (s *Simulation) ownerOf(u *user) *node {
 	for _, n := range s.nodes {
-		if n.controller != nil && n.controller.Owns(u.sub.ID) {
+		if n.controller != nil && n.controller.Owns(u.Submission.ID) {
 			return n
 		}
 	}
@@ -212,7 +212,7 @@
 			late++
 		}
 		if cancelled && !wanted {
-			s.violated("went_back: %s is cancelled, nothing that it needs is", u.sub.ID)
+			s.violated("went_back: %s is cancelled, nothing that it needs is", u.Submission.ID)
 		}
 		if cancelled {
 			s.CascadeCancelled++
@@ -226,12 +226,12 @@
 
 // recordOf returns a job's record in the state service.
 func (s *Simulation) recordOf(u *user) (record wire.JobRecord) {
-	value, ok := s.state.Value(wire.JobKey(u.sub.ID))
+	value, ok := s.state.Value(wire.JobKey(u.Submission.ID))
 	if !ok {
 		return record
 	}
 	if err := wire.Decode(value, &record); err != nil {
-		s.violated("record of %s: %v", u.sub.ID, err)
+		s.violated("record of %s: %v", u.Submission.ID, err)
 	}
 	return record
 }
--- a/internal/simulation/check_answers.go
+++ b/internal/simulation/check_answers.go
@@ -18,7 +18,7 @@
 func (u *user) checkAnswer(a controller.Answer, finalState string) {
 	s := u.sim
 	if a.Status == http.StatusNotFound && u.accepted {
-		s.violated("forgotten: %s got 404", u.sub.ID)
+		s.violated("forgotten: %s got 404", u.Submission.ID)
 		return
 	}
 	answer, ok := a.Body.(wire.JobAnswer)
@@ -29,12 +29,12 @@
 	u.answeredAt = s.now
 	u.checkDependenciesCancelled(answer.State)
 	if finalState != "" && answer.State != finalState {
-		s.violated("went_back: %s was %s and is now %s", u.sub.ID, finalState, answer.State)
+		s.violated("went_back: %s was %s and is now %s", u.Submission.ID, finalState, answer.State)
 	}
 	before := u.finalState
 	u.checkState(answer.State)
-	if answer.Done != nil && *answer.Done > u.sub.Tasks {
-		s.violated("not_done: %s says %d of %d tasks are done", u.sub.ID, *answer.Done, u.sub.Tasks)
+	if answer.Done != nil && *answer.Done > u.Submission.Tasks {
+		s.violated("not_done: %s says %d of %d tasks are done", u.Submission.ID, *answer.Done, u.Submission.Tasks)
 	}
 	if u.finalState != before {
 		u.requestRepeatedly()
@@ -46,13 +46,13 @@
 	s := u.sim
 	switch state {
 	case wire.StateDone:
-		if !u.completed() {
-			s.violated("not_done: %s called done, %d of %d tasks are", u.sub.ID, len(u.done), u.sub.Tasks)
+		if !u.Completed() {
+			s.violated("not_done: %s called done, %d of %d tasks are", u.Submission.ID, len(u.Done), u.Submission.Tasks)
 		}
 		u.finalState = state
 	case wire.StateCancelled:
 		if !u.mayBeCancelled() {
-			s.violated("went_back: %s is called cancelled, nobody asked for it", u.sub.ID)
+			s.violated("went_back: %s is called cancelled, nobody asked for it", u.Submission.ID)
 		}
 		if u.cancelConfirmed == 0 {
 			u.cancelConfirmed = s.now
@@ -82,7 +82,7 @@
 	for _, u := range s.users {
 		unanswered := s.now - max(u.answeredAt, s.plan.Length)
 		if u.accepted && !u.mayBeCancelled() && unanswered > maxUnanswered {
-			s.violated("forgotten: no question about %s was answered for %v s", u.sub.ID, (s.now - u.answeredAt).Seconds())
+			s.violated("forgotten: no question about %s was answered for %v s", u.Submission.ID, (s.now - u.answeredAt).Seconds())
 		}
 	}
 }
@@ -92,7 +92,7 @@
 	for _, u := range s.users {
 		if u.accepted && u.finalState == "" {
 			s.violated("stuck: %s (%s) has not ended %v s after the last fault; %d of %d tasks done",
-				u.sub.ID, u.sub.Class, s.plan.RecoveryTime.Seconds(), len(u.done), u.sub.Tasks)
+				u.Submission.ID, u.Submission.Class, s.plan.RecoveryTime.Seconds(), len(u.Done), u.Submission.Tasks)
 		}
 	}
 }
--- a/internal/simulation/check_service.go
+++ b/internal/simulation/check_service.go
@@ -6,8 +6,8 @@
 	"slices"
 
 	"garnethitch/internal/controller"
+	"garnethitch/internal/fakes"
 	"garnethitch/internal/micros"
-	"garnethitch/internal/wire"
 )
 
 const (
@@ -23,11 +23,11 @@
 // checkLargestStarted checks that the largest jobs of each class are not starved.
 func (s *Simulation) checkLargestStarted() {
 	for _, u := range s.users {
-		if !u.largest || !u.accepted || u.mayBeCancelled() || u.startedAt != 0 {
+		if !u.largest || !u.accepted || u.mayBeCancelled() || u.StartedAt != 0 {
 			continue
 		}
 		if at, ok := u.dependenciesDoneAt(); ok && s.now > at+maxLargestStart {
-			s.violated("starved: %s, one of the largest of %s, has not begun", u.sub.ID, u.sub.Class)
+			s.violated("starved: %s, one of the largest of %s, has not begun", u.Submission.ID, u.Submission.Class)
 		}
 	}
 }
@@ -36,10 +36,10 @@
 func (s *Simulation) markLargest() {
 	byClass := map[string][]*user{}
 	for _, u := range s.users {
-		byClass[u.sub.Class] = append(byClass[u.sub.Class], u)
+		byClass[u.Submission.Class] = append(byClass[u.Submission.Class], u)
 	}
 	for _, users := range byClass {
-		slices.SortStableFunc(users, func(a, b *user) int { return cmp.Compare(b.sub.Tasks, a.sub.Tasks) })
+		slices.SortStableFunc(users, func(a, b *user) int { return cmp.Compare(b.Submission.Tasks, a.Submission.Tasks) })
 		for _, u := range users[:(len(users)+3)/4] {
 			u.largest = true
 		}
@@ -59,7 +59,7 @@
 		if !u.accepted || u.mayBeCancelled() || !ok {
 			continue
 		}
-		inTime := u.completed() && u.doneAt < max(s.plan.Length, dependenciesDoneAt)+within
+		inTime := u.Completed() && u.DoneAt < max(s.plan.Length, dependenciesDoneAt)+within
 		for _, name := range u.servedGroups() {
 			if groups[name] == nil {
 				groups[name] = &served{}
@@ -79,9 +79,9 @@
 
 // servedGroups returns the groups of jobs of which half must be done in time.
 func (u *user) servedGroups() []string {
-	groups := []string{"class " + u.sub.Class, "team " + u.sub.Team}
+	groups := []string{"class " + u.Submission.Class, "team " + u.Submission.Team}
 	if u.largest {
-		groups = append(groups, "largest of "+u.sub.Class)
+		groups = append(groups, "largest of "+u.Submission.Class)
 	}
 	return groups
 }
@@ -110,7 +110,7 @@
 		return
 	}
 	for _, u := range s.users {
-		if u.accepted && !u.mayBeCancelled() && !u.fails && u.finalState == "" {
+		if u.accepted && !u.mayBeCancelled() && !u.Fails && u.finalState == "" {
 			u.checkWaiting()
 		}
 	}
@@ -128,7 +128,7 @@
 		return
 	}
 	if waited := s.now - u.waitingSince; waited > maxWaitDespiteCapacity {
-		s.violated("left waiting: %s (%s) for %v s beside free capacity, %d of %d tasks done", u.sub.ID, u.sub.Class, waited.Seconds(), len(u.done), u.sub.Tasks)
+		s.violated("left waiting: %s (%s) for %v s beside free capacity, %d of %d tasks done", u.Submission.ID, u.Submission.Class, waited.Seconds(), len(u.Done), u.Submission.Tasks)
 	}
 }
 
@@ -140,16 +140,16 @@
 	}
 	return slices.ContainsFunc(s.machineNames, func(name string) bool {
 		w := s.workers[name]
-		return w.usable() && w.suits(u) && w.fits(u) && u.allowsZone(w.Zone, zones)
+		return w.usable() && w.suits(u) && w.Fits(&u.Job) && u.allowsZone(w.Zone, zones)
 	})
 }
 
 // placedTasks returns which of a job's tasks are on machines, and how many are in each zone.
 func (s *Simulation) placedTasks(u *user) (placed map[int]bool, zones map[string]int) {
 	placed, zones = map[int]bool{}, map[string]int{}
-	for t, w := range s.tasksByJob[u.sub.ID] {
-		if t.state != wire.TaskExited && !w.Dead {
-			placed[t.idx] = true
+	for t, w := range s.tasksByJob[u.Submission.ID] {
+		if !t.Exited() && !w.Dead {
+			placed[t.Index] = true
 			zones[w.Zone]++
 		}
 	}
@@ -158,8 +158,8 @@
 
 // unplaced counts the tasks that are neither done nor on a machine.
 func (u *user) unplaced(placed map[int]bool) (count int) {
-	for idx := range u.sub.Tasks {
-		if !placed[idx] && !u.done[idx] {
+	for idx := range u.Submission.Tasks {
+		if !placed[idx] && !u.Done[idx] {
 			count++
 		}
 	}
@@ -167,17 +167,17 @@
 }
 
 // usable reports whether the controllers should know that tasks may be started on a machine.
-func (w *Worker) usable() bool {
+func (w *worker) usable() bool {
 	now := w.sim.now
 	reachable := now >= w.unreachableUntil && now >= w.cutOffUntil
-	healthy := now >= w.hungUntil && now >= w.faultyUntil
-	return !w.Dead && w.reclaimAt == 0 && now >= w.UpAt+newsMargin && reachable && healthy
+	healthy := now >= w.HungUntil && now >= w.FaultyUntil
+	return !w.Dead && !w.ReclaimAnnounced() && now >= w.UpAt+newsMargin && reachable && healthy
 }
 
 // suits reports whether a job allows machines of this type and kind.
-func (w *Worker) suits(u *user) bool {
-	kindAllowed := !w.Spot || u.sub.Spot
-	typeAllowed := u.sub.Types == nil || slices.Contains(u.sub.Types, w.Type)
+func (w *worker) suits(u *user) bool {
+	kindAllowed := !w.Spot || u.Submission.Spot
+	typeAllowed := u.Submission.Types == nil || slices.Contains(u.Submission.Types, w.Type)
 	return kindAllowed && typeAllowed
 }
 
@@ -190,7 +190,7 @@
 // elsewhere reports whether the job's tasks must be in one zone and some are in another.
 func (u *user) elsewhere(zone string, zones map[string]int) bool {
 	for other, count := range zones {
-		if u.sub.SameZone && count > 0 && other != zone {
+		if u.Submission.SameZone && count > 0 && other != zone {
 			return true
 		}
 	}
@@ -199,25 +199,25 @@
 
 // crowds reports whether the job's tasks must be spread and one more would be too many in a zone.
 func (u *user) crowds(zone string, zones map[string]int) bool {
-	return u.sub.Spread && zones[zone]+1 > (u.sub.Tasks+1)/2
+	return u.Submission.Spread && zones[zone]+1 > (u.Submission.Tasks+1)/2
 }
 
 // withinTeamLimit reports whether the job's team may use one more of its tasks.
 func (s *Simulation) withinTeamLimit(u *user) bool {
-	i := slices.IndexFunc(s.plan.Teams, func(t controller.Team) bool { return t.Name == u.sub.Team })
+	i := slices.IndexFunc(s.plan.Teams, func(t controller.Team) bool { return t.Name == u.Submission.Team })
 	if i < 0 || s.plan.Teams[i].CPUsMax <= 0 {
 		return true
 	}
-	used := u.sub.CPUs
+	used := u.Submission.CPUs
 	for _, other := range s.users {
-		if other.sub.Team != u.sub.Team {
+		if other.Submission.Team != u.Submission.Team {
 			continue
 		}
-		for t, w := range s.tasksByJob[other.sub.ID] {
-			if t.state != wire.TaskExited && !w.Dead {
-				used += other.sub.CPUs
+		for t, w := range s.tasksByJob[other.Submission.ID] {
+			if !t.Exited() && !w.Dead {
+				used += other.Submission.CPUs
 			}
 		}
 	}
-	return used <= s.plan.Teams[i].CPUsMax+rounding
+	return used <= s.plan.Teams[i].CPUsMax+fakes.Rounding
 }
--- a/internal/simulation/concurrent_faults.go
+++ b/internal/simulation/concurrent_faults.go
@@ -37,7 +37,7 @@
 	fraction   float64
 	until      micros.Micros
 	answerLost bool  // they are carried out when they come, else some seconds later
-	only       *Node // that it happens to; nil: to all
+	only       *node // that it happens to; nil: to all
 }
 
 // startLateWrites has a fraction of all transactions get no answer for a while.
@@ -46,14 +46,14 @@
 }
 
 // hits reports whether a call is a transaction that may be hit.
-func (l *lateWrites) hits(n *Node, call controller.Call, now micros.Micros) bool {
+func (l *lateWrites) hits(n *node, call controller.Call, now micros.Micros) bool {
 	_, isTxn := call.Req.(wire.Txn)
 	return isTxn && now < l.until && (l.only == nil || l.only == n)
 }
 
 // carryOutLate carries out a transaction without an answer, and reports whether it is one of
 // those.
-func (s *Simulation) carryOutLate(n *Node, call controller.Call) bool {
+func (s *Simulation) carryOutLate(n *node, call controller.Call) bool {
 	late := &s.concurrent.lateWrites
 	if !late.hits(n, call, s.now) || !s.chance(late.fraction) {
 		return false
@@ -106,7 +106,7 @@
 
 // owner returns the controller that owns most shards and leads, as far as the state
 // service knows.
-func (s *Simulation) owner() *Node {
+func (s *Simulation) owner() *node {
 	locks := s.state.LocksByController()
 	owner := s.nodes[0]
 	for _, n := range s.nodes {
--- a/internal/simulation/concurrent_users.go
+++ b/internal/simulation/concurrent_users.go
@@ -34,7 +34,7 @@
 		if count == 0 {
 			break
 		}
-		if !u.accepted || u.cancelRequested || u.finalState != "" || u.completed() {
+		if !u.accepted || u.cancelRequested || u.finalState != "" || u.Completed() {
 			continue
 		}
 		on := s.machinesRunning(u, left)
@@ -52,8 +52,8 @@
 
 // machinesRunning returns the machines on which tasks of a job have more than left to go.
 func (s *Simulation) machinesRunning(u *user, left micros.Micros) (machines []string) {
-	for t, w := range s.tasksByJob[u.sub.ID] {
-		if t.onMachine() && !w.Dead && t.until > s.now+left {
+	for t, w := range s.tasksByJob[u.Submission.ID] {
+		if t.OnMachine() && !w.Dead && t.Until > s.now+left {
 			machines = append(machines, w.ID)
 		}
 	}
@@ -65,13 +65,13 @@
 	slices.Sort(machines)
 	machines = slices.Compact(machines)
 	for _, name := range machines[:min(len(machines), maxHungForCancel)] {
-		s.workers[name].hungUntil = s.now + d
+		s.workers[name].HungUntil = s.now + d
 	}
 }
 
 // maybeCancelAtEnd may cancel a job at the moment at which its last task ends.
 func (s *Simulation) maybeCancelAtEnd(u *user) {
-	if s.now >= s.concurrent.cancelAtEndUntil || !u.completed() || u.cancelRequested || !s.chance(0.6) {
+	if s.now >= s.concurrent.cancelAtEndUntil || !u.Completed() || u.cancelRequested || !s.chance(0.6) {
 		return
 	}
 	s.Concurrent.CancelledAtEnd++
@@ -134,7 +134,7 @@
 
 func (s *Simulation) drawInvalidSubmission(u *user) invalidSubmission {
 	unknown := s.drawUnknownJob(firstUnknownInvalid, unknownInvalid)
-	i := invalidSubmission{user: u, job: u.sub}
+	i := invalidSubmission{user: u, job: u.Submission}
 	i.job.CPUs = impossibleCPUs
 	i.lacking = s.chance(0.5)
 	i.repeated = u.accepted && s.chance(0.5)
@@ -153,7 +153,7 @@
 
 // send sends the submission, and checks that it is rejected, or answered as the first one if it
 // repeats a job that is accepted.
-func (i invalidSubmission) send(n *Node) {
+func (i invalidSubmission) send(n *node) {
 	finalState := i.user.finalState
 	i.user.sendTo(n, i.input, submitTimeout, func(a controller.Answer, ok bool) {
 		accepted := a.Status == http.StatusOK || a.Status == http.StatusCreated
@@ -170,7 +170,7 @@
 }
 
 // cancelDone cancels a job that is done, and checks that it stays so.
-func (u *user) cancelDone(n *Node) {
+func (u *user) cancelDone(n *node) {
 	u.sendTo(n, u.cancelRequest, submitTimeout, func(a controller.Answer, ok bool) {
 		if ok {
 			u.checkAnswer(a, wire.StateDone)
--- a/internal/simulation/dags.go
+++ b/internal/simulation/dags.go
@@ -3,6 +3,7 @@
 import (
 	"slices"
 
+	"garnethitch/internal/fakes"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/wire"
 )
@@ -60,20 +61,20 @@
 // addDependent adds a user whose job depends on others.
 func (s *Simulation) addDependent(at micros.Micros, dependencies ...*user) *user {
 	u := newUser(s, len(s.users))
-	u.fails = false
+	u.Fails = false
 	u.willCancel = false
-	u.sub.Tasks = min(u.sub.Tasks, 3)
-	u.runs = u.runs[:u.sub.Tasks]
-	for i := range u.runs {
-		u.runs[i] = s.between(2*sec, 6*sec) // a deep set is to be over within RecoveryTime
+	u.Submission.Tasks = min(u.Submission.Tasks, 3)
+	u.Runs = u.Runs[:u.Submission.Tasks]
+	for i := range u.Runs {
+		u.Runs[i] = s.between(2*sec, 6*sec) // a deep set is to be over within RecoveryTime
 	}
-	if u.sub.Class == "rush" && len(dependencies) < 2 {
-		u.sub.Priority = "best_effort"
+	if u.Submission.Class == "rush" && len(dependencies) < 2 {
+		u.Submission.Priority = "best_effort"
 	}
 	u.dependOn(dependencies)
 	if len(dependencies) > 0 && s.chance(0.2) { // one may be named twice
-		u.sub.DependsOn = append(u.sub.DependsOn, u.sub.DependsOn[0])
-		u.sub.DependsOn = slices.Compact(u.sub.DependsOn)
+		u.Submission.DependsOn = append(u.Submission.DependsOn, u.Submission.DependsOn[0])
+		u.Submission.DependsOn = slices.Compact(u.Submission.DependsOn)
 	}
 	s.addUser(u)
 	late := len(dependencies) > 0 && s.chance(0.15)
@@ -85,7 +86,7 @@
 func (u *user) dependOn(dependencies []*user) {
 	u.dependencies = dependencies
 	for _, d := range dependencies {
-		u.sub.DependsOn = append(u.sub.DependsOn, d.sub.ID)
+		u.Submission.DependsOn = append(u.Submission.DependsOn, d.Submission.ID)
 	}
 }
 
@@ -133,19 +134,19 @@
 func (u *user) dependenciesDoneAt() (at micros.Micros, ok bool) {
 	at = u.acceptedAt
 	for _, d := range u.dependencies {
-		if !d.completed() {
+		if !d.Completed() {
 			return 0, false
 		}
-		at = max(at, d.doneAt)
+		at = max(at, d.DoneAt)
 	}
 	return at, true
 }
 
 // checkDependenciesDone checks that no task starts before all that its job depends on is done.
-func (s *Simulation) checkDependenciesDone(u *user, t *task) {
+func (s *Simulation) checkDependenciesDone(u *user, t *fakes.Task) {
 	for _, d := range u.dependencies {
-		if !d.completed() {
-			s.violated("too_early: %s starts, %d of %d tasks of %s are done", t.name, len(d.done), d.sub.Tasks, d.sub.ID)
+		if !d.Completed() {
+			s.violated("too_early: %s starts, %d of %d tasks of %s are done", t.Name, len(d.Done), d.Submission.Tasks, d.Submission.ID)
 		}
 	}
 	if len(u.dependencies) > 0 {
@@ -162,7 +163,7 @@
 	}
 	for _, ancestor := range u.ancestors() {
 		if ancestor.pastCancelTime() {
-			s.violated("orphaned: %s is called %s %v s after %s was called cancelled", u.sub.ID, state, (s.now - ancestor.cancelConfirmed).Seconds(), ancestor.sub.ID)
+			s.violated("orphaned: %s is called %s %v s after %s was called cancelled", u.Submission.ID, state, (s.now - ancestor.cancelConfirmed).Seconds(), ancestor.Submission.ID)
 		}
 	}
 }
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -70,7 +70,7 @@
 }
 
 // injectCrash ends controllers.
-func (s *Simulation) injectCrash(kind faultKind, n *Node) {
+func (s *Simulation) injectCrash(kind faultKind, n *node) {
 	switch kind {
 	case faultCrash, faultCrashAgain:
 		n.crash(s.between(50*ms, 6*sec))
@@ -94,7 +94,7 @@
 
 // restartQuickly ends a controller, which is back at once, and so are the others while its
 // locks are being taken.
-func (s *Simulation) restartQuickly(first *Node) {
+func (s *Simulation) restartQuickly(first *node) {
 	first.crash(s.between(20*ms, 400*ms))
 	for _, n := range s.nodes {
 		if n != first {
@@ -104,7 +104,7 @@
 }
 
 // injectCut cuts a controller off.
-func (s *Simulation) injectCut(kind faultKind, n *Node, mode cutMode, d micros.Micros) {
+func (s *Simulation) injectCut(kind faultKind, n *node, mode cutMode, d micros.Micros) {
 	state := []string{n.stateLink()}
 	switch kind {
 	case faultCutFromState:
@@ -141,12 +141,12 @@
 	w := s.drawWorker()
 	switch s.rng.IntN(4) {
 	case 0: // hangs, and goes on
-		w.hungUntil = s.now + s.drawMachineFaultTime()
+		w.HungUntil = s.now + s.drawMachineFaultTime()
 	case 1: // fails every task
-		w.faultyUntil = s.now + 40*sec
+		w.FaultyUntil = s.now + 40*sec
 	case 2: // is taken back by the cloud
 		if w.Spot {
-			w.announceReclaim(s.between(0, 6*sec))
+			w.AnnounceReclaim(s.between(0, 6*sec))
 		}
 	case 3: // is cut off from the controllers
 		var links []string
--- a/internal/simulation/fleet_faults.go
+++ b/internal/simulation/fleet_faults.go
@@ -14,7 +14,7 @@
 // still, at a fraction of a core.
 const thawInterval micros.Micros = 200
 
-func (n *Node) zone() string {
+func (n *node) zone() string {
 	zones := fakes.Zones()
 	return zones[n.id%len(zones)]
 }
@@ -34,7 +34,7 @@
 
 // linksAcross returns the links of a controller that lead into or out of a zone. The services
 // and users are outside.
-func (n *Node) linksAcross(zone string) (links []string) {
+func (n *node) linksAcross(zone string) (links []string) {
 	inside := n.zone() == zone
 	for _, name := range n.sim.machineNames {
 		machineInside := n.sim.workers[name].Zone == zone
@@ -65,7 +65,7 @@
 // hangMachines has a fraction of the fleet stand still for a while.
 func (s *Simulation) hangMachines(fraction float64, d micros.Micros) {
 	for _, w := range s.drawMachines(fraction) {
-		w.hungUntil = s.now + d
+		w.HungUntil = s.now + d
 		s.Hung++
 	}
 }
@@ -74,13 +74,13 @@
 func (s *Simulation) reclaimMachines(fraction float64) {
 	for _, w := range s.drawMachines(fraction) {
 		if w.Spot {
-			w.announceReclaim(s.between(0, 6*sec))
+			w.AnnounceReclaim(s.between(0, 6*sec))
 		}
 	}
 }
 
 // freeze has a process stand still while its clocks run on. Inputs wait meanwhile.
-func (n *Node) freeze(d micros.Micros) {
+func (n *node) freeze(d micros.Micros) {
 	if n.controller == nil {
 		return
 	}
@@ -96,7 +96,7 @@
 }
 
 // thaw gives a process that goes on all inputs that waited, and a tick before or after them.
-func (n *Node) thaw() {
+func (n *node) thaw() {
 	inputs := n.frozenInputs
 	n.frozenInputs = nil
 	if n.sim.chance(0.5) {
--- a/internal/simulation/groups.go
+++ b/internal/simulation/groups.go
@@ -156,8 +156,8 @@
 // withinGroupLimits reports whether one more of a job's tasks is within the limits of all its
 // groups.
 func (s *Simulation) withinGroupLimits(u *user) bool {
-	one := quota.Amount{CPUs: u.sub.CPUs}
-	for _, g := range s.groupPath(u.sub.Team) {
+	one := quota.Amount{CPUs: u.Submission.CPUs}
+	for _, g := range s.groupPath(u.Submission.Team) {
 		record, ok := s.groups[g]
 		if ok && !s.groupUsage(g).Plus(one).Within(record.Limit.Amount()) {
 			return false
--- a/internal/simulation/jobs.go
+++ b/internal/simulation/jobs.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 
+	"garnethitch/internal/fakes"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/wire"
 )
@@ -30,21 +31,20 @@
 
 // newUser draws a user with a job.
 func newUser(s *Simulation, i int) *user {
-	u := &user{sim: s, sub: s.drawSubmission(i)}
-	u.done = map[int]bool{}
+	u := &user{sim: s, Job: fakes.Job{Submission: s.drawSubmission(i), Done: map[int]bool{}}}
 	u.willCancel = s.rng.IntN(6) == 0
 	if s.rng.IntN(12) == 0 {
-		u.fails = true
+		u.Fails = true
 		u.willCancel = true
 	}
 	if s.plan.Churn {
 		u.adaptToChurn(i)
 	}
 	shortest, longest := u.drawTaskLengths()
-	for range u.sub.Tasks {
-		u.runs = append(u.runs, s.between(shortest, longest))
+	for range u.Submission.Tasks {
+		u.Runs = append(u.Runs, s.between(shortest, longest))
 	}
-	u.progress = make([]micros.Micros, u.sub.Tasks)
+	u.Progress = make([]micros.Micros, u.Submission.Tasks)
 	return u
 }
 
@@ -88,11 +88,11 @@
 
 // adaptToChurn makes the job one small task, a quarter of them cancelled.
 func (u *user) adaptToChurn(i int) {
-	u.sub.Tasks = 1
-	u.sub.CPUs = 1
-	u.sub.SameZone = false
-	u.sub.Spread = false
-	u.fails = false
+	u.Submission.Tasks = 1
+	u.Submission.CPUs = 1
+	u.Submission.SameZone = false
+	u.Submission.Spread = false
+	u.Fails = false
 	u.willCancel = i%4 == 0
 }
 
@@ -105,19 +105,19 @@
 	}
 	if s.plan.hasLongTasks() && !s.plan.Churn && s.rng.IntN(3) == 0 {
 		longest = 50 * sec // a few tasks that end far apart, and jobs to cancel
-		u.sub.Tasks = min(u.sub.Tasks, 3)
+		u.Submission.Tasks = min(u.Submission.Tasks, 3)
 	}
 	if s.plan.ReconnectionWaves {
 		longest = micros.Minute // work for the whole fleet all the time
-		u.sub.EstimateS = longest.Seconds() / 2
+		u.Submission.EstimateS = longest.Seconds() / 2
 	}
 	if s.plan.LongOutage && s.rng.IntN(2) == 0 {
 		shortest, longest = s.cfg.Cancel+15*sec, s.cfg.Cancel+40*sec // so that a task that is left running outlasts its cancellation
-		u.fails = false
+		u.Fails = false
 		u.willCancel = false
-		u.sub.Tasks = min(u.sub.Tasks, 2)
-		u.sub.CPUs = 1
-		u.sub.EstimateS = s.cfg.Cancel.Seconds()
+		u.Submission.Tasks = min(u.Submission.Tasks, 2)
+		u.Submission.CPUs = 1
+		u.Submission.EstimateS = s.cfg.Cancel.Seconds()
 	}
 	return shortest, longest
 }
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -117,7 +117,7 @@
 	if w == nil || s.now < w.unreachableUntil {
 		return
 	}
-	w.serve(call.Req, func(r controller.Result) {
+	w.Serve(call.Req, func(r controller.Result) {
 		if s.now >= s.lostRepliesUntil[w.ID] {
 			reply(r)
 		}
@@ -133,7 +133,7 @@
 	}
 }
 
-func (n *Node) servePeer(sent any, reply func(controller.Result)) {
+func (n *node) servePeer(sent any, reply func(controller.Result)) {
 	var received peer.Request
 	encoded, err := peer.Encode(sent)
 	if err == nil {
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -4,6 +4,7 @@
 	"net/http"
 
 	"garnethitch/internal/controller"
+	"garnethitch/internal/fakes"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/wire"
 )
@@ -19,12 +20,12 @@
 	wallClockStep = 3 * ms
 )
 
-// Node is one controller of the simulation: its process, its clock and its calls.
-type Node struct {
+// node is one controller of the simulation: its process, its clock and its calls.
+type node struct {
 	sim        *Simulation
 	id         int
 	label      string
-	clockDrift int64
+	clockDrift fakes.ClockDrift
 	release    Release // which version it runs
 
 	// The process; controller is nil while there is none.
@@ -50,7 +51,7 @@
 }
 
 // start starts the process, if there is none.
-func (n *Node) start() {
+func (n *node) start() {
 	if n.controller != nil {
 		return
 	}
@@ -72,7 +73,7 @@
 }
 
 // crash ends the process at once, for a while. Some of what it sent may be repeated.
-func (n *Node) crash(down micros.Micros) {
+func (n *node) crash(down micros.Micros) {
 	if n.controller == nil {
 		return
 	}
@@ -90,13 +91,13 @@
 }
 
 // steadyClock returns what the process's steady clock shows.
-func (n *Node) steadyClock() micros.Micros { return drifted(n.sim.now, n.clockDrift) }
+func (n *node) steadyClock() micros.Micros { return n.clockDrift.Apply(n.sim.now) }
 
 // wallClock returns what the process's wall clock shows.
-func (n *Node) wallClock() micros.Micros { return n.sim.now + micros.Micros(n.id)*wallClockStep }
+func (n *node) wallClock() micros.Micros { return n.sim.now + micros.Micros(n.id)*wallClockStep }
 
 // step gives the controller an input, which waits while the process stands still or is busy.
-func (n *Node) step(in controller.Input) {
+func (n *node) step(in controller.Input) {
 	switch {
 	case n.controller == nil:
 	case n.sim.now < n.frozenUntil:
@@ -110,7 +111,7 @@
 }
 
 // process has the controller take an input, and carries out the effects.
-func (n *Node) process(in controller.Input, took micros.Micros) {
+func (n *node) process(in controller.Input, took micros.Micros) {
 	at := controller.Instant{Steady: n.steadyClock(), Wall: n.wallClock(), Took: took}
 	effects := n.controller.Step(at, in)
 	n.sim.countWork(in, n.controller.LastWork())
@@ -120,7 +121,7 @@
 	n.scheduleWake(at.Steady)
 }
 
-func (n *Node) carryOut(effect controller.Effect) {
+func (n *node) carryOut(effect controller.Effect) {
 	switch e := effect.(type) {
 	case controller.Answer:
 		n.passToHook(e)
@@ -136,13 +137,13 @@
 	}
 }
 
-func (n *Node) passToHook(effect controller.Effect) {
+func (n *node) passToHook(effect controller.Effect) {
 	if n.sim.Sent != nil {
 		n.sim.Sent(n.sim.now, n.label, effect)
 	}
 }
 
-func (n *Node) deliverAnswer(answer controller.Answer) {
+func (n *node) deliverAnswer(answer controller.Answer) {
 	if reply, ok := answer.Body.(wire.HeartbeatReply); ok {
 		n.sim.checkStartsSent(n, reply.Commands)
 	}
@@ -154,7 +155,7 @@
 
 // handleLog follows what the controller logs, and takes an invariant that it finds broken as
 // a violation.
-func (n *Node) handleLog(entry controller.Log) {
+func (n *node) handleLog(entry controller.Log) {
 	n.sim.trace("%s %s %v", n.label, entry.Text, entry.Args)
 	if entry.Level == controller.Error && entry.Text == controller.InvariantBroken {
 		n.sim.violated("%s: %s %v", n.label, entry.Text, entry.Args)
@@ -165,7 +166,7 @@
 }
 
 // scheduleWake gives the controller a tick when it wants one.
-func (n *Node) scheduleWake(steadyNow micros.Micros) {
+func (n *node) scheduleWake(steadyNow micros.Micros) {
 	wake := n.controller.Wake()
 	planned := n.wakeAt > steadyNow && wake >= n.wakeAt
 	if planned {
@@ -181,12 +182,12 @@
 }
 
 // lives reports whether a process has not ended.
-func (n *Node) lives(incarnation int) bool {
+func (n *node) lives(incarnation int) bool {
 	return n.incarnation == incarnation && n.controller != nil
 }
 
 // request gives the controller a request; deliver gets the answer, if one comes.
-func (n *Node) request(make func(controller.ReplyID) controller.Input, deliver func(controller.Answer)) {
+func (n *node) request(make func(controller.ReplyID) controller.Input, deliver func(controller.Answer)) {
 	if n.controller == nil {
 		return
 	}
@@ -196,7 +197,7 @@
 }
 
 // heartbeat gives the controller a worker's heartbeat, encoded and decoded as on the wire.
-func (n *Node) heartbeat(sent *wire.Heartbeat, deliver func(controller.Answer)) {
+func (n *node) heartbeat(sent *wire.Heartbeat, deliver func(controller.Answer)) {
 	if n.controller == nil {
 		return
 	}
@@ -216,7 +217,7 @@
 }
 
 // call carries a call of the controller, and gives it the result.
-func (n *Node) call(call controller.Call) {
+func (n *node) call(call controller.Call) {
 	if txn, ok := call.Req.(wire.Txn); ok {
 		n.checkLimits(txn)
 	}
@@ -242,7 +243,7 @@
 }
 
 // serveCall lets the called side answer, unless a fault is in the way.
-func (n *Node) serveCall(call controller.Call, reply func(controller.Result)) {
+func (n *node) serveCall(call controller.Call, reply func(controller.Result)) {
 	s := n.sim
 	toState := call.To == controller.ToState
 	_, isWatch := call.Req.(controller.Watch)
@@ -261,7 +262,7 @@
 }
 
 // link returns the link that a call goes over.
-func (n *Node) link(call controller.Call) string {
+func (n *node) link(call controller.Call) string {
 	switch call.To {
 	case controller.ToState:
 		return n.stateLink()
@@ -273,21 +274,21 @@
 	return n.workerLink(call.Addr)
 }
 
-func (n *Node) stateLink() string { return n.label + "-state" }
+func (n *node) stateLink() string { return n.label + "-state" }
 
-func (n *Node) cloudLink() string { return n.label + "-cloud" }
+func (n *node) cloudLink() string { return n.label + "-cloud" }
 
-func (n *Node) userLink() string { return "user-" + n.label }
+func (n *node) userLink() string { return "user-" + n.label }
 
-func (n *Node) workerLink(machine string) string { return n.label + "-" + machine }
+func (n *node) workerLink(machine string) string { return n.label + "-" + machine }
 
 // peerLink is named alike from both ends.
-func (n *Node) peerLink(peer string) string {
+func (n *node) peerLink(peer string) string {
 	return min(n.label, peer) + "-" + max(n.label, peer)
 }
 
 // workerLinks returns the links to all machines.
-func (n *Node) workerLinks() (links []string) {
+func (n *node) workerLinks() (links []string) {
 	for _, name := range n.sim.machineNames {
 		links = append(links, n.workerLink(name))
 	}
@@ -295,7 +296,7 @@
 }
 
 // peerLinks returns the links to all other controllers.
-func (n *Node) peerLinks() (links []string) {
+func (n *node) peerLinks() (links []string) {
 	for _, peer := range n.sim.nodes {
 		if peer != n {
 			links = append(links, n.peerLink(peer.label))
--- a/internal/simulation/reconnection_waves.go
+++ b/internal/simulation/reconnection_waves.go
@@ -44,7 +44,7 @@
 // machinesUp counts the machines that are up.
 func (s *Simulation) machinesUp() (count int) {
 	for _, w := range s.workers {
-		if s.up(w) {
+		if w.Up() {
 			count++
 		}
 	}
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -7,7 +7,6 @@
 import (
 	"cmp"
 	"fmt"
-	"math/rand/v2"
 
 	"garnethitch/internal/controller"
 	"garnethitch/internal/controller/statestore"
@@ -43,20 +42,20 @@
 
 	plan        Plan
 	cfg         controller.Config
-	rng         *rand.Rand
+	rng         fakes.Random
 	now         micros.Micros
 	queue       eventqueue.Queue
 	nextCheckAt micros.Micros
 
-	nodes         []*Node
+	nodes         []*node
 	state         *fakes.State
 	cloud         *fakes.Cloud
 	network       network
-	workers       map[string]*Worker
+	workers       map[string]*worker
 	machineNames  []string // in the order in which they were rented
 	users         []*user
 	userByJob     map[string]*user
-	tasksByJob    map[string]map[*task]*Worker // those that workers know of, exited ones included
+	tasksByJob    map[string]map[*fakes.Task]*worker // those that workers know of, exited ones included
 	groups        map[string]quota.Record
 	stateRequests []statestore.ClassMetrics // of processes that have ended
 
@@ -73,7 +72,7 @@
 func New(p Plan) *Simulation {
 	s := newServices(p)
 	for i := range p.Nodes {
-		s.nodes = append(s.nodes, &Node{sim: s, id: i, label: fmt.Sprintf("node-%d", i), clockDrift: s.drawClockDrift()})
+		s.nodes = append(s.nodes, &node{sim: s, id: i, label: fmt.Sprintf("node-%d", i), clockDrift: s.rng.ClockDrift()})
 	}
 	for range p.initialMachines() {
 		s.cloud.Add(fakes.MachineKind{Type: "small", Zone: s.drawZone()}, 0)
@@ -95,17 +94,17 @@
 // newServices makes the services and the settings of a run, with nobody to use them.
 func newServices(p Plan) *Simulation {
 	s := &Simulation{
-		plan: p, cfg: p.settings(), rng: rand.New(rand.NewPCG(p.Seed, seedStream)), now: sec,
+		plan: p, cfg: p.settings(), rng: fakes.NewRandom(p.Seed, seedStream), now: sec,
 		network:          newNetwork(),
-		workers:          map[string]*Worker{},
+		workers:          map[string]*worker{},
 		userByJob:        map[string]*user{},
-		tasksByJob:       map[string]map[*task]*Worker{},
+		tasksByJob:       map[string]map[*fakes.Task]*worker{},
 		lostRepliesUntil: map[string]micros.Micros{},
 	}
 	s.state = fakes.NewState(scheduler{s}, fakes.StateLimits{ValueBytes: s.cfg.ValueBytes, TxnOps: s.cfg.TxnOps})
 	s.state.OnPut = s.handlePut
 	s.cloud = fakes.NewCloud(fakes.CloudConfig{
-		Scheduler: scheduler{s}, Rand: s.rng, MaxMachines: p.Machines, BootTime: s.drawBootTime, OnRent: s.addWorker, OnReturn: s.checkReturn,
+		Scheduler: scheduler{s}, Random: s.rng, MaxMachines: p.Machines, BootTime: s.drawBootTime, OnRent: s.addWorker, OnReturn: s.checkReturn,
 	})
 	return s
 }
@@ -153,7 +152,7 @@
 
 func (s *Simulation) addUser(u *user) {
 	s.users = append(s.users, u)
-	s.userByJob[u.sub.ID] = u
+	s.userByJob[u.Submission.ID] = u
 }
 
 // scheduleEvents draws what happens during the run.
@@ -243,12 +242,6 @@
 
 func (s scheduler) After(d micros.Micros, f func()) { s.sim.after(d, f) }
 
-// addWorker starts a worker on a new machine.
-func (s *Simulation) addWorker(m *fakes.Machine) {
-	s.workers[m.ID] = newWorker(s, m)
-	s.machineNames = append(s.machineNames, m.ID)
-}
-
 // handlePut follows what controllers write.
 func (s *Simulation) handlePut(key string, value wire.Raw, _ uint64) {
 	if fakes.IsLock(key) {
--- a/internal/simulation/slow_steps.go
+++ b/internal/simulation/slow_steps.go
@@ -12,7 +12,7 @@
 }
 
 // work takes the next input of the backlog, which takes its time.
-func (n *Node) work() {
+func (n *node) work() {
 	if n.working || len(n.backlog) == 0 {
 		return
 	}
@@ -37,7 +37,7 @@
 
 // freezeBacklog has the backlog wait with a process that stands still, the input under way
 // included.
-func (n *Node) freezeBacklog() {
+func (n *node) freezeBacklog() {
 	n.working = false
 	for _, queued := range n.backlog {
 		n.frozenInputs = append(n.frozenInputs, queued.in)
@@ -46,7 +46,7 @@
 }
 
 // slowDown makes some controllers slow for a while.
-func (s *Simulation) slowDown(nodes []*Node, d micros.Micros) {
+func (s *Simulation) slowDown(nodes []*node, d micros.Micros) {
 	for _, n := range nodes {
 		s.trace("%s takes %v s a step for %v s", n.label, s.plan.SlowStep.Seconds(), d.Seconds())
 		n.stepTime = s.plan.SlowStep
@@ -57,7 +57,7 @@
 // scheduleSlowSteps slows one controller down, later all of them.
 func (s *Simulation) scheduleSlowSteps() {
 	s.after(s.between(10*sec, s.plan.Length/3), func() {
-		s.slowDown([]*Node{s.drawNode()}, s.between(10*sec, 25*sec))
+		s.slowDown([]*node{s.drawNode()}, s.between(10*sec, 25*sec))
 	})
 	s.after(s.between(s.plan.Length/2, s.plan.Length*3/4), func() {
 		s.slowDown(s.nodes, s.between(10*sec, 20*sec))
--- a/internal/simulation/upgrade.go
+++ b/internal/simulation/upgrade.go
@@ -58,7 +58,7 @@
 }
 
 // upgradeTo ends a controller, to start again as another version.
-func (n *Node) upgradeTo(release Release) {
+func (n *node) upgradeTo(release Release) {
 	n.release = release
 	if n.controller == nil {
 		return
@@ -72,7 +72,7 @@
 }
 
 // config returns the settings of a controller.
-func (n *Node) config() controller.Config { return n.sim.settingsFor(n.release) }
+func (n *node) config() controller.Config { return n.sim.settingsFor(n.release) }
 
 // settingsFor returns the settings as a version takes them: the oldest one doesn't know the
 // limits to come.
@@ -89,7 +89,7 @@
 }
 
 // checkLimits checks that a controller writes nothing that the limits which it knows would refuse.
-func (n *Node) checkLimits(txn wire.Txn) {
+func (n *node) checkLimits(txn wire.Txn) {
 	cfg := n.config()
 	if txn.Writes() > cfg.TxnOps || len(txn.If) > 4*cfg.TxnOps {
 		n.sim.violated("%s sends %d changes and %d conditions in a transaction", n.label, txn.Writes(), len(txn.If))
--- a/internal/simulation/user.go
+++ b/internal/simulation/user.go
@@ -4,8 +4,8 @@
 	"net/http"
 
 	"garnethitch/internal/controller"
+	"garnethitch/internal/fakes"
 	"garnethitch/internal/micros"
-	"garnethitch/internal/wire"
 )
 
 const (
@@ -28,9 +28,8 @@
 // user owns one job: submits it, asks about it, perhaps cancels it, and holds the service to
 // what it reported.
 type user struct {
-	sim *Simulation
-	sub wire.Submission
-	jobTruth
+	fakes.Job
+	sim          *Simulation
 	willCancel   bool
 	dependencies []*user // whose jobs this one depends on
 	allAncestors []*user // see ancestors
@@ -52,39 +51,26 @@
 	startsSeen   int           // when waitingSince was set
 }
 
-// jobTruth is what happens to a job's tasks, whatever the controllers know of it.
-type jobTruth struct {
-	runs      []micros.Micros // how long each task runs
-	progress  []micros.Micros // what a task has saved of that
-	done      map[int]bool
-	fails     bool          // its tasks fail everywhere
-	startedAt micros.Micros // when its first task began
-	doneAt    micros.Micros // when a task of it was last completed
-}
-
-// completed reports whether all tasks are done.
-func (u *user) completed() bool { return len(u.done) == u.sub.Tasks }
-
 // send sends a request to the controller that the load balancer picks.
 func (u *user) send(make func(controller.ReplyID) controller.Input, timeout micros.Micros, done func(controller.Answer, bool)) {
 	u.sendTo(u.sim.drawNode(), make, timeout, done)
 }
 
 // sendTo sends a request to a controller.
-func (u *user) sendTo(n *Node, make func(controller.ReplyID) controller.Input, timeout micros.Micros, done func(controller.Answer, bool)) {
+func (u *user) sendTo(n *node, make func(controller.ReplyID) controller.Input, timeout micros.Micros, done func(controller.Answer, bool)) {
 	exchange(u.sim, n.userLink(), timeout, func(reply func(controller.Answer)) { n.request(make, reply) }, done)
 }
 
 func (u *user) submitRequest(id controller.ReplyID) controller.Input {
-	return controller.SubmitRequest{Reply: id, Job: u.sub}
+	return controller.SubmitRequest{Reply: id, Job: u.Submission}
 }
 
 func (u *user) statusRequest(id controller.ReplyID) controller.Input {
-	return controller.JobStatusRequest{Reply: id, ID: u.sub.ID}
+	return controller.JobStatusRequest{Reply: id, ID: u.Submission.ID}
 }
 
 func (u *user) cancelRequest(id controller.ReplyID) controller.Input {
-	return controller.CancelRequest{Reply: id, ID: u.sub.ID}
+	return controller.CancelRequest{Reply: id, ID: u.Submission.ID}
 }
 
 // submit submits the job until it is accepted.
@@ -98,7 +84,7 @@
 		case ok && (a.Status == http.StatusCreated || a.Status == http.StatusOK):
 			u.handleAccepted(a, finalState)
 		case ok && (a.Status == http.StatusBadRequest || a.Status == http.StatusUnprocessableEntity):
-			s.violated("a good submission of %s got %d", u.sub.ID, a.Status)
+			s.violated("a good submission of %s got %d", u.Submission.ID, a.Status)
 		case u.submitAttempts > maxSubmitAttempts:
 			u.gaveUp = true
 		default:
@@ -124,14 +110,14 @@
 // resubmit repeats the submission of an accepted job.
 func (u *user) resubmit() { u.resubmitTo(u.sim.drawNode()) }
 
-func (u *user) resubmitTo(n *Node) {
+func (u *user) resubmitTo(n *node) {
 	finalState := u.finalState
 	u.sendTo(n, u.submitRequest, submitTimeout, func(a controller.Answer, ok bool) {
 		if !ok {
 			return
 		}
 		if rejected(a) {
-			u.sim.violated("forgotten: a repeated submission of %s got %d", u.sub.ID, a.Status)
+			u.sim.violated("forgotten: a repeated submission of %s got %d", u.Submission.ID, a.Status)
 		}
 		u.checkAnswer(a, finalState)
 	})
@@ -172,7 +158,7 @@
 
 // requestStatus asks a controller about the job; then, if set, is called after the answer or
 // the timeout.
-func (u *user) requestStatus(n *Node, then func()) {
+func (u *user) requestStatus(n *node, then func()) {
 	finalState := u.finalState
 	u.sendTo(n, u.statusRequest, statusTimeout, func(a controller.Answer, ok bool) {
 		if ok {
