--- a/internal/wire/paths.go
+++ b/internal/wire/paths.go
@@ -78,6 +78,12 @@
 	return id, JobStatus
 }
 
+// JobStatusPath is the path at which users ask for the status of a job.
+func JobStatusPath(id string) string { return PathSubmissions + "/" + id }
+
+// CancelJobPath is the path at which users cancel a job.
+func CancelJobPath(id string) string { return JobStatusPath(id) + cancelSuffix }
+
 // RenewLeasePath is the path that renews a lease.
 func RenewLeasePath(lease uint64) string {
 	return PathLeases + "/" + strconv.FormatUint(lease, 10) + renewSuffix
--- a/internal/wire/paths_test.go
+++ b/internal/wire/paths_test.go
@@ -37,6 +37,8 @@
 		{"first keys", ListKeysTarget("c/", "", 200), "/keys?starts=c%2F&most=200"},
 		{"watch", WatchTarget("c/", 431, 10000), "/watch?starts=c%2F&since=431&blockMs=10000"},
 		{"lease", RenewLeasePath(7), "/grants/7/extend"},
+		{"status of a job", JobStatusPath("job-000412"), "/submissions/job-000412"},
+		{"cancellation of a job", CancelJobPath("job-000412"), "/submissions/job-000412/withdraw"},
 		{"machines", ListMachinesTarget("vm-000230", 500), "/rentals?most=500&since=vm-000230"},
 		{"first machines", ListMachinesTarget("", 500), "/rentals?most=500"},
 	} {
