--- a/internal/controller/assignment.go
+++ b/internal/controller/assignment.go
@@ -78,8 +78,6 @@
 // nextAttemptKey returns the key of a new attempt of a task. Its number begins with the epoch of
 // the shard's owner, so that it is higher than those of all former owners.
 func (c *Controller) nextAttemptKey(s *shard, j *job, index int) attemptKey {
-	const counterMask = 1<<attemptEpochShift - 1
 	c.attemptCounter++
-	number := s.ownerEpoch<<attemptEpochShift | c.attemptCounter&counterMask
-	return attemptKey{job: j.id, index: index, attempt: number}
+	return attemptKey{job: j.id, index: index, attempt: attemptNumber(s.ownerEpoch, c.attemptCounter)}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -9,7 +9,9 @@
 	"slices"
 
 	"garnethitch/internal/controller/authority"
+	"garnethitch/internal/controller/estimate"
 	"garnethitch/internal/controller/ownership"
+	"garnethitch/internal/controller/reachability"
 	"garnethitch/internal/controller/statestore"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/wire"
@@ -17,9 +19,10 @@
 
 // Controller is the state of one controller.
 type Controller struct {
-	cfg    Config
-	bounds authority.Bounds
-	rng    *rand.Rand
+	cfg                Config
+	bounds             authority.Bounds
+	heartbeatDeadlines reachability.Deadlines
+	rng                *rand.Rand
 
 	// now is the steady time of the step, wall its time of day.
 	now, wall micros.Micros
@@ -47,18 +50,15 @@
 	nodes                 []string // labels of all controllers, sorted
 
 	machines              map[string]*machine
-	recordSets            map[string]*machineRecordSet
-	recordSetSequence     uint64
-	withoutRecordSet      []*machine    // see dropMachinesWithoutRecordSet
-	nextSplitAt           micros.Micros // when the next record set may be split
+	machineRecords        machineRecords
 	commandQueue          commandQueue
-	listRound             uint64                   // of observe
+	listRound             uint64                   // of applyTaskList
 	misdirectedHeartbeats map[string]micros.Micros // machines that sent one here and belong to another shard, and when
 
 	types          map[string]wire.MachineType
 	typeIndex      typeIndex
-	estimates      estimates
-	prefetchImages []prefetchImage
+	estimates      estimate.RunTimes
+	prefetchImages prefetchImages
 	decisionLog    decisionLog
 	teamOf         map[string]int // a team's number by its name
 	shardOfTeam    []int          // by the team's number; nil where jobs are assigned to shards
@@ -89,12 +89,13 @@
 	c := &Controller{
 		cfg:                   cfg,
 		bounds:                authority.NewBounds(cfg.Lease, cfg.WorkerLease, cfg.Cancel),
+		heartbeatDeadlines:    reachability.NewDeadlines(cfg.HeartbeatInterval, cfg.SilentReturn),
 		rng:                   rand.New(rand.NewPCG(seed, rngStream)),
 		calls:                 map[uint64]func(Result){},
 		peers:                 map[string]*peerView{},
 		nodes:                 slices.Sorted(slices.Values(append([]string{cfg.Label}, cfg.Peers...))),
 		machines:              map[string]*machine{},
-		recordSets:            map[string]*machineRecordSet{},
+		machineRecords:        machineRecords{sets: map[string]*machineRecordSet{}},
 		types:                 map[string]wire.MachineType{},
 		misdirectedHeartbeats: map[string]micros.Micros{},
 		teamOf:                map[string]int{},
@@ -109,7 +110,7 @@
 	c.jobs.init(cfg.MaxFinalJobs)
 	c.cascade.init()
 	c.fleet.init(cfg)
-	c.estimates.init()
+	c.estimates = estimate.NewRunTimes()
 	c.quota.tree = cfg.Quota
 	if cfg.Quota != nil {
 		c.enableQuota()
--- a/internal/controller/demand.go
+++ b/internal/controller/demand.go
@@ -57,7 +57,7 @@
 	c.refresh(s)
 	d := peer.Demand{
 		Shard:       s.id,
-		ArrivalCPUs: s.arrivals.rate(c.now),
+		ArrivalCPUs: s.arrivals.Rate(c.now),
 		All:         len(s.machines),
 		Guarantee:   c.guaranteedCPUs(s),
 	}
@@ -157,8 +157,8 @@
 	if c.leaseRunningOut(v) {
 		silent = max(silent, c.sinceLastReply(v))
 	}
-	if r := &v.reachability; r.unconfirmedReplies > 0 {
-		silent = max(silent, c.now-r.since)
+	if since, ok := v.reachability.UnconfirmedSince(); ok {
+		silent = max(silent, c.now-since)
 	}
 	return silent
 }
@@ -215,15 +215,15 @@
 		return true
 	}
 	ran := c.now - att.runAt
-	if att.job.run.stopsByTask[att.index] > 0 || movedDivisor*ran > c.estimates.expect(att.job.sub) {
+	if att.job.run.stopsByTask[att.index] > 0 || movedDivisor*ran > c.estimates.Expect(att.job.sub) {
 		return false
 	}
 	due := c.dueOf(att.job)
 	return due < micros.Never && c.wall > due
 }
 
-// stateOf returns how a machine counts for the leader, one of the states of package peer.
-func (c *Controller) stateOf(m *machine) int {
+// stateOf returns how a machine counts for the leader.
+func (c *Controller) stateOf(m *machine) peer.MachineState {
 	v := m.view
 	switch {
 	case v.unreconciledFromPredecessor:
@@ -303,7 +303,7 @@
 		}
 		g := &groups[i]
 		g.Waiting += count
-		g.WorkUS += int64(pending) * int64(c.estimates.expect(j.sub))
+		g.WorkUS += int64(pending) * int64(c.estimates.Expect(j.sub))
 		g.MemGB = max(g.MemGB, j.sub.MemGB)
 	}
 	return groups
@@ -313,7 +313,7 @@
 // machines.
 func (j *job) wantsMachines() bool {
 	r := j.run
-	return r != nil && r.checkpointApplied && r.endState == "" && r.nextRetryAt == 0 && j.pending() > 0
+	return r != nil && r.checkpointApplied && !r.end.requested() && r.nextRetryAt == 0 && j.pending() > 0
 }
 
 // groupOf returns the group of a job's tasks, without any tasks yet.
--- a/internal/controller/first_start.go
+++ b/internal/controller/first_start.go
@@ -129,7 +129,7 @@
 
 // remaining returns how long an attempt will probably take yet.
 func (c *Controller) remaining(att *attempt) micros.Micros {
-	expected := c.estimates.expect(att.job.sub)
+	expected := c.estimates.Expect(att.job.sub)
 	if att.runAt <= 0 {
 		return expected
 	}
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -76,7 +76,7 @@
 	f.reset()
 	f.ledAt = c.now
 	f.planNext = c.now
-	f.first = len(c.recordSets) == 0
+	f.first = len(c.machineRecords.sets) == 0
 	for _, label := range c.cfg.Peers {
 		c.peers[label].returnedMachines = nil
 	}
--- a/internal/controller/fleet/rebalancing_test.go
+++ b/internal/controller/fleet/rebalancing_test.go
@@ -16,7 +16,7 @@
 	}
 }
 
-func movable(id string, state int, busy float64, left micros.Micros) Machine {
+func movable(id string, state peer.MachineState, busy float64, left micros.Micros) Machine {
 	return Machine{
 		Machine: peer.Machine{ID: id, State: state, Busy: busy, LeftUS: int64(left)},
 		From:    1,
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -18,7 +18,7 @@
 // The encoded form of every record and message, byte for byte. After a change of the
 // protocol that is meant, testdata/golden.json is written anew with
 //
-//	go test ./internal/core -run TestGoldenBytes -update-golden
+//	go test ./internal/controller -run TestGoldenBytes -update-golden
 
 var updateGolden = flag.Bool("update-golden", false, "write testdata/golden.json anew")
 
@@ -108,7 +108,7 @@
 	t.Helper()
 	v := reflect.New(s.typ)
 	f := filler{tag: s.codec.name}
-	if err := f.packMachine(v.Elem()); err != nil {
+	if err := f.fill(v.Elem()); err != nil {
 		t.Fatalf("%s: %v", s.label, err)
 	}
 	return v
@@ -174,7 +174,7 @@
 	return f.counter
 }
 
-func (f *filler) packMachine(v reflect.Value) error {
+func (f *filler) fill(v reflect.Value) error {
 	if v.Type() == reflect.TypeFor[wire.Raw]() {
 		return f.fillRaw(v)
 	}
@@ -191,7 +191,7 @@
 		v.SetFloat(float64(f.next()) + 0.5)
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
-		return f.packMachine(v.Elem())
+		return f.fill(v.Elem())
 	case reflect.Slice:
 		return f.fillSlice(v)
 	case reflect.Struct:
@@ -213,7 +213,7 @@
 	const elements = 2
 	v.Set(reflect.MakeSlice(v.Type(), elements, elements))
 	for i := range elements {
-		if err := f.packMachine(v.Index(i)); err != nil {
+		if err := f.fill(v.Index(i)); err != nil {
 			return err
 		}
 	}
@@ -226,7 +226,7 @@
 		if !field.IsExported() || strings.Split(field.Tag.Get(f.tag), ",")[0] == "-" {
 			continue
 		}
-		if err := f.packMachine(v.Field(i)); err != nil {
+		if err := f.fill(v.Field(i)); err != nil {
 			return fmt.Errorf("%s: %w", field.Name, err)
 		}
 	}
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -245,7 +245,7 @@
 }
 
 // stop has an attempt stopped; one that was never sent is just removed.
-func (c *Controller) stop(att *attempt, mode int) {
+func (c *Controller) stop(att *attempt, mode stopMode) {
 	if att.state == attemptAssigned {
 		c.freeAttempt(att, false)
 		return
--- a/internal/controller/preemption_policy.go
+++ b/internal/controller/preemption_policy.go
@@ -47,7 +47,7 @@
 // deadlineNear reports whether the job can still be in time, but only if its tasks start within
 // some seconds.
 func (c *Controller) deadlineNear(j *job) bool {
-	slack := c.dueOf(j) - c.wall - c.estimates.expect(j.sub)
+	slack := c.dueOf(j) - c.wall - c.estimates.Expect(j.sub)
 	return slack > 0 && slack < nearDeadline
 }
 
@@ -78,7 +78,7 @@
 func (c *Controller) preemptionLoss(att *attempt) float64 {
 	sub := att.job.sub
 	loss := scheduling.PreemptionLoss{
-		Expected:           c.estimates.expect(sub),
+		Expected:           c.estimates.Expect(sub),
 		CheckpointInterval: sub.CheckpointS,
 		CPUs:               sub.CPUs,
 		Priority:           att.job.priority,
@@ -95,7 +95,7 @@
 
 // stopModeFor returns how a victim is stopped for a job: with time to save, unless the job is
 // wanted started sooner than that.
-func (c *Controller) stopModeFor(victim *attempt, j *job) int {
+func (c *Controller) stopModeFor(victim *attempt, j *job) stopMode {
 	if victim.job.sub.CheckpointS <= 0 || victim.state != attemptRunning {
 		return stopImmediate
 	}
--- a/internal/controller/quota.go
+++ b/internal/controller/quota.go
@@ -61,7 +61,7 @@
 	q.staleShards = map[int]bool{}
 	q.setsInFlight = map[uint64]func(quota.SetDone){}
 	for _, s := range c.ownership.shards {
-		if s.active {
+		if s.owned() {
 			c.holdQuota(s)
 		}
 	}
@@ -98,7 +98,7 @@
 	q.nextUsageAt = c.now + quotaUsageInterval
 	c.rereadQuotas()
 	for _, s := range c.ownership.shards {
-		if q.staleShards[s.id] && s.active {
+		if q.staleShards[s.id] && s.owned() {
 			delete(q.staleShards, s.id)
 			c.refreshQuota(s, s.ownerEpoch, "")
 		}
--- a/internal/controller/quota_records.go
+++ b/internal/controller/quota_records.go
@@ -58,7 +58,7 @@
 func (c *Controller) refreshQuota(s *shard, ownerEpoch uint64, after string) {
 	request := ListKeys{Prefix: wire.PrefixQuota, After: after, Limit: quotaPageSize}
 	c.askState(statestore.ClassLease, request, c.cfg.Lease, func(r statestore.Reply) {
-		if !s.active || s.ownerEpoch != ownerEpoch {
+		if !s.owned() || s.ownerEpoch != ownerEpoch {
 			return
 		}
 		body, ok := r.Body.(*wire.KeyList)
--- a/internal/controller/returned_machines.go
+++ b/internal/controller/returned_machines.go
@@ -71,8 +71,8 @@
 // them: all others in it send another heartbeat when it is rewritten.
 func (c *Controller) dropReturned() {
 	var writes []recordSetWrite
-	for _, key := range sortedKeys(c.recordSets) {
-		write, due := c.dropFromRecordSet(key, c.recordSets[key])
+	for _, key := range sortedKeys(c.machineRecords.sets) {
+		write, due := c.dropFromRecordSet(key, c.machineRecords.sets[key])
 		if !due {
 			continue
 		}
@@ -82,7 +82,7 @@
 		}
 	}
 	if len(writes) > 0 {
-		c.writeRecordSets(wire.KeyLeader, c.ownership.leader.ownerEpoch, writes, func(bool, bool) {})
+		c.writeRecordSets(wire.KeyLeader, c.ownership.leader.ownerEpoch, writes, func(writeOutcome) {})
 	}
 }
 
--- a/internal/controller/state_records.go
+++ b/internal/controller/state_records.go
@@ -136,8 +136,8 @@
 	case key == wire.KeyLeader:
 		c.clearOwner(&c.ownership.leader, modRevision)
 	case strings.HasPrefix(key, wire.PrefixFleet):
-		if set := c.recordSets[key]; set != nil && modRevision >= set.modRevision {
-			c.dropRecordSet(set)
+		if set := c.machineRecords.sets[key]; set != nil && modRevision >= set.modRevision {
+			c.machineRecords.drop(set)
 		}
 	}
 }
@@ -147,7 +147,7 @@
 	if s == nil {
 		return
 	}
-	if c.clearOwner(&s.lock, modRevision) && s.active {
+	if c.clearOwner(&s.lock, modRevision) && s.owned() {
 		c.deactivate(s)
 	}
 }
@@ -169,9 +169,9 @@
 		c.dropLockNotListed(&s.lock, ownerKey(s.id), listed, revision)
 	}
 	c.dropLockNotListed(&c.ownership.leader, wire.KeyLeader, listed, revision)
-	for _, key := range sortedKeys(c.recordSets) {
-		if set := c.recordSets[key]; set.modRevision <= revision && !listed[key] {
-			c.dropRecordSet(set)
+	for _, key := range sortedKeys(c.machineRecords.sets) {
+		if set := c.machineRecords.sets[key]; set.modRevision <= revision && !listed[key] {
+			c.machineRecords.drop(set)
 		}
 	}
 }
--- a/internal/controller/statestore/reads.go
+++ b/internal/controller/statestore/reads.go
@@ -23,13 +23,10 @@
 	longestRetryAfter = 10
 )
 
-// NoAnswer is the status of a question whose record could not be read.
-const NoAnswer = 0
-
-// question waits for a record. done is called with the status of the read, or NoAnswer.
+// question waits for a record. done is called with what the read found.
 type question struct {
 	askedAt micros.Micros
-	done    func(status int)
+	done    func(Lookup)
 }
 
 // read is a record that has been asked about and has had no answer since.
@@ -53,8 +50,8 @@
 	MaxRecords int
 	// NewRequest returns the body of the request that reads a record.
 	NewRequest func(id string) any
-	// Learn takes in the reply to a read and returns the status for its questions.
-	Learn func(Reply) (status int)
+	// Learn takes in the reply to a read and returns what it found.
+	Learn func(Reply) Lookup
 	// Defer runs a function once the caller of Reads has returned.
 	Defer func(func())
 }
@@ -97,13 +94,13 @@
 	return min(1+int(float64(len(r.records))/rate), longestRetryAfter)
 }
 
-// Ask asks for a record. done is called once, with the status of the read or NoAnswer; at once
+// Ask asks for a record. done is called once, with what the read found; at once
 // if the question is refused for want of a place.
-func (r *Reads) Ask(now micros.Micros, id string, done func(status int)) {
+func (r *Reads) Ask(now micros.Micros, id string, done func(Lookup)) {
 	record := r.records[id]
 	if record == nil {
 		if len(r.records) >= r.config.MaxRecords {
-			done(NoAnswer)
+			done(LookupFailed)
 			return
 		}
 		record = &read{id: id, since: now}
@@ -111,7 +108,7 @@
 	}
 	record.lastAskedAt = now
 	if len(record.questions) >= maxQuestions {
-		done(NoAnswer)
+		done(LookupFailed)
 		return
 	}
 	record.questions = append(record.questions, question{askedAt: now, done: done})
@@ -138,7 +135,7 @@
 // refuse refuses the n oldest questions about a record.
 func (r *Reads) refuse(record *read, n int) {
 	for _, refused := range record.questions[:n] {
-		r.config.Defer(func() { refused.done(NoAnswer) })
+		r.config.Defer(func() { refused.done(LookupFailed) })
 	}
 	record.questions = record.questions[n:]
 }
@@ -189,18 +186,18 @@
 // answered passes on what a read found.
 func (r *Reads) answered(record *read, questions []question, reply Reply) {
 	r.inFlight = slices.DeleteFunc(r.inFlight, func(other *read) bool { return other == record })
-	status := r.config.Learn(reply)
+	found := r.config.Learn(reply)
 	switch {
 	case len(record.questions) > 0:
-		if status != NoAnswer {
+		if found != LookupFailed {
 			record.since = record.questions[0].askedAt
 		}
 		r.awaitTurn(record)
-	case status != NoAnswer:
+	case found != LookupFailed:
 		delete(r.records, record.id)
 	}
 	for _, q := range questions {
-		q.done(status)
+		q.done(found)
 	}
 }
 
--- a/internal/controller/unknown_jobs.go
+++ b/internal/controller/unknown_jobs.go
@@ -12,9 +12,6 @@
 // since only so many ends are kept. What may be done about them follows from the view of jobs,
 // without a read; see authority.JobStatusOf.
 
-// epochOfAttempt returns the epoch of the claim under which an attempt was started.
-func epochOfAttempt(attempt uint64) uint64 { return attempt >> attemptEpochShift }
-
 // jobStatusOf returns what this node knows of the job of an attempt that has been seen on a
 // machine of a shard since a moment.
 func (c *Controller) jobStatusOf(s *shard, job string, attempt uint64, seenAt micros.Micros) authority.JobStatus {
--- a/internal/controller/unknown_jobs_test.go
+++ b/internal/controller/unknown_jobs_test.go
@@ -111,7 +111,7 @@
 			h.txn(wire.Txn{Then: []wire.Change{{Delete: ownerKey(0)}}})
 			h.run(2 * sec)
 			s := h.c.ownership.shards[0]
-			if !s.active || s.jobsViewCurrent {
+			if !s.owned() || s.jobsViewCurrent {
 				t.Fatal("not an owner with a stale view: the case is not what it should be")
 			}
 			for seq := uint64(20); seq < 23; seq++ {
@@ -196,7 +196,7 @@
 	})
 	h.put(wire.JobKey("job-000001"), wire.NewJobRecord(new(jobOf("job-000001", 1)), 1))
 	recorded := h.keys[wire.JobKey("job-000001")]
-	h.c.jobs.open["job-000001"].run.endInDoubt = true // so that a request is answered by a read
+	h.c.jobs.open["job-000001"].run.end.inDoubt = true // so that a request is answered by a read
 	h.stateDown = true
 	h.jobStatus("job-000001")
 	held := h.held
--- a/internal/digest/digest_test.go
+++ b/internal/digest/digest_test.go
@@ -31,15 +31,15 @@
 	lines := recorded(t)
 	plans := simulation.RulePlans()
 	for _, name := range []string{
-		"quiet, jobs parted",
-		"troubles, teams parted",
-		"meetings, teams parted",
-		"stale, jobs parted",
-		"pipelines and troubles, jobs parted",
-		"a roll, jobs parted",
-		"a roll from the last landing and meetings",
-		"groups and meetings, teams parted",
-		"groups, a roll from the version before and back",
+		"no faults, sharded by job",
+		"faults, sharded by team",
+		"concurrent faults, sharded by team",
+		"stale jobs, sharded by job",
+		"DAGs and faults, sharded by job",
+		"upgrade, sharded by job",
+		"upgrade from the previous release and concurrent faults",
+		"groups and concurrent faults, sharded by team",
+		"groups, upgrade from a release without groups, and back",
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -92,23 +92,23 @@
 
 // outcome is what a run comes to.
 type outcome struct {
-	started  int
-	finished int
-	restarts int
-	copies   int
-	broken   int
-	waited   micros.Micros
-	requests string
+	started    int
+	finished   int
+	restarts   int
+	copies     int
+	violations int
+	waited     micros.Micros
+	requests   string
 }
 
 func outcomeOf(sim *simulation.Simulation) outcome {
 	return outcome{
-		started:  sim.Started,
-		finished: sim.Finished,
-		restarts: sim.Restarts,
-		copies:   sim.Copies,
-		broken:   len(sim.Broken),
-		waited:   sim.Waited,
-		requests: fmt.Sprint(sim.StateRequests()),
+		started:    sim.Started,
+		finished:   sim.Finished,
+		restarts:   sim.Restarts,
+		copies:     sim.CopiedHeartbeats,
+		violations: len(sim.Violations),
+		waited:     sim.LongestInputWait,
+		requests:   fmt.Sprint(sim.StateRequests()),
 	}
 }
