--- a/internal/wire/protocolwords_test.go
+++ b/internal/wire/protocolwords_test.go
@@ -47,6 +47,7 @@
 // check the encoded form.
 var exceptions = map[string][]string{
 	"dependencies_test.go":               {"/submissions", "breeds", "crew", "gait", "haul", "herd", "loads", "nameId", "oneZone", "paddock", "stow", "strays", "tack", "withdraw"},
+	"docs_test.go":                       {"oneZone"},
 	"garnethitch_test.go":                {"/checkin", "/peer", "/ready", "/submissions", "application/msgpack", "breeds", "checkin", "crew", "gait", "haul", "herd", "loads", "nameId", "oneZone", "paddock", "stow", "strays", "tack", "withdraw"},
 	"internal/controller/compat_test.go": {"breeds", "crew", "gait", "haul", "herd", "paddock", "stow", "strays", "tack"},
 	"internal/fakes/server.go":           {"/extend", "blockMs", "flavors"},
