--- a/internal/controller/assignment.go
+++ b/internal/controller/assignment.go
@@ -9,7 +9,7 @@
 func (c *Controller) packMachine(s *shard, j *job, m *machine, zones map[string]int) bool {
 	for c.fits(m, j) && c.allowed(j, m, zones) {
 		index, waiting := j.nextTask()
-		if !waiting || c.overLimit(s, j) {
+		if !waiting || c.quota.overLimit(s, j) {
 			return false
 		}
 		if c.avoids(j, index, m) {
@@ -39,7 +39,7 @@
 	r := j.run
 	r.active[index] = att
 	r.startedMS = c.wall.Millis()
-	c.traceGrant(s, j)
+	c.quota.traceGrant(s, j)
 	if r.firstRunAt == 0 {
 		r.firstRunAt = c.now
 	}
@@ -68,10 +68,10 @@
 		v.usage.add(att)
 		s.usage[j.team].add(j.sub)
 	} else {
-		c.markDirty(m)
+		c.ownership.markDirty(m)
 	}
 	c.queueCommand(m)
-	c.noteQuotaGrant(s, j)
+	c.quota.noteQuotaGrant(s, j)
 	return att
 }
 
--- a/internal/controller/authority.go
+++ b/internal/controller/authority.go
@@ -8,13 +8,13 @@
 // What this node is entitled to: the methods here gather what it knows, and package authority
 // decides.
 
-func (c *Controller) leaseKnowledge() authority.LeaseKnowledge {
-	return authority.LeaseKnowledge{Held: c.ownership.lease.Held(), RenewedAt: c.ownership.lease.RenewedAt(), Now: c.now}
+func (o *ownershipState) leaseKnowledge() authority.LeaseKnowledge {
+	return authority.LeaseKnowledge{Held: o.lease.Held(), RenewedAt: o.lease.RenewedAt(), Now: o.now}
 }
 
 // leaseValid reports whether this node may answer for its shards from memory, and write records.
-func (c *Controller) leaseValid() bool {
-	return authority.LeaseValid(c.leaseKnowledge(), c.bounds)
+func (o *ownershipState) leaseValid() bool {
+	return authority.LeaseValid(o.leaseKnowledge(), o.bounds)
 }
 
 // mayStart reports whether tasks may be started: no other node can have notified a user of a
@@ -22,7 +22,7 @@
 // other controller says that it has lost the state service too: a successor may have notified
 // users, and its own notification of this node may be under way.
 func (c *Controller) mayStart() bool {
-	return c.leaseValid() || c.allPeersWithoutState()
+	return c.ownership.leaseValid() || c.allPeersWithoutState()
 }
 
 // allPeersWithoutState reports whether every other controller is alive and says that it does
@@ -38,21 +38,21 @@
 
 // mayCommandShard decides whether this node may answer the heartbeats of a shard's machines and
 // send them commands.
-func (c *Controller) mayCommandShard(s *shard) authority.Decision {
+func (o *ownershipState) mayCommandShard(s *shard) authority.Decision {
 	return authority.MayCommandShard(authority.ShardKnowledge{
-		Lease:            c.leaseKnowledge(),
+		Lease:            o.leaseKnowledge(),
 		Owned:            s.owned(),
 		Releasing:        s.releasing(),
 		OwnerEpoch:       s.ownerEpoch,
 		HighestSeenEpoch: s.highestSeenEpoch,
 		JobsViewCurrent:  s.jobsViewCurrent,
-		JobsCompleteAsOf: c.ownership.jobWatch.completeAsOf,
-	}, c.bounds)
+		JobsCompleteAsOf: o.jobWatch.completeAsOf,
+	}, o.bounds)
 }
 
 // activeShard returns the shard if this node owns it and may command its machines, or nil.
-func (c *Controller) activeShard(id int) *shard {
-	if s := c.ownership.shards[id]; c.mayCommandShard(s).Allowed {
+func (o *ownershipState) activeShard(id int) *shard {
+	if s := o.shards[id]; o.mayCommandShard(s).Allowed {
 		return s
 	}
 	return nil
@@ -63,7 +63,7 @@
 func (c *Controller) mayAcceptHeartbeat(m *machine, heartbeat *wire.Heartbeat) authority.Decision {
 	s := c.ownership.shards[m.rec.Shard]
 	known := authority.MachineKnowledge{
-		Shard:        c.mayCommandShard(s),
+		Shard:        c.ownership.mayCommandShard(s),
 		Cordoned:     m.rec.Cordoned,
 		Returned:     m.returned,
 		Tracked:      m.view != nil,
@@ -126,35 +126,35 @@
 
 // mayAnswerFromMemory reports whether this node may answer users' requests about an open job
 // without a read.
-func (c *Controller) mayAnswerFromMemory(j *job) bool {
+func (o *ownershipState) mayAnswerFromMemory(j *job) bool {
 	if j.run == nil {
 		return false
 	}
-	s := c.ownership.shards[j.shard]
+	s := o.shards[j.shard]
 	return authority.MayAnswerFromMemory(authority.OpenJobKnowledge{
-		Shard:              c.mayCommandShard(s),
-		Lease:              c.leaseKnowledge(),
+		Shard:              o.mayCommandShard(s),
+		Lease:              o.leaseKnowledge(),
 		JobsViewCurrent:    s.jobsViewCurrent,
 		AcceptedUnderClaim: j.run.acceptedUnderClaim,
-	}, c.bounds)
+	}, o.bounds)
 }
 
 // leading reports whether this node may rent, return and assign machines for all shards.
-func (c *Controller) leading() bool {
-	leader := &c.ownership.leader
+func (o *ownershipState) leading() bool {
+	leader := &o.leader
 	return authority.MayLead(authority.LeaderKnowledge{
-		Lease:        c.leaseKnowledge(),
-		Owned:        c.isMine(leader),
-		SteppingDown: leader.ownerEpoch == c.ownership.steppedDownEpoch,
-	}, c.bounds)
+		Lease:        o.leaseKnowledge(),
+		Owned:        o.isMine(leader),
+		SteppingDown: leader.ownerEpoch == o.steppedDownEpoch,
+	}, o.bounds)
 }
 
 // mayFreeMachine reports whether a machine has provably no task any more, because its lease has
 // run out.
-func (c *Controller) mayFreeMachine(s *shard, m *machine) bool {
+func (o *ownershipState) mayFreeMachine(s *shard, m *machine) bool {
 	v := m.view
 	return authority.MayFreeMachine(authority.ContentsKnowledge{
-		LeaseValid:                  c.leaseValid(),
+		LeaseValid:                  o.leaseValid(),
 		LeaseExpired:                v.leaseExpired,
 		Reconciled:                  v.reconciled,
 		ReconciledAt:                v.reconciledAt,
@@ -162,8 +162,8 @@
 		UnreconciledFromPredecessor: v.unreconciledFromPredecessor,
 		LastReplyAt:                 v.lastReplyAt,
 		MachinesFreeAt:              s.machinesFreeAt,
-		Now:                         c.now,
-	}, c.bounds)
+		Now:                         o.now,
+	}, o.bounds)
 }
 
 // mayReleaseMachine reports whether a machine may leave its shard now: it is free for that, and its
@@ -202,7 +202,7 @@
 		return
 	}
 	for _, att := range m.view.list {
-		for _, invariant := range authority.BrokenByRenewal(c.stopPending(att), c.jobStatusForRenewal(s, att)) {
+		for _, invariant := range authority.BrokenByRenewal(c.jobs.stopPending(att), c.jobStatusForRenewal(s, att)) {
 			c.reportBrokenInvariant(invariant, "task", wire.TaskName(att.key.job, att.index), "machine", m.id, "epoch", s.ownerEpoch)
 		}
 	}
@@ -214,7 +214,7 @@
 		return // for its image only, of a job that has ended
 	}
 	_, ended := c.jobs.final(att.key.job)
-	for _, invariant := range authority.BrokenByStart(ended, c.cancelled(att.key.job)) {
+	for _, invariant := range authority.BrokenByStart(ended, c.jobs.cancelled(att.key.job)) {
 		c.reportBrokenInvariant(invariant, "task", wire.TaskName(att.key.job, att.index), "machine", att.machine.id)
 	}
 }
--- a/internal/controller/authority_test.go
+++ b/internal/controller/authority_test.go
@@ -84,7 +84,7 @@
 			h := meet(t, withPeer)
 			s := h.c.ownership.shards[0]
 			tc.knows(h.c, s)
-			if got := h.c.mayCommandShard(s); got != tc.want {
+			if got := h.c.ownership.mayCommandShard(s); got != tc.want {
 				t.Errorf("%v %s, want %v %s", got.Allowed, got.Reason, tc.want.Allowed, tc.want.Reason)
 			}
 		})
--- a/internal/controller/cancellation_cascade.go
+++ b/internal/controller/cancellation_cascade.go
@@ -121,7 +121,7 @@
 // recordDependents records the next dependents, as far as the limits allow.
 func (c *Controller) recordDependents() {
 	w := &c.cascade
-	if len(w.jobs) == 0 || w.txnsInFlight >= maxCascadeTransactions || !c.leaseValid() {
+	if len(w.jobs) == 0 || w.txnsInFlight >= maxCascadeTransactions || !c.ownership.leaseValid() {
 		return
 	}
 	if at := max(w.nextTxnAt, w.retryAt); c.now < at {
@@ -309,7 +309,7 @@
 // recordRequestsFor lists the dependents that another controller is to record, none where
 // this one has recorded all of them soon.
 func (c *Controller) recordRequestsFor(p *peerView) (ids []string) {
-	if len(c.cascade.jobs) == 0 || !c.leaseValid() {
+	if len(c.cascade.jobs) == 0 || !c.ownership.leaseValid() {
 		return nil
 	}
 	own := 0
--- a/internal/controller/cancellation_cascade_test.go
+++ b/internal/controller/cancellation_cascade_test.go
@@ -229,7 +229,7 @@
 			t.Fatalf("cancellation beside the list: %d %s", a.Status, stateOf(a))
 		}
 	}
-	if !h.c.leaseValid() {
+	if !h.c.ownership.leaseValid() {
 		t.Error("the lease was not renewed")
 	}
 	if got := h.recorded(n); got == 0 || got == n {
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -88,7 +88,7 @@
 		att.startToken = c.fencingToken(c.ownership.shards[m.rec.Shard], m)
 	}
 	att.since = c.now
-	c.markDirty(m)
+	c.ownership.markDirty(m)
 }
 
 func (att *attempt) command(op string) wire.Command {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -5,13 +5,10 @@
 package controller
 
 import (
-	"math/rand/v2"
 	"slices"
 
-	"garnethitch/internal/controller/authority"
 	"garnethitch/internal/controller/estimate"
 	"garnethitch/internal/controller/ownership"
-	"garnethitch/internal/controller/reachability"
 	"garnethitch/internal/controller/statestore"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/wire"
@@ -19,23 +16,8 @@
 
 // Controller is the state of one controller.
 type Controller struct {
-	cfg                Config
-	bounds             authority.Bounds
-	heartbeatDeadlines reachability.Deadlines
-	rng                *rand.Rand
+	stepContext
 
-	// now is the steady time of the step, wall its time of day.
-	now, wall micros.Micros
-	startedAt micros.Micros // time of the first step; below 0: none yet
-	wake      micros.Micros // see Wake
-
-	// What the step under way gives out; see effects.go.
-	effects  []Effect
-	deferred []func()
-	calls    map[uint64]func(Result) // by ID, those without a Result yet
-	nextCall uint64
-
-	stateQueue   *statestore.Queue
 	reads        *statestore.Reads // of job records, for users
 	unsentLogged uint64            // requests given up unsent when that was last logged
 
@@ -67,9 +49,6 @@
 	schedulingState
 	lastMaintenance micros.Micros // when maintain last ran
 	nextWalkAt      micros.Micros // when maintain may next walk over all machines and jobs
-	// lastStalledAt is when the process was last found stalled. That nothing was received
-	// before says nothing about others.
-	lastStalledAt micros.Micros
 	// walkedLastStep is set if the step before walked over all machines and jobs.
 	walkedLastStep bool
 	// visited counts the machines, jobs and attempts that were visited, visitedBefore those
@@ -77,9 +56,6 @@
 	visited, visitedBefore uint64
 }
 
-// rngStream is the second word of the random numbers' seed.
-const rngStream = 0x9e3779b97f4a7c15
-
 // minWorkerRequests is the least bound of the requests to workers in flight.
 const minWorkerRequests = 8
 
@@ -87,11 +63,7 @@
 func New(cfg Config, seed uint64) *Controller {
 	cfg = cfg.withDefaults()
 	c := &Controller{
-		cfg:                   cfg,
-		bounds:                authority.NewBounds(cfg.Lease, cfg.WorkerLease, cfg.Cancel),
-		heartbeatDeadlines:    reachability.NewDeadlines(cfg.HeartbeatInterval, cfg.SilentReturn),
-		rng:                   rand.New(rand.NewPCG(seed, rngStream)),
-		calls:                 map[uint64]func(Result){},
+		stepContext:           newStepContext(cfg, seed),
 		peers:                 map[string]*peerView{},
 		nodes:                 slices.Sorted(slices.Values(append([]string{cfg.Label}, cfg.Peers...))),
 		machines:              map[string]*machine{},
@@ -99,10 +71,11 @@
 		types:                 map[string]wire.MachineType{},
 		misdirectedHeartbeats: map[string]micros.Micros{},
 		teamOf:                map[string]int{},
-		startedAt:             -1,
-		lastStalledAt:         -micros.Never,
 	}
-	c.initStateRequests()
+	c.ownership.stepContext = &c.stepContext
+	c.fleet.stepContext = &c.stepContext
+	c.quota.stepContext = &c.stepContext
+	c.reads = c.newStateReads()
 	c.initTeams()
 	c.commandQueue.maxInFlight = max(cfg.MaxWorkerRequests, minWorkerRequests)
 	c.ownership.init(cfg.Shards, cfg.Lease)
@@ -121,17 +94,6 @@
 	return c
 }
 
-// initStateRequests prepares the requests to the state service.
-func (c *Controller) initStateRequests() {
-	c.stateQueue = statestore.NewQueue(statestore.Limits{
-		RequestRate: c.cfg.StateRPS,
-		WriteRate:   c.cfg.WriteRPS,
-		Controllers: len(c.nodes),
-		MaxInFlight: c.cfg.MaxStateRequests,
-	})
-	c.reads = c.newStateReads()
-}
-
 // initTeams numbers the teams and assigns them to shards.
 func (c *Controller) initTeams() {
 	for i, t := range c.cfg.Teams {
--- a/internal/controller/decision_log.go
+++ b/internal/controller/decision_log.go
@@ -40,7 +40,7 @@
 
 // logShardDecision logs what this node may do for a shard, if that has changed.
 func (c *Controller) logShardDecision(s *shard) {
-	decision := c.mayCommandShard(s)
+	decision := c.ownership.mayCommandShard(s)
 	before := c.decisionLog.shardReasons[s.id]
 	if decision.Reason == before {
 		return
--- a/internal/controller/demand.go
+++ b/internal/controller/demand.go
@@ -42,7 +42,7 @@
 	var demands []peer.Demand
 	remainingBytes := maxRowBytes
 	for _, s := range c.ownership.shards {
-		if c.activeShard(s.id) != nil {
+		if c.ownership.activeShard(s.id) != nil {
 			var d peer.Demand
 			d, remainingBytes = c.demandOf(s, remainingBytes)
 			demands = append(demands, d)
@@ -290,7 +290,7 @@
 		}
 		pending := j.pending()
 		count := headroom.take(j, pending)
-		count = c.takeQuota(quotas, s, j, count)
+		count = c.quota.takeQuota(quotas, s, j, count)
 		key := groupKeyOf(j)
 		i, known := index[key]
 		if !known {
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -286,7 +286,7 @@
 func (c *Controller) lookUpDependencies(sub wire.Submission, done func(statestore.Lookup)) {
 	var unknown []string
 	for _, id := range sub.DependsOn {
-		if !c.knows(id) {
+		if !c.jobs.knows(id) {
 			unknown = append(unknown, id)
 		}
 	}
--- a/internal/controller/direct_commands.go
+++ b/internal/controller/direct_commands.go
@@ -107,7 +107,7 @@
 		if !c.acceptsDirectCommand(m) {
 			continue // maintainMachine queues it again
 		}
-		if s := c.activeShard(m.rec.Shard); s != nil && c.needsDirectCommand(m) {
+		if s := c.ownership.activeShard(m.rec.Shard); s != nil && c.needsDirectCommand(m) {
 			c.sendCommands(s, m, c.commands(m, inDirectCommand))
 		}
 	}
@@ -160,7 +160,7 @@
 	if outcome != commandsExecuted {
 		v.nextCommandAt = c.now + commandRetryDelay
 	}
-	if answered && c.activeShard(s.id) != nil && heartbeat.FencingToken <= c.fencingToken(s, m) {
+	if answered && c.ownership.activeShard(s.id) != nil && heartbeat.FencingToken <= c.fencingToken(s, m) {
 		c.applyHeartbeat(s, m, heartbeat, answerToRequest)
 		c.scheduleOnMachine(s, m)
 	}
@@ -177,7 +177,7 @@
 		if att.state != attemptCommanded {
 			continue
 		}
-		c.markDirty(m)
+		c.ownership.markDirty(m)
 		switch outcome {
 		case commandsExecuted:
 			att.state = attemptSent
--- a/internal/controller/first_start.go
+++ b/internal/controller/first_start.go
@@ -23,24 +23,24 @@
 
 // overdue reports whether a job should have begun. One whose only start was stopped for others is
 // overdue again; one that fails everywhere has its own pace.
-func (c *Controller) overdue(j *job) bool {
-	return c.waitsLong(j) && j.run.nextRetryAt == 0 && len(j.run.active) == 0
+func (sc *stepContext) overdue(j *job) bool {
+	return sc.waitsLong(j) && j.run.nextRetryAt == 0 && len(j.run.active) == 0
 }
 
 // waitsLong reports whether none of a job's tasks is done by when the job should have begun.
-func (c *Controller) waitsLong(j *job) bool {
-	return c.cfg.BeginWithin > 0 && j.run != nil && j.run.doneCount == 0 && c.waited(j) > c.cfg.BeginWithin
+func (sc *stepContext) waitsLong(j *job) bool {
+	return sc.cfg.BeginWithin > 0 && j.run != nil && j.run.doneCount == 0 && sc.waited(j) > sc.cfg.BeginWithin
 }
 
 // waited returns for how long a job could have run.
-func (c *Controller) waited(j *job) micros.Micros {
-	return c.wall - micros.Micros(j.since())*micros.Millisecond
+func (sc *stepContext) waited(j *job) micros.Micros {
+	return sc.wall - micros.Micros(j.since())*micros.Millisecond
 }
 
 // onlyStart reports whether the attempt is all that an overdue job has got, and is not to be
 // stopped for another if that can be helped.
-func (c *Controller) onlyStart(att *attempt) bool {
-	return att.tracked && c.waitsLong(att.job) && len(att.job.run.active) == 1
+func (sc *stepContext) onlyStart(att *attempt) bool {
+	return att.tracked && sc.waitsLong(att.job) && len(att.job.run.active) == 1
 }
 
 // reserveCapacity keeps what comes free on one machine for an overdue job that found no capacity:
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -24,6 +24,7 @@
 // fleetState is what the leader knows of the fleet. The leader rents machines, assigns them to
 // shards and returns them, and places no tasks.
 type fleetState struct {
+	*stepContext
 	budget ratelimit.Bucket // of requests to the cloud
 
 	ledAt    micros.Micros // when this controller began to lead
@@ -71,7 +72,7 @@
 
 // startLeading begins anew when this controller has acquired the leader lock.
 func (c *Controller) startLeading() {
-	c.refuseRegistrations()
+	c.fleet.refuseRegistrations()
 	f := &c.fleet
 	f.reset()
 	f.ledAt = c.now
@@ -85,32 +86,31 @@
 
 // refuseRegistrations answers the machines that wait for a record. They must be free to send
 // heartbeats again: this controller may lead again under the same epoch.
-func (c *Controller) refuseRegistrations() {
-	f := &c.fleet
+func (f *fleetState) refuseRegistrations() {
 	for _, r := range f.registrations {
 		delete(f.assigning, r.in.Heartbeat.Machine)
-		c.answer(r.in.Reply, http.StatusServiceUnavailable, nil, 0)
+		f.answer(r.in.Reply, http.StatusServiceUnavailable, nil, 0)
 	}
 	f.registrations = nil
 }
 
 // askCloud sends a request if the budget allows it, and reports whether it did.
-func (c *Controller) askCloud(req any, timeout micros.Micros, done func(Result)) bool {
-	b := &c.fleet.budget
-	b.Refill(c.now)
+func (f *fleetState) askCloud(req any, timeout micros.Micros, done func(Result)) bool {
+	b := &f.budget
+	b.Refill(f.now)
 	if b.Tokens() < 1 {
 		return false
 	}
 	b.Take(1)
-	c.call(Call{To: ToCloud, Req: req, Timeout: timeout}, done)
+	f.call(Call{To: ToCloud, Req: req, Timeout: timeout}, done)
 	return true
 }
 
 // maintainFleet does what becomes due of the leader's work.
 func (c *Controller) maintainFleet() {
 	c.refreshTypes()
-	if !c.leading() {
-		c.refuseRegistrations()
+	if !c.ownership.leading() {
+		c.fleet.refuseRegistrations()
 		return
 	}
 	f := &c.fleet
--- a/internal/controller/fleet_plan.go
+++ b/internal/controller/fleet_plan.go
@@ -32,7 +32,7 @@
 			continue
 		}
 		for i := range p.demand {
-			if c.ownedBy(p.demand[i].Shard, label) {
+			if c.ownership.ownedBy(p.demand[i].Shard, label) {
 				demands[p.demand[i].Shard] = &p.demand[i]
 			}
 		}
@@ -45,8 +45,8 @@
 }
 
 // ownedBy reports whether there is such a shard and the controller with the label owns it.
-func (c *Controller) ownedBy(shard int, label string) bool {
-	return shard >= 0 && shard < len(c.ownership.shards) && c.ownership.shards[shard].owner.Label == label
+func (o *ownershipState) ownedBy(shard int, label string) bool {
+	return shard >= 0 && shard < len(o.shards) && o.shards[shard].owner.Label == label
 }
 
 // resizeFleet moves idle machines to where tasks wait, rents what is missing, and returns what is
--- a/internal/controller/free_capacity_log.go
+++ b/internal/controller/free_capacity_log.go
@@ -41,7 +41,7 @@
 // at the pace of its callers.
 func (c *Controller) logFreeCapacities() {
 	for _, s := range c.ownership.shards {
-		if c.activeShard(s.id) != nil {
+		if c.ownership.activeShard(s.id) != nil {
 			c.logFreeCapacity(s)
 		}
 	}
@@ -107,7 +107,7 @@
 		cpus := float64(j.pending()) * j.sub.CPUs
 		if !c.runnable(s, j) {
 			sum.blocked += cpus
-		} else if _, exceeded := c.exceededGroup(s, j); exceeded {
+		} else if _, exceeded := c.quota.exceededGroup(s, j); exceeded {
 			sum.overQuota += cpus
 		} else {
 			sum.startable += cpus
--- a/internal/controller/heartbeats_test.go
+++ b/internal/controller/heartbeats_test.go
@@ -71,7 +71,7 @@
 				// It stood on record when the shard was claimed.
 				h.putMachines("m-1-1", "vm-9")
 				h.c.machines["vm-9"].view.unreconciledFromPredecessor = true
-				h.c.markDirty(h.c.machines["vm-9"])
+				h.c.ownership.markDirty(h.c.machines["vm-9"])
 			}
 			h.submit(jobOf("job-000001", 6))
 			h.dropCalls()
--- a/internal/controller/idempotency_test.go
+++ b/internal/controller/idempotency_test.go
@@ -259,7 +259,7 @@
 		h.ask(func(r ReplyID) Input { return PeerRequest{Reply: r, Req: tc.req} })
 		h.run(sec)
 		switch {
-		case h.c.activeShard(0) == nil:
+		case h.c.ownership.activeShard(0) == nil:
 			t.Errorf("%s: the shard was given up", tc.name)
 		case h.c.machines["vm-1"] == nil || h.c.machines["vm-1"].rec.Cordoned || len(h.c.machines["vm-1"].view.list) == 0:
 			t.Errorf("%s: a machine in use was released", tc.name)
--- a/internal/controller/inventory.go
+++ b/internal/controller/inventory.go
@@ -78,7 +78,7 @@
 	if f.typesBusy || !c.typesDue() {
 		return
 	}
-	f.typesBusy = c.askCloud(GetTypes{}, cloudTimeout, func(r Result) {
+	f.typesBusy = c.fleet.askCloud(GetTypes{}, cloudTimeout, func(r Result) {
 		f.typesBusy = false
 		f.typesAt = c.now
 		if body, ok := r.Body.(*wire.MachineTypes); ok && r.Status == http.StatusOK {
@@ -92,14 +92,14 @@
 	if len(c.types) == 0 {
 		return c.ownership.controlWatch.ready() && c.now >= c.fleet.typesAt+firstTypesInterval
 	}
-	return c.leading() && c.now >= c.fleet.typesAt+typesInterval
+	return c.ownership.leading() && c.now >= c.fleet.typesAt+typesInterval
 }
 
 // learnTypes takes in machine types from the cloud, or else from the state service. A leader takes
 // them from the cloud, and stores them.
 func (c *Controller) learnTypes(mt wire.MachineTypes, fromCloud bool) {
 	types := usableTypes(mt)
-	if len(types) == 0 || !fromCloud && len(c.types) > 0 && c.leading() {
+	if len(types) == 0 || !fromCloud && len(c.types) > 0 && c.ownership.leading() {
 		return
 	}
 	c.types = types
@@ -108,7 +108,7 @@
 	for _, s := range c.ownership.shards {
 		s.recountAll = true
 	}
-	if fromCloud && c.leading() {
+	if fromCloud && c.ownership.leading() {
 		c.storeTypes(mt)
 	}
 }
@@ -169,7 +169,7 @@
 		f.listFrom = c.now
 	}
 	ownerEpoch := c.ownership.leader.ownerEpoch
-	f.listBusy = c.askCloud(ListMachines{After: f.after, Limit: listPageSize}, cloudTimeout, func(r Result) {
+	f.listBusy = c.fleet.askCloud(ListMachines{After: f.after, Limit: listPageSize}, cloudTimeout, func(r Result) {
 		if c.ownership.leader.ownerEpoch != ownerEpoch {
 			return
 		}
@@ -193,7 +193,7 @@
 		return
 	}
 	f.cloudList.complete()
-	f.listNext = c.now + c.listInterval(len(f.pages))
+	f.listNext = c.now + c.fleet.listInterval(len(f.pages))
 	c.compareList()
 }
 
@@ -212,10 +212,10 @@
 }
 
 // listInterval returns the time after which a list of so many machines is read again.
-func (c *Controller) listInterval(machines int) micros.Micros {
+func (f *fleetState) listInterval(machines int) micros.Micros {
 	pages := float64(machines/listPageSize + 1)
-	withinBudget := micros.FromSeconds(listBudgetDivisor * pages / c.fleet.budget.Rate())
-	return max(c.cfg.ListLag/2, minListInterval, withinBudget)
+	withinBudget := micros.FromSeconds(listBudgetDivisor * pages / f.budget.Rate())
+	return max(f.cfg.ListLag/2, minListInterval, withinBudget)
 }
 
 // compareList compares the cloud's list with the machines on record, and forgets what has become
@@ -223,7 +223,7 @@
 func (c *Controller) compareList() {
 	for _, s := range c.ownership.shards {
 		for _, m := range s.machines {
-			c.compareWithList(m)
+			c.fleet.compareWithList(m)
 		}
 	}
 	f := &c.fleet
@@ -246,12 +246,11 @@
 
 // compareWithList notes since when the cloud has not listed a machine on record, and learns the
 // address of one that it lists.
-func (c *Controller) compareWithList(m *machine) {
-	f := &c.fleet
+func (f *fleetState) compareWithList(m *machine) {
 	l, listed := f.listed[m.id]
 	if !listed {
 		if f.missing[m.id] == 0 {
-			f.missing[m.id] = c.now
+			f.missing[m.id] = f.now
 		}
 		return
 	}
--- a/internal/controller/job_end.go
+++ b/internal/controller/job_end.go
@@ -72,17 +72,17 @@
 
 // cancelled reports whether a user was answered, or may be at any moment, that a job is
 // cancelled.
-func (c *Controller) cancelled(id string) bool {
-	if f, over := c.jobs.final(id); over {
+func (t *jobTable) cancelled(id string) bool {
+	if f, over := t.final(id); over {
 		return f.state == wire.StateCancelled
 	}
-	j := c.jobs.open[id]
+	j := t.open[id]
 	return j != nil && j.run != nil && j.run.end.state == wire.StateCancelled
 }
 
 // stopPending reports whether a cancelled task is on its machine without an immediate stop.
-func (c *Controller) stopPending(att *attempt) bool {
-	return att.stopMode != stopImmediate && att.onMachine() && c.cancelled(att.key.job)
+func (t *jobTable) stopPending(att *attempt) bool {
+	return att.stopMode != stopImmediate && att.onMachine() && t.cancelled(att.key.job)
 }
 
 // stopsForCancelledTasks ensures that the answer to a heartbeat stops each cancelled task that the
@@ -93,7 +93,7 @@
 func (c *Controller) stopsForCancelledTasks(s *shard, m *machine, heartbeat *wire.Heartbeat) (stops []wire.Command) {
 	if m.view.reconciled {
 		for _, att := range m.view.list {
-			if c.stopPending(att) {
+			if c.jobs.stopPending(att) {
 				c.stop(att, stopImmediate)
 			}
 		}
@@ -115,11 +115,11 @@
 	if err != nil || t.State == wire.TaskExited {
 		return false
 	}
-	if !c.knows(id) && c.jobStatusOf(s, id, t.Attempt, c.now) == authority.JobEnded {
+	if !c.jobs.knows(id) && c.jobStatusOf(s, id, t.Attempt, c.now) == authority.JobEnded {
 		c.logEndedTask(s, m, t.Task, id, t.Attempt)
 		return true
 	}
-	return c.cancelled(id)
+	return c.jobs.cancelled(id)
 }
 
 // finalRecord is the record of a job that ended in a state at a time of day in milliseconds.
@@ -130,7 +130,7 @@
 // endJob records a job as done or cancelled.
 func (c *Controller) endJob(j *job, state string) {
 	r := j.run
-	if r.end.inFlight() || !c.leaseValid() {
+	if r.end.inFlight() || !c.ownership.leaseValid() {
 		r.end.request(state)
 		return
 	}
--- a/internal/controller/job_queue.go
+++ b/internal/controller/job_queue.go
@@ -23,7 +23,7 @@
 	s.queueStale = false
 	s.nextReorderAt = c.now + reorderInterval
 	s.firstWaiting = 0
-	c.fillQueue(s)
+	c.jobs.fillQueue(s)
 	c.markGuaranteed(s.queue)
 	c.rankQueue(s)
 	slices.SortFunc(s.queue, compareInQueue)
@@ -35,9 +35,9 @@
 
 // fillQueue collects the jobs of a shard's queue. A blocked job takes part in nothing: no
 // limit, no guarantee, no demand.
-func (c *Controller) fillQueue(s *shard) {
+func (t *jobTable) fillQueue(s *shard) {
 	s.queue = s.queue[:0]
-	for _, j := range c.jobs.open {
+	for _, j := range t.open {
 		if j.shard == s.id && j.run != nil && !j.blocked() && !j.dependencyCancelled {
 			s.queue = append(s.queue, j)
 		}
@@ -65,8 +65,8 @@
 
 // guaranteeOverdue reports whether a job within its guarantee has waited for half of what it
 // should at most.
-func (c *Controller) guaranteeOverdue(j *job) bool {
-	return j.withinGuarantee && c.cfg.GuaranteeWithin > 0 && c.waited(j) > c.cfg.GuaranteeWithin/2
+func (sc *stepContext) guaranteeOverdue(j *job) bool {
+	return j.withinGuarantee && sc.cfg.GuaranteeWithin > 0 && sc.waited(j) > sc.cfg.GuaranteeWithin/2
 }
 
 // compareInQueue orders jobs of a shard, the first to be served first.
--- a/internal/controller/job_status.go
+++ b/internal/controller/job_status.go
@@ -57,7 +57,7 @@
 		done(unavailable())
 		return
 	}
-	if !c.mayAnswerFromMemory(j) {
+	if !c.ownership.mayAnswerFromMemory(j) {
 		c.askOwner(j, done)
 		return
 	}
@@ -128,7 +128,7 @@
 		}
 		c.ownership.lastStateReplyAt = c.now
 		c.applyPut(kv.Key, kv.Value, kv.ModRevision)
-		if id := kv.Key[len(wire.PrefixJob):]; !c.knows(id) && !c.jobs.unusable[id] {
+		if id := kv.Key[len(wire.PrefixJob):]; !c.jobs.knows(id) && !c.jobs.unusable[id] {
 			return statestore.LookupFailed // it has ended since; see outdated
 		}
 		return statestore.LookupFound
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -33,9 +33,6 @@
 	return h ^ h>>32
 }
 
-// knows reports whether a job is known, open or over.
-func (c *Controller) knows(id string) bool { return c.jobs.knows(id) }
-
 // learnJob takes a job's record from a watch, a listing, a read or a hint.
 func (c *Controller) learnJob(id string, rec wire.JobRecord, modRevision uint64) {
 	if !wire.ValidID(id) {
@@ -52,7 +49,7 @@
 		j.modRevision = max(j.modRevision, modRevision)
 		return
 	}
-	if c.outdated(modRevision) {
+	if c.ownership.outdated(modRevision) {
 		return
 	}
 	j := c.newJob(id, rec, modRevision)
@@ -66,8 +63,8 @@
 // outdated reports whether a record of an unfinished job that this node does not know is no
 // longer current. The watch has passed it, so that the job was known and has ended since, and
 // its end has left memory. A late read, hint or answer must not bring such a job back.
-func (c *Controller) outdated(modRevision uint64) bool {
-	return modRevision <= c.ownership.jobWatch.since
+func (o *ownershipState) outdated(modRevision uint64) bool {
+	return modRevision <= o.jobWatch.since
 }
 
 // newJob returns the job of a record, or nil if this node can't use the record.
@@ -195,12 +192,12 @@
 
 // maintainJobs does what is due for jobs: ends to retry, checkpoints to record.
 func (c *Controller) maintainJobs() {
-	if !c.leaseValid() {
+	if !c.ownership.leaseValid() {
 		return
 	}
 	c.readUnknown()
 	survey := c.surveyOpenJobs()
-	c.adjustJobWatch(survey)
+	c.ownership.adjustJobWatch(survey)
 	for _, j := range survey.due {
 		c.maintainJob(j)
 	}
@@ -212,7 +209,7 @@
 	for _, j := range c.jobs.open {
 		blocked := j.blocked()
 		out.blocked = out.blocked || blocked
-		if j.run == nil || c.activeShard(j.shard) == nil {
+		if j.run == nil || c.ownership.activeShard(j.shard) == nil {
 			continue
 		}
 		out.ownBlocked = out.ownBlocked || blocked
@@ -233,8 +230,8 @@
 }
 
 // adjustJobWatch sets the pace of the watch of jobs: blocked jobs depend on it.
-func (c *Controller) adjustJobWatch(survey openJobsSurvey) {
-	watch := &c.ownership.jobWatch
+func (o *ownershipState) adjustJobWatch(survey openJobsSurvey) {
+	watch := &o.jobWatch
 	watch.blockTimeout = watchTimeout
 	if survey.blocked {
 		watch.blockTimeout = blockedWatchTimeout
@@ -243,7 +240,7 @@
 	if survey.ownBlocked {
 		interval = blockedWatchInterval
 	}
-	watch.interval = c.watchInterval(interval, jobWatchFraction)
+	watch.interval = o.watchInterval(interval, jobWatchFraction)
 }
 
 // maintainJob does what is due for a job of this node.
--- a/internal/controller/lease.go
+++ b/internal/controller/lease.go
@@ -23,26 +23,26 @@
 	lease := &c.ownership.lease
 	switch {
 	case lease.RequestDue():
-		c.requestLease()
+		c.ownership.requestLease()
 	case lease.RenewalDue(c.now):
 		c.renewLease()
 	}
 }
 
 // requestLease requests a lease. It counts from when it is requested.
-func (c *Controller) requestLease() {
-	lease := &c.ownership.lease
+func (o *ownershipState) requestLease() {
+	lease := &o.lease
 	lease.Request()
-	sentAt := c.now
-	c.askState(statestore.ClassLease, wire.NewLease{TTLMS: lease.Duration().Millis()}, leaseRequestTimeout, func(r statestore.Reply) {
+	sentAt := o.now
+	o.askState(statestore.ClassLease, wire.NewLease{TTLMS: lease.Duration().Millis()}, leaseRequestTimeout, func(r statestore.Reply) {
 		granted, ok := r.Body.(*wire.Lease)
 		if !ok || r.Status != http.StatusOK || granted.Lease == 0 {
 			lease.RequestFailed()
 			return
 		}
-		lease.Grant(granted.Lease, sentAt, c.now)
-		c.ownership.lastStateReplyAt = c.now
-		c.log(Info, "lease granted", "lease", granted.Lease)
+		lease.Grant(granted.Lease, sentAt, o.now)
+		o.lastStateReplyAt = o.now
+		o.log(Info, "lease granted", "lease", granted.Lease)
 	})
 }
 
@@ -58,7 +58,7 @@
 		}
 		switch r.Status {
 		case http.StatusOK:
-			c.leaseRenewed(sentAt)
+			c.ownership.leaseRenewed(sentAt)
 		case http.StatusNotFound:
 			c.log(Info, "lease lost, giving up all locks", "lease", id)
 			c.ownership.lastStateReplyAt = c.now
@@ -70,14 +70,14 @@
 }
 
 // leaseRenewed takes the success of a renewal that was sent at a time.
-func (c *Controller) leaseRenewed(sentAt micros.Micros) {
-	lease := &c.ownership.lease
-	if c.now >= lease.RenewedAt()+c.bounds.LeaseValidity {
-		c.log(Info, "lease renewed after a gap", "gap_ms", (c.now - lease.RenewedAt()).Millis())
+func (o *ownershipState) leaseRenewed(sentAt micros.Micros) {
+	lease := &o.lease
+	if o.now >= lease.RenewedAt()+o.bounds.LeaseValidity {
+		o.log(Info, "lease renewed after a gap", "gap_ms", (o.now - lease.RenewedAt()).Millis())
 	}
 	lease.Renew(sentAt)
-	c.ownership.lastStateReplyAt = c.now
-	c.schedulingDue = true
+	o.lastStateReplyAt = o.now
+	o.schedulingDue = true
 }
 
 // loseLease gives up the lease, and every shard whose lock was held under it.
--- a/internal/controller/lock.go
+++ b/internal/controller/lock.go
@@ -66,12 +66,12 @@
 }
 
 // ownerRecord returns the record by which this process holds locks.
-func (c *Controller) ownerRecord() wire.OwnerRecord {
-	return wire.OwnerRecord{Label: c.cfg.Label, Incarnation: c.ownership.lease.ID()}
+func (o *ownershipState) ownerRecord() wire.OwnerRecord {
+	return wire.OwnerRecord{Label: o.cfg.Label, Incarnation: o.lease.ID()}
 }
 
 // isMine reports whether this process holds a lock.
-func (c *Controller) isMine(l *lock) bool { return l.ownedBy(c.ownerRecord()) }
+func (o *ownershipState) isMine(l *lock) bool { return l.ownedBy(o.ownerRecord()) }
 
 // claimIfDue claims a lock that nobody holds, or that a former process of this node held. index
 // is that of the shard; the leader lock counts as one more.
@@ -81,7 +81,7 @@
 		return
 	case l.free() && c.now < l.absentSince+c.claimDelay(index):
 		return
-	case !l.free() && !l.ownedByFormerProcess(c.ownerRecord()):
+	case !l.free() && !l.ownedByFormerProcess(c.ownership.ownerRecord()):
 		return
 	}
 	c.claim(l)
@@ -90,7 +90,7 @@
 // claim claims a lock. Whether that took effect is for the watch to show, which also shows late
 // copies and, with it, all machines recorded before.
 func (c *Controller) claim(l *lock) {
-	owner := c.ownerRecord()
+	owner := c.ownership.ownerRecord()
 	value, err := wire.Encode(owner)
 	if err != nil {
 		c.log(Error, "claim not encoded", "error", err)
@@ -121,17 +121,17 @@
 // releaseLock deletes this node's key of a lock. Once that has been sent, this node never acts
 // under its epoch again: a late copy could delete the key while the lease lives, and a successor
 // relies on this node's commands having ended by then.
-func (c *Controller) releaseLock(l *lock) {
-	if !l.releaseDue(c.now) {
+func (o *ownershipState) releaseLock(l *lock) {
+	if !l.releaseDue(o.now) {
 		return
 	}
 	ownerEpoch := l.ownerEpoch
 	l.releasingEpoch = ownerEpoch
-	c.askState(statestore.ClassLease, l.releaseTxn(), lockRequestTimeout, func(r statestore.Reply) {
+	o.askState(statestore.ClassLease, l.releaseTxn(), lockRequestTimeout, func(r statestore.Reply) {
 		if l.ownerEpoch != ownerEpoch || r.Outcome() == statestore.Applied {
 			return // the watch shows the rest
 		}
 		l.releasingEpoch = 0
-		l.releaseRetryAt = c.now + c.jitter(releaseRetryDelay)
+		l.releaseRetryAt = o.now + o.jitter(releaseRetryDelay)
 	})
 }
--- a/internal/controller/machine_assignment.go
+++ b/internal/controller/machine_assignment.go
@@ -142,7 +142,7 @@
 		creation.inFlight = false
 		creation.nextSendAt = c.now + c.jitter(recordSetWriteInterval)
 		if outcome == writeApplied || c.machineRecords.sets[creation.key] != nil {
-			c.endCreation(creation)
+			c.fleet.endCreation(creation)
 		}
 		// Else it is sent again. If it stands already, the watch shows it.
 	})
@@ -161,8 +161,7 @@
 	}
 }
 
-func (c *Controller) endCreation(creation *recordSetCreation) {
-	f := &c.fleet
+func (f *fleetState) endCreation(creation *recordSetCreation) {
 	delete(f.pendingCreations, creation.key)
 	for _, m := range creation.rec.Machines {
 		delete(f.assigning, m.ID)
--- a/internal/controller/machine_attempts.go
+++ b/internal/controller/machine_attempts.go
@@ -56,7 +56,7 @@
 // addAttempt puts an attempt on a machine's list.
 func (c *Controller) addAttempt(att *attempt) {
 	att.machine.view.put(att)
-	c.markDirty(att.machine)
+	c.ownership.markDirty(att.machine)
 }
 
 // dropAttempt removes an attempt from its machine's list.
@@ -66,14 +66,14 @@
 		return
 	}
 	v.remove(att)
-	c.markDirty(att.machine)
+	c.ownership.markDirty(att.machine)
 }
 
 // markDirty notes that something about a machine's attempts has changed.
-func (c *Controller) markDirty(m *machine) {
+func (o *ownershipState) markDirty(m *machine) {
 	if v := m.view; v != nil && !v.usageStale {
 		v.usageStale = true
-		s := c.ownership.shards[m.rec.Shard]
+		s := o.shards[m.rec.Shard]
 		s.dirtyMachines = append(s.dirtyMachines, m)
 	}
 }
--- a/internal/controller/machine_maintenance.go
+++ b/internal/controller/machine_maintenance.go
@@ -8,15 +8,15 @@
 func (c *Controller) maintainMachines() {
 	c.commandQueue.resetProbes()
 	for _, s := range c.ownership.shards {
-		if s.owned() && !s.jobsViewCurrent && c.leaseValid() {
+		if s.owned() && !s.jobsViewCurrent && c.ownership.leaseValid() {
 			c.refreshJobsView(s)
 		}
-		if c.activeShard(s.id) == nil {
+		if c.ownership.activeShard(s.id) == nil {
 			continue
 		}
 		c.splitOneRecordSet(s)
 		c.releaseByPlan(c.maintainShardMachines(s))
-		if s.owned() && !s.checkpointsLoaded && !s.loadingCheckpoints && c.leaseValid() {
+		if s.owned() && !s.checkpointsLoaded && !s.loadingCheckpoints && c.ownership.leaseValid() {
 			c.loadCheckpoints(s)
 		}
 	}
@@ -63,7 +63,7 @@
 	if m.returned {
 		return false
 	}
-	if c.mayFreeMachine(s, m) {
+	if c.ownership.mayFreeMachine(s, m) {
 		c.expireLease(m)
 	}
 	if !v.reconciled {
@@ -90,7 +90,7 @@
 // needsHigherToken reports whether a machine's fencing token is to be raised: above commands
 // that are in doubt, or so that attempts can be cleared.
 func (c *Controller) needsHigherToken(s *shard, m *machine) bool {
-	if !c.leaseValid() {
+	if !c.ownership.leaseValid() {
 		return false
 	}
 	v := m.view
--- a/internal/controller/machine_record_sets.go
+++ b/internal/controller/machine_record_sets.go
@@ -68,15 +68,15 @@
 )
 
 // recordSetLimit is how many machines fit into one record.
-func (c *Controller) recordSetLimit() int {
-	fitting := (c.cfg.ValueBytes - recordSetOverheadBytes) / machineRecordBytes
+func (sc *stepContext) recordSetLimit() int {
+	fitting := (sc.cfg.ValueBytes - recordSetOverheadBytes) / machineRecordBytes
 	return max(1, min(maxRecordSetMachines, fitting))
 }
 
 // overRecordLimit reports whether a record set was written under larger limits. It is read as
 // it stands; to be rewritten it must be split.
-func (c *Controller) overRecordLimit(b *machineRecordSet) bool {
-	return len(b.machines) > c.recordSetLimit()
+func (sc *stepContext) overRecordLimit(b *machineRecordSet) bool {
+	return len(b.machines) > sc.recordSetLimit()
 }
 
 // Names of record sets say how they were created; each holds the modification revision of the
--- a/internal/controller/machine_record_writes.go
+++ b/internal/controller/machine_record_writes.go
@@ -193,7 +193,7 @@
 
 // splitOneRecordSet splits one record set of a shard that is too large, if there is one.
 func (c *Controller) splitOneRecordSet(s *shard) {
-	if c.now < c.machineRecords.nextSplitAt || !c.leaseValid() {
+	if c.now < c.machineRecords.nextSplitAt || !c.ownership.leaseValid() {
 		return
 	}
 	c.machineRecords.nextSplitAt = c.now + splitInterval
--- a/internal/controller/machine_records.go
+++ b/internal/controller/machine_records.go
@@ -52,7 +52,7 @@
 		m = &machine{id: e.ID, recordSet: b}
 		c.machines[e.ID] = m
 		m.fill(b.shard, k, e)
-		c.attach(m)
+		c.ownership.attach(m)
 	case m.recordSet == b:
 		m.fill(b.shard, k, e)
 		if m.view != nil {
@@ -84,7 +84,7 @@
 	m.recordSet = b
 	m.fill(b.shard, k, e)
 	if changesShard {
-		c.attach(m)
+		c.ownership.attach(m)
 	}
 }
 
@@ -93,14 +93,14 @@
 func (c *Controller) updateView(s *shard, m *machine, neverCommanded bool) {
 	if m.rec.Cordoned {
 		if m.view != nil {
-			c.setView(m, nil)
+			c.ownership.setView(m, nil)
 		}
 		return
 	}
 	if !s.owned() || m.view != nil {
 		return
 	}
-	c.setView(m, c.newView())
+	c.ownership.setView(m, c.newView())
 	if neverCommanded {
 		m.view.reconciled = true
 		m.view.neverCommanded = true
@@ -133,15 +133,15 @@
 }
 
 // attach puts a machine into its shard's list, which is in order of name.
-func (c *Controller) attach(m *machine) {
-	s := c.ownership.shards[m.rec.Shard]
+func (o *ownershipState) attach(m *machine) {
+	s := o.shards[m.rec.Shard]
 	i, _ := slices.BinarySearchFunc(s.machines, m.id, byName)
 	s.machines = slices.Insert(s.machines, i, m)
 }
 
 // detach takes a machine out of its shard, and drops what is known of it there.
 func (c *Controller) detach(m *machine) {
-	c.setView(m, nil)
+	c.ownership.setView(m, nil)
 	s := c.ownership.shards[m.rec.Shard]
 	if i, ok := slices.BinarySearchFunc(s.machines, m.id, byName); ok {
 		s.machines = slices.Delete(s.machines, i, i+1)
--- a/internal/controller/machine_release.go
+++ b/internal/controller/machine_release.go
@@ -46,7 +46,7 @@
 	if m == nil || m.view == nil || m.view.releasing {
 		return false
 	}
-	s := c.activeShard(m.rec.Shard)
+	s := c.ownership.activeShard(m.rec.Shard)
 	return s != nil && (r.Retire || r.Shard != s.id)
 }
 
@@ -71,7 +71,7 @@
 // releaseMachines writes the records by which machines move or retire, as many in
 // one transaction as fit. It reports whether it has sent any.
 func (c *Controller) releaseMachines(machines []*machine, r peer.Release) bool {
-	if !c.leaseValid() {
+	if !c.ownership.leaseValid() {
 		return false
 	}
 	byShard := map[int][]*machine{}
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -38,24 +38,24 @@
 	reclaimAt      micros.Micros // when the cloud takes the machine away; 0: no notice
 }
 
-func (c *Controller) newView() *view {
+func (sc *stepContext) newView() *view {
 	return &view{
-		contactView:        contactView{lastHeartbeatAt: -micros.Never, lastReplyAt: -micros.Never, since: c.now},
+		contactView:        contactView{lastHeartbeatAt: -micros.Never, lastReplyAt: -micros.Never, since: sc.now},
 		reconciliationView: reconciliationView{reconciledAt: -micros.Never},
 		attemptView:        attemptView{attempts: map[attemptKey]*attempt{}, usageStale: true},
 		healthView:         healthView{failuresByJob: map[string]int{}},
 		images:             map[string]bool{},
-		idleAt:             c.now,
+		idleAt:             sc.now,
 	}
 }
 
 // setView sets what this node knows of a machine; nil ends its ownership.
-func (c *Controller) setView(m *machine, v *view) {
+func (o *ownershipState) setView(m *machine, v *view) {
 	if m.view != nil {
 		m.view.usageStale = true // so that it is not put on the list of changes again
 	}
 	m.view = v
-	s := c.ownership.shards[m.rec.Shard]
+	s := o.shards[m.rec.Shard]
 	s.recountAll = true
 }
 
--- a/internal/controller/maintenance.go
+++ b/internal/controller/maintenance.go
@@ -37,10 +37,12 @@
 }
 
 // Wake returns the steady time at which Step is to be called at the latest.
-func (c *Controller) Wake() micros.Micros { return c.wake }
+func (sc *stepContext) Wake() micros.Micros { return sc.wake }
 
 // wakeIn has Step called after d at the latest, at least a millisecond from now.
-func (c *Controller) wakeIn(d micros.Micros) { c.wake = min(c.wake, c.now+max(d, micros.Millisecond)) }
+func (sc *stepContext) wakeIn(d micros.Micros) {
+	sc.wake = min(sc.wake, sc.now+max(d, micros.Millisecond))
+}
 
 // nextMaintenance returns when maintain runs next.
 func (c *Controller) nextMaintenance() micros.Micros {
@@ -53,7 +55,7 @@
 
 // maintenanceInterval returns the time between two runs of maintain.
 func (c *Controller) maintenanceInterval() micros.Micros {
-	if !c.viewComplete() || len(c.types) == 0 {
+	if !c.ownership.viewComplete() || len(c.types) == 0 {
 		return busyInterval
 	}
 	for _, s := range c.ownership.shards {
@@ -66,8 +68,7 @@
 
 // viewComplete reports whether this controller has a lease, has listed all keys that it watches,
 // and knows a leader.
-func (c *Controller) viewComplete() bool {
-	o := &c.ownership
+func (o *ownershipState) viewComplete() bool {
 	return o.lease.Held() && o.controlWatch.ready() && o.jobWatch.ready() && o.leader.ownerEpoch != 0
 }
 
@@ -127,6 +128,6 @@
 }
 
 // jitter returns d, more or less by up to a quarter.
-func (c *Controller) jitter(d micros.Micros) micros.Micros {
-	return d*3/4 + micros.Micros(c.rng.Int64N(int64(d/2)+1))
+func (sc *stepContext) jitter(d micros.Micros) micros.Micros {
+	return d*3/4 + micros.Micros(sc.rng.Int64N(int64(d/2)+1))
 }
--- a/internal/controller/ownership.go
+++ b/internal/controller/ownership.go
@@ -74,6 +74,7 @@
 
 // ownershipState is what a node knows of the locks in the state service, and of its own lease.
 type ownershipState struct {
+	*stepContext
 	lease            ownership.Lease
 	lastStateReplyAt micros.Micros // when the state service last answered any request
 	shards           []*shard
@@ -111,17 +112,17 @@
 // Owns reports whether this node owns an unfinished job and may command its machines.
 func (c *Controller) Owns(id string) bool {
 	j := c.jobs.open[id]
-	return j != nil && j.run != nil && c.activeShard(j.shard) != nil
+	return j != nil && j.run != nil && c.ownership.activeShard(j.shard) != nil
 }
 
 // Leads reports whether this node rents and returns machines for all shards.
-func (c *Controller) Leads() bool { return c.leading() }
+func (c *Controller) Leads() bool { return c.ownership.leading() }
 
 // Commanded returns the number of machines of this node's shards that it may give tasks.
 func (c *Controller) Commanded() int {
 	n := 0
 	for _, s := range c.ownership.shards {
-		if c.activeShard(s.id) == nil {
+		if c.ownership.activeShard(s.id) == nil {
 			continue
 		}
 		for _, m := range s.machines {
@@ -138,8 +139,8 @@
 	o := &c.ownership
 	c.maintainLease()
 	c.followAll()
-	c.releaseLocks()
-	if !o.controlWatch.ready() || !c.leaseValid() {
+	c.ownership.releaseLocks()
+	if !o.controlWatch.ready() || !c.ownership.leaseValid() {
 		return
 	}
 	for _, s := range o.shards {
@@ -182,7 +183,7 @@
 	}
 	for _, s := range c.ownership.shards {
 		preferred := c.peers[c.preferredOwner(s.id)]
-		if preferred == nil || !c.readyForShard(preferred) || !c.mayReleaseShard(s) {
+		if preferred == nil || !c.readyForShard(preferred) || !c.ownership.mayReleaseShard(s) {
 			continue
 		}
 		c.ownership.releasedAt = c.now
@@ -199,8 +200,8 @@
 
 // mayReleaseShard reports whether this node owns a shard, has done so for a while, and has no machine
 // left whose reconciliation the next owner would have to begin anew.
-func (c *Controller) mayReleaseShard(s *shard) bool {
-	return s.ownership == shardOwned && c.now >= s.claimedAt+stablePeriod && c.allReconciled(s)
+func (o *ownershipState) mayReleaseShard(s *shard) bool {
+	return s.ownership == shardOwned && o.now >= s.claimedAt+stablePeriod && o.allReconciled(s)
 }
 
 // releaseShard ends all actions for a shard and deletes its owner key. Nobody need answer for the
@@ -208,28 +209,28 @@
 func (c *Controller) releaseShard(s *shard) {
 	s.ownership = shardReleasing
 	c.dropQuota(s)
-	c.releaseLocks()
+	c.ownership.releaseLocks()
 }
 
 // stepDown releases the leader lock, if this node holds it.
-func (c *Controller) stepDown() {
-	leader := &c.ownership.leader
-	if !c.isMine(leader) {
+func (o *ownershipState) stepDown() {
+	leader := &o.leader
+	if !o.isMine(leader) {
 		return
 	}
-	c.ownership.steppedDownEpoch = leader.ownerEpoch
-	c.releaseLock(leader)
+	o.steppedDownEpoch = leader.ownerEpoch
+	o.releaseLock(leader)
 }
 
 // releaseLocks deletes the keys of the locks that this node is releasing.
-func (c *Controller) releaseLocks() {
-	for _, s := range c.ownership.shards {
+func (o *ownershipState) releaseLocks() {
+	for _, s := range o.shards {
 		if s.releasing() {
-			c.releaseLock(&s.lock)
+			o.releaseLock(&s.lock)
 		}
 	}
-	leader := &c.ownership.leader
-	if !leader.free() && leader.ownerEpoch == c.ownership.steppedDownEpoch {
-		c.releaseLock(leader)
+	leader := &o.leader
+	if !leader.free() && leader.ownerEpoch == o.steppedDownEpoch {
+		o.releaseLock(leader)
 	}
 }
--- a/internal/controller/ownership_test.go
+++ b/internal/controller/ownership_test.go
@@ -231,7 +231,7 @@
 		if len(sent) > ownership.MaxRenewalsInFlight {
 			t.Fatalf("%d renewals in flight", len(sent))
 		}
-		if !h.c.leaseValid() {
+		if !h.c.ownership.leaseValid() {
 			t.Fatalf("the lease is not valid, %v s after the last renewal that counts", (h.now - h.c.ownership.lease.RenewedAt()).Seconds())
 		}
 	}
--- a/internal/controller/peer_requests.go
+++ b/internal/controller/peer_requests.go
@@ -42,7 +42,7 @@
 func (c *Controller) handleStatus(p *peerView, status *peer.Status) *peer.StatusAck {
 	p.statusAt = c.now
 	quiesced := c.applyAbout(p, &status.About)
-	if status.Demand != nil || c.leading() {
+	if status.Demand != nil || c.ownership.leading() {
 		p.demand = status.Demand
 		p.demandAt = c.now
 	}
@@ -50,7 +50,7 @@
 		c.machineReturned(id)
 	}
 	c.applyBroadcastCancellations(p, status.Cancelled)
-	c.noteTraces(status.Traces)
+	c.quota.noteTraces(status.Traces)
 	c.takeRecordRequests(status.Record, status.Claims)
 	return &peer.StatusAck{About: c.about(p), QuiescedShards: quiesced}
 }
@@ -77,7 +77,7 @@
 		c.readBeforeCancel(ask, done)
 	case j == nil:
 		done(unavailable())
-	case !c.mayAnswerFromMemory(j):
+	case !c.ownership.mayAnswerFromMemory(j):
 		if ask.Cancel {
 			c.stopCancelledTasks(j)
 		}
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -59,8 +59,8 @@
 // maxCancelled bounds the cancellations of which a controller that can't be reached is yet to
 // be notified: as many as the state service records within the time that a cancellation has.
 // Past it the oldest are dropped: their tasks are gone by then.
-func (c *Controller) maxCancelled() int {
-	recorded := int(c.cfg.WriteRPS * c.cfg.Cancel.Seconds())
+func (sc *stepContext) maxCancelled() int {
+	recorded := int(sc.cfg.WriteRPS * sc.cfg.Cancel.Seconds())
 	return max(10*maxNamed, recorded+maxNamed)
 }
 
@@ -100,13 +100,13 @@
 
 // alive reports whether another controller was heard of within peerTimeout. A time in which
 // this node itself was stalled does not count against others.
-func (c *Controller) alive(p *peerView) bool {
+func (sc *stepContext) alive(p *peerView) bool {
 	everHeard := p.lastHeardAt > -micros.Never
-	return everHeard && c.now-max(p.lastHeardAt, c.lastStalledAt) < peerTimeout
+	return everHeard && sc.now-max(p.lastHeardAt, sc.lastStalledAt) < peerTimeout
 }
 
 // stateFresh reports whether the state service answered this node of late.
-func (c *Controller) stateFresh() bool { return c.now-c.ownership.lastStateReplyAt < stateFreshFor }
+func (o *ownershipState) stateFresh() bool { return o.now-o.lastStateReplyAt < stateFreshFor }
 
 // maintainPeers sends the statuses that are due.
 func (c *Controller) maintainPeers() {
@@ -125,7 +125,7 @@
 // peerUpToDate reports whether another controller needs no status: its own keep coming, and
 // the answers to them say all that ours would.
 func (c *Controller) peerUpToDate(p *peerView) bool {
-	return c.peerAsks(p) && !c.hasNotificationsFor(p) && c.quiescedByPeer(p)
+	return c.peerAsks(p) && !c.hasNotificationsFor(p) && c.ownership.quiescedByPeer(p)
 }
 
 // peerAsks reports whether, of this node and another controller, the other is the one that
@@ -153,8 +153,8 @@
 
 // quiescedByPeer reports whether another controller has said of all shards of this node that
 // it issues no commands there.
-func (c *Controller) quiescedByPeer(p *peerView) bool {
-	for _, s := range c.ownership.shards {
+func (o *ownershipState) quiescedByPeer(p *peerView) bool {
+	for _, s := range o.shards {
 		if _, quiesced := s.quiescedPeers[p.label]; s.owned() && !quiesced {
 			return false
 		}
@@ -167,18 +167,18 @@
 func (c *Controller) about(p *peerView) peer.About {
 	return peer.About{
 		UptimeUS:            int64(c.now - c.startedAt),
-		StateOK:             c.stateFresh(),
+		StateOK:             c.ownership.stateFresh(),
 		WithoutWorkers:      c.contact.lost(),
 		Quota:               c.quota.ledger != nil,
-		Claims:              c.shardClaims(),
+		Claims:              c.ownership.shardClaims(),
 		MisdirectedMachines: c.misdirectedMachinesOf(p),
 	}
 }
 
 // shardClaims lists the shards for which this node acts.
-func (c *Controller) shardClaims() (claims []peer.ShardClaim) {
-	for _, s := range c.ownership.shards {
-		if c.activeShard(s.id) != nil {
+func (o *ownershipState) shardClaims() (claims []peer.ShardClaim) {
+	for _, s := range o.shards {
+		if o.activeShard(s.id) != nil {
 			claims = append(claims, peer.ShardClaim{Shard: s.id, OwnerEpoch: s.ownerEpoch})
 		}
 	}
@@ -250,7 +250,7 @@
 	status.Record = c.recordRequestsFor(p)
 	status.Cancelled = slices.Clone(p.cancelled[:min(len(p.cancelled), maxNamed)])
 	if p.quota {
-		status.Traces = c.openTraces()
+		status.Traces = c.quota.openTraces()
 	}
 	return status
 }
@@ -267,7 +267,7 @@
 	for _, id := range ack.QuiescedShards {
 		for _, claim := range sent.Claims {
 			if claim.Shard == id && c.ownership.shards[id].ownerEpoch == claim.OwnerEpoch {
-				c.recordQuiescedPeer(c.ownership.shards[id], p.label)
+				c.ownership.recordQuiescedPeer(c.ownership.shards[id], p.label)
 			}
 		}
 	}
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -254,7 +254,7 @@
 		att.stopMode = mode
 		att.stopRequestedAt = c.now
 		att.stopSentAt = -micros.Never
-		c.markDirty(att.machine)
+		c.ownership.markDirty(att.machine)
 		c.queueCommand(att.machine)
 	}
 }
--- a/internal/controller/preemption_policy.go
+++ b/internal/controller/preemption_policy.go
@@ -52,9 +52,9 @@
 }
 
 // dueOf returns when a job is wanted done, by its user or its class; Never if neither says.
-func (c *Controller) dueOf(j *job) micros.Micros {
+func (sc *stepContext) dueOf(j *job) micros.Micros {
 	due := j.deadline
-	if within := c.cfg.FinishWithin[j.sub.Class]; within > 0 {
+	if within := sc.cfg.FinishWithin[j.sub.Class]; within > 0 {
 		due = min(due, micros.Micros(j.since())*micros.Millisecond+within)
 	}
 	return due
--- a/internal/controller/prefetch.go
+++ b/internal/controller/prefetch.go
@@ -76,7 +76,7 @@
 // prefetch fetches urgent images on machines that lack them: first on empty
 // ones, before they are filled, later wherever there is free capacity.
 func (c *Controller) prefetch(s *shard, free []*machine, empty bool) {
-	if !c.leaseValid() || len(c.prefetchImages) == 0 {
+	if !c.ownership.leaseValid() || len(c.prefetchImages) == 0 {
 		return
 	}
 	for _, image := range c.prefetchImages {
@@ -88,7 +88,7 @@
 			if empty && m.view.usage.tasks > 0 || !c.shouldPrefetch(m, image.job) {
 				continue
 			}
-			if c.overLimit(s, image.job) {
+			if c.quota.overLimit(s, image.job) {
 				break
 			}
 			c.newAttempt(s, image.job, 0, m).prefetch = true
--- a/internal/controller/quota.go
+++ b/internal/controller/quota.go
@@ -25,6 +25,7 @@
 
 // quotas is what the adapter keeps.
 type quotas struct {
+	*stepContext
 	tree   *quota.Tree   // this controller's options; nil: none
 	ledger *quota.Ledger // nil: there are no groups
 	watch  watch
@@ -82,9 +83,9 @@
 		case quota.Reclaim:
 			c.reclaimQuota(c.ownership.shards[e.Shard], e)
 		case quota.Changed:
-			c.noteQuotaChange(e)
+			c.quota.noteQuotaChange(e)
 		case quota.SetDone:
-			c.finishQuotaSet(e)
+			c.quota.finishQuotaSet(e)
 		}
 	}
 }
@@ -92,7 +93,7 @@
 // maintainQuota does what becomes due by time alone.
 func (c *Controller) maintainQuota() {
 	q := &c.quota
-	if q.ledger == nil || c.now < q.nextUsageAt || !c.leaseValid() {
+	if q.ledger == nil || c.now < q.nextUsageAt || !c.ownership.leaseValid() {
 		return
 	}
 	q.nextUsageAt = c.now + quotaUsageInterval
@@ -102,7 +103,7 @@
 			delete(q.staleShards, s.id)
 			c.refreshQuota(s, s.ownerEpoch, "")
 		}
-		if c.activeShard(s.id) != nil {
+		if c.ownership.activeShard(s.id) != nil {
 			c.updateQuotaUsage(s)
 		}
 	}
@@ -113,7 +114,7 @@
 // announceQuotas has the ledger announce the limits of this controller's options if it leads.
 func (c *Controller) announceQuotas() {
 	q := &c.quota
-	if q.tree == nil || !c.leading() || c.now < q.nextAnnounceAt {
+	if q.tree == nil || !c.ownership.leading() || c.now < q.nextAnnounceAt {
 		return
 	}
 	q.nextAnnounceAt = c.now + announceInterval
@@ -121,14 +122,14 @@
 }
 
 // noteQuotaChange logs what has changed in a group, and makes a span of it.
-func (c *Controller) noteQuotaChange(e quota.Changed) {
+func (q *quotas) noteQuotaChange(e quota.Changed) {
 	switch e.Kind {
 	case quota.Announced:
-		c.log(Info, "limit of a group announced", "group", e.Group, "limit", e.Limit.String(), "source", string(e.Source), "epoch", e.Epoch)
+		q.log(Info, "limit of a group announced", "group", e.Group, "limit", e.Limit.String(), "source", string(e.Source), "epoch", e.Epoch)
 	case quota.InForce:
-		c.log(Info, "limit of a group in force", "group", e.Group, "limit", e.Limit.String(), "epoch", e.Epoch)
+		q.log(Info, "limit of a group in force", "group", e.Group, "limit", e.Limit.String(), "epoch", e.Epoch)
 	default:
-		c.log(Debug, "allowance of a shard", "change", string(e.Kind), "group", e.Group, "shard", e.Shard, "from", e.From.CPUs, "to", e.To.CPUs)
+		q.log(Debug, "allowance of a shard", "change", string(e.Kind), "group", e.Group, "shard", e.Shard, "from", e.From.CPUs, "to", e.To.CPUs)
 	}
-	c.traceQuota(e)
+	q.traceQuota(e)
 }
--- a/internal/controller/quota_limits.go
+++ b/internal/controller/quota_limits.go
@@ -11,23 +11,23 @@
 
 // overLimit reports whether one more of a job's tasks would pass its team's limit, or the
 // allowance of a group that the team is in.
-func (c *Controller) overLimit(s *shard, j *job) bool {
-	if s.usage[j.team].exceeds(c.cfg.Teams[j.team], j.sub) {
+func (q *quotas) overLimit(s *shard, j *job) bool {
+	if s.usage[j.team].exceeds(q.cfg.Teams[j.team], j.sub) {
 		return true
 	}
-	_, exceeded := c.exceededGroup(s, j)
+	_, exceeded := q.exceededGroup(s, j)
 	return exceeded
 }
 
 // exceededGroup returns the group whose allowance one more of a job's tasks would pass; false if
 // there is none.
-func (c *Controller) exceededGroup(s *shard, j *job) (group string, exceeded bool) {
-	if c.quota.ledger == nil {
+func (q *quotas) exceededGroup(s *shard, j *job) (group string, exceeded bool) {
+	if q.ledger == nil {
 		return "", false
 	}
 	task := quotaAmountOf(j.sub)
-	for _, g := range c.quota.paths[j.team] {
-		if !c.groupUsage(s, g).Plus(task).Within(c.quota.ledger.Allowed(s.id, g)) {
+	for _, g := range q.paths[j.team] {
+		if !q.groupUsage(s, g).Plus(task).Within(q.ledger.Allowed(s.id, g)) {
 			return g, true
 		}
 	}
@@ -36,12 +36,12 @@
 
 // noteQuotaGrant counts a start in the ledger at once: a record that comes before the next update
 // of the usage must not lead to giving up what has just been granted.
-func (c *Controller) noteQuotaGrant(s *shard, j *job) {
-	if c.quota.ledger == nil {
+func (q *quotas) noteQuotaGrant(s *shard, j *job) {
+	if q.ledger == nil {
 		return
 	}
-	for _, g := range c.quota.paths[j.team] {
-		c.quota.ledger.Granted(s.id, g, quotaAmountOf(j.sub))
+	for _, g := range q.paths[j.team] {
+		q.ledger.Granted(s.id, g, quotaAmountOf(j.sub))
 	}
 }
 
@@ -49,15 +49,15 @@
 type quotaHeadroom map[string]quota.Amount
 
 // takeQuota returns how many of count tasks of a job find quota in a shard, and takes it off h.
-func (c *Controller) takeQuota(h quotaHeadroom, s *shard, j *job, count int) int {
-	if c.quota.ledger == nil {
+func (q *quotas) takeQuota(h quotaHeadroom, s *shard, j *job, count int) int {
+	if q.ledger == nil {
 		return count
 	}
 	task := quotaAmountOf(j.sub)
-	groups := c.quota.paths[j.team]
+	groups := q.paths[j.team]
 	for _, g := range groups {
 		if _, known := h[g]; !known {
-			h[g] = c.quota.ledger.Part(s.id, g).Minus(c.groupUsage(s, g))
+			h[g] = q.ledger.Part(s.id, g).Minus(q.groupUsage(s, g))
 		}
 		count = min(count, task.Fits(h[g]))
 	}
@@ -70,12 +70,12 @@
 // reclaimQuota stops tasks of a group that are beyond their teams' guarantees, for a guarantee
 // whose tasks wait: those of least priority first, of these the latest ones.
 func (c *Controller) reclaimQuota(s *shard, e quota.Reclaim) {
-	if c.activeShard(s.id) == nil {
+	if c.ownership.activeShard(s.id) == nil {
 		return
 	}
 	over := e.Over
 	stopped := 0
-	for _, att := range c.reclaimable(s, e.Group) {
+	for _, att := range c.quota.reclaimable(s, e.Group) {
 		if over.IsZero() {
 			break
 		}
@@ -93,8 +93,8 @@
 
 // reclaimable returns the attempts of a group that may be stopped for a guarantee, the first to
 // be stopped first.
-func (c *Controller) reclaimable(s *shard, group string) []*attempt {
-	teams := c.quota.members[group]
+func (q *quotas) reclaimable(s *shard, group string) []*attempt {
+	teams := q.members[group]
 	var attempts []*attempt
 	for _, m := range s.machines {
 		if m.view == nil {
--- a/internal/controller/quota_records.go
+++ b/internal/controller/quota_records.go
@@ -26,20 +26,19 @@
 		return
 	}
 	c.stepQuota(quota.Learned{Group: group, Record: rec, ModRevision: modRevision})
-	c.indexQuota()
+	c.quota.indexQuota()
 }
 
 // indexQuota notes which groups each team is in, after a record has come.
-func (c *Controller) indexQuota() {
-	q := &c.quota
+func (q *quotas) indexQuota() {
 	clear(q.members)
-	for team, t := range c.cfg.Teams {
+	for team, t := range q.cfg.Teams {
 		q.paths[team] = q.ledger.Path(t.Name)
 		for _, group := range q.paths[team] {
 			q.members[group] = append(q.members[group], team)
 		}
 	}
-	c.schedulingDue = true
+	q.schedulingDue = true
 }
 
 // holdQuota has the ledger hold a shard that this controller has come to own: nothing is granted
@@ -115,11 +114,11 @@
 		c.later(func() { done(quota.NotSent, 0) })
 		return
 	}
-	txn := wire.Txn{If: c.quotaConditions(w), Then: []wire.Change{{Put: wire.QuotaKey(w.Group), Value: value}}}
+	txn := wire.Txn{If: c.ownership.quotaConditions(w), Then: []wire.Change{{Put: wire.QuotaKey(w.Group), Value: value}}}
 	c.askState(statestore.ClassFleet, txn, quotaTimeout, func(r statestore.Reply) {
 		if revision, ok := r.Revision(); ok {
 			done(quota.Applied, revision)
-			c.indexQuota()
+			c.quota.indexQuota()
 			return
 		}
 		done(quotaOutcome(r.Outcome()), 0)
@@ -128,13 +127,13 @@
 
 // quotaConditions returns under which conditions a record may be written: that it is the one
 // known, and that this controller still leads or owns the shards that the write is for.
-func (c *Controller) quotaConditions(w quota.Write) []wire.Condition {
+func (o *ownershipState) quotaConditions(w quota.Write) []wire.Condition {
 	conditions := []wire.Condition{{Key: wire.QuotaKey(w.Group), ModRevision: w.ModRevision}}
 	if w.Leader {
-		conditions = append(conditions, wire.Condition{Key: wire.KeyLeader, ModRevision: c.ownership.leader.ownerEpoch})
+		conditions = append(conditions, wire.Condition{Key: wire.KeyLeader, ModRevision: o.leader.ownerEpoch})
 	}
 	for _, id := range w.Shards {
-		conditions = append(conditions, wire.Condition{Key: ownerKey(id), ModRevision: c.ownership.shards[id].ownerEpoch})
+		conditions = append(conditions, wire.Condition{Key: ownerKey(id), ModRevision: o.shards[id].ownerEpoch})
 	}
 	return conditions
 }
--- a/internal/controller/quota_requests.go
+++ b/internal/controller/quota_requests.go
@@ -48,8 +48,7 @@
 }
 
 // finishQuotaSet answers the operator whose limit the ledger has set, or could not set.
-func (c *Controller) finishQuotaSet(e quota.SetDone) {
-	q := &c.quota
+func (q *quotas) finishQuotaSet(e quota.SetDone) {
 	if done := q.setsInFlight[e.Token]; done != nil {
 		delete(q.setsInFlight, e.Token)
 		done(e)
@@ -86,19 +85,19 @@
 	for i := range groups {
 		g := &groups[i]
 		for k := range g.Shards {
-			g.Shards[k].Owner = c.ownerLabel(g.Shards[k].Shard)
+			g.Shards[k].Owner = c.ownership.ownerLabel(g.Shards[k].Shard)
 		}
 		for k := range g.HeldUp {
-			g.HeldUp[k].Owner = c.ownerLabel(g.HeldUp[k].Shard)
+			g.HeldUp[k].Owner = c.ownership.ownerLabel(g.HeldUp[k].Shard)
 		}
 	}
 	return groups
 }
 
 // ownerLabel returns the label of a shard's owner; empty if there is no such shard or owner.
-func (c *Controller) ownerLabel(shard int) string {
-	if shard >= len(c.ownership.shards) {
+func (o *ownershipState) ownerLabel(shard int) string {
+	if shard >= len(o.shards) {
 		return ""
 	}
-	return c.ownership.shards[shard].owner.Label
+	return o.shards[shard].owner.Label
 }
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -156,13 +156,13 @@
 			Traces: []peer.TraceContext{{Group: "all", Shard: 1, Trace: trace[:], Span: span[:], BeganUS: 1}, {Group: "all", Shard: 2, Trace: []byte("short")}}}}}
 	})
 	h.c.effects = nil
-	h.c.traceQuota(quota.Changed{Kind: quota.Shrunk, Group: "all", Shard: 0, From: quota.Amount{CPUs: 2}, To: quota.Amount{CPUs: 1}})
+	h.c.quota.traceQuota(quota.Changed{Kind: quota.Shrunk, Group: "all", Shard: 0, From: quota.Amount{CPUs: 2}, To: quota.Amount{CPUs: 1}})
 	if s, ok := h.c.effects[0].(Span); !ok || s.Trace != trace || s.Parent != span || s.Name != "quota.shrinking" {
 		t.Errorf("%+v", h.c.effects)
 	}
-	h.c.traceQuota(quota.Changed{Kind: quota.Asked, Group: "all", Shard: 0})
+	h.c.quota.traceQuota(quota.Changed{Kind: quota.Asked, Group: "all", Shard: 0})
 	asked := h.c.effects[1].(Span)
-	if contexts := h.c.openTraces(); len(contexts) != 1 || [16]byte(contexts[0].Trace) != asked.Trace || [8]byte(contexts[0].Span) != asked.ID {
+	if contexts := h.c.quota.openTraces(); len(contexts) != 1 || [16]byte(contexts[0].Trace) != asked.Trace || [8]byte(contexts[0].Span) != asked.ID {
 		t.Errorf("others are sent %+v of %+v", contexts, asked)
 	}
 }
--- a/internal/controller/quota_trace.go
+++ b/internal/controller/quota_trace.go
@@ -63,15 +63,15 @@
 }
 
 // traceQuota makes a span of a change.
-func (c *Controller) traceQuota(e quota.Changed) {
-	if !c.cfg.Trace || e.Kind == quota.InForce {
+func (q *quotas) traceQuota(e quota.Changed) {
+	if !q.cfg.Trace || e.Kind == quota.InForce {
 		return
 	}
 	span := Span{
 		Name:  "quota." + string(e.Kind),
-		ID:    c.spanID(),
-		Start: c.wall,
-		End:   c.wall,
+		ID:    q.spanID(),
+		Start: q.wall,
+		End:   q.wall,
 		Group: e.Group,
 		Shard: e.Shard,
 		From:  e.From,
@@ -80,40 +80,40 @@
 	}
 	switch e.Kind {
 	case quota.Announced:
-		c.beginTrace(traceKey{e.Group, announcementShard}, &span)
+		q.beginTrace(traceKey{e.Group, announcementShard}, &span)
 	case quota.Asked:
-		c.beginTrace(traceKey{e.Group, e.Shard}, &span)
+		q.beginTrace(traceKey{e.Group, e.Shard}, &span)
 	case quota.Grown:
 		key := traceKey{e.Group, e.Shard}
-		if open, ok := c.quota.tracer.own[key]; ok {
+		if open, ok := q.tracer.own[key]; ok {
 			span.Trace = open.trace
 			span.Parent = open.span
 			span.Start = open.began
 		} else {
-			c.beginTrace(key, &span)
+			q.beginTrace(key, &span)
 		}
 	case quota.Shrunk:
-		span.Trace = c.traceID()
-		if open, ok := c.causeOf(e.Group); ok {
+		span.Trace = q.traceID()
+		if open, ok := q.causeOf(e.Group); ok {
 			span.Trace = open.trace
 			span.Parent = open.span
 		}
 	}
-	c.effects = append(c.effects, span)
+	q.effects = append(q.effects, span)
 }
 
 // beginTrace begins a trace with a span.
-func (c *Controller) beginTrace(key traceKey, span *Span) {
-	span.Trace = c.traceID()
-	c.quota.tracer.own[key] = openTrace{trace: span.Trace, span: span.ID, began: c.wall, until: c.now + traceDuration}
+func (q *quotas) beginTrace(key traceKey, span *Span) {
+	span.Trace = q.traceID()
+	q.tracer.own[key] = openTrace{trace: span.Trace, span: span.ID, began: q.wall, until: q.now + traceDuration}
 }
 
 // causeOf returns the newest context for which a shard of a group may be giving something up.
-func (c *Controller) causeOf(group string) (newest openTrace, found bool) {
-	t := &c.quota.tracer
+func (q *quotas) causeOf(group string) (newest openTrace, found bool) {
+	t := &q.tracer
 	for _, contexts := range []map[traceKey]openTrace{t.own, t.remote} {
 		for key, open := range contexts {
-			if key.group == group && c.now < open.until && (!found || open.newerThan(newest)) {
+			if key.group == group && q.now < open.until && (!found || open.newerThan(newest)) {
 				newest, found = open, true
 			}
 		}
@@ -122,26 +122,26 @@
 }
 
 // traceGrant makes spans of a start that waited for quota.
-func (c *Controller) traceGrant(s *shard, j *job) {
-	if !c.cfg.Trace || j.run.quotaWaitSince == 0 {
+func (q *quotas) traceGrant(s *shard, j *job) {
+	if !q.cfg.Trace || j.run.quotaWaitSince == 0 {
 		return
 	}
-	waited := c.now - j.run.quotaWaitSince
+	waited := q.now - j.run.quotaWaitSince
 	j.run.quotaWaitSince = 0
-	for _, group := range c.quota.paths[j.team] {
+	for _, group := range q.paths[j.team] {
 		key := traceKey{group, s.id}
-		open, ok := c.quota.tracer.own[key]
+		open, ok := q.tracer.own[key]
 		if !ok {
 			continue
 		}
-		delete(c.quota.tracer.own, key)
-		c.effects = append(c.effects, Span{
+		delete(q.tracer.own, key)
+		q.effects = append(q.effects, Span{
 			Name:   "quota.granting",
 			Trace:  open.trace,
-			ID:     c.spanID(),
+			ID:     q.spanID(),
 			Parent: open.span,
-			Start:  c.wall - waited,
-			End:    c.wall,
+			Start:  q.wall - waited,
+			End:    q.wall,
 			Group:  group,
 			Shard:  s.id,
 			To:     quotaAmountOf(j.sub),
@@ -152,12 +152,12 @@
 
 // openTraces returns the contexts for the other controllers, and forgets those that no longer
 // count.
-func (c *Controller) openTraces() []peer.TraceContext {
-	if !c.cfg.Trace {
+func (q *quotas) openTraces() []peer.TraceContext {
+	if !q.cfg.Trace {
 		return nil
 	}
-	own := c.quota.tracer.own
-	dropExpired(own, c.now)
+	own := q.tracer.own
+	dropExpired(own, q.now)
 	var contexts []peer.TraceContext
 	for key, open := range own {
 		contexts = append(contexts, peer.TraceContext{
@@ -184,14 +184,14 @@
 }
 
 // noteTraces takes in the contexts of another controller.
-func (c *Controller) noteTraces(contexts []peer.TraceContext) {
-	if !c.cfg.Trace || c.quota.ledger == nil || len(contexts) > maxTraces {
+func (q *quotas) noteTraces(contexts []peer.TraceContext) {
+	if !q.cfg.Trace || q.ledger == nil || len(contexts) > maxTraces {
 		return
 	}
-	remote := c.quota.tracer.remote
-	dropExpired(remote, c.now)
+	remote := q.tracer.remote
+	dropExpired(remote, q.now)
 	for _, ctx := range contexts {
-		open := openTrace{began: micros.Micros(ctx.BeganUS), until: c.now + traceDuration}
+		open := openTrace{began: micros.Micros(ctx.BeganUS), until: q.now + traceDuration}
 		if len(ctx.Trace) != len(open.trace) || len(ctx.Span) != len(open.span) || len(remote) >= maxTraces {
 			continue
 		}
@@ -202,14 +202,14 @@
 }
 
 // traceID returns a random ID of a trace, which is never zero.
-func (c *Controller) traceID() (id [16]byte) {
-	binary.BigEndian.PutUint64(id[:8], c.rng.Uint64())
-	binary.BigEndian.PutUint64(id[8:], c.rng.Uint64()|1)
+func (sc *stepContext) traceID() (id [16]byte) {
+	binary.BigEndian.PutUint64(id[:8], sc.rng.Uint64())
+	binary.BigEndian.PutUint64(id[8:], sc.rng.Uint64()|1)
 	return id
 }
 
 // spanID returns a random ID of a span, which is never zero.
-func (c *Controller) spanID() (id [8]byte) {
-	binary.BigEndian.PutUint64(id[:], c.rng.Uint64()|1)
+func (sc *stepContext) spanID() (id [8]byte) {
+	binary.BigEndian.PutUint64(id[:], sc.rng.Uint64()|1)
 	return id
 }
--- a/internal/controller/quota_usage.go
+++ b/internal/controller/quota_usage.go
@@ -21,8 +21,8 @@
 
 // groupUsage returns what a group's tasks could be using of a shard at most. An unreconciled
 // machine counts in full for each of its teams, as it does for the teams' own limits.
-func (c *Controller) groupUsage(s *shard, group string) (sum quota.Amount) {
-	for _, team := range c.quota.members[group] {
+func (q *quotas) groupUsage(s *shard, group string) (sum quota.Amount) {
+	for _, team := range q.members[group] {
 		sum = sum.Plus(s.usage[team].amount())
 	}
 	return sum
@@ -98,7 +98,7 @@
 		if waiting := c.waitingTasks(s, j); waiting.Count > 0 {
 			teams[j.team].Waiting = append(teams[j.team].Waiting, waiting)
 		}
-		c.noteQuotaWait(s, j)
+		c.quota.noteQuotaWait(s, j)
 	}
 	return teams
 }
@@ -121,16 +121,16 @@
 }
 
 // noteQuotaWait logs that a job's tasks have waited for quota for long.
-func (c *Controller) noteQuotaWait(s *shard, j *job) {
+func (q *quotas) noteQuotaWait(s *shard, j *job) {
 	r := j.run
-	group, exceeded := c.exceededGroup(s, j)
+	group, exceeded := q.exceededGroup(s, j)
 	switch {
 	case !exceeded:
 		r.quotaWaitSince = 0
 	case r.quotaWaitSince == 0:
-		r.quotaWaitSince = c.now
-	case !r.quotaWaitLogged && c.now-r.quotaWaitSince > longQuotaWait:
+		r.quotaWaitSince = q.now
+	case !r.quotaWaitLogged && q.now-r.quotaWaitSince > longQuotaWait:
 		r.quotaWaitLogged = true
-		c.log(Info, "job waits for quota", "job", j.id, "group", group, "tasks", j.pending())
+		q.log(Info, "job waits for quota", "job", j.id, "group", group, "tasks", j.pending())
 	}
 }
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -59,14 +59,14 @@
 }
 
 // sinceLastReply is how long ago a heartbeat of a machine was last answered.
-func (c *Controller) sinceLastReply(v *view) micros.Micros {
-	return c.now - max(v.lastReplyAt, v.since, c.lastStalledAt)
+func (sc *stepContext) sinceLastReply(v *view) micros.Micros {
+	return sc.now - max(v.lastReplyAt, v.since, sc.lastStalledAt)
 }
 
 // sinceLastHeartbeat is how long ago a machine's last heartbeat came, to a node that had the
 // time to read it: what arrived while this node was stalled may still be unread.
-func (c *Controller) sinceLastHeartbeat(v *view) micros.Micros {
-	return c.now - max(v.lastHeartbeatAt, v.since, c.lastStalledAt)
+func (sc *stepContext) sinceLastHeartbeat(v *view) micros.Micros {
+	return sc.now - max(v.lastHeartbeatAt, v.since, sc.lastStalledAt)
 }
 
 // heartbeatOverdueAfter is reachability.Deadlines.Overdue.
@@ -116,7 +116,7 @@
 	if !ok || r.Status != http.StatusOK || heartbeat.Machine != m.id {
 		return
 	}
-	if c.activeShard(s.id) == nil || heartbeat.FencingToken > c.fencingToken(s, m) {
+	if c.ownership.activeShard(s.id) == nil || heartbeat.FencingToken > c.fencingToken(s, m) {
 		return
 	}
 	m.view.reachability.Reset()
--- a/internal/controller/readiness.go
+++ b/internal/controller/readiness.go
@@ -32,7 +32,7 @@
 	// Started while no controller has the state service: users are better off with a 503
 	// and a time to come back than with no controller at all, which the balancer would
 	// also remember for a while afterwards.
-	return c.now-c.startedAt > startupGrace && !c.stateFresh() && !c.peerHasState()
+	return c.now-c.startedAt > startupGrace && !c.ownership.stateFresh() && !c.peerHasState()
 }
 
 // peerHasState reports whether another controller is up and has the state service.
@@ -56,7 +56,7 @@
 	}
 	// No controller can be asked: one that is alone without the state service does not
 	// serve users once its lease has expired, unless there are no others.
-	return len(c.cfg.Peers) == 0 || c.anyPeerAlive() || c.leaseValid()
+	return len(c.cfg.Peers) == 0 || c.anyPeerAlive() || c.ownership.leaseValid()
 }
 
 // anyPeerAlive reports whether another controller is up.
--- a/internal/controller/reconciliation.go
+++ b/internal/controller/reconciliation.go
@@ -60,7 +60,7 @@
 	v.leaseExpired = false
 	v.unreconciledFromPredecessor = false
 	c.schedulingDue = true
-	c.markDirty(m)
+	c.ownership.markDirty(m)
 	c.log(Debug, "machine reconciled", "machine", m.id, "fencing_token", heartbeat.FencingToken, "tasks", len(heartbeat.Tasks))
 }
 
@@ -72,7 +72,7 @@
 	v.reconciled = false
 	v.unreconciledFromPredecessor = false
 	v.reachability.Reset()
-	c.markDirty(m)
+	c.ownership.markDirty(m)
 	c.schedulingDue = true
 }
 
@@ -108,7 +108,7 @@
 	if v.reconciled || m.returned || v.commandInFlight || c.now < v.nextProbeAt || m.rec.Addr == "" {
 		return
 	}
-	if c.activeShard(s.id) == nil || !c.commandQueue.takeProbe() {
+	if c.ownership.activeShard(s.id) == nil || !c.commandQueue.takeProbe() {
 		return
 	}
 	backoff := 1 + min(v.unansweredReconciliations, maxReconcileBackoff)
@@ -119,7 +119,7 @@
 
 // allReconciled reports whether no machine of a shard may still hold unknown tasks of a former
 // owner.
-func (c *Controller) allReconciled(s *shard) bool {
+func (o *ownershipState) allReconciled(s *shard) bool {
 	for _, m := range s.machines {
 		if m.view != nil && m.view.unreconciledFromPredecessor {
 			return false
--- a/internal/controller/registration.go
+++ b/internal/controller/registration.go
@@ -44,7 +44,7 @@
 // copy of one that a machine sent before it was returned: this leader must have
 // rented it, or it must answer a direct request.
 func (c *Controller) registerMachine(in Heartbeat) {
-	if !c.leading() {
+	if !c.ownership.leading() {
 		c.redirect(in.Reply, &c.ownership.leader)
 		return
 	}
@@ -54,7 +54,7 @@
 		return
 	}
 	if c.fleet.rented[heartbeat.Machine] != nil {
-		c.addRegistration(in)
+		c.fleet.addRegistration(in)
 		return
 	}
 	if !c.commandQueue.takeProbe() {
@@ -102,19 +102,18 @@
 			c.refuseRegistration(in)
 			return
 		}
-		c.addRegistration(in)
+		c.fleet.addRegistration(in)
 	})
 }
 
-func (c *Controller) addRegistration(in Heartbeat) {
-	f := &c.fleet
+func (f *fleetState) addRegistration(in Heartbeat) {
 	if len(f.registrations) == 0 {
-		f.registrationsDueAt = c.now + registrationInterval
+		f.registrationsDueAt = f.now + registrationInterval
 	}
 	heartbeat := &in.Heartbeat
 	f.assigning[heartbeat.Machine] = true
 	f.registrations = append(f.registrations, registration{in, kind{Type: heartbeat.Type, Zone: heartbeat.Zone, Spot: heartbeat.Spot}})
-	c.wakeIn(f.registrationsDueAt - c.now)
+	f.wakeIn(f.registrationsDueAt - f.now)
 }
 
 // recordRegistrations records the machines that have registered of late.
--- a/internal/controller/registration_test.go
+++ b/internal/controller/registration_test.go
@@ -13,8 +13,8 @@
 	}
 	h.ask(func(r ReplyID) Input { return Heartbeat{Reply: r, Heartbeat: heartbeatFrom("vm-7", 1, 1, 0)} })
 	h.run(2 * sec)
-	if c := h.c; c.leading() || len(c.fleet.registrations) > 0 {
-		t.Fatalf("leading %v, %d registrations: the case is not what it should be", c.leading(), len(c.fleet.registrations))
+	if c := h.c; c.ownership.leading() || len(c.fleet.registrations) > 0 {
+		t.Fatalf("leading %v, %d registrations: the case is not what it should be", c.ownership.leading(), len(c.fleet.registrations))
 	}
 	h.stateDown, h.refused = false, false
 	h.run(2 * sec)
--- a/internal/controller/release_requests.go
+++ b/internal/controller/release_requests.go
@@ -82,7 +82,7 @@
 
 // sendReleaseRequest asks the owner of a shard to let machines go.
 func (c *Controller) sendReleaseRequest(s *shard, r *peer.Release) {
-	if c.activeShard(s.id) != nil {
+	if c.ownership.activeShard(s.id) != nil {
 		c.release(*r)
 		return
 	}
--- a/internal/controller/replacement_test.go
+++ b/internal/controller/replacement_test.go
@@ -97,7 +97,7 @@
 	h.run(8 * sec)
 	h.put(ownerKey(1), wire.OwnerRecord{Label: "n-1", Incarnation: 77})
 	h.put(wire.MachineRecordSetKey(1, "l-1-1"), wire.MachineRecordSet{Kinds: []wire.MachineKind{{Type: "m", Zone: "a"}}, Machines: []wire.MachineRecord{{ID: "vm-1", Addr: "vm-1"}}})
-	if !h.c.leading() {
+	if !h.c.ownership.leading() {
 		t.Fatal("does not lead")
 	}
 	h.c.fleet.returned["vm-1"] = h.now
--- a/internal/controller/returned_machines.go
+++ b/internal/controller/returned_machines.go
@@ -63,7 +63,7 @@
 	v.leaseExpired = true
 	v.reconciled = false
 	v.unreconciledFromPredecessor = false
-	c.markDirty(m)
+	c.ownership.markDirty(m)
 	c.schedulingDue = true
 }
 
@@ -92,7 +92,7 @@
 	if set.writeInFlight || c.now < set.nextWriteAt {
 		return recordSetWrite{}, false
 	}
-	returned, oldest := c.countReturned(set)
+	returned, oldest := c.fleet.countReturned(set)
 	if !c.rewriteDue(set, returned, oldest) {
 		return recordSetWrite{}, false
 	}
@@ -106,10 +106,10 @@
 
 // countReturned returns how many machines of a record set were returned, and when the first one
 // was.
-func (c *Controller) countReturned(set *machineRecordSet) (returned int, oldest micros.Micros) {
-	oldest = c.now
+func (f *fleetState) countReturned(set *machineRecordSet) (returned int, oldest micros.Micros) {
+	oldest = f.now
 	for _, m := range set.machines {
-		if at := c.fleet.returned[m.id]; at != 0 {
+		if at := f.returned[m.id]; at != 0 {
 			returned++
 			oldest = min(oldest, at)
 		}
--- a/internal/controller/returned_machines_test.go
+++ b/internal/controller/returned_machines_test.go
@@ -35,7 +35,7 @@
 					h.c.fleet.returned[m.id] = h.c.now - tc.oldest
 				}
 			}
-			returned, oldest := h.c.countReturned(set)
+			returned, oldest := h.c.fleet.countReturned(set)
 			if returned != tc.returned {
 				t.Errorf("%d returned, want %d", returned, tc.returned)
 			}
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -60,7 +60,7 @@
 			}
 			l, listed := f.listed[m.id]
 			failed := listed && l.State == wire.MachineFailed
-			gone := !listed && silent[m.id] && c.missingForLong(m.id)
+			gone := !listed && silent[m.id] && c.fleet.missingForLong(m.id)
 			if m.rec.Cordoned || failed || gone {
 				unusable = append(unusable, m.id)
 			}
@@ -71,10 +71,9 @@
 
 // missingForLong reports whether the cloud has not listed a machine for longer than its list may
 // lag behind.
-func (c *Controller) missingForLong(id string) bool {
-	f := &c.fleet
+func (f *fleetState) missingForLong(id string) bool {
 	missingSince := f.missing[id]
-	return f.listedAt != 0 && missingSince != 0 && c.now-missingSince > 2*c.cfg.ListLag+listLagMargin
+	return f.listedAt != 0 && missingSince != 0 && f.now-missingSince > 2*f.cfg.ListLag+listLagMargin
 }
 
 // unusableInList returns the machines that the cloud lists as failed and that are on no record,
@@ -219,7 +218,7 @@
 func (c *Controller) sendScaleIn(machines []string) bool {
 	f := &c.fleet
 	ownerEpoch := c.ownership.leader.ownerEpoch
-	sent := c.askCloud(ReturnMachines{Machines: machines}, cloudTimeout, func(r Result) {
+	sent := c.fleet.askCloud(ReturnMachines{Machines: machines}, cloudTimeout, func(r Result) {
 		if c.ownership.leader.ownerEpoch != ownerEpoch {
 			return
 		}
--- a/internal/controller/scale_out.go
+++ b/internal/controller/scale_out.go
@@ -98,10 +98,10 @@
 
 // unavailable returns a function that reports whether machines of a kind cannot be had, or could
 // not be reached, for now.
-func (c *Controller) unavailable(partitioned map[string]bool) func(kind) bool {
+func (f *fleetState) unavailable(partitioned map[string]bool) func(kind) bool {
 	return func(k kind) bool {
-		r := c.fleet.refused[k]
-		return partitioned[k.Zone] || r != nil && c.now < r.until
+		r := f.refused[k]
+		return partitioned[k.Zone] || r != nil && f.now < r.until
 	}
 }
 
@@ -117,7 +117,7 @@
 		Free:           c.freeByKind(demands),
 		MachinesInZone: c.machinesInZone(),
 		MaxMachines:    maxMachines,
-		Unavailable:    c.unavailable(fleet.PartitionedZones(demands)),
+		Unavailable:    c.fleet.unavailable(fleet.PartitionedZones(demands)),
 	}
 	for len(f.scaleOuts) < maxScaleOuts && choice.MaxMachines > 0 {
 		rental, ok := choice.Next()
@@ -139,53 +139,51 @@
 		return
 	}
 	ownerEpoch := c.ownership.leader.ownerEpoch
-	req.inFlight = c.askCloud(req.rental, cloudTimeout, func(r Result) {
+	req.inFlight = c.fleet.askCloud(req.rental, cloudTimeout, func(r Result) {
 		if c.ownership.leader.ownerEpoch != ownerEpoch {
 			return
 		}
 		req.inFlight = false
-		c.handleScaleOutResult(req, r)
+		c.fleet.handleScaleOutResult(req, r)
 	})
 }
 
 // handleScaleOutResult takes in the cloud's answer to a rental.
-func (c *Controller) handleScaleOutResult(req *scaleOutRequest, r Result) {
+func (f *fleetState) handleScaleOutResult(req *scaleOutRequest, r Result) {
 	names, ok := r.Body.(*wire.MachineNames)
 	switch {
 	case ok && r.Status == http.StatusOK:
-		c.endScaleOut(req)
-		c.addRented(req, names.Machines)
+		f.endScaleOut(req)
+		f.addRented(req, names.Machines)
 	case r.Status == http.StatusServiceUnavailable && r.Body == noCapacity:
-		c.endScaleOut(req)
-		c.refuse(req.kind())
+		f.endScaleOut(req)
+		f.refuse(req.kind())
 	case r.Status == http.StatusBadRequest:
-		c.endScaleOut(req)
-		c.refuse(req.kind())
-		c.log(Error, "rental request called malformed", "request", req.rental.Request)
+		f.endScaleOut(req)
+		f.refuse(req.kind())
+		f.log(Error, "rental request called malformed", "request", req.rental.Request)
 	default:
-		req.nextAt = c.now + c.jitter(scaleOutRetryInterval)
+		req.nextAt = f.now + f.jitter(scaleOutRetryInterval)
 	}
 }
 
 // endScaleOut removes a rental that the cloud has answered, and has the fleet planned anew.
-func (c *Controller) endScaleOut(req *scaleOutRequest) {
-	f := &c.fleet
+func (f *fleetState) endScaleOut(req *scaleOutRequest) {
 	f.scaleOuts = slices.DeleteFunc(f.scaleOuts, func(other *scaleOutRequest) bool { return other == req })
-	f.planNext = c.now
+	f.planNext = f.now
 }
 
 // addRented takes in the machines that the cloud has rented out.
-func (c *Controller) addRented(req *scaleOutRequest, machines []string) {
-	f := &c.fleet
+func (f *fleetState) addRented(req *scaleOutRequest, machines []string) {
 	k := req.kind()
-	c.log(Info, "scaled out", "type", k.Type, "zone", k.Zone, "spot", k.Spot, "wanted", req.rental.Count, "got", len(machines))
+	f.log(Info, "scaled out", "type", k.Type, "zone", k.Zone, "spot", k.Spot, "wanted", req.rental.Count, "got", len(machines))
 	if len(machines) < req.rental.Count {
-		c.refuse(k)
+		f.refuse(k)
 	} else {
 		delete(f.refused, k)
 	}
 	for _, id := range machines {
-		f.rented[id] = &rented{kind: k, at: c.now}
+		f.rented[id] = &rented{kind: k, at: f.now}
 	}
 }
 
@@ -199,13 +197,13 @@
 const RefusedRental = noCapacity
 
 // refuse has machines of a kind not asked for, for longer with each time.
-func (c *Controller) refuse(k kind) {
-	r := c.fleet.refused[k]
+func (f *fleetState) refuse(k kind) {
+	r := f.refused[k]
 	if r == nil {
 		r = &refusal{}
-		c.fleet.refused[k] = r
+		f.refused[k] = r
 	}
 	r.pause = min(max(2*r.pause, minRefusalPause), maxRefusalPause)
-	r.until = c.now + c.jitter(r.pause)
-	c.log(Debug, "no more machines of a kind for now", "type", k.Type, "zone", k.Zone, "spot", k.Spot)
+	r.until = f.now + f.jitter(r.pause)
+	f.log(Debug, "no more machines of a kind for now", "type", k.Type, "zone", k.Zone, "spot", k.Spot)
 }
--- a/internal/controller/scale_out_test.go
+++ b/internal/controller/scale_out_test.go
@@ -103,7 +103,7 @@
 				Free:           free,
 				MachinesInZone: map[string]int{},
 				MaxMachines:    1000,
-				Unavailable:    c.unavailable(map[string]bool{tc.partitioned: true}),
+				Unavailable:    c.fleet.unavailable(map[string]bool{tc.partitioned: true}),
 			}
 			rental, ok := choice.Next()
 			if ok != (tc.wantCount > 0) || ok && (rental.Count != tc.wantCount || rental.Spot != tc.wantSpot) {
--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -33,7 +33,6 @@
 
 // schedulingState is what scheduling keeps between rounds and steps.
 type schedulingState struct {
-	schedulingDue     bool          // there is something to schedule
 	nextSchedulingAt  micros.Micros // when the next round may run
 	scheduledLastStep bool          // the step before ran a round
 
@@ -44,13 +43,13 @@
 }
 
 // beginRound reports whether a round is due and may run now, and if so notes that it does.
-func (st *schedulingState) beginRound(now micros.Micros) bool {
-	if !st.schedulingDue || now < st.nextSchedulingAt {
+func (c *Controller) beginRound() bool {
+	if !c.schedulingDue || c.now < c.nextSchedulingAt {
 		return false
 	}
-	st.schedulingDue = false
-	st.scheduledLastStep = true
-	st.nextSchedulingAt = now + schedulingInterval
+	c.schedulingDue = false
+	c.scheduledLastStep = true
+	c.nextSchedulingAt = c.now + schedulingInterval
 	return true
 }
 
@@ -65,9 +64,9 @@
 // schedule starts waiting tasks where there is capacity, in the shards of this controller, if a
 // round is due.
 func (c *Controller) schedule() {
-	if c.beginRound(c.now) {
+	if c.beginRound() {
 		for _, s := range c.ownership.shards {
-			if c.activeShard(s.id) != nil {
+			if c.ownership.activeShard(s.id) != nil {
 				c.scheduleShard(s)
 			}
 		}
@@ -95,7 +94,7 @@
 // scheduleShard assigns waiting tasks of a shard to its machines.
 func (c *Controller) scheduleShard(s *shard) {
 	c.refresh(s)
-	s.reconciled = c.allReconciled(s)
+	s.reconciled = c.ownership.allReconciled(s)
 	queue := c.queue(s)
 	round := schedulingRound{shard: s, free: c.machinesWithCapacity(s, queue)}
 	c.prefetch(s, round.free, true)
@@ -157,7 +156,7 @@
 func (c *Controller) scheduleJob(round *schedulingRound, j *job) {
 	s := round.shard
 	c.endRetryBackoff(j)
-	if c.retryPending(j) || c.overLimit(s, j) {
+	if c.retryPending(j) || c.quota.overLimit(s, j) {
 		return
 	}
 	if !slices.ContainsFunc(round.unplaced, func(u unplacedTask) bool { return u.rulesOut(j) }) {
@@ -214,14 +213,14 @@
 		}
 	}
 	_, waiting := j.nextTask()
-	return waiting && !c.overLimit(s, j)
+	return waiting && !c.quota.overLimit(s, j)
 }
 
 // scheduleOnMachine assigns waiting tasks that fit to a machine that has just sent a heartbeat,
 // in the order of the queue.
 func (c *Controller) scheduleOnMachine(s *shard, m *machine) {
 	v := m.view
-	if v == nil || c.activeShard(s.id) == nil {
+	if v == nil || c.ownership.activeShard(s.id) == nil {
 		return
 	}
 	c.refresh(s)
@@ -239,7 +238,7 @@
 			continue
 		}
 		considered++
-		if j.run.nextRetryAt != 0 || c.overLimit(s, j) {
+		if j.run.nextRetryAt != 0 || c.quota.overLimit(s, j) {
 			continue
 		}
 		if c.fits(m, j) {
--- a/internal/controller/shard_recovery.go
+++ b/internal/controller/shard_recovery.go
@@ -39,7 +39,7 @@
 	if s.owned() {
 		c.deactivate(s)
 	}
-	if c.isMine(&s.lock) {
+	if c.ownership.isMine(&s.lock) {
 		c.activate(s)
 	} else {
 		c.log(Debug, "shard has an owner", "shard", s.id, "owner", rec.Label, "epoch", modRevision)
@@ -71,11 +71,11 @@
 
 // successorWait returns how long after a claim a machine without a heartbeat may hold tasks. A
 // node without peers has no predecessor that could have answered the machine since.
-func (c *Controller) successorWait() micros.Micros {
-	if len(c.cfg.Peers) == 0 {
-		return c.bounds.WorkerExpiry
+func (sc *stepContext) successorWait() micros.Micros {
+	if len(sc.cfg.Peers) == 0 {
+		return sc.bounds.WorkerExpiry
 	}
-	return c.bounds.SuccessorWait
+	return sc.bounds.SuccessorWait
 }
 
 // beginViews begins a view of each machine of a shard that is not cordoned, and returns their
@@ -89,7 +89,7 @@
 		v := c.newView()
 		v.unreconciledFromPredecessor = !m.returned
 		v.leaseExpired = m.returned
-		c.setView(m, v)
+		c.ownership.setView(m, v)
 		machines++
 	}
 	return machines
@@ -153,7 +153,7 @@
 	c.dropQuota(s)
 	c.cascade.forgetTransactions()
 	for _, m := range s.machines {
-		c.setView(m, nil)
+		c.ownership.setView(m, nil)
 	}
 	for _, j := range c.jobs.open {
 		if j.shard == s.id {
@@ -165,16 +165,16 @@
 // recordQuiescedPeer records that a peer issues no commands for a shard below this node's claim.
 // Once all have said so, machines without a heartbeat need to be waited for no longer than
 // their own lease.
-func (c *Controller) recordQuiescedPeer(s *shard, label string) {
+func (o *ownershipState) recordQuiescedPeer(s *shard, label string) {
 	if !s.owned() {
 		return
 	}
 	if _, ok := s.quiescedPeers[label]; ok {
 		return
 	}
-	s.quiescedPeers[label] = c.now
-	if len(s.quiescedPeers) == len(c.cfg.Peers) {
-		s.machinesFreeAt = min(s.machinesFreeAt, c.now+c.bounds.WorkerExpiry)
+	s.quiescedPeers[label] = o.now
+	if len(s.quiescedPeers) == len(o.cfg.Peers) {
+		s.machinesFreeAt = min(s.machinesFreeAt, o.now+o.bounds.WorkerExpiry)
 	}
 }
 
--- a/internal/controller/state_records.go
+++ b/internal/controller/state_records.go
@@ -51,16 +51,16 @@
 }
 
 // shardOfOwnerKey returns the shard that an owner key belongs to, nil if there is none.
-func (c *Controller) shardOfOwnerKey(key string) *shard {
+func (o *ownershipState) shardOfOwnerKey(key string) *shard {
 	id, err := strconv.Atoi(key[len(wire.PrefixOwner):])
-	if err != nil || id < 0 || id >= len(c.ownership.shards) {
+	if err != nil || id < 0 || id >= len(o.shards) {
 		return nil
 	}
-	return c.ownership.shards[id]
+	return o.shards[id]
 }
 
 func (c *Controller) applyShardOwner(key string, value wire.Raw, modRevision uint64) error {
-	s := c.shardOfOwnerKey(key)
+	s := c.ownership.shardOfOwnerKey(key)
 	if s == nil || modRevision <= s.ownerEpoch {
 		return nil
 	}
@@ -83,7 +83,7 @@
 	}
 	leader.owner = rec
 	leader.ownerEpoch = modRevision
-	if c.isMine(leader) {
+	if c.ownership.isMine(leader) {
 		c.startLeading()
 	}
 	return nil
@@ -134,7 +134,7 @@
 	case strings.HasPrefix(key, wire.PrefixOwner):
 		c.applyShardOwnerDelete(key, modRevision)
 	case key == wire.KeyLeader:
-		c.clearOwner(&c.ownership.leader, modRevision)
+		c.ownership.clearOwner(&c.ownership.leader, modRevision)
 	case strings.HasPrefix(key, wire.PrefixFleet):
 		if set := c.machineRecords.sets[key]; set != nil && modRevision >= set.modRevision {
 			c.machineRecords.drop(set)
@@ -143,23 +143,23 @@
 }
 
 func (c *Controller) applyShardOwnerDelete(key string, modRevision uint64) {
-	s := c.shardOfOwnerKey(key)
+	s := c.ownership.shardOfOwnerKey(key)
 	if s == nil {
 		return
 	}
-	if c.clearOwner(&s.lock, modRevision) && s.owned() {
+	if c.ownership.clearOwner(&s.lock, modRevision) && s.owned() {
 		c.deactivate(s)
 	}
 }
 
 // clearOwner takes in that a lock has no owner. It returns false if a later owner is known.
-func (c *Controller) clearOwner(l *lock, modRevision uint64) bool {
+func (o *ownershipState) clearOwner(l *lock, modRevision uint64) bool {
 	if modRevision < l.ownerEpoch {
 		return false
 	}
 	l.ownerEpoch = 0
 	l.owner = wire.OwnerRecord{}
-	l.absentSince = c.now
+	l.absentSince = o.now
 	return true
 }
 
--- a/internal/controller/state_requests.go
+++ b/internal/controller/state_requests.go
@@ -18,19 +18,19 @@
 }
 
 // askState queues a request to the state service. done is called exactly once.
-func (c *Controller) askState(class statestore.Class, body any, timeout micros.Micros, done func(statestore.Reply)) {
+func (sc *stepContext) askState(class statestore.Class, body any, timeout micros.Micros, done func(statestore.Reply)) {
 	request := statestore.Request{
 		Body:      body,
 		Timeout:   timeout,
-		QueuedAt:  c.now,
-		ExpiresAt: c.now + timeout,
+		QueuedAt:  sc.now,
+		ExpiresAt: sc.now + timeout,
 		Done:      done,
 	}
 	if txn, ok := body.(wire.Txn); ok {
 		request.Writes = float64(txn.Writes())
 	}
-	if !c.stateQueue.Push(class, request) {
-		c.later(func() { done(statestore.Reply{NotSent: true}) })
+	if !sc.stateQueue.Push(class, request) {
+		sc.later(func() { done(statestore.Reply{NotSent: true}) })
 	}
 }
 
@@ -54,12 +54,12 @@
 }
 
 // callState sends a request to the state service.
-func (c *Controller) callState(request statestore.Request) {
+func (sc *stepContext) callState(request statestore.Request) {
 	if request.Sent != nil {
 		request.Sent()
 	}
-	c.call(Call{To: ToState, Req: request.Body, Timeout: request.Timeout}, func(r Result) {
-		c.stateQueue.Answered(request)
+	sc.call(Call{To: ToState, Req: request.Body, Timeout: request.Timeout}, func(r Result) {
+		sc.stateQueue.Answered(request)
 		request.Done(statestore.Reply{Status: r.Status, Body: r.Body, NotSent: r.NotSent})
 	})
 }
--- a/internal/controller/submission.go
+++ b/internal/controller/submission.go
@@ -35,7 +35,7 @@
 		return
 	}
 	id := in.Job.ID
-	if c.knows(id) {
+	if c.jobs.knows(id) {
 		c.findJobState(id, func(a peer.Answer) { c.answerJobStatus(in.Reply, id, a) })
 		return
 	}
@@ -97,18 +97,18 @@
 
 // storable reports whether a value fits the limits of the state service, those to come
 // included.
-func (c *Controller) storable(value wire.Raw) bool {
-	return wire.StoredSize(value, c.cfg.ValueBytes) <= c.cfg.ValueBytes
+func (sc *stepContext) storable(value wire.Raw) bool {
+	return wire.StoredSize(value, sc.cfg.ValueBytes) <= sc.cfg.ValueBytes
 }
 
 // fitsRecord reports whether the record of a job, dependencies included, is no larger than
 // the state service takes.
-func (c *Controller) fitsRecord(sub *wire.Submission) bool {
-	value, err := wire.Encode(wire.NewJobRecord(sub, c.wall.Millis()))
-	if err == nil && c.storable(value) {
+func (sc *stepContext) fitsRecord(sub *wire.Submission) bool {
+	value, err := wire.Encode(wire.NewJobRecord(sub, sc.wall.Millis()))
+	if err == nil && sc.storable(value) {
 		return true
 	}
-	c.log(Info, "job record does not fit, refused", "job", sub.ID, "bytes", len(value), "dependencies", len(sub.DependsOn), "error", err)
+	sc.log(Info, "job record does not fit, refused", "job", sub.ID, "bytes", len(value), "dependencies", len(sub.DependsOn), "error", err)
 	return false
 }
 
@@ -208,11 +208,11 @@
 		c.ownership.lastStateReplyAt = c.now
 		c.learnJob(id, rec, revision)
 		c.sendJobRecordHint(id, revision, value)
-		c.finishCreation(id, peer.Answer{Status: http.StatusCreated, State: rec.State})
+		c.jobs.finishCreation(id, peer.Answer{Status: http.StatusCreated, State: rec.State})
 		return
 	}
 	if r.Outcome() == statestore.NotExecuted {
-		c.finishCreation(id, unavailable())
+		c.jobs.finishCreation(id, unavailable())
 		return
 	}
 	// A record stands already, or the outcome is unknown: a read resolves it. If there is
@@ -221,14 +221,14 @@
 		if a.Status == http.StatusNotFound {
 			a.Status = http.StatusServiceUnavailable
 		}
-		c.finishCreation(id, peer.Answer{Status: a.Status, State: a.State})
+		c.jobs.finishCreation(id, peer.Answer{Status: a.Status, State: a.State})
 	})
 }
 
 // finishCreation answers all who wait for the record of a new job.
-func (c *Controller) finishCreation(id string, answer peer.Answer) {
-	waiters := c.jobs.pendingCreations[id].waiters
-	delete(c.jobs.pendingCreations, id)
+func (t *jobTable) finishCreation(id string, answer peer.Answer) {
+	waiters := t.pendingCreations[id].waiters
+	delete(t.pendingCreations, id)
 	for _, done := range waiters {
 		done(answer)
 	}
--- a/internal/controller/task_adoption.go
+++ b/internal/controller/task_adoption.go
@@ -33,7 +33,7 @@
 	}
 	if att.job != j {
 		att.job = j
-		c.markDirty(m)
+		c.ownership.markDirty(m)
 	}
 	switch {
 	case j.run == nil || !j.run.checkpointApplied:
--- a/internal/controller/task_lists.go
+++ b/internal/controller/task_lists.go
@@ -93,7 +93,7 @@
 		return
 	}
 	att.since = c.now
-	c.markDirty(att.machine)
+	c.ownership.markDirty(att.machine)
 }
 
 func (c *Controller) recordRunning(att *attempt) {
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -47,7 +47,7 @@
 		return
 	}
 	done := func(a peer.Answer) { c.answerJob(in.Reply, in.ID, a, retrySoon) }
-	if c.knows(in.ID) {
+	if c.jobs.knows(in.ID) {
 		c.cancelKnownJob(in.ID, done)
 		return
 	}
@@ -76,7 +76,7 @@
 		done(unavailable())
 		return
 	}
-	if c.mayAnswerFromMemory(j) {
+	if c.ownership.mayAnswerFromMemory(j) {
 		c.cancelJob(j, done)
 		return
 	}
@@ -103,7 +103,7 @@
 // stopCancelledTasks stops the tasks of a job that its user cancels, at an owner that may
 // still issue commands but neither record nor answer.
 func (c *Controller) stopCancelledTasks(j *job) {
-	if j.run != nil && c.activeShard(j.shard) != nil {
+	if j.run != nil && c.ownership.activeShard(j.shard) != nil {
 		c.requestCancellation(j)
 	}
 }
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -165,8 +165,8 @@
 
 // watchInterval returns the least time between two watches of a prefix: as given, or more where
 // the controller may send so few requests that they took more than the given part.
-func (c *Controller) watchInterval(least micros.Micros, fraction float64) micros.Micros {
-	return max(least, micros.FromSeconds(1/(fraction*c.stateQueue.RequestRate())))
+func (sc *stepContext) watchInterval(least micros.Micros, fraction float64) micros.Micros {
+	return max(least, micros.FromSeconds(1/(fraction*sc.stateQueue.RequestRate())))
 }
 
 // follow makes the next request of a watch if it is time.
--- a/internal/controller/worker_contact.go
+++ b/internal/controller/worker_contact.go
@@ -107,7 +107,7 @@
 // countSilence counts over the shards that this node commands.
 func (c *Controller) countSilence() (h heartbeatSilence) {
 	for _, s := range c.ownership.shards {
-		if c.activeShard(s.id) == nil {
+		if c.ownership.activeShard(s.id) == nil {
 			continue
 		}
 		for _, m := range s.machines {
@@ -155,7 +155,7 @@
 	// answers is rather a fault of this node's network than of all of theirs; and if it is not,
 	// nothing is lost by releasing the locks.
 	hasPeers := len(c.cfg.Peers) > 0
-	return hasPeers && silence.nearlyAllSilent() && c.stateFresh()
+	return hasPeers && silence.nearlyAllSilent() && c.ownership.stateFresh()
 }
 
 // loseWorkerContact releases all locks to the other controllers.
@@ -164,11 +164,11 @@
 	c.contact.state = contactLost
 	c.contact.answeredProbes = 0
 	for _, s := range c.ownership.shards {
-		if s.ownership == shardOwned && c.isMine(&s.lock) {
+		if s.ownership == shardOwned && c.ownership.isMine(&s.lock) {
 			c.releaseShard(s)
 		}
 	}
-	c.stepDown()
+	c.ownership.stepDown()
 }
 
 // probeWorkers asks one machine after the other whether it can be reached again. Without
