--- a/quota/announce.go
+++ b/quota/announce.go
@@ -1,58 +1,38 @@
 package quota
 
-import (
-	"slices"
+import "slices"
 
-	"garnethitch/internal/micros"
-)
-
-// What the leader and operators write: the definition and the limit of a group.
-
-// announce brings the records in line with the options. A lowered limit is announced here
-// and is in force once the allowances are within it.
+// announce makes the records agree with the options: it writes the definitions that differ,
+// and marks the groups as removed that are no longer in the options.
 func (l *Ledger) announce(definitions []Definition) {
 	definitions = withMembers(definitions)
 	for _, d := range definitions {
 		g := l.group(d.Name)
-		if g.sending || l.now.Steady < g.next {
+		if !l.mayWrite(g) {
 			continue
 		}
-		rec, changed := announced(g, d)
-		if changed {
-			rec.AnnouncedMS = l.now.WallMS
-			l.send(g, rec, writeAnnouncement, nil, nil)
+		if record, changed := announced(g, d); changed {
+			l.sendAnnouncement(g, record)
 		}
 	}
 	for _, name := range l.names() {
 		g := l.groups[name]
-		known := slices.ContainsFunc(definitions, func(d Definition) bool { return d.Name == name })
-		if known || g.modRevision == 0 || g.rec.Removed || g.sending || l.now.Steady < g.next {
-			continue
+		defined := slices.ContainsFunc(definitions, func(d Definition) bool { return d.Name == name })
+		if !defined && g.exists() && l.mayWrite(g) {
+			l.sendAnnouncement(g, removed(g))
 		}
-		rec := g.rec.clone()
-		rec.setLimit(Limit{}, rec.Source)
-		rec.Removed, rec.Override = true, nil
-		rec.AnnouncedMS = l.now.WallMS
-		l.send(g, rec, writeAnnouncement, nil, nil)
 	}
 }
 
-// withMembers works out whom each group binds.
+// withMembers returns the definitions with their Members: the teams of each group and of
+// those within it.
 func withMembers(definitions []Definition) []Definition {
 	out := slices.Clone(definitions)
 	for i := range out {
 		out[i].Members = nil
 	}
 	for _, d := range definitions {
-		at, steps := d.Name, 0
-		for at != "" && steps <= len(out) {
-			i := slices.IndexFunc(out, func(o Definition) bool { return o.Name == at })
-			if i < 0 {
-				break
-			}
-			out[i].Members = append(out[i].Members, d.Teams...)
-			at, steps = out[i].Parent, steps+1
-		}
+		addToAncestors(out, d)
 	}
 	for i := range out {
 		slices.Sort(out[i].Members)
@@ -60,119 +40,66 @@
 	return out
 }
 
-// announced is the record by a definition, and whether it differs from the one that stands.
-func announced(g *groupState, d Definition) (Record, bool) {
-	if g.modRevision == 0 {
-		return Record{Definition: d, Epoch: 1, Source: sourceOf(d)}, true
-	}
-	rec := g.rec.clone()
-	limit, source := d.Limit, sourceOf(d)
-	if rec.Override != nil && !rec.Removed {
-		limit, source = *rec.Override, FromOperator
-	}
-	if !rec.Removed && rec.Limit.Equal(limit) && rec.sameBut(d) && rec.Source == source {
-		return rec, false
-	}
-	if slices.ContainsFunc(d.Members, func(team string) bool { return !slices.Contains(rec.Members, team) }) {
-		rec.Rows, rec.Applied = nil, nil // what a team used before it joined stands in no row
+// addToAncestors adds a definition's teams to its own members and those of all groups
+// around it. In a cycle of groups it stops after as many steps as there are groups.
+func addToAncestors(definitions []Definition, d Definition) {
+	name := d.Name
+	for range len(definitions) + 1 {
+		i := slices.IndexFunc(definitions, func(o Definition) bool { return o.Name == name })
+		if name == "" || i < 0 {
+			return
+		}
+		definitions[i].Members = append(definitions[i].Members, d.Teams...)
+		name = definitions[i].Parent
 	}
-	before := rec.Limit
-	rec.Definition = d
-	rec.Limit, rec.Removed = before, false
-	rec.setLimit(limit, source)
-	return rec, true
 }
 
-// setLimit begins a new epoch with a limit. A resource that was not bounded before has been
-// granted without a look at allowances: what each shard uses is to be told anew.
-func (r *Record) setLimit(limit Limit, source Source) {
-	if r.Limit.CPUs == nil && limit.CPUs != nil || r.Limit.GPUs == nil && limit.GPUs != nil {
-		r.Rows, r.Applied = nil, nil
+// announced returns the record that a definition leads to, and whether it differs from the
+// known one.
+func announced(g *groupState, d Definition) (record Record, changed bool) {
+	if g.modRevision == 0 {
+		return Record{Definition: d, Epoch: 1, Source: d.source()}, true
 	}
-	r.Limit, r.Source = limit, source
-	r.Epoch++
-}
-
-func sourceOf(d Definition) Source {
-	if d.Scheduled {
-		return FromSchedule
+	record = g.record.clone()
+	limit := d.Limit
+	source := d.source()
+	if record.Override != nil && !record.Removed {
+		limit = *record.Override
+		source = FromOperator
 	}
-	return FromOptions
-}
-
-// setRequest is an operator's Set that waits for its outcome.
-type setRequest struct {
-	Set
-	tries   int
-	epoch   uint64 // of the record when the request was taken
-	expires Micros
-}
-
-const (
-	// maxSetTries is how often a Set is written that writes of allowances come before.
-	maxSetTries = 20
-	// setWithin is how long a Set may wait: less than its operator waits for the answer,
-	// so that none is carried out after a later one.
-	setWithin = 4 * micros.Second
-)
-
-// set takes an operator's request.
-func (l *Ledger) set(v Set) {
-	g := l.groups[v.Group]
-	if g == nil || g.modRevision == 0 || g.rec.Removed {
-		l.out = append(l.out, SetDone{Token: v.Token, Status: SetNoGroup})
-		return
+	sameLimit := record.Limit.Equal(limit) && record.Source == source
+	if !record.Removed && sameLimit && record.equalExceptLimit(d) {
+		return record, false
 	}
-	g.sets = append(g.sets, &setRequest{Set: v, tries: maxSetTries, epoch: g.rec.Epoch, expires: l.now.Steady + setWithin})
+	if hasNewMember(record.Members, d.Members) {
+		record.dropRows() // what a team used before it joined is in no row
+	}
+	before := record.Limit
+	record.Definition = d
+	record.Limit = before // setLimit compares the two
+	record.Removed = false
+	record.setLimit(limit, source)
+	return record, true
 }
 
-// sendSet writes the next of the operators' requests, also where the record says the same
-// already: a write on its way may say something else, and is void then. Once another
-// request has come first, it fails; one whose write was carried out with its answer lost
-// is recognised by reading.
-func (l *Ledger) sendSet(g *groupState) {
-	for len(g.sets) > 0 && !g.sending {
-		r := g.sets[0]
-		stands := g.rec.Override == nil && r.Limit == nil || g.rec.Override != nil && r.Limit != nil && g.rec.Override.Equal(*r.Limit)
-		done := SetDone{Token: r.Token, Status: SetAnnounced, Epoch: g.rec.Epoch}
-		switch {
-		case g.rec.Removed:
-			done.Status = SetNoGroup
-		case g.rec.Epoch != r.epoch && (!stands || r.tries == maxSetTries):
-			done.Status = SetConflict
-		case g.rec.Epoch != r.epoch:
-		case l.now.Steady >= r.expires || r.tries <= 0:
-			done.Status = SetBusy
-		case l.now.Steady < g.next:
-			return
-		default:
-			g.sets = g.sets[1:]
-			r.tries--
-			l.writeSet(g, r)
-			return
-		}
-		g.sets = g.sets[1:]
-		l.out = append(l.out, done)
-	}
+// removed returns the record of a group that is no longer in the options.
+func removed(g *groupState) Record {
+	record := g.record.clone()
+	record.setLimit(Limit{}, record.Source)
+	record.Removed = true
+	record.Override = nil
+	return record
 }
 
-func (l *Ledger) writeSet(g *groupState, r *setRequest) {
-	rec := g.rec.clone()
-	rec.Override = r.Limit
-	limit, source := rec.Limit, rec.Source
-	if r.Limit != nil {
-		limit, source = *r.Limit, FromOperator
-	}
-	rec.setLimit(limit, source)
-	rec.AnnouncedMS = l.now.WallMS
-	l.send(g, rec, writeOverride, nil, r)
+// hasNewMember reports whether there is a team in after that is not in before.
+func hasNewMember(before, after []string) bool {
+	return slices.ContainsFunc(after, func(team string) bool { return !slices.Contains(before, team) })
 }
 
-// setOutcome answers an operator, or tries again.
-func (l *Ledger) setOutcome(g *groupState, r *setRequest, outcome Outcome) {
-	if outcome == Applied {
-		l.out = append(l.out, SetDone{Token: r.Token, Status: SetAnnounced, Epoch: r.epoch + 1})
-		return
+// source returns where the definition's limit comes from.
+func (d Definition) source() Source {
+	if d.Scheduled {
+		return FromSchedule
 	}
-	g.sets = append([]*setRequest{r}, g.sets...)
+	return FromOptions
 }
--- a/quota/claims.go
+++ b/quota/claims.go
@@ -4,7 +4,7 @@
 
 // TeamDemand is what a team's tasks use of a shard, and what waits.
 type TeamDemand struct {
-	// Groups are the groups that the team is in, the innermost first; see Path.
+	// Groups are the groups that the team is in, the innermost first; see Ledger.Path.
 	Groups []string
 	Used   Amount
 	// Guarantee is the team's own.
@@ -12,164 +12,205 @@
 	Waiting   []WaitingTasks
 }
 
-// WaitingTasks are tasks of a size that could start if there were quota.
+// want returns what the team's tasks use and would use.
+func (d TeamDemand) want() Amount {
+	want := d.Used
+	for _, w := range d.Waiting {
+		want = want.Plus(w.Size.Times(w.Count))
+	}
+	return want
+}
+
+// WaitingTasks are tasks of one size that could start if there were quota.
 type WaitingTasks struct {
-	Size    Amount
-	Count   int
-	SinceMS int64 // since when they wait with none started, by the time of day
+	Size  Amount
+	Count int
+	// SinceMS is since when they have waited with none started, by the time of day, in
+	// milliseconds since 1970.
+	SinceMS int64
 }
 
-// Path gives the groups that a team is in, by the records, the innermost first.
+// Path returns the groups that a team is in by the records, the innermost first.
 func (l *Ledger) Path(team string) []string {
 	var path []string
 	for _, name := range l.names() {
 		g := l.groups[name]
-		if g.modRevision != 0 && !g.rec.Removed && slices.Contains(g.rec.Members, team) {
+		if g.exists() && slices.Contains(g.record.Members, team) {
 			path = append(path, name)
 		}
 	}
-	slices.SortStableFunc(path, func(a, b string) int {
-		x, y := &l.groups[a].rec, &l.groups[b].rec
-		switch {
-		case x.Parent == b:
-			return -1
-		case y.Parent == a:
-			return 1
-		}
-		return len(x.Members) - len(y.Members)
-	})
+	slices.SortStableFunc(path, l.compareNesting)
 	return path
 }
 
-// Claims works out what a shard claims of each group. An outer group is asked only for
-// tasks for which the shard has quota of the inner ones: two owners that each hold what
-// the other waits for would wait for ever.
+// compareNesting orders a group before its parent, and otherwise the one with fewer members
+// first.
+func (l *Ledger) compareNesting(a, b string) int {
+	recordA := &l.groups[a].record
+	recordB := &l.groups[b].record
+	switch {
+	case recordA.Parent == b:
+		return -1
+	case recordB.Parent == a:
+		return 1
+	}
+	return len(recordA.Members) - len(recordB.Members)
+}
+
+// Claims returns what a shard uses and wants of each group, for Used. exact says that
+// what the teams use is exact. Of an outer group only the tasks for which the shard has
+// quota of the inner ones are wanted: otherwise two owners that each hold what the other
+// waits for would wait forever.
 func (l *Ledger) Claims(shard int, exact bool, teams []TeamDemand) map[string]Use {
-	c := claimBuilder{ledger: l, shard: shard, uses: map[string]*Use{}, room: map[string]Amount{}}
-	for _, t := range teams {
-		for _, g := range t.Groups {
-			u := c.use(g)
-			u.Used = u.Used.Plus(t.Used)
-			u.Exact = exact
-		}
+	b := claimBuilder{
+		ledger:    l,
+		shard:     shard,
+		uses:      map[string]*Use{},
+		available: map[string]Amount{},
 	}
-	for g, u := range c.uses {
-		u.Want = u.Used
-		c.room[g] = l.Allowed(shard, g).Minus(u.Used)
-	}
-	for _, t := range teams {
-		c.addWaiting(t)
+	b.addUsed(teams, exact)
+	for _, team := range teams {
+		b.addWaiting(team)
 	}
-	c.addGuarantees(teams)
+	b.addGuaranteed(teams)
 	out := map[string]Use{}
-	for g, u := range c.uses {
-		out[g] = *u
+	for group, use := range b.uses {
+		out[group] = *use
 	}
 	return out
 }
 
-// claimBuilder gathers the claims of one shard.
+// claimBuilder collects the claims of one shard.
 type claimBuilder struct {
-	ledger *Ledger
-	shard  int
-	uses   map[string]*Use
-	room   map[string]Amount // what the shard may grant yet
+	ledger    *Ledger
+	shard     int
+	uses      map[string]*Use
+	available map[string]Amount // what the shard may grant beside what it uses and wants
 }
 
-func (c *claimBuilder) use(group string) *Use {
-	u := c.uses[group]
+// use returns the use of a group, which is added if there is none.
+func (b *claimBuilder) use(group string) *Use {
+	u := b.uses[group]
 	if u == nil {
 		u = &Use{}
-		c.uses[group] = u
+		b.uses[group] = u
 	}
 	return u
 }
 
+// addUsed adds what the teams use.
+func (b *claimBuilder) addUsed(teams []TeamDemand, exact bool) {
+	for _, team := range teams {
+		for _, group := range team.Groups {
+			u := b.use(group)
+			u.Used = u.Used.Plus(team.Used)
+			u.Exact = exact
+		}
+	}
+	for group, u := range b.uses {
+		u.Want = u.Used
+		b.available[group] = b.ledger.Allowed(b.shard, group).Minus(u.Used)
+	}
+}
+
 // addWaiting adds a team's waiting tasks, from the innermost group outwards.
-func (c *claimBuilder) addWaiting(t TeamDemand) {
-	for _, w := range t.Waiting {
-		count := w.Count
-		for _, g := range t.Groups {
-			u := c.use(g)
-			u.Want = u.Want.Plus(w.Size.Times(count))
-			u.Piece = smallerPiece(u.Piece, w.Size)
-			if u.SinceMS == 0 || w.SinceMS < u.SinceMS {
-				u.SinceMS = w.SinceMS
-			}
-			count = min(count, w.Size.Fits(c.room[g]))
+func (b *claimBuilder) addWaiting(team TeamDemand) {
+	for _, tasks := range team.Waiting {
+		count := tasks.Count
+		for _, group := range team.Groups {
+			b.use(group).addWaiting(tasks, count)
+			count = min(count, tasks.Size.Fits(b.available[group]))
 			if count <= 0 {
 				break
 			}
-			c.room[g] = c.room[g].Minus(w.Size.Times(count))
+			b.available[group] = b.available[group].Minus(tasks.Size.Times(count))
 		}
 	}
 }
 
-// smallerPiece is the smaller of two sizes of tasks; none is an empty amount.
-func smallerPiece(a, b Amount) Amount {
+// addWaiting adds that many of some waiting tasks to a claim.
+func (c *Claim) addWaiting(tasks WaitingTasks, count int) {
+	c.Want = c.Want.Plus(tasks.Size.Times(count))
+	c.SmallestTask = smallerTask(c.SmallestTask, tasks.Size)
+	if c.SinceMS == 0 || tasks.SinceMS < c.SinceMS {
+		c.SinceMS = tasks.SinceMS
+	}
+}
+
+// smallerTask returns the smaller of two sizes of tasks, by CPUs, then GPUs; a is zero if
+// there is only one.
+func smallerTask(a, b Amount) Amount {
 	if a.IsZero() || b.CPUs < a.CPUs || b.CPUs == a.CPUs && b.GPUs < a.GPUs {
 		return b
 	}
 	return a
 }
 
-// addGuarantees says which part of each claim is guaranteed: within a team's own
-// guarantee, or within that of a group in this one, as it is parted among the shards.
-func (c *claimBuilder) addGuarantees(teams []TeamDemand) {
-	for _, t := range teams {
-		if len(t.Groups) == 0 {
+// addGuaranteed computes how much of each claim is guaranteed: within a team's own
+// guarantee, or within the shard's part of the guarantee of a group in this one.
+func (b *claimBuilder) addGuaranteed(teams []TeamDemand) {
+	b.addTeamGuarantees(teams)
+	b.addGroupGuarantees(teams)
+	for _, u := range b.uses {
+		u.Guaranteed = u.Guaranteed.Min(u.Want)
+	}
+}
+
+// addTeamGuarantees adds each team's guarantee to its innermost group.
+func (b *claimBuilder) addTeamGuarantees(teams []TeamDemand) {
+	for _, team := range teams {
+		if len(team.Groups) == 0 {
 			continue
 		}
-		u := c.use(t.Groups[0])
-		want := t.Used
-		for _, w := range t.Waiting {
-			want = want.Plus(w.Size.Times(w.Count))
-		}
-		u.Guaranteed = u.Guaranteed.Plus(want.Min(t.Guarantee))
+		u := b.use(team.Groups[0])
+		u.Guaranteed = u.Guaranteed.Plus(team.want().Min(team.Guarantee))
 	}
-	// Inner groups come first in every path.
+}
+
+// addGroupGuarantees adds what is guaranteed of each group to the group around it, once for
+// each group, the innermost first.
+func (b *claimBuilder) addGroupGuarantees(teams []TeamDemand) {
 	done := map[string]bool{}
-	for depth := range c.deepest(teams) {
-		for _, t := range teams {
-			if depth+1 >= len(t.Groups) || done[t.Groups[depth]] {
+	for depth := range longestPath(teams) {
+		for _, team := range teams {
+			if depth+1 >= len(team.Groups) || done[team.Groups[depth]] {
 				continue
 			}
-			inner, outer := c.use(t.Groups[depth]), c.use(t.Groups[depth+1])
-			done[t.Groups[depth]] = true
-			part := c.ledger.guaranteePart(t.Groups[depth], c.shard, inner.Claim)
-			outer.Guaranteed = outer.Guaranteed.Plus(inner.Want.Min(part.Max(inner.Guaranteed)))
+			name := team.Groups[depth]
+			done[name] = true
+			inner := b.use(name)
+			outer := b.use(team.Groups[depth+1])
+			part := b.ledger.guaranteePart(name, b.shard, inner.Claim)
+			guaranteed := inner.Want.Min(part.Max(inner.Guaranteed))
+			outer.Guaranteed = outer.Guaranteed.Plus(guaranteed)
 		}
 	}
-	for _, u := range c.uses {
-		u.Guaranteed = u.Guaranteed.Min(u.Want)
-	}
 }
 
-func (c *claimBuilder) deepest(teams []TeamDemand) (most int) {
-	for _, t := range teams {
-		most = max(most, len(t.Groups))
+// longestPath returns how many groups the most deeply nested team is in.
+func longestPath(teams []TeamDemand) (longest int) {
+	for _, team := range teams {
+		longest = max(longest, len(team.Groups))
 	}
-	return most
+	return longest
 }
 
-// guaranteePart is a shard's part of a group's guarantee, parted by what the shards claim.
-func (l *Ledger) guaranteePart(name string, shard int, own Claim) Amount {
-	g := l.groups[name]
-	if g == nil || g.rec.Guarantee.IsZero() {
+// guaranteePart returns a shard's part of a group's guarantee, which is divided by what the
+// shards want, without regard to the sizes of tasks.
+func (l *Ledger) guaranteePart(group string, shard int, own Claim) Amount {
+	g := l.groups[group]
+	if g == nil || g.record.Guarantee.IsZero() {
 		return Amount{}
 	}
-	at, claims := -1, make([]Claim, 0, len(g.rec.Rows)+1)
-	for i, row := range g.rec.Rows {
-		claims = append(claims, row.Claim)
-		if row.Shard == shard {
-			at, claims[i] = i, own
-		}
-	}
-	if at < 0 {
-		at, claims = len(claims), append(claims, own)
+	claims := make([]Claim, 0, len(g.record.Rows)+1)
+	for _, row := range g.record.Rows {
+		claims = append(claims, Claim{Want: row.Claim.Want})
 	}
-	for i := range claims { // a guarantee is parted before pieces matter
-		claims[i] = Claim{Want: claims[i].Want}
+	i := g.record.Row(shard)
+	if i < 0 {
+		i = len(claims)
+		claims = append(claims, Claim{})
 	}
-	return Divide(g.rec.Guarantee, claims)[at]
+	claims[i] = Claim{Want: own.Want}
+	return Divide(g.record.Guarantee, claims)[i]
 }
--- a/quota/divide.go
+++ b/quota/divide.go
@@ -6,26 +6,36 @@
 	"slices"
 )
 
-// Claim is what a shard wants of a group.
+// Claim is what a shard uses and wants of a group.
 type Claim struct {
-	// Used is what the shard's tasks may be using.
+	// Used is the most that the shard's tasks could be using.
 	Used Amount `cbor:"x"`
-	// Want is what the shard's tasks use, and what those that wait would use.
+	// Want is Used and what the waiting tasks would use.
 	Want Amount `cbor:"w"`
-	// Guaranteed is the part of it that lies within guarantees: of the teams, and of
-	// groups within this one.
+	// Guaranteed is how much of Want lies within guarantees: those of the teams, and those
+	// of groups within this one.
 	Guaranteed Amount `cbor:"u"`
-	// Piece is the least that is of use: what the smallest waiting task takes.
-	Piece Amount `cbor:"p"`
-	// SinceMS is since when tasks wait with none started, by the time of day of the
-	// shard's owner; 0: none waits.
+	// SmallestTask is what the smallest waiting task uses; less is of no use to the shard.
+	SmallestTask Amount `cbor:"p"`
+	// SinceMS is since when tasks have waited with none started, by the time of day of the
+	// shard's owner, in milliseconds since 1970; 0: none waits.
 	SinceMS int64 `cbor:"t,omitempty"`
 }
 
-// Divide says how much of a limit each claim should have. Guaranteed parts come first,
-// what remains is parted evenly among those that want more. Nobody is given a fraction of a
-// piece, and a claim that could otherwise not have a single piece gets one ahead of what
-// is not guaranteed, the one that has waited for longest first.
+// boundedBy returns the claim with zero for each resource that the limit does not bound.
+func (c Claim) boundedBy(limit Limit) Claim {
+	c.Used = limit.bounded(c.Used)
+	c.Want = limit.bounded(c.Want)
+	c.Guaranteed = limit.bounded(c.Guaranteed)
+	c.SmallestTask = limit.bounded(c.SmallestTask)
+	return c
+}
+
+// Divide returns how much of a limit the shard of each claim should have. Guaranteed claims
+// come first. What remains is divided evenly among those that want more (max-min
+// fairness), in steps of their smallest tasks. A claim that would otherwise have no task
+// running gets its smallest task ahead of what is not guaranteed, the one that has waited
+// for longest first.
 func Divide(limit Amount, claims []Claim) []Amount {
 	cpus := divideOne(limit.CPUs, claims, func(a Amount) float64 { return a.CPUs })
 	gpus := divideOne(limit.GPUs, claims, func(a Amount) float64 { return a.GPUs })
@@ -36,108 +46,125 @@
 	return out
 }
 
-// divideOne parts one resource.
-func divideOne(limit float64, claims []Claim, of func(Amount) float64) []float64 {
-	want, sum := make([]float64, len(claims)), 0.0
-	for i, c := range claims {
+// resourceClaim is a claim of one resource.
+type resourceClaim struct {
+	used, want, smallestTask float64
+	sinceMS                  int64
+}
+
+// divideOne divides one resource, which of selects.
+func divideOne(limit float64, all []Claim, of func(Amount) float64) []float64 {
+	want := make([]float64, len(all))
+	for i, c := range all {
 		want[i] = of(c.Want)
-		sum += want[i]
 	}
-	if sum <= limit+epsilon {
+	if sum(want) <= limit+epsilon {
 		return want
 	}
-	guaranteed := make([]float64, len(claims))
-	for i, c := range claims {
-		guaranteed[i] = min(of(c.Guaranteed), want[i])
+	claims := make([]resourceClaim, len(all))
+	reserved := make([]float64, len(all))
+	for i, c := range all {
+		claims[i] = resourceClaim{
+			used:         of(c.Used),
+			want:         want[i],
+			smallestTask: of(c.SmallestTask),
+			sinceMS:      c.SinceMS,
+		}
+		reserved[i] = min(of(c.Guaranteed), want[i])
 	}
-	sure := fill(limit, guaranteed)
-	part := evenly(limit, sure, want)
-	if i := longestWithout(claims, part, want, of); i >= 0 {
-		if piece := of(claims[i].Piece); total(sure)-sure[i]+piece <= limit+epsilon {
-			sure[i] = piece
-			part = evenly(limit, sure, want)
+	maxMinFair(limit, reserved)
+	parts := addEvenly(limit, reserved, want)
+	if i := longestWithoutTask(claims, parts); i >= 0 {
+		task := claims[i].smallestTask
+		if sum(reserved)-reserved[i]+task <= limit+epsilon {
+			reserved[i] = task
+			parts = addEvenly(limit, reserved, want)
 		}
 	}
-	return wholePieces(limit, claims, part, want, of)
+	roundToTasks(limit, claims, parts)
+	return parts
 }
 
-// evenly adds to what is sure of each an even part of what remains of a limit.
-func evenly(limit float64, sure, want []float64) []float64 {
-	part, lack := slices.Clone(sure), make([]float64, len(sure))
-	for i := range lack {
-		lack[i] = want[i] - sure[i]
+// addEvenly adds to what is reserved for each an even part of what remains of a limit, up to
+// what each wants.
+func addEvenly(limit float64, reserved, want []float64) []float64 {
+	parts := make([]float64, len(reserved))
+	for i := range parts {
+		parts[i] = want[i] - reserved[i]
 	}
-	for i, more := range fill(limit-total(sure), lack) {
-		part[i] += more
+	maxMinFair(limit-sum(reserved), parts)
+	for i := range parts {
+		parts[i] += reserved[i]
 	}
-	return part
+	return parts
 }
 
-// fill parts an amount evenly, nobody getting more than its cap (max-min fairness).
-func fill(amount float64, caps []float64) []float64 {
-	part := make([]float64, len(caps))
-	order := make([]int, len(caps))
+// maxMinFair divides an amount evenly, nobody getting more than it wants. It replaces what
+// each wants by what it gets.
+func maxMinFair(amount float64, wants []float64) {
+	order := make([]int, len(wants))
 	for i := range order {
 		order[i] = i
 	}
-	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(caps[a], caps[b]) })
+	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(wants[a], wants[b]) })
 	for n, i := range order {
-		part[i] = min(caps[i], max(0, amount)/float64(len(order)-n))
-		amount -= part[i]
+		even := max(0, amount) / float64(len(order)-n)
+		wants[i] = min(wants[i], even)
+		amount -= wants[i]
 	}
-	return part
 }
 
-func total(parts []float64) (sum float64) {
+func sum(parts []float64) (total float64) {
 	for _, p := range parts {
-		sum += p
+		total += p
 	}
-	return sum
+	return total
 }
 
-// longestWithout is the claim that has waited for longest of those without a whole piece;
-// -1: there is none.
-func longestWithout(claims []Claim, part, want []float64, of func(Amount) float64) int {
+// longestWithoutTask returns the index of the claim that has waited for longest of those that
+// neither run a task of their smallest size nor have a part for one; -1: there is none.
+func longestWithoutTask(claims []resourceClaim, parts []float64) int {
 	longest := -1
 	for i, c := range claims {
-		piece := of(c.Piece)
-		if c.SinceMS == 0 || of(c.Used)+epsilon >= piece || part[i]+epsilon >= piece || want[i]+epsilon < piece {
+		waits := c.sinceMS != 0 && c.want+epsilon >= c.smallestTask
+		served := c.used+epsilon >= c.smallestTask || parts[i]+epsilon >= c.smallestTask
+		if !waits || served {
 			continue
 		}
-		if longest < 0 || c.SinceMS < claims[longest].SinceMS {
+		if longest < 0 || c.sinceMS < claims[longest].sinceMS {
 			longest = i
 		}
 	}
 	return longest
 }
 
-// wholePieces rounds the parts of those that want more down, to whole pieces beside what
-// they use, and gives what that leaves to those that have least, and of these to those
-// that have waited for longest.
-func wholePieces(limit float64, claims []Claim, part, want []float64, of func(Amount) float64) []float64 {
+// roundToTasks rounds the parts of claims that want more down to what they use and whole
+// tasks beside it. What that leaves goes to those that have least, and of these to those
+// that have waited for longest, again in whole tasks.
+func roundToTasks(limit float64, claims []resourceClaim, parts []float64) {
 	var order []int
 	for i, c := range claims {
-		piece := of(c.Piece)
-		if piece <= 0 || part[i]+epsilon >= want[i] {
+		if c.smallestTask <= 0 || parts[i]+epsilon >= c.want {
 			continue
 		}
-		used := min(of(c.Used), part[i])
-		part[i] = used + math.Floor((part[i]-used+epsilon)/piece)*piece
+		used := min(c.used, parts[i])
+		tasks := math.Floor((parts[i] - used + epsilon) / c.smallestTask)
+		parts[i] = used + tasks*c.smallestTask
 		order = append(order, i)
 	}
 	slices.SortStableFunc(order, func(a, b int) int {
-		return cmp.Or(cmp.Compare(part[a], part[b]), cmp.Compare(claims[a].SinceMS, claims[b].SinceMS))
+		return cmp.Or(cmp.Compare(parts[a], parts[b]), cmp.Compare(claims[a].sinceMS, claims[b].sinceMS))
 	})
-	rest := limit - total(part)
+	rest := limit - sum(parts)
 	for given := true; given; {
 		given = false
 		for _, i := range order {
-			if piece := of(claims[i].Piece); piece <= rest+epsilon && part[i]+piece <= want[i]+epsilon {
-				part[i] += piece
-				rest -= piece
+			task := claims[i].smallestTask
+			if task <= rest+epsilon && parts[i]+task <= claims[i].want+epsilon {
+				parts[i] += task
+				rest -= task
 				given = true
 			}
 		}
 	}
-	return part
 }
--- a/quota/example_test.go
+++ b/quota/example_test.go
@@ -38,7 +38,7 @@
 	// Each says what it uses and wants, several times, as it would all the time.
 	for range 4 {
 		for shard, ledger := range parts {
-			now.Steady += quota.DefaultTiming().Pace
+			now.Steady += quota.DefaultTiming().WriteInterval
 			demand := quota.TeamDemand{Groups: []string{"build"}, Waiting: []quota.WaitingTasks{{Size: quota.Amount{CPUs: 1}, Count: 20, SinceMS: 1}}}
 			for _, in := range []quota.Input{
 				quota.Held{Shard: shard},
--- a/quota/ledger_test.go
+++ b/quota/ledger_test.go
@@ -43,7 +43,7 @@
 }
 
 func row(shard int, allowance, want float64, seen uint64) Row {
-	return Row{Shard: shard, Allowance: Amount{CPUs: allowance}, Claim: Claim{Want: Amount{CPUs: want}, Piece: Amount{CPUs: 1}}, Seen: seen}
+	return Row{Shard: shard, Allowance: Amount{CPUs: allowance}, Claim: Claim{Want: Amount{CPUs: want}, SmallestTask: Amount{CPUs: 1}}, Seen: seen}
 }
 
 func inForce(cpus float64, rows ...Row) Record {
--- a/quota/options_test.go
+++ b/quota/options_test.go
@@ -111,7 +111,7 @@
 // TestDivide: guarantees first, then evenly, in whole pieces, and nobody is left out for ever.
 func TestDivide(t *testing.T) {
 	claim := func(used, want, guaranteed, piece float64, since int64) Claim {
-		return Claim{Used: Amount{CPUs: used}, Want: Amount{CPUs: want}, Guaranteed: Amount{CPUs: guaranteed}, Piece: Amount{CPUs: piece}, SinceMS: since}
+		return Claim{Used: Amount{CPUs: used}, Want: Amount{CPUs: want}, Guaranteed: Amount{CPUs: guaranteed}, SmallestTask: Amount{CPUs: piece}, SinceMS: since}
 	}
 	for _, tc := range []struct {
 		name   string
--- /dev/null
+++ b/quota/plan.go
@@ -0,0 +1,227 @@
+package quota
+
+import (
+	"maps"
+	"slices"
+)
+
+// shortage names the resources of which some shards lack more of their parts than is free.
+type shortage struct{ cpus, gpus bool }
+
+// of returns a with zero for each resource of which there is no shortage.
+func (s shortage) of(a Amount) Amount {
+	if !s.cpus {
+		a.CPUs = 0
+	}
+	if !s.gpus {
+		a.GPUs = 0
+	}
+	return a
+}
+
+// waitingTime says whether something waits, and since when.
+type waitingTime struct {
+	waits bool
+	since Micros
+}
+
+// longerThan reports whether it has waited for at least d.
+func (w waitingTime) longerThan(d, now Micros) bool { return w.waits && now >= w.since+d }
+
+// plan updates what this controller's shards may use of a group, and writes those of their
+// rows that have to change.
+func (l *Ledger) plan(g *groupState) {
+	clear(g.allowed)
+	if !g.binds() {
+		return
+	}
+	l.divide(g)
+	next := g.record.clone()
+	changed := l.planShards(g, &next)
+	l.updateAllowed(g)
+	if len(changed) == 0 || !l.mayWrite(g) || len(g.setRequests) > 0 {
+		return
+	}
+	l.sendRows(g, next, changed)
+	for _, shard := range changed {
+		g.publishedAt[shard] = l.now.Steady
+		g.allowed[shard] = l.allowedNow(g, shard) // a reduction counts from now on
+	}
+}
+
+// planShards updates the rows of own shards in the next record, and returns the shards
+// that are worth a write.
+func (l *Ledger) planShards(g *groupState, next *Record) (changed []int) {
+	for _, shard := range slices.Sorted(maps.Keys(l.owned)) {
+		use, known := l.currentUse(g, shard)
+		if !known {
+			continue
+		}
+		l.reclaim(g, shard, use)
+		update := l.planShard(g, shard, use, next)
+		// While a reduction is in doubt, nobody can use what it gives up. Any newer write
+		// ends the doubt.
+		if update || g.reductionInDoubt(shard) {
+			changed = append(changed, shard)
+		}
+	}
+	return changed
+}
+
+// updateAllowed computes what each own shard may use.
+func (l *Ledger) updateAllowed(g *groupState) {
+	for shard, s := range l.owned {
+		if s.recordsRead {
+			g.allowed[shard] = l.allowedNow(g, shard)
+		}
+	}
+}
+
+// currentUse returns what an own shard uses of a group; known is false before the shard's
+// use and all records are known, and for shards of others.
+func (l *Ledger) currentUse(g *groupState, shard int) (use Use, known bool) {
+	s := l.owned[shard]
+	if s == nil || !s.recordsRead {
+		return Use{}, false
+	}
+	use, known = s.usage[g.name]
+	return use, known
+}
+
+// divide computes the part of each row, and what is short.
+func (l *Ledger) divide(g *groupState) {
+	limit := g.record.Limit.Amount()
+	claims := l.claims(g)
+	g.parts = Divide(limit, claims)
+	var lacking, lackingGuaranteed Amount
+	for i, row := range g.record.Rows {
+		guaranteedPart := g.parts[i].Min(claims[i].Guaranteed)
+		lacking = lacking.Plus(g.parts[i].Minus(row.Allowance))
+		lackingGuaranteed = lackingGuaranteed.Plus(guaranteedPart.Minus(row.Allowance))
+	}
+	free := g.record.Free()
+	g.short = shortage{
+		cpus: lacking.CPUs > free.CPUs+epsilon,
+		gpus: lacking.GPUs > free.GPUs+epsilon,
+	}
+	switch {
+	case lackingGuaranteed.Within(free):
+		g.guaranteeWait = waitingTime{}
+	case !g.guaranteeWait.waits:
+		g.guaranteeWait = waitingTime{waits: true, since: l.now.Steady}
+	}
+}
+
+// claims returns the claim of each row: the present one of own shards, the recorded one of
+// others, within the limit.
+func (l *Ledger) claims(g *groupState) []Claim {
+	limit := g.record.Limit.Amount()
+	claims := make([]Claim, len(g.record.Rows))
+	for i, row := range g.record.Rows {
+		claims[i] = row.Claim
+		if use, known := l.currentUse(g, row.Shard); known {
+			claims[i] = use.Claim
+		}
+		claims[i].Want = claims[i].Want.Min(limit)
+	}
+	return claims
+}
+
+// planShard updates a shard's row in the next record, and reports whether it is worth a
+// write.
+func (l *Ledger) planShard(g *groupState, shard int, use Use, next *Record) bool {
+	claim := use.Claim.boundedBy(g.record.Limit)
+	i := next.Row(shard)
+	if i < 0 {
+		if !use.Exact {
+			return false
+		}
+		g.register(shard, claim, next)
+		return true
+	}
+	row := &next.Rows[i]
+	before := *row
+	row.Allowance = l.allowance(g, shard, claim, use.Exact, next)
+	exceeded := use.Exact && !claim.Used.Within(before.Allowance)
+	if exceeded && !row.Allowance.Within(before.Allowance) {
+		next.Applied = nil // a controller that does not know of groups has granted more
+	}
+	row.Claim = claim
+	row.Seen = next.Epoch
+	if l.worthWriting(g, before, *row) {
+		return true
+	}
+	*row = before // the write of another shard's row must not change this one
+	return false
+}
+
+// register adds the row of a shard that has none to the next record.
+func (g *groupState) register(shard int, claim Claim, next *Record) {
+	next.Rows = append(next.Rows, Row{Shard: shard, Allowance: claim.Used, Claim: claim, Seen: next.Epoch})
+	if !claim.Used.Within(g.record.Free()) {
+		next.Applied = nil // it uses what others may have been granted
+	}
+}
+
+// allowance returns what a shard's allowance should be. It never leaves less than what is
+// in use, and grows within what is free in the next record only, unless the shard uses
+// more than its allowance already.
+func (l *Ledger) allowance(g *groupState, shard int, claim Claim, exact bool, next *Record) Amount {
+	i := g.record.Row(shard)
+	has := next.Rows[next.Row(shard)].Allowance
+	if exact && !claim.Used.Within(has) {
+		return has.Max(claim.Used)
+	}
+	used := claim.Used.Min(has)
+	part := g.part(shard, has)
+	if excess := next.Excess(); !excess.IsZero() {
+		if l.now.Steady >= g.epochSeenAt+l.cfg.Timing.ExcessTimeout {
+			part = part.Min(has.Minus(excess)) // others have not given up theirs
+		}
+		return part.Max(used)
+	}
+	if !part.Equal(has) {
+		return part.Max(used)
+	}
+	growth := g.parts[i].Minus(has).Min(next.Free())
+	grown := has.Plus(growth)
+	if !growth.IsZero() && claim.SmallestTask.Within(grown.Minus(used)) {
+		return grown
+	}
+	return l.withoutUnused(g, shard, has, used.Max(claim.Want))
+}
+
+// withoutUnused returns what a shard has, without what it has not needed for
+// Timing.UnusedTimeout.
+func (l *Ledger) withoutUnused(g *groupState, shard int, has, needed Amount) Amount {
+	if has.Minus(needed).IsZero() {
+		delete(g.unusedSince, shard)
+		return has
+	}
+	since, ok := g.unusedSince[shard]
+	if !ok {
+		g.unusedSince[shard] = l.now.Steady
+		return has
+	}
+	if l.now.Steady < since+l.cfg.Timing.UnusedTimeout {
+		return has
+	}
+	return has.Min(needed)
+}
+
+// reclaim asks for tasks of a shard to be stopped where it uses more than its part, beyond
+// what is guaranteed to it, and a guaranteed claim has waited for long enough.
+func (l *Ledger) reclaim(g *groupState, shard int, use Use) {
+	i := g.record.Row(shard)
+	delay := l.cfg.Timing.ReclaimDelay
+	if i < 0 || !g.guaranteeWait.longerThan(delay, l.now.Steady) || l.now.Steady < g.reclaimedAt+delay {
+		return
+	}
+	over := use.Used.Minus(g.parts[i].Max(use.Guaranteed))
+	over = g.short.of(g.record.Limit.bounded(over))
+	if over.IsZero() {
+		return
+	}
+	g.reclaimedAt = l.now.Steady
+	l.emit(Reclaim{Shard: shard, Group: g.name, Over: over})
+}
--- /dev/null
+++ b/quota/record.go
@@ -0,0 +1,147 @@
+package quota
+
+import "slices"
+
+// Definition is what operators configure of a group: its members and what they may use.
+type Definition struct {
+	Name   string   `cbor:"-"`
+	Parent string   `cbor:"p,omitempty"`
+	Teams  []string `cbor:"t,omitempty"`
+	// Members are the teams of the group and of all groups within it, sorted. A record
+	// names all whom it binds, since the records of other groups may be read later or not
+	// at all.
+	Members   []string `cbor:"n,omitempty"`
+	Guarantee Amount   `cbor:"u"`
+	Limit     Limit    `cbor:"l"`
+	// Scheduled is set while Limit follows from a schedule.
+	Scheduled bool `cbor:"-"`
+}
+
+// equalExceptLimit reports whether two definitions differ in their limits at most.
+func (d Definition) equalExceptLimit(o Definition) bool {
+	return d.Parent == o.Parent &&
+		slices.Equal(d.Teams, o.Teams) &&
+		slices.Equal(d.Members, o.Members) &&
+		d.Guarantee == o.Guarantee
+}
+
+// Source is where a limit comes from.
+type Source string
+
+// Sources of a limit.
+const (
+	FromOptions  Source = "options"
+	FromSchedule Source = "schedule"
+	FromOperator Source = "operator"
+)
+
+// Row is the part of a group's record that belongs to one shard.
+type Row struct {
+	Shard int `cbor:"s"`
+	// Allowance is the most that the shard's tasks may use.
+	Allowance Amount `cbor:"a"`
+	// Claim is what the owner of the shard claimed at its last write.
+	Claim Claim `cbor:"w"`
+	// Seen is the latest epoch that the owner has seen. It grants nothing above the limit
+	// of that epoch.
+	Seen uint64 `cbor:"e,omitempty"`
+}
+
+// Record is the state of a group in the store.
+type Record struct {
+	Definition `cbor:"d"`
+	// Epoch increases with every change of the limit or the definition.
+	Epoch uint64 `cbor:"e"`
+	// Applied is the limit that was last in force. It is nil if none has been yet, or if a
+	// shard has used more than its allowance, as an owner that does not know of groups may.
+	Applied *Limit `cbor:"f,omitempty"`
+	// Override is a limit that an operator has set by hand. It takes precedence over the
+	// options until it is cleared; nil: there is none.
+	Override *Limit `cbor:"o,omitempty"`
+	Source   Source `cbor:"y"`
+	// Removed is set for a group that is no longer in the options and bounds nothing.
+	Removed bool `cbor:"x,omitempty"`
+	// AnnouncedMS is when the epoch began, by the time of day of its writer, in
+	// milliseconds since 1970.
+	AnnouncedMS int64 `cbor:"m"`
+	Rows        []Row `cbor:"r,omitempty"`
+}
+
+// Row returns the index in Rows of a shard's row, or -1.
+func (r *Record) Row(shard int) int {
+	return slices.IndexFunc(r.Rows, func(row Row) bool { return row.Shard == shard })
+}
+
+// allowance returns the allowance of a shard; ok is false if it has no row.
+func (r *Record) allowance(shard int) (allowance Amount, ok bool) {
+	i := r.Row(shard)
+	if i < 0 {
+		return Amount{}, false
+	}
+	return r.Rows[i].Allowance, true
+}
+
+// Allowed returns the sum of all allowances.
+func (r *Record) Allowed() Amount {
+	var sum Amount
+	for _, row := range r.Rows {
+		sum = sum.Plus(row.Allowance)
+	}
+	return sum
+}
+
+// Free returns what of the limit is in no allowance.
+func (r *Record) Free() Amount { return r.Limit.Amount().Minus(r.Allowed()) }
+
+// Exceeded reports whether the sum of the allowances exceeds the limit: it has been
+// lowered and is not in force yet.
+func (r *Record) Exceeded() bool { return !r.Excess().IsZero() }
+
+// Excess returns by how much the sum of the allowances exceeds the limit.
+func (r *Record) Excess() Amount { return r.Allowed().Minus(r.Limit.Amount()) }
+
+// Complete reports whether each of that many shards has a row. The use of one without a
+// row is not known.
+func (r *Record) Complete(shards int) bool {
+	for s := range shards {
+		if r.Row(s) < 0 {
+			return false
+		}
+	}
+	return true
+}
+
+// InForce reports whether the limit is in force in a cluster of that many shards.
+func (r *Record) InForce(shards int) bool { return r.Complete(shards) && !r.Exceeded() }
+
+// updateApplied sets Applied to the limit if it is in force.
+func (r *Record) updateApplied(shards int) {
+	if r.InForce(shards) {
+		limit := r.Limit
+		r.Applied = &limit
+	}
+}
+
+// dropRows removes all rows: what each shard uses has to be registered again before the
+// limit can be in force.
+func (r *Record) dropRows() { r.Rows, r.Applied = nil, nil }
+
+// setLimit begins a new epoch with a limit. Grants of a resource that becomes bounded have
+// not been checked against any allowance so far, so all rows are dropped.
+func (r *Record) setLimit(limit Limit, source Source) {
+	if limit.boundsMoreThan(r.Limit) {
+		r.dropRows()
+	}
+	r.Limit = limit
+	r.Source = source
+	r.Epoch++
+}
+
+// clone returns a copy whose slices can be changed.
+func (r Record) clone() Record {
+	c := r
+	c.Rows = slices.Clone(r.Rows)
+	c.Teams = slices.Clone(r.Teams)
+	c.Members = slices.Clone(r.Members)
+	return c
+}
--- /dev/null
+++ b/quota/set.go
@@ -0,0 +1,106 @@
+package quota
+
+import "garnethitch/internal/micros"
+
+// setRequest is an operator's Set that has no outcome yet.
+type setRequest struct {
+	Set
+	attemptsLeft int
+	epoch        uint64 // of the record when the request came
+	expiresAt    Micros
+}
+
+const (
+	// maxSetAttempts is how often the limit of a Set is written if writes of allowances
+	// come first.
+	maxSetAttempts = 20
+	// setTimeout is how long a Set may wait. It is shorter than its operator's time-out, so
+	// that none is carried out after a later one.
+	setTimeout = 4 * micros.Second
+)
+
+// set takes an operator's request.
+func (l *Ledger) set(v Set) {
+	g := l.groups[v.Group]
+	if g == nil || !g.exists() {
+		l.emit(SetDone{Token: v.Token, Status: SetNoGroup})
+		return
+	}
+	g.setRequests = append(g.setRequests, &setRequest{
+		Set:          v,
+		attemptsLeft: maxSetAttempts,
+		epoch:        g.record.Epoch,
+		expiresAt:    l.now.Steady + setTimeout,
+	})
+}
+
+// sendSet answers the operators' requests of a group that have an outcome, and writes the
+// next one. A limit that the record has already is written as well: a write in doubt may
+// say something else, and is void after it.
+func (l *Ledger) sendSet(g *groupState) {
+	for len(g.setRequests) > 0 && !g.writeInFlight {
+		r := g.setRequests[0]
+		status, done := l.setStatus(g, r)
+		if !done && l.now.Steady < g.nextWriteAt {
+			return
+		}
+		g.setRequests = g.setRequests[1:]
+		if !done {
+			r.attemptsLeft--
+			l.writeSet(g, r)
+			return
+		}
+		l.emit(SetDone{Token: r.Token, Status: status, Epoch: g.record.Epoch})
+	}
+}
+
+// setStatus returns the outcome of a request, if it has one without another write. If the
+// group has changed since the request came, the request fails, unless the change is its
+// own: a write whose answer was lost.
+func (l *Ledger) setStatus(g *groupState, r *setRequest) (status SetStatus, done bool) {
+	attempted := r.attemptsLeft < maxSetAttempts
+	switch {
+	case g.record.Removed:
+		return SetNoGroup, true
+	case g.record.Epoch != r.epoch && attempted && r.standsIn(&g.record):
+		return SetAnnounced, true
+	case g.record.Epoch != r.epoch:
+		return SetConflict, true
+	case l.now.Steady >= r.expiresAt || r.attemptsLeft <= 0:
+		return SetBusy, true
+	}
+	return SetBusy, false
+}
+
+// standsIn reports whether a record has the limit of the request.
+func (r *setRequest) standsIn(record *Record) bool {
+	if record.Override == nil || r.Limit == nil {
+		return record.Override == nil && r.Limit == nil
+	}
+	return record.Override.Equal(*r.Limit)
+}
+
+// writeSet writes the limit of a request. The leader replaces a limit that was cleared by
+// that of its options.
+func (l *Ledger) writeSet(g *groupState, r *setRequest) {
+	record := g.record.clone()
+	record.Override = r.Limit
+	limit := record.Limit
+	source := record.Source
+	if r.Limit != nil {
+		limit = *r.Limit
+		source = FromOperator
+	}
+	record.setLimit(limit, source)
+	l.sendOverride(g, record, r)
+}
+
+// handleSetOutcome answers a request whose write was carried out, and puts any other
+// back at the head of the queue.
+func (l *Ledger) handleSetOutcome(g *groupState, r *setRequest, outcome Outcome) {
+	if outcome == Applied {
+		l.emit(SetDone{Token: r.Token, Status: SetAnnounced, Epoch: r.epoch + 1})
+		return
+	}
+	g.setRequests = append([]*setRequest{r}, g.setRequests...)
+}
--- a/quota/status.go
+++ b/quota/status.go
@@ -1,53 +1,54 @@
 package quota
 
-// GroupStatus is what operators are shown of a group.
+// GroupStatus is the status of a group, for operators.
 type GroupStatus struct {
 	Name     string   `json:"name" msgpack:"n"`
 	Parent   string   `json:"parent,omitempty" msgpack:"p,omitempty"`
 	Teams    []string `json:"teams,omitempty" msgpack:"t,omitempty"`
 	Limit    Limit    `json:"limit" msgpack:"l"`
 	Override *Limit   `json:"override,omitempty" msgpack:"o,omitempty"`
-	// Applied is the limit in force; nil: none is.
+	// Applied is the limit that was last in force; nil: none. See Record.
 	Applied   *Limit `json:"in_force,omitempty" msgpack:"f,omitempty"`
 	Source    Source `json:"source" msgpack:"y"`
 	Epoch     uint64 `json:"epoch" msgpack:"e"`
 	State     State  `json:"state" msgpack:"s"`
 	Guarantee Amount `json:"guarantee" msgpack:"u"`
-	// Lent is the part of the guarantee that others have at present.
+	// Lent is the part of the guarantee that other groups have at present.
 	Lent   Amount        `json:"lent" msgpack:"b"`
 	Free   Amount        `json:"free" msgpack:"r"`
 	HeldUp []HeldUp      `json:"held_up_by,omitempty" msgpack:"h,omitempty"`
 	Shards []ShardStatus `json:"shares" msgpack:"w,omitempty"`
 }
 
-// State says whether a group's limit holds.
+// State is the state of a group's limit.
 type State string
 
 // States of a limit.
 const (
 	StateInForce   State = "in force"
-	StateAnnounced State = "announced"
-	StateRemoved   State = "removed"
+	StateAnnounced State = "announced" // stands in the record, but is not in force yet
+	StateRemoved   State = "removed"   // the group is no longer in the options
 )
 
-// HeldUp says why a limit is not in force yet.
+// HeldUp names a shard that keeps a limit from being in force.
 type HeldUp struct {
 	Shard  int          `json:"share" msgpack:"s"`
 	Owner  string       `json:"owner,omitempty" msgpack:"o,omitempty"`
 	Reason HeldUpReason `json:"reason" msgpack:"r"`
 }
 
-// HeldUpReason is one reason of HeldUp.
+// HeldUpReason is why a shard keeps a limit from being in force, for operators to read.
 type HeldUpReason string
 
-// Reasons why a limit is not in force yet.
+// Reasons of a HeldUp.
 const (
 	NotRegistered   HeldUpReason = "its use is not known yet"
 	NotAcknowledged HeldUpReason = "its owner has not seen the limit yet"
 	StillUsed       HeldUpReason = "its tasks use more than its part"
 )
 
-// ShardStatus is a shard's part of a group.
+// ShardStatus is the status of one shard of a group. Seen is the latest epoch that its owner
+// has seen. Ledger leaves Owner empty, here and in HeldUp.
 type ShardStatus struct {
 	Shard     int    `json:"share" msgpack:"s"`
 	Owner     string `json:"owner,omitempty" msgpack:"o,omitempty"`
@@ -57,7 +58,7 @@
 	Seen      uint64 `json:"seen_epoch" msgpack:"e"`
 }
 
-// Status tells how all groups stand.
+// Status returns the status of all groups that have a record, by name.
 func (l *Ledger) Status() []GroupStatus {
 	var out []GroupStatus
 	for _, name := range l.names() {
@@ -69,14 +70,20 @@
 }
 
 func (l *Ledger) status(g *groupState) GroupStatus {
-	r := &g.rec
-	st := GroupStatus{Name: g.name, Parent: r.Parent, Teams: r.Teams, Limit: r.Limit, Override: r.Override, Applied: r.Applied, Source: r.Source,
-		Epoch: r.Epoch, State: StateAnnounced, Guarantee: r.Guarantee, Free: finiteOnly(r.Free())}
-	switch {
-	case r.Removed:
-		st.State = StateRemoved
-	case r.InForce(l.cfg.Shards):
-		st.State = StateInForce
+	r := &g.record
+	st := GroupStatus{
+		Name:      g.name,
+		Parent:    r.Parent,
+		Teams:     r.Teams,
+		Limit:     r.Limit,
+		Override:  r.Override,
+		Applied:   r.Applied,
+		Source:    r.Source,
+		Epoch:     r.Epoch,
+		State:     l.state(r),
+		Guarantee: r.Guarantee,
+		Lent:      l.lent(r),
+		Free:      boundedOnly(r.Free()),
 	}
 	for shard := range l.cfg.Shards {
 		i := r.Row(shard)
@@ -84,32 +91,70 @@
 			st.HeldUp = append(st.HeldUp, HeldUp{Shard: shard, Reason: NotRegistered})
 			continue
 		}
-		row := r.Rows[i]
-		used, want := row.Claim.Used, row.Claim.Want
-		if h := l.held[shard]; h != nil {
-			if use, ok := h.use[g.name]; ok {
-				used, want = use.Used, use.Want
-			}
-		}
-		st.Shards = append(st.Shards, ShardStatus{Shard: shard, Allowance: row.Allowance, Used: used, Want: want, Seen: row.Seen})
+		st.Shards = append(st.Shards, l.shardStatus(g, r.Rows[i]))
 		if st.State != StateAnnounced || !r.Exceeded() {
 			continue
 		}
-		switch {
-		case row.Seen < r.Epoch:
-			st.HeldUp = append(st.HeldUp, HeldUp{Shard: shard, Reason: NotAcknowledged})
-		case i < len(g.parts) && !row.Allowance.Within(g.parts[i]):
-			st.HeldUp = append(st.HeldUp, HeldUp{Shard: shard, Reason: StillUsed})
+		if reason, heldUp := g.heldUpBy(i); heldUp {
+			st.HeldUp = append(st.HeldUp, HeldUp{Shard: shard, Reason: reason})
 		}
 	}
-	if parent := l.groups[r.Parent]; parent != nil && parent.modRevision != 0 {
-		st.Lent = r.Guarantee.Minus(r.Allowed()).Minus(parent.rec.Free())
-	}
 	return st
 }
 
-// finiteOnly leaves out what is not bounded: neither JSON nor people have use for it.
-func finiteOnly(a Amount) Amount {
+func (l *Ledger) state(r *Record) State {
+	switch {
+	case r.Removed:
+		return StateRemoved
+	case r.InForce(l.cfg.Shards):
+		return StateInForce
+	}
+	return StateAnnounced
+}
+
+// lent returns the part of a group's guarantee that is neither in its own allowances nor
+// free in its parent.
+func (l *Ledger) lent(r *Record) Amount {
+	parent := l.groups[r.Parent]
+	if parent == nil || parent.modRevision == 0 {
+		return Amount{}
+	}
+	return r.Guarantee.Minus(r.Allowed()).Minus(parent.record.Free())
+}
+
+// shardStatus returns the status of a row, with the present use of a shard that is owned
+// here and the recorded one of another.
+func (l *Ledger) shardStatus(g *groupState, row Row) ShardStatus {
+	claim := row.Claim
+	if s := l.owned[row.Shard]; s != nil {
+		if use, ok := s.usage[g.name]; ok {
+			claim = use.Claim
+		}
+	}
+	return ShardStatus{
+		Shard:     row.Shard,
+		Allowance: row.Allowance,
+		Used:      claim.Used,
+		Want:      claim.Want,
+		Seen:      row.Seen,
+	}
+}
+
+// heldUpBy returns why the shard of row i keeps the limit from being in force, if it does.
+func (g *groupState) heldUpBy(i int) (reason HeldUpReason, heldUp bool) {
+	row := g.record.Rows[i]
+	switch {
+	case row.Seen < g.record.Epoch:
+		return NotAcknowledged, true
+	case i < len(g.parts) && !row.Allowance.Within(g.parts[i]):
+		return StillUsed, true
+	}
+	return "", false
+}
+
+// boundedOnly returns a with zero for each resource that is unlimited, which JSON can't
+// represent.
+func boundedOnly(a Amount) Amount {
 	if a.CPUs == Unlimited.CPUs {
 		a.CPUs = 0
 	}
@@ -118,14 +163,3 @@
 	}
 	return a
 }
-
-// Part is what a shard may use of a group, or should have once others have given it up.
-func (l *Ledger) Part(shard int, group string) Amount {
-	allowed := l.Allowed(shard, group)
-	if g := l.groups[group]; g != nil && allowed != Unlimited && l.held[shard] != nil {
-		if i := g.rec.Row(shard); i >= 0 && i < len(g.parts) {
-			return allowed.Max(g.parts[i])
-		}
-	}
-	return allowed
-}
--- a/quota/store.go
+++ b/quota/store.go
@@ -2,19 +2,19 @@
 
 import "fmt"
 
-// Store holds the records of groups. A write is carried out only if the record has the mark
-// that it names, and its writer still owns the shards, or leads, as it says.
+// Store holds the records of groups. A write is carried out only if the record has the
+// revision that it names, and its writer owns the shards, or is the leader, as it says.
 type Store interface {
-	// Read gives a group's record and its mark; mark 0: there is none.
-	Read(group string) (Record, uint64, error)
-	// Write carries a write out, and gives the record's new mark; ok is false if its
+	// Read returns a group's record and its revision; 0: there is none.
+	Read(group string) (record Record, modRevision uint64, err error)
+	// Write carries a write out and returns the record's new revision; ok is false if its
 	// conditions are not met. After an error it may have been carried out or not.
 	Write(Write) (modRevision uint64, ok bool, err error)
 }
 
-// Sync takes one input and carries what follows out on a store, at once. It is the whole
-// driver that a program needs that keeps quota over a store of its own. It gives the
-// remaining effects: Reclaim, Changed and SetDone.
+// Sync takes one input and carries its effects out on a store, as well as those that
+// follow from them. It returns the effects that are left to the caller: Reclaim, Changed
+// and SetDone. An error is that of a read; those of writes count as outcome Unknown.
 func (l *Ledger) Sync(now Instant, in Input, store Store) ([]Effect, error) {
 	var rest []Effect
 	pending := l.Step(now, in)
@@ -23,22 +23,15 @@
 		pending = pending[1:]
 		switch e := effect.(type) {
 		case Write:
-			modRevision, ok, err := store.Write(e)
-			outcome := Applied
-			switch {
-			case err != nil:
-				outcome = Unknown
-			case !ok:
-				outcome = Refused
-			}
-			pending = append(pending, l.Step(now, Wrote{ID: e.ID, Outcome: outcome, ModRevision: modRevision})...)
+			pending = append(pending, l.Step(now, writeTo(store, e))...)
 		case Read:
-			rec, modRevision, err := store.Read(e.Group)
+			record, modRevision, err := store.Read(e.Group)
 			if err != nil {
 				return rest, fmt.Errorf("quota: read group %s: %w", e.Group, err)
 			}
 			if modRevision != 0 {
-				pending = append(pending, l.Step(now, Learned{Group: e.Group, Record: rec, ModRevision: modRevision})...)
+				learned := Learned{Group: e.Group, Record: record, ModRevision: modRevision}
+				pending = append(pending, l.Step(now, learned)...)
 			}
 		default:
 			rest = append(rest, e)
@@ -46,3 +39,15 @@
 	}
 	return rest, nil
 }
+
+// writeTo carries a write out on a store and returns its outcome.
+func writeTo(store Store, w Write) Wrote {
+	modRevision, ok, err := store.Write(w)
+	switch {
+	case err != nil:
+		return Wrote{ID: w.ID, Outcome: Unknown}
+	case !ok:
+		return Wrote{ID: w.ID, Outcome: Refused}
+	}
+	return Wrote{ID: w.ID, Outcome: Applied, ModRevision: modRevision}
+}
--- /dev/null
+++ b/quota/writes.go
@@ -0,0 +1,165 @@
+package quota
+
+import "slices"
+
+// sentWrite is a write that was sent.
+type sentWrite struct {
+	id          uint64
+	group       string
+	modRevision uint64 // the revision of the record that the write replaces
+	record      Record
+	kind        writeKind
+	request     *setRequest // of a writeOverride
+}
+
+// writeKind is what a write of a record is for.
+type writeKind int
+
+const (
+	// writeRows changes rows of own shards.
+	writeRows writeKind = iota
+	// writeAnnouncement changes the definition or the limit, by the options of the leader.
+	writeAnnouncement
+	// writeOverride changes the limit, by the request of an operator.
+	writeOverride
+)
+
+// mayWrite reports whether a write of the group's record may be sent now.
+func (l *Ledger) mayWrite(g *groupState) bool {
+	return !g.writeInFlight && l.now.Steady >= g.nextWriteAt
+}
+
+// sendRows sends a record in which the rows of the given shards have changed.
+func (l *Ledger) sendRows(g *groupState, record Record, shards []int) {
+	l.send(g, sentWrite{kind: writeRows, record: record}, shards)
+}
+
+// sendAnnouncement sends a record whose definition or limit has changed by the options.
+func (l *Ledger) sendAnnouncement(g *groupState, record Record) {
+	record.AnnouncedMS = l.now.WallMS
+	l.send(g, sentWrite{kind: writeAnnouncement, record: record}, nil)
+}
+
+// sendOverride sends a record whose limit has changed by the request of an operator.
+func (l *Ledger) sendOverride(g *groupState, record Record, request *setRequest) {
+	record.AnnouncedMS = l.now.WallMS
+	l.send(g, sentWrite{kind: writeOverride, record: record, request: request}, nil)
+}
+
+// send sends a write of a group's record, on the condition that the known one stands and
+// this controller owns the given shards.
+func (l *Ledger) send(g *groupState, w sentWrite, shards []int) {
+	l.lastWriteID++
+	w.id = l.lastWriteID
+	w.group = g.name
+	w.modRevision = g.modRevision
+	w.record.updateApplied(l.cfg.Shards)
+	l.writes[w.id] = w
+	g.inDoubt = append(g.inDoubt, w)
+	g.writeInFlight = true
+	l.emit(Write{
+		ID:          w.id,
+		Group:       w.group,
+		ModRevision: w.modRevision,
+		Shards:      shards,
+		Leader:      w.kind == writeAnnouncement,
+		Record:      w.record,
+	})
+}
+
+// handleWriteOutcome takes the outcome of a write.
+func (l *Ledger) handleWriteOutcome(v Wrote) {
+	w, ok := l.writes[v.ID]
+	if !ok {
+		return
+	}
+	delete(l.writes, v.ID)
+	g := l.group(w.group)
+	g.writeInFlight = false
+	g.nextWriteAt = l.now.Steady + l.cfg.Timing.WriteInterval
+	switch v.Outcome {
+	case Applied:
+		g.removeInDoubt(w.id)
+		l.reportChanges(g, w)
+		l.learn(w.group, w.record, v.ModRevision) // ignored if a newer one has come first
+	case Refused, NotSent:
+		const retriesPerInterval = 4
+		g.removeInDoubt(w.id)
+		g.nextWriteAt = l.now.Steady + l.cfg.Timing.WriteInterval/retriesPerInterval
+	case Unknown:
+	}
+	if v.Outcome == Refused || v.Outcome == Unknown {
+		l.emit(Read{Group: w.group})
+	}
+	if w.request != nil {
+		l.handleSetOutcome(g, w.request, v.Outcome)
+	}
+}
+
+func (g *groupState) removeInDoubt(id uint64) {
+	g.inDoubt = slices.DeleteFunc(g.inDoubt, func(w sentWrite) bool { return w.id == id })
+}
+
+// learn takes a group's record, unless a newer one is known. A write that was conditional
+// on an older record has been carried out by now or never will be.
+func (l *Ledger) learn(name string, record Record, modRevision uint64) {
+	g := l.group(name)
+	if modRevision <= g.modRevision {
+		return
+	}
+	record.Name = name
+	before := g.record
+	if g.modRevision == 0 || record.Epoch != before.Epoch {
+		g.epochSeenAt = l.now.Steady
+	}
+	g.record = record
+	g.modRevision = modRevision
+	g.inDoubt = slices.DeleteFunc(g.inDoubt, func(w sentWrite) bool { return w.modRevision < modRevision })
+	if record.Applied != nil && (before.Applied == nil || !record.Applied.Equal(*before.Applied)) {
+		l.emit(Changed{Kind: InForce, Group: name, Epoch: record.Epoch, Limit: record.Limit, Source: record.Source})
+	}
+}
+
+// reportChanges emits what a write that was carried out has changed.
+func (l *Ledger) reportChanges(g *groupState, w sentWrite) {
+	if w.kind != writeRows {
+		l.emit(Changed{Kind: Announced, Group: g.name, Epoch: w.record.Epoch, Limit: w.record.Limit, Source: w.record.Source})
+		return
+	}
+	if w.modRevision != g.modRevision {
+		return // the record that it has replaced is not known any more
+	}
+	for _, row := range w.record.Rows {
+		l.reportRowChange(g, &w.record, row)
+	}
+}
+
+// reportRowChange emits what has changed of a shard's row. Another claim is reported for
+// own shards only.
+func (l *Ledger) reportRowChange(g *groupState, record *Record, row Row) {
+	var before Row
+	if i := g.record.Row(row.Shard); i >= 0 {
+		before = g.record.Rows[i]
+	}
+	kind := Asked
+	switch {
+	case row.Allowance.Equal(before.Allowance):
+		if l.owned[row.Shard] == nil || row.Claim == before.Claim {
+			return
+		}
+	case row.Allowance.Within(before.Allowance):
+		kind = Shrunk
+	default:
+		kind = Grown
+	}
+	l.emit(Changed{
+		Kind:   kind,
+		Group:  g.name,
+		Shard:  row.Shard,
+		From:   before.Allowance,
+		To:     row.Allowance,
+		Epoch:  record.Epoch,
+		Limit:  record.Limit,
+		Source: record.Source,
+	})
+}
