--- a/quota/schedule.go
+++ b/quota/schedule.go
@@ -4,19 +4,19 @@
 	"fmt"
 	"strings"
 	"time"
-	_ "time/tzdata" // zones by name on machines that have no list of them
+	_ "time/tzdata" // zones by name on machines without a list of them
 
 	"github.com/teambition/rrule-go"
 )
 
-// window is a recurring time for which a limit holds.
+// window is a recurring window of time in which a limit replaces the group's own.
 //
-// Its ends are times on a wall clock. One that does not exist, since clocks are put forward
-// over it, is taken as if they had not been: 02:30 in a skipped hour is the instant half an
-// hour after the skip. One that comes twice is the first of the two for a beginning and the
-// second for an end, so that a window never falls short of what its operator wrote.
+// It begins and ends at times on a wall clock. A time that is skipped as clocks are put
+// forward is taken as if they had not been: 02:30 in a skipped hour is half an hour after
+// the skip. Of a time that comes twice, the first instant is taken for a beginning and the
+// second for an end, so that a window is never shorter than its operator wrote.
 type window struct {
-	rule     *rrule.RRule
+	rule     *rrule.RRule // the days on which it begins, as dates in UTC
 	zone     *time.Location
 	from, to clockTime
 	limit    Limit
@@ -25,102 +25,142 @@
 // clockTime is a time of the day.
 type clockTime struct{ hour, minute int }
 
-// scheduleStart is before any day that a rule is asked about.
-var scheduleStart = time.Date(2020, time.January, 1, 0, 0, 0, 0, time.UTC)
+// minutes returns the time in minutes since midnight.
+func (c clockTime) minutes() int { return c.hour*60 + c.minute }
+
+// shownAt reports whether a clock shows this time at t, in the zone of t.
+func (c clockTime) shownAt(t time.Time) bool { return t.Hour() == c.hour && t.Minute() == c.minute }
 
+// newWindow checks the options of a schedule, whose keys begin with key.
 func newWindow(key string, o ScheduleOptions) (*window, error) {
-	w := &window{limit: o.Limit}
 	if err := CheckLimit(key+"limit", o.Limit); err != nil {
 		return nil, err
 	}
-	zone, err := time.LoadLocation(o.Zone)
-	if err != nil || o.Zone == "" || o.Zone == "Local" {
-		return nil, &OptionError{key + "zone", fmt.Sprintf("%q", o.Zone), "the name of a time zone, such as Africa/Kigali"}
+	zone, err := parseZone(key+"zone", o.Zone)
+	if err != nil {
+		return nil, err
 	}
-	w.zone = zone
-	if w.from, err = parseClock(o.From); err != nil {
-		return nil, &OptionError{key + "from", fmt.Sprintf("%q", o.From), "a time of the day, HH:MM"}
+	from, err := parseClock(key+"from", o.From)
+	if err != nil {
+		return nil, err
 	}
-	if w.to, err = parseClock(o.To); err != nil {
-		return nil, &OptionError{key + "to", fmt.Sprintf("%q", o.To), "a time of the day, HH:MM"}
+	to, err := parseClock(key+"to", o.To)
+	if err != nil {
+		return nil, err
 	}
-	rule, err := rrule.StrToROption(o.Rule)
-	if err != nil || strings.TrimSpace(o.Rule) == "" {
-		return nil, &OptionError{key + "rule", fmt.Sprintf("%q", o.Rule), "a recurrence rule (RFC 5545), such as FREQ=MONTHLY;BYMONTHDAY=1"}
+	rule, err := parseRule(key+"rule", o.Rule)
+	if err != nil {
+		return nil, err
 	}
-	if rule.Freq > rrule.DAILY {
-		return nil, &OptionError{key + "rule", fmt.Sprintf("%q", o.Rule), "days: FREQ=DAILY, WEEKLY, MONTHLY or YEARLY"}
+	return &window{rule: rule, zone: zone, from: from, to: to, limit: o.Limit}, nil
+}
+
+// parseZone returns a zone by its name. The zone of the machine has none.
+func parseZone(key, name string) (*time.Location, error) {
+	zone, err := time.LoadLocation(name)
+	if err != nil || name == "" || name == "Local" {
+		return nil, &OptionError{key, fmt.Sprintf("%q", name), "the name of a time zone, such as Africa/Kigali"}
 	}
-	// The rule names days, as dates without a zone; from and to say when on them.
-	if rule.Dtstart.IsZero() {
-		rule.Dtstart = scheduleStart
+	return zone, nil
+}
+
+func parseClock(key, text string) (clockTime, error) {
+	t, err := time.Parse("15:04", text)
+	if err != nil {
+		return clockTime{}, &OptionError{key, fmt.Sprintf("%q", text), "a time of the day, HH:MM"}
 	}
-	y, m, d := rule.Dtstart.Date()
-	rule.Dtstart = time.Date(y, m, d, 0, 0, 0, 0, time.UTC)
-	if w.rule, err = rrule.NewRRule(*rule); err != nil {
-		return nil, &OptionError{key + "rule", fmt.Sprintf("%q", o.Rule), "a recurrence rule (RFC 5545): " + err.Error()}
+	return clockTime{t.Hour(), t.Minute()}, nil
+}
+
+// scheduleStart is the first day of a rule that names none.
+var scheduleStart = time.Date(2020, time.January, 1, 0, 0, 0, 0, time.UTC)
+
+// parseRule returns a recurrence rule (RFC 5545) of days, which are dates in UTC.
+func parseRule(key, text string) (*rrule.RRule, error) {
+	quoted := fmt.Sprintf("%q", text)
+	option, err := rrule.StrToROption(text)
+	if err != nil || strings.TrimSpace(text) == "" {
+		return nil, &OptionError{key, quoted, "a recurrence rule (RFC 5545), such as FREQ=MONTHLY;BYMONTHDAY=1"}
+	}
+	if option.Freq > rrule.DAILY {
+		return nil, &OptionError{key, quoted, "days: FREQ=DAILY, WEEKLY, MONTHLY or YEARLY"}
+	}
+	if option.Dtstart.IsZero() {
+		option.Dtstart = scheduleStart
+	}
+	option.Dtstart = dateOf(option.Dtstart)
+	rule, err := rrule.NewRRule(*option)
+	if err != nil {
+		return nil, &OptionError{key, quoted, "a recurrence rule (RFC 5545): " + err.Error()}
 	}
-	return w, nil
+	return rule, nil
 }
 
-func parseClock(text string) (clockTime, error) {
-	t, err := time.Parse("15:04", text)
-	return clockTime{t.Hour(), t.Minute()}, err
+// dateOf returns the date of t as midnight UTC.
+func dateOf(t time.Time) time.Time {
+	y, m, d := t.Date()
+	return time.Date(y, m, d, 0, 0, 0, 0, time.UTC)
 }
 
-// holds tells whether an instant lies in the window: it has begun on that day or the day
+// contains reports whether t lies in the window: it has begun on the day of t or the day
 // before, and has not ended.
-func (w *window) holds(at time.Time) bool {
-	y, m, d := at.In(w.zone).Date()
-	today := time.Date(y, m, d, 0, 0, 0, 0, time.UTC)
-	for _, day := range []time.Time{today.AddDate(0, 0, -1), today} {
+func (w *window) contains(t time.Time) bool {
+	today := dateOf(t.In(w.zone))
+	yesterday := today.AddDate(0, 0, -1)
+	for _, day := range []time.Time{yesterday, today} {
 		if len(w.rule.Between(day, day, true)) == 0 {
 			continue
 		}
 		begin, end := w.on(day)
-		if !at.Before(begin) && at.Before(end) {
+		if !t.Before(begin) && t.Before(end) {
 			return true
 		}
 	}
 	return false
 }
 
-// on gives the window that begins on a day.
+// on returns the beginning and end of the window that begins on a day.
 func (w *window) on(day time.Time) (begin, end time.Time) {
-	begin, _ = w.instants(day, w.from)
-	last := day
-	if w.to.hour*60+w.to.minute <= w.from.hour*60+w.from.minute {
-		last = day.AddDate(0, 0, 1)
+	lastDay := day
+	if w.to.minutes() <= w.from.minutes() {
+		lastDay = day.AddDate(0, 0, 1)
 	}
-	_, end = w.instants(last, w.to)
+	begin, _ = w.instants(day, w.from)
+	_, end = w.instants(lastDay, w.to)
 	return begin, end
 }
 
-// instants gives the first and the last instant at which clocks show a time on a day.
+// instants returns the first and the last instant at which clocks show a time on a day.
 func (w *window) instants(day time.Time, c clockTime) (first, last time.Time) {
 	y, m, d := day.Date()
 	t := time.Date(y, m, d, c.hour, c.minute, 0, 0, w.zone)
-	if t.Hour() != c.hour || t.Minute() != c.minute {
-		// The hour is skipped. What clocks showed before it counts on.
-		_, before := t.Add(-6 * time.Hour).Zone()
-		t = time.Date(y, m, d, c.hour, c.minute, 0, 0, time.UTC).Add(-time.Duration(before) * time.Second)
-		return t, t
+	if !c.shownAt(t) {
+		skipped := w.skippedInstant(day, c, t)
+		return skipped, skipped
 	}
 	first, last = t, t
 	// Clocks are put back by an hour nearly everywhere, by half of one on Lord Howe.
-	for _, shift := range []time.Duration{30 * time.Minute, time.Hour} {
-		for _, other := range []time.Time{t.Add(-shift), t.Add(shift)} {
-			o := other.In(w.zone)
-			if o.Hour() != c.hour || o.Minute() != c.minute {
-				continue
-			}
-			if other.Before(first) {
-				first = other
-			}
-			if other.After(last) {
-				last = other
-			}
+	for _, shift := range []time.Duration{-time.Hour, -30 * time.Minute, 30 * time.Minute, time.Hour} {
+		other := t.Add(shift)
+		if !c.shownAt(other.In(w.zone)) {
+			continue
+		}
+		if other.Before(first) {
+			first = other
+		}
+		if other.After(last) {
+			last = other
 		}
 	}
 	return first, last
 }
+
+// skippedInstant returns the instant for a time that is skipped on a day, by the offset of
+// the zone before the skip. near is within an hour or so of it.
+func (w *window) skippedInstant(day time.Time, c clockTime, near time.Time) time.Time {
+	const beforeSkip = -6 * time.Hour
+	_, offsetSeconds := near.Add(beforeSkip).Zone()
+	y, m, d := day.Date()
+	utc := time.Date(y, m, d, c.hour, c.minute, 0, 0, time.UTC)
+	return utc.Add(-time.Duration(offsetSeconds) * time.Second)
+}
