--- /dev/null
+++ b/quota/simulated_controller_test.go
@@ -0,0 +1,229 @@
+package quota
+
+// simulatedController is one controller of a world.
+type simulatedController struct {
+	world *world
+	id    int
+	// ledger is nil while no process runs; incarnation counts the processes and their ends.
+	ledger      *Ledger
+	incarnation int
+	shards      map[int]uint64 // that it believes to own, with the revisions of their owner keys
+	definitions []Definition   // its options, where they differ from the others'
+
+	cutOffUntil       Micros // from the store
+	watchStalledUntil Micros
+	leaseUntil        Micros // until then it may grant
+	nextUsageReportAt Micros
+	clockDriftPPM     int64 // by how much its steady clock runs fast
+}
+
+// usageReportInterval is how often a ledger is told what its shards use; grants go on
+// meanwhile.
+const usageReportInterval = 250 * ms
+
+func (c *simulatedController) cutOff() bool { return c.world.now < c.cutOffUntil }
+
+// start begins a process that knows nothing.
+func (c *simulatedController) start() {
+	c.incarnation++
+	c.ledger = NewLedger(c.world.config)
+	c.shards = map[int]uint64{}
+	c.leaseUntil = c.world.now + simulatedLease
+	for shard := range c.world.owners {
+		if owner := &c.world.owners[shard]; owner.controller == c.id {
+			owner.controller = noOwner // the former process has ended
+		}
+	}
+}
+
+// end ends the process, and begins another after a time. Its shards are claimed once its
+// lease is over.
+func (c *simulatedController) end(restartAfter Micros) {
+	c.incarnation++
+	c.ledger = nil
+	c.world.after(restartAfter, c.start)
+}
+
+// renewLease renews the lease of a controller that reaches the store. One that finds that
+// it was over releases its shards.
+func (c *simulatedController) renewLease() {
+	if c.ledger == nil || c.cutOff() {
+		return
+	}
+	if c.world.now >= c.leaseUntil {
+		c.releaseShards()
+	}
+	c.leaseUntil = c.world.now + simulatedLease
+}
+
+// releaseShards releases all shards, whatever is on its way.
+func (c *simulatedController) releaseShards() {
+	for shard := range c.world.owners {
+		modRevision, owned := c.shards[shard]
+		if !owned {
+			continue
+		}
+		if owner := &c.world.owners[shard]; owner.modRevision == modRevision {
+			owner.controller = noOwner
+		}
+		c.drop(shard)
+	}
+}
+
+// drop has the ledger drop a shard.
+func (c *simulatedController) drop(shard int) {
+	delete(c.shards, shard)
+	c.step(Dropped{Shard: shard})
+}
+
+// readAllRecords is the end of a claim: all records are read, or the shard is dropped if
+// the store is not reached.
+func (c *simulatedController) readAllRecords(shard int) {
+	if c.cutOff() {
+		c.world.owners[shard].controller = noOwner
+		c.drop(shard)
+		return
+	}
+	for _, group := range c.world.storedGroups() {
+		c.learn(group, c.world.store[group])
+	}
+	c.step(Refreshed{Shard: shard})
+}
+
+// learn has the ledger learn a record.
+func (c *simulatedController) learn(group string, stored storedRecord) {
+	c.step(Learned{Group: group, Record: stored.record.clone(), ModRevision: stored.modRevision})
+}
+
+// act grants what fits, reports what is used, and announces the options if it leads.
+func (c *simulatedController) act() {
+	w := c.world
+	if c.ledger == nil {
+		return
+	}
+	for shard, modRevision := range c.shards {
+		replaced := w.owners[shard].modRevision != modRevision
+		if replaced && w.now >= c.watchStalledUntil {
+			c.drop(shard)
+		}
+	}
+	leaseValid := w.now < c.leaseUntil
+	reportDue := w.now >= c.nextUsageReportAt
+	if reportDue {
+		c.nextUsageReportAt = w.now + usageReportInterval
+	}
+	for shard := range w.owners {
+		if _, owned := c.shards[shard]; !owned {
+			continue
+		}
+		if leaseValid {
+			c.grant(shard)
+		}
+		if reportDue {
+			c.reportUsage(shard)
+		}
+	}
+	if w.leader == c.id && leaseValid {
+		c.announce()
+	}
+	c.step(Tick{})
+}
+
+// announce announces the controller's options.
+func (c *simulatedController) announce() {
+	definitions := c.world.definitions
+	if c.definitions != nil {
+		definitions = c.definitions
+	}
+	c.step(Announce{Definitions: definitions})
+}
+
+// grant starts the waiting tasks of a shard that fit.
+func (c *simulatedController) grant(shard int) {
+	w := c.world
+	w.addDemand(shard)
+	for _, t := range w.tasks {
+		if t.shard == shard && !t.running && c.mayStart(t) {
+			c.startTask(t)
+		}
+	}
+}
+
+// mayStart reports whether a task is within the allowances of all groups around it.
+func (c *simulatedController) mayStart(t *simulatedTask) bool {
+	fits := true
+	for _, group := range c.world.path(t.group) {
+		allowed := c.ledger.Allowed(t.shard, group)
+		used := Amount{CPUs: c.world.used(t.shard, group) + t.size}
+		fits = fits && used.Within(allowed)
+	}
+	return fits
+}
+
+func (c *simulatedController) startTask(t *simulatedTask) {
+	w := c.world
+	t.running = true
+	t.since = w.now
+	for _, group := range w.path(t.group) {
+		c.ledger.Granted(t.shard, group, Amount{CPUs: t.size})
+	}
+	w.grants++
+	w.check()
+	w.checkAcknowledged(t)
+	w.after(w.taskLength(), func() { w.finish(t) })
+}
+
+// reportUsage reports to the ledger what a shard uses and wants. Each group has a team of
+// its own.
+func (c *simulatedController) reportUsage(shard int) {
+	var teams []TeamDemand
+	for _, d := range c.world.definitions {
+		teams = append(teams, c.teamDemand(shard, d.Name))
+	}
+	c.step(Used{Shard: shard, Groups: c.ledger.Claims(shard, true, teams)})
+}
+
+// teamDemand returns what the team of a group uses and wants in a shard.
+func (c *simulatedController) teamDemand(shard int, group string) TeamDemand {
+	team := TeamDemand{Groups: c.world.path(group)}
+	for _, t := range c.world.tasks {
+		switch {
+		case t.shard != shard || t.group != group:
+		case t.running:
+			team.Used.CPUs += t.size
+		default:
+			team.Waiting = append(team.Waiting, WaitingTasks{
+				Size:    Amount{CPUs: t.size},
+				Count:   1,
+				SinceMS: max(t.since.Millis(), 1),
+			})
+		}
+	}
+	return team
+}
+
+// instant returns the controller's clocks.
+func (c *simulatedController) instant() Instant {
+	const million = 1_000_000
+	drift := Micros(int64(c.world.now) * c.clockDriftPPM / million)
+	return Instant{Steady: c.world.now + drift, WallMS: c.world.now.Millis()}
+}
+
+// step gives the ledger an input, and carries its effects out with delays and losses.
+func (c *simulatedController) step(in Input) {
+	if c.ledger == nil {
+		return
+	}
+	for _, e := range c.ledger.Step(c.instant(), in) {
+		switch e := e.(type) {
+		case Write:
+			c.write(e)
+		case Read:
+			c.read(e.Group)
+		case Reclaim:
+			c.world.stopTasks(e)
+		case Changed:
+			c.world.changes[e.Kind]++
+		}
+	}
+}
--- /dev/null
+++ b/quota/simulated_world_test.go
@@ -0,0 +1,210 @@
+package quota
+
+import (
+	"math/rand/v2"
+	"slices"
+
+	"garnethitch/internal/eventqueue"
+	"garnethitch/internal/micros"
+)
+
+const (
+	ms  = micros.Millisecond
+	sec = micros.Second
+)
+
+// simulatedLease is how long a controller may grant after it last reached the store.
+const simulatedLease = 3 * sec
+
+// world is a simulation of several controllers that grant from groups over one store,
+// through losses, delays, ends and changes of limits. check is called after every change,
+// and knows nothing of Ledger.
+type world struct {
+	plan   worldPlan
+	rng    *rand.Rand
+	now    Micros
+	events eventqueue.Queue
+	config Config
+
+	definitions []Definition // of the options of all controllers
+	store       map[string]storedRecord
+	revision    uint64           // the last of the store
+	owners      []simulatedOwner // by shard
+	leader      int              // a controller's id
+	controllers []*simulatedController
+	tasks       []*simulatedTask
+
+	grants      int
+	writes      int
+	changes     map[ChangeKind]int
+	violations  []string
+	longestWait Micros // the longest that a fitting task waited beside free quota
+}
+
+// worldPlan is what a world consists of, and for how long.
+type worldPlan struct {
+	controllers int // and as many shards
+	length      Micros
+	// faults has writes delayed and answers lost.
+	faults bool
+	// taskSizes are the CPUs that tasks use; each is as likely.
+	taskSizes []float64
+	// demand is how many tasks wait in each shard, until demandEnds before the end.
+	demand int
+	// longestTask is how long a task runs at most; 0: defaultLongestTask.
+	longestTask Micros
+	// wantedGroups are those in which a shard has tasks; nil: all.
+	wantedGroups func(shard int, now Micros) []string
+}
+
+const (
+	demandEnds         = 60 * sec
+	defaultLongestTask = 2 * sec
+)
+
+// storedRecord is a record in the store. Its revision is 0 if there is none.
+type storedRecord struct {
+	record      Record
+	modRevision uint64
+}
+
+// noOwner stands for the controller of a shard that nobody owns.
+const noOwner = -1
+
+// simulatedOwner is the owner of a shard by the store.
+type simulatedOwner struct {
+	controller  int    // its id, or noOwner
+	modRevision uint64 // of the shard's owner key
+}
+
+func newWorld(seed uint64, plan worldPlan, definitions []Definition) *world {
+	w := &world{
+		plan:        plan,
+		rng:         rand.New(rand.NewPCG(seed, 9)),
+		config:      Config{Shards: plan.controllers, Timing: DefaultTiming()},
+		definitions: definitions,
+		store:       map[string]storedRecord{},
+		revision:    1,
+		owners:      make([]simulatedOwner, plan.controllers),
+		changes:     map[ChangeKind]int{},
+	}
+	const mostDriftPPM = 500
+	for i := range plan.controllers {
+		w.owners[i].controller = noOwner
+		c := &simulatedController{world: w, id: i, clockDriftPPM: w.rng.Int64N(mostDriftPPM + 1)}
+		w.controllers = append(w.controllers, c)
+	}
+	for _, c := range w.controllers {
+		c.start()
+	}
+	w.after(20*ms, w.tick)
+	return w
+}
+
+// after calls f once d has passed.
+func (w *world) after(d Micros, f func()) { w.events.Add(w.now+d, f) }
+
+// between draws a span of time.
+func (w *world) between(from, to Micros) Micros {
+	return from + Micros(w.rng.Int64N(int64(to-from)+1))
+}
+
+// chance draws whether something of that probability happens.
+func (w *world) chance(probability float64) bool { return w.rng.Float64() < probability }
+
+// run runs the world until its end, or until a check fails.
+func (w *world) run() {
+	for w.now < w.plan.length && len(w.violations) == 0 {
+		at, f := w.events.Take() // there is always a tick
+		w.now = max(w.now, at)
+		f()
+	}
+}
+
+// tick lets the controllers renew their leases, claim, grant and report what they use.
+func (w *world) tick() {
+	w.after(w.between(40*ms, 60*ms), w.tick)
+	for _, c := range w.controllers {
+		c.renewLease()
+	}
+	for shard := range w.owners {
+		owner := &w.owners[shard]
+		if owner.controller != noOwner && w.now >= w.controllers[owner.controller].leaseUntil {
+			owner.controller = noOwner
+		}
+		if owner.controller == noOwner {
+			w.claim(shard)
+		}
+	}
+	if leader := w.controllers[w.leader]; leader.ledger == nil || w.now >= leader.leaseUntil {
+		w.leader = w.rng.IntN(len(w.controllers))
+	}
+	for _, c := range w.controllers {
+		c.act()
+	}
+	w.check()
+}
+
+// claim gives a shard to a controller, if it reaches the store.
+func (w *world) claim(shard int) {
+	c := w.controllers[w.rng.IntN(len(w.controllers))]
+	if w.chance(0.7) {
+		c = w.controllers[shard]
+	}
+	if c.ledger == nil || c.cutOff() {
+		return
+	}
+	w.revision++
+	w.owners[shard] = simulatedOwner{controller: c.id, modRevision: w.revision}
+	c.shards[shard] = w.revision
+	c.step(Held{Shard: shard})
+	incarnation := c.incarnation
+	w.after(w.between(ms, 80*ms), func() {
+		if c.incarnation == incarnation {
+			c.readAllRecords(shard)
+		}
+	})
+}
+
+// storedGroups returns the groups that have a record, sorted.
+func (w *world) storedGroups() []string {
+	var groups []string
+	for group := range w.store {
+		groups = append(groups, group)
+	}
+	slices.Sort(groups)
+	return groups
+}
+
+// definedGroups returns the groups of the options, in their order.
+func (w *world) definedGroups() (groups []string) {
+	for _, d := range w.definitions {
+		groups = append(groups, d.Name)
+	}
+	return groups
+}
+
+// path returns a group and all around it.
+func (w *world) path(group string) (path []string) {
+	for group != "" {
+		path = append(path, group)
+		parent := ""
+		for _, d := range w.definitions {
+			if d.Name == group {
+				parent = d.Parent
+			}
+		}
+		group = parent
+	}
+	return path
+}
+
+// setLimit changes a group's limit in the options.
+func (w *world) setLimit(group string, cpus float64) {
+	w.definitions = slices.Clone(w.definitions)
+	for i := range w.definitions {
+		if w.definitions[i].Name == group {
+			w.definitions[i].Limit = CPULimit(cpus)
+		}
+	}
+}
