--- a/quota/example_test.go
+++ b/quota/example_test.go
@@ -6,43 +6,50 @@
 	"garnethitch/quota"
 )
 
-// memory is a store of a program's own: one record, in memory.
+// memory is a store in memory, of one group.
 type memory struct {
-	rec         quota.Record
+	record      quota.Record
 	modRevision uint64
 }
 
-func (m *memory) Read(string) (quota.Record, uint64, error) { return m.rec, m.modRevision, nil }
+func (m *memory) Read(string) (quota.Record, uint64, error) { return m.record, m.modRevision, nil }
 
 func (m *memory) Write(w quota.Write) (uint64, bool, error) {
 	if w.ModRevision != m.modRevision {
 		return 0, false, nil
 	}
-	m.rec, m.modRevision = w.Record, m.modRevision+1
+	m.record = w.Record
+	m.modRevision++
 	return m.modRevision, true, nil
 }
 
-// Two parts of a program keep one limit of 10 CPUs together: each grants from an allowance
-// of its own.
+// Two parts of a program keep one limit of 10 CPUs together: each grants from the allowance
+// of its own shard.
 func Example() {
 	store := &memory{}
+	timing := quota.DefaultTiming()
 	var now quota.Instant
-	var parts [2]*quota.Ledger
-	for shard := range parts {
-		parts[shard] = quota.NewLedger(quota.Config{Shards: len(parts), Timing: quota.DefaultTiming()})
+	var ledgers [2]*quota.Ledger
+	for shard := range ledgers {
+		ledgers[shard] = quota.NewLedger(quota.Config{Shards: len(ledgers), Timing: timing})
 	}
-	// The first announces the limit; in earnest, whoever leads.
+	// The leader, here the first, announces the limit.
 	build := quota.Definition{Name: "build", Teams: []string{"tools"}, Limit: quota.CPULimit(10)}
-	_, _ = parts[0].Sync(now, quota.Announce{Definitions: []quota.Definition{build}}, store)
+	if _, err := ledgers[0].Sync(now, quota.Announce{Definitions: []quota.Definition{build}}, store); err != nil {
+		fmt.Println(err)
+	}
 
-	// Each says what it uses and wants, several times, as it would all the time.
+	// Each reports what it uses and wants, a few times here, at intervals in a program.
+	demand := quota.TeamDemand{
+		Groups:  []string{"build"},
+		Waiting: []quota.WaitingTasks{{Size: quota.Amount{CPUs: 1}, Count: 20, SinceMS: 1}},
+	}
 	for range 4 {
-		for shard, ledger := range parts {
-			now.Steady += quota.DefaultTiming().WriteInterval
-			demand := quota.TeamDemand{Groups: []string{"build"}, Waiting: []quota.WaitingTasks{{Size: quota.Amount{CPUs: 1}, Count: 20, SinceMS: 1}}}
+		for shard, ledger := range ledgers {
+			now.Steady += timing.WriteInterval
 			for _, in := range []quota.Input{
 				quota.Held{Shard: shard},
-				quota.Learned{Group: "build", Record: store.rec, ModRevision: store.modRevision},
+				quota.Learned{Group: "build", Record: store.record, ModRevision: store.modRevision},
 				quota.Refreshed{Shard: shard},
 				quota.Used{Shard: shard, Groups: ledger.Claims(shard, true, []quota.TeamDemand{demand})},
 			} {
@@ -52,7 +59,7 @@
 			}
 		}
 	}
-	for shard, ledger := range parts {
+	for shard, ledger := range ledgers {
 		fmt.Printf("part %d may use %g CPUs\n", shard, ledger.Allowed(shard, "build").CPUs)
 	}
 	// Output:
--- a/quota/set.go
+++ b/quota/set.go
@@ -80,8 +80,8 @@
 	return record.Override.Equal(*r.Limit)
 }
 
-// writeSet writes the limit of a request. The leader replaces a limit that was cleared by
-// that of its options.
+// writeSet writes the limit of a request. Where it clears an override, the limit stays until
+// the leader announces that of the options.
 func (l *Ledger) writeSet(g *groupState, r *setRequest) {
 	record := g.record.clone()
 	record.Override = r.Limit
