--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -78,7 +78,7 @@
 	}{
 		// Concat makes an empty list of a nil one, which would be written as null.
 		Groups:  slices.Concat([]quota.GroupStatus{}, resp.Groups),
-		Without: slices.Concat([]string{}, resp.Without),
+		Without: slices.Concat([]string{}, resp.ControllersWithoutQuota),
 	})
 }
 
@@ -123,7 +123,7 @@
 			fmt.Fprintf(w, "%s is held up by share %d (%s): %s\n", g.Name, h.Shard, orDash(h.Owner), h.Reason)
 		}
 	}
-	for _, label := range resp.Without {
+	for _, label := range resp.ControllersWithoutQuota {
 		fmt.Fprintf(w, "controller %s does not keep groups: limits do not bind it\n", label)
 	}
 }
--- a/internal/controller/authority_test.go
+++ b/internal/controller/authority_test.go
@@ -22,12 +22,12 @@
 	h.heartbeat(h.running(20, fencingToken, attempt))
 	h.heartbeat(h.running(20, fencingToken, attempt)) // a copy
 	h.watchBlocked = wire.PrefixJob
-	h.txn(wire.Txn{Then: []wire.Change{{Delete: ownerKey(0)}}})
+	h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}})
 	h.run(2 * sec)
 	h.run(h.c.bounds.StaleViewGrace)
 	h.stateDown = true
 	h.run(h.c.bounds.CommandValidity)
-	h.step(PeerRequest{Reply: 900, Req: peer.Request{From: "n-1", Status: &peer.Status{About: peer.About{Claims: []peer.ShardClaim{{Shard: 0, OwnerEpoch: 1 << 40}}}}}})
+	h.step(PeerRequest{Reply: 900, Req: peer.Request{From: "n-1", Status: &peer.Status{ControllerState: peer.ControllerState{Claims: []peer.ShardClaim{{Shard: 0, OwnerEpoch: 1 << 40}}}}}})
 	h.run(sec)
 	want := []string{"current_view", "not_owner", "stale_view_within_grace", "stale_view_beyond_grace", "lease_too_old", "not_owner"}
 	if got := slices.Compact(h.logged("shard entitlement", "reason")); !slices.Equal(got, want) {
--- a/internal/controller/cancellation_cascade.go
+++ b/internal/controller/cancellation_cascade.go
@@ -208,7 +208,7 @@
 // cancellationTxn returns the transaction that records the jobs of a batch as cancelled; ok
 // is false if a record can't be encoded.
 func (c *Controller) cancellationTxn(b *dependentBatch) (txn wire.Txn, ok bool) {
-	txn = wire.Txn{If: []wire.Condition{{Key: ownerKey(b.shard), ModRevision: b.ownerEpoch}}}
+	txn = wire.Txn{Conditions: []wire.Condition{{Key: ownerKey(b.shard), ModRevision: b.ownerEpoch}}}
 	for _, j := range b.jobs {
 		value, err := wire.Encode(j.finalRecord(wire.StateCancelled, b.endMS))
 		if err != nil {
@@ -216,8 +216,8 @@
 			return wire.Txn{}, false
 		}
 		key := wire.JobKey(j.id)
-		txn.If = append(txn.If, wire.Condition{Key: key, ModRevision: j.modRevision})
-		txn.Then = append(txn.Then, wire.Change{Put: key, Value: value})
+		txn.Conditions = append(txn.Conditions, wire.Condition{Key: key, ModRevision: j.modRevision})
+		txn.Changes = append(txn.Changes, wire.Change{Put: key, Value: value})
 	}
 	return txn, true
 }
--- a/internal/controller/cancellation_cascade_test.go
+++ b/internal/controller/cancellation_cascade_test.go
@@ -23,7 +23,7 @@
 	h.record(root)
 	for i := range n {
 		sub := after(dependentID(i), 1, root.ID)
-		h.txn(wire.Txn{Then: []wire.Change{{Put: wire.JobKey(sub.ID), Value: encoded(t, wire.NewJobRecord(&sub, h.now.Millis()))}}})
+		h.txn(wire.Txn{Changes: []wire.Change{{Put: wire.JobKey(sub.ID), Value: encoded(t, wire.NewJobRecord(&sub, h.now.Millis()))}}})
 	}
 	h.run(sec)
 	return h
@@ -52,7 +52,7 @@
 	h.run(2 * sec)
 	asked := map[string]bool{}
 	for _, s := range h.statusesSent {
-		for _, id := range s.Record {
+		for _, id := range s.JobsToCancel {
 			asked[id] = true
 		}
 	}
@@ -85,8 +85,8 @@
 	h.recordEnd("job-000100", wire.StateCancelled, 0)
 	h.run(3 * sec)
 	for _, s := range h.statusesSent {
-		if len(s.Record) > 0 {
-			t.Errorf("asked for %v", s.Record)
+		if len(s.JobsToCancel) > 0 {
+			t.Errorf("asked for %v", s.JobsToCancel)
 		}
 	}
 	if got := h.recorded(6); got != 6 {
@@ -164,7 +164,7 @@
 			h.put(ownerKey(0), wire.OwnerRecord{Label: "n-1", Incarnation: 99})
 			h.done = nil
 			tc.play(h, func(modRevision uint64) {
-				st := &peer.Status{About: peer.About{StateOK: true}, Record: append(all(), "job-000777", "no id")}
+				st := &peer.Status{ControllerState: peer.ControllerState{StateOK: true}, JobsToCancel: append(all(), "job-000777", "no id")}
 				if modRevision != 0 {
 					st.Claims = []peer.ShardClaim{{Shard: 0, OwnerEpoch: modRevision}}
 				}
@@ -200,9 +200,9 @@
 // checkRecordedUnderAClaim checks that every end of a job is conditional on an owner's claim.
 func (h *harness) checkRecordedUnderAClaim() {
 	for _, txn := range h.done {
-		if len(txn.Then) > 0 && strings.HasPrefix(txn.Then[0].Put, wire.PrefixJob) &&
-			!slices.ContainsFunc(txn.If, func(c wire.Condition) bool { return c.Key == ownerKey(0) && c.ModRevision != 0 }) {
-			h.t.Errorf("recorded without the owner's claim: %v", txn.If)
+		if len(txn.Changes) > 0 && strings.HasPrefix(txn.Changes[0].Put, wire.PrefixJob) &&
+			!slices.ContainsFunc(txn.Conditions, func(c wire.Condition) bool { return c.Key == ownerKey(0) && c.ModRevision != 0 }) {
+			h.t.Errorf("recorded without the owner's claim: %v", txn.Conditions)
 		}
 	}
 }
@@ -350,7 +350,7 @@
 			h.recordEnd("job-000100", wire.StateCancelled, 0)
 			for range 100 {
 				for h.c.stateQueue.Waiting(statestore.ClassFleet) < 20 {
-					txn := wire.Txn{Then: []wire.Change{{Put: wire.MachineRecordSetKey(0, "x"), Value: encoded(t, wire.MachineRecordSet{})}}}
+					txn := wire.Txn{Changes: []wire.Change{{Put: wire.MachineRecordSetKey(0, "x"), Value: encoded(t, wire.MachineRecordSet{})}}}
 					h.c.askState(statestore.ClassFleet, txn, sec, func(r statestore.Reply) {
 						if r.Status == 200 {
 							machines++
--- a/internal/controller/cancellation_test.go
+++ b/internal/controller/cancellation_test.go
@@ -25,7 +25,7 @@
 	notifiedAt := h.now
 	for w.alive() {
 		w.checkDeadline(notifiedAt)
-		h.txn(wire.Txn{Then: []wire.Change{{Delete: ownerKey(0)}}}) // the owner ends, the next one claims
+		h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}}) // the owner ends, the next one claims
 		h.run(3 * sec)
 		w.sendHeartbeat()
 		h.run(3 * sec) // nothing that is sent to it directly arrives
@@ -88,7 +88,7 @@
 	h.put(wire.JobKey("job-000001"), wire.JobRecord{State: wire.StateCancelled, Tasks: 1})
 	notifiedAt := h.now
 	for w.alive() {
-		h.txn(wire.Txn{Then: []wire.Change{{Delete: ownerKey(0)}}}) // the owner ends, this node claims
+		h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}}) // the owner ends, this node claims
 		for until := h.now + 8*sec; h.now < until && w.alive(); {
 			h.run(sec)
 			w.sendHeartbeat()
@@ -116,7 +116,7 @@
 	notifiedAt := h.now
 	h.put(wire.JobKey("job-000002"), wire.JobRecord{State: wire.StateDone, Tasks: 1})
 	h.unreadablePrefix = wire.PrefixJob
-	h.txn(wire.Txn{Then: []wire.Change{{Delete: ownerKey(0)}}}) // the owner ends, this node claims
+	h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}}) // the owner ends, this node claims
 	for w.alive() {
 		h.run(sec)
 		w.sendHeartbeat()
@@ -131,7 +131,7 @@
 	h := meet(t, withPeer)
 	fencingToken, attempt := h.runOne()
 	h.unlistablePrefix = wire.PrefixCheckpoint
-	h.txn(wire.Txn{Then: []wire.Change{{Delete: ownerKey(0)}}})
+	h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}})
 	h.run(2 * sec)
 	_, body := h.heartbeat(h.running(20, fencingToken, attempt))
 	fencingToken = body.FencingToken
@@ -152,7 +152,7 @@
 	fencingToken := h.reconcile("vm-1")
 	for _, reconciled := range []bool{true, false} {
 		if !reconciled {
-			h.txn(wire.Txn{Then: []wire.Change{{Delete: ownerKey(0)}}})
+			h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}})
 			h.run(2 * sec)
 		}
 		status, body := h.heartbeat(heartbeatFrom("vm-1", 1, 50+uint64(h.now/sec), fencingToken))
--- a/internal/controller/checkpoint/checkpoint.go
+++ b/internal/controller/checkpoint/checkpoint.go
@@ -37,7 +37,7 @@
 	Tasks     int
 	Done      TaskSet
 	DoneCount int
-	Steps     []wire.Step
+	Steps     []wire.FinishedTask
 	// Recoveries are the times of day, in milliseconds, of the job's recoveries.
 	Recoveries []int64
 }
@@ -62,7 +62,7 @@
 }
 
 // latestSteps returns as many of the latest steps as maxBytes allows for.
-func latestSteps(steps []wire.Step, maxBytes int) []wire.Step {
+func latestSteps(steps []wire.FinishedTask, maxBytes int) []wire.FinishedTask {
 	limit := max(min(MaxSteps, maxBytes/limitPerStep), 1)
 	if len(steps) <= limit {
 		return steps
--- a/internal/controller/checkpoint/checkpoint_test.go
+++ b/internal/controller/checkpoint/checkpoint_test.go
@@ -84,7 +84,7 @@
 func TestNewRecordFitsLimit(t *testing.T) {
 	p := progressOf(wire.MaxTasks, func(i int) bool { return i%2 == 0 })
 	for range MaxSteps {
-		p.Steps = append(p.Steps, wire.Step{Task: 99_999, Machine: "vm-000000000", StartMS: 1 << 41, EndMS: 1 << 41})
+		p.Steps = append(p.Steps, wire.FinishedTask{Task: 99_999, Machine: "vm-000000000", StartMS: 1 << 41, EndMS: 1 << 41})
 	}
 	rec, covered := NewRecord(p, testMaxBytes)
 	value, err := wire.Encode(rec)
--- a/internal/controller/checkpoints.go
+++ b/internal/controller/checkpoints.go
@@ -135,12 +135,12 @@
 func checkpointTxn(s *shard, j *job, value wire.Raw) wire.Txn {
 	key := wire.CheckpointKey(j.id)
 	return wire.Txn{
-		If: []wire.Condition{
+		Conditions: []wire.Condition{
 			{Key: ownerKey(s.id), ModRevision: s.ownerEpoch},
 			{Key: key, ModRevision: j.run.checkpoint.modRevision},
 			{Key: wire.JobKey(j.id), ModRevision: j.modRevision},
 		},
-		Then: []wire.Change{{Put: key, Value: value}},
+		Changes: []wire.Change{{Put: key, Value: value}},
 	}
 }
 
--- a/internal/controller/compat_test.go
+++ b/internal/controller/compat_test.go
@@ -68,10 +68,10 @@
 		DeadlineS   *float64 `cbor:"dueS"`
 	}
 	oldStatus struct {
-		peer.About `msgpack:",inline"`
-		Demand     []peer.Demand `msgpack:"d,omitempty"`
-		Gone       []string      `msgpack:"g,omitempty"`
-		Cancelled  []string      `msgpack:"x,omitempty"`
+		peer.ControllerState `msgpack:",inline"`
+		Demand               []peer.Demand `msgpack:"d,omitempty"`
+		Gone                 []string      `msgpack:"g,omitempty"`
+		Cancelled            []string      `msgpack:"x,omitempty"`
 	}
 	oldRequest struct {
 		From   string     `msgpack:"f"`
@@ -157,7 +157,7 @@
 		c.ValueBytes, c.TxnOps, c.MaxMachines = 2<<10, 4, 100
 	})
 	store := func(key string, value []byte) {
-		h.txn(wire.Txn{Then: []wire.Change{{Put: key, Value: value}}})
+		h.txn(wire.Txn{Changes: []wire.Change{{Put: key, Value: value}}})
 	}
 	store(wire.JobKey("job-000413"), samples["records"]["job pending plain"])
 	store(wire.JobKey("job-000412"), samples["records"]["job pending"])
@@ -168,7 +168,7 @@
 	if version == lastLanded {
 		store(wire.JobKey("job-000414"), samples["records"]["job chained"])
 	}
-	h.txn(wire.Txn{Then: []wire.Change{{Delete: ownerKey(0)}}}) // claimed anew
+	h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}}) // claimed anew
 	h.run(3 * sec)
 	c := h.c
 	if j := c.jobs.open["job-000414"]; version == lastLanded && (j == nil || !j.blocked() || len(j.needs) != 2) {
@@ -201,7 +201,7 @@
 	// Its messages are answered.
 	for name, b := range samples["messages"] {
 		var req peer.Request
-		if peer.Decode(b, &req) != nil || req.Status == nil && req.Ask == nil && req.JobRecordHint == nil && req.Release == nil {
+		if peer.Decode(b, &req) != nil || req.Status == nil && req.JobRequest == nil && req.JobRecordHint == nil && req.Release == nil {
 			continue
 		}
 		req.From = "n-1"
@@ -214,8 +214,8 @@
 // A request to record dependents is lost on an older version, and nothing else of the
 // message is.
 func TestOlderVersionsReadRequestsToRecord(t *testing.T) {
-	about := peer.About{UptimeUS: 5, StateOK: true, Claims: []peer.ShardClaim{{Shard: 1, OwnerEpoch: 77}}}
-	sent, err := peer.Encode(peer.Request{From: "n-1", Status: &peer.Status{About: about, Cancelled: []string{"job-000412"}, Record: []string{"job-000413"}}})
+	about := peer.ControllerState{UptimeUS: 5, StateOK: true, Claims: []peer.ShardClaim{{Shard: 1, OwnerEpoch: 77}}}
+	sent, err := peer.Encode(peer.Request{From: "n-1", Status: &peer.Status{ControllerState: about, Cancelled: []string{"job-000412"}, JobsToCancel: []string{"job-000413"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -223,7 +223,7 @@
 	if err := peer.Decode(sent, &got); err != nil || got.Status == nil {
 		t.Fatalf("%+v, %v", got, err)
 	}
-	if got.From != "n-1" || !reflect.DeepEqual(got.Status.About, about) || !reflect.DeepEqual(got.Status.Cancelled, []string{"job-000412"}) {
+	if got.From != "n-1" || !reflect.DeepEqual(got.Status.ControllerState, about) || !reflect.DeepEqual(got.Status.Cancelled, []string{"job-000412"}) {
 		t.Errorf("read as %+v", got.Status)
 	}
 }
--- a/internal/controller/demand.go
+++ b/internal/controller/demand.go
@@ -279,9 +279,9 @@
 
 // waitingGroups gathers a shard's waiting tasks by what they need. A team's tasks beyond its limit
 // are not counted: machines would not help them.
-func (c *Controller) waitingGroups(s *shard) []peer.Group {
+func (c *Controller) waitingGroups(s *shard) []peer.WaitingTasks {
 	index := map[groupKey]int{}
-	var groups []peer.Group
+	var groups []peer.WaitingTasks
 	headroom := c.teamHeadroom(s)
 	quotas := quotaHeadroom{}
 	for _, j := range c.queue(s) {
@@ -317,8 +317,8 @@
 }
 
 // groupOf returns the group of a job's tasks, without any tasks yet.
-func groupOf(j *job) peer.Group {
-	return peer.Group{
+func groupOf(j *job) peer.WaitingTasks {
+	return peer.WaitingTasks{
 		Types:    j.sub.Types,
 		Any:      j.sub.Types == nil,
 		Zone:     j.sub.Zone,
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -375,10 +375,10 @@
 		{"the owner changes", func(h *harness) {
 			h.recordChain(n)
 			h.late = wire.PrefixJob
-			h.txn(wire.Txn{Then: []wire.Change{{Put: wire.JobKey("job-000100"), Value: encoded(t, wire.JobRecord{State: wire.StateCancelled, Tasks: 1})}}})
+			h.txn(wire.Txn{Changes: []wire.Change{{Put: wire.JobKey("job-000100"), Value: encoded(t, wire.JobRecord{State: wire.StateCancelled, Tasks: 1})}}})
 			h.run(sec)
 			h.late = ""
-			h.txn(wire.Txn{Then: []wire.Change{{Delete: ownerKey(0)}}})
+			h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}})
 			h.run(2 * sec)
 			if applied := h.carryOut(); applied != 0 {
 				t.Errorf("%d writes of the former owner were applied", applied)
@@ -589,9 +589,9 @@
 }
 
 // askAs asks for the state of a job as another controller.
-func (h *harness) askAs(label, id string) peer.Answer {
+func (h *harness) askAs(label, id string) peer.JobResponse {
 	a := h.ask(func(r ReplyID) Input {
-		return PeerRequest{Reply: r, Req: peer.Request{From: label, Ask: &peer.Ask{ID: id}}}
+		return PeerRequest{Reply: r, Req: peer.Request{From: label, JobRequest: &peer.JobRequest{ID: id}}}
 	})
-	return *a.Body.(*peer.Response).Answer
+	return *a.Body.(*peer.Response).JobResponse
 }
--- a/internal/controller/fleet/catalog.go
+++ b/internal/controller/fleet/catalog.go
@@ -62,7 +62,7 @@
 }
 
 // Hosts reports whether a group's tasks could run on machines of a kind.
-func (c Catalog) Hosts(g peer.Group, k Kind) bool {
+func (c Catalog) Hosts(g peer.WaitingTasks, k Kind) bool {
 	mt, known := c.Types[k.Type]
 	if !known || !allows(g, k) {
 		return false
@@ -72,7 +72,7 @@
 }
 
 // allows reports whether a group's constraints admit machines of a kind.
-func allows(g peer.Group, k Kind) bool {
+func allows(g peer.WaitingTasks, k Kind) bool {
 	if g.Zone != "" && g.Zone != k.Zone || k.Spot && !g.Spot {
 		return false
 	}
@@ -100,7 +100,7 @@
 }
 
 // Constrained reports whether a group's tasks cannot run on machines of every kind.
-func (c Catalog) Constrained(g peer.Group) bool {
+func (c Catalog) Constrained(g peer.WaitingTasks) bool {
 	for _, name := range c.Names {
 		for _, zone := range c.Types[name].Zones {
 			if !c.Hosts(g, Kind{name, zone, true}) || !c.Hosts(g, Kind{name, zone, false}) {
--- a/internal/controller/fleet/catalog_test.go
+++ b/internal/controller/fleet/catalog_test.go
@@ -20,8 +20,8 @@
 }
 
 func TestCatalogHosts(t *testing.T) {
-	task := peer.Group{Any: true, Spot: true, CPUs: 1, MemGB: 1, Waiting: 1}
-	with := func(change func(*peer.Group)) peer.Group {
+	task := peer.WaitingTasks{Any: true, Spot: true, CPUs: 1, MemGB: 1, Waiting: 1}
+	with := func(change func(*peer.WaitingTasks)) peer.WaitingTasks {
 		g := task
 		change(&g)
 		return g
@@ -29,31 +29,31 @@
 	small := Kind{Type: "small", Zone: "a", Spot: true}
 	for _, tc := range []struct {
 		name  string
-		group peer.Group
+		group peer.WaitingTasks
 		kind  Kind
 		want  bool
 	}{
 		{"any machine", task, small, true},
 		{"unknown type", task, Kind{Type: "huge", Zone: "a"}, false},
-		{"its zone", with(func(g *peer.Group) { g.Zone = "a" }), small, true},
-		{"another zone", with(func(g *peer.Group) { g.Zone = "b" }), small, false},
-		{"its type", with(func(g *peer.Group) { g.Any, g.Types = false, []string{"small"} }), small, true},
-		{"another type", with(func(g *peer.Group) { g.Any, g.Types = false, []string{"large"} }), small, false},
-		{"no type at all", with(func(g *peer.Group) { g.Any = false }), small, false},
-		{"no spot machines", with(func(g *peer.Group) { g.Spot = false }), small, false},
-		{"no spot machines, and this is none", with(func(g *peer.Group) { g.Spot = false }), Kind{Type: "small", Zone: "a"}, true},
-		{"all CPUs", with(func(g *peer.Group) { g.CPUs = 4 }), small, true},
-		{"too many CPUs", with(func(g *peer.Group) { g.CPUs = 5 }), small, false},
-		{"too much memory", with(func(g *peer.Group) { g.MemGB = 9 }), small, false},
-		{"a GPU where there is none", with(func(g *peer.Group) { g.GPUs = 1 }), small, false},
-		{"a GPU", with(func(g *peer.Group) { g.GPUs = 1 }), Kind{Type: "large", Zone: "a"}, true},
+		{"its zone", with(func(g *peer.WaitingTasks) { g.Zone = "a" }), small, true},
+		{"another zone", with(func(g *peer.WaitingTasks) { g.Zone = "b" }), small, false},
+		{"its type", with(func(g *peer.WaitingTasks) { g.Any, g.Types = false, []string{"small"} }), small, true},
+		{"another type", with(func(g *peer.WaitingTasks) { g.Any, g.Types = false, []string{"large"} }), small, false},
+		{"no type at all", with(func(g *peer.WaitingTasks) { g.Any = false }), small, false},
+		{"no spot machines", with(func(g *peer.WaitingTasks) { g.Spot = false }), small, false},
+		{"no spot machines, and this is none", with(func(g *peer.WaitingTasks) { g.Spot = false }), Kind{Type: "small", Zone: "a"}, true},
+		{"all CPUs", with(func(g *peer.WaitingTasks) { g.CPUs = 4 }), small, true},
+		{"too many CPUs", with(func(g *peer.WaitingTasks) { g.CPUs = 5 }), small, false},
+		{"too much memory", with(func(g *peer.WaitingTasks) { g.MemGB = 9 }), small, false},
+		{"a GPU where there is none", with(func(g *peer.WaitingTasks) { g.GPUs = 1 }), small, false},
+		{"a GPU", with(func(g *peer.WaitingTasks) { g.GPUs = 1 }), Kind{Type: "large", Zone: "a"}, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			c := testCatalog()
 			if got := c.Hosts(tc.group, tc.kind); got != tc.want {
 				t.Errorf("hosts: %v, want %v", got, tc.want)
 			}
-			demands := Demands{3: {Shard: 3, Groups: []peer.Group{tc.group}}}
+			demands := Demands{3: {Shard: 3, Groups: []peer.WaitingTasks{tc.group}}}
 			if got := c.UsefulAnywhere(demands, tc.kind); got != tc.want {
 				t.Errorf("useful: %v, want %v", got, tc.want)
 			}
@@ -67,13 +67,13 @@
 
 func TestCatalogConstrained(t *testing.T) {
 	c := testCatalog()
-	if g := (peer.Group{Any: true, Spot: true, CPUs: 4, MemGB: 8}); c.Constrained(g) {
+	if g := (peer.WaitingTasks{Any: true, Spot: true, CPUs: 4, MemGB: 8}); c.Constrained(g) {
 		t.Error("constrained though it runs on all kinds")
 	}
-	if g := (peer.Group{Any: true, Spot: true, CPUs: 5, MemGB: 8}); !c.Constrained(g) {
+	if g := (peer.WaitingTasks{Any: true, Spot: true, CPUs: 5, MemGB: 8}); !c.Constrained(g) {
 		t.Error("not constrained though it needs the large type")
 	}
-	if g := (peer.Group{Any: true, CPUs: 1}); !c.Constrained(g) {
+	if g := (peer.WaitingTasks{Any: true, CPUs: 1}); !c.Constrained(g) {
 		t.Error("not constrained though it runs on no spot machine")
 	}
 }
--- a/internal/controller/fleet/demand.go
+++ b/internal/controller/fleet/demand.go
@@ -28,8 +28,8 @@
 }
 
 // Groups returns the waiting tasks of all shards.
-func (d Demands) Groups() []peer.Group {
-	var groups []peer.Group
+func (d Demands) Groups() []peer.WaitingTasks {
+	var groups []peer.WaitingTasks
 	for _, shard := range d.Shards() {
 		groups = append(groups, d[shard].Groups...)
 	}
--- a/internal/controller/fleet/demand_test.go
+++ b/internal/controller/fleet/demand_test.go
@@ -12,7 +12,7 @@
 
 func TestDemandSums(t *testing.T) {
 	demands := Demands{
-		1: {Shard: 1, CPUs: 40, Busy: 30, Booting: 8, ArrivalCPUs: 2, RunLeftUS: cpuSeconds(60), Groups: []peer.Group{{CPUs: 2, Waiting: 5, WorkUS: cpuSeconds(50)}}},
+		1: {Shard: 1, CPUs: 40, Busy: 30, Booting: 8, ArrivalCPUs: 2, RunLeftUS: cpuSeconds(60), Groups: []peer.WaitingTasks{{CPUs: 2, Waiting: 5, WorkUS: cpuSeconds(50)}}},
 		0: {Shard: 0, CPUs: 10, Busy: 1, ArrivalCPUs: 1, RunLeftUS: cpuSeconds(4)},
 	}
 	sums := Sums{Booting: 4}
@@ -52,7 +52,7 @@
 }
 
 func TestBlockedWork(t *testing.T) {
-	waiting := func(tasks int) []peer.Group { return []peer.Group{{CPUs: 1, Waiting: tasks}} }
+	waiting := func(tasks int) []peer.WaitingTasks { return []peer.WaitingTasks{{CPUs: 1, Waiting: tasks}} }
 	blocked := int64(40 * micros.Second)
 	for _, tc := range []struct {
 		name   string
--- a/internal/controller/fleet/rebalancing_test.go
+++ b/internal/controller/fleet/rebalancing_test.go
@@ -11,7 +11,7 @@
 // one-CPU tasks wait, and 1, where none do and so many CPUs are busy.
 func rebalancingDemands(waiting int, busy float64) Demands {
 	return Demands{
-		0: {Shard: 0, CPUs: 80, Busy: 80, RunLeftUS: cpuSeconds(800), Groups: []peer.Group{{Any: true, Spot: true, CPUs: 1, MemGB: 1, Waiting: waiting, WorkUS: cpuSeconds(float64(10 * waiting))}}},
+		0: {Shard: 0, CPUs: 80, Busy: 80, RunLeftUS: cpuSeconds(800), Groups: []peer.WaitingTasks{{Any: true, Spot: true, CPUs: 1, MemGB: 1, Waiting: waiting, WorkUS: cpuSeconds(float64(10 * waiting))}}},
 		1: {Shard: 1, CPUs: 80, Busy: busy, RunLeftUS: cpuSeconds(10 * busy)},
 	}
 }
@@ -94,7 +94,7 @@
 	if !NewRebalancing(testCatalog(), demands).Wanted(m) {
 		t.Error("not wanted where tasks wait and machines are missing")
 	}
-	demands[1].Groups = []peer.Group{{Any: true, CPUs: 1, Waiting: 1000, WorkUS: cpuSeconds(90_000)}}
+	demands[1].Groups = []peer.WaitingTasks{{Any: true, CPUs: 1, Waiting: 1000, WorkUS: cpuSeconds(90_000)}}
 	if NewRebalancing(testCatalog(), demands).Wanted(m) {
 		t.Error("wanted in a shard that has more than its part")
 	}
--- a/internal/controller/fleet/scale_out.go
+++ b/internal/controller/fleet/scale_out.go
@@ -25,8 +25,8 @@
 	Catalog      Catalog
 	DrainHorizon micros.Micros // see Sums.Need
 	Sums         Sums
-	Groups       []peer.Group     // what waits
-	Free         map[Kind]float64 // CPUs of the machines that are idle or on their way
+	Groups       []peer.WaitingTasks // what waits
+	Free         map[Kind]float64    // CPUs of the machines that are idle or on their way
 	// MachinesInZone counts the machines by zone.
 	MachinesInZone map[string]int
 	// MaxMachines is how many machines may still be rented.
@@ -47,7 +47,7 @@
 // Next returns the next rental, of the cheapest machines that the largest waiting work can use,
 // as long as there are fewer than are worth their price; false if there is none. It sorts Groups.
 func (s *ScaleOut) Next() (wire.Rental, bool) {
-	slices.SortStableFunc(s.Groups, func(a, b peer.Group) int {
+	slices.SortStableFunc(s.Groups, func(a, b peer.WaitingTasks) int {
 		return cmp.Compare(float64(b.WorkUS)*b.CPUs, float64(a.WorkUS)*a.CPUs)
 	})
 	lowestPrice := s.Catalog.LowestPrice()
@@ -63,7 +63,7 @@
 }
 
 // rentalFor returns the rental for a group's tasks; false if they are not to have any.
-func (s *ScaleOut) rentalFor(g peer.Group, lowestPrice float64) (wire.Rental, bool) {
+func (s *ScaleOut) rentalFor(g peer.WaitingTasks, lowestPrice float64) (wire.Rental, bool) {
 	shortfall := s.Sums.Parallel - s.Sums.Have
 	groupShortfall := 0.0
 	hardlyAnyMachine := s.Sums.Have+scheduling.Tolerance < g.CPUs
@@ -87,7 +87,7 @@
 
 // groupShortfall returns how many CPUs are wanted for a constrained group alone: the fleet may be
 // large enough and yet have none that its tasks can use.
-func (s *ScaleOut) groupShortfall(g peer.Group) float64 {
+func (s *ScaleOut) groupShortfall(g peer.WaitingTasks) float64 {
 	waiting := float64(g.Waiting) * g.CPUs
 	toDrain := micros.Micros(g.WorkUS).Seconds() * g.CPUs / s.DrainHorizon.Seconds()
 	shortfall := min(waiting, max(toDrain, g.CPUs))
@@ -110,7 +110,7 @@
 
 // options returns the kinds of machines that a group's tasks can use, the cheapest first and, of
 // these, those in the zone with the fewest machines.
-func (s *ScaleOut) options(g peer.Group, shortfall float64) []option {
+func (s *ScaleOut) options(g peer.WaitingTasks, shortfall float64) []option {
 	var options []option
 	for _, name := range s.Catalog.Names {
 		mt := s.Catalog.Types[name]
--- a/internal/controller/fleet/target_test.go
+++ b/internal/controller/fleet/target_test.go
@@ -11,7 +11,7 @@
 	demand := func(guarantee, busy float64, waiting int, work float64) *peer.Demand {
 		d := &peer.Demand{Guarantee: guarantee, Busy: busy, RunLeftUS: cpuSeconds(work)}
 		if waiting > 0 {
-			d.Groups = []peer.Group{{CPUs: 1, Waiting: waiting}}
+			d.Groups = []peer.WaitingTasks{{CPUs: 1, Waiting: waiting}}
 		}
 		return d
 	}
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -44,7 +44,7 @@
 	lateOut []Call
 	held    []Call
 	// asked are the questions that were sent to the other controllers.
-	asked []peer.Ask
+	asked []peer.JobRequest
 	// statusesSent are the Status messages that reached the other controllers.
 	statusesSent []peer.Status
 	done         []wire.Txn // carried out
@@ -139,8 +139,8 @@
 }
 
 func (h *harness) callPeer(c Call) {
-	if req := c.Req.(peer.Request); req.Ask != nil {
-		h.asked = append(h.asked, *req.Ask)
+	if req := c.Req.(peer.Request); req.JobRequest != nil {
+		h.asked = append(h.asked, *req.JobRequest)
 	}
 	if h.peersDown {
 		return
@@ -148,7 +148,7 @@
 	resp := &peer.Response{From: c.Addr}
 	if req := c.Req.(peer.Request); req.Status != nil {
 		h.statusesSent = append(h.statusesSent, *req.Status)
-		resp.Status = &peer.StatusAck{About: peer.About{StateOK: true}}
+		resp.Status = &peer.StatusAck{ControllerState: peer.ControllerState{StateOK: true}}
 		for _, o := range req.Status.Claims {
 			resp.Status.QuiescedShards = append(resp.Status.QuiescedShards, o.Shard)
 		}
@@ -185,7 +185,7 @@
 	switch r := c.Req.(type) {
 	case wire.NewLease:
 		h.rev++
-		h.result(c, 200, &wire.Lease{Lease: h.rev})
+		h.result(c, 200, &wire.Lease{ID: h.rev})
 	case RenewLease:
 		h.result(c, 200, nil)
 	case GetKey:
@@ -212,11 +212,11 @@
 		}
 		h.result(c, 200, list)
 	case wire.Txn:
-		if h.late != "" && slices.ContainsFunc(r.Then, func(c wire.Change) bool { return strings.HasPrefix(c.Put+c.Delete, h.late) }) {
+		if h.late != "" && slices.ContainsFunc(r.Changes, func(c wire.Change) bool { return strings.HasPrefix(c.Put+c.Delete, h.late) }) {
 			h.lateOut = append(h.lateOut, c)
 			return
 		}
-		if h.tooLarge != "" && slices.ContainsFunc(r.Then, func(c wire.Change) bool { return strings.HasPrefix(c.Put, h.tooLarge) }) {
+		if h.tooLarge != "" && slices.ContainsFunc(r.Changes, func(c wire.Change) bool { return strings.HasPrefix(c.Put, h.tooLarge) }) {
 			h.refusals++
 			h.result(c, 400, nil)
 			return
@@ -225,7 +225,7 @@
 		if status == 200 {
 			h.done = append(h.done, r)
 		}
-		if h.lose != "" && slices.ContainsFunc(r.Then, func(c wire.Change) bool { return strings.HasPrefix(c.Put+c.Delete, h.lose) }) {
+		if h.lose != "" && slices.ContainsFunc(r.Changes, func(c wire.Change) bool { return strings.HasPrefix(c.Put+c.Delete, h.lose) }) {
 			h.lost = append(h.lost, c) // applied, but the answer is lost
 			return
 		}
@@ -234,13 +234,13 @@
 }
 
 func (h *harness) txn(t wire.Txn) (int, any) {
-	for _, c := range t.If {
+	for _, c := range t.Conditions {
 		if h.keys[c.Key].ModRevision != c.ModRevision {
 			return 409, &wire.Revision{Revision: h.rev, Failed: []string{c.Key}}
 		}
 	}
 	h.rev++
-	for _, c := range t.Then {
+	for _, c := range t.Changes {
 		if c.Put != "" {
 			h.keys[c.Put] = wire.KeyValue{Key: c.Put, Value: c.Value, ModRevision: h.rev}
 			h.log = append(h.log, wire.Event{Put: c.Put, Value: c.Value, ModRevision: h.rev})
@@ -271,7 +271,7 @@
 	if err != nil {
 		h.t.Fatal(err)
 	}
-	h.txn(wire.Txn{Then: []wire.Change{{Put: key, Value: value}}})
+	h.txn(wire.Txn{Changes: []wire.Change{{Put: key, Value: value}}})
 	h.run(200 * ms)
 	return h.rev
 }
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -74,7 +74,7 @@
 		c.answer(r, http.StatusServiceUnavailable, nil, 0)
 		return
 	}
-	c.answer(r, http.StatusMisdirectedRequest, wire.Redirect{ReportTo: label}, 0)
+	c.answer(r, http.StatusMisdirectedRequest, wire.Redirect{Controller: label}, 0)
 }
 
 // applyHeartbeat updates what is known of a machine from a heartbeat. Only the owner of the
--- a/internal/controller/heartbeats_test.go
+++ b/internal/controller/heartbeats_test.go
@@ -250,7 +250,7 @@
 	sub := jobOf("job-000001", 3)
 	h.put(wire.JobKey("job-000001"), wire.JobRecord{Submission: &sub, State: wire.StatePending, Tasks: 3})
 	h.putMachines("h-1-1", "vm-1")
-	h.txn(wire.Txn{Then: []wire.Change{{Delete: ownerKey(0)}}})
+	h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}})
 	h.run(sec)
 	h.open = nil
 	m := h.c.machines["vm-1"]
--- a/internal/controller/idempotency_test.go
+++ b/internal/controller/idempotency_test.go
@@ -30,12 +30,12 @@
 		if status, _ := h.txn(txn); status != 200 {
 			continue
 		}
-		id, isCheckpoint := strings.CutPrefix(txn.Then[0].Put, wire.PrefixCheckpoint)
-		if _, over := h.c.jobs.final(id); isCheckpoint && len(txn.Then) == 1 && over {
-			delete(h.keys, txn.Then[0].Put) // nobody reads the checkpoint of a job that is over
+		id, isCheckpoint := strings.CutPrefix(txn.Changes[0].Put, wire.PrefixCheckpoint)
+		if _, over := h.c.jobs.final(id); isCheckpoint && len(txn.Changes) == 1 && over {
+			delete(h.keys, txn.Changes[0].Put) // nobody reads the checkpoint of a job that is over
 			continue
 		}
-		h.t.Errorf("after %s: a repeat of %v is applied", after, txn.Then)
+		h.t.Errorf("after %s: a repeat of %v is applied", after, txn.Changes)
 	}
 	if !maps.Equal(before, h.modRevisionsOf()) {
 		h.t.Fatalf("after %s the store has changed", after)
@@ -84,7 +84,7 @@
 	from := moved.rec.Shard
 	h.c.release(peer.Release{Machines: []string{moved.id}, Shard: 1 - from})
 	h.run(2 * sec)
-	h.c.release(peer.Release{Machines: []string{retired.id}, Retire: true})
+	h.c.release(peer.Release{Machines: []string{retired.id}, Cordon: true})
 	h.run(2 * sec)
 	if h.c.machines[moved.id].rec.Shard == from || !retired.rec.Cordoned {
 		h.t.Fatalf("moved %v, retired %v", h.c.machines[moved.id].rec.Shard != from, retired.rec.Cordoned)
@@ -147,7 +147,7 @@
 	h.checkRepeatsDoNothing("the end of all machines")
 	kinds := map[string]bool{}
 	for _, txn := range h.done {
-		for _, c := range txn.Then {
+		for _, c := range txn.Changes {
 			key := c.Put + c.Delete
 			kinds[key[:3]] = true
 		}
@@ -249,9 +249,9 @@
 		name string
 		req  peer.Request
 	}{
-		{"a status from before our claim", peer.Request{Status: &peer.Status{About: peer.About{Claims: []peer.ShardClaim{{Shard: 0, OwnerEpoch: s.ownerEpoch - 1}}}}}},
-		{"a release of a busy machine", peer.Request{Release: &peer.Release{Machines: []string{"vm-1"}, Retire: true}}},
-		{"a release of a machine that is gone", peer.Request{Release: &peer.Release{Machines: []string{"vm-8"}, Retire: true}}},
+		{"a status from before our claim", peer.Request{Status: &peer.Status{ControllerState: peer.ControllerState{Claims: []peer.ShardClaim{{Shard: 0, OwnerEpoch: s.ownerEpoch - 1}}}}}},
+		{"a release of a busy machine", peer.Request{Release: &peer.Release{Machines: []string{"vm-1"}, Cordon: true}}},
+		{"a release of a machine that is gone", peer.Request{Release: &peer.Release{Machines: []string{"vm-8"}, Cordon: true}}},
 		{"a hint of a job that is over", peer.Request{JobRecordHint: &peer.JobRecordHint{ID: "job-000001", ModRevision: 1, Record: record}}},
 		{"the return of a machine that is gone", peer.Request{Status: &peer.Status{ReturnedMachines: []string{"vm-8"}}}},
 	} {
--- a/internal/controller/inventory.go
+++ b/internal/controller/inventory.go
@@ -145,11 +145,11 @@
 		return
 	}
 	txn := wire.Txn{
-		If: []wire.Condition{
+		Conditions: []wire.Condition{
 			{Key: wire.KeyLeader, ModRevision: c.ownership.leader.ownerEpoch},
 			{Key: wire.KeyTypes, ModRevision: c.fleet.typesModRevision},
 		},
-		Then: []wire.Change{{Put: wire.KeyTypes, Value: value}},
+		Changes: []wire.Change{{Put: wire.KeyTypes, Value: value}},
 	}
 	c.askState(statestore.ClassFleet, txn, typesTimeout, func(r statestore.Reply) {
 		if r.Status == http.StatusOK {
--- a/internal/controller/job.go
+++ b/internal/controller/job.go
@@ -67,7 +67,7 @@
 	acceptedUnderClaim bool
 	// checkpointApplied: the progress in its checkpoint, if there is one, is known.
 	checkpointApplied bool
-	steps             []wire.Step
+	steps             []wire.FinishedTask
 	arrivedAt         micros.Micros
 
 	checkpoint jobCheckpoint
@@ -106,7 +106,7 @@
 }
 
 // addStep adds a completed task to the latest steps.
-func (r *run) addStep(step wire.Step) {
+func (r *run) addStep(step wire.FinishedTask) {
 	r.steps = append(r.steps, step)
 	if excess := len(r.steps) - checkpoint.MaxSteps; excess > 0 {
 		r.steps = r.steps[excess:]
--- a/internal/controller/job_end.go
+++ b/internal/controller/job_end.go
@@ -30,10 +30,10 @@
 )
 
 // unavailable is the answer where this node can't say in what state a job is.
-func unavailable() peer.Answer { return peer.Answer{Status: http.StatusServiceUnavailable} }
+func unavailable() peer.JobResponse { return peer.JobResponse{Status: http.StatusServiceUnavailable} }
 
 // cancelJob records a cancellation and answers once it stands.
-func (c *Controller) cancelJob(j *job, done func(peer.Answer)) {
+func (c *Controller) cancelJob(j *job, done func(peer.JobResponse)) {
 	end := &j.run.end
 	if len(end.waiters) >= maxCancelWaiters {
 		done(unavailable())
@@ -163,14 +163,14 @@
 func (c *Controller) endTxn(j *job, value wire.Raw) wire.Txn {
 	s := c.ownership.shards[j.shard]
 	txn := wire.Txn{
-		If: []wire.Condition{
+		Conditions: []wire.Condition{
 			{Key: wire.JobKey(j.id), ModRevision: j.modRevision},
 			{Key: ownerKey(s.id), ModRevision: s.ownerEpoch},
 		},
-		Then: []wire.Change{{Put: wire.JobKey(j.id), Value: value}},
+		Changes: []wire.Change{{Put: wire.JobKey(j.id), Value: value}},
 	}
 	if j.run.checkpoint.mayExist() {
-		txn.Then = append(txn.Then, wire.Change{Delete: wire.CheckpointKey(j.id)})
+		txn.Changes = append(txn.Changes, wire.Change{Delete: wire.CheckpointKey(j.id)})
 	}
 	return txn
 }
@@ -214,7 +214,7 @@
 func (c *Controller) failWaiters(j *job) { c.answerWaiters(j.run, unavailable()) }
 
 // answerWaiters answers those who wait for a job's end.
-func (c *Controller) answerWaiters(r *run, answer peer.Answer) {
+func (c *Controller) answerWaiters(r *run, answer peer.JobResponse) {
 	for _, w := range r.end.takeWaiters() {
 		c.later(func() { w(answer) })
 	}
--- a/internal/controller/job_end_state.go
+++ b/internal/controller/job_end_state.go
@@ -37,7 +37,7 @@
 	// nextAttemptAt is when to send the transaction, or to read what came of it.
 	nextAttemptAt micros.Micros
 	// waiters are called with the answer to those who cancel the job.
-	waiters []func(peer.Answer)
+	waiters []func(peer.JobResponse)
 }
 
 // requested reports whether the job is to end.
@@ -82,7 +82,7 @@
 }
 
 // takeWaiters returns the waiters and forgets them.
-func (e *jobEnd) takeWaiters() []func(peer.Answer) {
+func (e *jobEnd) takeWaiters() []func(peer.JobResponse) {
 	waiters := e.waiters
 	e.waiters = nil
 	return waiters
--- a/internal/controller/job_reads_test.go
+++ b/internal/controller/job_reads_test.go
@@ -77,7 +77,7 @@
 			h.c.jobs.open["job-000001"].run.checkpoint.dirty = true
 		}, func(h *harness) bool { return h.keys[wire.CheckpointKey("job-000001")].ModRevision > 0 }},
 		{"checkpoints are read after a claim", func(h *harness) {
-			h.txn(wire.Txn{Then: []wire.Change{{Delete: ownerKey(0)}}})
+			h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}})
 		}, func(h *harness) bool { s := h.c.ownership.shards[0]; return s.owned() && s.checkpointsLoaded }},
 	} {
 		for _, ids := range []int{1, 5000} {
@@ -236,7 +236,7 @@
 		h := meet(t, limits)
 		h.submit(jobOf("job-000001", 1))
 		h.put(ownerKey(0), wire.OwnerRecord{Label: "n-1", Incarnation: 99})
-		h.step(PeerRequest{Reply: 900, Req: peer.Request{From: "n-1", Status: &peer.Status{About: peer.About{StateOK: true}}}})
+		h.step(PeerRequest{Reply: 900, Req: peer.Request{From: "n-1", Status: &peer.Status{ControllerState: peer.ControllerState{StateOK: true}}}})
 		h.peersDown = true
 		before := len(h.asked)
 		ask(h, "job-000001", sec/5)
--- a/internal/controller/job_status.go
+++ b/internal/controller/job_status.go
@@ -18,12 +18,12 @@
 
 // answerOfLookup returns the answer about a job whose record was looked up, where memory has no
 // more.
-func answerOfLookup(found statestore.Lookup) peer.Answer {
+func answerOfLookup(found statestore.Lookup) peer.JobResponse {
 	switch found {
 	case statestore.LookupFound:
-		return peer.Answer{Status: http.StatusOK, State: wire.StatePending}
+		return peer.JobResponse{Status: http.StatusOK, State: wire.StatePending}
 	case statestore.LookupMissing:
-		return peer.Answer{Status: http.StatusNotFound}
+		return peer.JobResponse{Status: http.StatusNotFound}
 	default:
 		return unavailable()
 	}
@@ -36,12 +36,12 @@
 		c.answer(in.Reply, http.StatusNotFound, nil, 0)
 		return
 	}
-	c.findJobState(in.ID, func(a peer.Answer) { c.answerJobStatus(in.Reply, in.ID, a) })
+	c.findJobState(in.ID, func(a peer.JobResponse) { c.answerJobStatus(in.Reply, in.ID, a) })
 }
 
 // findJobState finds the state of a job: a final state from memory, any other from the
 // job's owner, or from a read of its record.
-func (c *Controller) findJobState(id string, done func(peer.Answer)) {
+func (c *Controller) findJobState(id string, done func(peer.JobResponse)) {
 	if f, ok := c.jobs.final(id); ok {
 		done(f.answer())
 		return
@@ -69,14 +69,14 @@
 }
 
 // askOwner asks the owner of a job for its state; without its answer the record is read.
-func (c *Controller) askOwner(j *job, done func(peer.Answer)) {
+func (c *Controller) askOwner(j *job, done func(peer.JobResponse)) {
 	s := c.ownership.shards[j.shard]
 	p := c.peers[s.owner.Label]
 	if s.ownerEpoch == 0 || p == nil || !c.alive(p) {
 		c.readJobState(j.id, done)
 		return
 	}
-	c.askPeer(p, peer.Ask{ID: j.id}, peerStatusTimeout, func(a peer.Answer) {
+	c.askPeer(p, peer.JobRequest{ID: j.id}, peerStatusTimeout, func(a peer.JobResponse) {
 		if a.Status == http.StatusOK {
 			done(a)
 			return
@@ -86,21 +86,21 @@
 }
 
 // askPeer asks the owner of a job on behalf of a user.
-func (c *Controller) askPeer(p *peerView, ask peer.Ask, timeout micros.Micros, done func(peer.Answer)) {
+func (c *Controller) askPeer(p *peerView, ask peer.JobRequest, timeout micros.Micros, done func(peer.JobResponse)) {
 	if c.cfg.MaxPeerQuestions > 0 && c.peerQuestionsInFlight >= c.cfg.MaxPeerQuestions {
 		done(unavailable())
 		return
 	}
 	c.peerQuestionsInFlight++
-	req := peer.Request{From: c.cfg.Label, Ask: &ask}
+	req := peer.Request{From: c.cfg.Label, JobRequest: &ask}
 	c.call(Call{To: ToPeer, Addr: p.label, Req: req, Timeout: timeout}, func(r Result) {
 		c.peerQuestionsInFlight--
 		resp, ok := r.Body.(*peer.Response)
-		if !ok || r.Status != http.StatusOK || resp.Answer == nil {
+		if !ok || r.Status != http.StatusOK || resp.JobResponse == nil {
 			done(unavailable())
 			return
 		}
-		a := *resp.Answer
+		a := *resp.JobResponse
 		if a.Status == http.StatusOK && isFinalState(a.State) {
 			c.finishJob(ask.ID, finalJob{state: a.State, tasks: a.Done})
 		}
@@ -140,7 +140,7 @@
 }
 
 // readJobState finds the state of a job by a read of its record.
-func (c *Controller) readJobState(id string, done func(peer.Answer)) {
+func (c *Controller) readJobState(id string, done func(peer.JobResponse)) {
 	c.readForUser(id, func(found statestore.Lookup) {
 		if f, ok := c.jobs.final(id); ok {
 			done(f.answer())
--- a/internal/controller/job_table.go
+++ b/internal/controller/job_table.go
@@ -20,8 +20,8 @@
 }
 
 // answer is the answer to users who ask for the job.
-func (f finalJob) answer() peer.Answer {
-	a := peer.Answer{Status: http.StatusOK, State: f.state}
+func (f finalJob) answer() peer.JobResponse {
+	a := peer.JobResponse{Status: http.StatusOK, State: f.state}
 	if f.state == wire.StateDone {
 		a.Done = f.tasks
 	}
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -133,8 +133,8 @@
 }
 
 // memoryAnswer is the answer to users about a job that this node owns.
-func (c *Controller) memoryAnswer(j *job) peer.Answer {
-	a := peer.Answer{
+func (c *Controller) memoryAnswer(j *job) peer.JobResponse {
+	a := peer.JobResponse{
 		Status:  http.StatusOK,
 		State:   wire.StatePending,
 		Done:    j.run.doneCount,
@@ -165,12 +165,12 @@
 }
 
 // stepOf describes an attempt that has completed a task now.
-func (c *Controller) stepOf(task int, att *attempt) wire.Step {
+func (c *Controller) stepOf(task int, att *attempt) wire.FinishedTask {
 	start := c.wall
 	if att.runAt > 0 {
 		start -= c.now - att.runAt
 	}
-	return wire.Step{Task: task, Machine: att.machine.id, StartMS: start.Millis(), EndMS: c.wall.Millis()}
+	return wire.FinishedTask{Task: task, Machine: att.machine.id, StartMS: start.Millis(), EndMS: c.wall.Millis()}
 }
 
 // awaitCheckpoint keeps an exited attempt until its end is in a recorded checkpoint.
--- a/internal/controller/lease.go
+++ b/internal/controller/lease.go
@@ -36,13 +36,13 @@
 	sentAt := o.now
 	o.askState(statestore.ClassLease, wire.NewLease{TTLMS: lease.Duration().Millis()}, leaseRequestTimeout, func(r statestore.Reply) {
 		granted, ok := r.Body.(*wire.Lease)
-		if !ok || r.Status != http.StatusOK || granted.Lease == 0 {
+		if !ok || r.Status != http.StatusOK || granted.ID == 0 {
 			lease.RequestFailed()
 			return
 		}
-		lease.Grant(granted.Lease, sentAt, o.now)
+		lease.Grant(granted.ID, sentAt, o.now)
 		o.lastStateReplyAt = o.now
-		o.log(Info, "lease granted", "lease", granted.Lease)
+		o.log(Info, "lease granted", "lease", granted.ID)
 	})
 }
 
--- a/internal/controller/lock.go
+++ b/internal/controller/lock.go
@@ -47,8 +47,8 @@
 // its former process.
 func (l *lock) claimTxn(value []byte, lease uint64) wire.Txn {
 	return wire.Txn{
-		If:   []wire.Condition{{Key: l.key, ModRevision: l.ownerEpoch}},
-		Then: []wire.Change{{Put: l.key, Value: value, Lease: lease}},
+		Conditions: []wire.Condition{{Key: l.key, ModRevision: l.ownerEpoch}},
+		Changes:    []wire.Change{{Put: l.key, Value: value, Lease: lease}},
 	}
 }
 
@@ -60,8 +60,8 @@
 // releaseTxn returns the transaction that deletes this node's key.
 func (l *lock) releaseTxn() wire.Txn {
 	return wire.Txn{
-		If:   []wire.Condition{{Key: l.key, ModRevision: l.ownerEpoch}},
-		Then: []wire.Change{{Delete: l.key}},
+		Conditions: []wire.Condition{{Key: l.key, ModRevision: l.ownerEpoch}},
+		Changes:    []wire.Change{{Delete: l.key}},
 	}
 }
 
--- a/internal/controller/lock_test.go
+++ b/internal/controller/lock_test.go
@@ -65,13 +65,13 @@
 		{"release", l.releaseTxn(), wire.Change{Delete: ownerKey(2)}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			if len(tc.txn.If) != 1 || tc.txn.If[0] != (wire.Condition{Key: ownerKey(2), ModRevision: 3}) {
-				t.Errorf("conditions %+v", tc.txn.If)
+			if len(tc.txn.Conditions) != 1 || tc.txn.Conditions[0] != (wire.Condition{Key: ownerKey(2), ModRevision: 3}) {
+				t.Errorf("conditions %+v", tc.txn.Conditions)
 			}
-			if len(tc.txn.Then) != 1 {
-				t.Fatalf("changes %+v", tc.txn.Then)
+			if len(tc.txn.Changes) != 1 {
+				t.Fatalf("changes %+v", tc.txn.Changes)
 			}
-			got := tc.txn.Then[0]
+			got := tc.txn.Changes[0]
 			if got.Put != tc.want.Put || string(got.Value) != string(tc.want.Value) || got.Lease != tc.want.Lease || got.Delete != tc.want.Delete {
 				t.Errorf("change %+v, want %+v", got, tc.want)
 			}
--- a/internal/controller/machine_maintenance.go
+++ b/internal/controller/machine_maintenance.go
@@ -53,7 +53,7 @@
 
 // sameDestination reports whether two releases can be recorded together.
 func sameDestination(a, b peer.Release) bool {
-	return a.Retire == b.Retire && a.Shard == b.Shard
+	return a.Cordon == b.Cordon && a.Shard == b.Shard
 }
 
 // maintainMachine maintains one machine, and reports whether it is to be released now.
@@ -80,7 +80,7 @@
 	if c.needsDirectCommand(m) {
 		c.queueCommand(m)
 	}
-	return c.now < v.plannedUntil && c.mayReleaseMachine(m, v.plannedRelease.Retire)
+	return c.now < v.plannedUntil && c.mayReleaseMachine(m, v.plannedRelease.Cordon)
 }
 
 // maxUnclearedAttempts is how many attempts with handled outcomes a machine may go on listing
--- a/internal/controller/machine_record_writes.go
+++ b/internal/controller/machine_record_writes.go
@@ -74,7 +74,7 @@
 		done(writeNotApplied)
 		return
 	}
-	txn.If = slices.Insert(txn.If, 0, wire.Condition{Key: under, ModRevision: ownerEpoch})
+	txn.Conditions = slices.Insert(txn.Conditions, 0, wire.Condition{Key: under, ModRevision: ownerEpoch})
 	c.askState(statestore.ClassFleet, txn, recordSetWriteTimeout, func(r statestore.Reply) {
 		for _, w := range writes {
 			if w.recordSet != nil {
@@ -108,9 +108,9 @@
 		if w.recordSet != nil {
 			condition.ModRevision = w.recordSet.modRevision
 		}
-		txn.If = append(txn.If, condition)
+		txn.Conditions = append(txn.Conditions, condition)
 		if w.deleteKey {
-			txn.Then = append(txn.Then, wire.Change{Delete: w.key})
+			txn.Changes = append(txn.Changes, wire.Change{Delete: w.key})
 			continue
 		}
 		value, err := wire.Encode(w.record)
@@ -118,7 +118,7 @@
 			c.log(Error, "machine record set not encoded", "batch", w.key, "bytes", len(value), "error", err)
 			return wire.Txn{}, false
 		}
-		txn.Then = append(txn.Then, wire.Change{Put: w.key, Value: value})
+		txn.Changes = append(txn.Changes, wire.Change{Put: w.key, Value: value})
 	}
 	return txn, true
 }
--- a/internal/controller/machine_release.go
+++ b/internal/controller/machine_release.go
@@ -34,7 +34,7 @@
 		if r.Drain {
 			c.planRelease(m, r)
 		}
-		if c.mayReleaseMachine(m, r.Retire) {
+		if c.mayReleaseMachine(m, r.Cordon) {
 			ready = append(ready, m)
 		}
 	}
@@ -47,7 +47,7 @@
 		return false
 	}
 	s := c.ownership.activeShard(m.rec.Shard)
-	return s != nil && (r.Retire || r.Shard != s.id)
+	return s != nil && (r.Cordon || r.Shard != s.id)
 }
 
 // planRelease has a machine emptied and released then.
@@ -135,7 +135,7 @@
 func (c *Controller) releaseWrite(b *machineRecordSet, released []*machine, r peer.Release) recordSetWrite {
 	isReleased := func(m *machine) bool { return slices.Contains(released, m) }
 	write := recordSetWrite{key: b.key, recordSet: b}
-	if r.Retire {
+	if r.Cordon {
 		write.record = recordSetOf(b.machines, nil, isReleased)
 		return write
 	}
@@ -147,7 +147,7 @@
 // sendRelease sends one transaction of releaseMachines.
 func (c *Controller) sendRelease(s *shard, txn releaseTxn, r peer.Release) {
 	writes := txn.writes
-	if !r.Retire {
+	if !r.Cordon {
 		writes = append(writes, recordSetWrite{
 			key:    wire.MachineRecordSetKey(r.Shard, c.machineRecords.newName(recordSetMoved, s.ownerEpoch)),
 			record: recordSetOf(txn.machines, nil, nil),
--- a/internal/controller/ownership_test.go
+++ b/internal/controller/ownership_test.go
@@ -18,7 +18,7 @@
 	old := jobOf("job-000001", 1)
 	h.putMachines("l-1-1", "vm-1", "vm-2")
 	h.put(wire.JobKey("job-000001"), wire.JobRecord{Submission: &old, State: wire.StatePending, Tasks: 1})
-	h.txn(wire.Txn{Then: []wire.Change{{Delete: ownerKey(0)}}})
+	h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}})
 	h.run(3 * sec)
 	s := h.c.ownership.shards[0]
 	if !s.owned() {
@@ -122,7 +122,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if status, _ := h.txn(wire.Txn{If: []wire.Condition{{Key: key}}, Then: []wire.Change{{Put: key, Value: value}}}); status != 409 {
+	if status, _ := h.txn(wire.Txn{Conditions: []wire.Condition{{Key: key}}, Changes: []wire.Change{{Put: key, Value: value}}}); status != 409 {
 		t.Fatalf("a late claim got %d", status)
 	}
 	// It got there first: the key names our label, but another incarnation.
@@ -136,7 +136,7 @@
 		t.Errorf("the key's revision is %d, ours %d", got, s.ownerEpoch)
 	}
 	// A late write of the former process, under its own epoch, can't apply.
-	if status, _ := h.txn(wire.Txn{If: []wire.Condition{{Key: key, ModRevision: stale}}, Then: []wire.Change{{Delete: key}}}); status != 409 {
+	if status, _ := h.txn(wire.Txn{Conditions: []wire.Condition{{Key: key, ModRevision: stale}}, Changes: []wire.Change{{Delete: key}}}); status != 409 {
 		t.Errorf("a late write under an old epoch got %d", status)
 	}
 }
@@ -167,7 +167,7 @@
 			}
 			tc.change(h.c.machines["vm-1"].view)
 			h.ask(func(r ReplyID) Input {
-				return PeerRequest{Reply: r, Req: peer.Request{From: "n-0", Status: &peer.Status{About: peer.About{StateOK: true, UptimeUS: int64(tc.uptime)}}}}
+				return PeerRequest{Reply: r, Req: peer.Request{From: "n-0", Status: &peer.Status{ControllerState: peer.ControllerState{StateOK: true, UptimeUS: int64(tc.uptime)}}}}
 			})
 			h.c.releaseToPreferredOwner()
 			if s.releasing() != tc.want {
--- a/internal/controller/peer_requests.go
+++ b/internal/controller/peer_requests.go
@@ -24,9 +24,9 @@
 	switch {
 	case req.Status != nil:
 		resp.Status = c.handleStatus(p, req.Status)
-	case req.Ask != nil:
-		c.handleAsk(*req.Ask, func(a peer.Answer) {
-			resp.Answer = &a
+	case req.JobRequest != nil:
+		c.handleAsk(*req.JobRequest, func(a peer.JobResponse) {
+			resp.JobResponse = &a
 			c.answer(in.Reply, http.StatusOK, resp, 0)
 		})
 		return
@@ -41,7 +41,7 @@
 // handleStatus takes another controller's status and returns the answer.
 func (c *Controller) handleStatus(p *peerView, status *peer.Status) *peer.StatusAck {
 	p.statusAt = c.now
-	quiesced := c.applyAbout(p, &status.About)
+	quiesced := c.applyAbout(p, &status.ControllerState)
 	if status.Demand != nil || c.ownership.leading() {
 		p.demand = status.Demand
 		p.demandAt = c.now
@@ -51,8 +51,8 @@
 	}
 	c.applyBroadcastCancellations(p, status.Cancelled)
 	c.quota.noteTraces(status.Traces)
-	c.takeRecordRequests(status.Record, status.Claims)
-	return &peer.StatusAck{About: c.about(p), QuiescedShards: quiesced}
+	c.takeRecordRequests(status.JobsToCancel, status.Claims)
+	return &peer.StatusAck{ControllerState: c.about(p), QuiescedShards: quiesced}
 }
 
 // handleJobRecordHint takes the record of a new job, and reports whether it is readable.
@@ -66,7 +66,7 @@
 }
 
 // handleAsk answers as the owner of a job, or with 503 if this node is not.
-func (c *Controller) handleAsk(ask peer.Ask, done func(peer.Answer)) {
+func (c *Controller) handleAsk(ask peer.JobRequest, done func(peer.JobResponse)) {
 	if f, ok := c.jobs.final(ask.ID); ok {
 		done(f.answer())
 		return
@@ -93,7 +93,7 @@
 
 // readBeforeCancel reads the record of a job that another controller wants cancelled here:
 // the watch may not have brought it yet.
-func (c *Controller) readBeforeCancel(ask peer.Ask, done func(peer.Answer)) {
+func (c *Controller) readBeforeCancel(ask peer.JobRequest, done func(peer.JobResponse)) {
 	c.readForUser(ask.ID, func(found statestore.Lookup) {
 		_, over := c.jobs.final(ask.ID)
 		j := c.jobs.open[ask.ID]
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -164,8 +164,8 @@
 
 // about is what this node says of itself to another controller: among the rest the shards
 // for which it acts, and the machines of the other's shards that sent heartbeats here.
-func (c *Controller) about(p *peerView) peer.About {
-	return peer.About{
+func (c *Controller) about(p *peerView) peer.ControllerState {
+	return peer.ControllerState{
 		UptimeUS:            int64(c.now - c.startedAt),
 		StateOK:             c.ownership.stateFresh(),
 		WithoutWorkers:      c.contact.lost(),
@@ -204,7 +204,7 @@
 
 // applyAbout takes what another controller says of itself, and returns the shards of its for
 // which this node issues no commands.
-func (c *Controller) applyAbout(p *peerView, a *peer.About) (quiesced []int) {
+func (c *Controller) applyAbout(p *peerView, a *peer.ControllerState) (quiesced []int) {
 	p.lastHeardAt = c.now
 	p.uptime = micros.Micros(a.UptimeUS)
 	p.stateOK = a.StateOK
@@ -241,13 +241,13 @@
 
 // statusFor returns the status for another controller.
 func (c *Controller) statusFor(p *peerView) *peer.Status {
-	status := &peer.Status{About: c.about(p)}
+	status := &peer.Status{ControllerState: c.about(p)}
 	if c.ownership.leader.owner.Label == p.label {
 		status.Demand = c.demands()
 		c.logFreeCapacities()
 	}
 	status.ReturnedMachines = p.returnedMachines[:min(len(p.returnedMachines), maxNamed)]
-	status.Record = c.recordRequestsFor(p)
+	status.JobsToCancel = c.recordRequestsFor(p)
 	status.Cancelled = slices.Clone(p.cancelled[:min(len(p.cancelled), maxNamed)])
 	if p.quota {
 		status.Traces = c.quota.openTraces()
@@ -263,7 +263,7 @@
 		acknowledged[id] = true
 	}
 	p.cancelled = slices.DeleteFunc(p.cancelled, func(id string) bool { return acknowledged[id] })
-	c.applyAbout(p, &ack.About)
+	c.applyAbout(p, &ack.ControllerState)
 	for _, id := range ack.QuiescedShards {
 		for _, claim := range sent.Claims {
 			if claim.Shard == id && c.ownership.shards[id].ownerEpoch == claim.OwnerEpoch {
--- a/internal/controller/quota_records.go
+++ b/internal/controller/quota_records.go
@@ -114,7 +114,7 @@
 		c.later(func() { done(quota.NotSent, 0) })
 		return
 	}
-	txn := wire.Txn{If: c.ownership.quotaConditions(w), Then: []wire.Change{{Put: wire.QuotaKey(w.Group), Value: value}}}
+	txn := wire.Txn{Conditions: c.ownership.quotaConditions(w), Changes: []wire.Change{{Put: wire.QuotaKey(w.Group), Value: value}}}
 	c.askState(statestore.ClassFleet, txn, quotaTimeout, func(r statestore.Reply) {
 		if revision, ok := r.Revision(); ok {
 			done(quota.Applied, revision)
--- a/internal/controller/quota_requests.go
+++ b/internal/controller/quota_requests.go
@@ -20,7 +20,7 @@
 	case req.Set != nil:
 		c.setQuota(reply, *req.Set)
 	default:
-		c.answerQuota(reply, peer.QuotaResponse{Groups: c.quotaStatus(), Without: c.peersWithoutQuota()})
+		c.answerQuota(reply, peer.QuotaResponse{Groups: c.quotaStatus(), ControllersWithoutQuota: c.peersWithoutQuota()})
 	}
 }
 
@@ -36,7 +36,7 @@
 		return
 	}
 	q := &c.quota
-	in := quota.Set{Token: q.nextSetToken, Group: set.Group}
+	in := quota.Set{Token: q.nextSetToken, Group: set.WaitingTasks}
 	if !set.Clear {
 		in.Limit = &set.Limit
 	}
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -65,15 +65,15 @@
 	// Rows are written under the shard's owner key, definitions under the leader's.
 	under := map[string]int{}
 	for _, txn := range h.done {
-		if txn.Then[0].Put == wire.QuotaKey("all") && len(txn.If) == 2 && txn.If[1].ModRevision != 0 {
-			under[txn.If[1].Key]++
+		if txn.Changes[0].Put == wire.QuotaKey("all") && len(txn.Conditions) == 2 && txn.Conditions[1].ModRevision != 0 {
+			under[txn.Conditions[1].Key]++
 		}
 	}
 	if under[wire.KeyLeader] != 1 || under[ownerKey(0)] == 0 {
 		t.Errorf("written under %v", under)
 	}
 	low := quota.CPULimit(1)
-	if resp := h.quotaAsk(peer.QuotaRequest{Set: &peer.SetLimit{Group: "all", Limit: low}}); resp.Problem != "" || resp.Epoch != 2 {
+	if resp := h.quotaAsk(peer.QuotaRequest{Set: &peer.SetLimit{WaitingTasks: "all", Limit: low}}); resp.Problem != "" || resp.Epoch != 2 {
 		t.Errorf("lowering it says %+v", resp)
 	}
 	h.run(sec)
@@ -88,7 +88,7 @@
 	if got := h.c.jobs.open["job-000002"].run; len(got.active) != 0 {
 		t.Errorf("%d tasks started beside cancelled ones that may run", len(got.active))
 	}
-	if resp := h.quotaAsk(peer.QuotaRequest{Set: &peer.SetLimit{Group: "all", Clear: true}}); resp.Problem != "" {
+	if resp := h.quotaAsk(peer.QuotaRequest{Set: &peer.SetLimit{WaitingTasks: "all", Clear: true}}); resp.Problem != "" {
 		t.Error(resp.Problem)
 	}
 	h.run(3 * sec)
@@ -107,8 +107,8 @@
 		name, want string
 		set        peer.SetLimit
 	}{
-		{"an unknown group", "no such group", peer.SetLimit{Group: "none", Limit: quota.CPULimit(1)}},
-		{"a negative limit", "limit.cpus = -1", peer.SetLimit{Group: "all", Limit: quota.Limit{CPUs: &negative}}},
+		{"an unknown group", "no such group", peer.SetLimit{WaitingTasks: "none", Limit: quota.CPULimit(1)}},
+		{"a negative limit", "limit.cpus = -1", peer.SetLimit{WaitingTasks: "all", Limit: quota.Limit{CPUs: &negative}}},
 	} {
 		if resp := h.quotaAsk(peer.QuotaRequest{Set: &tc.set}); !strings.Contains(resp.Problem, tc.want) {
 			t.Errorf("%s: %q", tc.name, resp.Problem)
@@ -135,7 +135,7 @@
 	}
 	// Another controller shows that it keeps groups: this one follows.
 	off.ask(func(r ReplyID) Input {
-		return PeerRequest{Reply: r, Req: peer.Request{From: "n-1", Status: &peer.Status{About: peer.About{StateOK: true, Quota: true}}}}
+		return PeerRequest{Reply: r, Req: peer.Request{From: "n-1", Status: &peer.Status{ControllerState: peer.ControllerState{StateOK: true, Quota: true}}}}
 	})
 	off.run(sec)
 	if resp := off.quotaAsk(peer.QuotaRequest{}); resp.Problem != "" {
@@ -152,8 +152,8 @@
 	})
 	trace, span := [16]byte{1, 2}, [8]byte{3}
 	h.ask(func(r ReplyID) Input {
-		return PeerRequest{Reply: r, Req: peer.Request{From: "n-1", Status: &peer.Status{About: peer.About{StateOK: true, Quota: true},
-			Traces: []peer.TraceContext{{Group: "all", Shard: 1, Trace: trace[:], Span: span[:], BeganUS: 1}, {Group: "all", Shard: 2, Trace: []byte("short")}}}}}
+		return PeerRequest{Reply: r, Req: peer.Request{From: "n-1", Status: &peer.Status{ControllerState: peer.ControllerState{StateOK: true, Quota: true},
+			Traces: []peer.TraceContext{{WaitingTasks: "all", Shard: 1, Trace: trace[:], Span: span[:], BeganUS: 1}, {WaitingTasks: "all", Shard: 2, Trace: []byte("short")}}}}}
 	})
 	h.c.effects = nil
 	h.c.quota.traceQuota(quota.Changed{Kind: quota.Shrunk, Group: "all", Shard: 0, From: quota.Amount{CPUs: 2}, To: quota.Amount{CPUs: 1}})
@@ -169,8 +169,8 @@
 
 // TestOlderVersionsReadStatusWithGroups: an older version reads of a message what it knows.
 func TestOlderVersionsReadStatusWithGroups(t *testing.T) {
-	st := &peer.Status{About: peer.About{UptimeUS: 5, StateOK: true, Claims: []peer.ShardClaim{{Shard: 1, OwnerEpoch: 7}}, Quota: true}, ReturnedMachines: []string{"vm-1"},
-		Traces: []peer.TraceContext{{Group: "all", Trace: make([]byte, 16), Span: make([]byte, 8)}}}
+	st := &peer.Status{ControllerState: peer.ControllerState{UptimeUS: 5, StateOK: true, Claims: []peer.ShardClaim{{Shard: 1, OwnerEpoch: 7}}, Quota: true}, ReturnedMachines: []string{"vm-1"},
+		Traces: []peer.TraceContext{{WaitingTasks: "all", Trace: make([]byte, 16), Span: make([]byte, 8)}}}
 	sent, err := peer.Encode(peer.Request{From: "n-1", Status: st})
 	if err != nil {
 		t.Fatal(err)
@@ -232,7 +232,7 @@
 	}
 	f.Fuzz(func(t *testing.T, value []byte) {
 		h := newHarness(t, withGroup(t, 3))
-		h.txn(wire.Txn{Then: []wire.Change{{Put: wire.QuotaKey("all"), Value: value}}})
+		h.txn(wire.Txn{Changes: []wire.Change{{Put: wire.QuotaKey("all"), Value: value}}})
 		h.run(600 * ms)
 		h.quotaAsk(peer.QuotaRequest{})
 		if h.jobStatus("job-000001").Status != 404 {
--- a/internal/controller/quota_trace.go
+++ b/internal/controller/quota_trace.go
@@ -161,15 +161,15 @@
 	var contexts []peer.TraceContext
 	for key, open := range own {
 		contexts = append(contexts, peer.TraceContext{
-			Group:   key.group,
-			Shard:   key.shard,
-			Trace:   open.trace[:],
-			Span:    open.span[:],
-			BeganUS: int64(open.began),
+			WaitingTasks: key.group,
+			Shard:        key.shard,
+			Trace:        open.trace[:],
+			Span:         open.span[:],
+			BeganUS:      int64(open.began),
 		})
 	}
 	slices.SortFunc(contexts, func(a, b peer.TraceContext) int {
-		return cmp.Or(cmp.Compare(a.Group, b.Group), cmp.Compare(a.Shard, b.Shard))
+		return cmp.Or(cmp.Compare(a.WaitingTasks, b.WaitingTasks), cmp.Compare(a.Shard, b.Shard))
 	})
 	return contexts[:min(len(contexts), maxTraces)]
 }
@@ -197,7 +197,7 @@
 		}
 		copy(open.trace[:], ctx.Trace)
 		copy(open.span[:], ctx.Span)
-		remote[traceKey{ctx.Group, ctx.Shard}] = open
+		remote[traceKey{ctx.WaitingTasks, ctx.Shard}] = open
 	}
 }
 
--- a/internal/controller/rebalancing.go
+++ b/internal/controller/rebalancing.go
@@ -58,7 +58,7 @@
 	switch {
 	case !planned || c.now >= move.until:
 	case move.retire:
-		c.requestMachineRelease(m.ID, peer.Release{Retire: true, Drain: true})
+		c.requestMachineRelease(m.ID, peer.Release{Cordon: true, Drain: true})
 	case choice.Wanted(m):
 		delete(c.fleet.plannedMoves, m.ID)
 	default:
--- a/internal/controller/record_limits_test.go
+++ b/internal/controller/record_limits_test.go
@@ -113,7 +113,7 @@
 			}
 			j.run.steps, j.run.checkpoint.recoveries = nil, nil
 			for i := range checkpoint.MaxSteps {
-				j.run.steps = append(j.run.steps, wire.Step{Task: 99_000 + i, Machine: "vm-123456", StartMS: 1_800_000_000_000, EndMS: 1_800_000_000_000})
+				j.run.steps = append(j.run.steps, wire.FinishedTask{Task: 99_000 + i, Machine: "vm-123456", StartMS: 1_800_000_000_000, EndMS: 1_800_000_000_000})
 			}
 			for range checkpoint.MaxRecoveries {
 				j.run.checkpoint.recoveries = append(j.run.checkpoint.recoveries, 1_800_000_000_000)
--- a/internal/controller/registration.go
+++ b/internal/controller/registration.go
@@ -71,7 +71,7 @@
 	if f.assigning[id] || f.returning[id] || f.returned[id] != 0 {
 		return false
 	}
-	if !wire.UsableKey(id) || heartbeat.Addr == "" {
+	if !wire.ValidKey(id) || heartbeat.Addr == "" {
 		return false
 	}
 	return len(c.types) > 0 && len(f.registrations) < c.cfg.MaxRegistrations
@@ -146,7 +146,7 @@
 		l := f.listed[id]
 		known := c.machines[id] != nil || f.assigning[id]
 		gone := f.returning[id] || f.returned[id] != 0
-		if l.State != wire.MachineRunning || known || gone || !wire.UsableKey(id) {
+		if l.State != wire.MachineRunning || known || gone || !wire.ValidKey(id) {
 			continue
 		}
 		list = append(list, unassigned{wire.MachineRecord{ID: id, Addr: l.Addr}, kind{Type: l.Type, Zone: l.Zone, Spot: l.Spot}})
--- a/internal/controller/release_requests.go
+++ b/internal/controller/release_requests.go
@@ -44,7 +44,7 @@
 		return
 	}
 	f.releaseRequestedAt[id] = c.now
-	if r.Retire {
+	if r.Cordon {
 		r.Shard = m.rec.Shard
 	}
 	f.releaseRequests = append(f.releaseRequests, releaseRequest{id, r})
@@ -65,10 +65,10 @@
 		if m == nil {
 			continue
 		}
-		key := releaseKey{m.rec.Shard, q.Shard, q.Retire, q.Drain, q.Save}
+		key := releaseKey{m.rec.Shard, q.Shard, q.Cordon, q.Drain, q.Save}
 		r := byKey[key]
 		if r == nil {
-			r = &peer.Release{Retire: q.Retire, Drain: q.Drain, Save: q.Save, Shard: q.Shard}
+			r = &peer.Release{Cordon: q.Cordon, Drain: q.Drain, Save: q.Save, Shard: q.Shard}
 			byKey[key] = r
 			keys = append(keys, key)
 		}
--- a/internal/controller/replacement.go
+++ b/internal/controller/replacement.go
@@ -45,7 +45,7 @@
 	for _, shard := range demands.Shards() {
 		for _, m := range demands[shard].Machines {
 			if m.State == peer.MachineUnhealthy {
-				c.requestMachineRelease(m.ID, peer.Release{Retire: true})
+				c.requestMachineRelease(m.ID, peer.Release{Cordon: true})
 			}
 		}
 	}
--- a/internal/controller/replacement_test.go
+++ b/internal/controller/replacement_test.go
@@ -35,7 +35,7 @@
 				HeartbeatInterval: 10 * sec, WorkerLease: 45 * sec, SilentReturn: -1}, 1)
 			c.types = map[string]wire.MachineType{"m": {Name: "m", CPUs: 4, BootS: 5}}
 			d := &peer.Demand{All: 100, Unreconciled: tc.unreconciled, BlockedUS: int64(tc.blocked), CPUs: float64(4 * (100 - tc.unreconciled)), Busy: tc.busy,
-				RunLeftUS: int64(tc.busy * 20e6), Groups: []peer.Group{{Any: true, CPUs: 1, Waiting: tc.wait}},
+				RunLeftUS: int64(tc.busy * 20e6), Groups: []peer.WaitingTasks{{Any: true, CPUs: 1, Waiting: tc.wait}},
 				Zones: []peer.Zone{{Name: "a", All: tc.unreconciled}, {Name: "b", All: 100 - tc.unreconciled}}}
 			if tc.partitioned {
 				d.Zones[0].Silent = tc.unreconciled
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -123,7 +123,7 @@
 		FleetFull:    fleetFull,
 	}
 	for _, id := range choice.Choose(c.idleMachines(demands)) {
-		c.requestMachineRelease(id, peer.Release{Retire: true})
+		c.requestMachineRelease(id, peer.Release{Cordon: true})
 	}
 }
 
@@ -178,7 +178,7 @@
 		for _, m := range choice.Choose(d, candidates, draining) {
 			c.log(Info, "draining a mostly unused machine", "machine", m.ID, "shard", shard, "busy", m.Busy)
 			c.fleet.plannedMoves[m.ID] = plannedMove{retire: true, until: c.now + maxConsolidation}
-			c.requestMachineRelease(m.ID, peer.Release{Retire: true, Drain: true, Save: true})
+			c.requestMachineRelease(m.ID, peer.Release{Cordon: true, Drain: true, Save: true})
 		}
 	}
 }
--- a/internal/controller/scale_out_test.go
+++ b/internal/controller/scale_out_test.go
@@ -10,8 +10,8 @@
 
 // What is rented, from what waits and what is there.
 func TestNextScaleOut(t *testing.T) {
-	waiting := func(tasks int, cpus, seconds float64) peer.Group {
-		return peer.Group{Any: true, Spot: true, CPUs: cpus, MemGB: 1, Waiting: tasks, WorkUS: int64(float64(tasks) * seconds * 1e6)}
+	waiting := func(tasks int, cpus, seconds float64) peer.WaitingTasks {
+		return peer.WaitingTasks{Any: true, Spot: true, CPUs: cpus, MemGB: 1, Waiting: tasks, WorkUS: int64(float64(tasks) * seconds * 1e6)}
 	}
 	noSpot := waiting(4, 1, 300)
 	noSpot.Spot = false
@@ -19,7 +19,7 @@
 	onDemand := kind{Type: "m", Zone: "a", Spot: false}
 	for _, tc := range []struct {
 		name        string
-		group       peer.Group
+		group       peer.WaitingTasks
 		sums        fleet.Sums
 		free        map[kind]float64
 		spotRefused bool
@@ -99,7 +99,7 @@
 				Catalog:        c.catalog(),
 				DrainHorizon:   c.cfg.DrainHorizon,
 				Sums:           tc.sums,
-				Groups:         []peer.Group{tc.group},
+				Groups:         []peer.WaitingTasks{tc.group},
 				Free:           free,
 				MachinesInZone: map[string]int{},
 				MaxMachines:    1000,
--- a/internal/controller/scale_test.go
+++ b/internal/controller/scale_test.go
@@ -245,7 +245,7 @@
 	}
 	c.ownership.leader.owner.Label = "n-1"
 	demandStatus := func() (*peer.Status, int) {
-		st := &peer.Status{About: c.about(&peerView{label: "n-0"}), Demand: c.demands()}
+		st := &peer.Status{ControllerState: c.about(&peerView{label: "n-0"}), Demand: c.demands()}
 		for i := range maxNamed {
 			st.ReturnedMachines = append(st.ReturnedMachines, machineName(i))
 			st.Cancelled = append(st.Cancelled, machineName(i))
--- a/internal/controller/scheduling_test.go
+++ b/internal/controller/scheduling_test.go
@@ -73,7 +73,7 @@
 	}
 	checkpoints := 0
 	for _, tx := range h.done {
-		for _, ch := range tx.Then {
+		for _, ch := range tx.Changes {
 			if len(ch.Put) > 8 && ch.Put[:8] == wire.PrefixCheckpoint {
 				checkpoints++
 			}
--- a/internal/controller/submission.go
+++ b/internal/controller/submission.go
@@ -24,7 +24,7 @@
 
 // jobCreation is a submission whose record is being written.
 type jobCreation struct {
-	waiters []func(peer.Answer)
+	waiters []func(peer.JobResponse)
 }
 
 // handleSubmit takes a user's job. A submission of a job that was accepted before is
@@ -36,7 +36,7 @@
 	}
 	id := in.Job.ID
 	if c.jobs.knows(id) {
-		c.findJobState(id, func(a peer.Answer) { c.answerJobStatus(in.Reply, id, a) })
+		c.findJobState(id, func(a peer.JobResponse) { c.answerJobStatus(in.Reply, id, a) })
 		return
 	}
 	if len(c.types) == 0 || !c.ownership.jobWatch.ready() {
@@ -87,7 +87,7 @@
 	id := in.Job.ID
 	switch dependencies {
 	case statestore.LookupFound:
-		c.createJob(in.Job, func(a peer.Answer) { c.answerJob(in.Reply, id, a, retrySoon) })
+		c.createJob(in.Job, func(a peer.JobResponse) { c.answerJob(in.Reply, id, a, retrySoon) })
 	case statestore.LookupMissing:
 		c.refuseSubmission(in.Reply, id, http.StatusUnprocessableEntity)
 	default:
@@ -115,7 +115,7 @@
 // refuseSubmission answers a submission that can't be accepted, unless its job was accepted
 // before: then the answer is that job's state.
 func (c *Controller) refuseSubmission(r ReplyID, id string, status int) {
-	c.findJobState(id, func(a peer.Answer) {
+	c.findJobState(id, func(a peer.JobResponse) {
 		if a.Status == http.StatusNotFound {
 			c.answer(r, status, nil, 0)
 			return
@@ -155,7 +155,7 @@
 }
 
 // createJob writes the record of a new job, and answers 201 once that stands.
-func (c *Controller) createJob(sub wire.Submission, done func(peer.Answer)) {
+func (c *Controller) createJob(sub wire.Submission, done func(peer.JobResponse)) {
 	id := sub.ID
 	if pending := c.jobs.pendingCreations[id]; pending != nil {
 		if len(pending.waiters) >= maxCreationWaiters {
@@ -172,7 +172,7 @@
 		done(unavailable())
 		return
 	}
-	c.jobs.pendingCreations[id] = &jobCreation{waiters: []func(peer.Answer){done}}
+	c.jobs.pendingCreations[id] = &jobCreation{waiters: []func(peer.JobResponse){done}}
 	c.askState(statestore.ClassAccept, creationTxn(id, value), creationTimeout, func(r statestore.Reply) {
 		c.handleCreation(id, rec, value, r)
 	})
@@ -197,8 +197,8 @@
 // creationTxn is the transaction that writes the record of a new job.
 func creationTxn(id string, value wire.Raw) wire.Txn {
 	return wire.Txn{
-		If:   []wire.Condition{{Key: wire.JobKey(id), ModRevision: 0}},
-		Then: []wire.Change{{Put: wire.JobKey(id), Value: value}},
+		Conditions: []wire.Condition{{Key: wire.JobKey(id), ModRevision: 0}},
+		Changes:    []wire.Change{{Put: wire.JobKey(id), Value: value}},
 	}
 }
 
@@ -208,7 +208,7 @@
 		c.ownership.lastStateReplyAt = c.now
 		c.learnJob(id, rec, revision)
 		c.sendJobRecordHint(id, revision, value)
-		c.jobs.finishCreation(id, peer.Answer{Status: http.StatusCreated, State: rec.State})
+		c.jobs.finishCreation(id, peer.JobResponse{Status: http.StatusCreated, State: rec.State})
 		return
 	}
 	if r.Outcome() == statestore.NotExecuted {
@@ -217,16 +217,16 @@
 	}
 	// A record stands already, or the outcome is unknown: a read resolves it. If there is
 	// none, a late copy may still create it; the user's retry finds it then.
-	c.readJobState(id, func(a peer.Answer) {
+	c.readJobState(id, func(a peer.JobResponse) {
 		if a.Status == http.StatusNotFound {
 			a.Status = http.StatusServiceUnavailable
 		}
-		c.jobs.finishCreation(id, peer.Answer{Status: a.Status, State: a.State})
+		c.jobs.finishCreation(id, peer.JobResponse{Status: a.Status, State: a.State})
 	})
 }
 
 // finishCreation answers all who wait for the record of a new job.
-func (t *jobTable) finishCreation(id string, answer peer.Answer) {
+func (t *jobTable) finishCreation(id string, answer peer.JobResponse) {
 	waiters := t.pendingCreations[id].waiters
 	delete(t.pendingCreations, id)
 	for _, done := range waiters {
--- a/internal/controller/unknown_jobs_test.go
+++ b/internal/controller/unknown_jobs_test.go
@@ -27,7 +27,7 @@
 		h.put(wire.JobKey(id), wire.JobRecord{State: wire.StateCancelled, Tasks: 1})
 	}
 	reclaim := func(h *harness) {
-		h.txn(wire.Txn{Then: []wire.Change{{Delete: ownerKey(0)}}})
+		h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}})
 		h.run(2 * sec)
 	}
 	lists := func(machine string, seq, fencingToken uint64, job string, attempt uint64) wire.Heartbeat {
@@ -108,7 +108,7 @@
 			if !tc.later {
 				claim = before
 			}
-			h.txn(wire.Txn{Then: []wire.Change{{Delete: ownerKey(0)}}})
+			h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}})
 			h.run(2 * sec)
 			s := h.c.ownership.shards[0]
 			if !s.owned() || s.jobsViewCurrent {
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -19,13 +19,13 @@
 
 // answerJobStatus answers a user who asks about a job; one who is refused is to come back
 // when the jobs that wait for a read can have had theirs.
-func (c *Controller) answerJobStatus(r ReplyID, id string, a peer.Answer) {
+func (c *Controller) answerJobStatus(r ReplyID, id string, a peer.JobResponse) {
 	c.answerJob(r, id, a, c.retryAfter())
 }
 
 // answerJob answers a user about a job; one who is refused is to come back after
 // retryAfter seconds.
-func (c *Controller) answerJob(r ReplyID, id string, a peer.Answer, retryAfter int) {
+func (c *Controller) answerJob(r ReplyID, id string, a peer.JobResponse, retryAfter int) {
 	switch a.Status {
 	case http.StatusOK, http.StatusCreated:
 		if a.State == wire.StateCancelled {
@@ -46,7 +46,7 @@
 		c.answer(in.Reply, http.StatusNotFound, nil, 0)
 		return
 	}
-	done := func(a peer.Answer) { c.answerJob(in.Reply, in.ID, a, retrySoon) }
+	done := func(a peer.JobResponse) { c.answerJob(in.Reply, in.ID, a, retrySoon) }
 	if c.jobs.knows(in.ID) {
 		c.cancelKnownJob(in.ID, done)
 		return
@@ -57,7 +57,7 @@
 			return
 		}
 		if found == statestore.LookupMissing {
-			done(peer.Answer{Status: http.StatusNotFound})
+			done(peer.JobResponse{Status: http.StatusNotFound})
 			return
 		}
 		done(unavailable())
@@ -66,7 +66,7 @@
 
 // cancelKnownJob cancels a job here or at its owner, unless it is over. One whose record
 // can't be used is not in the job table, and can't be cancelled.
-func (c *Controller) cancelKnownJob(id string, done func(peer.Answer)) {
+func (c *Controller) cancelKnownJob(id string, done func(peer.JobResponse)) {
 	if f, ok := c.jobs.final(id); ok {
 		done(f.answer())
 		return
@@ -85,14 +85,14 @@
 }
 
 // cancelAtOwner asks the owner of a job to cancel it.
-func (c *Controller) cancelAtOwner(j *job, done func(peer.Answer)) {
+func (c *Controller) cancelAtOwner(j *job, done func(peer.JobResponse)) {
 	s := c.ownership.shards[j.shard]
 	p := c.peers[s.owner.Label]
 	if s.ownerEpoch == 0 || p == nil {
 		done(unavailable())
 		return
 	}
-	c.askPeer(p, peer.Ask{ID: j.id, Cancel: true}, peerCancelTimeout, func(a peer.Answer) {
+	c.askPeer(p, peer.JobRequest{ID: j.id, Cancel: true}, peerCancelTimeout, func(a peer.JobResponse) {
 		if a.Status == http.StatusOK && !isFinalState(a.State) {
 			a = unavailable()
 		}
--- a/internal/controller/user_requests_test.go
+++ b/internal/controller/user_requests_test.go
@@ -76,12 +76,12 @@
 	h.stateDown = false
 	var first wire.Txn
 	for _, c := range h.held {
-		if txn, ok := c.Req.(wire.Txn); ok && len(first.Then) == 0 {
+		if txn, ok := c.Req.(wire.Txn); ok && len(first.Changes) == 0 {
 			first = txn
 		}
 		h.step(Result{ID: c.ID}) // no answer
 	}
-	if len(first.Then) != 1 {
+	if len(first.Changes) != 1 {
 		t.Fatalf("recorded by %v", first)
 	}
 	call(2)
--- a/internal/controller/watch_test.go
+++ b/internal/controller/watch_test.go
@@ -15,12 +15,12 @@
 	sub := jobOf("job-000001", 1)
 	h.put(wire.JobKey("job-000001"), wire.JobRecord{Submission: &sub, State: wire.StatePending, Tasks: 1})
 	h.watchBlocked = wire.PrefixJob // from here on it learns of no job
-	h.txn(wire.Txn{Then: []wire.Change{{Delete: ownerKey(0)}}})
+	h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}})
 	value, err := wire.Encode(wire.JobRecord{State: wire.StateDone, Tasks: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
-	h.txn(wire.Txn{Then: []wire.Change{{Put: wire.JobKey("job-000001"), Value: value}}})
+	h.txn(wire.Txn{Changes: []wire.Change{{Put: wire.JobKey("job-000001"), Value: value}}})
 	h.run(2 * sec)
 	if s := h.c.ownership.shards[0]; !s.owned() || s.jobsViewCurrent || h.c.jobs.open["job-000001"] == nil {
 		t.Fatalf("%v, current %v: the case is not what it should be", s.ownership, s.jobsViewCurrent)
@@ -40,7 +40,7 @@
 	fencingToken := h.reconcile("vm-1")
 	h.submit(jobOf("job-000001", 1))
 	h.watchBlocked = wire.PrefixJob
-	h.txn(wire.Txn{Then: []wire.Change{{Delete: ownerKey(0)}}})
+	h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}})
 	h.run(2 * sec)
 	s := h.c.ownership.shards[0]
 	if !s.owned() || s.jobsViewCurrent {
--- a/internal/fakes/state.go
+++ b/internal/fakes/state.go
@@ -175,7 +175,7 @@
 	s.nextLease++
 	ttl := micros.Micros(request.TTLMS) * millisecond
 	s.leases[s.nextLease] = &lease{ttl: ttl, expiresAt: s.scheduler.Now() + ttl}
-	reply.body(http.StatusOK, &wire.Lease{Lease: s.nextLease})
+	reply.body(http.StatusOK, &wire.Lease{ID: s.nextLease})
 }
 
 func (s *State) renewLease(request controller.RenewLease, reply Reply) {
@@ -230,14 +230,14 @@
 		reply.status(http.StatusTooManyRequests)
 		return
 	}
-	for _, condition := range txn.If {
+	for _, condition := range txn.Conditions {
 		if s.modRevision(condition.Key) != condition.ModRevision {
 			reply.body(http.StatusConflict, &wire.Revision{Revision: s.revision, Failed: []string{condition.Key}})
 			return
 		}
 	}
 	s.revision++
-	for _, change := range txn.Then {
+	for _, change := range txn.Changes {
 		s.apply(change)
 	}
 	reply.body(http.StatusOK, &wire.Revision{Revision: s.revision})
@@ -249,7 +249,7 @@
 	if txn.Writes() > s.limits.TxnOps {
 		return false
 	}
-	for _, change := range txn.Then {
+	for _, change := range txn.Changes {
 		if change.Put != "" && wire.StoredSize(change.Value, s.limits.ValueBytes) > s.limits.ValueBytes {
 			return false
 		}
--- a/internal/fakes/state_test.go
+++ b/internal/fakes/state_test.go
@@ -21,19 +21,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return wire.Txn{Then: []wire.Change{{Put: key, Value: value}}}
+	return wire.Txn{Changes: []wire.Change{{Put: key, Value: value}}}
 }
 
 func TestStateTransaction(t *testing.T) {
 	ifRevision := func(txn wire.Txn, revision uint64) wire.Txn {
-		txn.If = []wire.Condition{{Key: "a", ModRevision: revision}}
+		txn.Conditions = []wire.Condition{{Key: "a", ModRevision: revision}}
 		return txn
 	}
 	withLease := func(txn wire.Txn, lease uint64) wire.Txn {
-		txn.Then[0].Lease = lease
+		txn.Changes[0].Lease = lease
 		return txn
 	}
-	three := wire.Txn{Then: []wire.Change{{Delete: "x"}, {Delete: "y"}, {Delete: "z"}}}
+	three := wire.Txn{Changes: []wire.Change{{Delete: "x"}, {Delete: "y"}, {Delete: "z"}}}
 	for _, tc := range []struct {
 		name   string
 		txn    wire.Txn
@@ -61,9 +61,9 @@
 
 func TestStateLease(t *testing.T) {
 	clock, state := newTestState()
-	lease := mustAnswer(t, state, wire.NewLease{TTLMS: 1000}, 200).(*wire.Lease).Lease
+	lease := mustAnswer(t, state, wire.NewLease{TTLMS: 1000}, 200).(*wire.Lease).ID
 	txn := put(t, "a", 1)
-	txn.Then[0].Lease = lease
+	txn.Changes[0].Lease = lease
 	mustAnswer(t, state, txn, 200)
 	clock.advance(900 * millisecond)
 	mustAnswer(t, state, controller.RenewLease{Lease: lease}, 200)
@@ -94,7 +94,7 @@
 	if waiting() != nil {
 		t.Fatal("a watch is answered with another prefix's event")
 	}
-	mustAnswer(t, state, wire.Txn{Then: []wire.Change{{Delete: "a/1"}}}, 200)
+	mustAnswer(t, state, wire.Txn{Changes: []wire.Change{{Delete: "a/1"}}}, 200)
 	answer := waiting()
 	if answer == nil {
 		t.Fatal("a watch is not answered")
--- a/internal/fakes/worker.go
+++ b/internal/fakes/worker.go
@@ -262,7 +262,7 @@
 
 // follow turns to the controller that another one named.
 func (w *Worker) follow(redirect wire.Redirect) {
-	i := slices.Index(w.config.Nodes, redirect.ReportTo)
+	i := slices.Index(w.config.Nodes, redirect.Controller)
 	if i < 0 || i == w.node {
 		w.turnToNextNode()
 		return
--- a/internal/fakes/worker_test.go
+++ b/internal/fakes/worker_test.go
@@ -192,7 +192,7 @@
 
 	host.reply = func(node int, heartbeat *wire.Heartbeat) (controller.Answer, bool) {
 		if node == 0 {
-			return controller.Answer{Status: 421, Body: wire.Redirect{ReportTo: "node-1"}}, true
+			return controller.Answer{Status: 421, Body: wire.Redirect{Controller: "node-1"}}, true
 		}
 		return renewal(heartbeat), true
 	}
--- a/internal/faulttest/machine.go
+++ b/internal/faulttest/machine.go
@@ -180,7 +180,7 @@
 	var redirect wire.Redirect
 	redirected := err == nil && msg.Status == http.StatusMisdirectedRequest && wire.Decode(msg.Body, &redirect) == nil
 	if redirected {
-		i := slices.IndexFunc(m.cluster.nodes, func(n *node) bool { return n.settings.Label == redirect.ReportTo })
+		i := slices.IndexFunc(m.cluster.nodes, func(n *node) bool { return n.settings.Label == redirect.Controller })
 		if i >= 0 {
 			next = i
 			m.heartbeatSoon()
--- a/internal/peer/demand.go
+++ b/internal/peer/demand.go
@@ -4,9 +4,9 @@
 type Demand struct {
 	Shard int `msgpack:"s"`
 	// Groups are the waiting tasks.
-	Groups []Group `msgpack:"g,omitempty"`
-	CPUs   float64 `msgpack:"c"` // of the usable machines
-	Busy   float64 `msgpack:"b"` // CPUs in use
+	Groups []WaitingTasks `msgpack:"g,omitempty"`
+	CPUs   float64        `msgpack:"c"` // of the usable machines
+	Busy   float64        `msgpack:"b"` // CPUs in use
 	// Booting are the CPUs of machines that have not sent a heartbeat yet.
 	Booting float64 `msgpack:"o,omitempty"`
 	// All, Silent and Unreconciled count the recorded machines, and those in these states;
@@ -34,8 +34,8 @@
 	Silent int    `msgpack:"s,omitempty"` // those that send no heartbeats any more
 }
 
-// Group is a set of waiting tasks that the same machines could run.
-type Group struct {
+// WaitingTasks is a set of waiting tasks that the same machines could run.
+type WaitingTasks struct {
 	Types    []string `msgpack:"t,omitempty"`
 	Any      bool     `msgpack:"a,omitempty"` // of all types
 	Zone     string   `msgpack:"z,omitempty"` // empty: any
@@ -68,7 +68,7 @@
 // request no task starts on them.
 type Release struct {
 	Machines []string `msgpack:"m"`
-	Retire   bool     `msgpack:"r,omitempty"` // cordon them, so that they are returned
+	Cordon   bool     `msgpack:"r,omitempty"` // cordon them, so that they are returned
 	Drain    bool     `msgpack:"d,omitempty"`
 	Save     bool     `msgpack:"v,omitempty"` // with Drain: stop tasks that can save
 	Shard    int      `msgpack:"s"`           // that the machines go to
--- a/internal/peer/jobs.go
+++ b/internal/peer/jobs.go
@@ -1,13 +1,13 @@
 package peer
 
-// Ask asks a job's owner for its status, or to cancel it.
-type Ask struct {
+// JobRequest asks a job's owner for its status, or to cancel it.
+type JobRequest struct {
 	ID     string `msgpack:"i"`
 	Cancel bool   `msgpack:"c,omitempty"`
 }
 
-// Answer answers an Ask.
-type Answer struct {
+// JobResponse answers an Ask.
+type JobResponse struct {
 	Status  int    `msgpack:"s"`           // the HTTP status for the user; 503: the owner doesn't know
 	State   string `msgpack:"t"`           // of the job, of package wire
 	Done    int    `msgpack:"d,omitempty"` // tasks
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -25,7 +25,7 @@
 type Request struct {
 	From          string         `msgpack:"f"` // the sender's label
 	Status        *Status        `msgpack:"s,omitempty"`
-	Ask           *Ask           `msgpack:"a,omitempty"`
+	JobRequest    *JobRequest    `msgpack:"a,omitempty"`
 	JobRecordHint *JobRecordHint `msgpack:"h,omitempty"`
 	Release       *Release       `msgpack:"r,omitempty"`
 	// Quota is sent by the command line, whose From is empty.
@@ -35,11 +35,11 @@
 // Response answers a Request, in the part of the same name; OK answers a JobRecordHint and a
 // Release.
 type Response struct {
-	From   string         `msgpack:"f"` // the label of the controller that answers
-	Status *StatusAck     `msgpack:"s,omitempty"`
-	Answer *Answer        `msgpack:"a,omitempty"`
-	OK     bool           `msgpack:"o,omitempty"`
-	Quota  *QuotaResponse `msgpack:"q,omitempty"`
+	From        string         `msgpack:"f"` // the label of the controller that answers
+	Status      *StatusAck     `msgpack:"s,omitempty"`
+	JobResponse *JobResponse   `msgpack:"a,omitempty"`
+	OK          bool           `msgpack:"o,omitempty"`
+	Quota       *QuotaResponse `msgpack:"q,omitempty"`
 }
 
 // Encode returns the msgpack form of a message.
--- a/internal/peer/quota.go
+++ b/internal/peer/quota.go
@@ -9,9 +9,9 @@
 
 // SetLimit sets a group's limit in place of the one in the options, or, with Clear, ends that.
 type SetLimit struct {
-	Group string      `msgpack:"g"`
-	Limit quota.Limit `msgpack:"l"`
-	Clear bool        `msgpack:"c,omitempty"`
+	WaitingTasks string      `msgpack:"g"`
+	Limit        quota.Limit `msgpack:"l"`
+	Clear        bool        `msgpack:"c,omitempty"`
 }
 
 // QuotaResponse answers a QuotaRequest.
@@ -19,15 +19,15 @@
 	Problem string              `msgpack:"p,omitempty"` // why the request was refused
 	Epoch   uint64              `msgpack:"e,omitempty"` // of the limit that was set
 	Groups  []quota.GroupStatus `msgpack:"g,omitempty"`
-	// Without lists the controllers that do not keep groups: limits do not bind them.
-	Without []string `msgpack:"w,omitempty"`
+	// ControllersWithoutQuota lists the controllers that do not keep groups: limits do not bind them.
+	ControllersWithoutQuota []string `msgpack:"w,omitempty"`
 }
 
 // TraceContext is the parent span of others' work on a group's quota.
 type TraceContext struct {
-	Group   string `msgpack:"g"`
-	Shard   int    `msgpack:"s"` // the one that asks for more; -1: a limit was announced
-	Trace   []byte `msgpack:"t"`
-	Span    []byte `msgpack:"p"`
-	BeganUS int64  `msgpack:"b"`
+	WaitingTasks string `msgpack:"g"`
+	Shard        int    `msgpack:"s"` // the one that asks for more; -1: a limit was announced
+	Trace        []byte `msgpack:"t"`
+	Span         []byte `msgpack:"p"`
+	BeganUS      int64  `msgpack:"b"`
 }
--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -1,7 +1,7 @@
 package peer
 
-// About is what a controller says of itself in a Status and in a StatusAck.
-type About struct {
+// ControllerState is what a controller says of itself in a Status and in a StatusAck.
+type ControllerState struct {
 	UptimeUS       int64        `msgpack:"u"`
 	StateOK        bool         `msgpack:"k"`           // the state service has answered it recently
 	WithoutWorkers bool         `msgpack:"e,omitempty"` // it receives no heartbeats
@@ -14,16 +14,16 @@
 
 // Status is what a controller sends to the others regularly, and after it has taken a shard.
 type Status struct {
-	About  `msgpack:",inline"`
-	Demand []Demand `msgpack:"d,omitempty"`
+	ControllerState `msgpack:",inline"`
+	Demand          []Demand `msgpack:"d,omitempty"`
 	// ReturnedMachines are machines whose return the cloud has confirmed.
 	ReturnedMachines []string `msgpack:"g,omitempty"`
 	// Cancelled are jobs whose record says that they are cancelled.
 	Cancelled []string `msgpack:"x,omitempty"`
-	// Record are jobs of the sender's shards that depend on a cancelled one, and that the
+	// JobsToCancel are jobs of the sender's shards that depend on a cancelled one, and that the
 	// receiver is asked to record as cancelled. A version that does not know the field
 	// leaves that to the sender.
-	Record []string `msgpack:"r,omitempty"`
+	JobsToCancel []string `msgpack:"r,omitempty"`
 	// Traces are the contexts of work in progress on groups' quota, sent to controllers
 	// that are known to keep groups.
 	Traces []TraceContext `msgpack:"t,omitempty"`
@@ -31,7 +31,7 @@
 
 // StatusAck answers a Status.
 type StatusAck struct {
-	About `msgpack:",inline"`
+	ControllerState `msgpack:",inline"`
 	// QuiescedShards are those shards claimed in the Status for which the receiver issues
 	// no commands and will issue none.
 	QuiescedShards []int `msgpack:"q,omitempty"`
--- a/internal/runtime/answers_test.go
+++ b/internal/runtime/answers_test.go
@@ -28,7 +28,7 @@
 		{"transaction, conditions fail", wire.Txn{}, 409, wire.Revision{Failed: []string{"a"}}, &wire.Revision{Failed: []string{"a"}}, false},
 		{"transaction, rejected", wire.Txn{}, 400, "text", nil, false},
 		{"transaction, not readable", wire.Txn{}, 200, "text", nil, true},
-		{"new lease", wire.NewLease{}, 200, wire.Lease{Lease: 7}, &wire.Lease{Lease: 7}, false},
+		{"new lease", wire.NewLease{}, 200, wire.Lease{ID: 7}, &wire.Lease{ID: 7}, false},
 		{"lease renewed", controller.RenewLease{}, 200, "text", nil, false},
 		{"key", controller.GetKey{}, 200, wire.KeyValue{Key: "a", Value: null}, &wire.KeyValue{Key: "a", Value: null}, false},
 		{"no such key", controller.GetKey{}, 404, wire.Revision{Revision: 4}, nil, false},
--- a/internal/runtime/requests.go
+++ b/internal/runtime/requests.go
@@ -119,8 +119,8 @@
 // withConditionList returns a transaction whose list of conditions is written as an empty
 // list rather than as null when there are none.
 func withConditionList(txn wire.Txn) wire.Txn {
-	if txn.If == nil {
-		txn.If = []wire.Condition{}
+	if txn.Conditions == nil {
+		txn.Conditions = []wire.Condition{}
 	}
 	return txn
 }
--- a/internal/runtime/requests_test.go
+++ b/internal/runtime/requests_test.go
@@ -17,7 +17,7 @@
 		method, target string
 		body           any // nil: none
 	}{
-		{"transaction without conditions", controller.Call{Req: wire.Txn{}}, "POST", wire.PathTxn, wire.Txn{If: []wire.Condition{}}},
+		{"transaction without conditions", controller.Call{Req: wire.Txn{}}, "POST", wire.PathTxn, wire.Txn{Conditions: []wire.Condition{}}},
 		{"new lease", controller.Call{Req: wire.NewLease{TTLMS: 5000}}, "POST", wire.PathLeases, wire.NewLease{TTLMS: 5000}},
 		{"lease renewal", controller.Call{Req: controller.RenewLease{Lease: 7}}, "POST", wire.RenewLeasePath(7), nil},
 		{"key", controller.Call{Req: controller.GetKey{Key: "a/b"}}, "GET", wire.KeyPath("a/b"), nil},
--- a/internal/simulation/release.go
+++ b/internal/simulation/release.go
@@ -53,7 +53,7 @@
 func (r Release) downgradeStatus(status *peer.Status) {
 	status.Quota, status.Traces = false, nil
 	if r != ReleaseWithoutGroups {
-		status.Record = nil
+		status.JobsToCancel = nil
 	}
 }
 
@@ -79,10 +79,10 @@
 }
 
 func downgradeTxn(txn wire.Txn) wire.Txn {
-	txn.Then = slices.Clone(txn.Then)
-	for i, change := range txn.Then {
+	txn.Changes = slices.Clone(txn.Changes)
+	for i, change := range txn.Changes {
 		if change.Put != "" {
-			txn.Then[i].Value = withoutDependencies(change.Put, change.Value)
+			txn.Changes[i].Value = withoutDependencies(change.Put, change.Value)
 		}
 	}
 	return txn
@@ -96,7 +96,7 @@
 	if response, ok := result.Body.(*peer.Response); ok && response.Status != nil {
 		status := *response.Status
 		status.Quota = false
-		result.Body = &peer.Response{From: response.From, Status: &status, Answer: response.Answer, OK: response.OK}
+		result.Body = &peer.Response{From: response.From, Status: &status, JobResponse: response.JobResponse, OK: response.OK}
 	}
 	if r == ReleaseWithoutDependencies {
 		result.Body = downgradeState(result.Body)
--- a/internal/simulation/upgrade.go
+++ b/internal/simulation/upgrade.go
@@ -91,10 +91,10 @@
 // checkLimits checks that a controller writes nothing that the limits which it knows would refuse.
 func (n *node) checkLimits(txn wire.Txn) {
 	cfg := n.config()
-	if txn.Writes() > cfg.TxnOps || len(txn.If) > 4*cfg.TxnOps {
-		n.sim.violated("%s sends %d changes and %d conditions in a transaction", n.label, txn.Writes(), len(txn.If))
+	if txn.Writes() > cfg.TxnOps || len(txn.Conditions) > 4*cfg.TxnOps {
+		n.sim.violated("%s sends %d changes and %d conditions in a transaction", n.label, txn.Writes(), len(txn.Conditions))
 	}
-	for _, change := range txn.Then {
+	for _, change := range txn.Changes {
 		if change.Put != "" && wire.StoredSize(change.Value, cfg.ValueBytes) > cfg.ValueBytes {
 			n.sim.violated("%s writes a value of %d bytes to %s", n.label, len(change.Value), change.Put)
 		}
--- a/internal/wire/records.go
+++ b/internal/wire/records.go
@@ -84,9 +84,9 @@
 // Final reports whether the job is over.
 func (r JobRecord) Final() bool { return r.State == StateDone || r.State == StateCancelled }
 
-// Step is a finished task in a checkpoint: where it ran, and when, by the time of day of the
+// FinishedTask is a finished task in a checkpoint: where it ran, and when, by the time of day of the
 // controller that saw it.
-type Step struct {
+type FinishedTask struct {
 	Task    int    `cbor:"t"`
 	Machine string `cbor:"m"`
 	StartMS int64  `cbor:"s"`
@@ -96,11 +96,11 @@
 // CheckpointRecord is a state of a job to restart from, a Version of the paper ("Survivor").
 // The tasks that are done are in Ranges or, where that is shorter, in Set.
 type CheckpointRecord struct {
-	Ranges     []int    `cbor:"done"`            // [first, last, first, last, ...]
-	Set        []uint64 `cbor:"set,omitempty"`   // a bit for each task
-	Count      int      `cbor:"count"`           // of tasks that are done
-	Steps      []Step   `cbor:"steps,omitempty"` // the latest ones
-	Recoveries []int64  `cbor:"re,omitempty"`    // times of day in ms of the latest recoveries
+	Ranges     []int          `cbor:"done"`            // [first, last, first, last, ...]
+	Set        []uint64       `cbor:"set,omitempty"`   // a bit for each task
+	Count      int            `cbor:"count"`           // of tasks that are done
+	Steps      []FinishedTask `cbor:"steps,omitempty"` // the latest ones
+	Recoveries []int64        `cbor:"re,omitempty"`    // times of day in ms of the latest recoveries
 }
 
 // JobKey returns the key of a job's record.
@@ -131,7 +131,7 @@
 // maxKey is the longest key in bytes (protocol: "Controller nodes -> state service").
 const maxKey = 200
 
-// UsableKey reports whether the state service takes a key, and a path can hold it unescaped.
-func UsableKey(key string) bool {
+// ValidKey reports whether the state service takes a key, and a path can hold it unescaped.
+func ValidKey(key string) bool {
 	return key != "" && len(key) <= maxKey && !strings.ContainsAny(key, " ?#%\r\n\t")
 }
--- a/internal/wire/state.go
+++ b/internal/wire/state.go
@@ -33,12 +33,12 @@
 // Txn is an atomic transaction (protocol: "POST /multi"): all changes are made, with one
 // revision, if all conditions hold. Without changes it only compares.
 type Txn struct {
-	If   []Condition `cbor:"when"`
-	Then []Change    `cbor:"then"`
+	Conditions []Condition `cbor:"when"`
+	Changes    []Change    `cbor:"then"`
 }
 
 // Writes is the number of puts and deletes, which the state service limits.
-func (t Txn) Writes() int { return len(t.Then) }
+func (t Txn) Writes() int { return len(t.Changes) }
 
 // Revision is the answer to a transaction, with the keys whose condition failed, and to a
 // read of a key that does not exist.
@@ -54,7 +54,7 @@
 
 // Lease is a lease that was granted.
 type Lease struct {
-	Lease uint64 `cbor:"halter"`
+	ID uint64 `cbor:"halter"`
 }
 
 // Event is a change that a watch has seen: Put or Delete names the key.
--- a/internal/wire/workers.go
+++ b/internal/wire/workers.go
@@ -67,7 +67,7 @@
 // Redirect is the 421 answer to a heartbeat. Without ReportTo the worker tries the next
 // controller.
 type Redirect struct {
-	ReportTo string `cbor:"drover,omitempty"` // the label of a controller
+	Controller string `cbor:"drover,omitempty"` // the label of a controller
 }
 
 // DirectCommand carries commands outside an answer to a heartbeat (protocol: "POST /orders").
