--- a/internal/controller/authority.go
+++ b/internal/controller/authority.go
@@ -46,7 +46,7 @@
 		OwnerEpoch:       s.ownerEpoch,
 		HighestSeenEpoch: s.highestSeenEpoch,
 		JobsViewCurrent:  s.jobsViewCurrent,
-		JobsCompleteAsOf: o.jobWatch.completeAsOf,
+		JobsCompleteAsOf: o.jobWatch.CompleteAsOf,
 	}, o.bounds)
 }
 
--- a/internal/controller/authority_test.go
+++ b/internal/controller/authority_test.go
@@ -70,15 +70,15 @@
 		{"the last renewal too old", func(c *Controller, _ *shard) { renewedAt(c, c.now-c.bounds.CommandValidity) }, authority.Refuse(authority.ReasonLeaseTooOld)},
 		{"no lease", func(c *Controller, _ *shard) { c.ownership.lease.Lose() }, authority.Refuse(authority.ReasonLeaseTooOld)},
 		{"a view as old as it may be", func(c *Controller, s *shard) {
-			s.jobsViewCurrent, c.ownership.jobWatch.completeAsOf = false, c.now-c.bounds.StaleViewGrace+1
+			s.jobsViewCurrent, c.ownership.jobWatch.CompleteAsOf = false, c.now-c.bounds.StaleViewGrace+1
 		}, authority.Allow(authority.ReasonStaleViewWithinGrace)},
 		{"a view too old, claimed just now", func(c *Controller, s *shard) {
-			s.jobsViewCurrent, s.claimedAt, c.ownership.jobWatch.completeAsOf = false, c.now, c.now-c.bounds.StaleViewGrace
+			s.jobsViewCurrent, s.claimedAt, c.ownership.jobWatch.CompleteAsOf = false, c.now, c.now-c.bounds.StaleViewGrace
 		}, authority.Refuse(authority.ReasonStaleViewBeyondGrace)},
 		{"no view, claimed just now", func(c *Controller, s *shard) {
-			s.jobsViewCurrent, s.claimedAt, c.ownership.jobWatch.completeAsOf = false, c.now, -micros.Never
+			s.jobsViewCurrent, s.claimedAt, c.ownership.jobWatch.CompleteAsOf = false, c.now, -micros.Never
 		}, authority.Refuse(authority.ReasonStaleViewBeyondGrace)},
-		{"an old view that was brought up to the claim", func(c *Controller, _ *shard) { c.ownership.jobWatch.completeAsOf = -micros.Never }, authority.Allow(authority.ReasonCurrentView)},
+		{"an old view that was brought up to the claim", func(c *Controller, _ *shard) { c.ownership.jobWatch.CompleteAsOf = -micros.Never }, authority.Allow(authority.ReasonCurrentView)},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := meet(t, withPeer)
--- a/internal/controller/cancellation_cascade_test.go
+++ b/internal/controller/cancellation_cascade_test.go
@@ -325,7 +325,7 @@
 	}
 	for h.c.hasSpareRequests() {
 		for range 50 {
-			h.c.askState(statestore.ClassFleet, GetKey{Key: "x"}, sec, func(statestore.Reply) {})
+			h.c.askState(statestore.ClassFleet, statestore.GetKey{Key: "x"}, sec, func(statestore.Reply) {})
 		}
 		h.step(Tick{})
 	}
--- a/internal/controller/checkpoint_recovery.go
+++ b/internal/controller/checkpoint_recovery.go
@@ -35,7 +35,7 @@
 func (c *Controller) listCheckpoints(s *shard, l *checkpointListing) {
 	ownerEpoch := s.ownerEpoch
 	s.loadingCheckpoints = true
-	list := ListKeys{Prefix: wire.PrefixCheckpoint, After: l.after, Limit: checkpointsPerPage}
+	list := statestore.ListKeys{Prefix: wire.PrefixCheckpoint, After: l.after, Limit: checkpointsPerPage}
 	c.askState(statestore.ClassEnd, list, checkpointListTimeout, func(r statestore.Reply) {
 		if !s.owned() || s.ownerEpoch != ownerEpoch {
 			return
--- a/internal/controller/checkpoints.go
+++ b/internal/controller/checkpoints.go
@@ -164,7 +164,7 @@
 
 // readCheckpointRevision reads the revision at which a job's checkpoint stands.
 func (c *Controller) readCheckpointRevision(j *job, r *run) {
-	get := GetKey{Key: wire.CheckpointKey(j.id)}
+	get := statestore.GetKey{Key: wire.CheckpointKey(j.id)}
 	c.askState(statestore.ClassCheckpoint, get, checkpointReadTimeout, func(res statestore.Reply) {
 		if j.run != r {
 			return
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -79,7 +79,7 @@
 	c.initTeams()
 	c.commandQueue.maxInFlight = max(cfg.MaxWorkerRequests, minWorkerRequests)
 	c.ownership.init(cfg.Shards, cfg.Lease)
-	c.ownership.controlWatch.interval = c.watchInterval(controlWatchInterval, controlWatchFraction)
+	c.ownership.controlWatch.Interval = c.watchInterval(controlWatchInterval, controlWatchFraction)
 	c.jobs.init(cfg.MaxFinalJobs)
 	c.cascade.init()
 	c.fleet.init(cfg)
--- a/internal/controller/decision_log.go
+++ b/internal/controller/decision_log.go
@@ -57,8 +57,8 @@
 		"may_command", decision.Allowed,
 		"reason", decision.Reason.String(),
 		"before", before.String(),
-		"jobs_revision", jobsView.since,
-		"jobs_age_ms", (c.now - jobsView.completeAsOf).Millis(),
+		"jobs_revision", jobsView.Since,
+		"jobs_age_ms", (c.now - jobsView.CompleteAsOf).Millis(),
 		"renewed_ms", (c.now - c.ownership.lease.RenewedAt()).Millis())
 }
 
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -188,7 +188,7 @@
 	}
 	watch := &c.ownership.jobWatch
 	maxAge := min(maxBlockedViewAge, c.cfg.Cancel/2)
-	if !watch.ready() || c.now-watch.completeAsOf > maxAge {
+	if !watch.Ready() || c.now-watch.CompleteAsOf > maxAge {
 		return false
 	}
 	return c.jobs.knowsAllNeeded(j)
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -7,6 +7,7 @@
 	"testing"
 
 	"garnethitch/internal/controller/fleet"
+	"garnethitch/internal/controller/statestore"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/peer"
 	"garnethitch/internal/wire"
@@ -544,7 +545,7 @@
 			h.watchBlocked = wire.PrefixJob
 			h.run(7 * sec)
 			for i, w := range h.watches {
-				if w.Req.(Watch).Prefix == wire.PrefixJob {
+				if w.Req.(statestore.WatchKeys).Prefix == wire.PrefixJob {
 					h.watches = slices.Delete(h.watches, i, i+1)
 					h.step(Result{ID: w.ID, Status: 200, Body: &wire.Events{Revision: h.rev}})
 					break
@@ -554,8 +555,8 @@
 		}},
 		{"it is listing anew", func(h *harness) {
 			h.watchBlocked = wire.PrefixJob
-			h.c.ownership.jobWatch.listAgain()
-			h.c.ownership.jobWatch.inFlight = true
+			h.c.ownership.jobWatch.ListAgain()
+			h.c.ownership.jobWatch.InFlight = true
 		}},
 		{"the dependency's end is not in memory", func(h *harness) {
 			h.c.jobs.unknown["job-000001"] = micros.Never
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -6,6 +6,7 @@
 	"strings"
 	"testing"
 
+	"garnethitch/internal/controller/statestore"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/peer"
 	"garnethitch/internal/wire"
@@ -102,7 +103,7 @@
 	}
 	for i := 0; i < len(h.watches); i++ {
 		w := h.watches[i]
-		req := w.Req.(Watch)
+		req := w.Req.(statestore.WatchKeys)
 		if req.Prefix == h.watchBlocked {
 			continue
 		}
@@ -170,7 +171,7 @@
 }
 
 func (h *harness) callState(c Call) {
-	if _, isWatch := c.Req.(Watch); isWatch {
+	if _, isWatch := c.Req.(statestore.WatchKeys); isWatch {
 		h.watches = append(h.watches, c)
 		return
 	}
@@ -186,9 +187,9 @@
 	case wire.NewLease:
 		h.rev++
 		h.result(c, 200, &wire.Lease{ID: h.rev})
-	case RenewLease:
+	case statestore.RenewLease:
 		h.result(c, 200, nil)
-	case GetKey:
+	case statestore.GetKey:
 		h.reads++
 		if h.unreadablePrefix != "" && strings.HasPrefix(r.Key, h.unreadablePrefix) {
 			h.result(c, 429, nil)
@@ -199,7 +200,7 @@
 		} else {
 			h.result(c, 404, nil)
 		}
-	case ListKeys:
+	case statestore.ListKeys:
 		if h.unlistablePrefix != "" && strings.HasPrefix(r.Prefix, h.unlistablePrefix) {
 			h.result(c, 429, nil)
 			return
--- a/internal/controller/inventory.go
+++ b/internal/controller/inventory.go
@@ -90,7 +90,7 @@
 // typesDue reports whether this controller is to ask the cloud for the machine types.
 func (c *Controller) typesDue() bool {
 	if len(c.types) == 0 {
-		return c.ownership.controlWatch.ready() && c.now >= c.fleet.typesAt+firstTypesInterval
+		return c.ownership.controlWatch.Ready() && c.now >= c.fleet.typesAt+firstTypesInterval
 	}
 	return c.ownership.leading() && c.now >= c.fleet.typesAt+typesInterval
 }
--- a/internal/controller/job_reads_test.go
+++ b/internal/controller/job_reads_test.go
@@ -105,7 +105,7 @@
 	h := meet(t, fewRequests)
 	for class := statestore.ClassAccept; class < statestore.ClassCount; class++ {
 		for range 100 {
-			h.c.askState(class, GetKey{Key: "x"}, 5*sec, func(statestore.Reply) {})
+			h.c.askState(class, statestore.GetKey{Key: "x"}, 5*sec, func(statestore.Reply) {})
 		}
 	}
 	s := h.c.ownership.shards[0]
@@ -178,7 +178,7 @@
 	h.held = nil
 	found := false
 	for _, c := range held {
-		if _, ok := c.Req.(GetKey); !ok || found {
+		if _, ok := c.Req.(statestore.GetKey); !ok || found {
 			h.call(c)
 			continue
 		}
@@ -222,9 +222,9 @@
 		reads, renewals := 0, 0
 		for _, c := range h.held {
 			switch c.Req.(type) {
-			case GetKey:
+			case statestore.GetKey:
 				reads++
-			case RenewLease:
+			case statestore.RenewLease:
 				renewals++
 			}
 		}
--- a/internal/controller/job_status.go
+++ b/internal/controller/job_status.go
@@ -115,7 +115,7 @@
 
 // readJob reads a job's record on behalf of other work. For users there is readForUser.
 func (c *Controller) readJob(class statestore.Class, id string, done func(statestore.Lookup)) {
-	c.askState(class, GetKey{Key: wire.JobKey(id)}, statestore.ReadTimeout, func(r statestore.Reply) { done(c.learnRead(r)) })
+	c.askState(class, statestore.GetKey{Key: wire.JobKey(id)}, statestore.ReadTimeout, func(r statestore.Reply) { done(c.learnRead(r)) })
 }
 
 // learnRead takes what the read of a job's record brought.
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -5,6 +5,7 @@
 	"net/http"
 	"slices"
 
+	"garnethitch/internal/controller/statestore"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/peer"
 	"garnethitch/internal/wire"
@@ -64,7 +65,7 @@
 // longer current. The watch has passed it, so that the job was known and has ended since, and
 // its end has left memory. A late read, hint or answer must not bring such a job back.
 func (o *ownershipState) outdated(modRevision uint64) bool {
-	return modRevision <= o.jobWatch.since
+	return modRevision <= o.jobWatch.Since
 }
 
 // newJob returns the job of a record, or nil if this node can't use the record.
@@ -232,15 +233,15 @@
 // adjustJobWatch sets the pace of the watch of jobs: blocked jobs depend on it.
 func (o *ownershipState) adjustJobWatch(survey openJobsSurvey) {
 	watch := &o.jobWatch
-	watch.blockTimeout = watchTimeout
+	watch.BlockTimeout = statestore.WatchTimeout
 	if survey.blocked {
-		watch.blockTimeout = blockedWatchTimeout
+		watch.BlockTimeout = blockedWatchTimeout
 	}
 	interval := jobWatchInterval
 	if survey.ownBlocked {
 		interval = blockedWatchInterval
 	}
-	watch.interval = o.watchInterval(interval, jobWatchFraction)
+	watch.Interval = o.watchInterval(interval, jobWatchFraction)
 }
 
 // maintainJob does what is due for a job of this node.
--- a/internal/controller/lease.go
+++ b/internal/controller/lease.go
@@ -52,7 +52,7 @@
 	id := lease.ID()
 	sentAt := c.now
 	lease.SendRenewal(c.now)
-	c.askState(statestore.ClassLease, RenewLease{Lease: id}, lease.Duration(), func(r statestore.Reply) {
+	c.askState(statestore.ClassLease, statestore.RenewLease{Lease: id}, lease.Duration(), func(r statestore.Reply) {
 		if !lease.EndRenewal(id) {
 			return
 		}
--- a/internal/controller/maintenance.go
+++ b/internal/controller/maintenance.go
@@ -69,7 +69,7 @@
 // viewComplete reports whether this controller has a lease, has listed all keys that it watches,
 // and knows a leader.
 func (o *ownershipState) viewComplete() bool {
-	return o.lease.Held() && o.controlWatch.ready() && o.jobWatch.ready() && o.leader.ownerEpoch != 0
+	return o.lease.Held() && o.controlWatch.Ready() && o.jobWatch.Ready() && o.leader.ownerEpoch != 0
 }
 
 // recovered reports whether a new owner of the shard has all that it needs of its predecessor.
--- a/internal/controller/ownership.go
+++ b/internal/controller/ownership.go
@@ -5,6 +5,7 @@
 
 	"garnethitch/internal/controller/estimate"
 	"garnethitch/internal/controller/ownership"
+	"garnethitch/internal/controller/statestore"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/wire"
 )
@@ -80,8 +81,8 @@
 	shards           []*shard
 	leader           lock
 	steppedDownEpoch uint64 // epoch of this node's leader key that is being released
-	controlWatch     watch
-	jobWatch         watch
+	controlWatch     statestore.Watch
+	jobWatch         statestore.Watch
 	releasedAt       micros.Micros // when a shard was last released to its preferred owner
 }
 
@@ -91,8 +92,8 @@
 		o.shards = append(o.shards, &shard{id: id, lock: lock{key: ownerKey(id)}})
 	}
 	o.leader.key = wire.KeyLeader
-	o.controlWatch = newWatch(wire.PrefixControl, controlWatchInterval)
-	o.jobWatch = newWatch(wire.PrefixJob, jobWatchInterval)
+	o.controlWatch = statestore.NewWatch(wire.PrefixControl, controlWatchInterval)
+	o.jobWatch = statestore.NewWatch(wire.PrefixJob, jobWatchInterval)
 	o.lastStateReplyAt = -micros.Never
 }
 
@@ -140,7 +141,7 @@
 	c.maintainLease()
 	c.followAll()
 	c.ownership.releaseLocks()
-	if !o.controlWatch.ready() || !c.ownership.leaseValid() {
+	if !o.controlWatch.Ready() || !c.ownership.leaseValid() {
 		return
 	}
 	for _, s := range o.shards {
--- a/internal/controller/ownership_test.go
+++ b/internal/controller/ownership_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"garnethitch/internal/controller/ownership"
+	"garnethitch/internal/controller/statestore"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/peer"
 	"garnethitch/internal/wire"
@@ -217,7 +218,7 @@
 		h.now += 20 * ms
 		for _, e := range h.c.Step(Instant{Steady: h.now, Wall: h.now}, Tick{}) {
 			if call, ok := e.(Call); ok {
-				if _, renew := call.Req.(RenewLease); renew {
+				if _, renew := call.Req.(statestore.RenewLease); renew {
 					sent, at = append(sent, call), append(at, h.now)
 				} else if call.To != ToWorker {
 					h.call(call)
--- a/internal/controller/quota.go
+++ b/internal/controller/quota.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"garnethitch/internal/controller/statestore"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/wire"
 	"garnethitch/quota"
@@ -28,7 +29,7 @@
 	*stepContext
 	tree   *quota.Tree   // this controller's options; nil: none
 	ledger *quota.Ledger // nil: there are no groups
-	watch  watch
+	watch  statestore.Watch
 	// paths are each team's groups, the innermost first, members each group's teams; both by
 	// the records.
 	paths   [][]string
@@ -54,7 +55,7 @@
 		return
 	}
 	q.ledger = quota.NewLedger(quota.Config{Shards: c.cfg.Shards, Timing: quota.DefaultTiming()})
-	q.watch = newWatch(wire.PrefixQuota, c.watchInterval(controlWatchInterval, quotaWatchFraction))
+	q.watch = statestore.NewWatch(wire.PrefixQuota, c.watchInterval(controlWatchInterval, quotaWatchFraction))
 	q.paths = make([][]string, len(c.cfg.Teams))
 	q.members = map[string][]int{}
 	q.tracer = quotaTracer{own: map[traceKey]openTrace{}, remote: map[traceKey]openTrace{}}
--- a/internal/controller/quota_records.go
+++ b/internal/controller/quota_records.go
@@ -55,7 +55,7 @@
 // refreshQuota reads all records anew for a shard that was claimed at ownerEpoch, page by page,
 // from those after a key on.
 func (c *Controller) refreshQuota(s *shard, ownerEpoch uint64, after string) {
-	request := ListKeys{Prefix: wire.PrefixQuota, After: after, Limit: quotaPageSize}
+	request := statestore.ListKeys{Prefix: wire.PrefixQuota, After: after, Limit: quotaPageSize}
 	c.askState(statestore.ClassLease, request, c.cfg.Lease, func(r statestore.Reply) {
 		if !s.owned() || s.ownerEpoch != ownerEpoch {
 			return
@@ -92,7 +92,7 @@
 
 // readQuota reads a group's record anew, and again with the next usage if that fails.
 func (c *Controller) readQuota(group string) {
-	c.askState(statestore.ClassFleet, GetKey{Key: wire.QuotaKey(group)}, quotaTimeout, func(r statestore.Reply) {
+	c.askState(statestore.ClassFleet, statestore.GetKey{Key: wire.QuotaKey(group)}, quotaTimeout, func(r statestore.Reply) {
 		switch kv, ok := r.Body.(*wire.KeyValue); {
 		case r.Status == http.StatusNotFound:
 		case ok && r.Status == http.StatusOK:
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -5,6 +5,7 @@
 	"strings"
 	"testing"
 
+	"garnethitch/internal/controller/statestore"
 	"garnethitch/internal/peer"
 	"garnethitch/internal/wire"
 	"garnethitch/quota"
@@ -124,7 +125,7 @@
 		t.Errorf("without the option: %q", resp.Problem)
 	}
 	for _, w := range off.watches {
-		if w.Req.(Watch).Prefix == wire.PrefixQuota {
+		if w.Req.(statestore.WatchKeys).Prefix == wire.PrefixQuota {
 			t.Error("without the option, groups are watched")
 		}
 	}
--- a/internal/controller/shard_recovery.go
+++ b/internal/controller/shard_recovery.go
@@ -111,14 +111,14 @@
 // long poll may have hung on a broken connection for long.
 func (c *Controller) refreshJobsView(s *shard) {
 	w := &c.ownership.jobWatch
-	if !w.ready() || s.refreshingJobsView {
+	if !w.Ready() || s.refreshingJobsView {
 		return // the listing in progress comes first; maintainMachines asks again
 	}
 	s.refreshingJobsView = true
 	ownerEpoch := s.ownerEpoch
 	sentAt := c.now
 	// Where the state service is slow, what lets renewals through lets this through.
-	c.askState(statestore.ClassLease, Watch{Prefix: w.prefix, Since: w.since}, c.cfg.Lease, func(r statestore.Reply) {
+	c.askState(statestore.ClassLease, statestore.WatchKeys{Prefix: w.Prefix, Since: w.Since}, c.cfg.Lease, func(r statestore.Reply) {
 		if s.owned() && s.ownerEpoch == ownerEpoch {
 			c.applyJobsRefresh(s, r, sentAt)
 		}
@@ -130,15 +130,15 @@
 func (c *Controller) applyJobsRefresh(s *shard, r statestore.Reply, sentAt micros.Micros) {
 	s.refreshingJobsView = false
 	w := &c.ownership.jobWatch
-	if mustListAgain(r.Status) {
-		w.listAgain()
+	if statestore.MustListAgain(r.Status) {
+		w.ListAgain()
 	}
 	events, ok := r.Body.(*wire.Events)
 	if !ok || r.Status != http.StatusOK || events.Revision < s.ownerEpoch {
 		return
 	}
 	c.applyEvents(events.Events)
-	w.completeAsOf = max(w.completeAsOf, sentAt)
+	w.CompleteAsOf = max(w.CompleteAsOf, sentAt)
 	s.jobsViewCurrent = true
 	c.schedulingDue = true
 }
--- a/internal/controller/state_requests.go
+++ b/internal/controller/state_requests.go
@@ -11,7 +11,7 @@
 	return statestore.NewReads(statestore.ReadsConfig{
 		Queue:      c.stateQueue,
 		MaxRecords: c.cfg.MaxOpenJobs,
-		NewRequest: func(id string) any { return GetKey{Key: wire.JobKey(id)} },
+		NewRequest: func(id string) any { return statestore.GetKey{Key: wire.JobKey(id)} },
 		Learn:      c.learnRead,
 		Defer:      c.later,
 	})
--- a/internal/controller/submission.go
+++ b/internal/controller/submission.go
@@ -39,7 +39,7 @@
 		c.findJobState(id, func(a peer.JobResponse) { c.answerJobStatus(in.Reply, id, a) })
 		return
 	}
-	if len(c.types) == 0 || !c.ownership.jobWatch.ready() {
+	if len(c.types) == 0 || !c.ownership.jobWatch.Ready() {
 		c.answer(in.Reply, http.StatusServiceUnavailable, nil, retrySoon)
 		return
 	}
--- a/internal/controller/unknown_jobs.go
+++ b/internal/controller/unknown_jobs.go
@@ -26,8 +26,8 @@
 	}, authority.JobsView{
 		Current:      s.jobsViewCurrent,
 		OwnerEpoch:   s.ownerEpoch,
-		Revision:     jobsView.since,
-		CompleteAsOf: jobsView.completeAsOf,
+		Revision:     jobsView.Since,
+		CompleteAsOf: jobsView.CompleteAsOf,
 	}, c.bounds)
 }
 
@@ -59,8 +59,8 @@
 		"machine", m.id,
 		"start_epoch", epochOfAttempt(attempt),
 		"epoch", s.ownerEpoch,
-		"jobs_revision", jobsView.since,
-		"jobs_age_ms", (c.now - jobsView.completeAsOf).Millis())
+		"jobs_revision", jobsView.Since,
+		"jobs_age_ms", (c.now - jobsView.CompleteAsOf).Millis())
 }
 
 // holdsTaskOfUnknownJob reports whether a reconciled machine holds a task of a job that may have
--- a/internal/controller/unknown_jobs_test.go
+++ b/internal/controller/unknown_jobs_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"testing"
 
+	"garnethitch/internal/controller/statestore"
 	"garnethitch/internal/wire"
 )
 
@@ -177,7 +178,7 @@
 	if got := heartbeat(20); got != 200 {
 		t.Errorf("answered %d at first, want 200", got)
 	}
-	h.run(h.c.ownership.jobWatch.completeAsOf + h.c.bounds.StaleViewGrace - h.now)
+	h.run(h.c.ownership.jobWatch.CompleteAsOf + h.c.bounds.StaleViewGrace - h.now)
 	if got := heartbeat(21); got == 200 {
 		t.Error("its machine's lease is renewed beyond the bound")
 	}
@@ -208,7 +209,7 @@
 	}
 	reads := 0
 	for _, c := range held {
-		if get, ok := c.Req.(GetKey); ok && get.Key == recorded.Key {
+		if get, ok := c.Req.(statestore.GetKey); ok && get.Key == recorded.Key {
 			reads++
 			h.result(c, 200, &recorded)
 		} else {
--- a/internal/controller/watch_test.go
+++ b/internal/controller/watch_test.go
@@ -4,7 +4,6 @@
 	"testing"
 
 	"garnethitch/internal/controller/statestore"
-	"garnethitch/internal/micros"
 	"garnethitch/internal/wire"
 )
 
@@ -46,7 +45,7 @@
 	if !s.owned() || s.jobsViewCurrent {
 		t.Fatalf("%v, current %v: the case is not what it should be", s.ownership, s.jobsViewCurrent)
 	}
-	complete := h.c.ownership.jobWatch.completeAsOf
+	complete := h.c.ownership.jobWatch.CompleteAsOf
 	for seq := uint64(20); h.now < complete+h.c.bounds.StaleViewGrace+4*sec; seq++ { // it can renew all the time
 		h.run(sec / 2)
 		status, body := h.heartbeat(heartbeatFrom("vm-1", 1, seq, fencingToken))
@@ -62,52 +61,6 @@
 	}
 }
 
-// A watch lists its keys page by page, follows changes from the revision of the first page on, and
-// is complete as of when its requests were made, not answered.
-func TestWatchPhases(t *testing.T) {
-	w := newWatch("p/", sec)
-	page := func(at micros.Micros, after string, revision uint64, keys ...string) {
-		t.Helper()
-		body, timeout := w.nextRequest(at)
-		if want := (ListKeys{Prefix: "p/", After: after, Limit: keysPerPage}); body != want || timeout != listTimeout {
-			t.Errorf("request %+v with timeout %v, want %+v", body, timeout, want)
-		}
-		answer := &wire.KeyList{Revision: revision}
-		for _, key := range keys {
-			answer.Items = append(answer.Items, wire.KeyValue{Key: key})
-		}
-		w.takePage(answer)
-		if wait := w.untilNext(at); wait > 0 {
-			t.Errorf("the request after a page waits for %v", wait)
-		}
-	}
-	page(10*sec, "", 5, "p/a", "p/b")
-	if w.ready() {
-		t.Error("ready after the first page")
-	}
-	page(11*sec, "p/b", 8, "p/c")
-	w.finishListing()
-	if !w.ready() || w.completeAsOf != 10*sec {
-		t.Errorf("phase %v, complete as of %v, want following, as of the first page", w.phase, w.completeAsOf)
-	}
-	body, timeout := w.nextRequest(12 * sec)
-	if want := (Watch{Prefix: "p/", Since: 5, WaitMS: watchTimeout.Millis()}); body != want || timeout <= watchTimeout {
-		t.Errorf("request %+v with timeout %v, want %+v and a longer timeout", body, timeout, want)
-	}
-	w.takeChanges(9)
-	if w.since != 9 || w.completeAsOf != 12*sec {
-		t.Errorf("changes since %d, complete as of %v, want 9 and 12 s", w.since, w.completeAsOf)
-	}
-	w.nextRequest(13 * sec)
-	if w.takeFailure(20*sec, 0); !w.ready() || w.untilNext(20*sec) != sec {
-		t.Errorf("phase %v, next request in %v, want following after a pause of 1 s", w.phase, w.untilNext(20*sec))
-	}
-	if w.takeFailure(21*sec, TooLarge); w.ready() {
-		t.Error("not listed anew after an answer that is too large")
-	}
-	page(22*sec, "", 11)
-}
-
 // A watch whose answer is too large, or whose changes are no longer kept, leads to a fresh
 // listing, not to the same request for ever.
 func TestWatchMustListAgain(t *testing.T) {
@@ -120,7 +73,7 @@
 			t.Fatal("known without the watch")
 		}
 		for i, w := range h.watches {
-			if w.Req.(Watch).Prefix == wire.PrefixJob {
+			if w.Req.(statestore.WatchKeys).Prefix == wire.PrefixJob {
 				h.watches = append(h.watches[:i], h.watches[i+1:]...)
 				h.step(Result{ID: w.ID, Status: status})
 				break
--- a/internal/fakes/server.go
+++ b/internal/fakes/server.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"garnethitch/internal/controller"
+	"garnethitch/internal/controller/statestore"
 	"garnethitch/internal/wire"
 )
 
@@ -91,18 +92,18 @@
 	switch service {
 	case "keys":
 		if rest != "" {
-			return controller.GetKey{Key: rest}, true
+			return statestore.GetKey{Key: rest}, true
 		}
-		return controller.ListKeys{Prefix: query.Get("starts"), After: query.Get("since"), Limit: int(number(query.Get("most")))}, true
+		return statestore.ListKeys{Prefix: query.Get("starts"), After: query.Get("since"), Limit: int(number(query.Get("most")))}, true
 	case "watch":
-		return controller.Watch{Prefix: query.Get("starts"), Since: number(query.Get("since")), WaitMS: int64(number(query.Get("blockMs")))}, true
+		return statestore.WatchKeys{Prefix: query.Get("starts"), Since: number(query.Get("since")), WaitMS: int64(number(query.Get("blockMs")))}, true
 	case "multi":
 		var txn wire.Txn
 		err := wire.Decode(body, &txn)
 		return txn, err == nil
 	case "grants":
 		if id, renewal := strings.CutSuffix(rest, "/extend"); renewal {
-			return controller.RenewLease{Lease: number(id)}, true
+			return statestore.RenewLease{Lease: number(id)}, true
 		}
 		var lease wire.NewLease
 		err := wire.Decode(body, &lease)
--- a/internal/fakes/server_test.go
+++ b/internal/fakes/server_test.go
@@ -7,6 +7,7 @@
 	"testing"
 
 	"garnethitch/internal/controller"
+	"garnethitch/internal/controller/statestore"
 	"garnethitch/internal/runtime"
 	"garnethitch/internal/wire"
 )
@@ -34,13 +35,13 @@
 		status  int
 	}{
 		{"new lease", controller.ToState, wire.NewLease{TTLMS: 1000}, 200},
-		{"renewed lease", controller.ToState, controller.RenewLease{Lease: 1}, 200},
-		{"unknown lease", controller.ToState, controller.RenewLease{Lease: 2}, 404},
+		{"renewed lease", controller.ToState, statestore.RenewLease{Lease: 1}, 200},
+		{"unknown lease", controller.ToState, statestore.RenewLease{Lease: 2}, 404},
 		{"transaction", controller.ToState, put(t, "ctl/a", 1), 200},
-		{"key", controller.ToState, controller.GetKey{Key: "ctl/a"}, 200},
-		{"missing key", controller.ToState, controller.GetKey{Key: "ctl/b"}, 404},
-		{"keys", controller.ToState, controller.ListKeys{Prefix: "ctl/", Limit: 10}, 200},
-		{"watch", controller.ToState, controller.Watch{Prefix: "ctl/", WaitMS: 1000}, 200},
+		{"key", controller.ToState, statestore.GetKey{Key: "ctl/a"}, 200},
+		{"missing key", controller.ToState, statestore.GetKey{Key: "ctl/b"}, 404},
+		{"keys", controller.ToState, statestore.ListKeys{Prefix: "ctl/", Limit: 10}, 200},
+		{"watch", controller.ToState, statestore.WatchKeys{Prefix: "ctl/", WaitMS: 1000}, 200},
 		{"machine types", controller.ToCloud, controller.GetTypes{}, 200},
 		{"rental", controller.ToCloud, wire.Rental{Request: "r", Type: "small", Zone: "east", Count: 1}, 503},
 	} {
--- a/internal/fakes/state.go
+++ b/internal/fakes/state.go
@@ -6,7 +6,7 @@
 	"slices"
 	"strings"
 
-	"garnethitch/internal/controller"
+	"garnethitch/internal/controller/statestore"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/wire"
 )
@@ -53,7 +53,7 @@
 }
 
 type pendingWatch struct {
-	watch controller.Watch
+	watch statestore.WatchKeys
 	reply Reply
 	done  bool
 }
@@ -122,24 +122,24 @@
 		return
 	}
 	switch r := request.(type) {
-	case controller.GetKey:
+	case statestore.GetKey:
 		s.getKey(r, reply)
-	case controller.ListKeys:
+	case statestore.ListKeys:
 		s.listKeys(r, reply)
 	case wire.NewLease:
 		s.createLease(r, reply)
-	case controller.RenewLease:
+	case statestore.RenewLease:
 		s.renewLease(r, reply)
 	case wire.Txn:
 		s.commit(r, reply)
-	case controller.Watch:
+	case statestore.WatchKeys:
 		s.watch(r, reply)
 	}
 }
 
 func (s *State) unavailable() bool { return s.scheduler.Now() < s.outageUntil }
 
-func (s *State) getKey(request controller.GetKey, reply Reply) {
+func (s *State) getKey(request statestore.GetKey, reply Reply) {
 	stored := s.keys[request.Key]
 	if stored == nil {
 		reply.status(http.StatusNotFound)
@@ -152,7 +152,7 @@
 	return &wire.KeyValue{Key: key, Value: k.value, ModRevision: k.modRevision}
 }
 
-func (s *State) listKeys(request controller.ListKeys, reply Reply) {
+func (s *State) listKeys(request statestore.ListKeys, reply Reply) {
 	page := &wire.KeyList{Revision: s.revision}
 	for _, key := range s.sortedKeys() {
 		if !strings.HasPrefix(key, request.Prefix) || key <= request.After {
@@ -178,7 +178,7 @@
 	reply.body(http.StatusOK, &wire.Lease{ID: s.nextLease})
 }
 
-func (s *State) renewLease(request controller.RenewLease, reply Reply) {
+func (s *State) renewLease(request statestore.RenewLease, reply Reply) {
 	l := s.leases[request.Lease]
 	if l == nil {
 		reply.status(http.StatusNotFound)
@@ -289,7 +289,7 @@
 
 // watch answers with the events after a revision, as soon as there are some, or without any
 // once the request's time is over.
-func (s *State) watch(request controller.Watch, reply Reply) {
+func (s *State) watch(request statestore.WatchKeys, reply Reply) {
 	w := &pendingWatch{watch: request, reply: reply}
 	if s.deliver(w) {
 		return
--- a/internal/fakes/state_test.go
+++ b/internal/fakes/state_test.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"testing"
 
-	"garnethitch/internal/controller"
+	"garnethitch/internal/controller/statestore"
 	"garnethitch/internal/wire"
 )
 
@@ -66,30 +66,30 @@
 	txn.Changes[0].Lease = lease
 	mustAnswer(t, state, txn, 200)
 	clock.advance(900 * millisecond)
-	mustAnswer(t, state, controller.RenewLease{Lease: lease}, 200)
+	mustAnswer(t, state, statestore.RenewLease{Lease: lease}, 200)
 	clock.advance(900 * millisecond)
-	mustAnswer(t, state, controller.GetKey{Key: "a"}, 200)
+	mustAnswer(t, state, statestore.GetKey{Key: "a"}, 200)
 
 	state.SetOutage(clock.Now() + 5*second)
 	clock.advance(4 * second)
-	mustAnswer(t, state, controller.GetKey{Key: "a"}, 503)
+	mustAnswer(t, state, statestore.GetKey{Key: "a"}, 503)
 	clock.advance(1900 * millisecond) // the lease lasts its full time after the outage
-	mustAnswer(t, state, controller.GetKey{Key: "a"}, 200)
+	mustAnswer(t, state, statestore.GetKey{Key: "a"}, 200)
 
 	clock.advance(200 * millisecond)
-	mustAnswer(t, state, controller.GetKey{Key: "a"}, 404)
-	mustAnswer(t, state, controller.RenewLease{Lease: lease}, 404)
+	mustAnswer(t, state, statestore.GetKey{Key: "a"}, 404)
+	mustAnswer(t, state, statestore.RenewLease{Lease: lease}, 404)
 }
 
 func TestStateWatch(t *testing.T) {
 	clock, state := newTestState()
 	mustAnswer(t, state, put(t, "a/1", 1), 200)
-	past := mustAnswer(t, state, controller.Watch{Prefix: "a/", WaitMS: 1000}, 200).(*wire.Events)
+	past := mustAnswer(t, state, statestore.WatchKeys{Prefix: "a/", WaitMS: 1000}, 200).(*wire.Events)
 	if len(past.Events) != 1 || past.Events[0].Put != "a/1" {
 		t.Errorf("events %+v, want that of a/1", past.Events)
 	}
 
-	waiting := send(state, controller.Watch{Prefix: "a/", Since: 1, WaitMS: 1000})
+	waiting := send(state, statestore.WatchKeys{Prefix: "a/", Since: 1, WaitMS: 1000})
 	mustAnswer(t, state, put(t, "b/1", 1), 200)
 	if waiting() != nil {
 		t.Fatal("a watch is answered with another prefix's event")
@@ -103,7 +103,7 @@
 		t.Errorf("events %+v, want the deletion of a/1", events)
 	}
 
-	idle := send(state, controller.Watch{Prefix: "a/", Since: state.Revision(), WaitMS: 1000})
+	idle := send(state, statestore.WatchKeys{Prefix: "a/", Since: state.Revision(), WaitMS: 1000})
 	clock.advance(second)
 	answer = idle()
 	if answer == nil || len(answer.Body.(*wire.Events).Events) != 0 {
@@ -120,7 +120,7 @@
 	mustAnswer(t, state, put(t, "b/1", 1), 200)
 	after, got, pages := "", 0, 0
 	for more := true; more; pages++ {
-		page := mustAnswer(t, state, controller.ListKeys{Prefix: "a/", After: after, Limit: 100}, 200).(*wire.KeyList)
+		page := mustAnswer(t, state, statestore.ListKeys{Prefix: "a/", After: after, Limit: 100}, 200).(*wire.KeyList)
 		got += len(page.Items)
 		after = page.Items[len(page.Items)-1].Key
 		more = page.More
--- a/internal/runtime/answers.go
+++ b/internal/runtime/answers.go
@@ -5,6 +5,7 @@
 	"slices"
 
 	"garnethitch/internal/controller"
+	"garnethitch/internal/controller/statestore"
 	"garnethitch/internal/http1"
 	"garnethitch/internal/peer"
 	"garnethitch/internal/wire"
@@ -44,11 +45,11 @@
 		return decodeBody[wire.Revision](msg, http.StatusOK, http.StatusConflict)
 	case wire.NewLease:
 		return decodeBody[wire.Lease](msg, http.StatusOK)
-	case controller.GetKey:
+	case statestore.GetKey:
 		return decodeBody[wire.KeyValue](msg, http.StatusOK)
-	case controller.ListKeys:
+	case statestore.ListKeys:
 		return decodeBody[wire.KeyList](msg, http.StatusOK)
-	case controller.Watch:
+	case statestore.WatchKeys:
 		return decodeBody[wire.Events](msg, http.StatusOK)
 
 	// From the cloud.
--- a/internal/runtime/answers_test.go
+++ b/internal/runtime/answers_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"garnethitch/internal/controller"
+	"garnethitch/internal/controller/statestore"
 	"garnethitch/internal/http1"
 	"garnethitch/internal/peer"
 	"garnethitch/internal/wire"
@@ -29,12 +30,12 @@
 		{"transaction, rejected", wire.Txn{}, 400, "text", nil, false},
 		{"transaction, not readable", wire.Txn{}, 200, "text", nil, true},
 		{"new lease", wire.NewLease{}, 200, wire.Lease{ID: 7}, &wire.Lease{ID: 7}, false},
-		{"lease renewed", controller.RenewLease{}, 200, "text", nil, false},
-		{"key", controller.GetKey{}, 200, wire.KeyValue{Key: "a", Value: null}, &wire.KeyValue{Key: "a", Value: null}, false},
-		{"no such key", controller.GetKey{}, 404, wire.Revision{Revision: 4}, nil, false},
-		{"keys", controller.ListKeys{}, 200, wire.KeyList{More: true}, &wire.KeyList{More: true}, false},
-		{"watch", controller.Watch{}, 200, wire.Events{Revision: 4}, &wire.Events{Revision: 4}, false},
-		{"watch from too old a revision", controller.Watch{}, 410, "text", nil, false},
+		{"lease renewed", statestore.RenewLease{}, 200, "text", nil, false},
+		{"key", statestore.GetKey{}, 200, wire.KeyValue{Key: "a", Value: null}, &wire.KeyValue{Key: "a", Value: null}, false},
+		{"no such key", statestore.GetKey{}, 404, wire.Revision{Revision: 4}, nil, false},
+		{"keys", statestore.ListKeys{}, 200, wire.KeyList{More: true}, &wire.KeyList{More: true}, false},
+		{"watch", statestore.WatchKeys{}, 200, wire.Events{Revision: 4}, &wire.Events{Revision: 4}, false},
+		{"watch from too old a revision", statestore.WatchKeys{}, 410, "text", nil, false},
 		{"machine types", controller.GetTypes{}, 200, wire.MachineTypes{}, &wire.MachineTypes{}, false},
 		{"machines", controller.ListMachines{}, 200, wire.MachineList{More: true}, &wire.MachineList{More: true}, false},
 		{"machines returned", controller.ReturnMachines{}, 200, "text", nil, false},
--- a/internal/runtime/requests.go
+++ b/internal/runtime/requests.go
@@ -6,6 +6,7 @@
 	"net/http"
 
 	"garnethitch/internal/controller"
+	"garnethitch/internal/controller/statestore"
 	"garnethitch/internal/peer"
 	"garnethitch/internal/wire"
 )
@@ -88,13 +89,13 @@
 		return postForm(wire.PathTxn, withConditionList(r)), nil
 	case wire.NewLease:
 		return postForm(wire.PathLeases, r), nil
-	case controller.RenewLease:
+	case statestore.RenewLease:
 		return postForm(wire.RenewLeasePath(r.Lease), nil), nil
-	case controller.GetKey:
+	case statestore.GetKey:
 		return getForm(wire.KeyPath(r.Key)), nil
-	case controller.ListKeys:
+	case statestore.ListKeys:
 		return getForm(wire.ListKeysTarget(r.Prefix, r.After, r.Limit)), nil
-	case controller.Watch:
+	case statestore.WatchKeys:
 		return getForm(wire.WatchTarget(r.Prefix, r.Since, r.WaitMS)), nil
 
 	// To the cloud.
--- a/internal/runtime/requests_test.go
+++ b/internal/runtime/requests_test.go
@@ -6,6 +6,7 @@
 	"testing"
 
 	"garnethitch/internal/controller"
+	"garnethitch/internal/controller/statestore"
 	"garnethitch/internal/wire"
 )
 
@@ -19,8 +20,8 @@
 	}{
 		{"transaction without conditions", controller.Call{Req: wire.Txn{}}, "POST", wire.PathTxn, wire.Txn{Conditions: []wire.Condition{}}},
 		{"new lease", controller.Call{Req: wire.NewLease{TTLMS: 5000}}, "POST", wire.PathLeases, wire.NewLease{TTLMS: 5000}},
-		{"lease renewal", controller.Call{Req: controller.RenewLease{Lease: 7}}, "POST", wire.RenewLeasePath(7), nil},
-		{"key", controller.Call{Req: controller.GetKey{Key: "a/b"}}, "GET", wire.KeyPath("a/b"), nil},
+		{"lease renewal", controller.Call{Req: statestore.RenewLease{Lease: 7}}, "POST", wire.RenewLeasePath(7), nil},
+		{"key", controller.Call{Req: statestore.GetKey{Key: "a/b"}}, "GET", wire.KeyPath("a/b"), nil},
 		{"machine types", controller.Call{Req: controller.GetTypes{}}, "GET", wire.PathMachineTypes, nil},
 		{"return", controller.Call{Req: controller.ReturnMachines{Machines: []string{"vm-1"}}}, "POST", wire.PathReturnMachines, wire.MachineNames{Machines: []string{"vm-1"}}},
 		{"heartbeat", controller.Call{Req: controller.GetHeartbeat{}}, "GET", wire.PathShowHeartbeat, nil},
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -4,6 +4,7 @@
 	"net/http"
 
 	"garnethitch/internal/controller"
+	"garnethitch/internal/controller/statestore"
 	"garnethitch/internal/fakes"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/wire"
@@ -246,7 +247,7 @@
 func (n *node) serveCall(call controller.Call, reply func(controller.Result)) {
 	s := n.sim
 	toState := call.To == controller.ToState
-	_, isWatch := call.Req.(controller.Watch)
+	_, isWatch := call.Req.(statestore.WatchKeys)
 	switch {
 	case toState && s.now < n.stateRefusedUntil:
 		if !isWatch { // watches wait, as in an outage
--- a/internal/simulation/outages.go
+++ b/internal/simulation/outages.go
@@ -4,6 +4,7 @@
 	"strings"
 
 	"garnethitch/internal/controller"
+	"garnethitch/internal/controller/statestore"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/wire"
 )
@@ -44,11 +45,11 @@
 		return false
 	}
 	switch r := call.Req.(type) {
-	case controller.GetKey:
+	case statestore.GetKey:
 		return strings.HasPrefix(r.Key, wire.PrefixJob)
-	case controller.ListKeys:
+	case statestore.ListKeys:
 		return strings.HasPrefix(r.Prefix, wire.PrefixJob)
-	case controller.Watch:
+	case statestore.WatchKeys:
 		return strings.HasPrefix(r.Prefix, wire.PrefixJob)
 	}
 	return false
