--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -8,7 +8,6 @@
 	"slices"
 
 	"garnethitch/internal/controller/estimate"
-	"garnethitch/internal/controller/ownership"
 	"garnethitch/internal/controller/statestore"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/wire"
@@ -22,6 +21,7 @@
 	unsentLogged uint64            // requests given up unsent when that was last logged
 
 	ownership             ownershipState
+	jobSharding           jobSharding
 	contact               workerContact
 	jobs                  jobTable
 	cascade               cancellationCascade
@@ -42,8 +42,6 @@
 	estimates      estimate.RunTimes
 	prefetchImages prefetchImages
 	decisionLog    decisionLog
-	teamOf         map[string]int // a team's number by its name
-	shardOfTeam    []int          // by the team's number; nil where jobs are assigned to shards
 	attemptCounter uint64
 
 	schedulingState
@@ -70,13 +68,12 @@
 		machineRecords:        machineRecords{sets: map[string]*machineRecordSet{}},
 		types:                 map[string]wire.MachineType{},
 		misdirectedHeartbeats: map[string]micros.Micros{},
-		teamOf:                map[string]int{},
+		jobSharding:           newJobSharding(cfg.Teams, cfg.Shards),
 	}
 	c.ownership.stepContext = &c.stepContext
 	c.fleet.stepContext = &c.stepContext
 	c.quota.stepContext = &c.stepContext
 	c.reads = c.newStateReads()
-	c.initTeams()
 	c.commandQueue.maxInFlight = max(cfg.MaxWorkerRequests, minWorkerRequests)
 	c.ownership.init(cfg.Shards, cfg.Lease)
 	c.ownership.controlWatch.Interval = c.watchInterval(controlWatchInterval, controlWatchFraction)
@@ -94,14 +91,6 @@
 	return c
 }
 
-// initTeams numbers the teams and assigns them to shards.
-func (c *Controller) initTeams() {
-	for i, t := range c.cfg.Teams {
-		c.teamOf[t.Name] = i
-	}
-	c.shardOfTeam = ownership.AssignTeamsToShards(teamsToAssign(c.cfg.Teams), c.cfg.Shards)
-}
-
 // Step takes one input at an instant and returns what follows from it.
 func (c *Controller) Step(at Instant, in Input) []Effect {
 	c.beginStep(at)
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -11,29 +11,6 @@
 	"garnethitch/internal/wire"
 )
 
-// shardFor returns the shard that a job belongs to.
-func (c *Controller) shardFor(id string, team int) int {
-	if c.shardOfTeam != nil {
-		return c.shardOfTeam[team]
-	}
-	return int(hashOf(id) % uint64(c.cfg.Shards))
-}
-
-// Parameters of the 64-bit FNV-1a hash.
-const (
-	fnvOffset = 14695981039346656037
-	fnvPrime  = 1099511628211
-)
-
-// hashOf is FNV-1a with a final mix, so that ids that differ at the end spread evenly.
-func hashOf(id string) uint64 {
-	h := uint64(fnvOffset)
-	for i := 0; i < len(id); i++ {
-		h = (h ^ uint64(id[i])) * fnvPrime
-	}
-	return h ^ h>>32
-}
-
 // learnJob takes a job's record from a watch, a listing, a read or a hint.
 func (c *Controller) learnJob(id string, rec wire.JobRecord, modRevision uint64) {
 	if !wire.ValidID(id) {
@@ -75,7 +52,7 @@
 		c.log(Error, "job record without a usable submission, ignored", "job", id)
 		return nil
 	}
-	team, ok := c.teamOf[sub.Team]
+	team, ok := c.jobSharding.teamOf[sub.Team]
 	if !ok {
 		c.log(Error, "job of a team that the settings do not know, ignored", "job", id, "team", sub.Team)
 		return nil
@@ -86,7 +63,7 @@
 		sub:         sub,
 		modRevision: modRevision,
 		team:        team,
-		shard:       c.shardFor(id, team),
+		shard:       c.jobSharding.shardOf(id, team),
 		constraint:  constraintOf(sub),
 		knownAt:     c.now,
 	}
--- a/internal/controller/ownership.go
+++ b/internal/controller/ownership.go
@@ -100,16 +100,6 @@
 // ownerKey returns the key of a shard's lock.
 func ownerKey(id int) string { return wire.PrefixOwner + strconv.Itoa(id) }
 
-// teamsToAssign returns what the assignment of teams to shards depends on.
-func teamsToAssign(teams []Team) []ownership.Team {
-	var out []ownership.Team
-	for _, t := range teams {
-		limited := t.CPUsMax != 0 || t.GPUsMax != 0
-		out = append(out, ownership.Team{CPUs: t.CPUs, GPUs: t.GPUs, Limited: limited})
-	}
-	return out
-}
-
 // Owns reports whether this node owns an unfinished job and may command its machines.
 func (c *Controller) Owns(id string) bool {
 	j := c.jobs.open[id]
--- a/internal/controller/prefetch.go
+++ b/internal/controller/prefetch.go
@@ -80,7 +80,7 @@
 		return
 	}
 	for _, image := range c.prefetchImages {
-		ofOtherShard := image.job.shard != s.id && c.shardOfTeam != nil
+		ofOtherShard := image.job.shard != s.id && c.jobSharding.byTeam()
 		if c.now-image.at > prefetchSpan || ofOtherShard {
 			continue
 		}
--- a/internal/controller/submission.go
+++ b/internal/controller/submission.go
@@ -127,7 +127,7 @@
 // canRun reports whether a job could ever run: its team is known, and a task fits an
 // allowed machine type in an allowed zone and its team's limit.
 func (c *Controller) canRun(sub *wire.Submission) bool {
-	team, ok := c.teamOf[sub.Team]
+	team, ok := c.jobSharding.teamOf[sub.Team]
 	if !ok {
 		return false
 	}
