--- a/internal/controller/candidates.go
+++ b/internal/controller/candidates.go
@@ -79,14 +79,14 @@
 // candidates returns the machines with capacity for a job's tasks, the best first. The result is
 // valid until the next call.
 func (c *Controller) candidates(j *job, free []*machine) []candidate {
-	list := c.candidateScratch[:0]
+	list := c.scheduling.candidateScratch[:0]
 	for _, m := range free {
 		c.visited++
 		if c.fits(m, j) && c.allowed(j, m, nil) {
 			list = append(list, candidate{m, c.score(j, m)})
 		}
 	}
-	c.candidateScratch = list
+	c.scheduling.candidateScratch = list
 	slices.SortStableFunc(list, func(a, b candidate) int { return -cmp.Compare(a.score, b.score) })
 	return list
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -44,11 +44,8 @@
 	decisionLog    decisionLog
 	attemptCounter uint64
 
-	schedulingState
-	lastMaintenance micros.Micros // when maintain last ran
-	nextWalkAt      micros.Micros // when maintain may next walk over all machines and jobs
-	// walkedLastStep is set if the step before walked over all machines and jobs.
-	walkedLastStep bool
+	scheduling  schedulingState
+	maintenance maintenanceState
 	// visited counts the machines, jobs and attempts that were visited, visitedBefore those
 	// up to the step under way; see Work.
 	visited, visitedBefore uint64
@@ -126,7 +123,7 @@
 	c.startedAt = c.now
 	c.stateQueue.StartAt(c.now)
 	c.fleet.budget.StartAt(c.now)
-	c.lastMaintenance = c.now - stallThreshold
+	c.maintenance.lastRunAt = c.now - stallThreshold
 }
 
 // dispatch takes in one input.
--- a/internal/controller/maintenance.go
+++ b/internal/controller/maintenance.go
@@ -22,6 +22,13 @@
 // have been stalled: it had no processor time, or was frozen.
 const stallThreshold = micros.Second
 
+// maintenanceState is what maintenance keeps between steps.
+type maintenanceState struct {
+	lastRunAt      micros.Micros // when maintain last ran
+	nextWalkAt     micros.Micros // when maintain may next walk over all machines and jobs
+	walkedLastStep bool          // the step before walked over all machines and jobs
+}
+
 // Work is what one step cost, by a measure that does not depend on the machine it runs on.
 type Work struct {
 	// Visited counts the machines, jobs and attempts that were visited.
@@ -33,7 +40,7 @@
 
 // LastWork returns what the last step cost.
 func (c *Controller) LastWork() Work {
-	return Work{Visited: c.visited - c.visitedBefore, Round: c.scheduledLastStep || c.walkedLastStep}
+	return Work{Visited: c.visited - c.visitedBefore, Round: c.scheduling.scheduledLastStep || c.maintenance.walkedLastStep}
 }
 
 // Wake returns the steady time at which Step is to be called at the latest.
@@ -46,9 +53,9 @@
 
 // nextMaintenance returns when maintain runs next.
 func (c *Controller) nextMaintenance() micros.Micros {
-	at := c.lastMaintenance + c.maintenanceInterval()
+	at := c.maintenance.lastRunAt + c.maintenanceInterval()
 	if f := &c.fleet; len(f.registrations) > 0 {
-		at = min(at, max(f.registrationsDueAt, c.lastMaintenance+busyInterval))
+		at = min(at, max(f.registrationsDueAt, c.maintenance.lastRunAt+busyInterval))
 	}
 	return at
 }
@@ -77,7 +84,7 @@
 
 // noteStall notes that the process was stalled before this step.
 func (c *Controller) noteStall() {
-	if c.now-c.lastMaintenance > stallThreshold {
+	if c.now-c.maintenance.lastRunAt > stallThreshold {
 		c.lastStalledAt = c.now
 	}
 }
@@ -86,17 +93,22 @@
 // long.
 func (c *Controller) restAfter(took micros.Micros) {
 	until := c.now + min(restFactor*took, maxRest)
-	c.restAfterRound(until)
-	if c.walkedLastStep {
-		c.walkedLastStep = false
-		c.nextWalkAt = until
+	c.scheduling.restAfterRound(until)
+	c.maintenance.restAfterWalk(until)
+}
+
+// restAfterWalk puts the next walk off if the step before made one.
+func (st *maintenanceState) restAfterWalk(until micros.Micros) {
+	if st.walkedLastStep {
+		st.walkedLastStep = false
+		st.nextWalkAt = until
 	}
 }
 
 // runTimers runs maintenance if it is due, else follows the watches.
 func (c *Controller) runTimers() {
 	if c.now >= c.nextMaintenance() {
-		c.lastMaintenance = c.now
+		c.maintenance.lastRunAt = c.now
 		c.wake = c.now + c.maintenanceInterval()
 		c.maintain()
 		return
@@ -117,10 +129,10 @@
 	c.maintainPeers()
 	c.maintainQuota()
 	c.logShardDecisions()
-	if c.now < c.nextWalkAt {
+	if c.now < c.maintenance.nextWalkAt {
 		return
 	}
-	c.walkedLastStep = true
+	c.maintenance.walkedLastStep = true
 	c.checkWorkerContact()
 	c.maintainMachines()
 	c.maintainJobs()
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -50,11 +50,11 @@
 		c.scheduleLater(at - c.now)
 		return
 	}
-	if c.preemption.exhausted() {
+	if c.scheduling.preemption.exhausted() {
 		c.schedulingDue = true // in the next round
 		return
 	}
-	c.preemption.searches--
+	c.scheduling.preemption.searches--
 	r.nextPreemptionAt = c.now + preemptionInterval
 	plan := c.planPreemption(s, j)
 	c.executePreemption(j, plan)
@@ -130,7 +130,7 @@
 func (c *Controller) executePreemption(j *job, plan *preemptionPlan) {
 	maxLoss := c.maxPreemptionLoss(j)
 	offers := &plan.offers
-	for plan.tasks > 0 && offers.Len() > 0 && c.preemption.stops > 0 && (*offers)[0].cost <= maxLoss {
+	for plan.tasks > 0 && offers.Len() > 0 && c.scheduling.preemption.stops > 0 && (*offers)[0].cost <= maxLoss {
 		cheapest := (*offers)[0]
 		c.takeOffer(j, cheapest)
 		plan.tasks--
@@ -141,7 +141,7 @@
 			heap.Pop(offers)
 		}
 	}
-	if plan.tasks > 0 && c.preemption.stops <= 0 {
+	if plan.tasks > 0 && c.scheduling.preemption.stops <= 0 {
 		j.run.nextPreemptionAt = 0
 		c.schedulingDue = true
 	}
@@ -198,7 +198,7 @@
 // possibleVictims returns the attempts on a machine that may be stopped for a job. The result is
 // valid until the next call.
 func (c *Controller) possibleVictims(j *job, m *machine) []scheduling.Victim {
-	victims := c.victimScratch[:0]
+	victims := c.scheduling.victimScratch[:0]
 	for i, att := range m.view.list {
 		if !att.preemptibleFor(j) {
 			continue
@@ -211,7 +211,7 @@
 			Resources: resourcesOf(att.job.sub),
 		})
 	}
-	c.victimScratch = victims
+	c.scheduling.victimScratch = victims
 	return victims
 }
 
@@ -228,7 +228,7 @@
 // the queue would take it and be stopped for it in turn.
 func (c *Controller) takeOffer(j *job, o *preemptionOffer) {
 	for _, att := range o.victims {
-		c.preemption.stops--
+		c.scheduling.preemption.stops--
 		if r := att.job.run; r != nil && att.tracked {
 			r.stopsByTask[att.index]++
 		}
--- a/internal/controller/scale_test.go
+++ b/internal/controller/scale_test.go
@@ -85,7 +85,7 @@
 		before := h.c.visited
 		const turns = 200
 		for i := range turns {
-			h.c.lastMaintenance = h.now // maintenance is counted below
+			h.c.maintenance.lastRunAt = h.now // maintenance is counted below
 			h.turn(i % machines)
 		}
 		return float64(h.c.visited-before) / turns
@@ -121,7 +121,7 @@
 		tasks = append(tasks, wire.TaskStatus{Task: wire.TaskName(att.key.job, att.index), Attempt: att.key.attempt, State: wire.TaskRunning})
 	}
 	send := func(tasks []wire.TaskStatus) uint64 {
-		h.c.lastMaintenance, h.c.schedulingDue = h.now, false
+		h.c.maintenance.lastRunAt, h.c.schedulingDue = h.now, false
 		before := h.c.visited
 		h.heartbeat(heartbeatFrom(m.id, v.agentEpoch, v.sequence+1, v.fencingToken, tasks...))
 		return h.c.visited - before
@@ -344,7 +344,7 @@
 		}
 		before := h.c.visited
 		for i := range 100 {
-			h.c.lastMaintenance = h.now
+			h.c.maintenance.lastRunAt = h.now
 			h.turn(i % 50)
 		}
 		return float64(h.c.visited-before) / 100, float64(len(h.c.queue(h.c.ownership.shards[0])))
--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -33,7 +33,7 @@
 
 // schedulingState is what scheduling keeps between rounds and steps.
 type schedulingState struct {
-	nextSchedulingAt  micros.Micros // when the next round may run
+	nextRoundAt       micros.Micros // when the next round may run
 	scheduledLastStep bool          // the step before ran a round
 
 	preemption preemptionBudget
@@ -44,12 +44,12 @@
 
 // beginRound reports whether a round is due and may run now, and if so notes that it does.
 func (c *Controller) beginRound() bool {
-	if !c.schedulingDue || c.now < c.nextSchedulingAt {
+	if !c.schedulingDue || c.now < c.scheduling.nextRoundAt {
 		return false
 	}
 	c.schedulingDue = false
-	c.scheduledLastStep = true
-	c.nextSchedulingAt = c.now + schedulingInterval
+	c.scheduling.scheduledLastStep = true
+	c.scheduling.nextRoundAt = c.now + schedulingInterval
 	return true
 }
 
@@ -57,7 +57,7 @@
 func (st *schedulingState) restAfterRound(until micros.Micros) {
 	if st.scheduledLastStep {
 		st.scheduledLastStep = false
-		st.nextSchedulingAt = max(st.nextSchedulingAt, until)
+		st.nextRoundAt = max(st.nextRoundAt, until)
 	}
 }
 
@@ -71,7 +71,7 @@
 			}
 		}
 	} else if c.schedulingDue {
-		c.wakeIn(c.nextSchedulingAt - c.now)
+		c.wakeIn(c.scheduling.nextRoundAt - c.now)
 	}
 	c.flushCommands()
 }
@@ -98,7 +98,7 @@
 	queue := c.queue(s)
 	round := schedulingRound{shard: s, free: c.machinesWithCapacity(s, queue)}
 	c.prefetch(s, round.free, true)
-	c.preemption.reset()
+	c.scheduling.preemption.reset()
 	c.scheduleQueue(&round, queue)
 	c.prefetch(s, round.free, false)
 }
--- a/internal/controller/scheduling_test.go
+++ b/internal/controller/scheduling_test.go
@@ -107,10 +107,10 @@
 					h.call(call)
 				}
 			}
-			if h.c.scheduledLastStep {
+			if h.c.scheduling.scheduledLastStep {
 				rounds++
 			}
-			if h.c.walkedLastStep {
+			if h.c.maintenance.walkedLastStep {
 				walks++
 			}
 			if h.now-h.c.ownership.lease.RenewedAt() > h.c.cfg.Lease/2 {
