--- a/dependencies_test.go
+++ b/dependencies_test.go
@@ -19,7 +19,7 @@
 }
 
 // do sends a request and returns the answer's status and the job's state in it.
-func (u user) do(method, path string, body any) (status int, state string) {
+func (u user) do(method, path string, body any) (status int, state wire.JobState) {
 	u.t.Helper()
 	var in io.Reader
 	if body != nil {
@@ -51,17 +51,17 @@
 	return resp.StatusCode, answer.State
 }
 
-func (u user) submit(job map[string]any) (status int, state string) {
+func (u user) submit(job map[string]any) (status int, state wire.JobState) {
 	u.t.Helper()
 	return u.do("POST", "/submissions", job)
 }
 
-func (u user) status(n int) (status int, state string) {
+func (u user) status(n int) (status int, state wire.JobState) {
 	u.t.Helper()
 	return u.do("GET", "/submissions/"+jobID(n), nil)
 }
 
-func (u user) cancel(n int) (status int, state string) {
+func (u user) cancel(n int) (status int, state wire.JobState) {
 	u.t.Helper()
 	return u.do("POST", "/submissions/"+jobID(n)+"/withdraw", nil)
 }
@@ -104,7 +104,7 @@
 		name   string
 		job    map[string]any
 		status int
-		state  string
+		state  wire.JobState
 	}{
 		{"no dependencies", dependentJob(501, nil), 201, wire.StatePending},
 		{"one dependency", dependentJob(502, []string{jobID(501)}), 201, wire.StatePending},
@@ -126,12 +126,12 @@
 func checkRunsInOrder(u user, w *world) {
 	u.t.Helper()
 	deadline := time.Now().Add(30 * time.Second)
-	for last := ""; last != wire.StateDone; {
+	for last := wire.JobState(""); last != wire.StateDone; {
 		if time.Now().After(deadline) {
 			u.t.Fatalf("the last job is called %q after 30 s", last)
 		}
 		w.say("turns 16")
-		var states [3]string
+		var states [3]wire.JobState
 		for i := 2; i >= 0; i-- { // the last first, so that a job before it can only be further
 			_, states[i] = u.status(501 + i)
 		}
--- a/internal/controller/compat_test.go
+++ b/internal/controller/compat_test.go
@@ -248,7 +248,7 @@
 		if err := wire.Decode(encoded(t, tc.rec), &old); err != nil {
 			t.Fatalf("%s: %v", tc.name, err)
 		}
-		if old.State != tc.rec.State || old.Tasks != 16 || old.AcceptedMS != 5 || (old.Submission != nil) != tc.sub {
+		if old.State != string(tc.rec.State) || old.Tasks != 16 || old.AcceptedMS != 5 || (old.Submission != nil) != tc.sub {
 			t.Errorf("%s: read as %+v", tc.name, old)
 		}
 		if tc.sub && (old.Submission.ID != sub.ID || *old.Submission.DeadlineS != due || !reflect.DeepEqual(old.Submission.Types, sub.Types)) {
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -21,7 +21,7 @@
 }
 
 // stateOf returns the state of a job in an answer, or "".
-func stateOf(a Answer) string {
+func stateOf(a Answer) wire.JobState {
 	b, _ := a.Body.(wire.JobAnswer)
 	return b.State
 }
@@ -32,7 +32,7 @@
 }
 
 // recordEnd stores the record of a job that ended at a time of day, as another controller would.
-func (h *harness) recordEnd(id, state string, endMS int64) {
+func (h *harness) recordEnd(id string, state wire.JobState, endMS int64) {
 	h.put(wire.JobKey(id), wire.JobRecord{State: state, Tasks: 1, EndMS: endMS})
 }
 
@@ -308,9 +308,9 @@
 }
 
 // chainStates counts the n jobs of a chain by the state that a user is answered.
-func (h *harness) chainStates(n int) (states map[string]int) {
+func (h *harness) chainStates(n int) (states map[wire.JobState]int) {
 	h.t.Helper()
-	states = map[string]int{}
+	states = map[wire.JobState]int{}
 	for i := range n {
 		states[h.state(chainID(i))]++
 	}
@@ -479,7 +479,7 @@
 	for _, tc := range []struct {
 		name  string
 		order []int
-		ends  string
+		ends  wire.JobState
 	}{
 		{"in order, cancelled", []int{1, 2, 3, 4}, wire.StateCancelled},
 		{"the last first, cancelled", []int{4, 3, 2, 1}, wire.StateCancelled},
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -373,7 +373,7 @@
 	}
 }
 
-func (h *harness) state(id string) string {
+func (h *harness) state(id string) wire.JobState {
 	a := h.jobStatus(id)
 	if b, ok := a.Body.(wire.JobAnswer); ok {
 		return b.State
--- a/internal/controller/idempotency_test.go
+++ b/internal/controller/idempotency_test.go
@@ -213,7 +213,7 @@
 				tasks = len(m.view.list)
 			}
 			a := h.ask(tc.repeat)
-			state := ""
+			state := wire.JobState("")
 			if b, ok := a.Body.(wire.JobAnswer); ok {
 				state = b.State
 			}
--- a/internal/controller/job_end.go
+++ b/internal/controller/job_end.go
@@ -123,12 +123,12 @@
 }
 
 // finalRecord is the record of a job that ended in a state at a time of day in milliseconds.
-func (j *job) finalRecord(state string, endMS int64) wire.JobRecord {
+func (j *job) finalRecord(state wire.JobState, endMS int64) wire.JobRecord {
 	return wire.JobRecord{AcceptedMS: j.rec.AcceptedMS, State: state, Tasks: j.sub.Tasks, EndMS: endMS}
 }
 
 // endJob records a job as done or cancelled.
-func (c *Controller) endJob(j *job, state string) {
+func (c *Controller) endJob(j *job, state wire.JobState) {
 	r := j.run
 	if r.end.inFlight() || !c.ownership.leaseValid() {
 		r.end.request(state)
--- a/internal/controller/job_end_state.go
+++ b/internal/controller/job_end_state.go
@@ -3,6 +3,7 @@
 import (
 	"garnethitch/internal/micros"
 	"garnethitch/internal/peer"
+	"garnethitch/internal/wire"
 )
 
 // endPhase is how far an owner is with recording the end of a job.
@@ -29,7 +30,7 @@
 type jobEnd struct {
 	phase endPhase
 	// state is the final state to record; "" in phase endNone.
-	state string
+	state wire.JobState
 	// inDoubt: a transaction was sent whose outcome stays unknown. A late copy of it may
 	// be executed at any time, while others read what it wrote, so the job's status is
 	// answered from memory no more.
@@ -53,7 +54,7 @@
 func (e *jobEnd) due(now micros.Micros) bool { return e.requested() && now >= e.nextAttemptAt }
 
 // request has the job end in a state, unless another is already requested.
-func (e *jobEnd) request(state string) {
+func (e *jobEnd) request(state wire.JobState) {
 	if e.requested() {
 		return
 	}
@@ -62,7 +63,7 @@
 }
 
 // sent takes note that a transaction with the state was sent.
-func (e *jobEnd) sent(state string) {
+func (e *jobEnd) sent(state wire.JobState) {
 	e.phase = endInFlight
 	e.state = state
 	e.nextAttemptAt = micros.Never
--- a/internal/controller/job_end_test.go
+++ b/internal/controller/job_end_test.go
@@ -143,7 +143,7 @@
 		lose bool
 		// cancelFirst: the cancellation comes before the heartbeat with the end.
 		cancelFirst bool
-		want        string
+		want        wire.JobState
 	}{
 		{"ended first", false, false, wire.StateDone},
 		{"ended first, answer lost", true, false, wire.StateDone},
--- a/internal/controller/job_status.go
+++ b/internal/controller/job_status.go
@@ -101,18 +101,13 @@
 			return
 		}
 		a := *resp.JobResponse
-		if a.Status == http.StatusOK && isFinalState(a.State) {
+		if a.Status == http.StatusOK && a.State.Final() {
 			c.finishJob(ask.ID, finalJob{state: a.State, tasks: a.Done})
 		}
 		done(a)
 	})
 }
 
-// isFinalState reports whether a job in the state is over.
-func isFinalState(state string) bool {
-	return state == wire.StateDone || state == wire.StateCancelled
-}
-
 // readJob reads a job's record on behalf of other work. For users there is readForUser.
 func (c *Controller) readJob(class statestore.Class, id string, done func(statestore.Lookup)) {
 	c.askState(class, statestore.GetKey{Key: wire.JobKey(id)}, statestore.ReadTimeout, func(r statestore.Reply) { done(c.learnRead(r)) })
--- a/internal/controller/job_table.go
+++ b/internal/controller/job_table.go
@@ -10,7 +10,7 @@
 
 // finalJob is how a job has ended.
 type finalJob struct {
-	state string
+	state wire.JobState
 	tasks int
 	// broadcast: the other controllers are being notified of its cancellation.
 	broadcast bool
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -93,7 +93,7 @@
 		return
 	}
 	c.askPeer(p, peer.JobRequest{ID: j.id, Cancel: true}, peerCancelTimeout, func(a peer.JobResponse) {
-		if a.Status == http.StatusOK && !isFinalState(a.State) {
+		if a.Status == http.StatusOK && !a.State.Final() {
 			a = unavailable()
 		}
 		done(a)
--- a/internal/controller/user_requests_test.go
+++ b/internal/controller/user_requests_test.go
@@ -150,7 +150,7 @@
 		set   func(h *harness)
 		ask   func(ReplyID) Input
 		want  int
-		state string
+		state wire.JobState
 	}{
 		{"malformed, unknown", nil, bad, 400, ""},
 		{"fits nothing, unknown", nil, unfit, 422, ""},
--- a/internal/faulttest/soak_users.go
+++ b/internal/faulttest/soak_users.go
@@ -48,9 +48,9 @@
 	id              string
 	tasks           int
 	cancelRequested bool
-	finalState      string    // empty: none was reported
-	cancelledAt     time.Time // when it was first reported as cancelled
-	answeredAt      time.Time // when a question about it was last answered, or it was accepted
+	finalState      wire.JobState // empty: none was reported
+	cancelledAt     time.Time     // when it was first reported as cancelled
+	answeredAt      time.Time     // when a question about it was last answered, or it was accepted
 }
 
 // askAboutUnknownJobs asks all controllers about jobs that nobody submitted, at a pace that
@@ -194,14 +194,14 @@
 	}
 }
 
-func (s *soak) finalState(j *soakJob) string {
+func (s *soak) finalState(j *soakJob) wire.JobState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return j.finalState
 }
 
 // checkAnswer checks a job's state against the final state that was reported before.
-func (s *soak) checkAnswer(j *soakJob, node int, before, state string) {
+func (s *soak) checkAnswer(j *soakJob, node int, before, state wire.JobState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.answers++
--- a/internal/peer/jobs.go
+++ b/internal/peer/jobs.go
@@ -1,17 +1,19 @@
 package peer
 
+import "garnethitch/internal/wire"
+
 // JobRequest asks a job's owner for its status, or to cancel it.
 type JobRequest struct {
 	ID     string `msgpack:"i"`
 	Cancel bool   `msgpack:"c,omitempty"`
 }
 
-// JobResponse answers an Ask.
+// JobResponse answers a JobRequest.
 type JobResponse struct {
-	Status  int    `msgpack:"s"`           // the HTTP status for the user; 503: the owner doesn't know
-	State   string `msgpack:"t"`           // of the job, of package wire
-	Done    int    `msgpack:"d,omitempty"` // tasks
-	Running int    `msgpack:"r,omitempty"` // tasks
+	Status  int           `msgpack:"s"` // the HTTP status for the user; 503: the owner doesn't know
+	State   wire.JobState `msgpack:"t"`
+	Done    int           `msgpack:"d,omitempty"` // tasks
+	Running int           `msgpack:"r,omitempty"` // tasks
 }
 
 // JobRecordHint tells the owner of a job that the sender has accepted, ahead of its watch.
--- a/internal/simulation/check_answers.go
+++ b/internal/simulation/check_answers.go
@@ -15,7 +15,7 @@
 // checkAnswer checks an answer against what was reported before and what is true. finalState is
 // what had been reported before the request was sent; only that binds the answer, as answers to
 // requests under way at the same time may overtake each other.
-func (u *user) checkAnswer(a controller.Answer, finalState string) {
+func (u *user) checkAnswer(a controller.Answer, finalState wire.JobState) {
 	s := u.sim
 	if a.Status == http.StatusNotFound && u.accepted {
 		s.violated("forgotten: %s got 404", u.Submission.ID)
@@ -42,7 +42,7 @@
 }
 
 // checkState checks a reported state against what is true, and remembers one that is final.
-func (u *user) checkState(state string) {
+func (u *user) checkState(state wire.JobState) {
 	s := u.sim
 	switch state {
 	case wire.StateDone:
--- a/internal/simulation/dags.go
+++ b/internal/simulation/dags.go
@@ -156,7 +156,7 @@
 
 // checkDependenciesCancelled checks that no job is reported as queued or running long after an
 // ancestor's cancellation was reported.
-func (u *user) checkDependenciesCancelled(state string) {
+func (u *user) checkDependenciesCancelled(state wire.JobState) {
 	s := u.sim
 	if state != wire.StatePending && state != wire.StateRunning {
 		return
--- a/internal/simulation/user.go
+++ b/internal/simulation/user.go
@@ -6,6 +6,7 @@
 	"garnethitch/internal/controller"
 	"garnethitch/internal/fakes"
 	"garnethitch/internal/micros"
+	"garnethitch/internal/wire"
 )
 
 const (
@@ -42,7 +43,7 @@
 	answeredAt      micros.Micros // when a request about it was last answered
 	cancelRequested bool
 	cancelConfirmed micros.Micros // when it was first reported as cancelled; 0: it was not
-	finalState      string        // as reported; empty: none was
+	finalState      wire.JobState // as reported; empty: none was
 
 	// For checks.
 	largest      bool          // one of its class's largest
@@ -94,7 +95,7 @@
 }
 
 // handleAccepted plans what the user does with an accepted job.
-func (u *user) handleAccepted(a controller.Answer, finalState string) {
+func (u *user) handleAccepted(a controller.Answer, finalState wire.JobState) {
 	s := u.sim
 	u.accepted = true
 	u.acceptedAt, u.answeredAt = s.now, s.now
--- a/internal/wire/records.go
+++ b/internal/wire/records.go
@@ -54,8 +54,8 @@
 type JobRecord struct {
 	Submission       *Submission `cbor:"sub,omitempty"`
 	WithDependencies *Submission `cbor:"chain,omitempty"`
-	AcceptedMS       int64       `cbor:"at"`    // time of day
-	State            string      `cbor:"state"` // as users see it
+	AcceptedMS       int64       `cbor:"at"` // time of day
+	State            JobState    `cbor:"state"`
 	Tasks            int         `cbor:"tasks"`
 	// EndMS is when the job ended, by the time of day of its owner: the waiting time of
 	// dependent jobs counts from then on, at any owner. 0: unknown.
@@ -82,7 +82,7 @@
 }
 
 // Final reports whether the job is over.
-func (r JobRecord) Final() bool { return r.State == StateDone || r.State == StateCancelled }
+func (r JobRecord) Final() bool { return r.State.Final() }
 
 // FinishedTask is a finished task in a checkpoint: where it ran, and when, by the time of day of the
 // controller that saw it.
--- a/internal/wire/users.go
+++ b/internal/wire/users.go
@@ -23,18 +23,24 @@
 	return 0, false
 }
 
-// States of a job as users see them (protocol: "GET /submissions/{id}").
+// JobState is the state of a job as users see it (protocol: "GET /submissions/{id}").
+type JobState string
+
+// States of a job.
 const (
-	StatePending   = "pending"
-	StateRunning   = "running"
-	StateDone      = "done"
-	StateCancelled = "cancelled"
+	StatePending   JobState = "pending"
+	StateRunning   JobState = "running"
+	StateDone      JobState = "done"
+	StateCancelled JobState = "cancelled"
 )
 
+// Final reports whether a job in the state is over.
+func (s JobState) Final() bool { return s == StateDone || s == StateCancelled }
+
 // JobAnswer is the answer to a user's request about a job.
 type JobAnswer struct {
-	ID      string `cbor:"nameId"`
-	State   string `cbor:"stance"`
-	Done    *int   `cbor:"done,omitempty"`
-	Running *int   `cbor:"running,omitempty"`
+	ID      string   `cbor:"nameId"`
+	State   JobState `cbor:"stance"`
+	Done    *int     `cbor:"done,omitempty"`
+	Running *int     `cbor:"running,omitempty"`
 }
