--- a/internal/controller/reachability/reachability.go
+++ b/internal/controller/reachability/reachability.go
@@ -127,8 +127,8 @@
 
 // taskState returns the state in which a heartbeat lists the attempt of a command; empty if it
 // does not list it.
-func taskState(heartbeat *wire.Heartbeat, command *wire.Command) string {
-	state := ""
+func taskState(heartbeat *wire.Heartbeat, command *wire.Command) wire.TaskState {
+	state := wire.TaskState("")
 	for i := range heartbeat.Tasks {
 		task := &heartbeat.Tasks[i]
 		if task.Attempt == command.Attempt && task.Task == command.Task {
--- a/internal/controller/reachability/reachability_test.go
+++ b/internal/controller/reachability/reachability_test.go
@@ -11,7 +11,7 @@
 	start := wire.Command{Op: wire.OpStart, Task: "job-000001/0", Attempt: 5}
 	forget := wire.Command{Op: wire.OpForget, Task: "job-000001/0", Attempt: 5}
 	stop := wire.Command{Op: wire.OpStop, Task: "job-000001/0", Attempt: 5}
-	listed := func(state string) []wire.TaskStatus {
+	listed := func(state wire.TaskState) []wire.TaskStatus {
 		return []wire.TaskStatus{{Task: "job-000001/0", Attempt: 5, State: state}}
 	}
 	for _, tc := range []struct {
--- a/internal/controller/scale_test.go
+++ b/internal/controller/scale_test.go
@@ -53,7 +53,7 @@
 	h.heartbeat(heartbeatFrom(machineName(i), 1, 2, body.FencingToken, shown(starts(body.Commands), wire.TaskRunning)...))
 }
 
-func shown(cmds []wire.Command, state string) (out []wire.TaskStatus) {
+func shown(cmds []wire.Command, state wire.TaskState) (out []wire.TaskStatus) {
 	for _, c := range cmds {
 		out = append(out, wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: state})
 	}
--- a/internal/fakes/task.go
+++ b/internal/fakes/task.go
@@ -24,7 +24,7 @@
 	Name, Job string
 	Index     int
 	Attempt   uint64
-	State     string        // as heartbeats say it
+	State     wire.TaskState
 	Until     micros.Micros // when it goes on to its next state
 
 	exitReason string
--- a/internal/wire/heartbeat_test.go
+++ b/internal/wire/heartbeat_test.go
@@ -8,7 +8,7 @@
 )
 
 // heartbeatOf is a heartbeat of a machine with a task in each of the states.
-func heartbeatOf(machine string, sequence uint64, states ...string) Heartbeat {
+func heartbeatOf(machine string, sequence uint64, states ...TaskState) Heartbeat {
 	heartbeat := Heartbeat{Machine: machine, AgentEpoch: 1, Sequence: sequence}
 	for i, state := range states {
 		heartbeat.Tasks = append(heartbeat.Tasks, TaskStatus{Task: TaskName("job-000001", i), Attempt: 7, State: state})
@@ -67,18 +67,18 @@
 	var last [3]*TaskStatus
 	for i, tc := range []struct {
 		machine int
-		states  []string
+		states  []TaskState
 		same    bool // as the one before of this machine
 	}{
-		{0, []string{TaskRunning, TaskFetching}, false},
-		{1, []string{TaskRunning, TaskFetching}, false}, // another machine's
-		{0, []string{TaskRunning, TaskFetching}, true},
-		{0, []string{TaskRunning, TaskRunning}, false},
-		{0, []string{TaskRunning, TaskFetching}, false}, // as before the last
-		{1, []string{TaskRunning, TaskFetching}, true},
-		{0, []string{TaskRunning}, false},
+		{0, []TaskState{TaskRunning, TaskFetching}, false},
+		{1, []TaskState{TaskRunning, TaskFetching}, false}, // another machine's
+		{0, []TaskState{TaskRunning, TaskFetching}, true},
+		{0, []TaskState{TaskRunning, TaskRunning}, false},
+		{0, []TaskState{TaskRunning, TaskFetching}, false}, // as before the last
+		{1, []TaskState{TaskRunning, TaskFetching}, true},
+		{0, []TaskState{TaskRunning}, false},
 		{0, nil, false},
-		{0, []string{TaskRunning}, false},
+		{0, []TaskState{TaskRunning}, false},
 	} {
 		want := heartbeatOf(fmt.Sprint("vm-", tc.machine), uint64(i+1), tc.states...)
 		body, err := Encode(want)
@@ -124,7 +124,7 @@
 
 // TestUnchangedHeartbeatAllocs: a list that says nothing new is not decoded again.
 func TestUnchangedHeartbeatAllocs(t *testing.T) {
-	body, err := Encode(heartbeatOf("vm-1", 1, slices.Repeat([]string{TaskRunning}, 32)...))
+	body, err := Encode(heartbeatOf("vm-1", 1, slices.Repeat([]TaskState{TaskRunning}, 32)...))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/wire/workers.go
+++ b/internal/wire/workers.go
@@ -1,11 +1,14 @@
 package wire
 
-// States of a task (protocol: "POST /checkin").
+// TaskState is the state of a task as its worker reports it (protocol: "POST /checkin").
+type TaskState string
+
+// States of a task.
 const (
-	TaskFetching = "fetching" // waiting for its image
-	TaskRunning  = "running"
-	TaskSaving   = "flushing" // stopping, and saving its progress
-	TaskExited   = "exited"
+	TaskFetching TaskState = "fetching" // waiting for its image
+	TaskRunning  TaskState = "running"
+	TaskSaving   TaskState = "flushing" // stopping, and saving its progress
+	TaskExited   TaskState = "exited"
 )
 
 // Reasons for a task's exit (protocol: "POST /checkin").
@@ -20,11 +23,11 @@
 
 // TaskStatus is one task on a machine.
 type TaskStatus struct {
-	Task       string `cbor:"load"` // see TaskName
-	Attempt    uint64 `cbor:"mount"`
-	State      string `cbor:"stance"`
-	ExitReason string `cbor:"cause,omitempty"`
-	Saved      bool   `cbor:"kept,omitempty"` // its progress was saved as it was stopped
+	Task       string    `cbor:"load"` // see TaskName
+	Attempt    uint64    `cbor:"mount"`
+	State      TaskState `cbor:"stance"`
+	ExitReason string    `cbor:"cause,omitempty"`
+	Saved      bool      `cbor:"kept,omitempty"` // its progress was saved as it was stopped
 }
 
 // Heartbeat is a worker's message about itself and its machine (protocol: "POST /checkin").
