--- a/internal/controller/attempt_end.go
+++ b/internal/controller/attempt_end.go
@@ -80,7 +80,7 @@
 		// Disagreements about state, not failures: start again a little later.
 		m := att.machine
 		m.view.backoffUntil = c.now + refusedStartBackoff
-		c.log(Info, "start refused", "task", wire.TaskName(att.job.id, att.index), "machine", m.id, "reason", att.exitReason)
+		c.log(Info, "start refused", "task", wire.TaskName(att.job.id, att.index), "machine", m.id, "reason", string(att.exitReason))
 	}
 	att.outcomeHandled = true
 	c.requeue(att, false)
--- a/internal/controller/attempts.go
+++ b/internal/controller/attempts.go
@@ -107,7 +107,7 @@
 	stopRequestedAt micros.Micros // when it was first to be stopped in this way
 	stopSentAt      micros.Micros // when the stop was last sent
 	prefetch        bool          // a done task run again for its image only; see prefetch.go
-	exitReason      string
+	exitReason      wire.ExitReason
 	outcomeHandled  bool // exited, and its end is on record or needs nothing more
 	// startToken is the fencing token of the direct command that carried the start; 0: none.
 	startToken uint64
--- a/internal/controller/commands_test.go
+++ b/internal/controller/commands_test.go
@@ -103,7 +103,7 @@
 func TestCommandedAttemptStaysKnown(t *testing.T) {
 	for _, tc := range []struct {
 		name       string
-		exitReason string
+		exitReason wire.ExitReason
 		commanded  bool // by a direct command
 		raised     bool
 		clear      bool
--- a/internal/controller/heartbeats_test.go
+++ b/internal/controller/heartbeats_test.go
@@ -256,7 +256,7 @@
 	m := h.c.machines["vm-1"]
 	s := h.c.ownership.shards[0]
 	fencingToken := h.c.fencingToken(s, m)
-	task := func(i string, attempt uint64, state wire.TaskState, exitReason string) wire.TaskStatus {
+	task := func(i string, attempt uint64, state wire.TaskState, exitReason wire.ExitReason) wire.TaskStatus {
 		return wire.TaskStatus{Task: "job-000001/" + i, Attempt: attempt, State: state, ExitReason: exitReason}
 	}
 	// A copy from under the former owner, kept for this one.
--- a/internal/controller/task_lists.go
+++ b/internal/controller/task_lists.go
@@ -110,7 +110,7 @@
 	att.state = attemptExited
 	att.exitReason = status.ExitReason
 	att.since = c.now
-	c.log(Debug, "task exited", "task", status.Task, "machine", att.machine.id, "reason", status.ExitReason, "saved", status.Saved, "ran_s", att.ran(c.now).Seconds())
+	c.log(Debug, "task exited", "task", status.Task, "machine", att.machine.id, "reason", string(status.ExitReason), "saved", status.Saved, "ran_s", att.ran(c.now).Seconds())
 	if att.tracked {
 		c.handleExit(att)
 	}
--- a/internal/fakes/task.go
+++ b/internal/fakes/task.go
@@ -27,7 +27,7 @@
 	State     wire.TaskState
 	Until     micros.Micros // when it goes on to its next state
 
-	exitReason string
+	exitReason wire.ExitReason
 	saved      bool
 }
 
@@ -37,7 +37,7 @@
 // Exited reports whether the task has exited.
 func (t *Task) Exited() bool { return t.State == wire.TaskExited }
 
-func (t *Task) exit(reason string) {
+func (t *Task) exit(reason wire.ExitReason) {
 	t.State = wire.TaskExited
 	t.exitReason = reason
 }
--- a/internal/fakes/worker_test.go
+++ b/internal/fakes/worker_test.go
@@ -102,7 +102,7 @@
 	for _, tc := range []struct {
 		name     string
 		commands []wire.Command
-		reason   string // of the last task's exit
+		reason   wire.ExitReason // of the last task's exit
 	}{
 		{"unknown job", []wire.Command{start("job-000009/0")}, wire.ExitUnknown},
 		{"no such task", []wire.Command{start("job-000001/8")}, wire.ExitUnknown},
--- a/internal/faulttest/machine.go
+++ b/internal/faulttest/machine.go
@@ -288,7 +288,7 @@
 }
 
 // endTask ends a task, if it runs, and records the end. The lock is held.
-func (m *machine) endTask(at int, exitReason string) {
+func (m *machine) endTask(at int, exitReason wire.ExitReason) {
 	t := &m.tasks[at]
 	if t.State != wire.TaskRunning {
 		return
--- a/internal/wire/workers.go
+++ b/internal/wire/workers.go
@@ -11,23 +11,26 @@
 	TaskExited   TaskState = "exited"
 )
 
-// Reasons for a task's exit (protocol: "POST /checkin").
+// ExitReason is why a task has exited, as its worker reports it (protocol: "POST /checkin").
+type ExitReason string
+
+// Reasons for the exit of a task.
 const (
-	ExitDone       = "done"
-	ExitStopped    = "halted"
-	ExitError      = "error"
-	ExitNoCapacity = "no_room" // start refused: the machine's resources are in use
-	ExitInUse      = "in_use"  // start refused: another attempt of the task is on the machine
-	ExitUnknown    = "unknown" // start refused: no such task
+	ExitDone       ExitReason = "done"
+	ExitStopped    ExitReason = "halted"
+	ExitError      ExitReason = "error"
+	ExitNoCapacity ExitReason = "no_room" // start refused: the machine's resources are in use
+	ExitInUse      ExitReason = "in_use"  // start refused: another attempt of the task is on the machine
+	ExitUnknown    ExitReason = "unknown" // start refused: no such task
 )
 
 // TaskStatus is one task on a machine.
 type TaskStatus struct {
-	Task       string    `cbor:"load"` // see TaskName
-	Attempt    uint64    `cbor:"mount"`
-	State      TaskState `cbor:"stance"`
-	ExitReason string    `cbor:"cause,omitempty"`
-	Saved      bool      `cbor:"kept,omitempty"` // its progress was saved as it was stopped
+	Task       string     `cbor:"load"` // see TaskName
+	Attempt    uint64     `cbor:"mount"`
+	State      TaskState  `cbor:"stance"`
+	ExitReason ExitReason `cbor:"cause,omitempty"`
+	Saved      bool       `cbor:"kept,omitempty"` // its progress was saved as it was stopped
 }
 
 // Heartbeat is a worker's message about itself and its machine (protocol: "POST /checkin").
