--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -91,7 +91,7 @@
 	c.ownership.markDirty(m)
 }
 
-func (att *attempt) command(op string) wire.Command {
+func (att *attempt) command(op wire.CommandOp) wire.Command {
 	return wire.Command{Op: op, Task: wire.TaskName(att.key.job, att.index), Attempt: att.key.attempt}
 }
 
--- a/internal/wire/workers.go
+++ b/internal/wire/workers.go
@@ -48,19 +48,22 @@
 	Tasks        []TaskStatus `cbor:"loads"`
 }
 
-// Operations of a Command (protocol: "POST /checkin").
+// CommandOp is what a Command asks of a worker (protocol: "POST /checkin").
+type CommandOp string
+
+// Operations of a Command.
 const (
-	OpStart  = "run"
-	OpStop   = "halt"
-	OpForget = "clear"
+	OpStart  CommandOp = "run"
+	OpStop   CommandOp = "halt"
+	OpForget CommandOp = "clear"
 )
 
 // Command is one command to a worker.
 type Command struct {
-	Op      string   `cbor:"call"`
-	Task    string   `cbor:"load"`
-	Attempt uint64   `cbor:"mount"`
-	GraceS  *float64 `cbor:"slackS,omitempty"` // seconds that a stopped task may take to save
+	Op      CommandOp `cbor:"call"`
+	Task    string    `cbor:"load"`
+	Attempt uint64    `cbor:"mount"`
+	GraceS  *float64  `cbor:"slackS,omitempty"` // seconds that a stopped task may take to save
 }
 
 // HeartbeatReply is the 200 answer to a heartbeat. It renews the worker's lease (protocol:
