--- a/internal/fakes/task.go
+++ b/internal/fakes/task.go
@@ -24,10 +24,10 @@
 	Name, Job string
 	Index     int
 	Attempt   uint64
-	State     string        // as heartbeats say it
+	State     wire.TaskState
 	Until     micros.Micros // when it goes on to its next state
 
-	exitReason string
+	exitReason wire.ExitReason
 	saved      bool
 }
 
@@ -37,7 +37,7 @@
 // Exited reports whether the task has exited.
 func (t *Task) Exited() bool { return t.State == wire.TaskExited }
 
-func (t *Task) exit(reason string) {
+func (t *Task) exit(reason wire.ExitReason) {
 	t.State = wire.TaskExited
 	t.exitReason = reason
 }
--- a/internal/wire/workers.go
+++ b/internal/wire/workers.go
@@ -1,30 +1,36 @@
 package wire
 
-// States of a task (protocol: "POST /checkin").
+// TaskState is the state of a task as its worker reports it (protocol: "POST /checkin").
+type TaskState string
+
+// States of a task.
 const (
-	TaskFetching = "fetching" // waiting for its image
-	TaskRunning  = "running"
-	TaskSaving   = "flushing" // stopping, and saving its progress
-	TaskExited   = "exited"
+	TaskFetching TaskState = "fetching" // waiting for its image
+	TaskRunning  TaskState = "running"
+	TaskSaving   TaskState = "flushing" // stopping, and saving its progress
+	TaskExited   TaskState = "exited"
 )
 
-// Reasons for a task's exit (protocol: "POST /checkin").
+// ExitReason is why a task has exited, as its worker reports it (protocol: "POST /checkin").
+type ExitReason string
+
+// Reasons for the exit of a task.
 const (
-	ExitDone       = "done"
-	ExitStopped    = "halted"
-	ExitError      = "error"
-	ExitNoCapacity = "no_room" // start refused: the machine's resources are in use
-	ExitInUse      = "in_use"  // start refused: another attempt of the task is on the machine
-	ExitUnknown    = "unknown" // start refused: no such task
+	ExitDone       ExitReason = "done"
+	ExitStopped    ExitReason = "halted"
+	ExitError      ExitReason = "error"
+	ExitNoCapacity ExitReason = "no_room" // start refused: the machine's resources are in use
+	ExitInUse      ExitReason = "in_use"  // start refused: another attempt of the task is on the machine
+	ExitUnknown    ExitReason = "unknown" // start refused: no such task
 )
 
 // TaskStatus is one task on a machine.
 type TaskStatus struct {
-	Task       string `cbor:"load"` // see TaskName
-	Attempt    uint64 `cbor:"mount"`
-	State      string `cbor:"stance"`
-	ExitReason string `cbor:"cause,omitempty"`
-	Saved      bool   `cbor:"kept,omitempty"` // its progress was saved as it was stopped
+	Task       string     `cbor:"load"` // see TaskName
+	Attempt    uint64     `cbor:"mount"`
+	State      TaskState  `cbor:"stance"`
+	ExitReason ExitReason `cbor:"cause,omitempty"`
+	Saved      bool       `cbor:"kept,omitempty"` // its progress was saved as it was stopped
 }
 
 // Heartbeat is a worker's message about itself and its machine (protocol: "POST /checkin").
@@ -42,19 +48,22 @@
 	Tasks        []TaskStatus `cbor:"loads"`
 }
 
-// Operations of a Command (protocol: "POST /checkin").
+// CommandOp is what a Command asks of a worker (protocol: "POST /checkin").
+type CommandOp string
+
+// Operations of a Command.
 const (
-	OpStart  = "run"
-	OpStop   = "halt"
-	OpForget = "clear"
+	OpStart  CommandOp = "run"
+	OpStop   CommandOp = "halt"
+	OpForget CommandOp = "clear"
 )
 
 // Command is one command to a worker.
 type Command struct {
-	Op      string   `cbor:"call"`
-	Task    string   `cbor:"load"`
-	Attempt uint64   `cbor:"mount"`
-	GraceS  *float64 `cbor:"slackS,omitempty"` // seconds that a stopped task may take to save
+	Op      CommandOp `cbor:"call"`
+	Task    string    `cbor:"load"`
+	Attempt uint64    `cbor:"mount"`
+	GraceS  *float64  `cbor:"slackS,omitempty"` // seconds that a stopped task may take to save
 }
 
 // HeartbeatReply is the 200 answer to a heartbeat. It renews the worker's lease (protocol:
