--- a/internal/fakes/cloud.go
+++ b/internal/fakes/cloud.go
@@ -140,7 +140,7 @@
 }
 
 // state returns a machine's state as the cloud calls it.
-func (m *Machine) state(now micros.Micros) string {
+func (m *Machine) state(now micros.Micros) wire.RentalState {
 	switch {
 	case m.Dead:
 		return wire.MachineFailed
--- a/internal/fakes/cloud_test.go
+++ b/internal/fakes/cloud_test.go
@@ -52,9 +52,9 @@
 func TestCloudList(t *testing.T) {
 	clock, cloud, _ := newTestCloud()
 	booting := cloud.Add(MachineKind{Type: "small", Zone: "east"}, testBootTime)
-	stateOf := func() map[string]string {
+	stateOf := func() map[string]wire.RentalState {
 		clock.advance(maxSnapshots * snapshotInterval) // all snapshots are newer than the change
-		states := map[string]string{}
+		states := map[string]wire.RentalState{}
 		for _, m := range mustAnswer(t, cloud, controller.ListMachines{}, 200).(*wire.MachineList).Machines {
 			states[m.ID] = m.State
 		}
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -39,22 +39,25 @@
 	Machines []string `cbor:"posts"`
 }
 
-// States of a ListedMachine (protocol: "GET /rentals").
+// RentalState is the state of a machine in the cloud's list (protocol: "GET /rentals").
+type RentalState string
+
+// States of a ListedMachine.
 const (
-	MachineBooting = "starting"
-	MachineRunning = "running"
-	MachineFailed  = "failed"
+	MachineBooting RentalState = "starting"
+	MachineRunning RentalState = "running"
+	MachineFailed  RentalState = "failed"
 )
 
 // ListedMachine is a row of the cloud's list of machines.
 type ListedMachine struct {
-	ID    string  `cbor:"nameId"`
-	Addr  string  `cbor:"address"`
-	Type  string  `cbor:"breed"`
-	Zone  string  `cbor:"paddock"`
-	Spot  bool    `cbor:"strays"`
-	State string  `cbor:"stance"`
-	AgeS  float64 `cbor:"ageS"` // since the rental, at the time that the list describes
+	ID    string      `cbor:"nameId"`
+	Addr  string      `cbor:"address"`
+	Type  string      `cbor:"breed"`
+	Zone  string      `cbor:"paddock"`
+	Spot  bool        `cbor:"strays"`
+	State RentalState `cbor:"stance"`
+	AgeS  float64     `cbor:"ageS"` // since the rental, at the time that the list describes
 }
 
 // MachineList is a page of the cloud's list of machines, which lags.
