--- a/internal/controller/capacity.go
+++ b/internal/controller/capacity.go
@@ -8,9 +8,6 @@
 
 // What the attempts on machines use, by team, and what capacity that leaves for a task.
 
-// eps is the difference up to which two amounts of a resource count as equal.
-const eps = scheduling.Tolerance
-
 // maxTasksPerMachine keeps heartbeats and their replies within their size limit.
 const maxTasksPerMachine = 150
 
@@ -36,8 +33,8 @@
 
 // exceeds reports whether one more task of a submission would pass the team's limit.
 func (u *usage) exceeds(t Team, sub *wire.Submission) bool {
-	cpusExceeded := t.CPUsMax > 0 && u.cpus+sub.CPUs > t.CPUsMax+eps
-	gpusExceeded := t.GPUsMax > 0 && u.gpus+sub.GPUs > t.GPUsMax+eps
+	cpusExceeded := t.CPUsMax > 0 && u.cpus+sub.CPUs > t.CPUsMax+scheduling.Tolerance
+	gpusExceeded := t.GPUsMax > 0 && u.gpus+sub.GPUs > t.GPUsMax+scheduling.Tolerance
 	return cpusExceeded || gpusExceeded
 }
 
@@ -47,7 +44,7 @@
 	if limit <= 0 || need <= 0 {
 		return count
 	}
-	return min(count, int((limit-used)/need+eps))
+	return min(count, int((limit-used)/need+scheduling.Tolerance))
 }
 
 // machineUsage is what the attempts on a machine take. It is counted again only after something
@@ -151,7 +148,7 @@
 	}
 	leaving := v.releasing || c.now < v.plannedUntil || v.reclaimAt != 0
 	cordoned := c.now < v.cordonedUntil || c.now < v.backoffUntil
-	if leaving || cordoned || c.sinceLastHeartbeat(v) > c.heartbeatOverdueAfter() || c.unreachable(m) || c.leaseRunningOut(v) {
+	if leaving || cordoned || c.sinceLastHeartbeat(v) > c.heartbeatDeadlines.Overdue || c.unreachable(m) || c.leaseRunningOut(v) {
 		return false
 	}
 	return v.usage.tasks < maxTasksPerMachine && c.types[m.rec.Type].CPUs > 0
--- a/internal/controller/demand.go
+++ b/internal/controller/demand.go
@@ -23,9 +23,9 @@
 	maxRowBytes = 640 << 10
 	// rowBytes is the most that a row takes beside its machine's name.
 	rowBytes = 60
-	// minUnansweredReconciliations is after how many unanswered requests an unreconciled machine
+	// minUnansweredCommands is after how many unanswered requests an unreconciled machine
 	// counts as silent.
-	minUnansweredReconciliations = 2
+	minUnansweredCommands = 2
 	// bootTimeout is for how long a machine that has sent no heartbeat counts as booting.
 	bootTimeout = 4 * micros.Minute
 	// unhealthySlowness is from which slowness on a machine is replaced if more than
@@ -141,7 +141,7 @@
 // addUnreconciled adds an unreconciled machine.
 func (c *Controller) addUnreconciled(s *shard, v *view, d *peer.Demand, zone *peer.Zone, row *peer.Machine) {
 	sinceClaim := c.now - s.claimedAt
-	if v.unansweredReconciliations >= minUnansweredReconciliations {
+	if v.unansweredCommands >= minUnansweredCommands {
 		row.SinceUS = int64(sinceClaim)
 	}
 	d.Unreconciled++
@@ -247,7 +247,7 @@
 func (c *Controller) silent(m *machine) bool {
 	v := m.view
 	noSession := !v.sequenceKnown && v.reconciled || v.leaseExpired
-	if noSession || c.sinceLastHeartbeat(v) > c.heartbeatTimeout() || c.unreachable(m) {
+	if noSession || c.sinceLastHeartbeat(v) > c.heartbeatDeadlines.Timeout || c.unreachable(m) {
 		return true
 	}
 	return c.leaseRunningOut(v) && v.empty()
--- a/internal/controller/direct_commands.go
+++ b/internal/controller/direct_commands.go
@@ -11,13 +11,13 @@
 // commandView is what is under way to a machine beside the replies to its heartbeats: one
 // direct command and one probe at a time.
 type commandView struct {
-	commandInFlight           bool
-	commandQueued             bool
-	nextCommandAt             micros.Micros
-	inDoubtToken              uint64 // commands up to this fencing token may still act; 0: none
-	probeInFlight             bool
-	nextProbeAt               micros.Micros
-	unansweredReconciliations int // direct commands to it that were not answered
+	commandInFlight    bool
+	commandQueued      bool
+	nextCommandAt      micros.Micros
+	inDoubtToken       uint64 // commands up to this fencing token may still act; 0: none
+	probeInFlight      bool
+	nextProbeAt        micros.Micros
+	unansweredCommands int // direct commands to it that were not answered
 }
 
 const (
@@ -95,7 +95,7 @@
 		return false
 	}
 	raised := c.fencingToken(c.ownership.shards[m.rec.Shard], m) > v.inDoubtToken
-	return raised && c.sinceLastHeartbeat(v) <= c.heartbeatOverdueAfter()
+	return raised && c.sinceLastHeartbeat(v) <= c.heartbeatDeadlines.Overdue
 }
 
 // queueCommand has something sent to a machine before its next heartbeat.
@@ -155,7 +155,7 @@
 	if answered {
 		v.reachability.Reset() // it was reached, whatever it says
 	} else {
-		v.unansweredReconciliations++
+		v.unansweredCommands++
 	}
 	if outcome != commandsExecuted {
 		v.nextCommandAt = c.now + commandRetryDelay
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -4,7 +4,6 @@
 	"net/http"
 	"slices"
 
-	"garnethitch/internal/controller/fleet"
 	"garnethitch/internal/controller/ratelimit"
 	"garnethitch/internal/micros"
 )
@@ -18,9 +17,6 @@
 	fleetPlanInterval = micros.Second
 )
 
-// kind is what capacity is counted by.
-type kind = fleet.Kind
-
 // fleetState is what the leader knows of the fleet. The leader rents machines, assigns them to
 // shards and returns them, and places no tasks.
 type fleetState struct {
--- a/internal/controller/fleet_plan.go
+++ b/internal/controller/fleet_plan.go
@@ -90,7 +90,7 @@
 	}
 	for _, id := range sortedKeys(f.rented) {
 		if !f.assigning[id] {
-			add(f.rented[id].Type, 1)
+			add(f.rented[id].kind.Type, 1)
 		}
 	}
 	for _, id := range f.order {
--- a/internal/controller/free_capacity_log.go
+++ b/internal/controller/free_capacity_log.go
@@ -81,7 +81,7 @@
 		return unusedFree
 	case !v.reconciled || !v.sequenceKnown:
 		return unusedUnreconciled
-	case c.sinceLastHeartbeat(v) > c.heartbeatOverdueAfter() || c.unreachable(m) || c.leaseRunningOut(v):
+	case c.sinceLastHeartbeat(v) > c.heartbeatDeadlines.Overdue || c.unreachable(m) || c.leaseRunningOut(v):
 		return unusedOverdue
 	case v.reclaimAt != 0:
 		return unusedNotice
--- a/internal/controller/heartbeats_test.go
+++ b/internal/controller/heartbeats_test.go
@@ -216,7 +216,7 @@
 			}
 		}
 	}
-	for until := h.now + h.c.heartbeatTimeout() + 2*sec; h.now < until; {
+	for until := h.now + h.c.heartbeatDeadlines.Timeout + 2*sec; h.now < until; {
 		h.run(sec / 2)
 		answer(wire.TaskStatus{Task: "job-000001/0", Attempt: a, State: wire.TaskRunning})
 	}
--- a/internal/controller/job_queue.go
+++ b/internal/controller/job_queue.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"slices"
 
+	"garnethitch/internal/controller/scheduling"
 	"garnethitch/internal/micros"
 )
 
@@ -133,7 +134,7 @@
 // guarantee.
 func exceedsGuarantee(sum usage, t Team) bool {
 	noGuarantee := t.CPUs <= 0 && t.GPUs <= 0
-	return noGuarantee || sum.cpus > t.CPUs+eps || sum.gpus > t.GPUs+eps && sum.gpus > 0
+	return noGuarantee || sum.cpus > t.CPUs+scheduling.Tolerance || sum.gpus > t.GPUs+scheduling.Tolerance && sum.gpus > 0
 }
 
 // runnable reports whether a job wants tasks started, and they may be.
--- a/internal/controller/machine_assignment.go
+++ b/internal/controller/machine_assignment.go
@@ -5,6 +5,7 @@
 	"slices"
 
 	"garnethitch/internal/controller/fleet"
+	"garnethitch/internal/controller/scheduling"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/peer"
 	"garnethitch/internal/wire"
@@ -47,7 +48,7 @@
 func (c *Controller) countCapacity(list []unassigned) (capacity map[int]float64, total float64) {
 	capacity = map[int]float64{}
 	for _, m := range list {
-		total += c.types[m.Type].CPUs
+		total += c.types[m.kind.Type].CPUs
 	}
 	for _, s := range c.ownership.shards {
 		for _, m := range s.machines {
@@ -77,7 +78,7 @@
 	byShard := map[int][]unassigned{}
 	chosen := -1
 	for _, m := range list {
-		cpus := max(c.types[m.Type].CPUs, 1)
+		cpus := max(c.types[m.kind.Type].CPUs, 1)
 		if chosen < 0 || target[chosen]-capacity[chosen] < cpus {
 			chosen = c.shardLackingMost(target, capacity, chosen)
 		}
@@ -94,7 +95,7 @@
 	largestGap := math.Inf(-1)
 	for _, s := range c.ownership.shards {
 		gap := target[s.id] - capacity[s.id]
-		if gap > largestGap+eps {
+		if gap > largestGap+scheduling.Tolerance {
 			most = s.id
 			largestGap = gap
 		}
--- a/internal/controller/machine_health_test.go
+++ b/internal/controller/machine_health_test.go
@@ -109,7 +109,7 @@
 				t.Errorf("the run time is learned: %v, want %v", got, tc.learns)
 			}
 			pass(20 * sec)
-			if got := h.c.sinceLastHeartbeat(v) > h.c.heartbeatTimeout(); got != tc.silent {
+			if got := h.c.sinceLastHeartbeat(v) > h.c.heartbeatDeadlines.Timeout; got != tc.silent {
 				t.Errorf("the machine counts as silent: %v, want %v", got, tc.silent)
 			}
 			if got := h.c.alive(p); got != tc.alive {
--- a/internal/controller/machine_record_sets.go
+++ b/internal/controller/machine_record_sets.go
@@ -5,6 +5,7 @@
 	"slices"
 	"strings"
 
+	"garnethitch/internal/controller/fleet"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/wire"
 )
@@ -133,7 +134,7 @@
 }
 
 // kindIn returns the index of a kind in a record, to which it is added if need be.
-func kindIn(rec *wire.MachineRecordSet, k kind) int {
+func kindIn(rec *wire.MachineRecordSet, k fleet.Kind) int {
 	w := wire.MachineKind{Type: k.Type, Zone: k.Zone, Spot: k.Spot}
 	i := slices.Index(rec.Kinds, w)
 	if i < 0 {
--- a/internal/controller/machine_records_test.go
+++ b/internal/controller/machine_records_test.go
@@ -3,6 +3,7 @@
 import (
 	"testing"
 
+	"garnethitch/internal/controller/fleet"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/peer"
 	"garnethitch/internal/wire"
@@ -71,7 +72,7 @@
 	h.lose = wire.PrefixFleet
 	before := h.rev
 	for _, id := range ids {
-		h.c.fleet.rented[id] = &rented{kind: kind{Type: "m", Zone: "a", Spot: false}, at: h.now}
+		h.c.fleet.rented[id] = &rented{kind: fleet.Kind{Type: "m", Zone: "a", Spot: false}, at: h.now}
 	}
 	if h.run(sec); h.rev != before {
 		t.Error("machines are on record before they come up")
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -106,7 +106,7 @@
 		reserved := &m.view.reservation
 		inForce := c.now < reserved.until
 		if reserved.job == j && inForce && j.sub.CPUs > 0 {
-			plan.tasks -= int(reserved.resources.CPUs/j.sub.CPUs + eps)
+			plan.tasks -= int(reserved.resources.CPUs/j.sub.CPUs + scheduling.Tolerance)
 			continue
 		}
 		if reserved.job != nil && inForce {
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -55,7 +55,7 @@
 // the lease. It gets no more tasks: they would end with the lease. Those it has may be
 // completed in time.
 func (c *Controller) leaseRunningOut(v *view) bool {
-	return v.sequenceKnown && c.sinceLastReply(v) > c.heartbeatTimeout()
+	return v.sequenceKnown && c.sinceLastReply(v) > c.heartbeatDeadlines.Timeout
 }
 
 // sinceLastReply is how long ago a heartbeat of a machine was last answered.
@@ -69,15 +69,6 @@
 	return sc.now - max(v.lastHeartbeatAt, v.since, sc.lastStalledAt)
 }
 
-// heartbeatOverdueAfter is reachability.Deadlines.Overdue.
-func (c *Controller) heartbeatOverdueAfter() micros.Micros { return c.heartbeatDeadlines.Overdue }
-
-// heartbeatTimeout is reachability.Deadlines.Timeout.
-func (c *Controller) heartbeatTimeout() micros.Micros { return c.heartbeatDeadlines.Timeout }
-
-// silentReturnAfter is reachability.Deadlines.Return.
-func (c *Controller) silentReturnAfter() micros.Micros { return c.heartbeatDeadlines.Return }
-
 // probeRetryDelay is how long after a probe the same machine may be probed again.
 const probeRetryDelay = 2 * micros.Second
 
@@ -102,7 +93,7 @@
 // probeDue reports whether a machine should be probed and no probe is under way.
 func (c *Controller) probeDue(m *machine) bool {
 	v := m.view
-	overdue := c.sinceLastHeartbeat(v) > c.heartbeatOverdueAfter()
+	overdue := c.sinceLastHeartbeat(v) > c.heartbeatDeadlines.Overdue
 	if !overdue && !c.unreachable(m) {
 		return false
 	}
--- a/internal/controller/reachability_test.go
+++ b/internal/controller/reachability_test.go
@@ -88,18 +88,18 @@
 		{"the operators' own", 10 * sec, 45 * sec, 30 * sec, 30 * sec},
 	} {
 		c := New(Config{Label: "a", Shards: 1, Teams: []Team{{Name: "t"}}, HeartbeatInterval: tc.interval, WorkerLease: tc.lease, SilentReturn: tc.given, StateRPS: 10, WriteRPS: 10, CloudRPS: 10}, 1)
-		if got := c.silentReturnAfter(); got != tc.want {
+		if got := c.heartbeatDeadlines.Return; got != tc.want {
 			t.Errorf("%s: returned after %v s, want %v s", tc.name, got.Seconds(), tc.want.Seconds())
 		}
 		longest := tc.interval * 5 / 4
-		if c.heartbeatOverdueAfter() <= longest {
-			t.Errorf("%s: overdue after %v s, a heartbeat may take %v s", tc.name, c.heartbeatOverdueAfter().Seconds(), longest.Seconds())
+		if c.heartbeatDeadlines.Overdue <= longest {
+			t.Errorf("%s: overdue after %v s, a heartbeat may take %v s", tc.name, c.heartbeatDeadlines.Overdue.Seconds(), longest.Seconds())
 		}
 		// The next controller is tried 1 s after a reply was missed for 4 s.
-		if lost := longest + 5*sec; c.silentReturnAfter() <= lost {
+		if lost := longest + 5*sec; c.heartbeatDeadlines.Return <= lost {
 			t.Errorf("%s: one lost heartbeat makes a machine look dead", tc.name)
 		}
-		if c.silentReturnAfter() >= tc.lease {
+		if c.heartbeatDeadlines.Return >= tc.lease {
 			t.Errorf("%s: a lease runs out first", tc.name)
 		}
 	}
--- a/internal/controller/reconciliation.go
+++ b/internal/controller/reconciliation.go
@@ -111,7 +111,7 @@
 	if c.ownership.activeShard(s.id) == nil || !c.commandQueue.takeProbe() {
 		return
 	}
-	backoff := 1 + min(v.unansweredReconciliations, maxReconcileBackoff)
+	backoff := 1 + min(v.unansweredCommands, maxReconcileBackoff)
 	v.nextProbeAt = c.now + reconcileRetryDelay*micros.Micros(backoff)
 	m.agentEpoch = max(m.agentEpoch, 1)
 	c.sendCommands(s, m, []wire.Command{})
--- a/internal/controller/registration.go
+++ b/internal/controller/registration.go
@@ -3,6 +3,7 @@
 import (
 	"net/http"
 
+	"garnethitch/internal/controller/fleet"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/peer"
 	"garnethitch/internal/wire"
@@ -13,21 +14,21 @@
 // starts anything that an old one may have started there, and a booting one
 // can't be reconciled.
 type rented struct {
-	kind
-	at micros.Micros
+	kind fleet.Kind
+	at   micros.Micros
 }
 
 // registration is a machine without a record that has sent a heartbeat. The heartbeat is
 // answered once the machine is assigned.
 type registration struct {
-	in Heartbeat
-	kind
+	in   Heartbeat
+	kind fleet.Kind
 }
 
 // unassigned is a machine that has no record yet.
 type unassigned struct {
 	wire.MachineRecord
-	kind
+	kind fleet.Kind
 }
 
 const (
@@ -112,7 +113,7 @@
 	}
 	heartbeat := &in.Heartbeat
 	f.assigning[heartbeat.Machine] = true
-	f.registrations = append(f.registrations, registration{in, kind{Type: heartbeat.Type, Zone: heartbeat.Zone, Spot: heartbeat.Spot}})
+	f.registrations = append(f.registrations, registration{in, fleet.Kind{Type: heartbeat.Type, Zone: heartbeat.Zone, Spot: heartbeat.Spot}})
 	f.wakeIn(f.registrationsDueAt - f.now)
 }
 
@@ -149,7 +150,7 @@
 		if l.State != wire.MachineRunning || known || gone || !wire.ValidKey(id) {
 			continue
 		}
-		list = append(list, unassigned{wire.MachineRecord{ID: id, Addr: l.Addr}, kind{Type: l.Type, Zone: l.Zone, Spot: l.Spot}})
+		list = append(list, unassigned{wire.MachineRecord{ID: id, Addr: l.Addr}, fleet.Kind{Type: l.Type, Zone: l.Zone, Spot: l.Spot}})
 	}
 	c.assignMachines(recordSetListed, list, demand, nil)
 }
--- a/internal/controller/registration_test.go
+++ b/internal/controller/registration_test.go
@@ -1,12 +1,17 @@
 package controller
 
-import "testing"
+import (
+	"testing"
+
+	"garnethitch/internal/controller/fleet"
+	"garnethitch/internal/wire"
+)
 
 // A machine sends its first heartbeat just as the leader's lease is over; the leader
 // leads again under the same key. The machine must be assigned then.
 func TestRegistrationAcrossOutage(t *testing.T) {
 	h := meet(t, withPeer)
-	h.c.fleet.rented["vm-7"] = &rented{kind: kind{Type: "m", Zone: "a", Spot: false}, at: h.now}
+	h.c.fleet.rented["vm-7"] = &rented{kind: fleet.Kind{Type: "m", Zone: "a", Spot: false}, at: h.now}
 	h.stateDown, h.refused = true, true
 	for h.now < h.c.ownership.lease.RenewedAt()+h.c.bounds.LeaseValidity-200*ms {
 		h.run(20 * ms)
@@ -26,3 +31,35 @@
 		t.Error("never assigned")
 	}
 }
+
+// The record of a machine that was not answered may be applied at any time, so
+// the machine is recorded under no other key meanwhile.
+func TestLateRecord(t *testing.T) {
+	h := newHarness(t, nil)
+	h.c.fleet.rented["vm-1"] = &rented{kind: fleet.Kind{Type: "m", Zone: "a", Spot: true}, at: h.now}
+	call := func(seq uint64) {
+		h.ask(func(r ReplyID) Input { return Heartbeat{Reply: r, Heartbeat: heartbeatFrom("vm-1", 1, seq, 0)} })
+		h.run(500 * ms)
+	}
+	h.stateDown = true
+	call(1)
+	h.stateDown = false
+	var first wire.Txn
+	for _, c := range h.held {
+		if txn, ok := c.Req.(wire.Txn); ok && len(first.Changes) == 0 {
+			first = txn
+		}
+		h.step(Result{ID: c.ID}) // no answer
+	}
+	if len(first.Changes) != 1 {
+		t.Fatalf("recorded by %v", first)
+	}
+	call(2)
+	h.run(2 * sec)
+	if h.c.machines["vm-1"] == nil {
+		t.Fatal("never recorded")
+	}
+	if status, _ := h.txn(first); status != 409 {
+		t.Errorf("the late record was applied beside another: %d", status)
+	}
+}
--- a/internal/controller/replacement.go
+++ b/internal/controller/replacement.go
@@ -101,7 +101,7 @@
 // partitioned zone look dead one by one: what a return gains is what is left of their leases, and
 // what it costs is the fleet of a whole zone, once the partition is over.
 func (c *Controller) silenceLimit(inPartition bool) micros.Micros {
-	limit := c.silentReturnAfter()
+	limit := c.heartbeatDeadlines.Return
 	if inPartition {
 		limit = max(limit, partitionedReturnLeases*c.cfg.WorkerLease)
 	}
--- a/internal/controller/scale_out.go
+++ b/internal/controller/scale_out.go
@@ -28,14 +28,14 @@
 type rentals struct {
 	scaleOutSequence uint64             // number of the last rental
 	scaleOuts        []*scaleOutRequest // rentals under way
-	refused          map[kind]*refusal
+	refused          map[fleet.Kind]*refusal
 	rented           map[string]*rented // on no record yet
 }
 
 // reset forgets all rentals.
 func (r *rentals) reset() {
 	r.scaleOuts = nil
-	r.refused = map[kind]*refusal{}
+	r.refused = map[fleet.Kind]*refusal{}
 	r.rented = map[string]*rented{}
 }
 
@@ -48,8 +48,8 @@
 }
 
 // kind returns the kind of the machines that are rented.
-func (r *scaleOutRequest) kind() kind {
-	return kind{Type: r.rental.Type, Zone: r.rental.Zone, Spot: r.rental.Spot}
+func (r *scaleOutRequest) kind() fleet.Kind {
+	return fleet.Kind{Type: r.rental.Type, Zone: r.rental.Zone, Spot: r.rental.Spot}
 }
 
 // refusal is a kind of machine that the cloud did not have.
@@ -58,12 +58,14 @@
 }
 
 // kind returns the kind of the machine.
-func (m *machine) kind() kind { return kind{Type: m.rec.Type, Zone: m.rec.Zone, Spot: m.rec.Spot} }
+func (m *machine) kind() fleet.Kind {
+	return fleet.Kind{Type: m.rec.Type, Zone: m.rec.Zone, Spot: m.rec.Spot}
+}
 
 // freeByKind adds up the CPUs of the machines that are idle or on their way, by kind.
-func (c *Controller) freeByKind(demands fleet.Demands) map[kind]float64 {
+func (c *Controller) freeByKind(demands fleet.Demands) map[fleet.Kind]float64 {
 	f := &c.fleet
-	free := map[kind]float64{}
+	free := map[fleet.Kind]float64{}
 	for _, d := range demands {
 		for _, m := range d.Machines {
 			if rec := c.machines[m.ID]; rec != nil && m.State == peer.MachineIdle {
@@ -73,12 +75,12 @@
 	}
 	for id, r := range f.rented {
 		if c.machines[id] == nil {
-			free[r.kind] += c.types[r.Type].CPUs
+			free[r.kind] += c.types[r.kind.Type].CPUs
 		}
 	}
 	for id, l := range f.listed {
 		if c.unrecorded(id, l) {
-			free[kind{Type: l.Type, Zone: l.Zone, Spot: l.Spot}] += c.types[l.Type].CPUs
+			free[fleet.Kind{Type: l.Type, Zone: l.Zone, Spot: l.Spot}] += c.types[l.Type].CPUs
 		}
 	}
 	for _, req := range f.scaleOuts {
@@ -98,8 +100,8 @@
 
 // unavailable returns a function that reports whether machines of a kind cannot be had, or could
 // not be reached, for now.
-func (f *fleetState) unavailable(partitioned map[string]bool) func(kind) bool {
-	return func(k kind) bool {
+func (f *fleetState) unavailable(partitioned map[string]bool) func(fleet.Kind) bool {
+	return func(k fleet.Kind) bool {
 		r := f.refused[k]
 		return partitioned[k.Zone] || r != nil && f.now < r.until
 	}
@@ -197,7 +199,7 @@
 const RefusedRental = noCapacity
 
 // refuse has machines of a kind not asked for, for longer with each time.
-func (f *fleetState) refuse(k kind) {
+func (f *fleetState) refuse(k fleet.Kind) {
 	r := f.refused[k]
 	if r == nil {
 		r = &refusal{}
--- a/internal/controller/scale_out_test.go
+++ b/internal/controller/scale_out_test.go
@@ -15,13 +15,13 @@
 	}
 	noSpot := waiting(4, 1, 300)
 	noSpot.Spot = false
-	spot := kind{Type: "m", Zone: "a", Spot: true}
-	onDemand := kind{Type: "m", Zone: "a", Spot: false}
+	spot := fleet.Kind{Type: "m", Zone: "a", Spot: true}
+	onDemand := fleet.Kind{Type: "m", Zone: "a", Spot: false}
 	for _, tc := range []struct {
 		name        string
 		group       peer.WaitingTasks
 		sums        fleet.Sums
-		free        map[kind]float64
+		free        map[fleet.Kind]float64
 		spotRefused bool
 		partitioned string // a zone
 		wantSpot    bool
@@ -81,7 +81,7 @@
 			name:  "one that can be used is idle",
 			group: noSpot,
 			sums:  fleet.Sums{Work: 1200, Parallel: 304, Have: 400},
-			free:  map[kind]float64{onDemand: 40},
+			free:  map[fleet.Kind]float64{onDemand: 40},
 		},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -93,7 +93,7 @@
 			}
 			free := tc.free
 			if free == nil {
-				free = map[kind]float64{}
+				free = map[fleet.Kind]float64{}
 			}
 			choice := fleet.ScaleOut{
 				Catalog:        c.catalog(),
--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -105,7 +105,7 @@
 
 // machinesWithCapacity returns a shard's machines on which tasks of the queue might be started.
 func (c *Controller) machinesWithCapacity(s *shard, queue []*job) []*machine {
-	needsNoCPU := slices.ContainsFunc(queue, func(j *job) bool { return j.sub.CPUs <= eps })
+	needsNoCPU := slices.ContainsFunc(queue, func(j *job) bool { return j.sub.CPUs <= scheduling.Tolerance })
 	var free []*machine
 	for _, m := range s.machines {
 		c.visited++
@@ -118,7 +118,7 @@
 			}
 			continue
 		}
-		if left := c.freeCapacity(m); left.CPUs > eps || needsNoCPU && left.MemGB > eps {
+		if left := c.freeCapacity(m); left.CPUs > scheduling.Tolerance || needsNoCPU && left.MemGB > scheduling.Tolerance {
 			free = append(free, m)
 		}
 	}
@@ -140,7 +140,7 @@
 			continue
 		}
 		if i%pruneInterval == pruneInterval-1 {
-			round.free = slices.DeleteFunc(round.free, func(m *machine) bool { return c.freeCapacity(m).CPUs <= eps })
+			round.free = slices.DeleteFunc(round.free, func(m *machine) bool { return c.freeCapacity(m).CPUs <= scheduling.Tolerance })
 		}
 		if c.visited-visitedBefore > maxVisitsPerRound(len(s.machines)) {
 			s.resumeAt = position
@@ -231,7 +231,7 @@
 	considered := 0
 	for _, j := range c.waiting(s) {
 		c.visited++
-		if cpus-v.usage.total.CPUs <= eps || considered >= maxJobsPerReply {
+		if cpus-v.usage.total.CPUs <= scheduling.Tolerance || considered >= maxJobsPerReply {
 			return
 		}
 		if !c.runnable(s, j) {
--- a/internal/controller/user_requests_test.go
+++ b/internal/controller/user_requests_test.go
@@ -62,38 +62,6 @@
 	}
 }
 
-// The record of a machine that was not answered may be applied at any time, so
-// the machine is recorded under no other key meanwhile.
-func TestLateRecord(t *testing.T) {
-	h := newHarness(t, nil)
-	h.c.fleet.rented["vm-1"] = &rented{kind: kind{Type: "m", Zone: "a", Spot: true}, at: h.now}
-	call := func(seq uint64) {
-		h.ask(func(r ReplyID) Input { return Heartbeat{Reply: r, Heartbeat: heartbeatFrom("vm-1", 1, seq, 0)} })
-		h.run(500 * ms)
-	}
-	h.stateDown = true
-	call(1)
-	h.stateDown = false
-	var first wire.Txn
-	for _, c := range h.held {
-		if txn, ok := c.Req.(wire.Txn); ok && len(first.Changes) == 0 {
-			first = txn
-		}
-		h.step(Result{ID: c.ID}) // no answer
-	}
-	if len(first.Changes) != 1 {
-		t.Fatalf("recorded by %v", first)
-	}
-	call(2)
-	h.run(2 * sec)
-	if h.c.machines["vm-1"] == nil {
-		t.Fatal("never recorded")
-	}
-	if status, _ := h.txn(first); status != 409 {
-		t.Errorf("the late record was applied beside another: %d", status)
-	}
-}
-
 // Past the bounds of the job table a new job is refused with a time to come back, a known
 // one is answered as before, and a final state that left memory is read again.
 func TestFullJobTable(t *testing.T) {
--- a/internal/controller/worker_contact.go
+++ b/internal/controller/worker_contact.go
@@ -115,7 +115,7 @@
 				continue
 			}
 			h.machines++
-			if c.sinceLastHeartbeat(m.view) <= c.heartbeatTimeout() {
+			if c.sinceLastHeartbeat(m.view) <= c.heartbeatDeadlines.Timeout {
 				continue
 			}
 			h.silent++
