--- a/internal/controller/assignment.go
+++ b/internal/controller/assignment.go
@@ -31,7 +31,8 @@
 	return true
 }
 
-// assign makes an attempt for a task; it is sent in the next heartbeat reply or command.
+// assign creates an attempt at a waiting task on a machine. Its start is sent in the next
+// heartbeat reply or direct command.
 func (c *Controller) assign(s *shard, j *job, index int, m *machine) {
 	att := c.newAttempt(s, j, index, m)
 	att.tracked = true
--- a/internal/controller/attempt_end.go
+++ b/internal/controller/attempt_end.go
@@ -5,14 +5,14 @@
 	"garnethitch/internal/wire"
 )
 
-// freeAttempt forgets an attempt that is on no machine (any more); its task waits
-// again unless it is done. lost says that work was under way.
+// freeAttempt removes an attempt that is not, or no longer, on its machine. Its task waits again
+// unless it is done. lost is whether work of the task was lost with it.
 func (c *Controller) freeAttempt(att *attempt, lost bool) {
 	c.dropAttempt(att)
 	c.requeue(att, lost)
 }
 
-// requeue lets an attempt's task wait again, unless it is done or not ours.
+// requeue lets an attempt's task wait again, unless it is done or its job is not this node's.
 func (c *Controller) requeue(att *attempt, lost bool) {
 	if !att.tracked {
 		return
--- a/internal/controller/attempts.go
+++ b/internal/controller/attempts.go
@@ -73,8 +73,8 @@
 
 const (
 	stopNone      stopMode = iota
-	stopGraceful           // with time to save
-	stopImmediate          // without
+	stopGraceful           // the task is given time to save
+	stopImmediate          // the task is killed at once
 )
 
 // String returns the name of the mode.
@@ -130,7 +130,7 @@
 	return att.state >= attemptFetching && att.state != attemptExited
 }
 
-// ran is how long an attempt has been seen running.
+// ran returns for how long an attempt has been seen running.
 func (att *attempt) ran(now micros.Micros) micros.Micros {
 	if att.runAt == 0 {
 		return 0
--- a/internal/controller/authority.go
+++ b/internal/controller/authority.go
@@ -166,8 +166,8 @@
 	}, o.bounds)
 }
 
-// mayReleaseMachine reports whether a machine may leave its shard now: it is free for that, and its
-// record set can be written. retire is whether it is to be returned to the cloud.
+// mayReleaseMachine reports whether a machine may leave its shard now: authority.MayReleaseMachine
+// allows it, and its record set can be written. retire is whether it is to be returned to the cloud.
 func (c *Controller) mayReleaseMachine(m *machine, retire bool) bool {
 	v := m.view
 	return authority.MayReleaseMachine(authority.ReleaseKnowledge{
@@ -189,7 +189,8 @@
 // InvariantBroken is the text of the log line of a broken invariant.
 const InvariantBroken = "invariant broken"
 
-// reportBrokenInvariant counts and logs a broken invariant with its evidence. Service goes on.
+// reportBrokenInvariant counts and logs a broken invariant with its evidence. The controller
+// continues to serve.
 func (c *Controller) reportBrokenInvariant(invariant authority.Invariant, evidence ...any) {
 	c.decisionLog.brokenInvariants++
 	args := []any{"invariant", string(invariant), "count", c.decisionLog.brokenInvariants}
--- a/internal/controller/authority/shard.go
+++ b/internal/controller/authority/shard.go
@@ -25,11 +25,11 @@
 	Lease LeaseKnowledge
 	// Owned is whether the node has seen its own claim of the shard in the watch.
 	Owned bool
-	// Releasing is whether the node is giving the shard back.
+	// Releasing is whether the node is releasing the shard.
 	Releasing bool
 	// OwnerEpoch is the revision of the claim that the node has seen last.
 	OwnerEpoch uint64
-	// HighestSeenEpoch is the highest revision of another node's claim that it has heard of.
+	// HighestSeenEpoch is the highest revision of another node's claim that it has seen.
 	HighestSeenEpoch uint64
 	// JobsViewCurrent is whether its view of jobs is at least as new as the claim.
 	JobsViewCurrent bool
--- a/internal/controller/authority_test.go
+++ b/internal/controller/authority_test.go
@@ -13,7 +13,7 @@
 // TestDecisionLog checks that the log has each change of what a node may do for a shard, who
 // cancelled a job, and why heartbeats were refused.
 func TestDecisionLog(t *testing.T) {
-	h := meet(t, func(c *Config) {
+	h := newOwnerHarness(t, func(c *Config) {
 		withPeer(c)
 		c.Cancel, c.LogHeartbeats = 40*sec, true
 	})
@@ -81,7 +81,7 @@
 		{"an old view that was brought up to the claim", func(c *Controller, _ *shard) { c.ownership.jobWatch.CompleteAsOf = -micros.Never }, authority.Allow(authority.ReasonCurrentView)},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			h := meet(t, withPeer)
+			h := newOwnerHarness(t, withPeer)
 			s := h.c.ownership.shards[0]
 			tc.knows(h.c, s)
 			if got := h.c.ownership.mayCommandShard(s); got != tc.want {
@@ -109,7 +109,7 @@
 		{"no view of it yet", func(m *machine) { m.view = nil }, 50, 0, authority.Refuse(authority.ReasonNotOwner)},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			h := meet(t, withPeer)
+			h := newOwnerHarness(t, withPeer)
 			fencingToken := h.reconcile("vm-1")
 			m := h.c.machines["vm-1"]
 			tc.knows(m)
--- a/internal/controller/cancellation_cascade.go
+++ b/internal/controller/cancellation_cascade.go
@@ -30,10 +30,10 @@
 	// cascadeRetryInterval is the mean time to the next transaction after one that was
 	// not applied.
 	cascadeRetryInterval = 400 * micros.Millisecond
-	// cascadeTxnsPerSecond is how many transactions a second's writes are split into at
-	// least: what is more urgent waits no longer behind one.
+	// cascadeTxnsPerSecond is the least number of transactions into which the writes of a second
+	// are split: a more urgent request waits no longer than one of them takes.
 	cascadeTxnsPerSecond = 4
-	// cascadeCatchUp bounds the time whose unused writes are made up for.
+	// cascadeCatchUp bounds the time of which unused writes may still be used.
 	cascadeCatchUp = micros.Second / 2
 	// dependentsWritesFraction is the part of this node's writes that dependents take at
 	// most: they come before the records of machines, which need the rest.
--- a/internal/controller/cancellation_cascade_test.go
+++ b/internal/controller/cancellation_cascade_test.go
@@ -15,7 +15,7 @@
 // cascade is a harness of three controllers that writes as much as it may, with a job and
 // n others that need it; those of before are stored as another node would store them.
 func cascade(t *testing.T, n int, writeRPS float64) *harness {
-	h := meet(t, func(c *Config) {
+	h := newOwnerHarness(t, func(c *Config) {
 		c.Peers = []string{"n-1", "n-2"}
 		c.WriteRPS = writeRPS
 	})
@@ -209,7 +209,7 @@
 
 // A long list of dependents does not delay what is more urgent: jobs are accepted, others
 // end, and the lease is renewed.
-func TestDependentsWaitForTheUrgent(t *testing.T) {
+func TestDependentsYieldToUrgentRequests(t *testing.T) {
 	const n = 200
 	h := cascade(t, n, 30)
 	h.recordEnd("job-000100", wire.StateCancelled, 0)
@@ -237,7 +237,7 @@
 	}
 }
 
-// How many dependents fit into the time of a cancellation.
+// CancellableDependents counts the dependents that fit into the time of a cancellation.
 func TestCancellableDependents(t *testing.T) {
 	inkingi := Config{Peers: make([]string, 2), WriteRPS: 18, Cancel: 70 * sec, Lease: 4 * sec}
 	for _, tc := range []struct {
@@ -277,7 +277,7 @@
 		{"dependents", wire.JobKey("job-000002"), func(h *harness, _ uint64) { h.recordEnd("job-000001", wire.StateCancelled, 0) }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			h := meet(t, withPeer)
+			h := newOwnerHarness(t, withPeer)
 			fencingToken := h.reconcile("vm-1")
 			h.submit(jobOf("job-000001", 3))
 			h.submit(after("job-000002", 1, "job-000001"))
--- a/internal/controller/cancellation_test.go
+++ b/internal/controller/cancellation_test.go
@@ -9,14 +9,14 @@
 
 // The incident of the cancelled task (docs/incidents/2026-12-cancelled-task-ran-on.md).
 //
-// Seen: a task was on its machine more than cancel_s after its user had been told that the
-// job is cancelled. How: the stop did not reach the machine, which then reached a controller
+// Seen: a task was on its machine more than cancel_s after its user had been notified
+// that the job is cancelled. How: the stop did not reach the machine, which then reached a controller
 // only now and then, and each time a new claim of its shard had just been made. Cause: the
 // first answer after a claim renewed the machine's lease with the new token and nothing
 // else, since lists of tasks were believed only once the fencing token had been shown. Proof: a
-// machine that obeys all it hears is rid of the task in time.
+// machine that carries out all that it receives is rid of the task in time.
 func TestCancelledTaskAcrossFailovers(t *testing.T) {
-	h := meet(t, withPeer)
+	h := newOwnerHarness(t, withPeer)
 	fencingToken, attempt := h.runOne()
 	w := newSlowWorker(h, fencingToken, attempt)
 	if a := h.cancel("job-000001"); a.Status != 200 {
@@ -76,7 +76,7 @@
 // predecessor ended counted on a predecessor that did. Proof: whatever the number of
 // claims, a machine whose heartbeats all arrive is rid of the task in time.
 func TestOwnersWithStaleViewsInSeries(t *testing.T) {
-	h := meet(t, func(c *Config) {
+	h := newOwnerHarness(t, func(c *Config) {
 		withPeer(c)
 		c.Cancel = 40 * sec
 	})
@@ -106,7 +106,7 @@
 // answered=true commands=0. Proof: a machine whose heartbeats all arrive is rid of the task
 // in time.
 func TestUnknownJobUnreadable(t *testing.T) {
-	h := meet(t, func(c *Config) {
+	h := newOwnerHarness(t, func(c *Config) {
 		withPeer(c)
 		c.MaxFinalJobs, c.Cancel = 1, 40*sec
 	})
@@ -128,7 +128,7 @@
 // checkpoints of the former owner are loaded stops the tasks that the machines list: its record
 // may be applied, and users notified by others, without this node's knowing.
 func TestCancelledTaskBeforeCheckpoints(t *testing.T) {
-	h := meet(t, withPeer)
+	h := newOwnerHarness(t, withPeer)
 	fencingToken, attempt := h.runOne()
 	h.unlistablePrefix = wire.PrefixCheckpoint
 	h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}})
@@ -145,10 +145,10 @@
 	}
 }
 
-// TestAnswerHoldsList checks that the reply to a heartbeat has a list of commands, also where there
+// TestReplyHasCommandList checks that the reply to a heartbeat has a list of commands, also where there
 // are none.
-func TestAnswerHoldsList(t *testing.T) {
-	h := meet(t, withPeer)
+func TestReplyHasCommandList(t *testing.T) {
+	h := newOwnerHarness(t, withPeer)
 	fencingToken := h.reconcile("vm-1")
 	for _, reconciled := range []bool{true, false} {
 		if !reconciled {
@@ -162,14 +162,14 @@
 	}
 }
 
-// A start that is carried out late. Seen by reading only, and by this test: a direct command
+// A start that is carried out late. Found by reading the code, and shown by this test: a direct command
 // was not answered, and the record that raises its machine's token does not get through, so
 // that the command may be executed as long as the machine's agent epoch lasts. Its job is
 // cancelled. The machine's heartbeats were answered all the same, which went on renewing its
 // lease: nothing bounded when the task might yet start. Proof: once the time of the
 // cancellation is over, so is the machine's lease, and with it the agent epoch that the command names.
 func TestLateStartIsBounded(t *testing.T) {
-	h := meet(t, withPeer)
+	h := newOwnerHarness(t, withPeer)
 	fencingToken := h.reconcile("vm-1")
 	h.submit(jobOf("job-000001", 1))
 	commands := h.directCommands()
--- a/internal/controller/checkpoints.go
+++ b/internal/controller/checkpoints.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// checkpointInterval is the least time between two checkpoints of a job. A longer one
-	// would spare wake-ups, but a machine counts as empty, to be moved or returned, only
-	// once the ends of its tasks are on record.
+	// checkpointInterval is the least time between two checkpoints of a job. It is short since
+	// a machine counts as empty, to be moved or returned, only once the ends of its tasks are
+	// on record.
 	checkpointInterval = 2 * micros.Second
 	// checkpointWritesFraction is the part of this node's writes that the checkpoints of
 	// a shard's jobs together take at most.
--- a/internal/controller/checkpoints_test.go
+++ b/internal/controller/checkpoints_test.go
@@ -17,7 +17,7 @@
 	other := h.reconcile("vm-2")
 	h.heartbeat(heartbeatFrom("vm-1", 1, 10, fencingToken, wire.TaskStatus{Task: "job-000001/0", Attempt: 7, State: wire.TaskRunning}))
 	sub := jobOf("job-000001", 1)
-	// As if accepted before our claim: its record has a lower revision.
+	// As if accepted before this node's claim: its record has a lower revision.
 	h.c.learnJob("job-000001", wire.JobRecord{Submission: &sub, State: wire.StatePending, Tasks: 1}, 1)
 	h.c.schedulingDue = true
 	h.run(sec)
@@ -61,7 +61,7 @@
 
 // A checkpoint that is executed after its job's end leaves nothing behind.
 func TestLateCheckpoint(t *testing.T) {
-	h := meet(t, withPeer)
+	h := newOwnerHarness(t, withPeer)
 	fencingToken := h.reconcile("vm-1")
 	h.submit(jobOf("job-000001", 2))
 	h.dropCalls()
--- a/internal/controller/commands_test.go
+++ b/internal/controller/commands_test.go
@@ -7,8 +7,8 @@
 	"garnethitch/internal/wire"
 )
 
-// A start in a reply that was dropped is known to be so by the next
-// heartbeat, and is made again with a new attempt.
+// A start in a reply that was dropped is recognized by the next heartbeat, and repeated with a
+// new attempt.
 func TestStartInDroppedReply(t *testing.T) {
 	h := newHarness(t, nil)
 	fencingToken := h.reconcile("vm-1")
@@ -147,9 +147,9 @@
 }
 
 // A direct command is delayed, and no heartbeat of its machine arrives: stops are still sent,
-// starts are not, and the raised fencing token that ends the doubt is sent rather than waited for.
+// starts are not, and the raised fencing token that voids the one in doubt is sent at once.
 func TestDelayedCommand(t *testing.T) {
-	h := meet(t, withPeer)
+	h := newOwnerHarness(t, withPeer)
 	fencingToken, a := h.runOne()
 	h.run(2 * sec) // direct commands have a least interval
 	h.submit(jobOf("job-000002", 1))
@@ -174,7 +174,7 @@
 	if stopped == 0 {
 		t.Fatal("the task is not stopped while a command is in doubt")
 	}
-	// The command that stops is answered; the one in doubt still may act.
+	// The command that stops is answered; the one in doubt may still be executed.
 	for _, c := range h.open {
 		h.step(Result{ID: c.ID, Status: 200, Body: new(heartbeatFrom("vm-1", 1, 20, fencingToken, wire.TaskStatus{Task: "job-000001/0", Attempt: a, State: wire.TaskExited, ExitReason: wire.ExitStopped}))})
 	}
@@ -228,7 +228,7 @@
 		{"the other is silent", false, true, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			h := meet(t, withPeer)
+			h := newOwnerHarness(t, withPeer)
 			fencingToken := h.reconcile("vm-1")
 			h.submit(jobOf("job-000001", 8)) // four fit
 			h.dropCalls()
--- a/internal/controller/compat_test.go
+++ b/internal/controller/compat_test.go
@@ -141,17 +141,17 @@
 	}
 }
 
-// A node of this version takes over what an older one left: its jobs, checkpoints and
-// machines, the ends of its jobs as dependencies among them.
-func TestOlderVersionsAreTakenOver(t *testing.T) {
+// A node of this version continues after a failover with what an older one left: its jobs,
+// checkpoints and machines, the ends of its jobs as dependencies among them.
+func TestFailoverFromOlderVersions(t *testing.T) {
 	for _, version := range []string{production, lastLanded} {
-		t.Run(version, func(t *testing.T) { takeOver(t, version) })
+		t.Run(version, func(t *testing.T) { failoverFrom(t, version) })
 	}
 }
 
-func takeOver(t *testing.T, version string) {
+func failoverFrom(t *testing.T, version string) {
 	samples := samplesOf(t, version)
-	h := meet(t, func(c *Config) {
+	h := newOwnerHarness(t, func(c *Config) {
 		withPeer(c)
 		c.Teams = []Team{{Name: "t"}, {Name: "vision"}}
 		c.ValueBytes, c.TxnOps, c.MaxMachines = 2<<10, 4, 100
@@ -230,7 +230,7 @@
 
 // What this version writes, the version in production reads as it did its own; a job
 // with dependencies it takes for pending, and starts nothing of it.
-func TestProductionReadsThis(t *testing.T) {
+func TestProductionVersionReadsRecords(t *testing.T) {
 	due := 900.0
 	sub := wire.Submission{ID: "job-000412", Class: "c", Team: "t", Kind: "sweep", Priority: "high", Tasks: 16, CPUs: 8, Image: "i", Types: []string{"m"}, DeadlineS: &due}
 	chained := sub
@@ -241,7 +241,7 @@
 		sub  bool
 	}{
 		{"a plain job", wire.NewJobRecord(&sub, 5), true},
-		{"a chained job", wire.NewJobRecord(&chained, 5), false},
+		{"a job with dependencies", wire.NewJobRecord(&chained, 5), false},
 		{"a job that ended", wire.JobRecord{AcceptedMS: 5, State: wire.StateDone, Tasks: 16, EndMS: 77}, false},
 	} {
 		var old oldJobRecord
--- a/internal/controller/config.go
+++ b/internal/controller/config.go
@@ -91,9 +91,9 @@
 
 	// Quota are the groups above teams; nil: none.
 	Quota *quota.Tree
-	// Trace has Spans made of what happens to Quota.
+	// Trace enables Spans of what happens to Quota.
 	Trace bool
-	// LogHeartbeats has a debug line made for each heartbeat that says how it was answered.
+	// LogHeartbeats enables a debug line for each heartbeat, with its answer.
 	LogHeartbeats bool
 }
 
--- a/internal/controller/demand.go
+++ b/internal/controller/demand.go
@@ -23,8 +23,8 @@
 	maxRowBytes = 640 << 10
 	// rowBytes is the most that a row takes beside its machine's name.
 	rowBytes = 60
-	// minUnansweredCommands is after how many unanswered requests an unreconciled machine
-	// counts as silent.
+	// minUnansweredCommands is the number of unanswered direct commands from which on an
+	// unreconciled machine counts as silent.
 	minUnansweredCommands = 2
 	// bootTimeout is for how long a machine that has sent no heartbeat counts as booting.
 	bootTimeout = 4 * micros.Minute
--- a/internal/controller/demand_test.go
+++ b/internal/controller/demand_test.go
@@ -6,7 +6,7 @@
 	"garnethitch/internal/micros"
 )
 
-// Which running tasks may be stopped so that their machine can be returned.
+// A running task may be stopped for the return of its machine only if little is lost by that.
 func TestMovable(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.FinishWithin = map[string]micros.Micros{"late": sec, "early": 60 * micros.Minute} })
 	for _, tc := range []struct {
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -11,8 +11,8 @@
 // A job may depend on others (a DAG): none of its tasks starts before each of them is done
 // by its own record. Until then it is blocked: pending, and without a part in any limit,
 // guarantee, queue or demand. Every node knows which open jobs wait for which, and the
-// states of those that they need; the owner of a dependent acts on it when it learns of the
-// job, takes the job over, or learns of an end.
+// states of those that they need; the owner of a dependent acts on it when it first sees the
+// job's record, when it becomes the job's owner, and when a job that is needed ends.
 
 const (
 	// unknownReadDelay is how long a dependency that is not known may yet come by the
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -69,7 +69,7 @@
 		}, names(100, 150), 400},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			h := meet(t, func(c *Config) { withPeer(c); c.ValueBytes = 2 << 10 })
+			h := newOwnerHarness(t, func(c *Config) { withPeer(c); c.ValueBytes = 2 << 10 })
 			if tc.set != nil {
 				tc.set(h)
 			}
@@ -97,7 +97,7 @@
 // or not, and without a read for each.
 func TestTooManyDependencies(t *testing.T) {
 	for _, known := range []bool{true, false} {
-		h := meet(t, func(c *Config) { withPeer(c); c.ValueBytes = 2 << 10 })
+		h := newOwnerHarness(t, func(c *Config) { withPeer(c); c.ValueBytes = 2 << 10 })
 		for _, id := range names(100, 150) {
 			if known {
 				h.put(wire.JobKey(id), wire.JobRecord{State: wire.StateDone, Tasks: 1})
@@ -130,7 +130,7 @@
 // 2 and 3 need 1, 4 needs both.
 func diamond(t *testing.T) (h *harness, fencingToken uint64) {
 	t.Helper()
-	h = meet(t, withPeer)
+	h = newOwnerHarness(t, withPeer)
 	fencingToken = h.reconcile("vm-1")
 	h.submit(jobOf("job-000001", 1))
 	h.submit(after("job-000002", 1, "job-000001"))
@@ -198,7 +198,7 @@
 // A blocked job is pending and takes nothing of its team's limit, guarantee or demand, and
 // nothing but a record unblocks it.
 func TestBlockedJob(t *testing.T) {
-	h := meet(t, func(c *Config) { withPeer(c); c.Teams = []Team{{Name: "t", CPUs: 3, CPUsMax: 4}} })
+	h := newOwnerHarness(t, func(c *Config) { withPeer(c); c.Teams = []Team{{Name: "t", CPUs: 3, CPUsMax: 4}} })
 	fencingToken := h.reconcile("vm-1")
 	other := jobOf("job-000001", 1)
 	h.record(other)
@@ -283,7 +283,7 @@
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			h := meet(t, withPeer)
+			h := newOwnerHarness(t, withPeer)
 			tc.turn(h, after("job-000009", 1, "job-000001", "job-000002"))
 			j := h.c.jobs.open["job-000009"]
 			if j == nil || j.blocked() {
@@ -388,7 +388,7 @@
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			h := meet(t, withPeer)
+			h := newOwnerHarness(t, withPeer)
 			h.reconcile("vm-1")
 			tc.play(h)
 			h.run(6 * sec)
@@ -403,7 +403,7 @@
 		})
 	}
 	t.Run("answered with done", func(t *testing.T) {
-		h := meet(t, withPeer)
+		h := newOwnerHarness(t, withPeer)
 		h.recordChain(3)
 		h.recordEnd("job-000100", wire.StateDone, 0)
 		if a := h.cancel("job-000100"); stateOf(a) != wire.StateDone {
@@ -431,7 +431,7 @@
 // Priority and deadline of a job apply to all jobs that it needs, from when it is submitted
 // until it is over.
 func TestPriorityPropagatesUp(t *testing.T) {
-	h := meet(t, withPeer)
+	h := newOwnerHarness(t, withPeer)
 	low := func(id string, dependencies ...string) wire.Submission {
 		s := after(id, 1, dependencies...)
 		s.Priority = "best_effort"
@@ -488,7 +488,7 @@
 		{"the last comes late, ended elsewhere", []int{1, 2, 3, 4}, wire.StateDone},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			h := meet(t, func(c *Config) {
+			h := newOwnerHarness(t, func(c *Config) {
 				withPeer(c)
 				c.Shards = 2
 				c.Teams = []Team{{Name: "t", CPUs: 8, CPUsMax: 8}, {Name: "other", CPUs: 8, CPUsMax: 8}}
@@ -567,7 +567,7 @@
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			h := meet(t, withPeer)
+			h := newOwnerHarness(t, withPeer)
 			h.record(jobOf("job-000000", 1))
 			h.record(after("job-000001", 1, "job-000000"))
 			h.record(after("job-000002", 1, "job-000001"))
--- a/internal/controller/direct_commands.go
+++ b/internal/controller/direct_commands.go
@@ -55,7 +55,7 @@
 	return fmt.Sprintf("commandOutcome(%d)", int(o))
 }
 
-// commandOutcomeOf tells what became of a direct command; answered says that the result holds
+// commandOutcomeOf returns what became of a direct command; answered says that the result holds
 // a heartbeat of the machine.
 func commandOutcomeOf(r Result, answered bool) commandOutcome {
 	switch {
@@ -69,8 +69,8 @@
 
 // needsDirectCommand reports whether there is something that should not wait for the next
 // heartbeat. While a command is in doubt, no start may follow it, but stops may, and the
-// raised fencing token that ends the doubt: a machine whose heartbeats are not answered is
-// reached in no other way.
+// raised fencing token that voids the command in doubt: a machine whose heartbeats are not
+// answered is reached in no other way.
 func (c *Controller) needsDirectCommand(m *machine) bool {
 	v := m.view
 	if c.mustShowHigherToken(m) {
--- a/internal/controller/first_start_test.go
+++ b/internal/controller/first_start_test.go
@@ -11,7 +11,7 @@
 
 // A job that has waited for long begins with one task ahead of all others, also
 // where it needs a whole machine and small tasks take every piece that comes free.
-func TestBegins(t *testing.T) {
+func TestOverdueJobStarts(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		cpus   float64
@@ -63,7 +63,7 @@
 }
 
 // What an overdue job has begun with is the last to be stopped for others.
-func TestOnlyStart(t *testing.T) {
+func TestOnlyStartIsStoppedLast(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.BeginWithin = 30 * sec })
 	newAttempt := func(waited micros.Micros, others int) *attempt {
 		sub := jobOf("job-000001", 10)
@@ -83,7 +83,7 @@
 	}
 }
 
-// Which jobs should have begun.
+// A job is overdue once it has waited for long with nothing running or done.
 func TestOverdue(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.BeginWithin = 30 * sec })
 	h.c.wall = 1000 * sec
--- a/internal/controller/fleet/rebalancing.go
+++ b/internal/controller/fleet/rebalancing.go
@@ -16,8 +16,8 @@
 	drainWithin = 15 * micros.Second
 	// minMoveGain is the least lack, in CPUs, that a machine is moved for.
 	minMoveGain = 0.5
-	// idleMoveGap is what an idle machine counts as missing, in CPUs, in a shard that has its
-	// part of the fleet: any queue is better than none.
+	// idleMoveGap is added to what a shard lacks of its part of the fleet, in CPUs, where an idle
+	// machine is considered: one that lacks nothing may still have tasks that wait.
 	idleMoveGap = 0.01
 	// keptDivisor divides the CPUs of a shard into those that are kept free where nothing waits.
 	keptDivisor = 20
--- a/internal/controller/fleet/scale_in.go
+++ b/internal/controller/fleet/scale_in.go
@@ -11,8 +11,8 @@
 	// largeSurplusIdle is how long a machine may be idle at most where there is much more than
 	// is needed.
 	largeSurplusIdle = 2 * micros.Second
-	// fullFleetIdle is how long a machine may be idle where the fleet may not grow: it keeps out
-	// one that would be of use.
+	// fullFleetIdle is how long a machine may be idle where the fleet may not grow: it takes the
+	// place of one that would be of use.
 	fullFleetIdle = 5 * micros.Second
 )
 
--- a/internal/controller/fleet/scale_out.go
+++ b/internal/controller/fleet/scale_out.go
@@ -16,7 +16,8 @@
 	maxRentalMachines = 50
 	// minDeficit is the least lack of CPUs that a machine is rented for.
 	minDeficit = 0.5
-	// roundingDown is the part of a machine that is not made up for by a whole one.
+	// roundingDown is the largest part of a machine that may be lacking without another
+	// machine being rented for it.
 	roundingDown = 0.25
 )
 
--- a/internal/controller/free_capacity_log.go
+++ b/internal/controller/free_capacity_log.go
@@ -37,8 +37,8 @@
 	return "other"
 }
 
-// logFreeCapacities logs where the unused CPUs of every shard of this controller are. It is called
-// at the pace of its callers.
+// logFreeCapacities logs where the unused CPUs of every shard of this controller are. Its caller
+// bounds how often.
 func (c *Controller) logFreeCapacities() {
 	for _, s := range c.ownership.shards {
 		if c.ownership.activeShard(s.id) != nil {
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -77,7 +77,7 @@
 	}
 }
 
-// TestGoldenBytes: the encoded form of every record and message, filled and empty, is the
+// TestGoldenBytes checks that the encoded form of every record and message, filled and empty, is the
 // one in the file, and the filled one is decoded to the same value.
 func TestGoldenBytes(t *testing.T) {
 	got := map[string]string{}
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -17,9 +17,9 @@
 	sec = micros.Second
 )
 
-// harness drives one core by hand: a store that answers at once, a cloud with
-// one type, peers that say they are quiet. Workers are the test's own: calls to
-// them stay open until the test answers.
+// harness drives one Controller step by step, with a state service that answers at once, a cloud
+// with one machine type, and peers that say they are quiesced. Workers are the test's own: calls
+// to them stay open until the test answers.
 type harness struct {
 	t       *testing.T
 	c       *Controller
@@ -44,7 +44,7 @@
 	late    string
 	lateOut []Call
 	held    []Call
-	// asked are the questions that were sent to the other controllers.
+	// asked are the job requests that were sent to the other controllers.
 	asked []peer.JobRequest
 	// statusesSent are the Status messages that reached the other controllers.
 	statusesSent []peer.Status
@@ -253,8 +253,8 @@
 	return 200, &wire.Revision{Revision: h.rev}
 }
 
-// carryOut carries out, late, what was kept back; nobody hears the answers. It gives
-// how many transactions had their conditions met.
+// carryOut executes, late, what was kept back, without an answer to the sender. It returns how
+// many transactions had their conditions met.
 func (h *harness) carryOut() (applied int) {
 	late := h.lateOut
 	h.lateOut = nil
@@ -277,7 +277,7 @@
 	return h.rev
 }
 
-// ask sends a request and gives the answer's status; 0 if there is none yet.
+// ask sends a request and returns its answer; the status is 0 if there is none yet.
 func (h *harness) ask(make func(ReplyID) Input) Answer {
 	h.reply++
 	h.step(make(h.reply))
@@ -287,7 +287,7 @@
 func (h *harness) submit(s wire.Submission) Answer {
 	a := h.ask(func(r ReplyID) Input { return SubmitRequest{Reply: r, Job: s} })
 	if a.Status == 201 {
-		h.run(60 * ms) // placing has its pace
+		h.run(60 * ms) // longer than schedulingInterval
 	}
 	return a
 }
@@ -296,12 +296,12 @@
 	return h.ask(func(r ReplyID) Input { return JobStatusRequest{Reply: r, ID: id} })
 }
 
-// jobOf is a plain submission.
+// jobOf returns a plain submission.
 func jobOf(id string, tasks int) wire.Submission {
 	return wire.Submission{ID: id, Class: "c", Team: "t", Kind: "sweep", Priority: "standard", Tasks: tasks, CPUs: 1, MemGB: 1, Image: "i", ImageGB: 1, Spot: true, EstimateS: 10}
 }
 
-// heartbeatFrom builds a worker's heartbeat.
+// heartbeatFrom returns a worker's heartbeat.
 func heartbeatFrom(id string, agentEpoch, seq, fencingToken uint64, tasks ...wire.TaskStatus) wire.Heartbeat {
 	return wire.Heartbeat{Machine: id, Addr: id, Type: "m", Zone: "a", AgentEpoch: agentEpoch, Sequence: seq, FencingToken: fencingToken, Tasks: tasks}
 }
@@ -313,7 +313,7 @@
 	return a.Status, body
 }
 
-// list has the cloud list a machine, and lets the leader look.
+// list has the cloud list a machine, and the leader read the list.
 func (h *harness) list(id string) {
 	h.listed = append(h.listed, wire.ListedMachine{ID: id, Addr: id, Type: "m", Zone: "a", State: wire.MachineRunning, AgeS: 1})
 	h.c.fleet.listNext, h.c.fleet.planNext = h.now, h.now+400*ms
@@ -330,16 +330,16 @@
 }
 
 // reconcile brings a machine into the fleet: the answer to its first heartbeat shows
-// the fencing token, its second report carries it.
+// the fencing token, its second heartbeat carries it.
 func (h *harness) reconcile(id string) uint64 {
 	h.list(id)
 	status, body := h.heartbeat(heartbeatFrom(id, 1, 2, 0))
 	if status != 200 || body.FencingToken == 0 {
-		h.t.Fatalf("report of %s answered %d with token %d", id, status, body.FencingToken)
+		h.t.Fatalf("heartbeat of %s answered %d with token %d", id, status, body.FencingToken)
 	}
 	h.dropCalls()
 	if status, _ = h.heartbeat(heartbeatFrom(id, 1, 3, body.FencingToken)); status != 200 {
-		h.t.Fatalf("second report of %s answered %d", id, status)
+		h.t.Fatalf("second heartbeat of %s answered %d", id, status)
 	}
 	return body.FencingToken
 }
@@ -353,7 +353,7 @@
 	}
 }
 
-// directCommands gives the open direct commands that hold starts.
+// directCommands returns the open direct commands that hold starts.
 func (h *harness) directCommands() []Call {
 	var out []Call
 	for _, c := range h.open {
@@ -390,7 +390,7 @@
 	return out
 }
 
-// logged gives the values of a key in the lines of a text, in order.
+// logged returns the values of a key in the lines of a text, in order.
 func (h *harness) logged(text, key string) (values []string) {
 	for _, l := range h.logs {
 		if l.Text != text {
@@ -410,7 +410,7 @@
 	return h.ask(func(r ReplyID) Input { return CancelRequest{Reply: r, ID: id} })
 }
 
-// stops counts the halts without grace.
+// stops counts the stops without a grace period.
 func stops(cmds []wire.Command) (n int) {
 	for _, c := range cmds {
 		if c.Op == wire.OpStop && c.GraceS != nil && *c.GraceS == 0 {
@@ -421,7 +421,7 @@
 }
 
 // startOne submits job-000001 with one task and has it started on vm-1 by the
-// answer to a heartbeat; it gives the attempt.
+// answer to a heartbeat; it returns the attempt.
 func (h *harness) startOne(fencingToken uint64) uint64 {
 	h.t.Helper()
 	h.submit(jobOf("job-000001", 1))
@@ -434,7 +434,7 @@
 	return cmds[0].Attempt
 }
 
-// runOne has job-000001 of one task running on vm-1, at a node with a peer; it gives
+// runOne has job-000001 of one task running on vm-1, at a node with a peer; it returns
 // the fencing token and the attempt.
 func (h *harness) runOne() (fencingToken, attempt uint64) {
 	fencingToken = h.reconcile("vm-1")
@@ -449,8 +449,8 @@
 
 func withPeer(c *Config) { c.Peers = []string{"n-1"} }
 
-// meet is a harness whose node has had the time to take its locks beside others.
-func meet(t *testing.T, change func(*Config)) *harness {
+// newOwnerHarness returns a harness whose node has had the time to claim its locks beside others.
+func newOwnerHarness(t *testing.T, change func(*Config)) *harness {
 	h := newHarness(t, change)
 	h.run(2 * sec)
 	return h
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -124,8 +124,8 @@
 	}
 }
 
-// beginAgentEpoch takes notice that a worker has started anew: all earlier tasks there are
-// gone, and commands to the former epoch are void.
+// beginAgentEpoch records that a worker has started anew: all earlier tasks there are gone, and
+// commands to the former epoch are void.
 func (c *Controller) beginAgentEpoch(m *machine) {
 	v := m.view
 	c.freeAll(m, "worker began a new session", true)
--- a/internal/controller/heartbeats_test.go
+++ b/internal/controller/heartbeats_test.go
@@ -8,7 +8,7 @@
 	"garnethitch/internal/wire"
 )
 
-// Which heartbeats are accepted.
+// A heartbeat is accepted if it is newer than the last, and no successor has commanded its machine.
 func TestHeartbeatOrder(t *testing.T) {
 	h := newHarness(t, nil)
 	fencingToken := h.reconcile("vm-1")
@@ -85,7 +85,7 @@
 
 // A controller that has lost the state service and the other controllers, but not its workers:
 // a machine that is silent here may send its heartbeats to a successor, which renews its
-// lease, so its tasks are not started elsewhere (ran_twice in the enlarged simulation).
+// lease, so its tasks are not started elsewhere (found by the enlarged simulation: ran_twice).
 func TestSilentMachineWithinSuccessorWait(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
@@ -197,7 +197,7 @@
 // tasks, since they would end with its lease; its done tasks count, and it is not
 // lost as long as it has work that may be completed.
 func TestHeartbeatsUnanswered(t *testing.T) {
-	h := meet(t, func(c *Config) {
+	h := newOwnerHarness(t, func(c *Config) {
 		withPeer(c)
 		c.WorkerLease = 30 * sec
 		c.Cancel = 60 * sec
@@ -246,7 +246,7 @@
 // Old heartbeats reach a controller that has just claimed a shard: they reconcile nothing, and
 // nothing of what they list is taken for the machine's present state.
 func TestOldHeartbeatsAtNewOwner(t *testing.T) {
-	h := meet(t, withPeer)
+	h := newOwnerHarness(t, withPeer)
 	sub := jobOf("job-000001", 3)
 	h.put(wire.JobKey("job-000001"), wire.JobRecord{Submission: &sub, State: wire.StatePending, Tasks: 3})
 	h.putMachines("h-1-1", "vm-1")
--- a/internal/controller/idempotency_test.go
+++ b/internal/controller/idempotency_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// runOnMachines has each of n machines start the tasks that it is given, and report their
+// runOnMachines has each of n machines start the tasks that it is given, and list their
 // ends.
 func (h *harness) runOnMachines(n int, tokens map[string]uint64) {
 	h.t.Helper()
--- a/internal/controller/job_end.go
+++ b/internal/controller/job_end.go
@@ -182,7 +182,7 @@
 		r.end.retryAt(c.now + c.jitter(endRetryInterval))
 		c.failWaiters(j)
 	case statestore.Rejected:
-		// Tried again seldom, so that no other write waits behind it: the state service
+		// Retried after a long pause, so that no other write waits behind it: the state service
 		// takes less than the settings say.
 		r.end.retryAt(c.now + c.jitter(refusedPause))
 		c.failWaiters(j)
--- a/internal/controller/job_end_test.go
+++ b/internal/controller/job_end_test.go
@@ -46,7 +46,7 @@
 		}, nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			h := meet(t, withPeer)
+			h := newOwnerHarness(t, withPeer)
 			fencingToken, a := h.runOne()
 			h.submit(jobOf("job-000002", 1))
 			h.dropCalls()
@@ -108,7 +108,7 @@
 // also after newer ones of the same controller were refused: its owner must not answer
 // from memory about a job that another controller may call cancelled.
 func TestInDoubtEnd(t *testing.T) {
-	h := meet(t, withPeer)
+	h := newOwnerHarness(t, withPeer)
 	h.runOne()
 	h.late = wire.JobKey("job-000001")
 	h.cancel("job-000001")
@@ -151,7 +151,7 @@
 		{"cancelled first, answer lost", true, true, wire.StateCancelled},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			h := meet(t, withPeer)
+			h := newOwnerHarness(t, withPeer)
 			fencingToken, a := h.runOne()
 			if tc.lose {
 				h.lose, h.watchBlocked = wire.JobKey("job-000001"), wire.PrefixJob
@@ -194,7 +194,7 @@
 		c.Teams = []Team{{Name: "t", CPUsMax: 2}}
 	}
 	t.Run("same owner", func(t *testing.T) {
-		h := meet(t, limit)
+		h := newOwnerHarness(t, limit)
 		fencingToken := h.reconcile("vm-1")
 		h.reconcile("vm-2")
 		h.submit(jobOf("job-000001", 2))
@@ -214,7 +214,7 @@
 		}
 	})
 	t.Run("new owner", func(t *testing.T) {
-		h := meet(t, func(c *Config) {
+		h := newOwnerHarness(t, func(c *Config) {
 			limit(c)
 			c.WorkerLease = 20 * sec
 			c.Cancel = 40 * sec
@@ -247,7 +247,7 @@
 
 // A cancellation that was never recorded ends with its owner: the next owner runs the job.
 func TestCancellationRequestEndsWithItsOwner(t *testing.T) {
-	h := meet(t, withPeer)
+	h := newOwnerHarness(t, withPeer)
 	fencingToken, a := h.runOne()
 	h.stateDown = true
 	h.cancel("job-000001")
--- a/internal/controller/job_queue.go
+++ b/internal/controller/job_queue.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// reorderInterval is how long the order of a queue stands that nothing has changed.
+	// reorderInterval is how long a queue keeps its order while no job is added or removed.
 	reorderInterval = micros.Second
 	// agingFactor bounds the time that a large job waits for later ones: so many times
 	// what its work takes the whole shard.
@@ -147,7 +147,7 @@
 		return false
 	}
 	knownInTime := j.knownAt <= c.ownership.lease.RenewedAt()+c.bounds.LeaseValidity
-	// A former owner may have started its tasks on a machine that was not heard of.
+	// Else a former owner may have started its tasks on a machine that is not reconciled yet.
 	startedByNobody := r.acceptedUnderClaim || s.jobsViewCurrent && s.reconciled
 	return knownInTime && startedByNobody
 }
--- a/internal/controller/job_queue_test.go
+++ b/internal/controller/job_queue_test.go
@@ -8,7 +8,7 @@
 	"garnethitch/internal/wire"
 )
 
-// The order in which a shard's waiting jobs are served.
+// The waiting jobs of a shard are served in the order of priority, guarantee, work and age.
 func TestQueue(t *testing.T) {
 	type jb struct {
 		id, priority string
--- a/internal/controller/job_reads_test.go
+++ b/internal/controller/job_reads_test.go
@@ -82,7 +82,7 @@
 	} {
 		for _, ids := range []int{1, 5000} {
 			t.Run(fmt.Sprintf("%s, questions about %d", tc.name, ids), func(t *testing.T) {
-				h := meet(t, fewRequests)
+				h := newOwnerHarness(t, fewRequests)
 				h.runOne()
 				q := &questions{h: h, ids: ids}
 				q.runBeside(3 * sec)
@@ -102,7 +102,7 @@
 // The deletion of an owner key is of the class of leases: it does not wait for any other class,
 // though their queues are full.
 func TestLockReleaseBeforeAllElse(t *testing.T) {
-	h := meet(t, fewRequests)
+	h := newOwnerHarness(t, fewRequests)
 	for class := statestore.ClassAccept; class < statestore.ClassCount; class++ {
 		for range 100 {
 			h.c.askState(class, statestore.GetKey{Key: "x"}, 5*sec, func(statestore.Reply) {})
@@ -134,7 +134,7 @@
 // of the class of questions, and the bound is 75 s.
 func TestQuestionsAreFairAmongJobs(t *testing.T) {
 	const jobs, within = 150, 75 * sec
-	h := meet(t, fewRequests)
+	h := newOwnerHarness(t, fewRequests)
 	answered := map[int]bool{}
 	asked := map[ReplyID]int{} // questions without an answer, and the jobs that they are about
 	for began := h.now; h.now < began+within && len(answered) < jobs; {
@@ -165,7 +165,7 @@
 // An answer is never older than its question: one that comes while a read of the same job
 // is in flight waits for a read of its own.
 func TestQuestionWaitsForItsOwnRead(t *testing.T) {
-	h := meet(t, withPeer)
+	h := newOwnerHarness(t, withPeer)
 	h.stateDown = true // what is sent is held
 	first := h.jobStatus("job-000777")
 	second := h.jobStatus("job-000777")
@@ -213,7 +213,7 @@
 		}
 	}
 	t.Run("state service", func(t *testing.T) {
-		h := meet(t, limits)
+		h := newOwnerHarness(t, limits)
 		h.stateDown = true // what is sent is held, without an answer
 		for i := range 100 {
 			h.jobStatus(questionID(i))
@@ -233,7 +233,7 @@
 		}
 	})
 	t.Run("other controller", func(t *testing.T) {
-		h := meet(t, limits)
+		h := newOwnerHarness(t, limits)
 		h.submit(jobOf("job-000001", 1))
 		h.put(ownerKey(0), wire.OwnerRecord{Label: "n-1", Incarnation: 99})
 		h.step(PeerRequest{Reply: 900, Req: peer.Request{From: "n-1", Status: &peer.Status{ControllerState: peer.ControllerState{StateOK: true}}}})
@@ -258,7 +258,7 @@
 		{"hundreds", 300, 10, 10},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			h := meet(t, fewRequests)
+			h := newOwnerHarness(t, fewRequests)
 			h.stateDown = true // nothing is answered
 			for i := range tc.waiting {
 				h.jobStatus(questionID(i))
@@ -280,7 +280,7 @@
 // questions: its user tries for a minute in all, and each try counts. Found by review: with 300
 // jobs asked about in vain it was to try again after 10 s, not 1.
 func TestSubmissionRetriesSoon(t *testing.T) {
-	h := meet(t, fewRequests)
+	h := newOwnerHarness(t, fewRequests)
 	h.stateDown, h.refused = true, true
 	for i := range 300 {
 		h.jobStatus(questionID(i))
@@ -296,7 +296,7 @@
 
 // Nor is a cancellation that can't be recorded: the same, of the job's owner.
 func TestCancelRequestRetriesSoon(t *testing.T) {
-	h := meet(t, fewRequests)
+	h := newOwnerHarness(t, fewRequests)
 	h.submit(jobOf("job-000002", 1))
 	h.stateDown, h.refused = true, true
 	for i := range 100 { // not for so long that the lease is over
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -115,7 +115,7 @@
 		}
 	} else if s.checkpointsLoaded {
 		c.applyCheckpoint(s, j)
-		// A node that was cut off from the state service takes over with an old view: the
+		// A node that was cut off from the state service claims a shard with an old view: the
 		// job may have become known after its tasks were seen on reconciled machines. They
 		// are adopted before any task is scheduled again.
 		c.reconcileAfterCheckpointLoad(s)
--- a/internal/controller/machine_health.go
+++ b/internal/controller/machine_health.go
@@ -7,7 +7,7 @@
 	"garnethitch/internal/wire"
 )
 
-// healthView is what speaks against a machine: the jobs whose tasks failed there,
+// healthView is the evidence that a machine is unhealthy: the jobs whose tasks failed there,
 // slowness, refused starts. A cordoned machine takes no tasks until cordonedUntil.
 type healthView struct {
 	failuresByJob map[string]int // since a task was last completed
@@ -19,7 +19,7 @@
 	backoffUntil       micros.Micros // nothing is started before, after a refused start
 }
 
-// Bounds by which failures are held against a machine or a job.
+// Bounds from which on failures count as the fault of a machine or a job.
 const (
 	// faultyAfterJobs is how many jobs must fail on a machine.
 	faultyAfterJobs = 2
@@ -41,7 +41,7 @@
 	maxRetryBackoff = micros.Minute
 )
 
-// noteFailure weighs a failed task: is the machine at fault, or the job?
+// noteFailure records a failed task, and decides whether the machine or the job is at fault.
 func (c *Controller) noteFailure(att *attempt) {
 	j, m := att.job, att.machine
 	m.view.failuresByJob[j.id]++
@@ -74,8 +74,8 @@
 	r.nextRetryAt = c.now + r.retryBackoff
 }
 
-// clearFailuresOf takes back what the failures of a job have done to machines: they are no
-// evidence against them.
+// clearFailuresOf removes the failures of a job from the records of machines, and uncordons those
+// that were cordoned for them alone: the job is at fault.
 func (c *Controller) clearFailuresOf(j *job) {
 	for id := range j.run.failuresByMachine {
 		m := c.machines[id]
--- a/internal/controller/machine_record_sets.go
+++ b/internal/controller/machine_record_sets.go
@@ -10,9 +10,8 @@
 	"garnethitch/internal/wire"
 )
 
-// machineRecordSet is one record of machines: a write for each machine would take the whole
-// budget of the state service for a minute at the start of a large deployment. A machine
-// stands in one record set at a time. Moving it drops it from one and adds it to another in
+// machineRecordSet is one record of several machines: a write for each machine would use up the
+// write limit of the state service at the start of a large deployment. A machine stands in one record set at a time. Moving it drops it from one and adds it to another in
 // one transaction. Rewriting a record set raises the fencing token of all in it, which is
 // harmless: workers take a higher one at any time.
 type machineRecordSet struct {
@@ -20,7 +19,7 @@
 	shard         int
 	modRevision   uint64
 	machines      []*machine
-	writeInFlight bool // a write of ours is under way or in doubt
+	writeInFlight bool // a write by this node is under way or in doubt
 	nextWriteAt   micros.Micros
 }
 
@@ -34,7 +33,7 @@
 	nextSplitAt micros.Micros // when the next record set may be split
 }
 
-// drop takes notice that a record set was deleted.
+// drop removes a record set whose key was deleted.
 func (r *machineRecords) drop(b *machineRecordSet) {
 	delete(r.sets, b.key)
 	r.removed = append(r.removed, b.machines...)
--- a/internal/controller/machine_record_writes.go
+++ b/internal/controller/machine_record_writes.go
@@ -65,7 +65,7 @@
 }
 
 // writeRecordSets writes several record sets in one transaction, on condition that a key of
-// ours still has the revision under which we hold it. done is called with the outcome.
+// this node still has the revision under which this node holds it. done is called with the outcome.
 func (c *Controller) writeRecordSets(under string, ownerEpoch uint64, writes []recordSetWrite, done func(writeOutcome)) {
 	setWriteInFlight(writes, true)
 	txn, ok := c.recordSetTxn(writes)
--- a/internal/controller/machine_records.go
+++ b/internal/controller/machine_records.go
@@ -23,8 +23,8 @@
 	}
 	b.modRevision = modRevision
 	s := c.ownership.shards[shardID]
-	// A machine that came to the record after our claim, and not from another shard, can't
-	// have been commanded by anybody else: a record is needed for that.
+	// A machine that came to the record after this node's claim, and not from another shard,
+	// can't have been commanded by another node: a record is needed for that.
 	neverCommanded := created && isCreation(name) && modRevision > s.ownerEpoch
 	before := b.machines
 	b.machines = make([]*machine, 0, len(rec.Machines))
@@ -150,7 +150,7 @@
 
 func byName(m *machine, id string) int { return cmp.Compare(m.id, id) }
 
-// dropMachine takes notice that a machine is gone, and all on it.
+// dropMachine removes a machine that is gone, and all on it.
 func (c *Controller) dropMachine(m *machine) {
 	if m.view != nil {
 		c.freeAll(m, "machine gone", true)
--- a/internal/controller/machine_records_test.go
+++ b/internal/controller/machine_records_test.go
@@ -126,7 +126,7 @@
 		after bool
 	}{{"older than the claim", false}, {"newer", true}} {
 		t.Run(tc.name, func(t *testing.T) {
-			h := meet(t, withPeer)
+			h := newOwnerHarness(t, withPeer)
 			s := h.c.ownership.shards[0]
 			modRevision := s.ownerEpoch - 1
 			if tc.after {
@@ -149,7 +149,7 @@
 // A machine's move is not answered; before the owner raises its fencing token, the leader
 // rewrites the record set. The move is void then, and the machine is to be used again.
 func TestVoidMoveEnds(t *testing.T) {
-	h := meet(t, func(c *Config) {
+	h := newOwnerHarness(t, func(c *Config) {
 		withPeer(c)
 		c.Shards = 2
 		c.Teams = []Team{{Name: "t", CPUs: 8}, {Name: "u", CPUs: 4}}
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -7,8 +7,8 @@
 	id        string
 	rec       machineRecord
 	recordSet *machineRecordSet
-	// agentEpoch is the last one that the machine showed to this node, under any lock: a guess
-	// for the first command to it.
+	// agentEpoch is the last one that the machine showed to this node, under any lock: the
+	// first command to it names it, though it may be out of date.
 	agentEpoch uint64
 	// returned: the cloud has confirmed its return, so it never comes back.
 	returned bool
@@ -59,7 +59,7 @@
 	s.recountAll = true
 }
 
-// fencingToken is the token under which this node commands a machine of its shard.
+// fencingToken returns the token under which this node commands a machine of its shard.
 func (c *Controller) fencingToken(s *shard, m *machine) uint64 {
 	return max(s.ownerEpoch, m.recordSet.modRevision)
 }
--- a/internal/controller/maintenance.go
+++ b/internal/controller/maintenance.go
@@ -3,8 +3,7 @@
 import "garnethitch/internal/micros"
 
 // The time between two runs of maintain: the longer one if every shard has an owner and is
-// reconciled. Each run wakes the process, which is most of the processor time that an idle
-// controller takes (docs/account.md).
+// reconciled. Each run wakes the process, even if nothing is due.
 const (
 	busyInterval = 100 * micros.Millisecond
 	calmInterval = 300 * micros.Millisecond
--- a/internal/controller/ownership.go
+++ b/internal/controller/ownership.go
@@ -20,7 +20,7 @@
 	releaseInterval = 5 * micros.Second
 )
 
-// shardOwnership is what this node is to a shard.
+// shardOwnership is how far this node owns a shard.
 type shardOwnership int
 
 const (
@@ -61,8 +61,8 @@
 	// last one reached its limit.
 	resumeAt  int
 	ownership shardOwnership
-	// highestSeenEpoch is the highest epoch of another owner that this node heard of; it never
-	// acts below it.
+	// highestSeenEpoch is the highest epoch of another owner that this node has seen; it never
+	// acts under a lower one.
 	highestSeenEpoch uint64
 	arrivals         estimate.RateMeter
 }
@@ -205,8 +205,8 @@
 	return s.ownership == shardOwned && o.now >= s.claimedAt+stablePeriod && o.allReconciled(s)
 }
 
-// releaseShard ends all actions for a shard and deletes its owner key. Nobody need answer for the
-// shard until the deletion is sent: that goes with leases, before all else.
+// releaseShard ends all actions for a shard and deletes its owner key. No node owns the shard until
+// the deletion is applied, so it is sent in the class of leases, before all other requests.
 func (c *Controller) releaseShard(s *shard) {
 	s.ownership = shardReleasing
 	c.dropQuota(s)
--- a/internal/controller/ownership_test.go
+++ b/internal/controller/ownership_test.go
@@ -78,10 +78,10 @@
 	}
 }
 
-// TestAloneWithItsWorkers checks that a controller without the state service and its peers stops
+// TestIsolatedWithItsWorkers checks that a controller without the state service and its peers stops
 // answering its machines after CommandValidity, is not ready, and answers users with nothing but
 // final states.
-func TestAloneWithItsWorkers(t *testing.T) {
+func TestIsolatedWithItsWorkers(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.Peers = []string{"n-1"} })
 	h.run(2 * sec)
 	fencingToken := h.reconcile("vm-1")
@@ -111,9 +111,9 @@
 	}
 }
 
-// TestBackAtOnce checks that a process that is restarted within its lease replaces the keys of its
+// TestRestartWithinLease checks that a process that is restarted within its lease replaces the keys of its
 // former process, and that what that one had sent does nothing when it arrives.
-func TestBackAtOnce(t *testing.T) {
+func TestRestartWithinLease(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.Peers = []string{"n-1"}; c.Shards = 1 })
 	key := ownerKey(0)
 	stale := h.keys[key].ModRevision - 1
@@ -186,7 +186,7 @@
 // in the class of the reads, 45 and 261 in that of the deletion. Proof: beside more requests
 // than can be read, the key is deleted within a few seconds.
 func TestReleaseShardBesideQuestions(t *testing.T) {
-	h := meet(t, func(c *Config) {
+	h := newOwnerHarness(t, func(c *Config) {
 		withPeer(c)
 		c.StateRPS = 60
 	})
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -14,8 +14,8 @@
 	statusInterval = micros.Second
 	// peerTimeout is how long a controller that is silent counts as up.
 	peerTimeout = 5 * statusInterval / 2
-	// peerStatusOverdue is how long another controller's own statuses may be apart for its
-	// side to count as asking.
+	// peerStatusOverdue is how far another controller's own statuses may be apart for it to
+	// count as the one that sends them; see peerAsks.
 	peerStatusOverdue = 6 * statusInterval / 5
 	// stateFreshFor is how long the state service counts as up after its last answer.
 	stateFreshFor = 5 * micros.Second / 2
@@ -93,13 +93,13 @@
 		}
 		c.finishJob(id, f)
 		if i := slices.Index(p.cancelled, id); i >= 0 {
-			p.cancelled = slices.Delete(p.cancelled, i, i+1) // it knows
+			p.cancelled = slices.Delete(p.cancelled, i, i+1) // it has recorded that itself
 		}
 	}
 }
 
-// alive reports whether another controller was heard of within peerTimeout. A time in which
-// this node itself was stalled does not count against others.
+// alive reports whether a message of another controller came within peerTimeout. A time in
+// which this node itself was stalled does not count against others.
 func (sc *stepContext) alive(p *peerView) bool {
 	everHeard := p.lastHeardAt > -micros.Never
 	return everHeard && sc.now-max(p.lastHeardAt, sc.lastStalledAt) < peerTimeout
@@ -162,7 +162,7 @@
 	return true
 }
 
-// about is what this node says of itself to another controller: among the rest the shards
+// about returns what this node says of itself to another controller: among the rest the shards
 // for which it acts, and the machines of the other's shards that sent heartbeats here.
 func (c *Controller) about(p *peerView) peer.ControllerState {
 	return peer.ControllerState{
--- a/internal/controller/peers_test.go
+++ b/internal/controller/peers_test.go
@@ -19,7 +19,7 @@
 		cancel   micros.Micros
 	}{{25, 70 * sec}, {40, 49 * sec}, {200, 49 * sec}, {400, 70 * sec}} {
 		t.Run(fmt.Sprint(limits), func(t *testing.T) {
-			h := meet(t, func(c *Config) {
+			h := newOwnerHarness(t, func(c *Config) {
 				withPeer(c)
 				c.WriteRPS, c.Cancel = limits.writeRPS, limits.cancel
 				c.MaxFinalJobs = 40_000
@@ -86,7 +86,7 @@
 // answers; and a controller that answered a user notifies the others until they acknowledge.
 func TestCancellationIsBroadcast(t *testing.T) {
 	t.Run("received", func(t *testing.T) {
-		h := meet(t, withPeer)
+		h := newOwnerHarness(t, withPeer)
 		fencingToken, a := h.runOne()
 		h.stateDown, h.refused = true, true
 		h.run(sec / 2)
@@ -114,7 +114,7 @@
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			h := meet(t, withPeer)
+			h := newOwnerHarness(t, withPeer)
 			h.runOne()
 			h.peersDown = true
 			tc.learn(h)
@@ -141,7 +141,7 @@
 // A late copy of a message about a new job does not bring back one whose end has
 // left memory.
 func TestLateJobRecordHint(t *testing.T) {
-	h := meet(t, func(c *Config) {
+	h := newOwnerHarness(t, func(c *Config) {
 		withPeer(c)
 		c.MaxFinalJobs = 1
 	})
--- a/internal/controller/quota.go
+++ b/internal/controller/quota.go
@@ -18,7 +18,7 @@
 const (
 	// quotaUsageInterval is the time between two updates of the usage in the ledger.
 	quotaUsageInterval = 250 * micros.Millisecond
-	// announceInterval is the time between two looks of the leader at options and schedules.
+	// announceInterval is the time after which the leader checks options and schedules again.
 	announceInterval = micros.Second
 	// quotaTimeout bounds a request to the state service.
 	quotaTimeout = 1500 * micros.Millisecond
@@ -36,7 +36,7 @@
 	members map[string][]int
 
 	nextUsageAt    micros.Micros // when the usage in the ledger is next updated
-	nextAnnounceAt micros.Micros // when this controller, if it leads, next looks at the options
+	nextAnnounceAt micros.Micros // when this controller, if it leads, next checks the options
 
 	staleGroups map[string]bool // groups whose record is to be read again
 	staleShards map[int]bool    // shards for which all records are to be read again
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -45,9 +45,9 @@
 	return rec
 }
 
-// TestGroupBindsStarts: a group's limit binds what is started, an operator's lower one at
+// TestGroupLimitBoundsStarts checks that a group's limit bounds what is started, an operator's lower one at
 // once, also where its tasks can't be seen gone; cleared, the options count again.
-func TestGroupBindsStarts(t *testing.T) {
+func TestGroupLimitBoundsStarts(t *testing.T) {
 	h := newHarness(t, withGroup(t, 3))
 	fencingToken := h.reconcile("vm-1")
 	h.submit(jobOf("job-000001", 10))
@@ -98,7 +98,7 @@
 	}
 }
 
-// TestQuotaRequests: what can't be done is said, and changes nothing.
+// TestQuotaRequests checks that a request that can't be met is answered so, and changes nothing.
 func TestQuotaRequests(t *testing.T) {
 	h := newHarness(t, withGroup(t, 3))
 	h.run(3 * sec)
@@ -144,7 +144,7 @@
 	}
 }
 
-// TestQuotaTrace: what one controller gives up for another's asking belongs to the trace
+// TestQuotaTrace checks that what one controller gives up for another's asking belongs to the trace
 // that the other began, whose context came with a status message.
 func TestQuotaTrace(t *testing.T) {
 	h := newHarness(t, func(c *Config) {
@@ -168,7 +168,8 @@
 	}
 }
 
-// TestOlderVersionsReadStatusWithGroups: an older version reads of a message what it knows.
+// TestOlderVersionsReadStatusWithGroups checks that an older version reads the fields of a message
+// that it knows.
 func TestOlderVersionsReadStatusWithGroups(t *testing.T) {
 	st := &peer.Status{ControllerState: peer.ControllerState{UptimeUS: 5, StateOK: true, Claims: []peer.ShardClaim{{Shard: 1, OwnerEpoch: 7}}, Quota: true}, ReturnedMachines: []string{"vm-1"},
 		Traces: []peer.TraceContext{{WaitingTasks: "all", Trace: make([]byte, 16), Span: make([]byte, 8)}}}
@@ -221,7 +222,7 @@
 	}
 }
 
-// FuzzQuotaRecord: whatever stands under a group's key, a controller goes on.
+// FuzzQuotaRecord checks that a controller survives whatever stands under a group's key.
 func FuzzQuotaRecord(f *testing.F) {
 	limit := quota.CPULimit(3)
 	for _, rec := range []quota.Record{{}, {Epoch: 3, Definition: quota.Definition{Parent: "all", Teams: []string{"t"}, Members: []string{"t"}, Limit: limit}, Rows: []quota.Row{{Shard: 9}, {Shard: -1}}}} {
--- a/internal/controller/quota_usage.go
+++ b/internal/controller/quota_usage.go
@@ -49,7 +49,7 @@
 }
 
 // usageKnowledge returns how well it is known what a shard uses. A process that has just begun
-// does not know how large the machines are, and would take them for empty.
+// does not know how large the machines are, and must not count them as empty.
 func (c *Controller) usageKnowledge(s *shard) usageKnowledge {
 	if len(c.types) == 0 {
 		return usageUnknown
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -13,7 +13,7 @@
 type contactView struct {
 	lastHeartbeatAt micros.Micros
 	lastReplyAt     micros.Micros
-	since           micros.Micros // when this node began to watch it
+	since           micros.Micros // when this node began to follow it
 	reachability    reachability.Tracker
 }
 
@@ -58,12 +58,12 @@
 	return v.sequenceKnown && c.sinceLastReply(v) > c.heartbeatDeadlines.Timeout
 }
 
-// sinceLastReply is how long ago a heartbeat of a machine was last answered.
+// sinceLastReply returns how long ago a heartbeat of a machine was last answered.
 func (sc *stepContext) sinceLastReply(v *view) micros.Micros {
 	return sc.now - max(v.lastReplyAt, v.since, sc.lastStalledAt)
 }
 
-// sinceLastHeartbeat is how long ago a machine's last heartbeat came, to a node that had the
+// sinceLastHeartbeat returns how long ago a machine's last heartbeat came, to a node that had the
 // time to read it: what arrived while this node was stalled may still be unread.
 func (sc *stepContext) sinceLastHeartbeat(v *view) micros.Micros {
 	return sc.now - max(v.lastHeartbeatAt, v.since, sc.lastStalledAt)
--- a/internal/controller/reachability/deadlines.go
+++ b/internal/controller/reachability/deadlines.go
@@ -9,7 +9,7 @@
 	// and for trying the next controller.
 	lostHeartbeatMargin = 2 * micros.Second
 	// returnMargin is added for one lost heartbeat and for trying the next controller, so
-	// that one lost heartbeat never looks like a dead machine.
+	// that no machine is returned for one lost heartbeat.
 	returnMargin = 8 * micros.Second
 )
 
--- a/internal/controller/reachability/reachability.go
+++ b/internal/controller/reachability/reachability.go
@@ -1,4 +1,4 @@
-// Package reachability tells whether the replies of a controller arrive at a machine whose
+// Package reachability determines whether the replies of a controller arrive at a machine whose
 // heartbeats arrive at the controller.
 //
 // Receiving heartbeats from a machine is not reaching it: the connection may work in one
--- a/internal/controller/reachability_test.go
+++ b/internal/controller/reachability_test.go
@@ -74,7 +74,7 @@
 }
 
 // Heartbeat deadlines follow from the settings: where heartbeats come 10 s apart,
-// one that was lost makes no machine look dead.
+// no machine is returned because one was lost.
 func TestHeartbeatTimeout(t *testing.T) {
 	for _, tc := range []struct {
 		name            string
@@ -97,7 +97,7 @@
 		}
 		// The next controller is tried 1 s after a reply was missed for 4 s.
 		if lost := longest + 5*sec; c.heartbeatDeadlines.Return <= lost {
-			t.Errorf("%s: one lost heartbeat makes a machine look dead", tc.name)
+			t.Errorf("%s: returned for one lost heartbeat", tc.name)
 		}
 		if c.heartbeatDeadlines.Return >= tc.lease {
 			t.Errorf("%s: a lease runs out first", tc.name)
--- a/internal/controller/readiness_test.go
+++ b/internal/controller/readiness_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Users go elsewhere if a controller alone has lost the state service, but not if all have,
+// A controller is not ready for users if it alone has lost the state service, and ready if all have,
 // also when they were started in the outage.
 func TestReadiness(t *testing.T) {
 	ready := func(h *harness) int { return h.ask(func(r ReplyID) Input { return ReadinessRequest{Reply: r} }).Status }
--- a/internal/controller/reconciliation.go
+++ b/internal/controller/reconciliation.go
@@ -5,8 +5,8 @@
 	"garnethitch/internal/wire"
 )
 
-// reconciliationView orders a machine's heartbeats, and says what a former owner may have
-// left on it. A heartbeat that is older than (agentEpoch, sequence) changes nothing.
+// reconciliationView is the position of a machine's last heartbeat, and what a former owner may
+// have left on it. A heartbeat that is older than (agentEpoch, sequence) changes nothing.
 //
 // The booleans occur in these combinations:
 //
@@ -94,14 +94,14 @@
 
 const (
 	// reconcileRetryDelay is added to the time before the next attempt to reconcile a machine
-	// for each one that was not answered, so that such machines leave the turn to others.
+	// for each command that was not answered, so that other machines are tried first.
 	reconcileRetryDelay = micros.Second
-	// maxReconcileBackoff bounds how many of them count.
+	// maxReconcileBackoff bounds how many unanswered commands count.
 	maxReconcileBackoff = 3
 )
 
-// reconcileMachine makes an unreconciled machine show its tasks under our fencing token.
-// An empty direct command does it: its answer carries the fencing token, or the agent epoch
+// reconcileMachine makes an unreconciled machine show its tasks under this node's fencing token,
+// by an empty direct command: its answer carries the fencing token, or the agent epoch
 // that the command should have named.
 func (c *Controller) reconcileMachine(s *shard, m *machine) {
 	v := m.view
--- a/internal/controller/record_limits_test.go
+++ b/internal/controller/record_limits_test.go
@@ -19,7 +19,7 @@
 		reverse bool
 	}{{"answered", false, false}, {"answer lost", true, false}, {"watched in another order", true, true}} {
 		t.Run(tc.name, func(t *testing.T) {
-			h := meet(t, func(c *Config) {
+			h := newOwnerHarness(t, func(c *Config) {
 				withPeer(c)
 				c.ValueBytes, c.TxnOps, c.MaxMachines, c.MaxWorkerRequests = 2<<10, 4, 100, 200
 			})
@@ -100,7 +100,7 @@
 
 // Checkpoints fit the limit in their textual form, and name tasks nevertheless.
 func TestCheckpointsFitLimit(t *testing.T) {
-	h := meet(t, withSmallLimits)
+	h := newOwnerHarness(t, withSmallLimits)
 	h.reconcile("vm-1")
 	for name, tasks := range map[string]int{"job-000001": 2000, "job-000002": 100_000, "job-000003": 1} {
 		for pattern, every := range map[string]int{"alternating": 2, "in threes": 3, "all but the last": 1} {
@@ -132,7 +132,7 @@
 
 // The largest machine record sets fit the limit in their textual form.
 func TestRecordSetsFitLimit(t *testing.T) {
-	h := meet(t, withSmallLimits)
+	h := newOwnerHarness(t, withSmallLimits)
 	h.reconcile("vm-1")
 	var list []*machine
 	for i := range h.c.recordSetLimit() {
--- a/internal/controller/registration_test.go
+++ b/internal/controller/registration_test.go
@@ -8,9 +8,9 @@
 )
 
 // A machine sends its first heartbeat just as the leader's lease is over; the leader
-// leads again under the same key. The machine must be assigned then.
+// leads again under the same key. The machine must be assigned once it does.
 func TestRegistrationAcrossOutage(t *testing.T) {
-	h := meet(t, withPeer)
+	h := newOwnerHarness(t, withPeer)
 	h.c.fleet.rented["vm-7"] = &rented{kind: fleet.Kind{Type: "m", Zone: "a", Spot: false}, at: h.now}
 	h.stateDown, h.refused = true, true
 	for h.now < h.c.ownership.lease.RenewedAt()+h.c.bounds.LeaseValidity-200*ms {
--- a/internal/controller/replacement.go
+++ b/internal/controller/replacement.go
@@ -97,9 +97,9 @@
 	return lost
 }
 
-// silenceLimit returns how long a machine may be silent before it is returned. The machines of a
-// partitioned zone look dead one by one: what a return gains is what is left of their leases, and
-// what it costs is the fleet of a whole zone, once the partition is over.
+// silenceLimit returns how long a machine may be silent before it is returned. Each machine of a
+// partitioned zone is silent as a failed one is: returning them saves the rest of their leases, and
+// costs the fleet of a whole zone once the partition is over.
 func (c *Controller) silenceLimit(inPartition bool) micros.Micros {
 	limit := c.heartbeatDeadlines.Return
 	if inPartition {
--- a/internal/controller/returned_machines.go
+++ b/internal/controller/returned_machines.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// machineReturned takes notice that the cloud has confirmed a machine's return: everything on it
+// machineReturned records that the cloud has confirmed a machine's return: everything on it
 // is gone, and it never comes back.
 func (c *Controller) machineReturned(id string) {
 	m := c.machines[id]
--- a/internal/controller/scale_out_test.go
+++ b/internal/controller/scale_out_test.go
@@ -8,7 +8,7 @@
 	"garnethitch/internal/wire"
 )
 
-// What is rented, from what waits and what is there.
+// What is rented follows from the tasks that wait and the machines that there are.
 func TestNextScaleOut(t *testing.T) {
 	waiting := func(tasks int, cpus, seconds float64) peer.WaitingTasks {
 		return peer.WaitingTasks{Any: true, Spot: true, CPUs: cpus, MemGB: 1, Waiting: tasks, WorkUS: int64(float64(tasks) * seconds * 1e6)}
@@ -40,7 +40,7 @@
 			sums:  fleet.Sums{Work: 1e4, Parallel: 100, Have: 400},
 		},
 		{
-			name:     "little work and no machine at all (it waited for 300 s in the simulation)",
+			name:     "little work and no machine at all",
 			group:    waiting(2, 1, 6),
 			sums:     fleet.Sums{Work: 12, Parallel: 2},
 			wantSpot: true, wantCount: 1,
@@ -59,7 +59,7 @@
 			wantCount:   50,
 		},
 		{
-			name:      "the fleet is large, but none of it can be used (it waited for 300 s)",
+			name:      "the fleet is large, but none of it can be used",
 			group:     noSpot,
 			sums:      fleet.Sums{Work: 1200, Parallel: 304, Have: 400},
 			wantCount: 1,
--- a/internal/controller/scale_test.go
+++ b/internal/controller/scale_test.go
@@ -77,7 +77,7 @@
 	h.heartbeat(heartbeatFrom(m.id, v.agentEpoch, v.sequence+1, v.fencingToken, tasks...))
 }
 
-// TestWorkPerHeartbeat: the work of a heartbeat does not grow with machines or jobs.
+// TestWorkPerHeartbeat checks that the work of a heartbeat does not grow with machines or jobs.
 // It counts visits, not time.
 func TestWorkPerHeartbeat(t *testing.T) {
 	work := func(machines, jobs, tasks int) float64 {
@@ -109,7 +109,7 @@
 	}
 }
 
-// TestUnchangedHeartbeat: a heartbeat that lists what the last one did costs a comparison,
+// TestUnchangedHeartbeat checks that a heartbeat that lists what the last one did costs a comparison,
 // however many tasks it has; one that lists less, or comes after a command was sent, is
 // processed in full.
 func TestUnchangedHeartbeat(t *testing.T) {
@@ -146,7 +146,7 @@
 	}
 }
 
-// TestWakeUps: where nothing happens, maintenance wakes a controller seldom; while a shard is
+// TestWakeUps checks that where nothing happens, maintenance wakes a controller seldom; while a shard is
 // not reconciled, or has no owner, often.
 func TestWakeUps(t *testing.T) {
 	wakes := func(h *harness) int {
@@ -175,7 +175,7 @@
 	}
 }
 
-// TestWorkPerRound: a round over all machines visits each of them a few times, however many
+// TestWorkPerRound checks that a round over all machines visits each of them a few times, however many
 // tasks wait.
 func TestWorkPerRound(t *testing.T) {
 	for _, tc := range []struct{ machines, jobs, tasks int }{{200, 20, 500}, {2200, 20, 500}, {2200, 300, 500}, {3100, 150, 2000}, {1900, 500, 90}, {700, 20, 20_000}, {4000, 150, 500}, {6000, 150, 500}} {
@@ -230,7 +230,7 @@
 	}
 }
 
-// TestMessageOfLargeFleet: the status that a controller sends to the leader about 6,000 idle
+// TestMessageOfLargeFleet checks that the status that a controller sends to the leader about 6,000 idle
 // machines, with names as long as a UUID, fits into one message with every machine; past that
 // bound the others are counted, and named in later messages.
 func TestMessageOfLargeFleet(t *testing.T) {
@@ -327,7 +327,7 @@
 	}
 }
 
-// TestWorkOfDAGs: hundreds of DAGs that wait cost a heartbeat and a walk over everything hardly
+// TestWorkOfDAGs checks that hundreds of DAGs that wait cost a heartbeat and a walk over everything hardly
 // more than none.
 func TestWorkOfDAGs(t *testing.T) {
 	work := func(dags int) (perHeartbeat, walk float64) {
--- a/internal/controller/scheduling_test.go
+++ b/internal/controller/scheduling_test.go
@@ -12,7 +12,7 @@
 // cancellations keep up within this node's part of the budget, a job that ends before
 // its first checkpoint never writes one, and nothing grows.
 func TestChurn(t *testing.T) {
-	h := meet(t, func(c *Config) {
+	h := newOwnerHarness(t, func(c *Config) {
 		c.WriteRPS, c.StateRPS = 25, 150
 		c.Peers = nil
 	})
@@ -86,7 +86,7 @@
 
 // Where steps take long, rounds and walks over everything are spaced, and leases
 // are renewed all the same.
-func TestRest(t *testing.T) {
+func TestRoundsAreSpaced(t *testing.T) {
 	for _, tc := range []struct {
 		took         micros.Micros
 		fewest, most int // rounds in 20 s
--- a/internal/controller/statestore/queue_test.go
+++ b/internal/controller/statestore/queue_test.go
@@ -40,7 +40,7 @@
 	return names
 }
 
-// TestQueueOrder: the order in which requests are sent, one rule a row.
+// TestQueueOrder checks the order in which requests are sent, one rule a row.
 func TestQueueOrder(t *testing.T) {
 	const never = micros.Never
 	for _, tc := range []struct {
@@ -105,7 +105,7 @@
 	}
 }
 
-// TestQueueFull: a class whose queue is full rejects requests, the others do not.
+// TestQueueFull checks that a class whose queue is full rejects requests, the others do not.
 func TestQueueFull(t *testing.T) {
 	q := testQueue(30, 10)
 	for range maxQueued {
--- a/internal/controller/unknown_jobs_test.go
+++ b/internal/controller/unknown_jobs_test.go
@@ -36,7 +36,7 @@
 	}
 
 	t.Run("with the first reply after the claim", func(t *testing.T) {
-		h := meet(t, fewEndsInMemory)
+		h := newOwnerHarness(t, fewEndsInMemory)
 		fencingToken, attempt := h.runOne()
 		end(h, "job-000001")
 		end(h, "job-000002")
@@ -49,7 +49,7 @@
 
 	t.Run("hundreds of machines", func(t *testing.T) {
 		const machines = 300
-		h := meet(t, fewEndsInMemory)
+		h := newOwnerHarness(t, fewEndsInMemory)
 		for i := range machines {
 			h.listed = append(h.listed, wire.ListedMachine{ID: machineName(i), Addr: machineName(i), Type: "m", Zone: "a", State: wire.MachineRunning, AgeS: 1})
 		}
@@ -70,7 +70,7 @@
 	})
 
 	t.Run("started by another shard's owner, under a later claim", func(t *testing.T) {
-		h := meet(t, fewEndsInMemory)
+		h := newOwnerHarness(t, fewEndsInMemory)
 		fencingToken, _ := h.runOne()
 		end(h, "job-000007")
 		end(h, "job-000008")
@@ -88,8 +88,8 @@
 // TestUnknownJobAtOwnerWithStaleView has an owner that can't learn of jobs, and a machine that lists
 // a task of one that it does not know. If the task was started under a claim that its view
 // includes, the job may have ended long ago, and nothing says when its user was notified: the
-// machine's lease is not renewed,
-// and the task is not stopped either, since it may be of a job that has just been accepted.
+// machine's lease is not renewed, and the task is not stopped either, since it may be of a job
+// that has just been accepted.
 // If it was started under a later claim, the job had not ended when the view was complete.
 func TestUnknownJobAtOwnerWithStaleView(t *testing.T) {
 	for _, tc := range []struct {
@@ -98,7 +98,7 @@
 		answered bool
 	}{{"started before the view", false, false}, {"started after the view", true, true}} {
 		t.Run(tc.name, func(t *testing.T) {
-			h := meet(t, func(c *Config) {
+			h := newOwnerHarness(t, func(c *Config) {
 				withPeer(c)
 				c.MaxFinalJobs, c.Cancel = 1, 40*sec
 			})
@@ -127,8 +127,8 @@
 	}
 }
 
-// TestUnknownJobIsNotStopped checks that no task of an accepted job is stopped because this node does not know the job yet, or
-// cannot use its record.
+// TestUnknownJobIsNotStopped checks that no task of an accepted job is stopped because this node
+// does not know the job yet, or cannot use its record.
 func TestUnknownJobIsNotStopped(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -147,7 +147,7 @@
 		{"its record is not readable", false, func(h *harness) { h.put(wire.JobKey("job-000007"), "nonsense") }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			h := meet(t, withPeer)
+			h := newOwnerHarness(t, withPeer)
 			fencingToken := h.reconcile("vm-1")
 			tc.record(h)
 			attempt := h.c.ownership.shards[0].ownerEpoch<<32 | 1
@@ -168,7 +168,7 @@
 // for ever: where the view of jobs does not advance, the job may have ended once the view is so
 // old that its user may have been notified in the meantime.
 func TestUnknownJobIsRenewedForBoundedTime(t *testing.T) {
-	h := meet(t, withPeer)
+	h := newOwnerHarness(t, withPeer)
 	fencingToken := h.reconcile("vm-1")
 	h.watchBlocked = wire.PrefixJob
 	heartbeat := func(seq uint64) int {
@@ -188,10 +188,11 @@
 	}
 }
 
-// TestLateReadOfEndedJob checks that a read that was answered before its job ended, and that comes after the end has left
-// memory, does not bring the job back: its tasks would be started again. Found by reading.
+// TestLateReadOfEndedJob checks that a read that was answered before its job ended, and that comes
+// after the end has left memory, does not bring the job back: its tasks would be started again.
+// Found by reading the code.
 func TestLateReadOfEndedJob(t *testing.T) {
-	h := meet(t, func(c *Config) {
+	h := newOwnerHarness(t, func(c *Config) {
 		withPeer(c)
 		c.MaxFinalJobs = 1
 	})
@@ -235,7 +236,7 @@
 		{"never submitted", nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			h := meet(t, withPeer)
+			h := newOwnerHarness(t, withPeer)
 			fencingToken := h.reconcile("vm-1")
 			h.watchBlocked = wire.PrefixJob
 			if tc.rec != nil {
--- a/internal/controller/user_requests_test.go
+++ b/internal/controller/user_requests_test.go
@@ -133,7 +133,7 @@
 		{"cancelled though done", over, func(r ReplyID) Input { return CancelRequest{Reply: r, ID: "job-000001"} }, 200, wire.StateDone},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			h := meet(t, withPeer)
+			h := newOwnerHarness(t, withPeer)
 			h.watchBlocked = wire.PrefixJob // it learns of no job by itself
 			h.run(sec)
 			if tc.set != nil {
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -9,7 +9,7 @@
 )
 
 // The least time between two watches of a prefix. The jobs of other controllers are not urgent:
-// an owner learns of a new job from the controller that accepted it, and a claim refreshes the
+// an owner receives a new job from the controller that accepted it, and a claim refreshes the
 // view of jobs. They are more urgent where a job of this controller is blocked on one of them.
 const (
 	controlWatchInterval = 80 * micros.Millisecond
--- a/internal/controller/watch_test.go
+++ b/internal/controller/watch_test.go
@@ -32,7 +32,7 @@
 // A new owner that can't learn which jobs its predecessor ended stops answering heartbeats in
 // time for their tasks to be gone: the former one may have answered its users right before.
 func TestOwnerWithStaleView(t *testing.T) {
-	h := meet(t, func(c *Config) {
+	h := newOwnerHarness(t, func(c *Config) {
 		withPeer(c)
 		c.Cancel = 40 * sec
 	})
--- a/internal/controller/worker_contact.go
+++ b/internal/controller/worker_contact.go
@@ -7,7 +7,7 @@
 )
 
 // A controller that has lost the workers, but not the state service, would keep its shards for
-// as long as that lasts while the leases of their machines run out. It can tell this from
+// as long as that lasts while the leases of their machines run out. It can distinguish this from
 // machines that have failed: the machines try the other controllers. It then releases its locks,
 // and claims none before it reaches machines again.
 
