--- a/internal/controller/attempt_end.go
+++ b/internal/controller/attempt_end.go
@@ -52,6 +52,7 @@
 	}
 }
 
+// logFreedTasks logs that the tasks on a machine are gone, if there were any.
 func (c *Controller) logFreedTasks(m *machine, reason string) {
 	tasks := 0
 	for _, att := range m.view.list {
--- a/internal/controller/attempts_test.go
+++ b/internal/controller/attempts_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// An attempt's number gives back the epoch of its starter, whatever the counter.
+// TestAttemptNumber checks that an attempt's number gives back the epoch of its starter, whatever
+// the counter.
 func TestAttemptNumber(t *testing.T) {
 	for _, tc := range []struct {
 		name           string
--- a/internal/controller/authority.go
+++ b/internal/controller/authority.go
@@ -8,6 +8,7 @@
 // What this node is entitled to: the methods here gather what it knows, and package authority
 // decides.
 
+// leaseKnowledge returns what this node knows of its lease.
 func (o *ownershipState) leaseKnowledge() authority.LeaseKnowledge {
 	return authority.LeaseKnowledge{Held: o.lease.Held(), RenewedAt: o.lease.RenewedAt(), Now: o.now}
 }
--- a/internal/controller/cancellation_cascade.go
+++ b/internal/controller/cancellation_cascade.go
@@ -71,6 +71,7 @@
 	generation int
 }
 
+// init makes the cascade's maps.
 func (w *cancellationCascade) init() {
 	w.jobs = map[string]*job{}
 	w.requested = map[string]uint64{}
--- a/internal/controller/cancellation_cascade_test.go
+++ b/internal/controller/cancellation_cascade_test.go
@@ -42,8 +42,9 @@
 	return cancelled
 }
 
-// A long list of dependents is recorded several at a time by their owner, which requests the
-// others to record some, and records those by itself if they do not.
+// TestDependentsAreRecorded checks that a long list of dependents is recorded several at a time by
+// their owner, which requests the others to record some, and records those by itself if they do
+// not.
 func TestDependentsAreRecorded(t *testing.T) {
 	const n = 90
 	h := cascade(t, n, 30) // some 10 a second of its own
@@ -78,7 +79,7 @@
 	}
 }
 
-// The owner records a short list without the others.
+// TestFewDependentsAreNotRequested checks that the owner records a short list without the others.
 func TestFewDependentsAreNotRequested(t *testing.T) {
 	h := cascade(t, 6, 30)
 	h.statusesSent = nil
@@ -94,8 +95,9 @@
 	}
 }
 
-// A controller records dependents of another's only when their owner requests it, only those
-// that it knows to need a cancelled job, and only under the claim of that owner.
+// TestRecordsForAnOwner checks that a controller records dependents of another's only when their
+// owner requests it, only those that it knows to need a cancelled job, and only under the claim of
+// that owner.
 func TestRecordsForAnOwner(t *testing.T) {
 	const n = 6
 	all := func() (ids []string) {
@@ -207,8 +209,8 @@
 	}
 }
 
-// A long list of dependents does not delay what is more urgent: jobs are accepted, others
-// end, and the lease is renewed.
+// TestDependentsYieldToUrgentRequests checks that a long list of dependents does not delay what is
+// more urgent: jobs are accepted, others end, and the lease is renewed.
 func TestDependentsYieldToUrgentRequests(t *testing.T) {
 	const n = 200
 	h := cascade(t, n, 30)
@@ -237,7 +239,8 @@
 	}
 }
 
-// CancellableDependents counts the dependents that fit into the time of a cancellation.
+// TestCancellableDependents checks that CancellableDependents counts the dependents that fit into
+// the time of a cancellation.
 func TestCancellableDependents(t *testing.T) {
 	inkingi := Config{Peers: make([]string, 2), WriteRPS: 18, Cancel: 70 * sec, Lease: 4 * sec}
 	for _, tc := range []struct {
@@ -261,8 +264,8 @@
 	}
 }
 
-// A write that the state service refuses as too large is retried seldom, and delays no other
-// kind of write.
+// TestRefusedAsTooLarge checks that a write that the state service refuses as too large is retried
+// seldom, and delays no other kind of write.
 func TestRefusedAsTooLarge(t *testing.T) {
 	for _, tc := range []struct {
 		name string
@@ -308,9 +311,9 @@
 	}
 }
 
-// A status request for a job that needs a cancelled one is answered by a read as long as there
-// are requests to spare, and with 503 at once when there are none: never by an older state,
-// and never at the cost of the records.
+// TestStatusOfDependents checks that a status request for a job that needs a cancelled one is
+// answered by a read as long as there are requests to spare, and with 503 at once when there are
+// none: never by an older state, and never at the cost of the records.
 func TestStatusOfDependents(t *testing.T) {
 	h := cascade(t, 3, 1000)
 	h.put(ownerKey(0), wire.OwnerRecord{Label: "n-1", Incarnation: 99}) // which records nothing
@@ -335,9 +338,9 @@
 	}
 }
 
-// Dependents go before the records of machines, and leave these a part: neither waits
-// for the other to end (found by randomized tests: one dependent waited for 80 s behind
-// a fleet that was returned).
+// TestDependentsAndMachineRecords checks that dependents go before the records of machines, and
+// leave these a part: neither waits for the other to end (found by randomized tests: one dependent
+// waited for 80 s behind a fleet that was returned).
 func TestDependentsAndMachineRecords(t *testing.T) {
 	for _, tc := range []struct {
 		name       string
--- a/internal/controller/cancellation_test.go
+++ b/internal/controller/cancellation_test.go
@@ -7,7 +7,8 @@
 	"garnethitch/internal/wire"
 )
 
-// The incident of the cancelled task (docs/incidents/2026-12-cancelled-task-ran-on.md).
+// TestCancelledTaskAcrossFailovers reproduces the incident of the cancelled task
+// (docs/incidents/2026-12-cancelled-task-ran-on.md).
 //
 // Seen: a task was on its machine more than cancel_s after its user had been notified
 // that the job is cancelled. How: the stop did not reach the machine, which then reached a controller
@@ -69,12 +70,12 @@
 	w.stopped = w.stopped || stops(body.Commands) > 0
 }
 
-// Found beside the incident, by the simulation: owners with a stale view of jobs followed one
-// another, and each renewed its machines' leases for a time that began with its own claim.
-// Seen: a cancelled task lived on while the state service let claims and renewals through
-// and no watch of jobs. Cause: the time allowed to an owner that does not know what its
-// predecessor ended counted on a predecessor that did. Proof: whatever the number of
-// claims, a machine whose heartbeats all arrive is rid of the task in time.
+// TestOwnersWithStaleViewsInSeries reproduces a fault found beside the incident, by the simulation:
+// owners with a stale view of jobs followed one another, and each renewed its machines' leases for
+// a time that began with its own claim. Seen: a cancelled task lived on while the state service let
+// claims and renewals through and no watch of jobs. Cause: the time allowed to an owner that does
+// not know what its predecessor ended counted on a predecessor that did. Proof: whatever the number
+// of claims, a machine whose heartbeats all arrive is rid of the task in time.
 func TestOwnersWithStaleViewsInSeries(t *testing.T) {
 	h := newOwnerHarness(t, func(c *Config) {
 		withPeer(c)
@@ -97,14 +98,14 @@
 	}
 }
 
-// Found beside the incident, by the simulation (docs/incidents/2026-12-unknown-job-was-fed.md).
-// Seen: a cancelled task lived on at an owner with a current view of jobs. How: its machine
-// was unreachable when it was cancelled, the shard was claimed anew, and the job's end had
-// left the memory of ends; reads of single jobs were refused. Cause: the lease of a machine with a
-// task of an unknown job was renewed until a read succeeded, without a bound, although the view
-// of jobs showed that the job had ended: "shard entitlement" said current_view, then each "report" said
-// answered=true commands=0. Proof: a machine whose heartbeats all arrive is rid of the task
-// in time.
+// TestUnknownJobUnreadable reproduces a fault found beside the incident, by the simulation
+// (docs/incidents/2026-12-unknown-job-was-fed.md). Seen: a cancelled task lived on at an owner with
+// a current view of jobs. How: its machine was unreachable when it was cancelled, the shard was
+// claimed anew, and the job's end had left the memory of ends; reads of single jobs were refused.
+// Cause: the lease of a machine with a task of an unknown job was renewed until a read succeeded,
+// without a bound, although the view of jobs showed that the job had ended: "shard entitlement"
+// said current_view, then each "report" said answered=true commands=0. Proof: a machine whose
+// heartbeats all arrive is rid of the task in time.
 func TestUnknownJobUnreadable(t *testing.T) {
 	h := newOwnerHarness(t, func(c *Config) {
 		withPeer(c)
@@ -162,12 +163,13 @@
 	}
 }
 
-// A start that is carried out late. Found by reading the code, and shown by this test: a direct command
-// was not answered, and the record that raises its machine's token does not get through, so
-// that the command may be executed as long as the machine's agent epoch lasts. Its job is
-// cancelled. The machine's heartbeats were answered all the same, which went on renewing its
-// lease: nothing bounded when the task might yet start. Proof: once the time of the
-// cancellation is over, so is the machine's lease, and with it the agent epoch that the command names.
+// TestLateStartIsBounded checks that a start that is carried out late has a bound in time. Found by
+// reading the code, and shown by this test: a direct command was not answered, and the record that
+// raises its machine's token does not get through, so that the command may be executed as long as
+// the machine's agent epoch lasts. Its job is cancelled. The machine's heartbeats were answered all
+// the same, which went on renewing its lease: nothing bounded when the task might yet start. Proof:
+// once the time of the cancellation is over, so is the machine's lease, and with it the agent epoch
+// that the command names.
 func TestLateStartIsBounded(t *testing.T) {
 	h := newOwnerHarness(t, withPeer)
 	fencingToken := h.reconcile("vm-1")
--- a/internal/controller/capacity_test.go
+++ b/internal/controller/capacity_test.go
@@ -8,8 +8,8 @@
 	"garnethitch/internal/wire"
 )
 
-// What is reserved for one job is not free for another, as far as tasks being stopped do not
-// leave it anyway; and a reservation ends with its time or its job.
+// TestFreeForReservation checks that what is reserved for one job is not free for another, as far
+// as tasks being stopped do not leave it anyway; and a reservation ends with its time or its job.
 func TestFreeForReservation(t *testing.T) {
 	owner := &job{sub: &wire.Submission{Tasks: 2, CPUs: 1}, run: &run{}}
 	other := &job{sub: &wire.Submission{Tasks: 2, CPUs: 1}, run: &run{}}
--- a/internal/controller/checkpoint/checkpoint_test.go
+++ b/internal/controller/checkpoint/checkpoint_test.go
@@ -21,7 +21,8 @@
 	return p
 }
 
-// A record covers the done tasks as ranges or as a set, and gives them back.
+// TestNewRecord checks that a record covers the done tasks as ranges or as a set, and gives them
+// back.
 func TestNewRecord(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -59,7 +60,8 @@
 	}
 }
 
-// A record of another job size, or one that is damaged, names no task outside the job.
+// TestDoneTasksIgnoresIndexesOutsideJob checks that a record of another job size, or one that is
+// damaged, names no task outside the job.
 func TestDoneTasksIgnoresIndexesOutsideJob(t *testing.T) {
 	for _, tc := range []struct {
 		name string
@@ -80,7 +82,7 @@
 	}
 }
 
-// The largest record fits, and names no task that is not done.
+// TestNewRecordFitsLimit checks that the largest record fits, and names no task that is not done.
 func TestNewRecordFitsLimit(t *testing.T) {
 	p := progressOf(wire.MaxTasks, func(i int) bool { return i%2 == 0 })
 	for range MaxSteps {
--- a/internal/controller/checkpoints_test.go
+++ b/internal/controller/checkpoints_test.go
@@ -8,9 +8,9 @@
 	"garnethitch/internal/wire"
 )
 
-// A job that becomes known only after its machines are reconciled gets its running tasks
-// before anything is scheduled: a task ran twice when a controller came back from a
-// network partition with an old view (Inkingi faults, seed 182635972162).
+// TestLateJobIsAdopted checks that a job that becomes known only after its machines are reconciled
+// gets its running tasks before anything is scheduled: a task ran twice when a controller came back
+// from a network partition with an old view (Inkingi faults, seed 182635972162).
 func TestLateJobIsAdopted(t *testing.T) {
 	h := newHarness(t, nil)
 	fencingToken := h.reconcile("vm-1")
@@ -27,7 +27,8 @@
 	}
 }
 
-// A new owner restores from a checkpoint the tasks that it names.
+// TestApplyCheckpointRestoresDoneTasks checks that a new owner restores from a checkpoint the tasks
+// that it names.
 func TestApplyCheckpointRestoresDoneTasks(t *testing.T) {
 	const tasks, done = 2000, 1000
 	c := New(Config{Shards: 1, Teams: []Team{{Name: "t"}}, ValueBytes: 8 << 10, StateRPS: 1, WriteRPS: 1, CloudRPS: 1}, 1)
@@ -59,7 +60,8 @@
 	}
 }
 
-// A checkpoint that is executed after its job's end leaves nothing behind.
+// TestLateCheckpoint checks that a checkpoint that is executed after its job's end leaves nothing
+// behind.
 func TestLateCheckpoint(t *testing.T) {
 	h := newOwnerHarness(t, withPeer)
 	fencingToken := h.reconcile("vm-1")
--- a/internal/controller/command_queue_test.go
+++ b/internal/controller/command_queue_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// A machine waits once, in turn, and for as long as it is this node's; a full queue keeps it.
+// TestCommandQueue checks that a machine waits once, in turn, and for as long as it is this node's;
+// a full queue keeps it.
 func TestCommandQueue(t *testing.T) {
 	newMachine := func(id string) *machine { return &machine{id: id, view: &view{}} }
 	a, b, gone := newMachine("vm-a"), newMachine("vm-b"), newMachine("vm-gone")
@@ -34,7 +35,8 @@
 	}
 }
 
-// Probes take a part of the requests in flight, and none when all are in flight.
+// TestCommandQueueProbes checks that probes take a part of the requests in flight, and none when
+// all are in flight.
 func TestCommandQueueProbes(t *testing.T) {
 	for _, tc := range []struct {
 		name                  string
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -33,6 +33,8 @@
 	return c.appendStarts(out, m, carrier)
 }
 
+// appendStops appends the stops that a machine may not have received yet, and notes that they are
+// sent.
 func (c *Controller) appendStops(out []wire.Command, v *view, carrier commandCarrier) []wire.Command {
 	for _, att := range v.list {
 		if len(out) >= maxCommands {
@@ -50,6 +52,7 @@
 	return out
 }
 
+// appendForgets appends the requests to forget attempts that need not stay known.
 func appendForgets(out []wire.Command, v *view) []wire.Command {
 	for _, att := range v.list {
 		if len(out) >= maxCommands {
@@ -62,6 +65,7 @@
 	return out
 }
 
+// appendStarts appends the starts that have not been sent, and notes that they are.
 func (c *Controller) appendStarts(out []wire.Command, m *machine, carrier commandCarrier) []wire.Command {
 	for _, att := range m.view.list {
 		if len(out) >= maxCommands {
@@ -91,6 +95,7 @@
 	c.ownership.markDirty(m)
 }
 
+// command returns a command about the attempt.
 func (att *attempt) command(op string) wire.Command {
 	return wire.Command{Op: op, Task: wire.TaskName(att.key.job, att.index), Attempt: att.key.attempt}
 }
--- a/internal/controller/commands_test.go
+++ b/internal/controller/commands_test.go
@@ -7,8 +7,8 @@
 	"garnethitch/internal/wire"
 )
 
-// A start in a reply that was dropped is recognized by the next heartbeat, and repeated with a
-// new attempt.
+// TestStartInDroppedReply checks that a start in a reply that was dropped is recognized by the next
+// heartbeat, and repeated with a new attempt.
 func TestStartInDroppedReply(t *testing.T) {
 	h := newHarness(t, nil)
 	fencingToken := h.reconcile("vm-1")
@@ -24,8 +24,8 @@
 	}
 }
 
-// A command that was not answered may act minutes later: its task starts nowhere
-// else before a raised fencing token was seen.
+// TestUnansweredCommand checks that the task of a command that was not answered, and may act
+// minutes later, starts nowhere else before a raised fencing token was seen.
 func TestUnansweredCommand(t *testing.T) {
 	h := newHarness(t, nil)
 	fencingToken := h.reconcile("vm-1")
@@ -68,7 +68,7 @@
 	}
 }
 
-// A cancellation stops what a start still under way brings up.
+// TestCancelDuringStart checks that a cancellation stops what a start still under way brings up.
 func TestCancelDuringStart(t *testing.T) {
 	h := newHarness(t, nil)
 	fencingToken := h.reconcile("vm-1")
@@ -97,9 +97,10 @@
 	}
 }
 
-// A repeat of a direct command can follow the end of the process that sent it. It
-// must find the attempt still known, unless a higher fencing token has been seen since
-// (found by the simulation: the repeat ran a task that had moved on).
+// TestCommandedAttemptStaysKnown checks when a worker may forget an attempt. A repeat of a direct
+// command can follow the end of the process that sent it. It must find the attempt still known,
+// unless a higher fencing token has been seen since (found by the simulation: the repeat ran a task
+// that had moved on).
 func TestCommandedAttemptStaysKnown(t *testing.T) {
 	for _, tc := range []struct {
 		name       string
@@ -146,8 +147,9 @@
 	}
 }
 
-// A direct command is delayed, and no heartbeat of its machine arrives: stops are still sent,
-// starts are not, and the raised fencing token that voids the one in doubt is sent at once.
+// TestDelayedCommand checks that while a direct command is delayed and no heartbeat of its machine
+// arrives, stops are still sent, starts are not, and the raised fencing token that voids the one in
+// doubt is sent at once.
 func TestDelayedCommand(t *testing.T) {
 	h := newOwnerHarness(t, withPeer)
 	fencingToken, a := h.runOne()
@@ -213,9 +215,9 @@
 	return out
 }
 
-// Beyond its lease an owner starts tasks only while every other controller says that
-// it has lost the state service too: else a successor may have confirmed a cancellation
-// to a user.
+// TestStartsBeyondTheLease checks that beyond its lease an owner starts tasks only while every
+// other controller says that it has lost the state service too: else a successor may have confirmed
+// a cancellation to a user.
 func TestStartsBeyondTheLease(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
--- a/internal/controller/compat_test.go
+++ b/internal/controller/compat_test.go
@@ -85,8 +85,8 @@
 	}
 )
 
-// Every record and message of older versions is read whole: written again by this
-// version it is the same, byte for byte.
+// TestOlderVersionsAreRead checks that every record and message of older versions is read whole:
+// written again by this version it is the same, byte for byte.
 func TestOlderVersionsAreRead(t *testing.T) {
 	for _, version := range []string{production, lastLanded} {
 		t.Run(version, func(t *testing.T) { readAll(t, version) })
@@ -141,8 +141,9 @@
 	}
 }
 
-// A node of this version continues after a failover with what an older one left: its jobs,
-// checkpoints and machines, the ends of its jobs as dependencies among them.
+// TestFailoverFromOlderVersions checks that a node of this version continues after a failover with
+// what an older one left: its jobs, checkpoints and machines, the ends of its jobs as dependencies
+// among them.
 func TestFailoverFromOlderVersions(t *testing.T) {
 	for _, version := range []string{production, lastLanded} {
 		t.Run(version, func(t *testing.T) { failoverFrom(t, version) })
@@ -211,8 +212,8 @@
 	}
 }
 
-// A request to record dependents is lost on an older version, and nothing else of the
-// message is.
+// TestOlderVersionsReadRequestsToRecord checks that a request to record dependents is lost on an
+// older version, and nothing else of the message is.
 func TestOlderVersionsReadRequestsToRecord(t *testing.T) {
 	about := peer.ControllerState{UptimeUS: 5, StateOK: true, Claims: []peer.ShardClaim{{Shard: 1, OwnerEpoch: 77}}}
 	sent, err := peer.Encode(peer.Request{From: "n-1", Status: &peer.Status{ControllerState: about, Cancelled: []string{"job-000412"}, JobsToCancel: []string{"job-000413"}}})
@@ -228,8 +229,8 @@
 	}
 }
 
-// What this version writes, the version in production reads as it did its own; a job
-// with dependencies it takes for pending, and starts nothing of it.
+// TestProductionVersionReadsRecords checks that what this version writes, the version in production
+// reads as it did its own; a job with dependencies it takes for pending, and starts nothing of it.
 func TestProductionVersionReadsRecords(t *testing.T) {
 	due := 900.0
 	sub := wire.Submission{ID: "job-000412", Class: "c", Team: "t", Kind: "sweep", Priority: "high", Tasks: 16, CPUs: 8, Image: "i", Types: []string{"m"}, DeadlineS: &due}
--- a/internal/controller/demand_test.go
+++ b/internal/controller/demand_test.go
@@ -6,7 +6,8 @@
 	"garnethitch/internal/micros"
 )
 
-// A running task may be stopped for the return of its machine only if little is lost by that.
+// TestMovable checks that a running task may be stopped for the return of its machine only if
+// little is lost by that.
 func TestMovable(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.FinishWithin = map[string]micros.Micros{"late": sec, "early": 60 * micros.Minute} })
 	for _, tc := range []struct {
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -37,8 +37,9 @@
 	h.put(wire.JobKey(id), wire.JobRecord{State: state, Tasks: 1, EndMS: endMS})
 }
 
-// A submission may name jobs that any controller accepted, in whatever state they are; one
-// that was never accepted, itself included, is answered 422 after a read only.
+// TestDependenciesAccepted checks that a submission may name jobs that any controller accepted, in
+// whatever state they are; one that was never accepted, itself included, is answered 422 after a
+// read only.
 func TestDependenciesAccepted(t *testing.T) {
 	blockWatch := func(h *harness) {
 		h.watchBlocked = wire.PrefixJob
@@ -93,8 +94,8 @@
 	}
 }
 
-// A list of dependencies too long for a record is refused alike whether they are known
-// or not, and without a read for each.
+// TestTooManyDependencies checks that a list of dependencies too long for a record is refused alike
+// whether they are known or not, and without a read for each.
 func TestTooManyDependencies(t *testing.T) {
 	for _, known := range []bool{true, false} {
 		h := newOwnerHarness(t, func(c *Config) { withPeer(c); c.ValueBytes = 2 << 10 })
@@ -164,7 +165,7 @@
 	return strings.Join(out, " ")
 }
 
-// A DAG runs in order, each job once all that it needs is done on record.
+// TestDAGRuns checks that a DAG runs in order, each job once all that it needs is done on record.
 func TestDAGRuns(t *testing.T) {
 	h, fencingToken := diamond(t)
 	seq := uint64(20)
@@ -195,8 +196,8 @@
 	}
 }
 
-// A blocked job is pending and takes nothing of its team's limit, guarantee or demand, and
-// nothing but a record unblocks it.
+// TestBlockedJob checks that a blocked job is pending and takes nothing of its team's limit,
+// guarantee or demand, and nothing but a record unblocks it.
 func TestBlockedJob(t *testing.T) {
 	h := newOwnerHarness(t, func(c *Config) { withPeer(c); c.Teams = []Team{{Name: "t", CPUs: 3, CPUsMax: 4}} })
 	fencingToken := h.reconcile("vm-1")
@@ -245,8 +246,8 @@
 	}
 }
 
-// The time from which a job's waiting counts is the end of the last job that it
-// needs, by that one's record: the same at any owner.
+// TestWaitingCountsFromLastEnd checks that the time from which a job's waiting counts is the end of
+// the last job that it needs, by that one's record: the same at any owner.
 func TestWaitingCountsFromLastEnd(t *testing.T) {
 	for _, tc := range []struct {
 		name string
@@ -318,8 +319,9 @@
 	return states
 }
 
-// A cancellation reaches all jobs that need the cancelled one, however deep and wide, in
-// whatever order the owner learns of them; one that is answered with done reaches none.
+// TestCancellationReachesDependents checks that a cancellation reaches all jobs that need the
+// cancelled one, however deep and wide, in whatever order the owner learns of them; one that is
+// answered with done reaches none.
 func TestCancellationReachesDependents(t *testing.T) {
 	const n = 60
 	for _, tc := range []struct {
@@ -428,8 +430,8 @@
 	return value
 }
 
-// Priority and deadline of a job apply to all jobs that it needs, from when it is submitted
-// until it is over.
+// TestPriorityPropagatesUp checks that priority and deadline of a job apply to all jobs that it
+// needs, from when it is submitted until it is over.
 func TestPriorityPropagatesUp(t *testing.T) {
 	h := newOwnerHarness(t, withPeer)
 	low := func(id string, dependencies ...string) wire.Submission {
@@ -472,9 +474,9 @@
 	}
 }
 
-// Priority and deadline reach a job through others of any team and any owner, in
-// whatever order they become known, and count from the submission of the last job however
-// long it waits; nothing is left of them once that one is over.
+// TestPriorityAcrossTeamsAndOwners checks that priority and deadline reach a job through others of
+// any team and any owner, in whatever order they become known, and count from the submission of the
+// last job however long it waits; nothing is left of them once that one is over.
 func TestPriorityAcrossTeamsAndOwners(t *testing.T) {
 	const ids = 4 // job-000004 needs 3, 3 needs 2, 2 needs 1
 	for _, tc := range []struct {
@@ -529,10 +531,10 @@
 	}
 }
 
-// After an outage, a partition or a start, a controller may not know of a cancellation that a
-// user was answered long ago: it calls no blocked job pending before its view is new enough
-// (found by the simulation: a controller back from an outage longer than a cancellation may
-// take).
+// TestBlockedIsPendingOnlyWithNewView checks when a blocked job is called pending. After an outage,
+// a partition or a start, a controller may not know of a cancellation that a user was answered long
+// ago: it calls no blocked job pending before its view is new enough (found by the simulation: a
+// controller back from an outage longer than a cancellation may take).
 func TestBlockedIsPendingOnlyWithNewView(t *testing.T) {
 	for _, tc := range []struct {
 		name string
--- a/internal/controller/direct_commands_test.go
+++ b/internal/controller/direct_commands_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// Only a command that was not sent, or that the machine itself refused, can't act any more.
+// TestCommandOutcome checks that only a command that was not sent, or that the machine itself
+// refused, can't act any more.
 func TestCommandOutcome(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
--- a/internal/controller/effects.go
+++ b/internal/controller/effects.go
@@ -30,6 +30,7 @@
 	sc.effects = append(sc.effects, Answer{Reply: r, Status: status, Body: body, RetryAfterS: retryAfter})
 }
 
+// log adds a log line to the effects; args are keys and values in turn.
 func (sc *stepContext) log(l Level, text string, args ...any) {
 	sc.effects = append(sc.effects, Log{Level: l, Text: text, Args: args})
 }
--- a/internal/controller/estimate/estimate_test.go
+++ b/internal/controller/estimate/estimate_test.go
@@ -13,7 +13,8 @@
 
 func near(got, want, tolerance float64) bool { return math.Abs(got-want) <= tolerance*want }
 
-// An estimate moves towards the run times of its class, within bounds.
+// TestRunTimesLearn checks that an estimate moves towards the run times of its class, within
+// bounds.
 func TestRunTimesLearn(t *testing.T) {
 	for _, tc := range []struct {
 		name      string
@@ -43,7 +44,7 @@
 	}
 }
 
-// Classes are learned apart, and no more of them than the bound.
+// TestRunTimesClasses checks that classes are learned apart, and no more of them than the bound.
 func TestRunTimesClasses(t *testing.T) {
 	r := NewRunTimes()
 	for i := range maxClasses + 5 {
@@ -59,7 +60,7 @@
 	}
 }
 
-// A steady arrival is measured at its rate, and forgotten when it ends.
+// TestRateMeter checks that a steady arrival is measured at its rate, and forgotten when it ends.
 func TestRateMeter(t *testing.T) {
 	var r RateMeter
 	now := micros.Micros(0)
--- a/internal/controller/estimate/ratemeter.go
+++ b/internal/controller/estimate/ratemeter.go
@@ -28,6 +28,7 @@
 	return r.level / meterSpan.Seconds()
 }
 
+// decay lets the amount decay up to now.
 func (r *RateMeter) decay(now micros.Micros) {
 	if now > r.at {
 		r.level *= math.Exp(-(now - r.at).Seconds() / meterSpan.Seconds())
--- a/internal/controller/first_start_test.go
+++ b/internal/controller/first_start_test.go
@@ -9,8 +9,8 @@
 
 func ptr[T any](v T) *T { return &v }
 
-// A job that has waited for long begins with one task ahead of all others, also
-// where it needs a whole machine and small tasks take every piece that comes free.
+// TestOverdueJobStarts checks that a job that has waited for long begins with one task ahead of all
+// others, also where it needs a whole machine and small tasks take every piece that comes free.
 func TestOverdueJobStarts(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -62,7 +62,8 @@
 	}
 }
 
-// What an overdue job has begun with is the last to be stopped for others.
+// TestOnlyStartIsStoppedLast checks that what an overdue job has begun with is the last to be
+// stopped for others.
 func TestOnlyStartIsStoppedLast(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.BeginWithin = 30 * sec })
 	newAttempt := func(waited micros.Micros, others int) *attempt {
@@ -83,7 +84,8 @@
 	}
 }
 
-// A job is overdue once it has waited for long with nothing running or done.
+// TestOverdue checks that a job is overdue once it has waited for long with nothing running or
+// done.
 func TestOverdue(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.BeginWithin = 30 * sec })
 	h.c.wall = 1000 * sec
--- a/internal/controller/fleet/rebalancing_test.go
+++ b/internal/controller/fleet/rebalancing_test.go
@@ -68,7 +68,8 @@
 	}
 }
 
-// A machine that is drained counts where it goes, and takes one of the places for such.
+// TestRebalancingDraining checks that a machine that is drained counts where it goes, and takes one
+// of the places for such.
 func TestRebalancingDraining(t *testing.T) {
 	r := NewRebalancing(testCatalog(), rebalancingDemands(1000, 80))
 	for _, id := range []string{"vm-8", "vm-9"} {
--- a/internal/controller/fleet/zones_test.go
+++ b/internal/controller/fleet/zones_test.go
@@ -6,8 +6,8 @@
 	"garnethitch/internal/peer"
 )
 
-// A zone counts as partitioned only if hardly any of its machines is connected while
-// another zone's are, however many rows the owners name.
+// TestPartitionedZones checks that a zone counts as partitioned only if hardly any of its machines
+// is connected while another zone's are, however many rows the owners name.
 func TestPartitionedZones(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
--- a/internal/controller/heartbeats_test.go
+++ b/internal/controller/heartbeats_test.go
@@ -8,7 +8,8 @@
 	"garnethitch/internal/wire"
 )
 
-// A heartbeat is accepted if it is newer than the last, and no successor has commanded its machine.
+// TestHeartbeatOrder checks that a heartbeat is accepted if it is newer than the last, and no
+// successor has commanded its machine.
 func TestHeartbeatOrder(t *testing.T) {
 	h := newHarness(t, nil)
 	fencingToken := h.reconcile("vm-1")
@@ -30,8 +31,8 @@
 	}
 }
 
-// A task on a silent machine restarts once that machine's lease must be over,
-// and not before.
+// TestSilentMachine checks that a task on a silent machine restarts once that machine's lease must
+// be over, and not before.
 func TestSilentMachine(t *testing.T) {
 	h := newHarness(t, nil)
 	fencingToken := h.reconcile("vm-1")
@@ -54,7 +55,8 @@
 	t.Error("never started elsewhere")
 }
 
-// A limit counts what may be on machines whose heartbeats have not come yet.
+// TestLimitCountsUnreconciledMachines checks that a limit counts what may be on machines whose
+// heartbeats have not come yet.
 func TestLimitCountsUnreconciledMachines(t *testing.T) {
 	for _, tc := range []struct {
 		name         string
@@ -83,9 +85,10 @@
 	}
 }
 
-// A controller that has lost the state service and the other controllers, but not its workers:
-// a machine that is silent here may send its heartbeats to a successor, which renews its
-// lease, so its tasks are not started elsewhere (found by the enlarged simulation: ran_twice).
+// TestSilentMachineWithinSuccessorWait has a controller lose the state service and the other
+// controllers, but not its workers: a machine that is silent here may send its heartbeats to a
+// successor, which renews its lease, so its tasks are not started elsewhere (found by the enlarged
+// simulation: ran_twice).
 func TestSilentMachineWithinSuccessorWait(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
@@ -119,8 +122,8 @@
 	}
 }
 
-// Late copies of heartbeats change nothing: no state, no lease arithmetic, no time of the
-// last heartbeat, no reconciliation, no assignment.
+// TestLateCopies checks that late copies of heartbeats change nothing: no state, no lease
+// arithmetic, no time of the last heartbeat, no reconciliation, no assignment.
 func TestLateCopies(t *testing.T) {
 	h := newHarness(t, nil)
 	fencingToken := h.reconcile("vm-1")
@@ -193,9 +196,9 @@
 	}
 }
 
-// A machine that reaches no controller while direct commands reach it gets no more
-// tasks, since they would end with its lease; its done tasks count, and it is not
-// lost as long as it has work that may be completed.
+// TestHeartbeatsUnanswered checks that a machine that reaches no controller while direct commands
+// reach it gets no more tasks, since they would end with its lease; its done tasks count, and it is
+// not lost as long as it has work that may be completed.
 func TestHeartbeatsUnanswered(t *testing.T) {
 	h := newOwnerHarness(t, func(c *Config) {
 		withPeer(c)
@@ -243,8 +246,8 @@
 	}
 }
 
-// Old heartbeats reach a controller that has just claimed a shard: they reconcile nothing, and
-// nothing of what they list is taken for the machine's present state.
+// TestOldHeartbeatsAtNewOwner checks that old heartbeats at a controller that has just claimed a
+// shard reconcile nothing, and nothing of what they list is taken for the machine's present state.
 func TestOldHeartbeatsAtNewOwner(t *testing.T) {
 	h := newOwnerHarness(t, withPeer)
 	sub := jobOf("job-000001", 3)
--- a/internal/controller/idempotency_test.go
+++ b/internal/controller/idempotency_test.go
@@ -111,9 +111,9 @@
 	}
 }
 
-// A transaction that was executed may be executed again at any later time, also after its
-// sender has ended. Whatever the controller writes has conditions under which a repeat does
-// nothing: in a run with every kind of write, each is repeated after each later one.
+// TestRepeatedWrites checks that a transaction that was executed may be executed again at any later
+// time, also after its sender has ended. Whatever the controller writes has conditions under which
+// a repeat does nothing: in a run with every kind of write, each is repeated after each later one.
 func TestRepeatedWrites(t *testing.T) {
 	h := newHarness(t, func(c *Config) {
 		c.Shards, c.MaxMachines = 2, 100
@@ -157,8 +157,8 @@
 	}
 }
 
-// Requests to the controller that were executed and come again, late, get the state that
-// they find and change nothing.
+// TestRepeatedRequests checks that requests to the controller that were executed and come again,
+// late, get the state that they find and change nothing.
 func TestRepeatedRequests(t *testing.T) {
 	submit := func(r ReplyID) Input { return SubmitRequest{Reply: r, Job: jobOf("job-000001", 1)} }
 	cancel := func(r ReplyID) Input { return CancelRequest{Reply: r, ID: "job-000001"} }
@@ -227,9 +227,9 @@
 	}
 }
 
-// Messages of other controllers that come again, late, do no harm: an old claim deprives no
-// owner of its shard, names of returned machines stay true, a release finds the machine gone
-// or busy, and a hint of a job that is over does not bring it back.
+// TestRepeatedPeerMessages checks that messages of other controllers that come again, late, do no
+// harm: an old claim deprives no owner of its shard, names of returned machines stay true, a
+// release finds the machine gone or busy, and a hint of a job that is over does not bring it back.
 func TestRepeatedPeerMessages(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.Peers = []string{"n-1"}; c.MaxMachines = 100 })
 	h.submit(jobOf("job-000009", 4000))
--- a/internal/controller/inventory_test.go
+++ b/internal/controller/inventory_test.go
@@ -8,7 +8,8 @@
 	"garnethitch/internal/wire"
 )
 
-// Machine types that make no sense are left out, whatever else the cloud lists.
+// TestUsableTypes checks that machine types that make no sense are left out, whatever else the
+// cloud lists.
 func TestUsableTypes(t *testing.T) {
 	good := wire.MachineType{Name: "m", CPUs: 4, MemGB: 8, Price: 1, SpotPrice: 0.5, Zones: []string{"b", "a", "b"}}
 	with := func(change func(*wire.MachineType)) wire.MachineType {
@@ -44,8 +45,8 @@
 	}
 }
 
-// Later pages of a list count once for each machine, and replace the list before only when the
-// last page is there.
+// TestListIsReadByPages checks that later pages of a list count once for each machine, and replace
+// the list before only when the last page is there.
 func TestListIsReadByPages(t *testing.T) {
 	h := newHarness(t, nil)
 	h.c.fleet.reset()
--- a/internal/controller/job_end_state.go
+++ b/internal/controller/job_end_state.go
@@ -23,6 +23,7 @@
 	endInFlight:  "in_flight",
 }
 
+// String returns the name of the phase.
 func (p endPhase) String() string { return endPhaseNames[p] }
 
 // jobEnd is what the owner of a job knows of the job's end.
--- a/internal/controller/job_end_test.go
+++ b/internal/controller/job_end_test.go
@@ -6,8 +6,8 @@
 	"garnethitch/internal/wire"
 )
 
-// An end whose transaction was not answered is resolved by a read; until then the job's
-// status is not answered from memory.
+// TestUnansweredEnd checks that an end whose transaction was not answered is resolved by a read;
+// until then the job's status is not answered from memory.
 func TestUnansweredEnd(t *testing.T) {
 	h := newHarness(t, nil)
 	fencingToken := h.reconcile("vm-1")
@@ -20,10 +20,10 @@
 	}
 }
 
-// The owner's record of a cancellation is executed, its answer lost, and the state service
-// refuses the owner from then on. Its machines must stop the task although the owner can
-// neither read nor watch. Several guards each suffice; this case is about the request
-// itself: no start follows it, and its tasks are stopped.
+// TestCancellationRequestStopsTasks has the owner's record of a cancellation executed with its
+// answer lost, and the state service refuse the owner from then on. Its machines must stop the task
+// although the owner can neither read nor watch. Several guards each suffice; this case is about
+// the request itself: no start follows it, and its tasks are stopped.
 func TestCancellationRequestStopsTasks(t *testing.T) {
 	for _, tc := range []struct {
 		name string
@@ -104,9 +104,9 @@
 	}
 }
 
-// A transaction that ends a job may be executed at any time once its answer is missing,
-// also after newer ones of the same controller were refused: its owner must not answer
-// from memory about a job that another controller may call cancelled.
+// TestInDoubtEnd checks that a transaction that ends a job may be executed at any time once its
+// answer is missing, also after newer ones of the same controller were refused: its owner must not
+// answer from memory about a job that another controller may call cancelled.
 func TestInDoubtEnd(t *testing.T) {
 	h := newOwnerHarness(t, withPeer)
 	h.runOne()
@@ -135,8 +135,8 @@
 	}
 }
 
-// A cancellation, a status request and a repeated submission coincide with the end of a
-// job's last task: every answer gives the state that was recorded first.
+// TestCancelDuringEnd has a cancellation, a status request and a repeated submission coincide with
+// the end of a job's last task: every answer gives the state that was recorded first.
 func TestCancelDuringEnd(t *testing.T) {
 	for _, tc := range []struct {
 		name string
@@ -186,8 +186,9 @@
 	}
 }
 
-// With every team at its limit, cancelled tasks on machines that can't be reached count
-// until they are provably gone, also at a new owner that knows the job to be over.
+// TestCancelledTasksCountUntilGone checks that with every team at its limit, cancelled tasks on
+// machines that can't be reached count until they are provably gone, also at a new owner that knows
+// the job to be over.
 func TestCancelledTasksCountUntilGone(t *testing.T) {
 	limit := func(c *Config) {
 		withPeer(c)
@@ -245,7 +246,8 @@
 	})
 }
 
-// A cancellation that was never recorded ends with its owner: the next owner runs the job.
+// TestCancellationRequestEndsWithItsOwner checks that a cancellation that was never recorded ends
+// with its owner: the next owner runs the job.
 func TestCancellationRequestEndsWithItsOwner(t *testing.T) {
 	h := newOwnerHarness(t, withPeer)
 	fencingToken, a := h.runOne()
--- a/internal/controller/job_queue_test.go
+++ b/internal/controller/job_queue_test.go
@@ -8,7 +8,8 @@
 	"garnethitch/internal/wire"
 )
 
-// The waiting jobs of a shard are served in the order of priority, guarantee, work and age.
+// TestQueue checks that the waiting jobs of a shard are served in the order of priority, guarantee,
+// work and age.
 func TestQueue(t *testing.T) {
 	type jb struct {
 		id, priority string
--- a/internal/controller/job_reads_test.go
+++ b/internal/controller/job_reads_test.go
@@ -49,7 +49,8 @@
 // changes at the minimum rate of its class, and what else is due.
 const longestWorkWait = 10 * sec
 
-// All other work makes progress beside questions, about one job and about many.
+// TestWorkBesideQuestions checks that all other work makes progress beside questions, about one job
+// and about many.
 func TestWorkBesideQuestions(t *testing.T) {
 	for _, tc := range []struct {
 		name string
@@ -99,8 +100,8 @@
 	}
 }
 
-// The deletion of an owner key is of the class of leases: it does not wait for any other class,
-// though their queues are full.
+// TestLockReleaseBeforeAllElse checks that the deletion of an owner key is of the class of leases:
+// it does not wait for any other class, though their queues are full.
 func TestLockReleaseBeforeAllElse(t *testing.T) {
 	h := newOwnerHarness(t, fewRequests)
 	for class := statestore.ClassAccept; class < statestore.ClassCount; class++ {
@@ -128,10 +129,10 @@
 	return rec
 }
 
-// No job stays unanswered because another is asked about more often, or because more are
-// asked about than can be read at once. Each of 150 jobs is asked about every 2 s, and one
-// other a hundred times a second; 150 reads take some 33 s at the least part of requests
-// of the class of questions, and the bound is 75 s.
+// TestQuestionsAreFairAmongJobs checks that no job stays unanswered because another is asked about
+// more often, or because more are asked about than can be read at once. Each of 150 jobs is asked
+// about every 2 s, and one other a hundred times a second; 150 reads take some 33 s at the least
+// part of requests of the class of questions, and the bound is 75 s.
 func TestQuestionsAreFairAmongJobs(t *testing.T) {
 	const jobs, within = 150, 75 * sec
 	h := newOwnerHarness(t, fewRequests)
@@ -162,8 +163,8 @@
 	}
 }
 
-// An answer is never older than its question: one that comes while a read of the same job
-// is in flight waits for a read of its own.
+// TestQuestionWaitsForItsOwnRead checks that an answer is never older than its question: one that
+// comes while a read of the same job is in flight waits for a read of its own.
 func TestQuestionWaitsForItsOwnRead(t *testing.T) {
 	h := newOwnerHarness(t, withPeer)
 	h.stateDown = true // what is sent is held
@@ -195,9 +196,9 @@
 	}
 }
 
-// Where the state service or another controller is slow, calls pile up until the process
-// takes no more. Those for users stop before, so that renewals and watches, and the
-// controllers' own messages, are still sent.
+// TestCallsInFlightAreBounded checks the bounds of calls for users. Where the state service or
+// another controller is slow, calls pile up until the process takes no more. Those for users stop
+// before, so that renewals and watches, and the controllers' own messages, are still sent.
 func TestCallsInFlightAreBounded(t *testing.T) {
 	const stateRequests, peerQuestions = 6, 4
 	limits := func(c *Config) {
@@ -246,7 +247,8 @@
 	})
 }
 
-// A user who is refused is to try again when all that wait can have been read, and soon.
+// TestRetryAfterFitsBacklog checks that a user who is refused is to try again when all that wait
+// can have been read, and soon.
 func TestRetryAfterFitsBacklog(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
@@ -276,9 +278,9 @@
 	}
 }
 
-// A submission that can't be accepted in an outage does not have to wait for the backlog of
-// questions: its user tries for a minute in all, and each try counts. Found by review: with 300
-// jobs asked about in vain it was to try again after 10 s, not 1.
+// TestSubmissionRetriesSoon checks that a submission that can't be accepted in an outage does not
+// have to wait for the backlog of questions: its user tries for a minute in all, and each try
+// counts. Found by review: with 300 jobs asked about in vain it was to try again after 10 s, not 1.
 func TestSubmissionRetriesSoon(t *testing.T) {
 	h := newOwnerHarness(t, fewRequests)
 	h.stateDown, h.refused = true, true
@@ -294,7 +296,8 @@
 	}
 }
 
-// Nor is a cancellation that can't be recorded: the same, of the job's owner.
+// TestCancelRequestRetriesSoon checks the same of a cancellation that can't be recorded, at the
+// job's owner.
 func TestCancelRequestRetriesSoon(t *testing.T) {
 	h := newOwnerHarness(t, fewRequests)
 	h.submit(jobOf("job-000002", 1))
--- a/internal/controller/job_table.go
+++ b/internal/controller/job_table.go
@@ -65,6 +65,7 @@
 	readsInFlight int
 }
 
+// init prepares an empty table that remembers at most maxFinals jobs that are over.
 func (t *jobTable) init(maxFinals int) {
 	t.open = map[string]*job{}
 	t.finals = finalJobs{limit: maxFinals, byID: map[string]finalJob{}}
--- a/internal/controller/job_table_test.go
+++ b/internal/controller/job_table_test.go
@@ -9,7 +9,7 @@
 	"garnethitch/internal/wire"
 )
 
-// The jobs that ended last are remembered, up to the limit.
+// TestFinalJobsForgetOldest checks that the jobs that ended last are remembered, up to the limit.
 func TestFinalJobsForgetOldest(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
@@ -34,7 +34,8 @@
 	}
 }
 
-// A record overrides another controller's word, and nothing overrides a record.
+// TestRecordFinal checks that a record overrides another controller's word, and nothing overrides a
+// record.
 func TestRecordFinal(t *testing.T) {
 	recorded := finalJob{state: wire.StateDone, tasks: 2, recorded: true, endMS: 7}
 	byPeer := finalJob{state: wire.StateDone}
--- a/internal/controller/machine_assignment.go
+++ b/internal/controller/machine_assignment.go
@@ -128,6 +128,7 @@
 	}
 }
 
+// sendCreation writes a record set, unless it is in flight or was sent a short time ago.
 func (c *Controller) sendCreation(creation *recordSetCreation) {
 	if creation.inFlight || c.now < creation.nextSendAt {
 		return
@@ -162,6 +163,8 @@
 	}
 }
 
+// endCreation ends the work on a record set that stands, so that its machines may be assigned
+// again.
 func (f *fleetState) endCreation(creation *recordSetCreation) {
 	delete(f.pendingCreations, creation.key)
 	for _, m := range creation.rec.Machines {
--- a/internal/controller/machine_attempts.go
+++ b/internal/controller/machine_attempts.go
@@ -41,11 +41,13 @@
 // each returns a machine's attempts; they may be dropped meanwhile.
 func (v *view) each() []*attempt { return slices.Clone(v.list) }
 
+// put adds an attempt to the machine.
 func (v *view) put(att *attempt) {
 	v.attempts[att.key] = att
 	v.list = append(v.list, att)
 }
 
+// remove removes an attempt from the machine.
 func (v *view) remove(att *attempt) {
 	delete(v.attempts, att.key)
 	if i := slices.Index(v.list, att); i >= 0 {
--- a/internal/controller/machine_health.go
+++ b/internal/controller/machine_health.go
@@ -104,6 +104,7 @@
 	return failures >= faultyAfterFailures
 }
 
+// failures returns how many tasks have failed on the machine since one was last completed there.
 func (v *view) failures() int {
 	failures := 0
 	for _, n := range v.failuresByJob {
--- a/internal/controller/machine_health_test.go
+++ b/internal/controller/machine_health_test.go
@@ -7,7 +7,7 @@
 	"garnethitch/internal/wire"
 )
 
-// A faulty machine is distinguished from a bad job.
+// TestFailures checks that a faulty machine is distinguished from a bad job.
 func TestFailures(t *testing.T) {
 	for _, tc := range []struct {
 		name      string
@@ -60,8 +60,8 @@
 	}
 }
 
-// A node that has stalled concludes nothing from heartbeats that it has not read, nor from ends
-// of tasks that it saw late; one that has not stalled does.
+// TestStalledNode checks that a node that has stalled concludes nothing from heartbeats that it has
+// not read, nor from ends of tasks that it saw late; one that has not stalled does.
 func TestStalledNode(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
--- a/internal/controller/machine_record_writes.go
+++ b/internal/controller/machine_record_writes.go
@@ -92,6 +92,7 @@
 	})
 }
 
+// setWriteInFlight notes whether a write of the record sets is under way or in doubt.
 func setWriteInFlight(writes []recordSetWrite, inFlight bool) {
 	for _, w := range writes {
 		if w.recordSet != nil {
--- a/internal/controller/machine_records.go
+++ b/internal/controller/machine_records.go
@@ -148,6 +148,7 @@
 	}
 }
 
+// byName compares a machine with a name, for a binary search.
 func byName(m *machine, id string) int { return cmp.Compare(m.id, id) }
 
 // dropMachine removes a machine that is gone, and all on it.
--- a/internal/controller/machine_records_test.go
+++ b/internal/controller/machine_records_test.go
@@ -9,8 +9,8 @@
 	"garnethitch/internal/wire"
 )
 
-// Machines move in one transaction that drops them from one record set and adds
-// them to another, and an unanswered one is resolved before anything starts.
+// TestMachineRecordSetMove checks that machines move in one transaction that drops them from one
+// record set and adds them to another, and an unanswered one is resolved before anything starts.
 func TestMachineRecordSetMove(t *testing.T) {
 	for _, tc := range []struct {
 		name string
@@ -61,8 +61,8 @@
 	}
 }
 
-// Machines are recorded in as few writes as possible, while they boot, and an
-// unanswered record is sent again under its own key only.
+// TestMachineRecordSetCreation checks that machines are recorded in as few writes as possible,
+// while they boot, and an unanswered record is sent again under its own key only.
 func TestMachineRecordSetCreation(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.MaxMachines = 1000; c.Shards = 1 })
 	var ids []string
@@ -118,8 +118,9 @@
 	}
 }
 
-// A record set older than the claim may have been used by the former owner, also when it
-// becomes known only after the claim: its machines are not taken for never commanded.
+// TestOldMachineRecordSetAfterClaim checks that a record set older than the claim may have been
+// used by the former owner, also when it becomes known only after the claim: its machines are not
+// taken for never commanded.
 func TestOldMachineRecordSetAfterClaim(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
@@ -146,8 +147,8 @@
 	}
 }
 
-// A machine's move is not answered; before the owner raises its fencing token, the leader
-// rewrites the record set. The move is void then, and the machine is to be used again.
+// TestVoidMoveEnds leaves a machine's move unanswered; before the owner raises its fencing token,
+// the leader rewrites the record set. The move is void then, and the machine is to be used again.
 func TestVoidMoveEnds(t *testing.T) {
 	h := newOwnerHarness(t, func(c *Config) {
 		withPeer(c)
--- a/internal/controller/machine_release.go
+++ b/internal/controller/machine_release.go
@@ -120,6 +120,7 @@
 	return txns
 }
 
+// chosenOf returns the machines of a record set that are chosen.
 func chosenOf(b *machineRecordSet, chosen map[*machine]bool) []*machine {
 	var out []*machine
 	for _, m := range b.machines {
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -38,6 +38,7 @@
 	reclaimAt      micros.Micros // when the cloud takes the machine away; 0: no notice
 }
 
+// newView returns the view of a machine of which no heartbeat has come yet.
 func (sc *stepContext) newView() *view {
 	return &view{
 		contactView:        contactView{lastHeartbeatAt: -micros.Never, lastReplyAt: -micros.Never, since: sc.now},
--- a/internal/controller/ownership.go
+++ b/internal/controller/ownership.go
@@ -40,6 +40,7 @@
 	shardReleasing: "releasing",
 }
 
+// String returns the name of the state.
 func (o shardOwnership) String() string { return shardOwnershipNames[o] }
 
 // shard is a set of teams (or of jobs) with the machines recorded to it.
@@ -86,6 +87,7 @@
 	releasedAt       micros.Micros // when a shard was last released to its preferred owner
 }
 
+// init prepares the state of a node that holds no lease and no lock.
 func (o *ownershipState) init(shards int, lease micros.Micros) {
 	o.lease = ownership.NewLease(lease)
 	for id := range shards {
--- a/internal/controller/ownership/lease.go
+++ b/internal/controller/ownership/lease.go
@@ -107,4 +107,5 @@
 // RetryRenewal has the next renewal sent no later than at a time.
 func (l *Lease) RetryRenewal(at micros.Micros) { l.nextRenewalAt = min(l.nextRenewalAt, at) }
 
+// renewalInterval returns the time between two renewals.
 func (l *Lease) renewalInterval() micros.Micros { return l.duration / renewalsPerLease }
--- a/internal/controller/ownership_test.go
+++ b/internal/controller/ownership_test.go
@@ -178,13 +178,13 @@
 	}
 }
 
-// Found by the simulation at 4,000 machines and a state service that takes few requests
-// (docs/incidents/2026-12-share-stood-still.md). Seen: a shard was being released for
-// 100 s, its machines unanswered. How: nobody answers for its jobs from memory meanwhile, so that each
-// request of a user takes a read, and the deletion of the owner key waited behind these,
-// which went on for as long as it did: "state requests" said 8,309 sent and 10,715 expired
-// in the class of the reads, 45 and 261 in that of the deletion. Proof: beside more requests
-// than can be read, the key is deleted within a few seconds.
+// TestReleaseShardBesideQuestions reproduces a fault found by the simulation at 4,000 machines and
+// a state service that takes few requests (docs/incidents/2026-12-share-stood-still.md). Seen: a
+// shard was being released for 100 s, its machines unanswered. How: nobody answers for its jobs
+// from memory meanwhile, so that each request of a user takes a read, and the deletion of the owner
+// key waited behind these, which went on for as long as it did: "state requests" said 8,309 sent
+// and 10,715 expired in the class of the reads, 45 and 261 in that of the deletion. Proof: beside
+// more requests than can be read, the key is deleted within a few seconds.
 func TestReleaseShardBesideQuestions(t *testing.T) {
 	h := newOwnerHarness(t, func(c *Config) {
 		withPeer(c)
--- a/internal/controller/peers_test.go
+++ b/internal/controller/peers_test.go
@@ -9,10 +9,11 @@
 	"garnethitch/internal/wire"
 )
 
-// A controller that can't be reached is notified of every cancellation whose tasks may still be
-// on machines, however many there are. Which are dropped was decided by a count, 5,000, on the
-// assumption that the oldest are over by then: where the state service takes 200 writes a
-// second that many are recorded in 25 s, and a cancellation has 49.
+// TestPeersLearnAllCancellations checks that a controller that can't be reached is notified of
+// every cancellation whose tasks may still be on machines, however many there are. Which are
+// dropped was decided by a count, 5,000, on the assumption that the oldest are over by then: where
+// the state service takes 200 writes a second that many are recorded in 25 s, and a cancellation
+// has 49.
 func TestPeersLearnAllCancellations(t *testing.T) {
 	for _, limits := range []struct {
 		writeRPS float64
@@ -50,8 +51,9 @@
 	}
 }
 
-// Of two controllers one sends statuses and the other answers them; one that receives none,
-// has notifications, or waits for the other to be quiesced, sends its own.
+// TestOnePeerSendsStatus checks that of two controllers one sends statuses and the other answers
+// them; one that receives none, has notifications, or waits for the other to be quiesced, sends its
+// own.
 func TestOnePeerSendsStatus(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -82,8 +84,9 @@
 	}
 }
 
-// Another controller's notification ends a cancelled job at once, whatever the state service
-// answers; and a controller that answered a user notifies the others until they acknowledge.
+// TestCancellationIsBroadcast checks that another controller's notification ends a cancelled job at
+// once, whatever the state service answers; and a controller that answered a user notifies the
+// others until they acknowledge.
 func TestCancellationIsBroadcast(t *testing.T) {
 	t.Run("received", func(t *testing.T) {
 		h := newOwnerHarness(t, withPeer)
@@ -138,8 +141,8 @@
 	}
 }
 
-// A late copy of a message about a new job does not bring back one whose end has
-// left memory.
+// TestLateJobRecordHint checks that a late copy of a message about a new job does not bring back
+// one whose end has left memory.
 func TestLateJobRecordHint(t *testing.T) {
 	h := newOwnerHarness(t, func(c *Config) {
 		withPeer(c)
@@ -168,8 +171,9 @@
 	}
 }
 
-// A controller names to another all machines of that one's shards that send heartbeats to it,
-// and no others: past a fixed bound those that matter went unnamed.
+// TestMisdirectedMachinesAreNamed checks that a controller names to another all machines of that
+// one's shards that send heartbeats to it, and no others: past a fixed bound those that matter went
+// unnamed.
 func TestMisdirectedMachinesAreNamed(t *testing.T) {
 	h := newHarness(t, func(c *Config) {
 		c.Shards = 2
--- a/internal/controller/preemption_test.go
+++ b/internal/controller/preemption_test.go
@@ -7,8 +7,9 @@
 	"garnethitch/internal/wire"
 )
 
-// Capacity that is being made for one job is not given to another meanwhile, which would only be
-// stopped in its turn (found by the simulation: forty stops a second).
+// TestPreemptedCapacityIsReserved checks that capacity that is being made for one job is not given
+// to another meanwhile, which would only be stopped in its turn (found by the simulation: forty
+// stops a second).
 func TestPreemptedCapacityIsReserved(t *testing.T) {
 	h := newHarness(t, nil)
 	fencingToken := h.reconcile("vm-1") // four CPUs
@@ -49,8 +50,8 @@
 	}
 }
 
-// A job that can only just be in time has others stopped at once, without time
-// to save; one that has time, or can't be in time any more, has not.
+// TestDeadlineNear checks that a job that can only just be in time has others stopped at once,
+// without time to save; one that has time, or can't be in time any more, has not.
 func TestDeadlineNear(t *testing.T) {
 	deadline := func(s float64) *float64 { return &s }
 	for _, tc := range []struct {
@@ -86,8 +87,8 @@
 	}
 }
 
-// What is stopped for a job of higher priority: the loss counts work, priority,
-// length and earlier stops.
+// TestPreemptionLoss checks that the loss of stopping a task for a job of higher priority counts
+// work, priority, length and earlier stops.
 func TestPreemptionLoss(t *testing.T) {
 	h := newHarness(t, nil)
 	newAttempt := func(priority string, ran, estimate micros.Micros, stops int) *attempt {
@@ -114,8 +115,8 @@
 	}
 }
 
-// What may be lost for a task that waits: little at first, all once capacity has not come free by
-// itself for a while.
+// TestMaxPreemptionLoss checks that little may be lost for a task that waits at first, and all once
+// capacity has not come free by itself for a while.
 func TestMaxPreemptionLoss(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.StartWithin = map[string]micros.Micros{"now": 6 * sec, "soon": 40 * sec} })
 	for _, tc := range []struct {
--- a/internal/controller/quota_usage_test.go
+++ b/internal/controller/quota_usage_test.go
@@ -6,8 +6,9 @@
 	"garnethitch/internal/wire"
 )
 
-// A process that has just begun does not know how large machines are, and must not take those
-// with unknown tasks for empty (a successor gave up an allowance that was in use).
+// TestUsageKnowledge checks that a process that has just begun, and does not know how large
+// machines are, does not count those with unknown tasks as empty (a successor gave up an allowance
+// that was in use).
 func TestUsageKnowledge(t *testing.T) {
 	types := map[string]wire.MachineType{"m": {Name: "m", CPUs: 4}}
 	known := &view{}
--- a/internal/controller/reachability/reachability.go
+++ b/internal/controller/reachability/reachability.go
@@ -95,11 +95,13 @@
 	return t.unconfirmedSince, t.unconfirmedReplies > 0
 }
 
+// expectNothing forgets what the next heartbeat was to show.
 func (t *Tracker) expectNothing() {
 	t.expectedToken = 0
 	t.expectedCommand = wire.Command{}
 }
 
+// confirmationIn compares a heartbeat with what it was to show.
 func (t *Tracker) confirmationIn(heartbeat *wire.Heartbeat) Confirmation {
 	if t.expectedToken != 0 {
 		return confirmedIf(heartbeat.FencingToken >= t.expectedToken)
@@ -118,6 +120,7 @@
 	return confirmedIf(stopped)
 }
 
+// confirmedIf returns Confirmed if what was expected is shown, else Unconfirmed.
 func confirmedIf(shown bool) Confirmation {
 	if shown {
 		return Confirmed
--- a/internal/controller/reachability_test.go
+++ b/internal/controller/reachability_test.go
@@ -8,9 +8,9 @@
 	"garnethitch/internal/wire"
 )
 
-// A machine whose heartbeats arrive while replies and commands don't reach it gets
-// no more tasks and no more replies. What it holds counts until its lease has
-// provably ended.
+// TestHeartbeatsFromUnreachableMachine checks that a machine whose heartbeats arrive while replies
+// and commands don't reach it gets no more tasks and no more replies. What it holds counts until
+// its lease has provably ended.
 func TestHeartbeatsFromUnreachableMachine(t *testing.T) {
 	for _, tc := range []struct {
 		name          string
@@ -73,8 +73,8 @@
 	}
 }
 
-// Heartbeat deadlines follow from the settings: where heartbeats come 10 s apart,
-// no machine is returned because one was lost.
+// TestHeartbeatTimeout checks that heartbeat deadlines follow from the settings: where heartbeats
+// come 10 s apart, no machine is returned because one was lost.
 func TestHeartbeatTimeout(t *testing.T) {
 	for _, tc := range []struct {
 		name            string
--- a/internal/controller/readiness_test.go
+++ b/internal/controller/readiness_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A controller is not ready for users if it alone has lost the state service, and ready if all have,
-// also when they were started in the outage.
+// TestReadiness checks that a controller is not ready for users if it alone has lost the state
+// service, and ready if all have, also when they were started in the outage.
 func TestReadiness(t *testing.T) {
 	ready := func(h *harness) int { return h.ask(func(r ReplyID) Input { return ReadinessRequest{Reply: r} }).Status }
 	for _, tc := range []struct {
--- a/internal/controller/record_limits_test.go
+++ b/internal/controller/record_limits_test.go
@@ -10,8 +10,9 @@
 	"garnethitch/internal/wire"
 )
 
-// Machine record sets that a version with larger limits wrote are split in one transaction;
-// what runs on their machines continues, in whatever order the watch brings the parts.
+// TestOversizeRecordSetsAreSplit checks that machine record sets that a version with larger limits
+// wrote are split in one transaction; what runs on their machines continues, in whatever order the
+// watch brings the parts.
 func TestOversizeRecordSetsAreSplit(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
@@ -98,7 +99,8 @@
 	c.TxnOps = 4
 }
 
-// Checkpoints fit the limit in their textual form, and name tasks nevertheless.
+// TestCheckpointsFitLimit checks that checkpoints fit the limit in their textual form, and name
+// tasks nevertheless.
 func TestCheckpointsFitLimit(t *testing.T) {
 	h := newOwnerHarness(t, withSmallLimits)
 	h.reconcile("vm-1")
@@ -130,7 +132,8 @@
 	}
 }
 
-// The largest machine record sets fit the limit in their textual form.
+// TestRecordSetsFitLimit checks that the largest machine record sets fit the limit in their textual
+// form.
 func TestRecordSetsFitLimit(t *testing.T) {
 	h := newOwnerHarness(t, withSmallLimits)
 	h.reconcile("vm-1")
--- a/internal/controller/registration.go
+++ b/internal/controller/registration.go
@@ -107,6 +107,7 @@
 	})
 }
 
+// addRegistration adds a machine to those that are recorded together at registrationsDueAt.
 func (f *fleetState) addRegistration(in Heartbeat) {
 	if len(f.registrations) == 0 {
 		f.registrationsDueAt = f.now + registrationInterval
--- a/internal/controller/registration_test.go
+++ b/internal/controller/registration_test.go
@@ -7,8 +7,8 @@
 	"garnethitch/internal/wire"
 )
 
-// A machine sends its first heartbeat just as the leader's lease is over; the leader
-// leads again under the same key. The machine must be assigned once it does.
+// TestRegistrationAcrossOutage has a machine send its first heartbeat just as the leader's lease is
+// over. The leader leads again under the same key, and must assign the machine then.
 func TestRegistrationAcrossOutage(t *testing.T) {
 	h := newOwnerHarness(t, withPeer)
 	h.c.fleet.rented["vm-7"] = &rented{kind: fleet.Kind{Type: "m", Zone: "a", Spot: false}, at: h.now}
@@ -32,8 +32,8 @@
 	}
 }
 
-// The record of a machine that was not answered may be applied at any time, so
-// the machine is recorded under no other key meanwhile.
+// TestLateRecord checks that the record of a machine that was not answered may be applied at any
+// time, so the machine is recorded under no other key meanwhile.
 func TestLateRecord(t *testing.T) {
 	h := newHarness(t, nil)
 	h.c.fleet.rented["vm-1"] = &rented{kind: fleet.Kind{Type: "m", Zone: "a", Spot: true}, at: h.now}
--- a/internal/controller/replacement_test.go
+++ b/internal/controller/replacement_test.go
@@ -9,8 +9,9 @@
 	"garnethitch/internal/wire"
 )
 
-// Machines that can't be reached block a failover: they are returned if the work that waits
-// meanwhile is worth more than they are, and not if it is rather the owner that can't reach them.
+// TestUnreconciledReturn checks that machines that can't be reached, and block a failover, are
+// returned if the work that waits meanwhile is worth more than they are, and not if it is rather
+// the owner that can't reach them.
 func TestUnreconciledReturn(t *testing.T) {
 	for _, tc := range []struct {
 		name         string
@@ -54,8 +55,8 @@
 	}
 }
 
-// Machines of a partitioned zone are not returned as if they had died one by one; dead ones
-// beside them are. In the end they are returned after all.
+// TestSilentReturn checks that machines of a partitioned zone are not returned as if they had died
+// one by one; dead ones beside them are. In the end they are returned after all.
 func TestSilentReturn(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
@@ -83,9 +84,9 @@
 	}
 }
 
-// A new owner does not know what was returned before its claim: it is notified as long as it names
-// the machine as silent or unreconciled. (A shard was blocked for 12 s by three machines that had
-// long been returned.)
+// TestReturnNoticeIsRepeated checks that a new owner, which does not know what was returned before
+// its claim, is notified as long as it names the machine as silent or unreconciled. (A shard was
+// blocked for 12 s by three machines that had long been returned.)
 func TestReturnNoticeIsRepeated(t *testing.T) {
 	h := newHarness(t, func(c *Config) {
 		c.Shards = 2
--- a/internal/controller/returned_machines_test.go
+++ b/internal/controller/returned_machines_test.go
@@ -7,8 +7,8 @@
 	"garnethitch/internal/wire"
 )
 
-// When a record set is rewritten without its returned machines: all others in it send another
-// heartbeat for that.
+// TestRewriteDue checks when a record set is rewritten without its returned machines: all others in
+// it send another heartbeat for that.
 func TestRewriteDue(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
--- a/internal/controller/scale_out_test.go
+++ b/internal/controller/scale_out_test.go
@@ -8,7 +8,8 @@
 	"garnethitch/internal/wire"
 )
 
-// What is rented follows from the tasks that wait and the machines that there are.
+// TestNextScaleOut checks that what is rented follows from the tasks that wait and the machines
+// that there are.
 func TestNextScaleOut(t *testing.T) {
 	waiting := func(tasks int, cpus, seconds float64) peer.WaitingTasks {
 		return peer.WaitingTasks{Any: true, Spot: true, CPUs: cpus, MemGB: 1, Waiting: tasks, WorkUS: int64(float64(tasks) * seconds * 1e6)}
--- a/internal/controller/scale_test.go
+++ b/internal/controller/scale_test.go
@@ -190,10 +190,11 @@
 	}
 }
 
-// A round does not try every job that is bound to one zone on every machine with free capacity:
-// it is continued by the next, and reaches the job behind them all the same. Seen in the
-// simulation at 4,000 machines (TestLargeFleet): one round visited each machine 9.4 times, in
-// other runs up to 20 times, since a zone-bound job that fits nowhere rules out no other.
+// TestWorkPerRoundOfZonedJobs checks that a round does not try every job that is bound to one zone
+// on every machine with free capacity: it is continued by the next, and reaches the job behind them
+// all the same. Seen in the simulation at 4,000 machines (TestLargeFleet): one round visited each
+// machine 9.4 times, in other runs up to 20 times, since a zone-bound job that fits nowhere rules
+// out no other.
 func TestWorkPerRoundOfZonedJobs(t *testing.T) {
 	const machines, zoned = 2200, 100
 	h := bigHarness(t, machines, 0, 0)
--- a/internal/controller/scheduling/score_test.go
+++ b/internal/controller/scheduling/score_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// Each pair differs in what its name says, and the better candidate has the higher score.
+// TestCandidateScore checks that the better candidate of each pair, which differ in what the pair's
+// name says, has the higher score.
 func TestCandidateScore(t *testing.T) {
 	plain := Candidate{CPUs: 4, FreeCPUs: 4}
 	for _, tc := range []struct {
--- a/internal/controller/scheduling_test.go
+++ b/internal/controller/scheduling_test.go
@@ -8,9 +8,9 @@
 	"garnethitch/internal/wire"
 )
 
-// One-task jobs come four a second, a quarter of them cancelled: ends and
-// cancellations keep up within this node's part of the budget, a job that ends before
-// its first checkpoint never writes one, and nothing grows.
+// TestChurn has one-task jobs come four a second, a quarter of them cancelled: ends and
+// cancellations keep up within this node's part of the budget, a job that ends before its first
+// checkpoint never writes one, and nothing grows.
 func TestChurn(t *testing.T) {
 	h := newOwnerHarness(t, func(c *Config) {
 		c.WriteRPS, c.StateRPS = 25, 150
@@ -84,8 +84,8 @@
 	}
 }
 
-// Where steps take long, rounds and walks over everything are spaced, and leases
-// are renewed all the same.
+// TestRoundsAreSpaced checks that where steps take long, rounds and walks over everything are
+// spaced, and leases are renewed all the same.
 func TestRoundsAreSpaced(t *testing.T) {
 	for _, tc := range []struct {
 		took         micros.Micros
--- a/internal/controller/state_records.go
+++ b/internal/controller/state_records.go
@@ -59,6 +59,7 @@
 	return o.shards[id]
 }
 
+// applyShardOwner takes in the record of a shard's owner.
 func (c *Controller) applyShardOwner(key string, value wire.Raw, modRevision uint64) error {
 	s := c.ownership.shardOfOwnerKey(key)
 	if s == nil || modRevision <= s.ownerEpoch {
@@ -72,6 +73,7 @@
 	return nil
 }
 
+// applyLeader takes in the record of the leader.
 func (c *Controller) applyLeader(value wire.Raw, modRevision uint64) error {
 	leader := &c.ownership.leader
 	if modRevision <= leader.ownerEpoch {
@@ -89,6 +91,7 @@
 	return nil
 }
 
+// applyMachineTypes takes in the record of the machine types.
 func (c *Controller) applyMachineTypes(value wire.Raw, modRevision uint64) error {
 	var rec wire.MachineTypes
 	if err := wire.Decode(value, &rec); err != nil {
@@ -99,6 +102,7 @@
 	return nil
 }
 
+// applyRecordSet takes in a record set of machines.
 func (c *Controller) applyRecordSet(key string, value wire.Raw, modRevision uint64) error {
 	var rec wire.MachineRecordSet
 	if err := wire.Decode(value, &rec); err != nil {
@@ -108,6 +112,7 @@
 	return nil
 }
 
+// applyQuota takes in the record of a group's quota.
 func (c *Controller) applyQuota(group string, value wire.Raw, modRevision uint64) error {
 	var rec quota.Record
 	if err := wire.Decode(value, &rec); err != nil {
@@ -117,6 +122,7 @@
 	return nil
 }
 
+// applyJob takes in the record of a job; a job whose record can't be decoded is unusable.
 func (c *Controller) applyJob(id string, value wire.Raw, modRevision uint64) error {
 	var rec wire.JobRecord
 	if err := wire.Decode(value, &rec); err != nil {
@@ -142,6 +148,7 @@
 	}
 }
 
+// applyShardOwnerDelete takes in that a shard's owner key was deleted.
 func (c *Controller) applyShardOwnerDelete(key string, modRevision uint64) {
 	s := c.ownership.shardOfOwnerKey(key)
 	if s == nil {
@@ -189,4 +196,5 @@
 	}
 }
 
+// sortedKeys returns the keys of a map in ascending order.
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
--- a/internal/controller/statestore/lookup.go
+++ b/internal/controller/statestore/lookup.go
@@ -18,4 +18,5 @@
 	LookupMissing: "missing",
 }
 
+// String returns the name of what was found.
 func (l Lookup) String() string { return lookupNames[l] }
--- a/internal/controller/statestore/queue.go
+++ b/internal/controller/statestore/queue.go
@@ -231,6 +231,7 @@
 	return request
 }
 
+// remove takes the request at an index out of its class's queue.
 func (q *Queue) remove(class Class, i int) Request {
 	request := q.waiting[class][i]
 	q.waiting[class] = slices.Delete(q.waiting[class], i, i+1)
--- a/internal/controller/statestore/reads_test.go
+++ b/internal/controller/statestore/reads_test.go
@@ -42,7 +42,8 @@
 	return request
 }
 
-// One read answers all questions that came before it was sent, and none that came later.
+// TestReadsCoalesce checks that one read answers all questions that came before it was sent, and
+// none that came later.
 func TestReadsCoalesce(t *testing.T) {
 	r, q := newTestReads(10)
 	var answers []string
@@ -73,8 +74,8 @@
 	}
 }
 
-// Records have their turns by when they were first asked about, and keep them while they have no
-// answer.
+// TestReadsTurns checks that records have their turns by when they were first asked about, and keep
+// them while they have no answer.
 func TestReadsTurns(t *testing.T) {
 	r, q := newTestReads(10)
 	ask := func(now micros.Micros, id string) { r.Ask(now, id, func(Lookup) {}) }
@@ -91,7 +92,8 @@
 	}
 }
 
-// Past each bound a question is refused, and counted where its record has a place.
+// TestReadsBounds checks that past each bound a question is refused, and counted where its record
+// has a place.
 func TestReadsBounds(t *testing.T) {
 	refused := func(r *Reads, now micros.Micros, id string) bool {
 		status := Lookup(-1)
--- a/internal/controller/statestore/watch_test.go
+++ b/internal/controller/statestore/watch_test.go
@@ -10,8 +10,8 @@
 
 const sec = micros.Second
 
-// A watch lists its keys page by page, follows changes from the revision of the first page on, and
-// is complete as of when its requests were made, not answered.
+// TestWatchPhases checks that a watch lists its keys page by page, follows changes from the
+// revision of the first page on, and is complete as of when its requests were made, not answered.
 func TestWatchPhases(t *testing.T) {
 	w := NewWatch("p/", sec)
 	page := func(at micros.Micros, after string, revision uint64, keys ...string) {
--- a/internal/controller/task_adoption.go
+++ b/internal/controller/task_adoption.go
@@ -47,6 +47,7 @@
 	}
 }
 
+// stopTaskOfEndedJob stops a task whose job is over; one that has exited needs nothing more.
 func (c *Controller) stopTaskOfEndedJob(att *attempt) {
 	if att.state == attemptExited {
 		att.outcomeHandled = true
--- a/internal/controller/task_lists.go
+++ b/internal/controller/task_lists.go
@@ -96,6 +96,7 @@
 	c.ownership.markDirty(att.machine)
 }
 
+// recordRunning takes in that an attempt is running, for which its machine must have the image.
 func (c *Controller) recordRunning(att *attempt) {
 	att.state = attemptRunning
 	if att.runAt == 0 {
@@ -106,6 +107,7 @@
 	}
 }
 
+// recordExit takes in that an attempt has exited.
 func (c *Controller) recordExit(att *attempt, status *wire.TaskStatus) {
 	att.state = attemptExited
 	att.exitReason = status.ExitReason
--- a/internal/controller/user_requests_test.go
+++ b/internal/controller/user_requests_test.go
@@ -6,7 +6,8 @@
 	"garnethitch/internal/wire"
 )
 
-// Answers to submissions and status requests, whether or not the job is known.
+// TestSubmissionsAndStatusRequests checks the answers to submissions and status requests, whether
+// or not the job is known.
 func TestSubmissionsAndStatusRequests(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.Teams = []Team{{Name: "t", CPUsMax: 3}, {Name: "u"}} })
 	change := func(f func(*wire.Submission)) wire.Submission {
@@ -62,8 +63,8 @@
 	}
 }
 
-// Past the bounds of the job table a new job is refused with a time to come back, a known
-// one is answered as before, and a final state that left memory is read again.
+// TestFullJobTable checks that past the bounds of the job table a new job is refused with a time to
+// come back, a known one is answered as before, and a final state that left memory is read again.
 func TestFullJobTable(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.MaxOpenJobs, c.MaxFinalJobs = 3, 2 })
 	ids := []string{"job-000001", "job-000002", "job-000003", "job-000004"}
@@ -97,8 +98,9 @@
 	}
 }
 
-// A submission that can't be accepted gets 400 or 422 only where its job is surely unknown;
-// one of a job that was accepted never does, at any controller and during any fault.
+// TestUnacceptableSubmissions checks that a submission that can't be accepted gets 400 or 422 only
+// where its job is surely unknown; one of a job that was accepted never does, at any controller and
+// during any fault.
 func TestUnacceptableSubmissions(t *testing.T) {
 	bad := func(r ReplyID) Input {
 		return SubmitRequest{Reply: r, Err: &wire.SubmissionError{ID: "job-000001", Reason: "x"}}
--- a/internal/controller/watch_test.go
+++ b/internal/controller/watch_test.go
@@ -7,8 +7,9 @@
 	"garnethitch/internal/wire"
 )
 
-// A controller that has just claimed a shard with an old view of jobs must not answer for one
-// that has long ended (found by the simulation: a finished job was called pending).
+// TestStaleViewOfJobs checks that a controller that has just claimed a shard with an old view of
+// jobs must not answer for one that has long ended (found by the simulation: a finished job was
+// called pending).
 func TestStaleViewOfJobs(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.Peers = []string{"n-1"}; c.Shards = 1 })
 	sub := jobOf("job-000001", 1)
@@ -29,8 +30,9 @@
 	}
 }
 
-// A new owner that can't learn which jobs its predecessor ended stops answering heartbeats in
-// time for their tasks to be gone: the former one may have answered its users right before.
+// TestOwnerWithStaleView checks that a new owner that can't learn which jobs its predecessor ended
+// stops answering heartbeats in time for their tasks to be gone: the former one may have answered
+// its users right before.
 func TestOwnerWithStaleView(t *testing.T) {
 	h := newOwnerHarness(t, func(c *Config) {
 		withPeer(c)
@@ -61,8 +63,8 @@
 	}
 }
 
-// A watch whose answer is too large, or whose changes are no longer kept, leads to a fresh
-// listing, not to the same request for ever.
+// TestWatchMustListAgain checks that a watch whose answer is too large, or whose changes are no
+// longer kept, leads to a fresh listing, not to the same request for ever.
 func TestWatchMustListAgain(t *testing.T) {
 	for _, status := range []int{410, TooLarge} {
 		h := newHarness(t, nil)
@@ -86,8 +88,8 @@
 	}
 }
 
-// The watches that every controller holds take no more than the part of the requests that is
-// left to leases.
+// TestWatchFractionsFit checks that the watches that every controller holds take no more than the
+// part of the requests that is left to leases.
 func TestWatchFractionsFit(t *testing.T) {
 	if controlWatchFraction+jobWatchFraction > statestore.LeaseFraction {
 		t.Errorf("watches take %.2f of the requests, leases may take %.2f", controlWatchFraction+jobWatchFraction, statestore.LeaseFraction)
