--- a/internal/controller/demand.go
+++ b/internal/controller/demand.go
@@ -246,8 +246,8 @@
 // replies.
 func (c *Controller) silent(m *machine) bool {
 	v := m.view
-	noSession := !v.sequenceKnown && v.reconciled || v.leaseExpired
-	if noSession || c.sinceLastHeartbeat(v) > c.heartbeatDeadlines.Timeout || c.unreachable(m) {
+	noAgentEpoch := !v.sequenceKnown && v.reconciled || v.leaseExpired
+	if noAgentEpoch || c.sinceLastHeartbeat(v) > c.heartbeatDeadlines.Timeout || c.unreachable(m) {
 		return true
 	}
 	return c.leaseRunningOut(v) && v.empty()
--- a/internal/controller/machine_record_sets.go
+++ b/internal/controller/machine_record_sets.go
@@ -11,9 +11,10 @@
 )
 
 // machineRecordSet is one record of several machines: a write for each machine would use up the
-// write limit of the state service at the start of a large deployment. A machine stands in one record set at a time. Moving it drops it from one and adds it to another in
-// one transaction. Rewriting a record set raises the fencing token of all in it, which is
-// harmless: workers take a higher one at any time.
+// write limit of the state service at the start of a large deployment. A machine stands in one
+// record set at a time. Moving it drops it from one and adds it to another in one transaction.
+// Rewriting a record set raises the fencing token of all in it, which is harmless: workers take a
+// higher one at any time.
 type machineRecordSet struct {
 	key           string
 	shard         int
@@ -34,16 +35,16 @@
 }
 
 // drop removes a record set whose key was deleted.
-func (r *machineRecords) drop(b *machineRecordSet) {
-	delete(r.sets, b.key)
-	r.removed = append(r.removed, b.machines...)
-	b.machines = nil
+func (r *machineRecords) drop(set *machineRecordSet) {
+	delete(r.sets, set.key)
+	r.removed = append(r.removed, set.machines...)
+	set.machines = nil
 }
 
 // collectRemoved notes which machines a record set held before and does not hold any more.
-func (r *machineRecords) collectRemoved(b *machineRecordSet, before []*machine) {
+func (r *machineRecords) collectRemoved(set *machineRecordSet, before []*machine) {
 	for _, m := range before {
-		if m.recordSet == b && !slices.Contains(b.machines, m) {
+		if m.recordSet == set && !slices.Contains(set.machines, m) {
 			r.removed = append(r.removed, m)
 		}
 	}
@@ -75,8 +76,8 @@
 
 // overRecordLimit reports whether a record set was written under larger limits. It is read as
 // it stands; to be rewritten it must be split.
-func (sc *stepContext) overRecordLimit(b *machineRecordSet) bool {
-	return len(b.machines) > sc.recordSetLimit()
+func (sc *stepContext) overRecordLimit(set *machineRecordSet) bool {
+	return len(set.machines) > sc.recordSetLimit()
 }
 
 // Names of record sets say how they were created; each holds the modification revision of the
@@ -105,8 +106,8 @@
 // record that are gone, or that are in use by another shard (TestRepeatedWrites).
 // A record set of moved machines was created in one write with changes of others, and
 // so never again.
-func (c *Controller) deletable(b *machineRecordSet) bool {
-	_, name, ok := wire.ParseMachineRecordSetKey(b.key)
+func (c *Controller) deletable(set *machineRecordSet) bool {
+	_, name, ok := wire.ParseMachineRecordSetKey(set.key)
 	if !ok {
 		return false
 	}
--- a/internal/controller/machine_record_writes.go
+++ b/internal/controller/machine_record_writes.go
@@ -131,8 +131,8 @@
 			c.applyMachineRecordSet(w.key, w.record, revision)
 			continue
 		}
-		if b := c.machineRecords.sets[w.key]; b != nil && b.modRevision <= revision {
-			c.machineRecords.drop(b)
+		if set := c.machineRecords.sets[w.key]; set != nil && set.modRevision <= revision {
+			c.machineRecords.drop(set)
 		}
 	}
 	c.dropMachinesWithoutRecordSet()
@@ -141,20 +141,20 @@
 // raiseFencingToken rewrites a machine's record set, so that the fencing token of all in it
 // rises above unanswered commands, and unanswered releases of them can't be applied any more.
 func (c *Controller) raiseFencingToken(s *shard, m *machine) {
-	b := m.recordSet
-	if b.writeInFlight || c.now < b.nextWriteAt {
+	set := m.recordSet
+	if set.writeInFlight || c.now < set.nextWriteAt {
 		return
 	}
-	if c.overRecordLimit(b) {
-		c.splitRecordSet(s, b) // which raises as well
+	if c.overRecordLimit(set) {
+		c.splitRecordSet(s, set) // which raises as well
 		return
 	}
-	write := recordSetWrite{key: b.key, recordSet: b, record: recordSetOf(b.machines, nil, nil)}
+	write := recordSetWrite{key: set.key, recordSet: set, record: recordSetOf(set.machines, nil, nil)}
 	c.writeRecordSets(ownerKey(s.id), s.ownerEpoch, []recordSetWrite{write}, func(outcome writeOutcome) {
 		if outcome != writeApplied {
 			return
 		}
-		for _, o := range b.machines {
+		for _, o := range set.machines {
 			if o.view != nil {
 				o.view.releasing = false
 			}
@@ -164,26 +164,26 @@
 
 // splitRecordSet splits a record set of a shard of this node, of which no write is under way,
 // into several, in one transaction.
-func (c *Controller) splitRecordSet(s *shard, b *machineRecordSet) {
-	b.nextWriteAt = c.now + splitRetryDelay // also where it can't be done
-	writes := c.splitWrites(s, b)
+func (c *Controller) splitRecordSet(s *shard, set *machineRecordSet) {
+	set.nextWriteAt = c.now + splitRetryDelay // also where it can't be done
+	writes := c.splitWrites(s, set)
 	if len(writes) > c.cfg.TxnOps {
-		c.log(Error, "machine record set can't be split in one transaction, it stays as it is", "batch", b.key, "machines", len(b.machines), "parts", len(writes))
+		c.log(Error, "machine record set can't be split in one transaction, it stays as it is", "batch", set.key, "machines", len(set.machines), "parts", len(writes))
 		return
 	}
-	c.log(Info, "machine record set split for smaller limits", "batch", b.key, "machines", len(b.machines), "parts", len(writes))
+	c.log(Info, "machine record set split for smaller limits", "batch", set.key, "machines", len(set.machines), "parts", len(writes))
 	c.writeRecordSets(ownerKey(s.id), s.ownerEpoch, writes, func(writeOutcome) {}) // the watch shows it if it was applied
 }
 
 // splitWrites returns the writes that keep the first machines of a record set in it and move
 // the others to new ones.
-func (c *Controller) splitWrites(s *shard, b *machineRecordSet) []recordSetWrite {
+func (c *Controller) splitWrites(s *shard, set *machineRecordSet) []recordSetWrite {
 	var writes []recordSetWrite
-	for chunk := range slices.Chunk(slices.Clone(b.machines), c.recordSetLimit()) {
+	for chunk := range slices.Chunk(slices.Clone(set.machines), c.recordSetLimit()) {
 		write := recordSetWrite{record: recordSetOf(chunk, nil, nil)}
 		if len(writes) == 0 {
-			write.key = b.key
-			write.recordSet = b
+			write.key = set.key
+			write.recordSet = set
 		} else {
 			write.key = wire.MachineRecordSetKey(s.id, c.machineRecords.newName(recordSetMoved, s.ownerEpoch))
 		}
@@ -199,9 +199,9 @@
 	}
 	c.machineRecords.nextSplitAt = c.now + splitInterval
 	for _, m := range s.machines {
-		b := m.recordSet
-		if c.overRecordLimit(b) && !b.writeInFlight && c.now >= b.nextWriteAt {
-			c.splitRecordSet(s, b)
+		set := m.recordSet
+		if c.overRecordLimit(set) && !set.writeInFlight && c.now >= set.nextWriteAt {
+			c.splitRecordSet(s, set)
 			return
 		}
 	}
--- a/internal/controller/machine_records.go
+++ b/internal/controller/machine_records.go
@@ -13,57 +13,57 @@
 	if !ok || shardID >= len(c.ownership.shards) {
 		return
 	}
-	b := c.machineRecords.sets[key]
-	created := b == nil
+	set := c.machineRecords.sets[key]
+	created := set == nil
 	if created {
-		b = &machineRecordSet{key: key, shard: shardID}
-		c.machineRecords.sets[key] = b
-	} else if modRevision <= b.modRevision {
+		set = &machineRecordSet{key: key, shard: shardID}
+		c.machineRecords.sets[key] = set
+	} else if modRevision <= set.modRevision {
 		return
 	}
-	b.modRevision = modRevision
+	set.modRevision = modRevision
 	s := c.ownership.shards[shardID]
 	// A machine that came to the record after this node's claim, and not from another shard,
 	// can't have been commanded by another node: a record is needed for that.
 	neverCommanded := created && isCreation(name) && modRevision > s.ownerEpoch
-	before := b.machines
-	b.machines = make([]*machine, 0, len(rec.Machines))
-	for _, e := range rec.Machines {
-		if e.Kind < 0 || e.Kind >= len(rec.Kinds) {
+	before := set.machines
+	set.machines = make([]*machine, 0, len(rec.Machines))
+	for _, entry := range rec.Machines {
+		if entry.Kind < 0 || entry.Kind >= len(rec.Kinds) {
 			continue
 		}
-		m := c.applyMachineRecord(b, rec.Kinds[e.Kind], e)
+		m := c.applyMachineRecord(set, rec.Kinds[entry.Kind], entry)
 		if m == nil {
 			continue
 		}
-		b.machines = append(b.machines, m)
+		set.machines = append(set.machines, m)
 		c.updateView(s, m, neverCommanded)
 	}
-	c.machineRecords.collectRemoved(b, before)
+	c.machineRecords.collectRemoved(set, before)
 	c.schedulingDue = true
 }
 
 // applyMachineRecord takes one machine of a record set. It returns nil if the machine has
 // moved to another record set since.
-func (c *Controller) applyMachineRecord(b *machineRecordSet, k wire.MachineKind, e wire.MachineRecord) *machine {
-	m := c.machines[e.ID]
+func (c *Controller) applyMachineRecord(set *machineRecordSet, kind wire.MachineKind, entry wire.MachineRecord) *machine {
+	m := c.machines[entry.ID]
 	switch {
 	case m == nil:
-		m = &machine{id: e.ID, recordSet: b}
-		c.machines[e.ID] = m
-		m.fill(b.shard, k, e)
+		m = &machine{id: entry.ID, recordSet: set}
+		c.machines[entry.ID] = m
+		m.fill(set.shard, kind, entry)
 		c.ownership.attach(m)
-	case m.recordSet == b:
-		m.fill(b.shard, k, e)
+	case m.recordSet == set:
+		m.fill(set.shard, kind, entry)
 		if m.view != nil {
 			// A move of it under the former revision can't be applied any more, whoever
 			// has rewritten the record set.
 			m.view.releasing = false
 		}
-	case m.recordSet.modRevision > b.modRevision:
+	case m.recordSet.modRevision > set.modRevision:
 		return nil
 	default:
-		c.moveToRecordSet(m, b, k, e)
+		c.moveToRecordSet(m, set, kind, entry)
 	}
 	return m
 }
@@ -71,18 +71,18 @@
 // moveToRecordSet takes a machine that comes from another record set: one of its own shard
 // that was split, so that it stays where it is, with what is on it, under a higher fencing
 // token; or of another shard. Then it was idle, or it would not have moved.
-func (c *Controller) moveToRecordSet(m *machine, b *machineRecordSet, k wire.MachineKind, e wire.MachineRecord) {
+func (c *Controller) moveToRecordSet(m *machine, set *machineRecordSet, kind wire.MachineKind, entry wire.MachineRecord) {
 	from := m.recordSet
 	from.machines = slices.DeleteFunc(from.machines, func(o *machine) bool { return o == m })
-	changesShard := m.rec.Shard != b.shard
+	changesShard := m.rec.Shard != set.shard
 	if changesShard {
 		if m.view != nil && !m.view.empty() {
 			c.log(Error, "machine moved with tasks on it", "machine", m.id, "attempts", len(m.view.list))
 		}
 		c.detach(m)
 	}
-	m.recordSet = b
-	m.fill(b.shard, k, e)
+	m.recordSet = set
+	m.fill(set.shard, kind, entry)
 	if changesShard {
 		c.ownership.attach(m)
 	}
@@ -121,14 +121,14 @@
 }
 
 // fill takes what a record says of a machine.
-func (m *machine) fill(shard int, k wire.MachineKind, e wire.MachineRecord) {
+func (m *machine) fill(shard int, kind wire.MachineKind, entry wire.MachineRecord) {
 	m.rec.Shard = shard
-	m.rec.Cordoned = e.Cordoned
-	m.rec.Type = k.Type
-	m.rec.Zone = k.Zone
-	m.rec.Spot = k.Spot
-	if e.Addr != "" {
-		m.rec.Addr = e.Addr
+	m.rec.Cordoned = entry.Cordoned
+	m.rec.Type = kind.Type
+	m.rec.Zone = kind.Zone
+	m.rec.Spot = kind.Spot
+	if entry.Addr != "" {
+		m.rec.Addr = entry.Addr
 	}
 }
 
--- a/internal/controller/machine_release.go
+++ b/internal/controller/machine_release.go
@@ -100,18 +100,18 @@
 	var txn releaseTxn
 	seen := map[*machineRecordSet]bool{}
 	for _, m := range machines {
-		b := m.recordSet
-		if seen[b] {
+		set := m.recordSet
+		if seen[set] {
 			continue
 		}
-		seen[b] = true
-		released := chosenOf(b, chosen)
+		seen[set] = true
+		released := chosenOf(set, chosen)
 		full := len(txn.writes) >= maxRecordSets || len(txn.machines)+len(released) > c.recordSetLimit()
 		if full && len(txn.machines) > 0 {
 			txns = append(txns, txn)
 			txn = releaseTxn{}
 		}
-		txn.writes = append(txn.writes, c.releaseWrite(b, released, r))
+		txn.writes = append(txn.writes, c.releaseWrite(set, released, r))
 		txn.machines = append(txn.machines, released...)
 	}
 	if len(txn.machines) > 0 {
@@ -121,9 +121,9 @@
 }
 
 // chosenOf returns the machines of a record set that are chosen.
-func chosenOf(b *machineRecordSet, chosen map[*machine]bool) []*machine {
+func chosenOf(set *machineRecordSet, chosen map[*machine]bool) []*machine {
 	var out []*machine
-	for _, m := range b.machines {
+	for _, m := range set.machines {
 		if chosen[m] {
 			out = append(out, m)
 		}
@@ -133,15 +133,15 @@
 
 // releaseWrite returns the write of a record set some machines of which are released: they are
 // cordoned in it if they retire, and leave it otherwise.
-func (c *Controller) releaseWrite(b *machineRecordSet, released []*machine, r peer.Release) recordSetWrite {
+func (c *Controller) releaseWrite(set *machineRecordSet, released []*machine, r peer.Release) recordSetWrite {
 	isReleased := func(m *machine) bool { return slices.Contains(released, m) }
-	write := recordSetWrite{key: b.key, recordSet: b}
+	write := recordSetWrite{key: set.key, recordSet: set}
 	if r.Cordon {
-		write.record = recordSetOf(b.machines, nil, isReleased)
+		write.record = recordSetOf(set.machines, nil, isReleased)
 		return write
 	}
-	write.record = recordSetOf(b.machines, isReleased, nil)
-	write.deleteKey = len(write.record.Machines) == 0 && c.deletable(b)
+	write.record = recordSetOf(set.machines, isReleased, nil)
+	write.deleteKey = len(write.record.Machines) == 0 && c.deletable(set)
 	return write
 }
 
