--- a/internal/controller/authority.go
+++ b/internal/controller/authority.go
@@ -168,7 +168,8 @@
 }
 
 // mayReleaseMachine reports whether a machine may leave its shard now: authority.MayReleaseMachine
-// allows it, and its record set can be written. retire is whether it is to be returned to the cloud.
+// allows it, and its record set can be written. retire is whether it is to be returned to the
+// cloud.
 func (c *Controller) mayReleaseMachine(m *machine, retire bool) bool {
 	v := m.view
 	return authority.MayReleaseMachine(authority.ReleaseKnowledge{
--- a/internal/controller/cancellation_cascade.go
+++ b/internal/controller/cancellation_cascade.go
@@ -72,28 +72,28 @@
 }
 
 // init makes the cascade's maps.
-func (w *cancellationCascade) init() {
-	w.jobs = map[string]*job{}
-	w.requested = map[string]uint64{}
-	w.recording = map[string]bool{}
+func (cascade *cancellationCascade) init() {
+	cascade.jobs = map[string]*job{}
+	cascade.requested = map[string]uint64{}
+	cascade.recording = map[string]bool{}
 }
 
 // forgetTransactions forgets the transactions in flight: their conditions name a claim
 // that is over.
-func (w *cancellationCascade) forgetTransactions() {
-	w.generation++
-	w.txnsInFlight = 0
-	w.retryAt = 0
-	clear(w.recording)
+func (cascade *cancellationCascade) forgetTransactions() {
+	cascade.generation++
+	cascade.txnsInFlight = 0
+	cascade.retryAt = 0
+	clear(cascade.recording)
 }
 
 // add takes a job whose dependency is cancelled.
-func (w *cancellationCascade) add(j *job) { w.jobs[j.id] = j }
+func (cascade *cancellationCascade) add(j *job) { cascade.jobs[j.id] = j }
 
 // remove forgets a job that is over.
-func (w *cancellationCascade) remove(id string) {
-	delete(w.jobs, id)
-	delete(w.requested, id)
+func (cascade *cancellationCascade) remove(id string) {
+	delete(cascade.jobs, id)
+	delete(cascade.requested, id)
 }
 
 // CancellableDependents returns how many dependents of a cancelled job are recorded within
@@ -121,23 +121,23 @@
 
 // recordDependents records the next dependents, as far as the limits allow.
 func (c *Controller) recordDependents() {
-	w := &c.cascade
-	if len(w.jobs) == 0 || w.txnsInFlight >= maxCascadeTransactions || !c.ownership.leaseValid() {
+	cascade := &c.cascade
+	if len(cascade.jobs) == 0 || cascade.txnsInFlight >= maxCascadeTransactions || !c.ownership.leaseValid() {
 		return
 	}
-	if at := max(w.nextTxnAt, w.retryAt); c.now < at {
+	if at := max(cascade.nextTxnAt, cascade.retryAt); c.now < at {
 		c.wakeIn(at - c.now)
 		return
 	}
 	jobs := c.dependentsToRecord()
 	if len(jobs) == 0 {
-		w.nextTxnAt = c.now + busyInterval
+		cascade.nextTxnAt = c.now + busyInterval
 		return
 	}
 	batch := c.nextDependentBatch(jobs)
 	writesPerSecond := c.stateQueue.WriteRate() * dependentsWritesFraction
 	took := micros.FromSeconds(float64(len(batch.jobs)) / writesPerSecond)
-	w.nextTxnAt = max(w.nextTxnAt, c.now-cascadeCatchUp) + took
+	cascade.nextTxnAt = max(cascade.nextTxnAt, c.now-cascadeCatchUp) + took
 	c.recordCancelled(batch)
 }
 
@@ -154,13 +154,13 @@
 // order, so that it meets the controllers that were requested to record it only at the end.
 func (c *Controller) dependentsToRecord() []*job {
 	var own, requested, rest []*job
-	w := &c.cascade
-	for _, id := range sortedKeys(w.jobs) {
-		j := w.jobs[id]
+	cascade := &c.cascade
+	for _, id := range sortedKeys(cascade.jobs) {
+		j := cascade.jobs[id]
 		switch {
-		case w.recording[id]:
+		case cascade.recording[id]:
 		case !c.Owns(id):
-			if _, ok := w.requested[id]; ok && j.run == nil {
+			if _, ok := cascade.requested[id]; ok && j.run == nil {
 				requested = append(requested, j)
 			}
 		case j.run.end.inFlight() || c.now < j.run.end.nextAttemptAt:
@@ -229,11 +229,11 @@
 	if !ok {
 		return
 	}
-	w := &c.cascade
-	w.txnsInFlight++
+	cascade := &c.cascade
+	cascade.txnsInFlight++
 	b.runs = make([]*run, len(b.jobs))
 	for i, j := range b.jobs {
-		w.recording[j.id] = true
+		cascade.recording[j.id] = true
 		b.runs[i] = j.run
 		if j.run != nil {
 			j.run.end.sent(j.run.end.state)
@@ -273,14 +273,14 @@
 // dependentTxnEnded takes a transaction off those in flight, and puts the next one off if
 // it was not applied.
 func (c *Controller) dependentTxnEnded(b *dependentBatch, txn wire.Txn, outcome statestore.Outcome, failed []string) {
-	w := &c.cascade
-	w.txnsInFlight--
+	cascade := &c.cascade
+	cascade.txnsInFlight--
 	if outcome != statestore.Applied && len(failed) == 0 {
-		w.retryAt = c.now + c.jitter(cascadeRetryInterval)
+		cascade.retryAt = c.now + c.jitter(cascadeRetryInterval)
 	}
 	if outcome == statestore.Rejected {
 		c.log(Error, "ends of dependents refused by the state service", "first", b.jobs[0].id, "changes", txn.Writes())
-		w.retryAt = c.now + c.jitter(refusedPause)
+		cascade.retryAt = c.now + c.jitter(refusedPause)
 	}
 }
 
--- a/internal/controller/cancellation_test.go
+++ b/internal/controller/cancellation_test.go
@@ -10,12 +10,12 @@
 // TestCancelledTaskAcrossFailovers reproduces the incident of the cancelled task
 // (docs/incidents/2026-12-cancelled-task-ran-on.md).
 //
-// Seen: a task was on its machine more than cancel_s after its user had been notified
-// that the job is cancelled. How: the stop did not reach the machine, which then reached a controller
-// only now and then, and each time a new claim of its shard had just been made. Cause: the
-// first answer after a claim renewed the machine's lease with the new token and nothing
-// else, since lists of tasks were believed only once the fencing token had been shown. Proof: a
-// machine that carries out all that it receives is rid of the task in time.
+// Seen: a task was on its machine more than cancel_s after its user had been notified that the job
+// is cancelled. How: the stop did not reach the machine, which then reached a controller only now
+// and then, and each time a new claim of its shard had just been made. Cause: the first answer
+// after a claim renewed the machine's lease with the new token and nothing else, since lists of
+// tasks were believed only once the fencing token had been shown. Proof: a machine that carries out
+// all that it receives is rid of the task in time.
 func TestCancelledTaskAcrossFailovers(t *testing.T) {
 	h := newOwnerHarness(t, withPeer)
 	fencingToken, attempt := h.runOne()
@@ -146,8 +146,8 @@
 	}
 }
 
-// TestReplyHasCommandList checks that the reply to a heartbeat has a list of commands, also where there
-// are none.
+// TestReplyHasCommandList checks that the reply to a heartbeat has a list of commands, also where
+// there are none.
 func TestReplyHasCommandList(t *testing.T) {
 	h := newOwnerHarness(t, withPeer)
 	fencingToken := h.reconcile("vm-1")
--- a/internal/controller/checkpoint_recovery.go
+++ b/internal/controller/checkpoint_recovery.go
@@ -32,10 +32,10 @@
 }
 
 // listCheckpoints asks for the next page of checkpoints, and applies them after the last.
-func (c *Controller) listCheckpoints(s *shard, l *checkpointListing) {
+func (c *Controller) listCheckpoints(s *shard, listing *checkpointListing) {
 	ownerEpoch := s.ownerEpoch
 	s.loadingCheckpoints = true
-	list := statestore.ListKeys{Prefix: wire.PrefixCheckpoint, After: l.after, Limit: checkpointsPerPage}
+	list := statestore.ListKeys{Prefix: wire.PrefixCheckpoint, After: listing.after, Limit: checkpointsPerPage}
 	c.askState(statestore.ClassEnd, list, checkpointListTimeout, func(r statestore.Reply) {
 		if !s.owned() || s.ownerEpoch != ownerEpoch {
 			return
@@ -45,35 +45,35 @@
 			s.loadingCheckpoints = false // maintainMachines tries again
 			return
 		}
-		c.addCheckpointPage(l, page)
+		c.addCheckpointPage(listing, page)
 		if page.More && len(page.Items) > 0 {
-			c.listCheckpoints(s, l)
+			c.listCheckpoints(s, listing)
 			return
 		}
-		c.applyCheckpoints(s, l)
+		c.applyCheckpoints(s, listing)
 	})
 }
 
 // addCheckpointPage adds a page of checkpoints to a listing.
-func (c *Controller) addCheckpointPage(l *checkpointListing, page *wire.KeyList) {
+func (c *Controller) addCheckpointPage(listing *checkpointListing, page *wire.KeyList) {
 	for _, kv := range page.Items {
-		l.after = kv.Key
+		listing.after = kv.Key
 		id := kv.Key[len(wire.PrefixCheckpoint):]
 		var rec wire.CheckpointRecord
 		if err := wire.Decode(kv.Value, &rec); err != nil {
 			c.log(Error, "checkpoint not readable, its job restarts from the beginning", "job", id, "error", err)
 		}
-		l.records[id] = rec
-		l.modRevisions[id] = kv.ModRevision
+		listing.records[id] = rec
+		listing.modRevisions[id] = kv.ModRevision
 	}
 }
 
 // applyCheckpoints has a shard's recovered jobs continue from a complete listing.
-func (c *Controller) applyCheckpoints(s *shard, l *checkpointListing) {
+func (c *Controller) applyCheckpoints(s *shard, listing *checkpointListing) {
 	s.loadingCheckpoints = false
 	s.checkpointsLoaded = true
-	s.checkpoints = l.records
-	s.checkpointModRevisions = l.modRevisions
+	s.checkpoints = listing.records
+	s.checkpointModRevisions = listing.modRevisions
 	for _, id := range sortedKeys(c.jobs.open) {
 		j := c.jobs.open[id]
 		if j.shard == s.id && j.run != nil && !j.run.checkpointApplied {
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -77,8 +77,8 @@
 	}
 }
 
-// TestGoldenBytes checks that the encoded form of every record and message, filled and empty, is the
-// one in the file, and the filled one is decoded to the same value.
+// TestGoldenBytes checks that the encoded form of every record and message, filled and empty, is
+// the one in the file, and the filled one is decoded to the same value.
 func TestGoldenBytes(t *testing.T) {
 	got := map[string]string{}
 	for _, s := range goldenSamples() {
--- a/internal/controller/inventory.go
+++ b/internal/controller/inventory.go
@@ -31,7 +31,7 @@
 	listBudgetDivisor = 4
 
 	// returnedMemory is how long a returned machine that is on no record is remembered,
-	// releaseMemory a request to let a machine go.
+	// releaseMemory a request to release a machine.
 	returnedMemory = 10 * micros.Minute
 	releaseMemory  = micros.Minute
 )
--- a/internal/controller/job_end.go
+++ b/internal/controller/job_end.go
@@ -215,8 +215,8 @@
 
 // answerWaiters answers those who wait for a job's end.
 func (c *Controller) answerWaiters(r *run, answer peer.JobResponse) {
-	for _, w := range r.end.takeWaiters() {
-		c.later(func() { w(answer) })
+	for _, waiter := range r.end.takeWaiters() {
+		c.later(func() { waiter(answer) })
 	}
 }
 
--- a/internal/controller/machine_record_sets.go
+++ b/internal/controller/machine_record_sets.go
@@ -135,11 +135,11 @@
 
 // kindIn returns the index of a kind in a record, to which it is added if need be.
 func kindIn(rec *wire.MachineRecordSet, k fleet.Kind) int {
-	w := wire.MachineKind{Type: k.Type, Zone: k.Zone, Spot: k.Spot}
-	i := slices.Index(rec.Kinds, w)
+	wanted := wire.MachineKind{Type: k.Type, Zone: k.Zone, Spot: k.Spot}
+	i := slices.Index(rec.Kinds, wanted)
 	if i < 0 {
 		i = len(rec.Kinds)
-		rec.Kinds = append(rec.Kinds, w)
+		rec.Kinds = append(rec.Kinds, wanted)
 	}
 	return i
 }
--- a/internal/controller/machine_record_writes.go
+++ b/internal/controller/machine_record_writes.go
@@ -154,9 +154,9 @@
 		if outcome != writeApplied {
 			return
 		}
-		for _, o := range set.machines {
-			if o.view != nil {
-				o.view.releasing = false
+		for _, other := range set.machines {
+			if other.view != nil {
+				other.view.releasing = false
 			}
 		}
 	})
--- a/internal/controller/machine_records.go
+++ b/internal/controller/machine_records.go
@@ -73,7 +73,7 @@
 // token; or of another shard. Then it was idle, or it would not have moved.
 func (c *Controller) moveToRecordSet(m *machine, set *machineRecordSet, kind wire.MachineKind, entry wire.MachineRecord) {
 	from := m.recordSet
-	from.machines = slices.DeleteFunc(from.machines, func(o *machine) bool { return o == m })
+	from.machines = slices.DeleteFunc(from.machines, func(other *machine) bool { return other == m })
 	changesShard := m.rec.Shard != set.shard
 	if changesShard {
 		if m.view != nil && !m.view.empty() {
--- a/internal/controller/ownership.go
+++ b/internal/controller/ownership.go
@@ -201,8 +201,8 @@
 	return c.hasWorkers(p) && p.stateOK && p.uptime >= stablePeriod
 }
 
-// mayReleaseShard reports whether this node owns a shard, has done so for a while, and has no machine
-// left whose reconciliation the next owner would have to begin anew.
+// mayReleaseShard reports whether this node owns a shard, has done so for a while, and has no
+// machine left whose reconciliation the next owner would have to begin anew.
 func (o *ownershipState) mayReleaseShard(s *shard) bool {
 	return s.ownership == shardOwned && o.now >= s.claimedAt+stablePeriod && o.allReconciled(s)
 }
--- a/internal/controller/ownership_test.go
+++ b/internal/controller/ownership_test.go
@@ -111,8 +111,8 @@
 	}
 }
 
-// TestRestartWithinLease checks that a process that is restarted within its lease replaces the keys of its
-// former process, and that what that one had sent does nothing when it arrives.
+// TestRestartWithinLease checks that a process that is restarted within its lease replaces the keys
+// of its former process, and that what that one had sent does nothing when it arrives.
 func TestRestartWithinLease(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.Peers = []string{"n-1"}; c.Shards = 1 })
 	key := ownerKey(0)
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -45,8 +45,8 @@
 	return rec
 }
 
-// TestGroupLimitBoundsStarts checks that a group's limit bounds what is started, an operator's lower one at
-// once, also where its tasks can't be seen gone; cleared, the options count again.
+// TestGroupLimitBoundsStarts checks that a group's limit bounds what is started, an operator's
+// lower one at once, also where its tasks can't be seen gone; cleared, the options count again.
 func TestGroupLimitBoundsStarts(t *testing.T) {
 	h := newHarness(t, withGroup(t, 3))
 	fencingToken := h.reconcile("vm-1")
--- a/internal/controller/registration.go
+++ b/internal/controller/registration.go
@@ -145,13 +145,13 @@
 	}
 	var list []unassigned
 	for _, id := range f.order {
-		l := f.listed[id]
+		listed := f.listed[id]
 		known := c.machines[id] != nil || f.assigning[id]
 		gone := f.returning[id] || f.returned[id] != 0
-		if l.State != wire.MachineRunning || known || gone || !wire.ValidKey(id) {
+		if listed.State != wire.MachineRunning || known || gone || !wire.ValidKey(id) {
 			continue
 		}
-		list = append(list, unassigned{wire.MachineRecord{ID: id, Addr: l.Addr}, fleet.Kind{Type: l.Type, Zone: l.Zone, Spot: l.Spot}})
+		list = append(list, unassigned{wire.MachineRecord{ID: id, Addr: listed.Addr}, fleet.Kind{Type: listed.Type, Zone: listed.Zone, Spot: listed.Spot}})
 	}
 	c.assignMachines(recordSetListed, list, demand, nil)
 }
--- a/internal/controller/release_requests.go
+++ b/internal/controller/release_requests.go
@@ -14,7 +14,7 @@
 	releaseTimeout = micros.Second
 )
 
-// machineMoves are the machines that owners are to let go.
+// machineMoves are the machines that their owners are asked to release.
 type machineMoves struct {
 	releaseRequestedAt map[string]micros.Micros // when the owner was last asked
 	releaseRequests    []releaseRequest         // to be sent
@@ -28,13 +28,13 @@
 	m.plannedMoves = map[string]plannedMove{}
 }
 
-// releaseRequest is one machine that its owner is asked to let go.
+// releaseRequest is one machine that its owner is asked to release.
 type releaseRequest struct {
 	machine string
 	peer.Release
 }
 
-// requestMachineRelease notes that a machine's owner is to be asked to let it go, unless it was
+// requestMachineRelease notes that a machine's owner is to be asked to release it, unless it was
 // asked a short time ago.
 func (c *Controller) requestMachineRelease(id string, r peer.Release) {
 	f := &c.fleet
@@ -60,19 +60,19 @@
 func (c *Controller) sendReleases() {
 	byKey := map[releaseKey]*peer.Release{}
 	var keys []releaseKey
-	for _, q := range c.fleet.releaseRequests {
-		m := c.machines[q.machine]
+	for _, request := range c.fleet.releaseRequests {
+		m := c.machines[request.machine]
 		if m == nil {
 			continue
 		}
-		key := releaseKey{m.rec.Shard, q.Shard, q.Cordon, q.Drain, q.Save}
+		key := releaseKey{m.rec.Shard, request.Shard, request.Cordon, request.Drain, request.Save}
 		r := byKey[key]
 		if r == nil {
-			r = &peer.Release{Cordon: q.Cordon, Drain: q.Drain, Save: q.Save, Shard: q.Shard}
+			r = &peer.Release{Cordon: request.Cordon, Drain: request.Drain, Save: request.Save, Shard: request.Shard}
 			byKey[key] = r
 			keys = append(keys, key)
 		}
-		r.Machines = append(r.Machines, q.machine)
+		r.Machines = append(r.Machines, request.machine)
 	}
 	c.fleet.releaseRequests = nil
 	for _, key := range keys {
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -82,14 +82,14 @@
 	f := &c.fleet
 	var unusable []string
 	for _, id := range f.order {
-		l := f.listed[id]
+		listed := f.listed[id]
 		if f.returned[id] != 0 {
 			continue
 		}
 		switch {
-		case l.State == wire.MachineFailed && c.machines[id] == nil:
+		case listed.State == wire.MachineFailed && c.machines[id] == nil:
 			unusable = append(unusable, id)
-		case l.State == wire.MachineBooting && c.bootsForLong(l) && !c.hasSentHeartbeat(id):
+		case listed.State == wire.MachineBooting && c.bootsForLong(listed) && !c.hasSentHeartbeat(id):
 			c.log(Info, "machine does not come up, returned", "machine", id)
 			unusable = append(unusable, id)
 		}
@@ -98,9 +98,9 @@
 }
 
 // bootsForLong reports whether a machine should have come up.
-func (c *Controller) bootsForLong(l wire.ListedMachine) bool {
-	boot := micros.FromSeconds(c.types[l.Type].BootS)
-	age := micros.FromSeconds(l.AgeS) + (c.now - c.fleet.listedAt)
+func (c *Controller) bootsForLong(listed wire.ListedMachine) bool {
+	boot := micros.FromSeconds(c.types[listed.Type].BootS)
+	age := micros.FromSeconds(listed.AgeS) + (c.now - c.fleet.listedAt)
 	return age > max(bootTimeoutFactor*boot, boot+bootGrace)
 }
 
--- a/internal/controller/scale_test.go
+++ b/internal/controller/scale_test.go
@@ -109,8 +109,8 @@
 	}
 }
 
-// TestUnchangedHeartbeat checks that a heartbeat that lists what the last one did costs a comparison,
-// however many tasks it has; one that lists less, or comes after a command was sent, is
+// TestUnchangedHeartbeat checks that a heartbeat that lists what the last one did costs a
+// comparison, however many tasks it has; one that lists less, or comes after a command was sent, is
 // processed in full.
 func TestUnchangedHeartbeat(t *testing.T) {
 	h := bigHarness(t, 50, 20, 500)
@@ -146,8 +146,8 @@
 	}
 }
 
-// TestWakeUps checks that where nothing happens, maintenance wakes a controller seldom; while a shard is
-// not reconciled, or has no owner, often.
+// TestWakeUps checks that where nothing happens, maintenance wakes a controller seldom; while a
+// shard is not reconciled, or has no owner, often.
 func TestWakeUps(t *testing.T) {
 	wakes := func(h *harness) int {
 		n := 0
@@ -175,8 +175,8 @@
 	}
 }
 
-// TestWorkPerRound checks that a round over all machines visits each of them a few times, however many
-// tasks wait.
+// TestWorkPerRound checks that a round over all machines visits each of them a few times, however
+// many tasks wait.
 func TestWorkPerRound(t *testing.T) {
 	for _, tc := range []struct{ machines, jobs, tasks int }{{200, 20, 500}, {2200, 20, 500}, {2200, 300, 500}, {3100, 150, 2000}, {1900, 500, 90}, {700, 20, 20_000}, {4000, 150, 500}, {6000, 150, 500}} {
 		h := bigHarness(t, tc.machines, tc.jobs, tc.tasks)
@@ -231,8 +231,8 @@
 	}
 }
 
-// TestMessageOfLargeFleet checks that the status that a controller sends to the leader about 6,000 idle
-// machines, with names as long as a UUID, fits into one message with every machine; past that
+// TestMessageOfLargeFleet checks that the status that a controller sends to the leader about 6,000
+// idle machines, with names as long as a UUID, fits into one message with every machine; past that
 // bound the others are counted, and named in later messages.
 func TestMessageOfLargeFleet(t *testing.T) {
 	const machines = 6000
@@ -328,8 +328,8 @@
 	}
 }
 
-// TestWorkOfDAGs checks that hundreds of DAGs that wait cost a heartbeat and a walk over everything hardly
-// more than none.
+// TestWorkOfDAGs checks that hundreds of DAGs that wait cost a heartbeat and a walk over everything
+// hardly more than none.
 func TestWorkOfDAGs(t *testing.T) {
 	work := func(dags int) (perHeartbeat, walk float64) {
 		h := bigHarness(t, 50, 20, 500)
--- a/internal/controller/statestore/reads.go
+++ b/internal/controller/statestore/reads.go
@@ -196,8 +196,8 @@
 	case found != LookupFailed:
 		delete(r.records, record.id)
 	}
-	for _, q := range questions {
-		q.done(found)
+	for _, question := range questions {
+		question.done(found)
 	}
 }
 
--- a/internal/controller/statestore/watch.go
+++ b/internal/controller/statestore/watch.go
@@ -103,14 +103,14 @@
 
 // TakePage takes in a page of the listing.
 func (w *Watch) TakePage(page *wire.KeyList) {
-	l := &w.listing
-	if l.after == "" {
-		l.revision = page.Revision
-		l.keys = map[string]bool{}
+	listing := &w.listing
+	if listing.after == "" {
+		listing.revision = page.Revision
+		listing.keys = map[string]bool{}
 	}
 	for _, kv := range page.Items {
-		l.keys[kv.Key] = true
-		l.after = kv.Key
+		listing.keys[kv.Key] = true
+		listing.after = kv.Key
 	}
 	w.OpenedAt = -micros.Never // the next request follows at once
 }
--- a/internal/controller/unknown_jobs_test.go
+++ b/internal/controller/unknown_jobs_test.go
@@ -85,12 +85,12 @@
 	})
 }
 
-// TestUnknownJobAtOwnerWithStaleView has an owner that can't learn of jobs, and a machine that lists
-// a task of one that it does not know. If the task was started under a claim that its view
+// TestUnknownJobAtOwnerWithStaleView has an owner that can't learn of jobs, and a machine that
+// lists a task of one that it does not know. If the task was started under a claim that its view
 // includes, the job may have ended long ago, and nothing says when its user was notified: the
-// machine's lease is not renewed, and the task is not stopped either, since it may be of a job
-// that has just been accepted.
-// If it was started under a later claim, the job had not ended when the view was complete.
+// machine's lease is not renewed, and the task is not stopped either, since it may be of a job that
+// has just been accepted. If it was started under a later claim, the job had not ended when the
+// view was complete.
 func TestUnknownJobAtOwnerWithStaleView(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
@@ -164,9 +164,9 @@
 	}
 }
 
-// TestUnknownJobIsRenewedForBoundedTime checks that the lease of such a task's machine is not renewed
-// for ever: where the view of jobs does not advance, the job may have ended once the view is so
-// old that its user may have been notified in the meantime.
+// TestUnknownJobIsRenewedForBoundedTime checks that the lease of such a task's machine is not
+// renewed for ever: where the view of jobs does not advance, the job may have ended once the view
+// is so old that its user may have been notified in the meantime.
 func TestUnknownJobIsRenewedForBoundedTime(t *testing.T) {
 	h := newOwnerHarness(t, withPeer)
 	fencingToken := h.reconcile("vm-1")
