--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -89,7 +89,7 @@
 		c.enableQuota()
 	}
 	for _, label := range cfg.Peers {
-		c.peers[label] = &peerView{label: label, lastHeardAt: -micros.Never, statusAt: -micros.Never}
+		c.peers[label] = &peerView{label: label, lastContactAt: -micros.Never, statusAt: -micros.Never}
 	}
 	return c
 }
--- a/internal/controller/fleet/demand.go
+++ b/internal/controller/fleet/demand.go
@@ -76,7 +76,7 @@
 // Sums is what all shards want and have together.
 type Sums struct {
 	Work     float64 // unfinished work, in CPU seconds
-	Arrival  float64 // work that came in of late, in CPUs kept busy
+	Arrival  float64 // work that came in recently, in CPUs kept busy
 	Parallel float64 // CPUs that could be in use at once
 	Have     float64 // CPUs of the machines that are up, leave or are on their way
 	Busy     float64 // CPUs in use
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -47,7 +47,7 @@
 	c.logHeartbeat(m, &in.Heartbeat, authority.Allow(authority.ReasonHeartbeatAccepted), commands)
 	c.answer(in.Reply, http.StatusOK, wire.HeartbeatReply{FencingToken: fencingToken, Commands: commands}, 0)
 	if !v.reconciled {
-		c.reconcileMachine(s, m) // shows our fencing token at once
+		c.reconcileMachine(s, m) // shows this node's fencing token at once
 	}
 }
 
@@ -82,7 +82,7 @@
 func (c *Controller) applyHeartbeat(s *shard, m *machine, heartbeat *wire.Heartbeat, source heartbeatSource) {
 	v := m.view
 	if m.returned || v.sequenceKnown && !newerThan(heartbeat, v) {
-		return // its task list is older than what we know
+		return // its task list is older than what is known
 	}
 	if v.sequenceKnown && heartbeat.AgentEpoch > v.agentEpoch {
 		c.beginAgentEpoch(m)
--- a/internal/controller/machine_health_test.go
+++ b/internal/controller/machine_health_test.go
@@ -89,7 +89,7 @@
 			h.heartbeat(heartbeatFrom("vm-1", 1, 6, fencingToken, run...))
 			h.peersDown = true
 			p, v := h.c.peers["n-1"], h.c.machines["vm-1"].view
-			p.lastHeardAt = h.now
+			p.lastContactAt = h.now
 			v.reachability.Reset()
 			began := h.now
 			pass := func(until micros.Micros) {
--- a/internal/controller/ownership_test.go
+++ b/internal/controller/ownership_test.go
@@ -126,7 +126,7 @@
 	if status, _ := h.txn(wire.Txn{Conditions: []wire.Condition{{Key: key}}, Changes: []wire.Change{{Put: key, Value: value}}}); status != 409 {
 		t.Fatalf("a late claim got %d", status)
 	}
-	// It got there first: the key names our label, but another incarnation.
+	// It got there first: the key names this node's label, but another incarnation.
 	h.put(key, wire.OwnerRecord{Label: "n-0", Incarnation: 999})
 	h.run(sec)
 	s := h.c.ownership.shards[0]
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -35,9 +35,9 @@
 
 // peerView is what this node knows of another controller.
 type peerView struct {
-	label       string
-	lastHeardAt micros.Micros
-	// statusAt is when its last own status came, beside answers to ours.
+	label         string
+	lastContactAt micros.Micros // when its last message came
+	// statusAt is when its last own status came, answers to this node's excepted.
 	statusAt       micros.Micros
 	uptime         micros.Micros
 	stateOK        bool // it has the state service
@@ -48,7 +48,7 @@
 	nextStatusAt   micros.Micros
 	demand         []peer.Demand
 	demandAt       micros.Micros
-	// misdirectedHeartbeats are machines that sent it heartbeats of late.
+	// misdirectedHeartbeats are machines that sent it heartbeats recently.
 	misdirectedHeartbeats map[string]bool
 	// returnedMachines and cancelled are returned machines and cancelled jobs of which it
 	// is yet to be notified.
@@ -101,11 +101,11 @@
 // alive reports whether a message of another controller came within peerTimeout. A time in
 // which this node itself was stalled does not count against others.
 func (sc *stepContext) alive(p *peerView) bool {
-	everHeard := p.lastHeardAt > -micros.Never
-	return everHeard && sc.now-max(p.lastHeardAt, sc.lastStalledAt) < peerTimeout
+	contacted := p.lastContactAt > -micros.Never
+	return contacted && sc.now-max(p.lastContactAt, sc.lastStalledAt) < peerTimeout
 }
 
-// stateFresh reports whether the state service answered this node of late.
+// stateFresh reports whether the state service answered this node recently.
 func (o *ownershipState) stateFresh() bool { return o.now-o.lastStateReplyAt < stateFreshFor }
 
 // maintainPeers sends the statuses that are due.
@@ -123,7 +123,7 @@
 }
 
 // peerUpToDate reports whether another controller needs no status: its own keep coming, and
-// the answers to them say all that ours would.
+// the answers to them say all that a status of this node would.
 func (c *Controller) peerUpToDate(p *peerView) bool {
 	return c.peerAsks(p) && !c.hasNotificationsFor(p) && c.ownership.quiescedByPeer(p)
 }
@@ -205,7 +205,7 @@
 // applyAbout takes what another controller says of itself, and returns the shards of its for
 // which this node issues no commands.
 func (c *Controller) applyAbout(p *peerView, a *peer.ControllerState) (quiesced []int) {
-	p.lastHeardAt = c.now
+	p.lastContactAt = c.now
 	p.uptime = micros.Micros(a.UptimeUS)
 	p.stateOK = a.StateOK
 	p.withoutWorkers = a.WithoutWorkers
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -32,7 +32,7 @@
 }
 
 // cordonIfRepliesWereLost cordons a machine with a new agent epoch if its lease ran out
-// although its heartbeats were answered of late.
+// although its heartbeats were answered recently.
 func (c *Controller) cordonIfRepliesWereLost(m *machine) {
 	v := m.view
 	recentlyAnswered := c.now-v.lastReplyAt < c.cfg.WorkerLease-2*c.cfg.HeartbeatInterval
@@ -101,7 +101,7 @@
 }
 
 // applyProbeResult takes the answer to a probe, unless it is not the machine's, or the machine
-// has shown a fencing token above ours.
+// has shown a fencing token above this node's.
 func (c *Controller) applyProbeResult(s *shard, m *machine, r Result) {
 	heartbeat, ok := r.Body.(*wire.Heartbeat)
 	if !ok || r.Status != http.StatusOK || heartbeat.Machine != m.id {
--- a/internal/controller/readiness.go
+++ b/internal/controller/readiness.go
@@ -8,7 +8,7 @@
 
 const (
 	// startupGrace is how long a controller without the state service waits for it
-	// before it says that it is ready for users all the same.
+	// before it is ready for users without it.
 	startupGrace = 2 * micros.Second
 	// maxStateSilence is how long the state service may be silent before other
 	// controllers are better for users.
--- a/internal/controller/readiness_test.go
+++ b/internal/controller/readiness_test.go
@@ -29,7 +29,7 @@
 			for range 12 {
 				h.run(sec / 2)
 				p := h.c.peers["n-1"]
-				p.lastHeardAt, p.stateOK = h.now, tc.peerState
+				p.lastContactAt, p.stateOK = h.now, tc.peerState
 			}
 			if got := ready(h); got != tc.want {
 				t.Errorf("readiness: %d, want %d", got, tc.want)
--- a/internal/controller/reconciliation.go
+++ b/internal/controller/reconciliation.go
@@ -41,7 +41,8 @@
 }
 
 // confirmNeverCommanded checks by its first heartbeat that a machine is as new as its record
-// says: a fencing token below ours would be another owner's.
+// says: a fencing token below this node's would be another
+// owner's.
 func (c *Controller) confirmNeverCommanded(s *shard, m *machine, heartbeat *wire.Heartbeat) {
 	v := m.view
 	foreignToken := heartbeat.FencingToken != 0 && heartbeat.FencingToken < c.fencingToken(s, m)
--- a/internal/controller/registration.go
+++ b/internal/controller/registration.go
@@ -118,7 +118,7 @@
 	f.wakeIn(f.registrationsDueAt - f.now)
 }
 
-// recordRegistrations records the machines that have registered of late.
+// recordRegistrations records the machines that have registered recently.
 func (c *Controller) recordRegistrations() {
 	f := &c.fleet
 	if len(f.registrations) == 0 || c.now < f.registrationsDueAt {
--- a/internal/controller/release_requests.go
+++ b/internal/controller/release_requests.go
@@ -5,7 +5,7 @@
 	"garnethitch/internal/peer"
 )
 
-// What the leader asks the owners of shards: to let machines go.
+// The leader's requests to the owners of shards to release machines.
 
 const (
 	// releaseRepeatInterval is the time between two requests for one machine.
@@ -80,7 +80,7 @@
 	}
 }
 
-// sendReleaseRequest asks the owner of a shard to let machines go.
+// sendReleaseRequest asks the owner of a shard to release machines.
 func (c *Controller) sendReleaseRequest(s *shard, r *peer.Release) {
 	if c.ownership.activeShard(s.id) != nil {
 		c.release(*r)
--- a/internal/controller/worker_contact.go
+++ b/internal/controller/worker_contact.go
@@ -73,7 +73,7 @@
 type heartbeatSilence struct {
 	machines  int // all that have been commanded
 	silent    int // without a heartbeat for longer than the timeout
-	elsewhere int // silent ones that tried another controller of late
+	elsewhere int // silent ones that tried another controller recently
 }
 
 // mostSilent reports whether so many machines are silent that the cause may be this node.
@@ -128,7 +128,7 @@
 }
 
 // triesAnotherController reports whether a controller with workers has had heartbeats of a
-// machine of late.
+// machine recently.
 func (c *Controller) triesAnotherController(m *machine) bool {
 	for _, label := range c.cfg.Peers {
 		p := c.peers[label]
