--- a/internal/controller/cancellation_cascade_test.go
+++ b/internal/controller/cancellation_cascade_test.go
@@ -345,7 +345,7 @@
 	for _, tc := range []struct {
 		name       string
 		dependents int
-		all        bool // they are recorded within the 10 s that are played
+		all        bool // they are recorded within the 10 s that the test runs
 	}{{"few", 60, true}, {"more than there is time for", 300, false}} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := cascade(t, tc.dependents, 30)
--- a/internal/controller/machine_records_test.go
+++ b/internal/controller/machine_records_test.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// TestMachineRecordSetCreation checks that machines are recorded in as few writes as possible,
-// while they boot, and an unanswered record is sent again under its own key only.
+// TestMachineRecordSetCreation checks that machines are recorded once they have come up, in as few
+// writes as possible, and that an unanswered record is sent again under its own key only.
 func TestMachineRecordSetCreation(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.MaxMachines = 1000; c.Shards = 1 })
 	var ids []string
--- a/internal/controller/readiness.go
+++ b/internal/controller/readiness.go
@@ -45,8 +45,8 @@
 	return false
 }
 
-// servesUsers reports whether users are not better off elsewhere: they are if this node
-// has lost the state service while another has not. If all have lost it, they are not.
+// servesUsers reports whether this node can serve users as well as any other: not if it has lost
+// the state service while another has not, but if all have lost it.
 func (c *Controller) servesUsers() bool {
 	if c.now-c.ownership.lastStateReplyAt < maxStateSilence {
 		return true
--- a/internal/controller/registration.go
+++ b/internal/controller/registration.go
@@ -9,10 +9,9 @@
 	"garnethitch/internal/wire"
 )
 
-// rented is a machine that this leader has rented. It is recorded with its first
-// heartbeat: a machine on record is one that a new owner has to reconcile before it
-// starts anything that an old one may have started there, and a booting one
-// can't be reconciled.
+// rented is a machine that this leader has rented. It is recorded at its first heartbeat, not
+// before: a new owner has to reconcile each machine on record before it starts what a former owner
+// may have started there, and a machine that boots can't be reconciled.
 type rented struct {
 	kind fleet.Kind
 	at   micros.Micros
@@ -41,9 +40,9 @@
 )
 
 // registerMachine deals with the heartbeat of a machine without a record: the
-// leader assigns it first. A heartbeat alone does not do, for it may be a late
-// copy of one that a machine sent before it was returned: this leader must have
-// rented it, or it must answer a direct request.
+// leader assigns it first. A heartbeat alone does not suffice, for it may be a late copy of one
+// that a machine sent before it was returned: this leader must have rented the machine, or the
+// machine must answer a direct request.
 func (c *Controller) registerMachine(in Heartbeat) {
 	if !c.ownership.leading() {
 		c.redirect(in.Reply, &c.ownership.leader)
@@ -135,9 +134,9 @@
 }
 
 // assignListed assigns machines to shards that the cloud lists as running and that are
-// on no record: those of the start, and any whose heartbeats don't come through. A
-// list lags: a machine that a former leader has just returned must not come back
-// to the record.
+// on no record: those of the first start of the fleet, and any whose heartbeats do not arrive.
+// A list lags: a machine that a former leader has just returned must not come back to the
+// record.
 func (c *Controller) assignListed(demand map[int]*peer.Demand) {
 	f := &c.fleet
 	if !f.first && c.now-f.ledAt <= 2*c.cfg.ListLag+listedAssignmentMargin {
