--- a/internal/controller/idempotency_test.go
+++ b/internal/controller/idempotency_test.go
@@ -111,9 +111,10 @@
 	}
 }
 
-// TestRepeatedWrites checks that a transaction that was executed may be executed again at any later
-// time, also after its sender has ended. Whatever the controller writes has conditions under which
-// a repeat does nothing: in a run with every kind of write, each is repeated after each later one.
+// TestRepeatedWrites checks that the repeat of a write does nothing. A transaction that was
+// executed may be executed again at any later time, also after its sender has ended, so whatever
+// the controller writes has conditions that a repeat does not meet: in a run with every kind of
+// write, each is repeated after each later one.
 func TestRepeatedWrites(t *testing.T) {
 	h := newHarness(t, func(c *Config) {
 		c.Shards, c.MaxMachines = 2, 100
--- a/internal/controller/job_end_test.go
+++ b/internal/controller/job_end_test.go
@@ -104,9 +104,10 @@
 	}
 }
 
-// TestInDoubtEnd checks that a transaction that ends a job may be executed at any time once its
-// answer is missing, also after newer ones of the same controller were refused: its owner must not
-// answer from memory about a job that another controller may call cancelled.
+// TestInDoubtEnd checks that an owner does not answer from memory about a job whose end is in
+// doubt. A transaction that ends a job may be executed at any time once its answer is missing, also
+// after newer ones of the same controller were refused, and another controller may call the job
+// cancelled from then on.
 func TestInDoubtEnd(t *testing.T) {
 	h := newOwnerHarness(t, withPeer)
 	h.runOne()
--- a/internal/controller/job_reads_test.go
+++ b/internal/controller/job_reads_test.go
@@ -296,8 +296,8 @@
 	}
 }
 
-// TestCancelRequestRetriesSoon checks the same of a cancellation that can't be recorded, at the
-// job's owner.
+// TestCancelRequestRetriesSoon checks the same as TestSubmissionRetriesSoon for a cancellation that
+// can't be recorded, at the job's owner.
 func TestCancelRequestRetriesSoon(t *testing.T) {
 	h := newOwnerHarness(t, fewRequests)
 	h.submit(jobOf("job-000002", 1))
--- a/internal/controller/machine_records_test.go
+++ b/internal/controller/machine_records_test.go
@@ -118,9 +118,9 @@
 	}
 }
 
-// TestOldMachineRecordSetAfterClaim checks that a record set older than the claim may have been
-// used by the former owner, also when it becomes known only after the claim: its machines are not
-// taken for never commanded.
+// TestOldMachineRecordSetAfterClaim checks that the machines of a record set older than the claim
+// do not count as never commanded, also when it becomes known only after the claim: the former
+// owner may have used them.
 func TestOldMachineRecordSetAfterClaim(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
--- a/internal/controller/registration_test.go
+++ b/internal/controller/registration_test.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// TestLateRecord checks that the record of a machine that was not answered may be applied at any
-// time, so the machine is recorded under no other key meanwhile.
+// TestLateRecord checks that a machine whose record was not answered is recorded under no other key
+// meanwhile: the record may be applied at any time.
 func TestLateRecord(t *testing.T) {
 	h := newHarness(t, nil)
 	h.c.fleet.rented["vm-1"] = &rented{kind: fleet.Kind{Type: "m", Zone: "a", Spot: true}, at: h.now}
--- a/internal/controller/statestore/queue_test.go
+++ b/internal/controller/statestore/queue_test.go
@@ -148,8 +148,8 @@
 	{150, 25, 3, 8}, {150, 18, 3, 4}, {200, 40, 3, 24}, {200, 28, 3, 8}, {60, 20, 3, 8}, {60, 20, 2, 8}, {300, 80, 1, 8}, {30, 6, 5, 8},
 }
 
-// TestWorstWait: whatever the other classes hold, leases included, a request waits no longer
-// than worstWait, and each class has its turns.
+// TestWorstWait checks that whatever the other classes hold, leases included, a request waits no
+// longer than worstWait, and each class has its turns.
 func TestWorstWait(t *testing.T) {
 	for _, limits := range stateLimits {
 		for class := ClassLease + 1; class < ClassCount; class++ {
@@ -191,7 +191,7 @@
 	}
 }
 
-// TestMinimumRatesFit: the minimum rates add up to no more than leases leave.
+// TestMinimumRatesFit checks that the minimum rates add up to no more than leases leave.
 func TestMinimumRatesFit(t *testing.T) {
 	const roundingError = 1e-9
 	var sum minimumRate
--- a/internal/controller/watch_test.go
+++ b/internal/controller/watch_test.go
@@ -8,7 +8,7 @@
 )
 
 // TestStaleViewOfJobs checks that a controller that has just claimed a shard with an old view of
-// jobs must not answer for one that has long ended (found by the simulation: a finished job was
+// jobs does not answer for one that has long ended (found by the simulation: a finished job was
 // called pending).
 func TestStaleViewOfJobs(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.Peers = []string{"n-1"}; c.Shards = 1 })
