--- a/internal/controller/direct_commands.go
+++ b/internal/controller/direct_commands.go
@@ -11,13 +11,13 @@
 // commandView is what is under way to a machine beside the replies to its heartbeats: one
 // direct command and one probe at a time.
 type commandView struct {
-	commandInFlight           bool
-	commandQueued             bool
-	nextCommandAt             micros.Micros
-	inDoubtToken              uint64 // commands up to this fencing token may still act; 0: none
-	probeInFlight             bool
-	nextProbeAt               micros.Micros
-	unansweredReconciliations int // direct commands to it that were not answered
+	commandInFlight    bool
+	commandQueued      bool
+	nextCommandAt      micros.Micros
+	inDoubtToken       uint64 // commands up to this fencing token may still act; 0: none
+	probeInFlight      bool
+	nextProbeAt        micros.Micros
+	unansweredCommands int // direct commands to it that were not answered
 }
 
 const (
@@ -55,7 +55,7 @@
 	return fmt.Sprintf("commandOutcome(%d)", int(o))
 }
 
-// commandOutcomeOf tells what became of a direct command; answered says that the result holds
+// commandOutcomeOf returns what became of a direct command; answered says that the result holds
 // a heartbeat of the machine.
 func commandOutcomeOf(r Result, answered bool) commandOutcome {
 	switch {
@@ -69,8 +69,8 @@
 
 // needsDirectCommand reports whether there is something that should not wait for the next
 // heartbeat. While a command is in doubt, no start may follow it, but stops may, and the
-// raised fencing token that ends the doubt: a machine whose heartbeats are not answered is
-// reached in no other way.
+// raised fencing token that voids the command in doubt: a machine whose heartbeats are not
+// answered is reached in no other way.
 func (c *Controller) needsDirectCommand(m *machine) bool {
 	v := m.view
 	if c.mustShowHigherToken(m) {
@@ -95,7 +95,7 @@
 		return false
 	}
 	raised := c.fencingToken(c.ownership.shards[m.rec.Shard], m) > v.inDoubtToken
-	return raised && c.sinceLastHeartbeat(v) <= c.heartbeatOverdueAfter()
+	return raised && c.sinceLastHeartbeat(v) <= c.heartbeatDeadlines.Overdue
 }
 
 // queueCommand has something sent to a machine before its next heartbeat.
@@ -155,7 +155,7 @@
 	if answered {
 		v.reachability.Reset() // it was reached, whatever it says
 	} else {
-		v.unansweredReconciliations++
+		v.unansweredCommands++
 	}
 	if outcome != commandsExecuted {
 		v.nextCommandAt = c.now + commandRetryDelay
--- a/internal/controller/free_capacity_log.go
+++ b/internal/controller/free_capacity_log.go
@@ -37,8 +37,8 @@
 	return "other"
 }
 
-// logFreeCapacities logs where the unused CPUs of every shard of this controller are. It is called
-// at the pace of its callers.
+// logFreeCapacities logs where the unused CPUs of every shard of this controller are. Its caller
+// bounds how often.
 func (c *Controller) logFreeCapacities() {
 	for _, s := range c.ownership.shards {
 		if c.ownership.activeShard(s.id) != nil {
@@ -81,7 +81,7 @@
 		return unusedFree
 	case !v.reconciled || !v.sequenceKnown:
 		return unusedUnreconciled
-	case c.sinceLastHeartbeat(v) > c.heartbeatOverdueAfter() || c.unreachable(m) || c.leaseRunningOut(v):
+	case c.sinceLastHeartbeat(v) > c.heartbeatDeadlines.Overdue || c.unreachable(m) || c.leaseRunningOut(v):
 		return unusedOverdue
 	case v.reclaimAt != 0:
 		return unusedNotice
--- a/internal/controller/job_end.go
+++ b/internal/controller/job_end.go
@@ -182,7 +182,7 @@
 		r.end.retryAt(c.now + c.jitter(endRetryInterval))
 		c.failWaiters(j)
 	case statestore.Rejected:
-		// Tried again seldom, so that no other write waits behind it: the state service
+		// Retried after a long pause, so that no other write waits behind it: the state service
 		// takes less than the settings say.
 		r.end.retryAt(c.now + c.jitter(refusedPause))
 		c.failWaiters(j)
@@ -215,8 +215,8 @@
 
 // answerWaiters answers those who wait for a job's end.
 func (c *Controller) answerWaiters(r *run, answer peer.JobResponse) {
-	for _, w := range r.end.takeWaiters() {
-		c.later(func() { w(answer) })
+	for _, waiter := range r.end.takeWaiters() {
+		c.later(func() { waiter(answer) })
 	}
 }
 
--- a/internal/controller/job_queue.go
+++ b/internal/controller/job_queue.go
@@ -4,11 +4,12 @@
 	"cmp"
 	"slices"
 
+	"garnethitch/internal/controller/scheduling"
 	"garnethitch/internal/micros"
 )
 
 const (
-	// reorderInterval is how long the order of a queue stands that nothing has changed.
+	// reorderInterval is how long a queue keeps its order while no job is added or removed.
 	reorderInterval = micros.Second
 	// agingFactor bounds the time that a large job waits for later ones: so many times
 	// what its work takes the whole shard.
@@ -133,7 +134,7 @@
 // guarantee.
 func exceedsGuarantee(sum usage, t Team) bool {
 	noGuarantee := t.CPUs <= 0 && t.GPUs <= 0
-	return noGuarantee || sum.cpus > t.CPUs+eps || sum.gpus > t.GPUs+eps && sum.gpus > 0
+	return noGuarantee || sum.cpus > t.CPUs+scheduling.Tolerance || sum.gpus > t.GPUs+scheduling.Tolerance && sum.gpus > 0
 }
 
 // runnable reports whether a job wants tasks started, and they may be.
@@ -146,7 +147,7 @@
 		return false
 	}
 	knownInTime := j.knownAt <= c.ownership.lease.RenewedAt()+c.bounds.LeaseValidity
-	// A former owner may have started its tasks on a machine that was not heard of.
+	// Else a former owner may have started its tasks on a machine that is not reconciled yet.
 	startedByNobody := r.acceptedUnderClaim || s.jobsViewCurrent && s.reconciled
 	return knownInTime && startedByNobody
 }
--- a/internal/controller/machine_assignment.go
+++ b/internal/controller/machine_assignment.go
@@ -5,6 +5,7 @@
 	"slices"
 
 	"garnethitch/internal/controller/fleet"
+	"garnethitch/internal/controller/scheduling"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/peer"
 	"garnethitch/internal/wire"
@@ -47,7 +48,7 @@
 func (c *Controller) countCapacity(list []unassigned) (capacity map[int]float64, total float64) {
 	capacity = map[int]float64{}
 	for _, m := range list {
-		total += c.types[m.Type].CPUs
+		total += c.types[m.kind.Type].CPUs
 	}
 	for _, s := range c.ownership.shards {
 		for _, m := range s.machines {
@@ -77,7 +78,7 @@
 	byShard := map[int][]unassigned{}
 	chosen := -1
 	for _, m := range list {
-		cpus := max(c.types[m.Type].CPUs, 1)
+		cpus := max(c.types[m.kind.Type].CPUs, 1)
 		if chosen < 0 || target[chosen]-capacity[chosen] < cpus {
 			chosen = c.shardLackingMost(target, capacity, chosen)
 		}
@@ -94,7 +95,7 @@
 	largestGap := math.Inf(-1)
 	for _, s := range c.ownership.shards {
 		gap := target[s.id] - capacity[s.id]
-		if gap > largestGap+eps {
+		if gap > largestGap+scheduling.Tolerance {
 			most = s.id
 			largestGap = gap
 		}
@@ -127,6 +128,7 @@
 	}
 }
 
+// sendCreation writes a record set, unless it is in flight or was sent a short time ago.
 func (c *Controller) sendCreation(creation *recordSetCreation) {
 	if creation.inFlight || c.now < creation.nextSendAt {
 		return
@@ -161,6 +163,8 @@
 	}
 }
 
+// endCreation ends the work on a record set that stands, so that its machines may be assigned
+// again.
 func (f *fleetState) endCreation(creation *recordSetCreation) {
 	delete(f.pendingCreations, creation.key)
 	for _, m := range creation.rec.Machines {
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -7,8 +7,8 @@
 	id        string
 	rec       machineRecord
 	recordSet *machineRecordSet
-	// agentEpoch is the last one that the machine showed to this node, under any lock: a guess
-	// for the first command to it.
+	// agentEpoch is the last one that the machine showed to this node, under any lock: the
+	// first command to it names it, though it may be out of date.
 	agentEpoch uint64
 	// returned: the cloud has confirmed its return, so it never comes back.
 	returned bool
@@ -38,6 +38,7 @@
 	reclaimAt      micros.Micros // when the cloud takes the machine away; 0: no notice
 }
 
+// newView returns the view of a machine of which no heartbeat has come yet.
 func (sc *stepContext) newView() *view {
 	return &view{
 		contactView:        contactView{lastHeartbeatAt: -micros.Never, lastReplyAt: -micros.Never, since: sc.now},
@@ -59,7 +60,7 @@
 	s.recountAll = true
 }
 
-// fencingToken is the token under which this node commands a machine of its shard.
+// fencingToken returns the token under which this node commands a machine of its shard.
 func (c *Controller) fencingToken(s *shard, m *machine) uint64 {
 	return max(s.ownerEpoch, m.recordSet.modRevision)
 }
--- a/internal/controller/ownership.go
+++ b/internal/controller/ownership.go
@@ -20,7 +20,7 @@
 	releaseInterval = 5 * micros.Second
 )
 
-// shardOwnership is what this node is to a shard.
+// shardOwnership is how far this node owns a shard.
 type shardOwnership int
 
 const (
@@ -40,6 +40,7 @@
 	shardReleasing: "releasing",
 }
 
+// String returns the name of the state.
 func (o shardOwnership) String() string { return shardOwnershipNames[o] }
 
 // shard is a set of teams (or of jobs) with the machines recorded to it.
@@ -61,8 +62,8 @@
 	// last one reached its limit.
 	resumeAt  int
 	ownership shardOwnership
-	// highestSeenEpoch is the highest epoch of another owner that this node heard of; it never
-	// acts below it.
+	// highestSeenEpoch is the highest epoch of another owner that this node has seen; it never
+	// acts under a lower one.
 	highestSeenEpoch uint64
 	arrivals         estimate.RateMeter
 }
@@ -86,6 +87,7 @@
 	releasedAt       micros.Micros // when a shard was last released to its preferred owner
 }
 
+// init prepares the state of a node that holds no lease and no lock.
 func (o *ownershipState) init(shards int, lease micros.Micros) {
 	o.lease = ownership.NewLease(lease)
 	for id := range shards {
@@ -189,14 +191,14 @@
 	return c.hasWorkers(p) && p.stateOK && p.uptime >= stablePeriod
 }
 
-// mayReleaseShard reports whether this node owns a shard, has done so for a while, and has no machine
-// left whose reconciliation the next owner would have to begin anew.
+// mayReleaseShard reports whether this node owns a shard, has done so for a while, and has no
+// machine left whose reconciliation the next owner would have to begin anew.
 func (o *ownershipState) mayReleaseShard(s *shard) bool {
 	return s.ownership == shardOwned && o.now >= s.claimedAt+stablePeriod && o.allReconciled(s)
 }
 
-// releaseShard ends all actions for a shard and deletes its owner key. Nobody need answer for the
-// shard until the deletion is sent: that goes with leases, before all else.
+// releaseShard ends all actions for a shard and deletes its owner key. No node owns the shard until
+// the deletion is applied, so it is sent in the class of leases, before all other requests.
 func (c *Controller) releaseShard(s *shard) {
 	s.ownership = shardReleasing
 	c.dropQuota(s)
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -13,7 +13,7 @@
 type contactView struct {
 	lastHeartbeatAt micros.Micros
 	lastReplyAt     micros.Micros
-	since           micros.Micros // when this node began to watch it
+	since           micros.Micros // when this node began to follow it
 	reachability    reachability.Tracker
 }
 
@@ -32,7 +32,7 @@
 }
 
 // cordonIfRepliesWereLost cordons a machine with a new agent epoch if its lease ran out
-// although its heartbeats were answered of late.
+// although its heartbeats were answered recently.
 func (c *Controller) cordonIfRepliesWereLost(m *machine) {
 	v := m.view
 	recentlyAnswered := c.now-v.lastReplyAt < c.cfg.WorkerLease-2*c.cfg.HeartbeatInterval
@@ -55,29 +55,20 @@
 // the lease. It gets no more tasks: they would end with the lease. Those it has may be
 // completed in time.
 func (c *Controller) leaseRunningOut(v *view) bool {
-	return v.sequenceKnown && c.sinceLastReply(v) > c.heartbeatTimeout()
+	return v.sequenceKnown && c.sinceLastReply(v) > c.heartbeatDeadlines.Timeout
 }
 
-// sinceLastReply is how long ago a heartbeat of a machine was last answered.
+// sinceLastReply returns how long ago a heartbeat of a machine was last answered.
 func (sc *stepContext) sinceLastReply(v *view) micros.Micros {
 	return sc.now - max(v.lastReplyAt, v.since, sc.lastStalledAt)
 }
 
-// sinceLastHeartbeat is how long ago a machine's last heartbeat came, to a node that had the
+// sinceLastHeartbeat returns how long ago a machine's last heartbeat came, to a node that had the
 // time to read it: what arrived while this node was stalled may still be unread.
 func (sc *stepContext) sinceLastHeartbeat(v *view) micros.Micros {
 	return sc.now - max(v.lastHeartbeatAt, v.since, sc.lastStalledAt)
 }
 
-// heartbeatOverdueAfter is reachability.Deadlines.Overdue.
-func (c *Controller) heartbeatOverdueAfter() micros.Micros { return c.heartbeatDeadlines.Overdue }
-
-// heartbeatTimeout is reachability.Deadlines.Timeout.
-func (c *Controller) heartbeatTimeout() micros.Micros { return c.heartbeatDeadlines.Timeout }
-
-// silentReturnAfter is reachability.Deadlines.Return.
-func (c *Controller) silentReturnAfter() micros.Micros { return c.heartbeatDeadlines.Return }
-
 // probeRetryDelay is how long after a probe the same machine may be probed again.
 const probeRetryDelay = 2 * micros.Second
 
@@ -102,7 +93,7 @@
 // probeDue reports whether a machine should be probed and no probe is under way.
 func (c *Controller) probeDue(m *machine) bool {
 	v := m.view
-	overdue := c.sinceLastHeartbeat(v) > c.heartbeatOverdueAfter()
+	overdue := c.sinceLastHeartbeat(v) > c.heartbeatDeadlines.Overdue
 	if !overdue && !c.unreachable(m) {
 		return false
 	}
@@ -110,7 +101,7 @@
 }
 
 // applyProbeResult takes the answer to a probe, unless it is not the machine's, or the machine
-// has shown a fencing token above ours.
+// has shown a fencing token above this node's.
 func (c *Controller) applyProbeResult(s *shard, m *machine, r Result) {
 	heartbeat, ok := r.Body.(*wire.Heartbeat)
 	if !ok || r.Status != http.StatusOK || heartbeat.Machine != m.id {
--- a/internal/controller/reconciliation.go
+++ b/internal/controller/reconciliation.go
@@ -5,8 +5,8 @@
 	"garnethitch/internal/wire"
 )
 
-// reconciliationView orders a machine's heartbeats, and says what a former owner may have
-// left on it. A heartbeat that is older than (agentEpoch, sequence) changes nothing.
+// reconciliationView is the position of a machine's last heartbeat, and what a former owner may
+// have left on it. A heartbeat that is older than (agentEpoch, sequence) changes nothing.
 //
 // The booleans occur in these combinations:
 //
@@ -41,7 +41,8 @@
 }
 
 // confirmNeverCommanded checks by its first heartbeat that a machine is as new as its record
-// says: a fencing token below ours would be another owner's.
+// says: a fencing token below this node's would be another
+// owner's.
 func (c *Controller) confirmNeverCommanded(s *shard, m *machine, heartbeat *wire.Heartbeat) {
 	v := m.view
 	foreignToken := heartbeat.FencingToken != 0 && heartbeat.FencingToken < c.fencingToken(s, m)
@@ -94,14 +95,14 @@
 
 const (
 	// reconcileRetryDelay is added to the time before the next attempt to reconcile a machine
-	// for each one that was not answered, so that such machines leave the turn to others.
+	// for each command that was not answered, so that other machines are tried first.
 	reconcileRetryDelay = micros.Second
-	// maxReconcileBackoff bounds how many of them count.
+	// maxReconcileBackoff bounds how many unanswered commands count.
 	maxReconcileBackoff = 3
 )
 
-// reconcileMachine makes an unreconciled machine show its tasks under our fencing token.
-// An empty direct command does it: its answer carries the fencing token, or the agent epoch
+// reconcileMachine makes an unreconciled machine show its tasks under this node's fencing token,
+// by an empty direct command: its answer carries the fencing token, or the agent epoch
 // that the command should have named.
 func (c *Controller) reconcileMachine(s *shard, m *machine) {
 	v := m.view
@@ -111,7 +112,7 @@
 	if c.ownership.activeShard(s.id) == nil || !c.commandQueue.takeProbe() {
 		return
 	}
-	backoff := 1 + min(v.unansweredReconciliations, maxReconcileBackoff)
+	backoff := 1 + min(v.unansweredCommands, maxReconcileBackoff)
 	v.nextProbeAt = c.now + reconcileRetryDelay*micros.Micros(backoff)
 	m.agentEpoch = max(m.agentEpoch, 1)
 	c.sendCommands(s, m, []wire.Command{})
--- a/internal/controller/registration.go
+++ b/internal/controller/registration.go
@@ -3,31 +3,31 @@
 import (
 	"net/http"
 
+	"garnethitch/internal/controller/fleet"
 	"garnethitch/internal/micros"
 	"garnethitch/internal/peer"
 	"garnethitch/internal/wire"
 )
 
-// rented is a machine that this leader has rented. It is recorded with its first
-// heartbeat: a machine on record is one that a new owner has to reconcile before it
-// starts anything that an old one may have started there, and a booting one
-// can't be reconciled.
+// rented is a machine that this leader has rented. It is recorded at its first heartbeat, not
+// before: a new owner has to reconcile each machine on record before it starts what a former owner
+// may have started there, and a machine that boots can't be reconciled.
 type rented struct {
-	kind
-	at micros.Micros
+	kind fleet.Kind
+	at   micros.Micros
 }
 
 // registration is a machine without a record that has sent a heartbeat. The heartbeat is
 // answered once the machine is assigned.
 type registration struct {
-	in Heartbeat
-	kind
+	in   Heartbeat
+	kind fleet.Kind
 }
 
 // unassigned is a machine that has no record yet.
 type unassigned struct {
 	wire.MachineRecord
-	kind
+	kind fleet.Kind
 }
 
 const (
@@ -40,9 +40,9 @@
 )
 
 // registerMachine deals with the heartbeat of a machine without a record: the
-// leader assigns it first. A heartbeat alone does not do, for it may be a late
-// copy of one that a machine sent before it was returned: this leader must have
-// rented it, or it must answer a direct request.
+// leader assigns it first. A heartbeat alone does not suffice, for it may be a late copy of one
+// that a machine sent before it was returned: this leader must have rented the machine, or the
+// machine must answer a direct request.
 func (c *Controller) registerMachine(in Heartbeat) {
 	if !c.ownership.leading() {
 		c.redirect(in.Reply, &c.ownership.leader)
@@ -106,17 +106,18 @@
 	})
 }
 
+// addRegistration adds a machine to those that are recorded together at registrationsDueAt.
 func (f *fleetState) addRegistration(in Heartbeat) {
 	if len(f.registrations) == 0 {
 		f.registrationsDueAt = f.now + registrationInterval
 	}
 	heartbeat := &in.Heartbeat
 	f.assigning[heartbeat.Machine] = true
-	f.registrations = append(f.registrations, registration{in, kind{Type: heartbeat.Type, Zone: heartbeat.Zone, Spot: heartbeat.Spot}})
+	f.registrations = append(f.registrations, registration{in, fleet.Kind{Type: heartbeat.Type, Zone: heartbeat.Zone, Spot: heartbeat.Spot}})
 	f.wakeIn(f.registrationsDueAt - f.now)
 }
 
-// recordRegistrations records the machines that have registered of late.
+// recordRegistrations records the machines that have registered recently.
 func (c *Controller) recordRegistrations() {
 	f := &c.fleet
 	if len(f.registrations) == 0 || c.now < f.registrationsDueAt {
@@ -133,9 +134,9 @@
 }
 
 // assignListed assigns machines to shards that the cloud lists as running and that are
-// on no record: those of the start, and any whose heartbeats don't come through. A
-// list lags: a machine that a former leader has just returned must not come back
-// to the record.
+// on no record: those of the first start of the fleet, and any whose heartbeats do not arrive.
+// A list lags: a machine that a former leader has just returned must not come back to the
+// record.
 func (c *Controller) assignListed(demand map[int]*peer.Demand) {
 	f := &c.fleet
 	if !f.first && c.now-f.ledAt <= 2*c.cfg.ListLag+listedAssignmentMargin {
@@ -143,13 +144,13 @@
 	}
 	var list []unassigned
 	for _, id := range f.order {
-		l := f.listed[id]
+		listed := f.listed[id]
 		known := c.machines[id] != nil || f.assigning[id]
 		gone := f.returning[id] || f.returned[id] != 0
-		if l.State != wire.MachineRunning || known || gone || !wire.ValidKey(id) {
+		if listed.State != wire.MachineRunning || known || gone || !wire.ValidKey(id) {
 			continue
 		}
-		list = append(list, unassigned{wire.MachineRecord{ID: id, Addr: l.Addr}, kind{Type: l.Type, Zone: l.Zone, Spot: l.Spot}})
+		list = append(list, unassigned{wire.MachineRecord{ID: id, Addr: listed.Addr}, fleet.Kind{Type: listed.Type, Zone: listed.Zone, Spot: listed.Spot}})
 	}
 	c.assignMachines(recordSetListed, list, demand, nil)
 }
--- a/internal/controller/scale_test.go
+++ b/internal/controller/scale_test.go
@@ -77,7 +77,7 @@
 	h.heartbeat(heartbeatFrom(m.id, v.agentEpoch, v.sequence+1, v.fencingToken, tasks...))
 }
 
-// TestWorkPerHeartbeat: the work of a heartbeat does not grow with machines or jobs.
+// TestWorkPerHeartbeat checks that the work of a heartbeat does not grow with machines or jobs.
 // It counts visits, not time.
 func TestWorkPerHeartbeat(t *testing.T) {
 	work := func(machines, jobs, tasks int) float64 {
@@ -109,8 +109,8 @@
 	}
 }
 
-// TestUnchangedHeartbeat: a heartbeat that lists what the last one did costs a comparison,
-// however many tasks it has; one that lists less, or comes after a command was sent, is
+// TestUnchangedHeartbeat checks that a heartbeat that lists what the last one did costs a
+// comparison, however many tasks it has; one that lists less, or comes after a command was sent, is
 // processed in full.
 func TestUnchangedHeartbeat(t *testing.T) {
 	h := bigHarness(t, 50, 20, 500)
@@ -146,8 +146,8 @@
 	}
 }
 
-// TestWakeUps: where nothing happens, maintenance wakes a controller seldom; while a shard is
-// not reconciled, or has no owner, often.
+// TestWakeUps checks that where nothing happens, maintenance wakes a controller seldom; while a
+// shard is not reconciled, or has no owner, often.
 func TestWakeUps(t *testing.T) {
 	wakes := func(h *harness) int {
 		n := 0
@@ -175,8 +175,8 @@
 	}
 }
 
-// TestWorkPerRound: a round over all machines visits each of them a few times, however many
-// tasks wait.
+// TestWorkPerRound checks that a round over all machines visits each of them a few times, however
+// many tasks wait.
 func TestWorkPerRound(t *testing.T) {
 	for _, tc := range []struct{ machines, jobs, tasks int }{{200, 20, 500}, {2200, 20, 500}, {2200, 300, 500}, {3100, 150, 2000}, {1900, 500, 90}, {700, 20, 20_000}, {4000, 150, 500}, {6000, 150, 500}} {
 		h := bigHarness(t, tc.machines, tc.jobs, tc.tasks)
@@ -190,10 +190,11 @@
 	}
 }
 
-// A round does not try every job that is bound to one zone on every machine with free capacity:
-// it is continued by the next, and reaches the job behind them all the same. Seen in the
-// simulation at 4,000 machines (TestLargeFleet): one round visited each machine 9.4 times, in
-// other runs up to 20 times, since a zone-bound job that fits nowhere rules out no other.
+// TestWorkPerRoundOfZonedJobs checks that a round does not try every job that is bound to one zone
+// on every machine with free capacity: it is continued by the next, and reaches the job behind them
+// all the same. Seen in the simulation at 4,000 machines (TestLargeFleet): one round visited each
+// machine 9.4 times, in other runs up to 20 times, since a zone-bound job that fits nowhere rules
+// out no other.
 func TestWorkPerRoundOfZonedJobs(t *testing.T) {
 	const machines, zoned = 2200, 100
 	h := bigHarness(t, machines, 0, 0)
@@ -230,8 +231,8 @@
 	}
 }
 
-// TestMessageOfLargeFleet: the status that a controller sends to the leader about 6,000 idle
-// machines, with names as long as a UUID, fits into one message with every machine; past that
+// TestMessageOfLargeFleet checks that the status that a controller sends to the leader about 6,000
+// idle machines, with names as long as a UUID, fits into one message with every machine; past that
 // bound the others are counted, and named in later messages.
 func TestMessageOfLargeFleet(t *testing.T) {
 	const machines = 6000
@@ -327,8 +328,8 @@
 	}
 }
 
-// TestWorkOfDAGs: hundreds of DAGs that wait cost a heartbeat and a walk over everything hardly
-// more than none.
+// TestWorkOfDAGs checks that hundreds of DAGs that wait cost a heartbeat and a walk over everything
+// hardly more than none.
 func TestWorkOfDAGs(t *testing.T) {
 	work := func(dags int) (perHeartbeat, walk float64) {
 		h := bigHarness(t, 50, 20, 500)
--- a/internal/controller/statestore/queue_test.go
+++ b/internal/controller/statestore/queue_test.go
@@ -40,7 +40,7 @@
 	return names
 }
 
-// TestQueueOrder: the order in which requests are sent, one rule a row.
+// TestQueueOrder checks the order in which requests are sent, one rule a row.
 func TestQueueOrder(t *testing.T) {
 	const never = micros.Never
 	for _, tc := range []struct {
@@ -105,7 +105,7 @@
 	}
 }
 
-// TestQueueFull: a class whose queue is full rejects requests, the others do not.
+// TestQueueFull checks that a class whose queue is full rejects requests, the others do not.
 func TestQueueFull(t *testing.T) {
 	q := testQueue(30, 10)
 	for range maxQueued {
@@ -148,8 +148,8 @@
 	{150, 25, 3, 8}, {150, 18, 3, 4}, {200, 40, 3, 24}, {200, 28, 3, 8}, {60, 20, 3, 8}, {60, 20, 2, 8}, {300, 80, 1, 8}, {30, 6, 5, 8},
 }
 
-// TestWorstWait: whatever the other classes hold, leases included, a request waits no longer
-// than worstWait, and each class has its turns.
+// TestWorstWait checks that whatever the other classes hold, leases included, a request waits no
+// longer than worstWait, and each class has its turns.
 func TestWorstWait(t *testing.T) {
 	for _, limits := range stateLimits {
 		for class := ClassLease + 1; class < ClassCount; class++ {
@@ -191,7 +191,7 @@
 	}
 }
 
-// TestMinimumRatesFit: the minimum rates add up to no more than leases leave.
+// TestMinimumRatesFit checks that the minimum rates add up to no more than leases leave.
 func TestMinimumRatesFit(t *testing.T) {
 	const roundingError = 1e-9
 	var sum minimumRate
--- a/internal/controller/worker_contact.go
+++ b/internal/controller/worker_contact.go
@@ -7,7 +7,7 @@
 )
 
 // A controller that has lost the workers, but not the state service, would keep its shards for
-// as long as that lasts while the leases of their machines run out. It can tell this from
+// as long as that lasts while the leases of their machines run out. It can distinguish this from
 // machines that have failed: the machines try the other controllers. It then releases its locks,
 // and claims none before it reaches machines again.
 
@@ -73,7 +73,7 @@
 type heartbeatSilence struct {
 	machines  int // all that have been commanded
 	silent    int // without a heartbeat for longer than the timeout
-	elsewhere int // silent ones that tried another controller of late
+	elsewhere int // silent ones that tried another controller recently
 }
 
 // mostSilent reports whether so many machines are silent that the cause may be this node.
@@ -115,7 +115,7 @@
 				continue
 			}
 			h.machines++
-			if c.sinceLastHeartbeat(m.view) <= c.heartbeatTimeout() {
+			if c.sinceLastHeartbeat(m.view) <= c.heartbeatDeadlines.Timeout {
 				continue
 			}
 			h.silent++
@@ -128,7 +128,7 @@
 }
 
 // triesAnotherController reports whether a controller with workers has had heartbeats of a
-// machine of late.
+// machine recently.
 func (c *Controller) triesAnotherController(m *machine) bool {
 	for _, label := range c.cfg.Peers {
 		p := c.peers[label]
