--- a/internal/faulttest/link.go
+++ b/internal/faulttest/link.go
@@ -11,7 +11,7 @@
 const (
 	linkDialTimeout = time.Second
 	linkBufferBytes = 32 << 10
-	// linkPollInterval is how often a link that holds data back looks whether it still does.
+	// linkPollInterval is how often a link that holds data back checks whether it still has to.
 	linkPollInterval = 50 * time.Millisecond
 )
 
@@ -89,7 +89,7 @@
 	}
 }
 
-// awaitPassage waits while the link holds data back; false: it violations connections.
+// awaitPassage waits while the link holds data back; false: it breaks connections.
 func (l *link) awaitPassage() bool {
 	for {
 		l.mu.Lock()
@@ -112,7 +112,7 @@
 	l.heldUntil = time.Now().Add(d)
 }
 
-// reset violations connections for a while.
+// reset breaks connections for a while.
 func (l *link) reset(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/faulttest/machine.go
+++ b/internal/faulttest/machine.go
@@ -27,23 +27,16 @@
 	wake    chan struct{}       // has the next heartbeat not wait for its time
 	faults  machineFaults
 
-	mu                   sync.Mutex // guards what follows
-	agentEpoch, sequence uint64
-	fencingToken         uint64
-	leaseFrom            time.Time // when the last heartbeat that was answered was sent
-	tasks                []task
+	mu        sync.Mutex // guards what follows
+	agent     *fakes.Agent
+	leaseFrom time.Time // when the last heartbeat that was answered was sent
+	runs      map[attempt]*TaskRun
 }
 
-// task is a task on a machine.
-type task struct {
-	wire.TaskStatus
-	team string
-	run  *TaskRun
-}
-
-// is reports whether a command is about the task.
-func (t task) is(command wire.Command) bool {
-	return t.Task == command.Task && t.Attempt == command.Attempt
+// attempt names an attempt of a task.
+type attempt struct {
+	task   string
+	number uint64
 }
 
 // addMachine adds a machine to the cluster, before that starts.
@@ -51,10 +44,11 @@
 	m := &machine{
 		FixedMachine: fixed,
 		cluster:      c,
-		agentEpoch:   1,
 		leaseFrom:    time.Now(),
 		wake:         make(chan struct{}, 1),
+		runs:         map[attempt]*TaskRun{},
 	}
+	m.agent = fakes.NewAgent(fixed, m)
 	c.machines = append(c.machines, m)
 	c.machineByHost[m.Address] = m
 	c.server.AddMachine(fixed)
@@ -83,33 +77,35 @@
 	fakes.WriteAnswer(rw, status, heartbeat)
 }
 
-// handleRequest carries a direct command out, unless it is of an old owner or for an earlier
-// run of the agent. Any request is answered with a heartbeat.
+// handleRequest carries a direct command out, unless it is of an earlier owner or for an
+// earlier epoch of the agent. Any request is answered with a heartbeat.
 func (m *machine) handleRequest(path string, body []byte) (status int, heartbeat wire.Heartbeat) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.checkLease(time.Now())
-	if path != wire.PathDirectCommand {
-		return http.StatusOK, m.heartbeat()
+	status = http.StatusOK
+	if path == wire.PathDirectCommand {
+		status = m.handleDirectCommand(body)
 	}
+	return status, m.heartbeat()
+}
+
+// handleDirectCommand returns the status to answer an encoded direct command with. The lock is
+// held.
+func (m *machine) handleDirectCommand(body []byte) (status int) {
 	var command wire.DirectCommand
-	valid := wire.Decode(body, &command) == nil && command.FencingToken >= m.fencingToken && command.AgentEpoch == m.agentEpoch
-	if !valid {
-		return http.StatusConflict, m.heartbeat()
+	if err := wire.Decode(body, &command); err != nil {
+		return http.StatusConflict
 	}
-	m.execute(command.FencingToken, command.Commands)
-	return http.StatusOK, m.heartbeat()
+	return m.agent.HandleDirectCommand(command)
 }
 
-// heartbeat returns the next heartbeat. The lock is held.
+// heartbeat returns the next heartbeat. An empty list of tasks is always sent as null here: a
+// controller has to take that as well as an empty array. The lock is held.
 func (m *machine) heartbeat() wire.Heartbeat {
-	m.sequence++
-	heartbeat := m.FixedMachine.Heartbeat()
-	heartbeat.AgentEpoch = m.agentEpoch
-	heartbeat.Sequence = m.sequence
-	heartbeat.FencingToken = m.fencingToken
-	for _, t := range m.tasks {
-		heartbeat.Tasks = append(heartbeat.Tasks, t.TaskStatus)
+	heartbeat := m.agent.Heartbeat()
+	if len(heartbeat.Tasks) == 0 {
+		heartbeat.Tasks = nil
 	}
 	return heartbeat
 }
@@ -140,13 +136,13 @@
 		return
 	}
 	expiredAt := m.leaseFrom.Add(lease)
-	for i := range m.tasks {
-		m.cluster.taskRuns.end(m.tasks[i].run, expiredAt) // also where it hung, and says so later
-		m.endTask(i, "")
+	tasks := m.agent.Tasks()
+	for i := range tasks {
+		m.endTask(&tasks[i], "", expiredAt) // also if the machine hung then and notices only now
 	}
-	m.tasks = nil
+	m.agent.BeginEpoch()
+	clear(m.runs)
 	m.leaseFrom = time.Now()
-	m.agentEpoch++
 }
 
 // sendHeartbeat sends a heartbeat and carries out the commands of the reply.
@@ -195,63 +191,43 @@
 	m.cluster.pause(nextNodePause)
 }
 
-// handleReply renews the lease and carries commands out, unless the reply is that of an old
-// owner or to an earlier run of the agent.
+// handleReply renews the lease and carries commands out, unless the reply is that of an earlier
+// owner or to an earlier epoch of the agent.
 func (m *machine) handleReply(reply wire.HeartbeatReply, agentEpoch uint64, sentAt time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.checkLease(time.Now())
-	if reply.FencingToken < m.fencingToken || agentEpoch != m.agentEpoch {
+	if !m.agent.Accepts(reply.FencingToken, agentEpoch) {
 		return
 	}
 	m.leaseFrom = sentAt
 	m.faults.replyReceived()
-	m.execute(reply.FencingToken, reply.Commands)
-}
-
-// execute carries commands out. The lock is held.
-func (m *machine) execute(fencingToken uint64, commands []wire.Command) {
-	m.fencingToken = max(m.fencingToken, fencingToken)
-	for _, command := range commands {
-		at := m.indexOf(command)
-		switch {
-		case command.Op == wire.OpStart && at < 0:
-			m.startTask(command)
-		case command.Op == wire.OpStop && at >= 0:
-			m.endTask(at, wire.ExitStopped)
-		case command.Op == wire.OpForget && at >= 0:
-			m.tasks = slices.Delete(m.tasks, at, at+1)
-		}
-	}
-}
-
-// indexOf returns the index of a command's task; -1: it is not here.
-func (m *machine) indexOf(command wire.Command) int {
-	return slices.IndexFunc(m.tasks, func(t task) bool { return t.is(command) })
+	m.agent.Execute(reply.FencingToken, reply.Commands)
 }
 
-// startTask starts a task of one CPU, if one is free. The lock is held.
-func (m *machine) startTask(command wire.Command) {
-	t := task{
-		TaskStatus: wire.TaskStatus{Task: command.Task, Attempt: command.Attempt, State: wire.TaskRunning},
-		team:       m.cluster.teamOf(command.Task),
-	}
+// StartTask starts a task of one CPU, if one is free. The lock is held.
+func (m *machine) StartTask(command wire.Command) wire.TaskStatus {
+	status := wire.TaskStatus{Task: command.Task, Attempt: command.Attempt, State: wire.TaskRunning}
 	if m.running() >= machineCPUs {
-		t.State = wire.TaskExited
-		t.ExitReason = wire.ExitNoCapacity
-		m.tasks = append(m.tasks, t)
-		return
+		status.State = wire.TaskExited
+		status.ExitReason = wire.ExitNoCapacity
+		return status
 	}
-	m.cluster.record(HistoryEvent{Team: t.team, CPUs: 1})
-	t.run = m.cluster.taskRuns.begin(command.Task, m.ID)
-	m.tasks = append(m.tasks, t)
-	agentEpoch := m.agentEpoch
+	m.cluster.record(HistoryEvent{Team: m.cluster.teamOf(command.Task), CPUs: 1})
+	m.runs[attempt{command.Task, command.Attempt}] = m.cluster.taskRuns.begin(command.Task, m.ID)
+	agentEpoch := m.agent.Epoch()
 	time.AfterFunc(m.cluster.drawTaskLength(), func() { m.completeTask(command, agentEpoch) })
+	return status
+}
+
+// StopTask stops a task at once. The lock is held.
+func (m *machine) StopTask(task *wire.TaskStatus) {
+	m.endTask(task, wire.ExitStopped, time.Now())
 }
 
 // running counts the tasks that run. The lock is held.
 func (m *machine) running() (count int) {
-	for _, t := range m.tasks {
+	for _, t := range m.agent.Tasks() {
 		if t.State == wire.TaskRunning {
 			count++
 		}
@@ -272,9 +248,9 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.checkLease(time.Now())
-	at := m.indexOf(command)
-	if m.agentEpoch == agentEpoch && at >= 0 {
-		m.endTask(at, wire.ExitDone)
+	task := m.agent.Task(command)
+	if m.agent.Epoch() == agentEpoch && task != nil {
+		m.endTask(task, wire.ExitDone, time.Now())
 		m.heartbeatSoon()
 	}
 }
@@ -288,13 +264,12 @@
 }
 
 // endTask ends a task, if it runs, and records the end. The lock is held.
-func (m *machine) endTask(at int, exitReason string) {
-	t := &m.tasks[at]
-	if t.State != wire.TaskRunning {
+func (m *machine) endTask(task *wire.TaskStatus, exitReason string, at time.Time) {
+	if task.State != wire.TaskRunning {
 		return
 	}
-	t.State = wire.TaskExited
-	t.ExitReason = exitReason
-	m.cluster.record(HistoryEvent{Team: t.team, CPUs: -1})
-	m.cluster.taskRuns.end(t.run, time.Now())
+	task.State = wire.TaskExited
+	task.ExitReason = exitReason
+	m.cluster.record(HistoryEvent{Team: m.cluster.teamOf(task.Task), CPUs: -1})
+	m.cluster.taskRuns.end(m.runs[attempt{task.Task, task.Attempt}], at)
 }
