--- a/internal/digest/digest.go
+++ b/internal/digest/digest.go
@@ -143,7 +143,7 @@
 	r.bytes([]byte(s))
 }
 
-// bytes hashes the length first, so that no two sequences of parts are alike.
+// bytes hashes the length first, so that different sequences of parts have different hashes.
 func (r *recorder) bytes(b []byte) {
 	r.number(int64(len(b)))
 	r.write(b)
--- a/internal/fakes/cloud.go
+++ b/internal/fakes/cloud.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// snapshotInterval is how often the cloud takes down what its lists say.
+	// snapshotInterval is how often the cloud records the machines that its lists are made from.
 	snapshotInterval = 500 * millisecond
-	// maxSnapshots is how many of them a list may be made from.
+	// maxSnapshots is how many snapshots are kept; each list is made from any one of them.
 	maxSnapshots = 10
 )
 
@@ -68,7 +68,8 @@
 	OnReturn func(*Machine)
 }
 
-// Cloud is a fake of the cloud, which rents out machines. Its lists are old, now more, now less.
+// Cloud is a fake of the cloud, which rents out machines. Its lists are stale
+// by up to maxSnapshots snapshots.
 type Cloud struct {
 	config      CloudConfig
 	machines    []*Machine
@@ -112,12 +113,12 @@
 	case wire.Rental:
 		c.rent(r, reply)
 	case controller.ReturnMachines:
-		c.takeBack(r.Machines)
+		c.endRentals(r.Machines)
 		reply.status(http.StatusOK)
 	}
 }
 
-// takeSnapshot takes down the machines, now and again and again.
+// takeSnapshot records the machines, and schedules the next snapshot.
 func (c *Cloud) takeSnapshot() {
 	now := c.config.Scheduler.Now()
 	var snapshot []wire.ListedMachine
@@ -164,7 +165,7 @@
 	return list
 }
 
-// rent answers a repeated request as the first one.
+// rent answers a rental request; a repeated one gets the answer of the first.
 func (c *Cloud) rent(request wire.Rental, reply Reply) {
 	names, repeated := c.rentals[request.Request]
 	if !repeated {
@@ -178,7 +179,7 @@
 	reply.body(http.StatusOK, &wire.MachineNames{Machines: names})
 }
 
-// addMachines adds as many of the machines that are asked for as there may be.
+// addMachines adds the machines of a request, up to MaxMachines that run at a time.
 func (c *Cloud) addMachines(request wire.Rental) (names []string) {
 	running := c.running()
 	for len(names) < request.Count && running < c.config.MaxMachines {
@@ -197,7 +198,8 @@
 	return count
 }
 
-func (c *Cloud) takeBack(names []string) {
+// endRentals ends the machines that are returned.
+func (c *Cloud) endRentals(names []string) {
 	for _, name := range names {
 		m := c.byID[name]
 		if m == nil {
--- a/internal/fakes/fakes.go
+++ b/internal/fakes/fakes.go
@@ -1,7 +1,7 @@
 // Package fakes holds fakes of the services that a controller talks to: the state service,
-// the cloud and the workers. They take and give typed messages, and live by a Scheduler, which
-// may be that of a simulation or the wall clock. Server serves the state service and a cloud
-// over HTTP, and ServeWorld plays everybody around one controller in a process of its own.
+// the cloud and the workers. They exchange typed messages and run by a Scheduler, which is
+// that of a simulation or the wall clock. Server serves the state service and a cloud
+// over HTTP, and ServeWorld runs all that one controller talks to in a process of its own.
 package fakes
 
 import (
@@ -14,7 +14,7 @@
 	second      = micros.Second
 )
 
-// Scheduler is the time that a fake lives by.
+// Scheduler is the clock that a fake runs by.
 type Scheduler interface {
 	// Now returns the present time.
 	Now() micros.Micros
--- a/internal/fakes/job.go
+++ b/internal/fakes/job.go
@@ -5,7 +5,7 @@
 	"garnethitch/internal/wire"
 )
 
-// Job is a job as it is, whatever the controllers know of it: what its tasks need and do.
+// Job is the true state of a job, whatever the controllers know of it.
 type Job struct {
 	Submission wire.Submission
 	Runs       []micros.Micros // how long each task runs
--- a/internal/fakes/server.go
+++ b/internal/fakes/server.go
@@ -44,8 +44,8 @@
 	s.fleet = append(s.fleet, m)
 }
 
-// KeepTime lets what is due happen at each interval, for as long as pause, which waits for a
-// duration, returns true.
+// KeepTime runs due events at each interval, for as long as pause, which waits for a duration,
+// returns true.
 func (s *Server) KeepTime(interval time.Duration, pause func(time.Duration) bool) {
 	for pause(interval) {
 		s.Clock.Run(func() {})
--- a/internal/fakes/state.go
+++ b/internal/fakes/state.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// leaseCheckInterval is how often leases that have run out are looked for.
+	// leaseCheckInterval is how often leases are checked for their end.
 	leaseCheckInterval = 50 * millisecond
-	// maxPageItems keeps pages of lists short, so that paging is tried.
+	// maxPageItems keeps pages of lists short, so that controllers have to ask for further ones.
 	maxPageItems = 7
 )
 
@@ -188,7 +188,7 @@
 	reply.status(http.StatusOK)
 }
 
-// expireLeases deletes the keys of leases that have run out, now and again and again.
+// expireLeases deletes the keys of leases that have run out, and schedules the next check.
 func (s *State) expireLeases() {
 	now := s.scheduler.Now()
 	if s.unavailable() {
@@ -244,7 +244,7 @@
 	s.notifyWatches()
 }
 
-// acceptable reports whether a transaction keeps to the limits and names only leases that last.
+// acceptable reports whether a transaction keeps to the limits and names only leases that exist.
 func (s *State) acceptable(txn wire.Txn) bool {
 	if txn.Writes() > s.limits.TxnOps {
 		return false
--- a/internal/fakes/task.go
+++ b/internal/fakes/task.go
@@ -75,7 +75,7 @@
 	return false
 }
 
-// Fits reports whether there is room for one more task of a job.
+// Fits reports whether the machine has the CPUs and the memory for one more task of a job.
 func (w *Worker) Fits(job *Job) bool {
 	machineType, ok := MachineType(w.Type)
 	if !ok {
@@ -113,7 +113,7 @@
 	}
 }
 
-// begin has a task run that has its image, unless it was completed elsewhere meanwhile.
+// begin lets a task run once it has its image, unless it was completed elsewhere meanwhile.
 func (w *Worker) begin(t *Task) {
 	job := w.host.Job(t.Job)
 	w.images[job.Submission.Image] = true
@@ -148,7 +148,7 @@
 // failsTasksOf reports whether the tasks of a job fail on the machine.
 func (w *Worker) failsTasksOf(job *Job) bool { return job.Fails || w.now() < w.FaultyUntil }
 
-// execute carries commands out.
+// execute carries commands out. One that does not apply to the state of its task changes nothing.
 func (w *Worker) execute(commands []wire.Command) {
 	for _, command := range commands {
 		w.host.Trace("%s %s %s attempt %x", w.ID, command.Op, command.Task, command.Attempt)
--- a/internal/fakes/worker.go
+++ b/internal/fakes/worker.go
@@ -24,7 +24,8 @@
 )
 
 // WorkerHost is the surroundings of a fake worker: its network, the jobs that there are, and
-// whoever follows what it does.
+// the
+// observer of its tasks.
 type WorkerHost interface {
 	// SendHeartbeat sends a heartbeat to a controller, and calls done once with the answer, or
 	// with ok false if there is none in time. It reports false, and does not call done, if the
@@ -42,7 +43,7 @@
 	TaskForgotten(*Task)
 	// LeaseRenewed is called when a reply has renewed the lease and its commands are carried out.
 	LeaseRenewed()
-	// Ticked is called when tasks have been looked after.
+	// Ticked is called at each tick, when tasks have been advanced.
 	Ticked()
 	// Trace is called with a line for each event.
 	Trace(format string, args ...any)
@@ -54,7 +55,8 @@
 	Random            Random
 	Lease             micros.Micros
 	HeartbeatInterval micros.Micros
-	// TickFrom and TickTo bound how long a worker waits until it looks after its tasks again.
+	// TickFrom and TickTo bound the interval between two ticks, at which a worker advances its
+	// tasks.
 	TickFrom, TickTo micros.Micros
 	Nodes            []string // labels of the controllers
 }
@@ -176,7 +178,7 @@
 		return
 	}
 	w.agentEpoch++
-	w.host.Trace("%s lease over, session %d, %d tasks killed", w.ID, w.agentEpoch, len(w.tasks))
+	w.host.Trace("%s lease expired, agent epoch %d, %d tasks killed", w.ID, w.agentEpoch, len(w.tasks))
 	for _, t := range w.tasks {
 		w.host.TaskForgotten(t)
 	}
@@ -239,7 +241,7 @@
 	reply, isReply := answer.Body.(wire.HeartbeatReply)
 	switch {
 	case isRedirect && answer.Status == http.StatusMisdirectedRequest:
-		w.follow(redirect)
+		w.followRedirect(redirect)
 	case isReply && answer.Status == http.StatusOK:
 		w.handleReply(sent, reply)
 	default:
@@ -247,8 +249,8 @@
 	}
 }
 
-// handleReply renews the lease and carries commands out, unless the reply is that of an old
-// owner, late, or to an earlier epoch of the agent.
+// handleReply renews the lease and carries commands out, unless the reply is that of an
+// earlier owner, late, or to an earlier epoch of the agent.
 func (w *Worker) handleReply(sent sentHeartbeat, reply wire.HeartbeatReply) {
 	late := w.now()-w.lastHeartbeat > HeartbeatTimeout
 	if late || sent.agentEpoch != w.agentEpoch || reply.FencingToken < w.fencingToken {
@@ -260,8 +262,8 @@
 	w.host.LeaseRenewed()
 }
 
-// follow turns to the controller that another one named.
-func (w *Worker) follow(redirect wire.Redirect) {
+// followRedirect turns to the controller that another one named.
+func (w *Worker) followRedirect(redirect wire.Redirect) {
 	i := slices.Index(w.config.Nodes, redirect.Controller)
 	if i < 0 || i == w.node {
 		w.turnToNextNode()
@@ -284,7 +286,7 @@
 }
 
 // Serve answers a direct command or a question of a controller. While the machine hangs, it is
-// held in its sockets; in which order things then happen is open.
+// held in its sockets, and the order in which requests are then answered is not defined.
 func (w *Worker) Serve(request any, reply Reply) {
 	if !w.Up() {
 		return
@@ -304,7 +306,7 @@
 	reply.body(status, w.heartbeat())
 }
 
-// handleDirectCommand carries a direct command out, unless it is of an old owner or for an
+// handleDirectCommand carries a direct command out, unless it is of an earlier owner or for an
 // earlier epoch of the agent, and returns the status to answer.
 func (w *Worker) handleDirectCommand(command wire.DirectCommand) int {
 	if command.FencingToken < w.fencingToken || command.AgentEpoch != w.agentEpoch {
--- a/internal/fakes/worker_test.go
+++ b/internal/fakes/worker_test.go
@@ -149,10 +149,10 @@
 	_, _, w := newTestWorker()
 	command(t, w, 200, 5)
 	if heartbeat := command(t, w, 409, 4, start("job-000001/0")); len(heartbeat.Tasks) != 0 || heartbeat.FencingToken != 5 {
-		t.Errorf("an old owner's command: %+v", heartbeat)
+		t.Errorf("an earlier owner's command: %+v", heartbeat)
 	}
-	old := wire.DirectCommand{FencingToken: 5, AgentEpoch: w.AgentEpoch() - 1, Commands: []wire.Command{start("job-000001/0")}}
-	if heartbeat := mustAnswer(t, w, old, 409).(*wire.Heartbeat); len(heartbeat.Tasks) != 0 {
+	earlier := wire.DirectCommand{FencingToken: 5, AgentEpoch: w.AgentEpoch() - 1, Commands: []wire.Command{start("job-000001/0")}}
+	if heartbeat := mustAnswer(t, w, earlier, 409).(*wire.Heartbeat); len(heartbeat.Tasks) != 0 {
 		t.Errorf("a command for an earlier epoch of the agent: %+v", heartbeat)
 	}
 }
--- a/internal/fakes/world.go
+++ b/internal/fakes/world.go
@@ -14,10 +14,10 @@
 	"garnethitch/internal/wire"
 )
 
-// World is everybody around one real controller, in real time on the loopback: the services
-// of a Server, the workers of its fleet and a user. It is driven by lines of text, so that it
-// can live in a process of its own and what the controller's process takes is the
-// controller's alone.
+// World is all that one real controller talks to, in real time on the loopback: the services of
+// a Server, the workers of its fleet and a user. It is driven by lines of text, so that it can
+// run in a process of its own, and the processor time and the system calls of the controller's
+// process are the controller's alone.
 type World struct {
 	server       *Server
 	workers      []*loadWorker
@@ -35,7 +35,7 @@
 	// worldValueBytes and worldTxnOps are what the world's state service takes.
 	worldValueBytes = 64 << 10
 	worldTxnOps     = 8
-	// worldTick is how often the world looks for what is due.
+	// worldTick is how often due events are run.
 	worldTick = 20 * time.Millisecond
 	// pacedPause is the pause between heartbeats of the command "apart".
 	pacedPause = 5 * time.Millisecond
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// execute carries out one command and returns the answer to it.
+// execute carries out one command line and returns the answer to it.
 func (w *World) execute(name string, arguments []string) (answer string, err error) {
 	if name == "machines" {
 		return w.startFleet(arguments)
@@ -198,7 +198,7 @@
 	return fmt.Errorf("not ready: %w", last)
 }
 
-// submit submits a job, again and again until it is accepted.
+// submit submits a job, and repeats that until it is accepted.
 func (w *World) submit(connection *Connection, tasks int) error {
 	const (
 		attempts = 600
--- a/internal/fakes/write_limit.go
+++ b/internal/fakes/write_limit.go
@@ -10,7 +10,7 @@
 
 func newWriteLimit(rate float64) *writeLimit { return &writeLimit{rate: rate, tokens: rate} }
 
-// take reports whether so many changes may be made now, and counts them.
+// take reports whether a number of changes is within the limit now, and counts them if so.
 func (l *writeLimit) take(now micros.Micros, writes int) bool {
 	l.tokens = min(l.rate, l.tokens+l.rate*(now-l.updatedAt).Seconds())
 	l.updatedAt = now
--- a/internal/faulttest/cluster.go
+++ b/internal/faulttest/cluster.go
@@ -23,12 +23,12 @@
 )
 
 const (
-	// stateValueBytes and stateTxnOps are what the cluster's state service takes.
+	// stateValueBytes and stateTxnOps are the limits of the cluster's state service.
 	stateValueBytes = 64 << 10
 	stateTxnOps     = 8
-	// serverTick is how often it looks for what is due.
+	// serverTick is how often the services' due events are run.
 	serverTick = 10 * time.Millisecond
-	// clusterSeedStream tells a cluster's random numbers from others of the same seed.
+	// clusterSeedStream separates a cluster's random numbers from others of the same seed.
 	clusterSeedStream = 5
 )
 
@@ -52,7 +52,7 @@
 	rng      *rand.Rand
 	history  []HistoryEvent
 	jobs     int      // submitted
-	problems []string // what went wrong beside the rules
+	problems []string // errors of the test bench itself
 }
 
 // ClusterPlan says what a cluster is made of.
@@ -220,7 +220,7 @@
 	return slices.Clone(c.history)
 }
 
-// addProblem takes down what went wrong beside the rules.
+// addProblem records an error of the test bench itself.
 func (c *Cluster) addProblem(format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/faulttest/history_test.go
+++ b/internal/faulttest/history_test.go
@@ -6,7 +6,7 @@
 	"garnethitch/quota"
 )
 
-// TestOvershoots: the checker finds what it is for.
+// TestOvershoots: the checker finds uses and allowances above the limit in force, and no others.
 func TestOvershoots(t *testing.T) {
 	groups := GrantGroups()
 	limit := quota.CPULimit(2)
--- a/internal/faulttest/node.go
+++ b/internal/faulttest/node.go
@@ -70,7 +70,7 @@
 	return n, nil
 }
 
-// configure fills in what all controllers are told of the cluster.
+// configure fills in the settings that all controllers have in common.
 func (c *Cluster) configure(cluster *config.Cluster) {
 	for _, name := range c.plan.Teams {
 		cluster.Teams = append(cluster.Teams, config.Team{Name: name})
--- a/internal/faulttest/soak.go
+++ b/internal/faulttest/soak.go
@@ -38,7 +38,8 @@
 	Jobs, Cancelled, Tasks, Answers int
 	Faults                          int
 	// Questions counts those about jobs that nobody submitted, Refused the answers that
-	// could not be given. Unanswered is the longest that a job was asked about in vain.
+	// could not be given. Unanswered is the longest that requests about a job
+	// went unanswered.
 	Questions, Refused int
 	Unanswered         time.Duration
 	Violations         []string
--- a/internal/faulttest/soak_faults.go
+++ b/internal/faulttest/soak_faults.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// soakSeedStream tells the random numbers of a soak's faults from others of the same seed.
+	// soakSeedStream separates the random numbers of a soak's faults from others of the same seed.
 	soakSeedStream = 11
 	// firstFaultAt is when the first fault may come, faultsEndMargin how long before the end
 	// of a soak the last one may.
@@ -77,8 +77,8 @@
 // in series.
 func (p SoakPlan) Faults() []Fault {
 	d := &faultDraw{rng: rand.New(rand.NewPCG(p.Seed, soakSeedStream)), nodes: p.Nodes}
-	calm := SoakTimes().Cancel
-	for at := firstFaultAt; at < p.Length-calm; at += d.duration(time.Second, 3*time.Second) {
+	withoutFaults := SoakTimes().Cancel
+	for at := firstFaultAt; at < p.Length-withoutFaults; at += d.duration(time.Second, 3*time.Second) {
 		kind := FaultKind(d.rng.IntN(int(faultKindCount)))
 		d.add(at, kind, d.duration(300*time.Millisecond, 8*time.Second))
 		if d.rng.IntN(8) == 0 {
--- a/internal/faulttest/soak_users.go
+++ b/internal/faulttest/soak_users.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// maxUnanswered is how long a job may be asked about in vain.
+	// maxUnanswered is how long requests about a job may go unanswered.
 	maxUnanswered = 75 * time.Second
 	// userRequestTimeout is that of a user's request.
 	userRequestTimeout = 2 * time.Second
@@ -23,7 +23,7 @@
 	// unknownJobs is the number of the first of the jobs that nobody submits.
 	unknownJobs      = 800_000
 	unknownJobsCount = 100_000
-	// Streams tell the random numbers of users from others of the same seed.
+	// The streams separate the random numbers of users from others of the same seed.
 	questionsSeedStream  = 99
 	firstUserSeedStream  = 100
 	jobNumbersOfEachUser = 1000
@@ -223,7 +223,7 @@
 	}
 }
 
-// checkWait checks how long a job was asked about in vain. The lock is held.
+// checkWait checks how long requests about a job went unanswered. The lock is held.
 func (s *soak) checkWait(j *soakJob, now time.Time) {
 	waited := now.Sub(j.answeredAt)
 	s.unanswered = max(s.unanswered, waited)
--- a/internal/faulttest/state_faults.go
+++ b/internal/faulttest/state_faults.go
@@ -27,7 +27,7 @@
 type stateFaults struct {
 	cutUntil        time.Time // no answer; some requests are carried out afterwards
 	refuseUntil     time.Time // 503 for all but watches, which wait
-	refuseJobsUntil time.Time // 429 for what would tell it of jobs
+	refuseJobsUntil time.Time // 429 for reads and watches of jobs
 	lateUntil       time.Time // a part of its transactions is carried out late, without an answer
 }
 
@@ -96,7 +96,7 @@
 
 func isTransaction(r *http.Request) bool { return strings.HasSuffix(r.URL.Path, wire.PathTxn) }
 
-// readsJobs reports whether the answer to a request would tell of jobs.
+// readsJobs reports whether a request reads or watches jobs.
 func readsJobs(r *http.Request) bool {
 	ofKey := strings.HasPrefix(r.URL.Path, wire.PathKeys+"/"+wire.PrefixJob)
 	ofPrefix := strings.HasPrefix(r.URL.Query().Get("starts"), wire.PrefixJob)
--- a/internal/measure/quota_mechanisms.go
+++ b/internal/measure/quota_mechanisms.go
@@ -9,14 +9,15 @@
 type mechanism interface {
 	// request asks for a start by a controller; start is called if and when it is granted.
 	request(node int, start func())
-	// ended says that a task has ended.
+	// ended is called when a task has ended.
 	ended(node int)
-	// controllerReplaced says that the controller that had ended is replaced.
+	// controllerReplaced is called when the controller that had ended is replaced.
 	controllerReplaced()
 	// lowerLimit lowers the limit.
 	lowerLimit(limit float64)
 	// inForce reports whether the limit that was lowered to holds.
 	inForce() bool
+	// writes returns how many writes the mechanism has made.
 	writes() int
 }
 
@@ -78,40 +79,44 @@
 	w.write(node)
 }
 
-// write sends the next write of a controller: ends together, starts one by one.
+// write sends the next write of a controller, unless one is under way.
 func (w *writePerGrant) write(node int) {
 	if w.busy[node] {
 		return
 	}
 	w.busy[node] = true
 	w.run.after(w.run.between(2*ms, 10*ms), func() {
-		again := func(d micros.Micros) {
-			w.busy[node] = false
-			w.run.after(d, func() { w.write(node) })
-		}
-		switch {
-		case w.ends[node] == 0 && (len(w.queues[node]) == 0 || w.used >= w.limit):
-			again(20 * ms)
-		case w.run.dead == node || w.run.cut == node:
-			again(100 * ms)
-		case !w.run.mayWrite():
-			again(w.run.between(20*ms, 60*ms))
-		case w.ends[node] > 0:
-			w.count++
-			w.used -= float64(w.ends[node])
-			w.ends[node] = 0
-			again(0)
-		default:
-			w.count++
-			start := w.queues[node][0]
-			w.queues[node] = w.queues[node][1:]
-			w.used++
-			w.run.after(w.run.between(2*ms, 10*ms), start)
-			again(0)
-		}
+		pause := w.commit(node)
+		w.busy[node] = false
+		w.run.after(pause, func() { w.write(node) })
 	})
 }
 
+// commit carries a controller's write out, if it has one and the store takes it: ends together,
+// starts one by one. It returns how long to wait until the next.
+func (w *writePerGrant) commit(node int) (pause micros.Micros) {
+	mayStart := len(w.queues[node]) > 0 && w.used < w.limit
+	switch {
+	case w.ends[node] == 0 && !mayStart:
+		return 20 * ms
+	case w.run.dead == node || w.run.cut == node:
+		return 100 * ms
+	case !w.run.mayWrite():
+		return w.run.between(20*ms, 60*ms)
+	}
+	w.count++
+	if w.ends[node] > 0 {
+		w.used -= float64(w.ends[node])
+		w.ends[node] = 0
+		return 0
+	}
+	start := w.queues[node][0]
+	w.queues[node] = w.queues[node][1:]
+	w.used++
+	w.run.after(w.run.between(2*ms, 10*ms), start)
+	return 0
+}
+
 func (w *writePerGrant) controllerReplaced() {}
 
 func (w *writePerGrant) lowerLimit(limit float64) { w.limit = limit }
@@ -165,7 +170,7 @@
 	}
 }
 
-// reportUsage tells a controller's ledger what is used, now and four times a second.
+// reportUsage gives a controller's ledger the usage, and repeats that four times a second.
 func (a *allowances) reportUsage(node int) {
 	a.run.after(250*ms, func() { a.reportUsage(node) })
 	if a.run.dead == node {
--- a/internal/measure/quota_run.go
+++ b/internal/measure/quota_run.go
@@ -86,7 +86,7 @@
 	})
 }
 
-// sample takes down the CPUs in use, now and again and again.
+// sample records the CPUs in use, and schedules the next sample.
 func (r *quotaRun) sample() {
 	r.after(100*ms, r.sample)
 	used := 0
--- a/internal/simulation/cascade.go
+++ b/internal/simulation/cascade.go
@@ -207,11 +207,11 @@
 	late := 0
 	for _, u := range c.members {
 		cancelled := s.recordOf(u).State == wire.StateCancelled
-		wanted := u == c.target || slices.Contains(u.ancestors(), c.target)
-		if wanted && !cancelled {
+		affected := u == c.target || slices.Contains(u.ancestors(), c.target)
+		if affected && !cancelled {
 			late++
 		}
-		if cancelled && !wanted {
+		if cancelled && !affected {
 			s.violated("went_back: %s is cancelled, nothing that it needs is", u.Submission.ID)
 		}
 		if cancelled {
--- a/internal/simulation/check_service.go
+++ b/internal/simulation/check_service.go
@@ -132,7 +132,8 @@
 	}
 }
 
-// waitsDespiteCapacity reports whether a task of the job is nowhere, and would fit now.
+// waitsDespiteCapacity reports whether a task of the job is on no machine although one has
+// capacity for it now.
 func (s *Simulation) waitsDespiteCapacity(u *user) bool {
 	placed, zones := s.placedTasks(u)
 	if u.unplaced(placed) == 0 || !s.withinTeamLimit(u) || !s.withinGroupLimits(u) {
--- a/internal/simulation/check_tasks.go
+++ b/internal/simulation/check_tasks.go
@@ -19,7 +19,7 @@
 // checkStart checks the rules at the moment when a task has its image.
 func (s *Simulation) checkStart(w *worker, t *fakes.Task) {
 	s.Started++
-	s.trace("start %s attempt %x on %s session %d", t.Name, t.Attempt, w.ID, w.AgentEpoch())
+	s.trace("start %s attempt %x on %s agent epoch %d", t.Name, t.Attempt, w.ID, w.AgentEpoch())
 	u := s.userOf(t.Job)
 	if u == nil {
 		s.violated("invented: %s started, nobody submitted it", t.Name)
--- a/internal/simulation/concurrent_users.go
+++ b/internal/simulation/concurrent_users.go
@@ -22,7 +22,7 @@
 	impossibleCPUs = 1000
 )
 
-// cancelRunning has users cancel some jobs that run and have long to go; some of their machines
+// cancelRunning has users cancel some running jobs with time left; some of their machines
 // hang for a while from then on, if hang is not 0.
 func (s *Simulation) cancelRunning(count int, hang micros.Micros) {
 	left := 3 * sec
@@ -46,11 +46,11 @@
 		}
 	}
 	if hang > 0 {
-		s.hang(machines, hang)
+		s.hangSome(machines, hang)
 	}
 }
 
-// machinesRunning returns the machines on which tasks of a job have more than left to go.
+// machinesRunning returns the machines on which tasks of a job run for longer than left from now on.
 func (s *Simulation) machinesRunning(u *user, left micros.Micros) (machines []string) {
 	for t, w := range s.tasksByJob[u.Submission.ID] {
 		if t.OnMachine() && !w.Dead && t.Until > s.now+left {
@@ -60,8 +60,8 @@
 	return machines
 }
 
-// hang has some of the machines hang for a while.
-func (s *Simulation) hang(machines []string, d micros.Micros) {
+// hangSome has some of the machines hang for a while.
+func (s *Simulation) hangSome(machines []string, d micros.Micros) {
 	slices.Sort(machines)
 	machines = slices.Compact(machines)
 	for _, name := range machines[:min(len(machines), maxHungForCancel)] {
@@ -81,7 +81,7 @@
 }
 
 // requestRepeatedly is called when a job was accepted, has ended or is reported as cancelled:
-// its user asks all controllers again and again within milliseconds, and repeats the
+// its user asks all controllers several times within milliseconds, and repeats the
 // submission; some cancel at once. No controller may answer anything older.
 func (u *user) requestRepeatedly() {
 	s := u.sim
--- a/internal/simulation/counts.go
+++ b/internal/simulation/counts.go
@@ -18,7 +18,7 @@
 	StatusRequests, RefusedRequests int
 	// EndedTaskStops counts tasks that were stopped since their jobs had ended and left memory.
 	EndedTaskStops int
-	// StaleEpisodes counts the times in which controllers acted on old knowledge.
+	// StaleEpisodes counts the times in which controllers acted on stale views of jobs.
 	StaleEpisodes int
 	// CopiedHeartbeats counts late copies, Unreachable machines that could not be reached.
 	CopiedHeartbeats, Unreachable int
@@ -32,7 +32,7 @@
 	// LimitsSet counts limits of groups that operators have set, GroupWrites writes of
 	// groups' records.
 	LimitsSet, GroupWrites int
-	// Heartbeats and Rounds are what a heartbeat, and a round in which a controller looks at
+	// Heartbeats and Rounds are what a heartbeat, and a round in which a controller visits
 	// whole shards, cost.
 	Heartbeats, Rounds workSum
 	// CommandedBySingle counts the machines that one controller commanded while it was the
--- a/internal/simulation/dags.go
+++ b/internal/simulation/dags.go
@@ -13,7 +13,7 @@
 	// ordinary job.
 	dagDepth = 10
 	dagWidth = 8
-	// submitRetry is how often a user looks whether the jobs are accepted that its own depends on.
+	// submitRetry is how often a user checks whether the jobs that its own depends on are accepted.
 	submitRetry = 200 * ms
 )
 
--- a/internal/simulation/groups.go
+++ b/internal/simulation/groups.go
@@ -20,7 +20,7 @@
 	// limitTimeout is that of a request to set a limit, and limitRetry when it is repeated.
 	limitTimeout = 5 * sec
 	limitRetry   = 2 * sec
-	// clearAttempts is how often a limit that was set by hand is tried to be cleared again.
+	// clearAttempts is how often clearing a limit that was set by hand is retried.
 	clearAttempts = 20
 )
 
--- a/internal/simulation/large_fleet_test.go
+++ b/internal/simulation/large_fleet_test.go
@@ -48,6 +48,6 @@
 	}
 }
 
-// maxMoreVisited is how much more a heartbeat may look at in a larger fleet: a bounded number
+// maxMoreVisited is how many more items a heartbeat may visit in a larger fleet: a bounded number
 // of the jobs that wait, of which there are more.
 const maxMoreVisited = 20
--- a/internal/simulation/outages.go
+++ b/internal/simulation/outages.go
@@ -9,7 +9,7 @@
 	"garnethitch/internal/wire"
 )
 
-// Faults in which controllers act on old knowledge.
+// Faults in which controllers act on stale views.
 
 // lostAnswersTime is for how long the owner's answers are lost before a long outage.
 const lostAnswersTime = 600 * ms
@@ -38,8 +38,8 @@
 	}
 }
 
-// refusesJobs reports whether the state service refuses a call since it would tell of jobs. It
-// still takes a controller's locks, renewals and writes, as one does that is short of requests.
+// refusesJobs reports whether the state service refuses a call because it reads or watches jobs.
+// Locks, renewals and writes are still accepted, as by a service at its limit of requests.
 func (s *Simulation) refusesJobs(call controller.Call) bool {
 	if call.To != controller.ToState || s.now >= s.jobsRefusedUntil {
 		return false
@@ -55,7 +55,7 @@
 	return false
 }
 
-// scheduleStaleJobs plays an episode of old knowledge twice.
+// scheduleStaleJobs plays an episode of stale views twice.
 func (s *Simulation) scheduleStaleJobs() {
 	s.after(s.between(10*sec, 15*sec), s.staleJobs)
 	s.after(s.plan.Length/2, s.staleJobs)
--- a/internal/simulation/plan.go
+++ b/internal/simulation/plan.go
@@ -15,7 +15,7 @@
 	Jobs     int
 	// InitialMachines is how many machines are up at the start; 0: as many as suits the rest.
 	InitialMachines int
-	// Large makes arrays large and machines many, and lets workers look at their tasks less often.
+	// Large makes arrays large and machines many, and workers' ticks longer.
 	Large bool
 	// DAGs is how many sets of jobs that depend on each other are submitted besides.
 	DAGs int
@@ -48,7 +48,7 @@
 	// LongOutage has one controller lose the state service with the answers to what it wrote,
 	// and then all of them for longer than a cancellation may take.
 	LongOutage bool
-	// StaleJobs has controllers act on old knowledge: the state service refuses reads of jobs
+	// StaleJobs has controllers act on stale views of jobs: the state service refuses reads of jobs
 	// while owners end one after the other.
 	StaleJobs bool
 	// ReconnectionWaves ends the leader, then all controllers, then all but one.
@@ -68,7 +68,7 @@
 	return p.ConcurrentFaults || p.LongOutage || p.StaleJobs
 }
 
-// hasFaults reports whether machines may look idle to a controller although they are not.
+// hasFaults reports whether a controller may take busy machines for idle ones.
 func (p Plan) hasFaults() bool {
 	return p.Faults || p.FleetFaults || p.hasLongTasks()
 }
--- a/internal/simulation/plans.go
+++ b/internal/simulation/plans.go
@@ -102,7 +102,7 @@
 	}
 }
 
-// concurrentFaultPlans are about concurrent faults, and controllers that act on old knowledge.
+// concurrentFaultPlans are about concurrent faults, and controllers that act on stale views.
 func concurrentFaultPlans() []NamedPlan {
 	return []NamedPlan{
 		{"long outage, sharded by job", Plan{Teams: oneTeam(), Nodes: 3, Machines: 14, Jobs: 40, LongOutage: true}, 6},
--- a/internal/simulation/rules_test.go
+++ b/internal/simulation/rules_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// TestRules plays days with faults and checks every rule at every step, and
+// TestRules plays runs with faults and checks every rule at every step, and
 // that all work is done once the faults are over.
 func TestRules(t *testing.T) {
 	for _, plan := range RulePlans() {
@@ -74,7 +74,7 @@
 		t.Errorf("nothing had to wait: %v s at most", s.LongestInputWait.Seconds())
 	}
 	if p.StaleJobs && passed && (s.StaleEpisodes < 2 || s.Concurrent.Cancelled == 0) {
-		t.Errorf("too little happened: %d episodes of old knowledge, %d jobs cancelled", s.StaleEpisodes, s.Concurrent.Cancelled)
+		t.Errorf("too little happened: %d episodes of stale views, %d jobs cancelled", s.StaleEpisodes, s.Concurrent.Cancelled)
 	}
 	if p.StatusRequestRate > 0 && passed && (s.StatusRequests < 1000 || s.RefusedRequests < 100) {
 		t.Errorf("too little happened: %d status requests, %d refused", s.StatusRequests, s.RefusedRequests)
@@ -87,7 +87,7 @@
 	}
 }
 
-// TestSameSeed: a run must repeat exactly, or failures can't be looked into.
+// TestSameSeed: two runs of one seed are equal, so that a failure can be repeated.
 func TestSameSeed(t *testing.T) {
 	play := func() string {
 		s := New(Plan{Seed: 5, Nodes: 3, Machines: 8, Jobs: 15, Faults: true, Teams: fourTeams(), Length: 60 * sec, RecoveryTime: 200 * sec})
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -21,7 +21,7 @@
 	ms  = micros.Millisecond
 	sec = micros.Second
 
-	// seedStream tells a run's random numbers from others of the same seed.
+	// seedStream separates a run's random numbers from others of the same seed.
 	seedStream = 77
 	// checkInterval is how often the rules about waiting are checked.
 	checkInterval = 5 * sec
@@ -61,7 +61,7 @@
 
 	// lostRepliesUntil: until then replies of a machine to commands are lost.
 	lostRepliesUntil map[string]micros.Micros
-	// jobsRefusedUntil: until then the state service refuses what would tell of jobs.
+	// jobsRefusedUntil: until then the state service refuses reads and watches of jobs.
 	jobsRefusedUntil micros.Micros
 	// copiesUntil: until then many heartbeats are copied.
 	copiesUntil micros.Micros
@@ -185,7 +185,7 @@
 		at, event := s.queue.Take()
 		s.now = max(s.now, at)
 		event()
-		s.checkNowAndThen()
+		s.checkPeriodically()
 		if s.now > s.plan.Length+earliestEnd && s.allJobsEnded() {
 			s.checkServed()
 			return
@@ -198,8 +198,8 @@
 	s.checkEnded()
 }
 
-// checkNowAndThen checks the rules about waiting.
-func (s *Simulation) checkNowAndThen() {
+// checkPeriodically checks the rules about waiting, every checkInterval.
+func (s *Simulation) checkPeriodically() {
 	if s.now < s.nextCheckAt {
 		return
 	}
@@ -218,7 +218,7 @@
 	return true
 }
 
-// violated notes that a rule was broken.
+// violated records that a rule was broken.
 func (s *Simulation) violated(format string, args ...any) {
 	s.Violations = append(s.Violations, fmt.Sprintf("%.3f s: ", s.now.Seconds())+fmt.Sprintf(format, args...))
 }
@@ -235,14 +235,14 @@
 // after has f happen once the duration has passed.
 func (s *Simulation) after(d micros.Micros, f func()) { s.at(s.now+d, f) }
 
-// scheduler has the fakes live by the simulation's time.
+// scheduler makes the fakes run by the simulation's time.
 type scheduler struct{ sim *Simulation }
 
 func (s scheduler) Now() micros.Micros { return s.sim.now }
 
 func (s scheduler) After(d micros.Micros, f func()) { s.sim.after(d, f) }
 
-// handlePut follows what controllers write.
+// handlePut is called with each value that controllers write.
 func (s *Simulation) handlePut(key string, value wire.Raw, _ uint64) {
 	if fakes.IsLock(key) {
 		s.replayHeartbeats()
--- a/internal/simulation/user.go
+++ b/internal/simulation/user.go
@@ -128,7 +128,7 @@
 	return a.Status == http.StatusBadRequest || a.Status == http.StatusUnprocessableEntity || a.Status == http.StatusNotFound
 }
 
-// pollStatus asks about the job, now and again and again, sometimes about an unknown one, too.
+// pollStatus asks about the job periodically, and sometimes about an unknown one.
 func (u *user) pollStatus() {
 	s := u.sim
 	if s.chance(unknownJobChance) {
@@ -170,7 +170,7 @@
 	})
 }
 
-// requestCancel cancels the job, again and again until a final state is reported.
+// requestCancel cancels the job, and repeats that until a final state is reported.
 func (u *user) requestCancel() {
 	s := u.sim
 	if u.finalState != "" {
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// TaskAdded notes that the worker knows of a task.
+// TaskAdded records a task that the worker knows of.
 func (w *worker) TaskAdded(t *fakes.Task) {
 	s := w.sim
 	if s.userOf(t.Job) == nil {
@@ -108,7 +108,7 @@
 	s.tasksByJob[t.Job][t] = w
 }
 
-// TaskForgotten notes that the worker knows of a task no more.
+// TaskForgotten removes a task that the worker has forgotten.
 func (w *worker) TaskForgotten(t *fakes.Task) { delete(w.sim.tasksByJob[t.Job], t) }
 
 // TaskStarted checks the rules when a task has its image.
--- a/internal/sourcecheck/errors.go
+++ b/internal/sourcecheck/errors.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// negligible are prefixes of the full names of functions whose error need not be looked at:
+// negligible are prefixes of the full names of functions whose error may be ignored:
 // their doc says that it is always nil, they print for a person, or they end a connection
 // that is not used any more.
 var negligible = []string{
@@ -19,7 +19,7 @@
 	"(net.Listener).Close",
 }
 
-// cleanups are functions whose error need not be looked at where the call is deferred: they
+// cleanups are functions whose error may be ignored where the call is deferred: they
 // release what was only read, or temporary files.
 var cleanups = []string{"Close", "RemoveAll"}
 
