--- a/internal/faulttest/grants.go
+++ b/internal/faulttest/grants.go
@@ -79,7 +79,7 @@
 	return result, nil
 }
 
-// playGrants brings faults about until there are enough grants, and checks the history.
+// playGrants injects faults until there are enough grants, and checks the history.
 func (c *Cluster) playGrants(p GrantsPlan) (r GrantsResult) {
 	began := time.Now()
 	for Grants(c.History()) < p.Grants && time.Since(began) < p.Most {
@@ -114,7 +114,7 @@
 	return nil
 }
 
-// injectGrantFault brings one fault about, mostly limits that change.
+// injectGrantFault injects one drawn fault, mostly a change of a limit.
 func (c *Cluster) injectGrantFault(r *GrantsResult) {
 	node := c.draw(len(c.nodes))
 	switch c.draw(10) {
--- a/internal/faulttest/soak.go
+++ b/internal/faulttest/soak.go
@@ -92,7 +92,7 @@
 	return users
 }
 
-// playFaults brings the plan's faults about, each at its time, and counts them.
+// playFaults injects the plan's faults, each at its time, and counts them.
 func (s *soak) playFaults(began time.Time) (played int) {
 	for i, fault := range s.plan.Faults() {
 		if len(s.plan.Only) > 0 && !slices.Contains(s.plan.Only, i) {
--- a/internal/faulttest/soak_faults.go
+++ b/internal/faulttest/soak_faults.go
@@ -109,7 +109,7 @@
 	return from + time.Duration(d.rng.Int64N(int64(to-from)))
 }
 
-// inject brings one fault about.
+// inject injects one fault.
 func (c *Cluster) inject(f Fault) {
 	switch f.Kind {
 	case FaultKill, FaultKillOwner, FaultFreeze:
--- a/internal/measure/size.go
+++ b/internal/measure/size.go
@@ -24,24 +24,10 @@
 // Run plays the seeds; a broken rule is an error.
 func (s *sizeCommand) Run() error {
 	violations := 0
-	for i := range s.Seeds {
-		p := simulation.Plan{
-			Seed: s.First + uint64(i), Nodes: 3, Machines: s.Machines, InitialMachines: s.Machines, Jobs: s.Machines / 8, Large: true, StaleJobs: true,
-			Faults: s.Faults, FleetFaults: s.Fleet, SlowStep: s.Slow, StateRPS: s.StateRPS, WriteRPS: s.WriteRPS, StatusRequestRate: s.Questions,
-			Teams: []controller.Team{{Name: "solo"}}, Length: 90 * micros.Second, RecoveryTime: 300 * micros.Second,
-		}
-		sim := simulation.New(p)
+	for _, seed := range seedsFrom(s.First, s.Seeds) {
+		sim := simulation.New(s.plan(seed))
 		sim.Run()
-		fmt.Printf("seed %d: %d tasks started, %d restarts, %d episodes of old knowledge, %d violations\n", p.Seed, sim.Started, sim.Restarts, sim.StaleEpisodes, len(sim.Violations))
-		if s.Questions > 0 {
-			fmt.Printf("seed %d: %d status requests at all controllers, %d answers refused\n", p.Seed, sim.StatusRequests, sim.RefusedRequests)
-		}
-		for _, m := range sim.StateRequests() {
-			fmt.Printf("seed %d: requests to the state service, class %s: %d sent, %d expired unsent, %d rejected, longest wait %d ms\n", p.Seed, m.Class, m.Sent, m.Expired, m.Rejected, m.LongestWait.Millis())
-		}
-		for _, line := range sim.Violations {
-			fmt.Printf("seed %d: %s\n", p.Seed, line)
-		}
+		s.print(seed, sim)
 		violations += len(sim.Violations)
 	}
 	if violations > 0 {
@@ -49,3 +35,26 @@
 	}
 	return nil
 }
+
+// plan returns what a seed is played with.
+func (s *sizeCommand) plan(seed uint64) simulation.Plan {
+	return simulation.Plan{
+		Seed: seed, Nodes: 3, Machines: s.Machines, InitialMachines: s.Machines, Jobs: s.Machines / 8, Large: true, StaleJobs: true,
+		Faults: s.Faults, FleetFaults: s.Fleet, SlowStep: s.Slow, StateRPS: s.StateRPS, WriteRPS: s.WriteRPS, StatusRequestRate: s.Questions,
+		Teams: []controller.Team{{Name: "solo"}}, Length: 90 * micros.Second, RecoveryTime: 300 * micros.Second,
+	}
+}
+
+// print prints the figures and the violations of a run.
+func (s *sizeCommand) print(seed uint64, sim *simulation.Simulation) {
+	fmt.Printf("seed %d: %d tasks started, %d restarts, %d episodes of old knowledge, %d violations\n", seed, sim.Started, sim.Restarts, sim.StaleEpisodes, len(sim.Violations))
+	if s.Questions > 0 {
+		fmt.Printf("seed %d: %d status requests at all controllers, %d answers refused\n", seed, sim.StatusRequests, sim.RefusedRequests)
+	}
+	for _, m := range sim.StateRequests() {
+		fmt.Printf("seed %d: requests to the state service, class %s: %d sent, %d expired unsent, %d rejected, longest wait %d ms\n", seed, m.Class, m.Sent, m.Expired, m.Rejected, m.LongestWait.Millis())
+	}
+	for _, line := range sim.Violations {
+		fmt.Printf("seed %d: %s\n", seed, line)
+	}
+}
--- a/internal/measure/soak.go
+++ b/internal/measure/soak.go
@@ -29,24 +29,36 @@
 	Plan      bool    `help:"Print the faults and stop."`
 }
 
-// Run plays the seeds; a break is an error.
+// Run plays the seeds, or prints their faults; a violation is an error.
 func (s *soakCommand) Run() error {
 	seeds := []uint64{s.Seed}
 	if s.Seed == 0 {
 		seeds = seedsFrom(s.First, s.Seeds)
 	}
 	if s.Plan {
-		for _, seed := range seeds {
-			for i, fault := range s.plan(seed).Faults() {
-				fmt.Printf("seed %d, fault %d: %s\n", seed, i, fault)
-			}
-		}
+		s.printFaults(seeds)
 		return nil
 	}
 	if err := s.build(); err != nil {
 		return err
 	}
-	violations, cancelled, tasks := 0, 0, 0
+	return s.playAll(seeds)
+}
+
+// printFaults prints the faults of seeds, with the numbers that Only takes.
+func (s *soakCommand) printFaults(seeds []uint64) {
+	for _, seed := range seeds {
+		for i, fault := range s.plan(seed).Faults() {
+			fmt.Printf("seed %d, fault %d: %s\n", seed, i, fault)
+		}
+	}
+}
+
+// playAll plays seeds and prints their figures; a violation is an error.
+func (s *soakCommand) playAll(seeds []uint64) error {
+	violations := 0
+	cancelled := 0
+	tasks := 0
 	err := playSeeds(seeds, s.Parallel, s.play, func(seed uint64, r faulttest.SoakResult) {
 		fmt.Printf("seed %d, %d controllers: %s\n", seed, s.plan(seed).Nodes, r)
 		for _, line := range r.Violations {
--- a/internal/simulation/cascade.go
+++ b/internal/simulation/cascade.go
@@ -139,7 +139,7 @@
 	return u
 }
 
-// start cancels a job once all are accepted, and brings the fault about.
+// start cancels the target once all jobs are accepted, and injects the fault.
 func (c *cascade) start() {
 	s := c.sim
 	if slices.ContainsFunc(c.members, func(u *user) bool { return !u.accepted }) {
@@ -153,7 +153,7 @@
 	c.awaitConfirmation()
 }
 
-// injectCascadeFault lets a cascade's fault happen to a controller.
+// injectCascadeFault injects a cascade's fault at a controller.
 func (s *Simulation) injectCascadeFault(fault CascadeFault, n *node) {
 	switch fault {
 	case OwnerEnds:
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// injectFault brings one fault about.
+// injectFault injects one drawn fault.
 func (s *Simulation) injectFault() {
 	n := s.drawNode()
 	mode := cutHold
@@ -133,7 +133,7 @@
 	return s.between(sec, 25*sec)
 }
 
-// injectMachineFault lets something happen to one machine.
+// injectMachineFault injects a fault of one machine.
 func (s *Simulation) injectMachineFault(mode cutMode) {
 	if len(s.machineNames) == 0 {
 		return
--- a/internal/simulation/fleet_faults.go
+++ b/internal/simulation/fleet_faults.go
@@ -114,8 +114,8 @@
 	}
 }
 
-// scheduleFleetFaults lets what hits many happen one upon the other, in an order
-// that the seed draws, beside the faults of single parts.
+// scheduleFleetFaults schedules faults of many machines or controllers at drawn times, so that
+// they overlap with each other and with the faults of single parts.
 func (s *Simulation) scheduleFleetFaults() {
 	for _, fault := range s.fleetFaults() {
 		s.after(s.between(10*sec, s.plan.Length), fault)
--- a/internal/simulation/jobs.go
+++ b/internal/simulation/jobs.go
@@ -58,15 +58,21 @@
 	}
 	switch r.IntN(6) {
 	case 0:
-		sub.Class, sub.Priority, sub.Tasks = "rush", "high", 1+r.IntN(3)
+		sub.Class = "rush"
+		sub.Priority = "high"
+		sub.Tasks = 1 + r.IntN(3)
 	case 1:
-		sub.Priority, sub.CheckpointS, sub.SaveS, sub.CPUs = "best_effort", 3, 1, 4
+		sub.Priority = "best_effort"
+		sub.CheckpointS = 3
+		sub.SaveS = 1
+		sub.CPUs = 4
 	case 2:
 		sub.SameZone = true
 	case 3:
 		sub.Spread = true
 	case 4:
-		sub.Spot, sub.Types = false, []string{"small"}
+		sub.Spot = false
+		sub.Types = []string{"small"}
 	}
 	if s.plan.Large {
 		sub.Tasks = s.drawLargeTasks(sub.Class)
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -64,8 +64,10 @@
 		}
 	}
 	n.incarnation++
-	n.frozenUntil, n.frozenInputs = 0, nil
-	n.working, n.backlog = false, nil
+	n.frozenUntil = 0
+	n.frozenInputs = nil
+	n.working = false
+	n.backlog = nil
 	n.heartbeats = wire.NewHeartbeatReader(maxHeartbeatBytes)
 	n.controller = controller.New(cfg, n.sim.rng.Uint64())
 	n.pendingReplies = map[controller.ReplyID]func(controller.Answer){}
@@ -79,7 +81,8 @@
 		return
 	}
 	n.sim.addStateRequests(n.controller)
-	n.controller, n.pendingReplies = nil, nil
+	n.controller = nil
+	n.pendingReplies = nil
 	n.sim.Restarts++
 	n.sim.trace("%s crashes for %v s", n.label, down.Seconds())
 	for _, call := range n.recentCalls {
--- a/internal/simulation/upgrade.go
+++ b/internal/simulation/upgrade.go
@@ -80,7 +80,9 @@
 	cfg := s.cfg
 	changesToCome := s.plan.UpgradeFrom != ReleaseCurrent || s.plan.Cascade != nil
 	if changesToCome && release != ReleaseWithoutDependencies {
-		cfg.ValueBytes, cfg.TxnOps, cfg.WriteRPS = loweredValueBytes, loweredTxnOps, loweredWriteRate
+		cfg.ValueBytes = loweredValueBytes
+		cfg.TxnOps = loweredTxnOps
+		cfg.WriteRPS = loweredWriteRate
 	}
 	if release != ReleaseCurrent {
 		cfg.Quota = nil
