--- a/internal/faulttest/grants.go
+++ b/internal/faulttest/grants.go
@@ -21,6 +21,10 @@
 	grantBacklog = 20 * grantJobTasks
 	// limitRequestTimeout is that of a request to set a limit.
 	limitRequestTimeout = time.Second
+	// grantsCheckInterval is how often the number of grants is checked without faults.
+	grantsCheckInterval = 100 * time.Millisecond
+	// backlogCheckInterval is how often the backlog is checked while it is full.
+	backlogCheckInterval = 50 * time.Millisecond
 )
 
 // GrantsPlan says how controllers are made to grant at once from groups whose limits change.
@@ -84,7 +88,7 @@
 	began := time.Now()
 	for Grants(c.History()) < p.Grants && time.Since(began) < p.Most {
 		if !p.Faults {
-			c.pause(100 * time.Millisecond)
+			c.pause(grantsCheckInterval)
 			continue
 		}
 		c.pause(time.Duration(200+c.draw(500)) * time.Millisecond)
@@ -106,7 +110,7 @@
 			return err
 		}
 		for submitted > Grants(c.History())+grantBacklog {
-			if !c.pause(50 * time.Millisecond) {
+			if !c.pause(backlogCheckInterval) {
 				return nil
 			}
 		}
--- a/internal/faulttest/link.go
+++ b/internal/faulttest/link.go
@@ -61,9 +61,9 @@
 	}
 	defer out.Close()
 	done := make(chan struct{}, 2)
-	for _, way := range [][2]net.Conn{{in, out}, {out, in}} {
+	for _, direction := range [][2]net.Conn{{in, out}, {out, in}} {
 		go func() {
-			l.pump(way[0], way[1])
+			l.pump(direction[0], direction[1])
 			done <- struct{}{}
 		}()
 	}
--- a/internal/faulttest/node.go
+++ b/internal/faulttest/node.go
@@ -14,8 +14,25 @@
 	"garnethitch/internal/runtime"
 )
 
-// restartPause is how long a controller that ended by itself waits to be started again.
-const restartPause = 100 * time.Millisecond
+const (
+	// restartPause is how long a controller that ended by itself waits to be started again.
+	restartPause = 100 * time.Millisecond
+
+	// plentifulStateRPS and plentifulWriteRPS are the limits of a state service that takes plenty.
+	plentifulStateRPS = 2000
+	plentifulWriteRPS = 400
+)
+
+// The loopback addresses of controllers: the process's id chooses the second and third byte, the
+// cluster's number the ports.
+const (
+	firstSecondByte    = 32
+	secondByteValues   = 200
+	thirdByteValues    = 250
+	firstPort          = 18080
+	listenersOfNode    = 2
+	clusterPortStrides = 1000
+)
 
 // node is one controller of a cluster.
 type node struct {
@@ -79,7 +96,7 @@
 	cluster.Zones = fakes.Zones()
 	times := c.plan.Times
 	cluster.Workers = config.Workers{ReportS: times.HeartbeatInterval.Seconds(), LeaseS: times.WorkerLease.Seconds(), CancelS: times.Cancel.Seconds()}
-	cluster.State = config.StateLimits{RPS: cmp.Or(c.plan.StateRPS, 2000), WriteRPS: cmp.Or(c.plan.WriteRPS, 400), ValueKB: 8, TxnOps: stateTxnOps}
+	cluster.State = config.StateLimits{RPS: cmp.Or(c.plan.StateRPS, plentifulStateRPS), WriteRPS: cmp.Or(c.plan.WriteRPS, plentifulWriteRPS), ValueKB: 8, TxnOps: stateTxnOps}
 	cluster.Cloud = config.CloudLimits{RPS: 10, ListLagS: 0.2}
 	cluster.Resources = config.Resources{CoreShare: 0.5, RAMMB: 128, Sockets: 1024}
 }
@@ -103,8 +120,10 @@
 // on a port that was free a moment ago a controller of one may meet workers of another.
 func (c *Cluster) ownAddress(node, listener int) string {
 	pid := os.Getpid()
-	port := 18080 + 2*int(c.number%1000) + listener
-	return fmt.Sprintf("127.%d.%d.%d:%d", 32+pid%200, 1+pid/200%250, node+1, port)
+	second := firstSecondByte + pid%secondByteValues
+	third := 1 + pid/secondByteValues%thirdByteValues
+	port := firstPort + listenersOfNode*int(c.number%clusterPortStrides) + listener
+	return fmt.Sprintf("127.%d.%d.%d:%d", second, third, node+1, port)
 }
 
 // start starts a controller that doesn't run.
--- a/internal/faulttest/soak_users.go
+++ b/internal/faulttest/soak_users.go
@@ -29,7 +29,7 @@
 	jobNumbersOfEachUser = 1000
 )
 
-// soak is one under way: its cluster and what its users have seen.
+// soak is a soak that is being played: its cluster and what its users have seen.
 type soak struct {
 	cluster *Cluster
 	plan    SoakPlan
--- a/internal/measure/quota.go
+++ b/internal/measure/quota.go
@@ -20,7 +20,7 @@
 // comparedMechanism is a mechanism with its line in the plot.
 type comparedMechanism struct {
 	name string
-	make func(*quotaRun) mechanism
+	new  func(*quotaRun) mechanism
 	line color.Color
 }
 
@@ -67,7 +67,7 @@
 	var rate, writes, unused, longestStall, inForce, inForceCut []float64
 	for i := range q.Repeats {
 		seed := q.Seed + uint64(i)
-		run := newQuotaRun(seed, m.make)
+		run := newQuotaRun(seed, m.new)
 		run.play(false)
 		rate = append(rate, float64(run.grants)/runLength.Seconds())
 		writes = append(writes, 1000*float64(run.mechanism.writes())/float64(run.grants))
@@ -76,7 +76,7 @@
 		}
 		longestStall = append(longestStall, run.stalled.Seconds())
 		inForce = append(inForce, toInForce(run))
-		runWithCut := newQuotaRun(seed, m.make)
+		runWithCut := newQuotaRun(seed, m.new)
 		runWithCut.play(true)
 		inForceCut = append(inForceCut, toInForce(runWithCut))
 		if i == 0 {
--- a/internal/measure/quota_mechanisms.go
+++ b/internal/measure/quota_mechanisms.go
@@ -5,6 +5,19 @@
 	"garnethitch/quota"
 )
 
+// How long messages and writes take, and how long a controller of writePerGrant waits until its
+// next write: idle without one, unreachable without the store, refused beyond the store's rate.
+const (
+	shortestMessage  = ms
+	longestMessage   = 4 * ms
+	shortestWrite    = 2 * ms
+	longestWrite     = 10 * ms
+	idlePause        = 20 * ms
+	unreachablePause = 100 * ms
+	refusedPauseFrom = 20 * ms
+	refusedPauseTo   = 60 * ms
+)
+
 // mechanism is one way to keep a limit.
 type mechanism interface {
 	// request asks for a start by a controller; start is called if and when it is granted.
@@ -30,7 +43,7 @@
 }
 
 func (o *oneOwner) request(_ int, start func()) {
-	o.run.after(o.run.between(ms, 4*ms), func() {
+	o.run.after(o.run.between(shortestMessage, longestMessage), func() {
 		o.queue = append(o.queue, start)
 		o.grant()
 	})
@@ -41,12 +54,12 @@
 		start := o.queue[0]
 		o.queue = o.queue[1:]
 		o.used++
-		o.run.after(o.run.between(ms, 4*ms), start)
+		o.run.after(o.run.between(shortestMessage, longestMessage), start)
 	}
 }
 
 func (o *oneOwner) ended(int) {
-	o.run.after(o.run.between(ms, 4*ms), func() {
+	o.run.after(o.run.between(shortestMessage, longestMessage), func() {
 		o.used--
 		o.grant()
 	})
@@ -85,7 +98,7 @@
 		return
 	}
 	w.busy[node] = true
-	w.run.after(w.run.between(2*ms, 10*ms), func() {
+	w.run.after(w.run.between(shortestWrite, longestWrite), func() {
 		pause := w.commit(node)
 		w.busy[node] = false
 		w.run.after(pause, func() { w.write(node) })
@@ -98,11 +111,11 @@
 	mayStart := len(w.queues[node]) > 0 && w.used < w.limit
 	switch {
 	case w.ends[node] == 0 && !mayStart:
-		return 20 * ms
+		return idlePause
 	case w.run.dead == node || w.run.cut == node:
-		return 100 * ms
+		return unreachablePause
 	case !w.run.mayWrite():
-		return w.run.between(20*ms, 60*ms)
+		return w.run.between(refusedPauseFrom, refusedPauseTo)
 	}
 	w.count++
 	if w.ends[node] > 0 {
@@ -113,7 +126,7 @@
 	start := w.queues[node][0]
 	w.queues[node] = w.queues[node][1:]
 	w.used++
-	w.run.after(w.run.between(2*ms, 10*ms), start)
+	w.run.after(w.run.between(shortestWrite, longestWrite), start)
 	return 0
 }
 
@@ -198,7 +211,7 @@
 }
 
 func (a *allowances) write(node int, w quota.Write) {
-	a.run.after(a.run.between(2*ms, 10*ms), func() {
+	a.run.after(a.run.between(shortestWrite, longestWrite), func() {
 		out := quota.Wrote{ID: w.ID, Outcome: quota.Refused}
 		switch {
 		case a.run.dead == node || a.run.cut == node || !a.run.mayWrite():
@@ -211,7 +224,7 @@
 				a.deliver(other)
 			}
 		}
-		a.run.after(a.run.between(2*ms, 10*ms), func() { a.step(node, out) })
+		a.run.after(a.run.between(shortestWrite, longestWrite), func() { a.step(node, out) })
 	})
 }
 
--- a/internal/measure/quota_run.go
+++ b/internal/measure/quota_run.go
@@ -127,9 +127,9 @@
 	}
 }
 
-func newQuotaRun(seed uint64, make func(*quotaRun) mechanism) *quotaRun {
+func newQuotaRun(seed uint64, newMechanism func(*quotaRun) mechanism) *quotaRun {
 	r := &quotaRun{rng: rand.New(rand.NewPCG(seed, 3)), dead: -1, cut: -1, tokens: writeRate}
-	r.mechanism = make(r)
+	r.mechanism = newMechanism(r)
 	return r
 }
 
--- a/internal/simulation/cascade.go
+++ b/internal/simulation/cascade.go
@@ -73,7 +73,7 @@
 	return 0
 }
 
-// cascade is one under way.
+// cascade is a Cascade that is being played.
 type cascade struct {
 	Cascade
 	sim     *Simulation
--- a/internal/simulation/check_service.go
+++ b/internal/simulation/check_service.go
@@ -15,9 +15,9 @@
 	maxLargestStart = 4 * micros.Minute
 	// maxWaitDespiteCapacity is how long, once faults are over, a job may wait beside free capacity.
 	maxWaitDespiteCapacity = 90 * sec
-	// newsMargin is how long a controller may take to learn that a machine is up, or that a
+	// propagationMargin is how long a controller may take to learn that a machine is up, or that a
 	// job's dependencies are done.
-	newsMargin = 10 * sec
+	propagationMargin = 10 * sec
 )
 
 // checkLargestStarted checks that the largest jobs of each class are not starved.
@@ -118,7 +118,7 @@
 
 func (u *user) checkWaiting() {
 	s := u.sim
-	if at, ok := u.dependenciesDoneAt(); !ok || s.now < at+newsMargin {
+	if at, ok := u.dependenciesDoneAt(); !ok || s.now < at+propagationMargin {
 		u.waitingSince = 0 // blocked on dependencies, or its owner has yet to learn that it is not
 		return
 	}
@@ -172,7 +172,7 @@
 	now := w.sim.now
 	reachable := now >= w.unreachableUntil && now >= w.cutOffUntil
 	healthy := now >= w.HungUntil && now >= w.FaultyUntil
-	return !w.Dead && !w.ReclaimAnnounced() && now >= w.UpAt+newsMargin && reachable && healthy
+	return !w.Dead && !w.ReclaimAnnounced() && now >= w.UpAt+propagationMargin && reachable && healthy
 }
 
 // suits reports whether a job allows machines of this type and kind.
--- a/internal/simulation/concurrent_faults.go
+++ b/internal/simulation/concurrent_faults.go
@@ -19,11 +19,11 @@
 	replayWithin = 60 * ms
 )
 
-// concurrentFaults are the concurrent faults that last.
+// concurrentFaults is the state of the concurrent faults that last for a while.
 type concurrentFaults struct {
 	lateWrites lateWrites
 
-	// kept are copies of heartbeats for the next leader or owner.
+	// kept are copies of heartbeats, which are replayed when the next leader or owner begins.
 	keepUntil micros.Micros
 	kept      []*wire.Heartbeat
 
@@ -45,17 +45,16 @@
 	s.concurrent.lateWrites = lateWrites{fraction: fraction, until: s.now + d, answerLost: answerLost}
 }
 
-// hits reports whether a call is a transaction that may be hit.
-func (l *lateWrites) hits(n *node, call controller.Call, now micros.Micros) bool {
+// affects reports whether a call is a transaction that may get no answer.
+func (l *lateWrites) affects(n *node, call controller.Call, now micros.Micros) bool {
 	_, isTxn := call.Req.(wire.Txn)
 	return isTxn && now < l.until && (l.only == nil || l.only == n)
 }
 
-// carryOutLate carries out a transaction without an answer, and reports whether it is one of
-// those.
+// carryOutLate may carry a transaction out without an answer, and reports whether it does.
 func (s *Simulation) carryOutLate(n *node, call controller.Call) bool {
 	late := &s.concurrent.lateWrites
-	if !late.hits(n, call, s.now) || !s.chance(late.fraction) {
+	if !late.affects(n, call, s.now) || !s.chance(late.fraction) {
 		return false
 	}
 	s.Concurrent.LateWrites++
@@ -67,7 +66,8 @@
 	return true
 }
 
-// keepHeartbeat may keep a copy of a heartbeat for the next leader or owner.
+// keepHeartbeat may keep a copy of a heartbeat, to be replayed when the next leader or owner
+// begins.
 func (s *Simulation) keepHeartbeat(heartbeat *wire.Heartbeat) {
 	c := &s.concurrent
 	if s.now < c.keepUntil && len(c.kept) < maxKeptHeartbeats && s.chance(keptFraction) {
--- a/internal/simulation/dags.go
+++ b/internal/simulation/dags.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// dagDepth is how many jobs follow the first of a chain, dagWidth how many depend on an
-	// ordinary job.
+	// dagDepth is the number of jobs behind the first of a chain, dagWidth the number of
+	// dependents of an ordinary job.
 	dagDepth = 10
 	dagWidth = 8
 	// submitRetry is how often a user checks whether the jobs that its own depends on are accepted.
@@ -33,8 +33,8 @@
 	}
 }
 
-// addDAG adds the users of one set of jobs: a chain, a wide one on an ordinary job, or two
-// stages side by side and one that depends on both.
+// addDAG adds the users of the jobs of one DAG: a chain, several dependents of one ordinary job,
+// or a diamond with a further job behind it.
 func (s *Simulation) addDAG(at micros.Micros, ordinary []*user) (members []*user) {
 	switch s.rng.IntN(4) {
 	case 0:
@@ -66,7 +66,7 @@
 	u.Submission.Tasks = min(u.Submission.Tasks, 3)
 	u.Runs = u.Runs[:u.Submission.Tasks]
 	for i := range u.Runs {
-		u.Runs[i] = s.between(2*sec, 6*sec) // a deep set is to be over within RecoveryTime
+		u.Runs[i] = s.between(2*sec, 6*sec) // a chain has to be done within RecoveryTime
 	}
 	if u.Submission.Class == "rush" && len(dependencies) < 2 {
 		u.Submission.Priority = "best_effort"
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -190,14 +190,15 @@
 	return n.incarnation == incarnation && n.controller != nil
 }
 
-// request gives the controller a request; deliver gets the answer, if one comes.
-func (n *node) request(make func(controller.ReplyID) controller.Input, deliver func(controller.Answer)) {
+// request gives the controller the request that newInput makes; deliver gets the answer, if one
+// comes.
+func (n *node) request(newInput func(controller.ReplyID) controller.Input, deliver func(controller.Answer)) {
 	if n.controller == nil {
 		return
 	}
 	n.nextReplyID++
 	n.pendingReplies[n.nextReplyID] = deliver
-	n.step(make(n.nextReplyID))
+	n.step(newInput(n.nextReplyID))
 }
 
 // heartbeat gives the controller a worker's heartbeat, encoded and decoded as on the wire.
--- a/internal/simulation/user.go
+++ b/internal/simulation/user.go
@@ -52,13 +52,13 @@
 }
 
 // send sends a request to the controller that the load balancer picks.
-func (u *user) send(make func(controller.ReplyID) controller.Input, timeout micros.Micros, done func(controller.Answer, bool)) {
-	u.sendTo(u.sim.drawNode(), make, timeout, done)
+func (u *user) send(newInput func(controller.ReplyID) controller.Input, timeout micros.Micros, done func(controller.Answer, bool)) {
+	u.sendTo(u.sim.drawNode(), newInput, timeout, done)
 }
 
 // sendTo sends a request to a controller.
-func (u *user) sendTo(n *node, make func(controller.ReplyID) controller.Input, timeout micros.Micros, done func(controller.Answer, bool)) {
-	exchange(u.sim, n.userLink(), timeout, func(reply func(controller.Answer)) { n.request(make, reply) }, done)
+func (u *user) sendTo(n *node, newInput func(controller.ReplyID) controller.Input, timeout micros.Micros, done func(controller.Answer, bool)) {
+	exchange(u.sim, n.userLink(), timeout, func(reply func(controller.Answer)) { n.request(newInput, reply) }, done)
 }
 
 func (u *user) submitRequest(id controller.ReplyID) controller.Input {
