--- a/internal/fakes/cloud.go
+++ b/internal/fakes/cloud.go
@@ -206,6 +206,7 @@
 			continue
 		}
 		c.config.OnReturn(m)
-		m.Dead, m.Returned = true, true
+		m.Dead = true
+		m.Returned = true
 	}
 }
--- a/internal/fakes/task.go
+++ b/internal/fakes/task.go
@@ -25,7 +25,7 @@
 	Index     int
 	Attempt   uint64
 	State     string        // as heartbeats say it
-	Until     micros.Micros // when it goes on to its next state
+	Until     micros.Micros // when it changes to its next state
 
 	exitReason string
 	saved      bool
--- a/internal/fakes/worker.go
+++ b/internal/fakes/worker.go
@@ -64,9 +64,9 @@
 // Worker is a machine and the worker on it. Its faults are set from outside.
 type Worker struct {
 	*Machine
-	// HungUntil: until then the machine stands still.
+	// HungUntil is when the machine stops hanging.
 	HungUntil micros.Micros
-	// FaultyUntil: until then every task fails.
+	// FaultyUntil is when tasks stop failing on the machine.
 	FaultyUntil micros.Micros
 
 	config     WorkerConfig
@@ -135,8 +135,8 @@
 	w.config.Scheduler.After(notice, func() { w.Dead, w.Reclaimed = true, true })
 }
 
-// tick lets time pass on the machine. A hanging one does nothing, and checks
-// its lease first when it goes on.
+// tick advances the machine's tasks, sends a heartbeat if one is due, and schedules the next
+// tick. A hanging machine does nothing; once it resumes, it checks its lease first.
 func (w *Worker) tick() {
 	if w.Dead {
 		return
--- a/internal/faulttest/cluster.go
+++ b/internal/faulttest/cluster.go
@@ -74,7 +74,7 @@
 	Times ClusterTimes
 }
 
-// ClusterTimes are the intervals of a cluster's workers; zero values stand for defaults.
+// ClusterTimes are the intervals of a cluster's workers; zero values select defaults.
 type ClusterTimes struct {
 	HeartbeatInterval, WorkerLease, Cancel, ControllerLease time.Duration
 	// TaskFrom and TaskTo are how long a task runs.
@@ -166,7 +166,7 @@
 	c.wait.Wait()
 }
 
-// pause waits, and reports whether the cluster goes on.
+// pause waits, and reports whether the cluster still runs.
 func (c *Cluster) pause(d time.Duration) bool {
 	select {
 	case <-c.ctx.Done():
--- a/internal/faulttest/grants_test.go
+++ b/internal/faulttest/grants_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// seeds lets a longer search be asked for: GARNETHITCH_SEEDS=500.
+// seeds returns n, or the number of seeds that the environment variable GARNETHITCH_SEEDS sets.
 func seeds(n int) int {
 	if v, err := strconv.Atoi(os.Getenv("GARNETHITCH_SEEDS")); err == nil && v > 0 {
 		return v
--- a/internal/faulttest/machine_faults.go
+++ b/internal/faulttest/machine_faults.go
@@ -22,7 +22,7 @@
 type machineFault int
 
 const (
-	faultHangs           machineFault = iota // it stands still
+	faultHangs           machineFault = iota // it executes nothing
 	faultReceivesNothing                     // neither commands nor replies reach it
 	faultSendsNothing                        // it reaches no controller
 	faultCopies                              // copies of its heartbeats arrive late
@@ -36,7 +36,7 @@
 	until [machineFaultCount]time.Time
 }
 
-// left returns how long a fault goes on.
+// left returns how much longer a fault lasts.
 func (f *machineFaults) left(fault machineFault) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/faulttest/process.go
+++ b/internal/faulttest/process.go
@@ -111,7 +111,7 @@
 	}
 }
 
-// kill ends the process at once, also one that stands still.
+// kill ends the process at once, also one that is frozen.
 func (p *process) kill() {
 	p.mu.Lock()
 	cmd, ended := p.cmd, p.ended
@@ -123,7 +123,7 @@
 	}
 }
 
-// freeze lets the process stand still for a while; its clocks run on.
+// freeze stops the process for a while, during which its clocks run on.
 func (p *process) freeze(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/measure/quota_mechanisms.go
+++ b/internal/measure/quota_mechanisms.go
@@ -219,7 +219,9 @@
 		case a.modRevision == w.ModRevision:
 			a.modRevision++
 			a.count++
-			a.rec, out.Outcome, out.ModRevision = w.Record, quota.Applied, a.modRevision
+			a.rec = w.Record
+			out.Outcome = quota.Applied
+			out.ModRevision = a.modRevision
 			for other := range a.ledgers {
 				a.deliver(other)
 			}
--- a/internal/simulation/concurrent_faults.go
+++ b/internal/simulation/concurrent_faults.go
@@ -122,8 +122,7 @@
 	s.owner().crash(s.between(20*ms, longest))
 }
 
-// scheduleConcurrentFaults lets concurrent faults happen one after the other, in an order
-// that the seed draws.
+// scheduleConcurrentFaults schedules drawn concurrent faults one after the other.
 func (s *Simulation) scheduleConcurrentFaults() {
 	faults := append(s.ownerFaults(), s.messageFaults()...)
 	s.rng.Shuffle(len(faults), func(i, j int) { faults[i], faults[j] = faults[j], faults[i] })
--- a/internal/simulation/counts.go
+++ b/internal/simulation/counts.go
@@ -9,7 +9,7 @@
 type Counts struct {
 	// Started and Finished count tasks, DependentStarts those of jobs that depend on others.
 	Started, Finished, DependentStarts int
-	// Restarts counts ends of controllers, Frozen those that stood still for a while.
+	// Restarts counts ends of controllers, Frozen those that were frozen for a while.
 	Restarts, Frozen int
 	// CascadeCancelled counts the jobs of a cascade that are cancelled at its end.
 	CascadeCancelled int
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -33,7 +33,30 @@
 	faultKinds
 )
 
-// scheduleFaults draws what goes wrong, overlapping as it comes.
+// String returns the kind in words.
+func (k faultKind) String() string {
+	names := [faultKinds]string{
+		"crash", "crash", "crash of all", "restarts in turn", "outage of the state service",
+		"cut from state", "cut from workers", "cut from all", "cut from peers", "outage of the cloud",
+		"machine", "machine", "state refuses", "late commands", "long cut from state",
+		"lost command replies", "unreachable machines", "cut from state and peers", "quick restarts",
+		"late heartbeats",
+	}
+	return names[k]
+}
+
+// singleMachineFault is one of the faults that injectMachineFault draws.
+type singleMachineFault int
+
+const (
+	machineHangs singleMachineFault = iota
+	machineFailsTasks
+	machineReclaimed
+	machineCutOff
+	singleMachineFaults
+)
+
+// scheduleFaults schedules drawn faults, which may overlap.
 func (s *Simulation) scheduleFaults() {
 	count := 6 + s.rng.IntN(9)
 	for range count {
@@ -50,7 +73,7 @@
 	}
 	d := s.between(sec, 30*sec)
 	kind := faultKind(s.rng.IntN(int(faultKinds)))
-	s.trace("fault %d at %s for %v s, mode %d", kind, n.label, d.Seconds(), mode)
+	s.trace("fault %s at %s for %v s, mode %s", kind, n.label, d.Seconds(), mode)
 	switch kind {
 	case faultMachine, faultMachineAgain:
 		s.injectMachineFault(mode)
@@ -139,16 +162,16 @@
 		return
 	}
 	w := s.drawWorker()
-	switch s.rng.IntN(4) {
-	case 0: // hangs, and goes on
+	switch singleMachineFault(s.rng.IntN(int(singleMachineFaults))) {
+	case machineHangs:
 		w.HungUntil = s.now + s.drawMachineFaultTime()
-	case 1: // fails every task
+	case machineFailsTasks:
 		w.FaultyUntil = s.now + 40*sec
-	case 2: // is taken back by the cloud
+	case machineReclaimed:
 		if w.Spot {
 			w.AnnounceReclaim(s.between(0, 6*sec))
 		}
-	case 3: // is cut off from the controllers
+	case machineCutOff:
 		var links []string
 		for _, n := range s.nodes {
 			links = append(links, n.workerLink(w.ID))
--- a/internal/simulation/fleet_faults.go
+++ b/internal/simulation/fleet_faults.go
@@ -10,8 +10,8 @@
 
 // Faults that hit many at a time: a zone, a part of the fleet, all controllers.
 
-// thawInterval is how long a process takes for each of the inputs that waited while it stood
-// still, at a fraction of a core.
+// thawInterval is how long a process takes for each of the inputs that waited while it was
+// frozen, at a fraction of a core.
 const thawInterval micros.Micros = 200
 
 func (n *node) zone() string {
@@ -21,9 +21,9 @@
 
 // cutZone cuts a zone off from everything: its machines from the controllers
 // outside, and the controllers inside from the services, the users and the
-// others. What is inside goes on among itself.
+// others. Machines and controllers inside still reach each other.
 func (s *Simulation) cutZone(zone string, mode cutMode, d micros.Micros) {
-	s.trace("zone %s is cut off for %v s, mode %d", zone, d.Seconds(), mode)
+	s.trace("zone %s is cut off for %v s, mode %s", zone, d.Seconds(), mode)
 	s.ZoneCuts++
 	var links []string
 	for _, n := range s.nodes {
@@ -62,7 +62,7 @@
 	}
 }
 
-// hangMachines has a fraction of the fleet stand still for a while.
+// hangMachines has a fraction of the fleet hang for a while.
 func (s *Simulation) hangMachines(fraction float64, d micros.Micros) {
 	for _, w := range s.drawMachines(fraction) {
 		w.HungUntil = s.now + d
@@ -79,12 +79,12 @@
 	}
 }
 
-// freeze has a process stand still while its clocks run on. Inputs wait meanwhile.
+// freeze stops a process for a while, during which its clocks run on and inputs wait.
 func (n *node) freeze(d micros.Micros) {
 	if n.controller == nil {
 		return
 	}
-	n.sim.trace("%s stands still for %v s", n.label, d.Seconds())
+	n.sim.trace("%s is frozen for %v s", n.label, d.Seconds())
 	n.sim.Frozen++
 	n.frozenUntil = n.sim.now + d
 	incarnation := n.incarnation
@@ -95,7 +95,8 @@
 	})
 }
 
-// thaw gives a process that goes on all inputs that waited, and a tick before or after them.
+// thaw gives a process that is no longer frozen the inputs that waited, and a tick before or
+// after them.
 func (n *node) thaw() {
 	inputs := n.frozenInputs
 	n.frozenInputs = nil
--- a/internal/simulation/jobs.go
+++ b/internal/simulation/jobs.go
@@ -118,7 +118,9 @@
 		u.Submission.EstimateS = longest.Seconds() / 2
 	}
 	if s.plan.LongOutage && s.rng.IntN(2) == 0 {
-		shortest, longest = s.cfg.Cancel+15*sec, s.cfg.Cancel+40*sec // so that a task that is left running outlasts its cancellation
+		// A task that is left running has to outlast its cancellation.
+		shortest = s.cfg.Cancel + 15*sec
+		longest = s.cfg.Cancel + 40*sec
 		u.Fails = false
 		u.willCancel = false
 		u.Submission.Tasks = min(u.Submission.Tasks, 2)
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -23,6 +23,11 @@
 	cutReset         // they are lost
 )
 
+// String returns the mode in a word.
+func (m cutMode) String() string {
+	return [...]string{cutNone: "none", cutHold: "hold", cutReset: "reset"}[m]
+}
+
 // network is the links between controllers, services, workers and users. Messages are delayed,
 // lost, held back and cut. A link is named by its ends.
 type network struct {
@@ -97,7 +102,7 @@
 	})
 }
 
-// serve lets the called side answer.
+// serve passes a call on to the called side.
 func (s *Simulation) serve(call controller.Call, reply func(controller.Result)) {
 	switch call.To {
 	case controller.ToState:
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -42,12 +42,12 @@
 	stepTime micros.Micros
 	working  bool
 	backlog  []queuedInput
-	// frozenUntil: until then the process stands still, and inputs wait.
+	// frozenUntil is when the process stops being frozen; inputs wait until then.
 	frozenUntil  micros.Micros
 	frozenInputs []controller.Input
 
-	// stateRefusedUntil: until then the state service refuses it alone, and watchesLostUntil:
-	// until then its watches bring nothing.
+	// The state service refuses this controller alone until stateRefusedUntil, and its watches
+	// get no answer until watchesLostUntil.
 	stateRefusedUntil, watchesLostUntil micros.Micros
 }
 
@@ -100,7 +100,7 @@
 // wallClock returns what the process's wall clock shows.
 func (n *node) wallClock() micros.Micros { return n.sim.now + micros.Micros(n.id)*wallClockStep }
 
-// step gives the controller an input, which waits while the process stands still or is busy.
+// step gives the controller an input, which waits while the process is frozen or busy.
 func (n *node) step(in controller.Input) {
 	switch {
 	case n.controller == nil:
@@ -247,7 +247,7 @@
 	})
 }
 
-// serveCall lets the called side answer, unless a fault is in the way.
+// serveCall passes a call on to the called side, unless a fault prevents that.
 func (n *node) serveCall(call controller.Call, reply func(controller.Result)) {
 	s := n.sim
 	toState := call.To == controller.ToState
--- a/internal/simulation/release.go
+++ b/internal/simulation/release.go
@@ -51,7 +51,8 @@
 
 // downgradeStatus takes from a status request what the release doesn't know.
 func (r Release) downgradeStatus(status *peer.Status) {
-	status.Quota, status.Traces = false, nil
+	status.Quota = false
+	status.Traces = nil
 	if r != ReleaseWithoutGroups {
 		status.JobsToCancel = nil
 	}
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -59,11 +59,11 @@
 	groups        map[string]quota.Record
 	stateRequests []statestore.ClassMetrics // of processes that have ended
 
-	// lostRepliesUntil: until then replies of a machine to commands are lost.
+	// lostRepliesUntil is until when a machine's replies to commands are lost, by machine.
 	lostRepliesUntil map[string]micros.Micros
-	// jobsRefusedUntil: until then the state service refuses reads and watches of jobs.
+	// jobsRefusedUntil is until when the state service refuses reads and watches of jobs.
 	jobsRefusedUntil micros.Micros
-	// copiesUntil: until then many heartbeats are copied.
+	// copiesUntil is until when many heartbeats are copied.
 	copiesUntil micros.Micros
 	concurrent  concurrentFaults
 }
--- a/internal/simulation/slow_steps.go
+++ b/internal/simulation/slow_steps.go
@@ -35,7 +35,7 @@
 	})
 }
 
-// freezeBacklog has the backlog wait with a process that stands still, the input under way
+// freezeBacklog has the backlog wait with a process that is frozen, the input under way
 // included.
 func (n *node) freezeBacklog() {
 	n.working = false
--- a/internal/simulation/upgrade.go
+++ b/internal/simulation/upgrade.go
@@ -29,8 +29,8 @@
 	return 10 * sec
 }
 
-// upgradeEnd returns when all controllers have the current version, about: crashes beside the
-// upgrade may delay it.
+// upgradeEnd returns about when all controllers have the current version; crashes during the
+// upgrade may delay that.
 func (s *Simulation) upgradeEnd() micros.Micros {
 	return s.upgradeStart() + 2*sec + micros.Micros(len(s.nodes))*upgradeInterval
 }
--- a/internal/simulation/user.go
+++ b/internal/simulation/user.go
@@ -97,7 +97,8 @@
 func (u *user) handleAccepted(a controller.Answer, finalState string) {
 	s := u.sim
 	u.accepted = true
-	u.acceptedAt, u.answeredAt = s.now, s.now
+	u.acceptedAt = s.now
+	u.answeredAt = s.now
 	u.checkAnswer(a, finalState)
 	u.requestRepeatedly()
 	s.after(s.between(sec, 3*sec), u.pollStatus)
