--- a/internal/simulation/concurrent_users.go
+++ b/internal/simulation/concurrent_users.go
@@ -25,21 +25,21 @@
 // cancelRunning has users cancel some running jobs with time left; some of their machines
 // hang for a while from then on, if hang is not 0.
 func (s *Simulation) cancelRunning(count int, hang micros.Micros) {
-	left := 3 * sec
+	minRemaining := 3 * sec
 	if s.plan.LongOutage {
-		left = s.cfg.Cancel + 2*sec
+		minRemaining = s.cfg.Cancel + 2*sec
 	}
 	var machines []string
 	for _, u := range s.users {
 		if count == 0 {
 			break
 		}
-		if !u.accepted || u.cancelRequested || u.finalState != "" || u.Completed() {
+		if !u.isOpen() || u.cancelRequested {
 			continue
 		}
-		on := s.machinesRunning(u, left)
-		machines = append(machines, on...)
-		if len(on) > 0 {
+		running := s.machinesRunning(u, minRemaining)
+		machines = append(machines, running...)
+		if len(running) > 0 {
 			count--
 			s.Concurrent.Cancelled++
 			s.after(s.between(0, cancelSpread), u.requestCancel)
@@ -50,10 +50,14 @@
 	}
 }
 
-// machinesRunning returns the machines on which tasks of a job run for longer than left from now on.
-func (s *Simulation) machinesRunning(u *user, left micros.Micros) (machines []string) {
+// isOpen reports whether the job is accepted, is not completed and was not reported as ended.
+func (u *user) isOpen() bool { return u.accepted && !u.Completed() && u.finalState == "" }
+
+// machinesRunning returns the machines on which tasks of a job run for longer than
+// minRemaining.
+func (s *Simulation) machinesRunning(u *user, minRemaining micros.Micros) (machines []string) {
 	for t, w := range s.tasksByJob[u.Submission.ID] {
-		if t.OnMachine() && !w.Dead && t.Until > s.now+left {
+		if t.OnMachine() && !w.Dead && t.Until > s.now+minRemaining {
 			machines = append(machines, w.ID)
 		}
 	}
