--- a/internal/faulttest/soak.go
+++ b/internal/faulttest/soak.go
@@ -38,7 +38,8 @@
 	Jobs, Cancelled, Tasks, Answers int
 	Faults                          int
 	// Questions counts those about jobs that nobody submitted, Refused the answers that
-	// could not be given. Unanswered is the longest that a job was asked about in vain.
+	// could not be given. Unanswered is the longest that requests about a job
+	// went unanswered.
 	Questions, Refused int
 	Unanswered         time.Duration
 	Violations         []string
@@ -91,7 +92,7 @@
 	return users
 }
 
-// playFaults brings the plan's faults about, each at its time, and counts them.
+// playFaults injects the plan's faults, each at its time, and counts them.
 func (s *soak) playFaults(began time.Time) (played int) {
 	for i, fault := range s.plan.Faults() {
 		if len(s.plan.Only) > 0 && !slices.Contains(s.plan.Only, i) {
--- a/internal/measure/quota_mechanisms.go
+++ b/internal/measure/quota_mechanisms.go
@@ -5,18 +5,32 @@
 	"garnethitch/quota"
 )
 
+// How long messages and writes take, and how long a controller of writePerGrant waits until its
+// next write: idle without one, unreachable without the store, refused beyond the store's rate.
+const (
+	shortestMessage  = ms
+	longestMessage   = 4 * ms
+	shortestWrite    = 2 * ms
+	longestWrite     = 10 * ms
+	idlePause        = 20 * ms
+	unreachablePause = 100 * ms
+	refusedPauseFrom = 20 * ms
+	refusedPauseTo   = 60 * ms
+)
+
 // mechanism is one way to keep a limit.
 type mechanism interface {
 	// request asks for a start by a controller; start is called if and when it is granted.
 	request(node int, start func())
-	// ended says that a task has ended.
+	// ended is called when a task has ended.
 	ended(node int)
-	// controllerReplaced says that the controller that had ended is replaced.
+	// controllerReplaced is called when the controller that had ended is replaced.
 	controllerReplaced()
 	// lowerLimit lowers the limit.
 	lowerLimit(limit float64)
 	// inForce reports whether the limit that was lowered to holds.
 	inForce() bool
+	// writes returns how many writes the mechanism has made.
 	writes() int
 }
 
@@ -29,7 +43,7 @@
 }
 
 func (o *oneOwner) request(_ int, start func()) {
-	o.run.after(o.run.between(ms, 4*ms), func() {
+	o.run.after(o.run.between(shortestMessage, longestMessage), func() {
 		o.queue = append(o.queue, start)
 		o.grant()
 	})
@@ -40,12 +54,12 @@
 		start := o.queue[0]
 		o.queue = o.queue[1:]
 		o.used++
-		o.run.after(o.run.between(ms, 4*ms), start)
+		o.run.after(o.run.between(shortestMessage, longestMessage), start)
 	}
 }
 
 func (o *oneOwner) ended(int) {
-	o.run.after(o.run.between(ms, 4*ms), func() {
+	o.run.after(o.run.between(shortestMessage, longestMessage), func() {
 		o.used--
 		o.grant()
 	})
@@ -78,40 +92,44 @@
 	w.write(node)
 }
 
-// write sends the next write of a controller: ends together, starts one by one.
+// write sends the next write of a controller, unless one is under way.
 func (w *writePerGrant) write(node int) {
 	if w.busy[node] {
 		return
 	}
 	w.busy[node] = true
-	w.run.after(w.run.between(2*ms, 10*ms), func() {
-		again := func(d micros.Micros) {
-			w.busy[node] = false
-			w.run.after(d, func() { w.write(node) })
-		}
-		switch {
-		case w.ends[node] == 0 && (len(w.queues[node]) == 0 || w.used >= w.limit):
-			again(20 * ms)
-		case w.run.dead == node || w.run.cut == node:
-			again(100 * ms)
-		case !w.run.mayWrite():
-			again(w.run.between(20*ms, 60*ms))
-		case w.ends[node] > 0:
-			w.count++
-			w.used -= float64(w.ends[node])
-			w.ends[node] = 0
-			again(0)
-		default:
-			w.count++
-			start := w.queues[node][0]
-			w.queues[node] = w.queues[node][1:]
-			w.used++
-			w.run.after(w.run.between(2*ms, 10*ms), start)
-			again(0)
-		}
+	w.run.after(w.run.between(shortestWrite, longestWrite), func() {
+		pause := w.commit(node)
+		w.busy[node] = false
+		w.run.after(pause, func() { w.write(node) })
 	})
 }
 
+// commit carries a controller's write out, if it has one and the store takes it: ends together,
+// starts one by one. It returns how long to wait until the next.
+func (w *writePerGrant) commit(node int) (pause micros.Micros) {
+	mayStart := len(w.queues[node]) > 0 && w.used < w.limit
+	switch {
+	case w.ends[node] == 0 && !mayStart:
+		return idlePause
+	case w.run.dead == node || w.run.cut == node:
+		return unreachablePause
+	case !w.run.mayWrite():
+		return w.run.between(refusedPauseFrom, refusedPauseTo)
+	}
+	w.count++
+	if w.ends[node] > 0 {
+		w.used -= float64(w.ends[node])
+		w.ends[node] = 0
+		return 0
+	}
+	start := w.queues[node][0]
+	w.queues[node] = w.queues[node][1:]
+	w.used++
+	w.run.after(w.run.between(shortestWrite, longestWrite), start)
+	return 0
+}
+
 func (w *writePerGrant) controllerReplaced() {}
 
 func (w *writePerGrant) lowerLimit(limit float64) { w.limit = limit }
@@ -165,7 +183,7 @@
 	}
 }
 
-// reportUsage tells a controller's ledger what is used, now and four times a second.
+// reportUsage gives a controller's ledger the usage, and repeats that four times a second.
 func (a *allowances) reportUsage(node int) {
 	a.run.after(250*ms, func() { a.reportUsage(node) })
 	if a.run.dead == node {
@@ -193,7 +211,7 @@
 }
 
 func (a *allowances) write(node int, w quota.Write) {
-	a.run.after(a.run.between(2*ms, 10*ms), func() {
+	a.run.after(a.run.between(shortestWrite, longestWrite), func() {
 		out := quota.Wrote{ID: w.ID, Outcome: quota.Refused}
 		switch {
 		case a.run.dead == node || a.run.cut == node || !a.run.mayWrite():
@@ -201,12 +219,14 @@
 		case a.modRevision == w.ModRevision:
 			a.modRevision++
 			a.count++
-			a.rec, out.Outcome, out.ModRevision = w.Record, quota.Applied, a.modRevision
+			a.rec = w.Record
+			out.Outcome = quota.Applied
+			out.ModRevision = a.modRevision
 			for other := range a.ledgers {
 				a.deliver(other)
 			}
 		}
-		a.run.after(a.run.between(2*ms, 10*ms), func() { a.step(node, out) })
+		a.run.after(a.run.between(shortestWrite, longestWrite), func() { a.step(node, out) })
 	})
 }
 
--- a/internal/measure/quota_run.go
+++ b/internal/measure/quota_run.go
@@ -86,7 +86,7 @@
 	})
 }
 
-// sample takes down the CPUs in use, now and again and again.
+// sample records the CPUs in use, and schedules the next sample.
 func (r *quotaRun) sample() {
 	r.after(100*ms, r.sample)
 	used := 0
@@ -127,9 +127,9 @@
 	}
 }
 
-func newQuotaRun(seed uint64, make func(*quotaRun) mechanism) *quotaRun {
+func newQuotaRun(seed uint64, newMechanism func(*quotaRun) mechanism) *quotaRun {
 	r := &quotaRun{rng: rand.New(rand.NewPCG(seed, 3)), dead: -1, cut: -1, tokens: writeRate}
-	r.mechanism = make(r)
+	r.mechanism = newMechanism(r)
 	return r
 }
 
--- a/internal/simulation/cascade.go
+++ b/internal/simulation/cascade.go
@@ -73,7 +73,7 @@
 	return 0
 }
 
-// cascade is one under way.
+// cascade is a Cascade that is being played.
 type cascade struct {
 	Cascade
 	sim     *Simulation
@@ -139,7 +139,7 @@
 	return u
 }
 
-// start cancels a job once all are accepted, and brings the fault about.
+// start cancels the target once all jobs are accepted, and injects the fault.
 func (c *cascade) start() {
 	s := c.sim
 	if slices.ContainsFunc(c.members, func(u *user) bool { return !u.accepted }) {
@@ -153,7 +153,7 @@
 	c.awaitConfirmation()
 }
 
-// injectCascadeFault lets a cascade's fault happen to a controller.
+// injectCascadeFault injects a cascade's fault at a controller.
 func (s *Simulation) injectCascadeFault(fault CascadeFault, n *node) {
 	switch fault {
 	case OwnerEnds:
@@ -207,11 +207,11 @@
 	late := 0
 	for _, u := range c.members {
 		cancelled := s.recordOf(u).State == wire.StateCancelled
-		wanted := u == c.target || slices.Contains(u.ancestors(), c.target)
-		if wanted && !cancelled {
+		affected := u == c.target || slices.Contains(u.ancestors(), c.target)
+		if affected && !cancelled {
 			late++
 		}
-		if cancelled && !wanted {
+		if cancelled && !affected {
 			s.violated("went_back: %s is cancelled, nothing that it needs is", u.Submission.ID)
 		}
 		if cancelled {
--- a/internal/simulation/concurrent_users.go
+++ b/internal/simulation/concurrent_users.go
@@ -22,46 +22,50 @@
 	impossibleCPUs = 1000
 )
 
-// cancelRunning has users cancel some jobs that run and have long to go; some of their machines
+// cancelRunning has users cancel some running jobs with time left; some of their machines
 // hang for a while from then on, if hang is not 0.
 func (s *Simulation) cancelRunning(count int, hang micros.Micros) {
-	left := 3 * sec
+	minRemaining := 3 * sec
 	if s.plan.LongOutage {
-		left = s.cfg.Cancel + 2*sec
+		minRemaining = s.cfg.Cancel + 2*sec
 	}
 	var machines []string
 	for _, u := range s.users {
 		if count == 0 {
 			break
 		}
-		if !u.accepted || u.cancelRequested || u.finalState != "" || u.Completed() {
+		if !u.isOpen() || u.cancelRequested {
 			continue
 		}
-		on := s.machinesRunning(u, left)
-		machines = append(machines, on...)
-		if len(on) > 0 {
+		running := s.machinesRunning(u, minRemaining)
+		machines = append(machines, running...)
+		if len(running) > 0 {
 			count--
 			s.Concurrent.Cancelled++
 			s.after(s.between(0, cancelSpread), u.requestCancel)
 		}
 	}
 	if hang > 0 {
-		s.hang(machines, hang)
+		s.hangSome(machines, hang)
 	}
 }
 
-// machinesRunning returns the machines on which tasks of a job have more than left to go.
-func (s *Simulation) machinesRunning(u *user, left micros.Micros) (machines []string) {
+// isOpen reports whether the job is accepted, is not completed and was not reported as ended.
+func (u *user) isOpen() bool { return u.accepted && !u.Completed() && u.finalState == "" }
+
+// machinesRunning returns the machines on which tasks of a job run for longer than
+// minRemaining.
+func (s *Simulation) machinesRunning(u *user, minRemaining micros.Micros) (machines []string) {
 	for t, w := range s.tasksByJob[u.Submission.ID] {
-		if t.OnMachine() && !w.Dead && t.Until > s.now+left {
+		if t.OnMachine() && !w.Dead && t.Until > s.now+minRemaining {
 			machines = append(machines, w.ID)
 		}
 	}
 	return machines
 }
 
-// hang has some of the machines hang for a while.
-func (s *Simulation) hang(machines []string, d micros.Micros) {
+// hangSome has some of the machines hang for a while.
+func (s *Simulation) hangSome(machines []string, d micros.Micros) {
 	slices.Sort(machines)
 	machines = slices.Compact(machines)
 	for _, name := range machines[:min(len(machines), maxHungForCancel)] {
@@ -81,7 +85,7 @@
 }
 
 // requestRepeatedly is called when a job was accepted, has ended or is reported as cancelled:
-// its user asks all controllers again and again within milliseconds, and repeats the
+// its user asks all controllers several times within milliseconds, and repeats the
 // submission; some cancel at once. No controller may answer anything older.
 func (u *user) requestRepeatedly() {
 	s := u.sim
--- a/internal/simulation/jobs.go
+++ b/internal/simulation/jobs.go
@@ -58,15 +58,21 @@
 	}
 	switch r.IntN(6) {
 	case 0:
-		sub.Class, sub.Priority, sub.Tasks = "rush", "high", 1+r.IntN(3)
+		sub.Class = "rush"
+		sub.Priority = "high"
+		sub.Tasks = 1 + r.IntN(3)
 	case 1:
-		sub.Priority, sub.CheckpointS, sub.SaveS, sub.CPUs = "best_effort", 3, 1, 4
+		sub.Priority = "best_effort"
+		sub.CheckpointS = 3
+		sub.SaveS = 1
+		sub.CPUs = 4
 	case 2:
 		sub.SameZone = true
 	case 3:
 		sub.Spread = true
 	case 4:
-		sub.Spot, sub.Types = false, []string{"small"}
+		sub.Spot = false
+		sub.Types = []string{"small"}
 	}
 	if s.plan.Large {
 		sub.Tasks = s.drawLargeTasks(sub.Class)
@@ -112,7 +118,9 @@
 		u.Submission.EstimateS = longest.Seconds() / 2
 	}
 	if s.plan.LongOutage && s.rng.IntN(2) == 0 {
-		shortest, longest = s.cfg.Cancel+15*sec, s.cfg.Cancel+40*sec // so that a task that is left running outlasts its cancellation
+		// A task that is left running has to outlast its cancellation.
+		shortest = s.cfg.Cancel + 15*sec
+		longest = s.cfg.Cancel + 40*sec
 		u.Fails = false
 		u.willCancel = false
 		u.Submission.Tasks = min(u.Submission.Tasks, 2)
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -42,12 +42,12 @@
 	stepTime micros.Micros
 	working  bool
 	backlog  []queuedInput
-	// frozenUntil: until then the process stands still, and inputs wait.
+	// frozenUntil is when the process stops being frozen; inputs wait until then.
 	frozenUntil  micros.Micros
 	frozenInputs []controller.Input
 
-	// stateRefusedUntil: until then the state service refuses it alone, and watchesLostUntil:
-	// until then its watches bring nothing.
+	// The state service refuses this controller alone until stateRefusedUntil, and its watches
+	// get no answer until watchesLostUntil.
 	stateRefusedUntil, watchesLostUntil micros.Micros
 }
 
@@ -64,8 +64,10 @@
 		}
 	}
 	n.incarnation++
-	n.frozenUntil, n.frozenInputs = 0, nil
-	n.working, n.backlog = false, nil
+	n.frozenUntil = 0
+	n.frozenInputs = nil
+	n.working = false
+	n.backlog = nil
 	n.heartbeats = wire.NewHeartbeatReader(maxHeartbeatBytes)
 	n.controller = controller.New(cfg, n.sim.rng.Uint64())
 	n.pendingReplies = map[controller.ReplyID]func(controller.Answer){}
@@ -79,7 +81,8 @@
 		return
 	}
 	n.sim.addStateRequests(n.controller)
-	n.controller, n.pendingReplies = nil, nil
+	n.controller = nil
+	n.pendingReplies = nil
 	n.sim.Restarts++
 	n.sim.trace("%s crashes for %v s", n.label, down.Seconds())
 	for _, call := range n.recentCalls {
@@ -97,7 +100,7 @@
 // wallClock returns what the process's wall clock shows.
 func (n *node) wallClock() micros.Micros { return n.sim.now + micros.Micros(n.id)*wallClockStep }
 
-// step gives the controller an input, which waits while the process stands still or is busy.
+// step gives the controller an input, which waits while the process is frozen or busy.
 func (n *node) step(in controller.Input) {
 	switch {
 	case n.controller == nil:
@@ -187,14 +190,15 @@
 	return n.incarnation == incarnation && n.controller != nil
 }
 
-// request gives the controller a request; deliver gets the answer, if one comes.
-func (n *node) request(make func(controller.ReplyID) controller.Input, deliver func(controller.Answer)) {
+// request gives the controller the request that newInput makes; deliver gets the answer, if one
+// comes.
+func (n *node) request(newInput func(controller.ReplyID) controller.Input, deliver func(controller.Answer)) {
 	if n.controller == nil {
 		return
 	}
 	n.nextReplyID++
 	n.pendingReplies[n.nextReplyID] = deliver
-	n.step(make(n.nextReplyID))
+	n.step(newInput(n.nextReplyID))
 }
 
 // heartbeat gives the controller a worker's heartbeat, encoded and decoded as on the wire.
@@ -243,7 +247,7 @@
 	})
 }
 
-// serveCall lets the called side answer, unless a fault is in the way.
+// serveCall passes a call on to the called side, unless a fault prevents that.
 func (n *node) serveCall(call controller.Call, reply func(controller.Result)) {
 	s := n.sim
 	toState := call.To == controller.ToState
--- a/internal/simulation/user.go
+++ b/internal/simulation/user.go
@@ -53,13 +53,13 @@
 }
 
 // send sends a request to the controller that the load balancer picks.
-func (u *user) send(make func(controller.ReplyID) controller.Input, timeout micros.Micros, done func(controller.Answer, bool)) {
-	u.sendTo(u.sim.drawNode(), make, timeout, done)
+func (u *user) send(newInput func(controller.ReplyID) controller.Input, timeout micros.Micros, done func(controller.Answer, bool)) {
+	u.sendTo(u.sim.drawNode(), newInput, timeout, done)
 }
 
 // sendTo sends a request to a controller.
-func (u *user) sendTo(n *node, make func(controller.ReplyID) controller.Input, timeout micros.Micros, done func(controller.Answer, bool)) {
-	exchange(u.sim, n.userLink(), timeout, func(reply func(controller.Answer)) { n.request(make, reply) }, done)
+func (u *user) sendTo(n *node, newInput func(controller.ReplyID) controller.Input, timeout micros.Micros, done func(controller.Answer, bool)) {
+	exchange(u.sim, n.userLink(), timeout, func(reply func(controller.Answer)) { n.request(newInput, reply) }, done)
 }
 
 func (u *user) submitRequest(id controller.ReplyID) controller.Input {
@@ -98,7 +98,8 @@
 func (u *user) handleAccepted(a controller.Answer, finalState wire.JobState) {
 	s := u.sim
 	u.accepted = true
-	u.acceptedAt, u.answeredAt = s.now, s.now
+	u.acceptedAt = s.now
+	u.answeredAt = s.now
 	u.checkAnswer(a, finalState)
 	u.requestRepeatedly()
 	s.after(s.between(sec, 3*sec), u.pollStatus)
@@ -129,7 +130,7 @@
 	return a.Status == http.StatusBadRequest || a.Status == http.StatusUnprocessableEntity || a.Status == http.StatusNotFound
 }
 
-// pollStatus asks about the job, now and again and again, sometimes about an unknown one, too.
+// pollStatus asks about the job periodically, and sometimes about an unknown one.
 func (u *user) pollStatus() {
 	s := u.sim
 	if s.chance(unknownJobChance) {
@@ -171,7 +172,7 @@
 	})
 }
 
-// requestCancel cancels the job, again and again until a final state is reported.
+// requestCancel cancels the job, and repeats that until a final state is reported.
 func (u *user) requestCancel() {
 	s := u.sim
 	if u.finalState != "" {
