--- a/internal/controller/candidates.go
+++ b/internal/controller/candidates.go
@@ -94,7 +94,7 @@
 // score returns how well a machine suits a job's task, the better the higher.
 func (c *Controller) score(j *job, m *machine) float64 {
 	v := m.view
-	cpus := c.types[m.rec.Type].CPUs
+	cpus := c.types.cpusOf(m)
 	return scheduling.Candidate{
 		Image:         v.imageState(j.sub.Image),
 		FailedThisJob: j.run.failuresByMachine[m.id] > 0,
--- a/internal/controller/capacity.go
+++ b/internal/controller/capacity.go
@@ -11,9 +11,6 @@
 // maxTasksPerMachine keeps heartbeats and their replies within their size limit.
 const maxTasksPerMachine = 150
 
-// typeIndex keeps machine types in order of name.
-type typeIndex struct{ names []string }
-
 // usage is what a team's tasks could be using.
 type usage struct{ cpus, gpus float64 }
 
@@ -80,7 +77,7 @@
 	}
 	if v.unreconciledFromPredecessor || v.usage.unknown {
 		// It may hold anything that fits, of any team of the shard.
-		mt := c.types[m.rec.Type]
+		mt := c.types.of(m)
 		for i := range byTeam {
 			byTeam[i].cpus += mt.CPUs
 			byTeam[i].gpus += mt.GPUs
@@ -151,7 +148,7 @@
 	if leaving || cordoned || c.sinceLastHeartbeat(v) > c.heartbeatDeadlines.Overdue || c.unreachable(m) || c.leaseRunningOut(v) {
 		return false
 	}
-	return v.usage.tasks < maxTasksPerMachine && c.types[m.rec.Type].CPUs > 0
+	return v.usage.tasks < maxTasksPerMachine && c.types.cpusOf(m) > 0
 }
 
 // resourcesOf returns what one task of a submission needs.
@@ -161,7 +158,7 @@
 
 // freeCapacity returns what a machine's attempts leave of it.
 func (c *Controller) freeCapacity(m *machine) scheduling.Resources {
-	mt := c.types[m.rec.Type]
+	mt := c.types.of(m)
 	all := scheduling.Resources{CPUs: mt.CPUs, GPUs: mt.GPUs, MemGB: mt.MemGB}
 	return all.Minus(m.view.usage.total)
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -10,7 +10,6 @@
 	"garnethitch/internal/controller/estimate"
 	"garnethitch/internal/controller/statestore"
 	"garnethitch/internal/micros"
-	"garnethitch/internal/wire"
 )
 
 // Controller is the state of one controller.
@@ -37,8 +36,7 @@
 	listRound             uint64                   // of applyTaskList
 	misdirectedHeartbeats map[string]micros.Micros // machines that sent one here and belong to another shard, and when
 
-	types          map[string]wire.MachineType
-	typeIndex      typeIndex
+	types          machineTypes
 	estimates      estimate.RunTimes
 	prefetchImages prefetchImages
 	decisionLog    decisionLog
@@ -63,7 +61,6 @@
 		nodes:                 slices.Sorted(slices.Values(append([]string{cfg.Label}, cfg.Peers...))),
 		machines:              map[string]*machine{},
 		machineRecords:        machineRecords{sets: map[string]*machineRecordSet{}},
-		types:                 map[string]wire.MachineType{},
 		misdirectedHeartbeats: map[string]micros.Micros{},
 		jobSharding:           newJobSharding(cfg.Teams, cfg.Shards),
 	}
--- a/internal/controller/demand.go
+++ b/internal/controller/demand.go
@@ -113,7 +113,7 @@
 // addMachine adds a machine to its shard's sums and its zone's, by its state, and returns its row.
 func (c *Controller) addMachine(s *shard, m *machine, d *peer.Demand, zone *peer.Zone) peer.Machine {
 	v := m.view
-	cpus := c.types[m.rec.Type].CPUs
+	cpus := c.types.cpusOf(m)
 	used := min(v.usage.total.CPUs, cpus)
 	row := peer.Machine{ID: m.id, State: c.stateOf(m), Busy: used, Movable: true}
 	if row.State == peer.MachineBooting {
@@ -201,7 +201,7 @@
 	if m == nil {
 		return 0
 	}
-	return fleet.UnusedWork(row, c.types[m.rec.Type].CPUs)
+	return fleet.UnusedWork(row, c.types.cpusOf(m))
 }
 
 // movable reports whether a running task may be stopped so that its machine can be returned. It
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -126,7 +126,7 @@
 func (c *Controller) planFleet() {
 	demands := c.allDemand()
 	c.logFreeCapacities()
-	inventoryKnown := c.fleet.listedAt != 0 && len(c.types) > 0
+	inventoryKnown := c.fleet.listedAt != 0 && c.types.known()
 	if inventoryKnown {
 		c.assignListed(demands)
 	}
--- a/internal/controller/fleet_plan.go
+++ b/internal/controller/fleet_plan.go
@@ -20,7 +20,7 @@
 
 // catalog returns what the cloud offers.
 func (c *Controller) catalog() fleet.Catalog {
-	return fleet.Catalog{Types: c.types, Names: c.typeIndex.names}
+	return fleet.Catalog{Types: c.types.byName, Names: c.types.names}
 }
 
 // allDemand returns the newest demand of every shard.
@@ -123,7 +123,7 @@
 		sums.Add(d)
 		for _, m := range d.Machines {
 			if rec := c.machines[m.ID]; rec != nil && m.State == peer.MachineDraining && !rec.rec.Cordoned {
-				sums.Have += c.types[rec.rec.Type].CPUs
+				sums.Have += c.types.byName[rec.rec.Type].CPUs
 			}
 		}
 		c.log(Debug, "shard demand",
--- a/internal/controller/free_capacity_log.go
+++ b/internal/controller/free_capacity_log.go
@@ -65,7 +65,7 @@
 func (c *Controller) sumUnused(s *shard) (cpus [unusedReasons]float64) {
 	for _, m := range s.machines {
 		if v := m.view; v != nil && !m.returned && !v.neverCommanded {
-			cpus[c.unusedReason(m)] += c.types[m.rec.Type].CPUs - v.usage.total.CPUs
+			cpus[c.unusedReason(m)] += c.types.cpusOf(m) - v.usage.total.CPUs
 		}
 	}
 	return cpus
--- a/internal/controller/inventory.go
+++ b/internal/controller/inventory.go
@@ -89,7 +89,7 @@
 
 // typesDue reports whether this controller is to ask the cloud for the machine types.
 func (c *Controller) typesDue() bool {
-	if len(c.types) == 0 {
+	if !c.types.known() {
 		return c.ownership.controlWatch.Ready() && c.now >= c.fleet.typesAt+firstTypesInterval
 	}
 	return c.ownership.leading() && c.now >= c.fleet.typesAt+typesInterval
@@ -99,11 +99,10 @@
 // them from the cloud, and stores them.
 func (c *Controller) learnTypes(mt wire.MachineTypes, fromCloud bool) {
 	types := usableTypes(mt)
-	if len(types) == 0 || !fromCloud && len(c.types) > 0 && c.ownership.leading() {
+	if len(types) == 0 || !fromCloud && c.types.known() && c.ownership.leading() {
 		return
 	}
-	c.types = types
-	c.typeIndex.names = sortedKeys(types)
+	c.types = newMachineTypes(types)
 	c.schedulingDue = true
 	for _, s := range c.ownership.shards {
 		s.recountAll = true
--- a/internal/controller/job_queue.go
+++ b/internal/controller/job_queue.go
@@ -52,7 +52,7 @@
 	cpus := 1.0
 	for _, m := range s.machines {
 		if m.view != nil && m.view.sequenceKnown {
-			cpus += c.types[m.rec.Type].CPUs
+			cpus += c.types.cpusOf(m)
 		}
 	}
 	for _, j := range s.queue {
--- a/internal/controller/machine_assignment.go
+++ b/internal/controller/machine_assignment.go
@@ -48,12 +48,12 @@
 func (c *Controller) countCapacity(list []unassigned) (capacity map[int]float64, total float64) {
 	capacity = map[int]float64{}
 	for _, m := range list {
-		total += c.types[m.kind.Type].CPUs
+		total += c.types.byName[m.kind.Type].CPUs
 	}
 	for _, s := range c.ownership.shards {
 		for _, m := range s.machines {
 			if !m.rec.Cordoned && !m.returned {
-				cpus := c.types[m.rec.Type].CPUs
+				cpus := c.types.cpusOf(m)
 				capacity[s.id] += cpus
 				total += cpus
 			}
@@ -63,7 +63,7 @@
 		creation := c.fleet.pendingCreations[key]
 		shardID, _, _ := wire.ParseMachineRecordSetKey(key)
 		for _, m := range creation.rec.Machines {
-			cpus := c.types[creation.rec.Kinds[m.Kind].Type].CPUs
+			cpus := c.types.byName[creation.rec.Kinds[m.Kind].Type].CPUs
 			capacity[shardID] += cpus
 			total += cpus
 		}
@@ -78,7 +78,7 @@
 	byShard := map[int][]unassigned{}
 	chosen := -1
 	for _, m := range list {
-		cpus := max(c.types[m.kind.Type].CPUs, 1)
+		cpus := max(c.types.byName[m.kind.Type].CPUs, 1)
 		if chosen < 0 || target[chosen]-capacity[chosen] < cpus {
 			chosen = c.shardLackingMost(target, capacity, chosen)
 		}
--- a/internal/controller/maintenance.go
+++ b/internal/controller/maintenance.go
@@ -61,7 +61,7 @@
 
 // maintenanceInterval returns the time between two runs of maintain.
 func (c *Controller) maintenanceInterval() micros.Micros {
-	if !c.ownership.viewComplete() || len(c.types) == 0 {
+	if !c.ownership.viewComplete() || !c.types.known() {
 		return busyInterval
 	}
 	for _, s := range c.ownership.shards {
--- a/internal/controller/prefetch.go
+++ b/internal/controller/prefetch.go
@@ -110,7 +110,7 @@
 // fetchesTooSlowly reports whether fetching a job's image takes a machine a good part of the
 // time within which the job's tasks are to be started.
 func (c *Controller) fetchesTooSlowly(m *machine, j *job) bool {
-	rate := c.types[m.rec.Type].FetchGBPerS
+	rate := c.types.of(m).FetchGBPerS
 	if rate <= 0 {
 		return false
 	}
--- a/internal/controller/quota_usage.go
+++ b/internal/controller/quota_usage.go
@@ -51,7 +51,7 @@
 // usageKnowledge returns how well it is known what a shard uses. A process that has just begun
 // does not know how large the machines are, and must not count them as empty.
 func (c *Controller) usageKnowledge(s *shard) usageKnowledge {
-	if len(c.types) == 0 {
+	if !c.types.known() {
 		return usageUnknown
 	}
 	knowledge := usageUpperBound
@@ -62,7 +62,7 @@
 		if m.view == nil || !m.view.unreconciledFromPredecessor && !m.view.usage.unknown {
 			continue
 		}
-		if _, sizeKnown := c.types[m.rec.Type]; !sizeKnown {
+		if _, sizeKnown := c.types.byName[m.rec.Type]; !sizeKnown {
 			return usageUnknown
 		}
 		knowledge = usageUpperBound
--- a/internal/controller/quota_usage_test.go
+++ b/internal/controller/quota_usage_test.go
@@ -33,7 +33,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			c := New(Config{Label: "a", Shards: 1, Teams: []Team{{Name: "t"}}, StateRPS: 10, WriteRPS: 10, CloudRPS: 10}, 1)
-			c.types = tc.types
+			c.types = newMachineTypes(tc.types)
 			s := c.ownership.shards[0]
 			s.reconciled = tc.reconciled
 			s.machines = append(s.machines, &machine{id: "vm-1", rec: machineRecord{Type: tc.machineType}, view: tc.view})
--- a/internal/controller/readiness.go
+++ b/internal/controller/readiness.go
@@ -26,7 +26,7 @@
 
 // readyForUsers reports whether users' requests are to come here.
 func (c *Controller) readyForUsers() bool {
-	if c.ownership.jobWatch.Ready() && c.ownership.controlWatch.Ready() && len(c.types) > 0 {
+	if c.ownership.jobWatch.Ready() && c.ownership.controlWatch.Ready() && c.types.known() {
 		return c.servesUsers()
 	}
 	// Started while no controller has the state service: users are better off with a 503
--- a/internal/controller/rebalancing.go
+++ b/internal/controller/rebalancing.go
@@ -39,7 +39,7 @@
 			if rec == nil {
 				continue
 			}
-			row := fleet.Machine{Machine: m, From: shard, Kind: rec.kind(), CPUs: c.types[rec.rec.Type].CPUs}
+			row := fleet.Machine{Machine: m, From: shard, Kind: rec.kind(), CPUs: c.types.byName[rec.rec.Type].CPUs}
 			switch m.State {
 			case peer.MachineDraining:
 				c.continueDraining(choice, row)
--- a/internal/controller/registration.go
+++ b/internal/controller/registration.go
@@ -74,7 +74,7 @@
 	if !wire.ValidKey(id) || heartbeat.Addr == "" {
 		return false
 	}
-	return len(c.types) > 0 && len(f.registrations) < c.cfg.MaxRegistrations
+	return c.types.known() && len(f.registrations) < c.cfg.MaxRegistrations
 }
 
 // refuseRegistration has a machine send its heartbeat again later.
--- a/internal/controller/replacement.go
+++ b/internal/controller/replacement.go
@@ -116,7 +116,7 @@
 	}
 	cost := 0.0 // CPU seconds
 	for _, id := range unreconciled {
-		mt := c.types[c.machines[id].rec.Type]
+		mt := c.types.of(c.machines[id])
 		cost += mt.CPUs * (mt.BootS + rentalOverheadS)
 	}
 	blocked := fleet.BlockedWork(d)
--- a/internal/controller/replacement_test.go
+++ b/internal/controller/replacement_test.go
@@ -34,7 +34,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			c := New(Config{Label: "a", Shards: 1, Teams: []Team{{Name: "t"}}, StateRPS: 10, WriteRPS: 10, CloudRPS: 10,
 				HeartbeatInterval: 10 * sec, WorkerLease: 45 * sec, SilentReturn: -1}, 1)
-			c.types = map[string]wire.MachineType{"m": {Name: "m", CPUs: 4, BootS: 5}}
+			c.types = newMachineTypes(map[string]wire.MachineType{"m": {Name: "m", CPUs: 4, BootS: 5}})
 			d := &peer.Demand{All: 100, Unreconciled: tc.unreconciled, BlockedUS: int64(tc.blocked), CPUs: float64(4 * (100 - tc.unreconciled)), Busy: tc.busy,
 				RunLeftUS: int64(tc.busy * 20e6), Groups: []peer.WaitingTasks{{Any: true, CPUs: 1, Waiting: tc.wait}},
 				Zones: []peer.Zone{{Name: "a", All: tc.unreconciled}, {Name: "b", All: 100 - tc.unreconciled}}}
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -99,7 +99,7 @@
 
 // bootsForLong reports whether a machine should have come up.
 func (c *Controller) bootsForLong(listed wire.ListedMachine) bool {
-	boot := micros.FromSeconds(c.types[listed.Type].BootS)
+	boot := micros.FromSeconds(c.types.byName[listed.Type].BootS)
 	age := micros.FromSeconds(listed.AgeS) + (c.now - c.fleet.listedAt)
 	return age > max(bootTimeoutFactor*boot, boot+bootGrace)
 }
@@ -138,7 +138,7 @@
 			if m.State != peer.MachineIdle || rec == nil {
 				continue
 			}
-			mt := c.types[rec.rec.Type]
+			mt := c.types.byName[rec.rec.Type]
 			idle = append(idle, fleet.IdleMachine{
 				ID:       m.ID,
 				CPUs:     mt.CPUs,
@@ -192,7 +192,7 @@
 		}
 		rec := c.machines[m.ID]
 		if rec != nil && m.State == peer.MachineBusy && m.Movable {
-			candidates = append(candidates, fleet.DrainCandidate{Machine: m, CPUs: c.types[rec.rec.Type].CPUs})
+			candidates = append(candidates, fleet.DrainCandidate{Machine: m, CPUs: c.types.byName[rec.rec.Type].CPUs})
 		}
 	}
 	return candidates, draining
--- a/internal/controller/scale_out.go
+++ b/internal/controller/scale_out.go
@@ -69,18 +69,18 @@
 	for _, d := range demands {
 		for _, m := range d.Machines {
 			if rec := c.machines[m.ID]; rec != nil && m.State == peer.MachineIdle {
-				free[rec.kind()] += c.types[rec.rec.Type].CPUs
+				free[rec.kind()] += c.types.byName[rec.rec.Type].CPUs
 			}
 		}
 	}
 	for id, r := range f.rented {
 		if c.machines[id] == nil {
-			free[r.kind] += c.types[r.kind.Type].CPUs
+			free[r.kind] += c.types.byName[r.kind.Type].CPUs
 		}
 	}
 	for id, l := range f.listed {
 		if c.unrecorded(id, l) {
-			free[fleet.Kind{Type: l.Type, Zone: l.Zone, Spot: l.Spot}] += c.types[l.Type].CPUs
+			free[fleet.Kind{Type: l.Type, Zone: l.Zone, Spot: l.Spot}] += c.types.byName[l.Type].CPUs
 		}
 	}
 	for _, req := range f.scaleOuts {
--- a/internal/controller/scale_out_test.go
+++ b/internal/controller/scale_out_test.go
@@ -87,8 +87,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			c := New(Config{Label: "a", Shards: 1, Teams: []Team{{Name: "t"}}, StateRPS: 10, WriteRPS: 10, CloudRPS: 10, DrainHorizon: 30 * sec}, 1)
-			c.types = map[string]wire.MachineType{"m": {Name: "m", CPUs: 4, MemGB: 8, Price: 2, SpotPrice: 1, Zones: []string{"a"}}}
-			c.typeIndex.names = []string{"m"}
+			c.types = newMachineTypes(map[string]wire.MachineType{"m": {Name: "m", CPUs: 4, MemGB: 8, Price: 2, SpotPrice: 1, Zones: []string{"a"}}})
 			if tc.spotRefused {
 				c.fleet.refused[spot] = &refusal{until: sec}
 			}
--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -227,7 +227,7 @@
 	if !c.usable(m) {
 		return
 	}
-	cpus := c.types[m.rec.Type].CPUs
+	cpus := c.types.cpusOf(m)
 	considered := 0
 	for _, j := range c.waiting(s) {
 		c.visited++
--- a/internal/controller/submission.go
+++ b/internal/controller/submission.go
@@ -39,7 +39,7 @@
 		c.findJobState(id, func(a peer.JobResponse) { c.answerJobStatus(in.Reply, id, a) })
 		return
 	}
-	if len(c.types) == 0 || !c.ownership.jobWatch.Ready() {
+	if !c.types.known() || !c.ownership.jobWatch.Ready() {
 		c.answer(in.Reply, http.StatusServiceUnavailable, nil, retrySoon)
 		return
 	}
@@ -135,8 +135,8 @@
 	if t.CPUsMax > 0 && sub.CPUs > t.CPUsMax || t.GPUsMax > 0 && sub.GPUs > t.GPUsMax {
 		return false
 	}
-	return slices.ContainsFunc(c.typeIndex.names, func(name string) bool {
-		return typeAllowed(sub, name) && fitsType(sub, c.types[name])
+	return slices.ContainsFunc(c.types.names, func(name string) bool {
+		return typeAllowed(sub, name) && fitsType(sub, c.types.byName[name])
 	})
 }
 
--- a/internal/controller/user_requests_test.go
+++ b/internal/controller/user_requests_test.go
@@ -131,7 +131,7 @@
 		{"fits nothing, done and out of memory", over, unfit, 200, wire.StateDone},
 		{"malformed, no state service", func(h *harness) { h.stateDown, h.refused = true, true }, bad, 503, ""},
 		{"fits nothing, no state service", func(h *harness) { h.stateDown, h.refused = true, true }, unfit, 503, ""},
-		{"fits nothing, types not known", func(h *harness) { h.c.types = nil }, unfit, 503, ""},
+		{"fits nothing, types not known", func(h *harness) { h.c.types = machineTypes{} }, unfit, 503, ""},
 		{"cancelled though done", over, func(r ReplyID) Input { return CancelRequest{Reply: r, ID: "job-000001"} }, 200, wire.StateDone},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
