--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -42,8 +42,9 @@
 	decisionLog    decisionLog
 	attemptCounter uint64
 
-	scheduling  schedulingState
-	maintenance maintenanceState
+	scheduling       schedulingState
+	preemptionPolicy preemptionPolicy
+	maintenance      maintenanceState
 	// visited counts the machines, jobs and attempts that were visited, visitedBefore those
 	// up to the step under way; see Work.
 	visited, visitedBefore uint64
@@ -75,6 +76,7 @@
 	c.cascade.init()
 	c.fleet.init(cfg)
 	c.estimates = estimate.NewRunTimes()
+	c.preemptionPolicy = preemptionPolicy{stepContext: &c.stepContext, estimates: &c.estimates}
 	c.quota.tree = cfg.Quota
 	if cfg.Quota != nil {
 		c.enableQuota()
--- a/internal/controller/first_start_test.go
+++ b/internal/controller/first_start_test.go
@@ -76,10 +76,10 @@
 		return att
 	}
 	h.c.now, h.c.wall = h.now, h.now
-	if a, b := h.c.preemptionLoss(newAttempt(sec, 0)), h.c.preemptionLoss(newAttempt(40*sec, 0)); a >= b {
+	if a, b := h.c.preemptionPolicy.loss(newAttempt(sec, 0)), h.c.preemptionPolicy.loss(newAttempt(40*sec, 0)); a >= b {
 		t.Errorf("loss %v of a young job's only task, %v of an overdue one's", a, b)
 	}
-	if a, b := h.c.preemptionLoss(newAttempt(40*sec, 0)), h.c.preemptionLoss(newAttempt(40*sec, 3)); a <= b {
+	if a, b := h.c.preemptionPolicy.loss(newAttempt(40*sec, 0)), h.c.preemptionPolicy.loss(newAttempt(40*sec, 3)); a <= b {
 		t.Errorf("loss %v of an only task, %v of one of several", a, b)
 	}
 }
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -46,7 +46,7 @@
 	if j.priority == wire.PriorityLow || r.nextRetryAt != 0 {
 		return
 	}
-	if at := max(r.arrivedAt+c.preemptionDelay(j), r.nextPreemptionAt); at > c.now {
+	if at := max(r.arrivedAt+c.preemptionPolicy.delay(j), r.nextPreemptionAt); at > c.now {
 		c.scheduleLater(at - c.now)
 		return
 	}
@@ -128,7 +128,7 @@
 // executePreemption takes the cheapest offers of a plan until there is capacity for all tasks,
 // the round's budget is spent, or the next one costs too much.
 func (c *Controller) executePreemption(j *job, plan *preemptionPlan) {
-	maxLoss := c.maxPreemptionLoss(j)
+	maxLoss := c.preemptionPolicy.maxLoss(j)
 	offers := &plan.offers
 	for plan.tasks > 0 && offers.Len() > 0 && c.scheduling.preemption.stops > 0 && (*offers)[0].cost <= maxLoss {
 		cheapest := (*offers)[0]
@@ -152,11 +152,11 @@
 // for it in turn.
 func (c *Controller) preemptOnMachine(j *job, m *machine) {
 	r := j.run
-	waitsForPreemption := r.nextPreemptionAt != 0 && r.arrivedAt+c.preemptionDelay(j) <= c.now
+	waitsForPreemption := r.nextPreemptionAt != 0 && r.arrivedAt+c.preemptionPolicy.delay(j) <= c.now
 	if !waitsForPreemption || m.view.reservation.job != nil || !c.allowed(j, m, c.zonesOf(j)) {
 		return
 	}
-	if o := c.preemptionOffer(j, m); o != nil && o.cost <= c.maxPreemptionLoss(j) {
+	if o := c.preemptionOffer(j, m); o != nil && o.cost <= c.preemptionPolicy.maxLoss(j) {
 		c.takeOffer(j, o)
 	}
 }
@@ -207,7 +207,7 @@
 			Attempt:   i,
 			Job:       att.key.job,
 			Task:      att.index,
-			Loss:      c.preemptionLoss(att),
+			Loss:      c.preemptionPolicy.loss(att),
 			Resources: resourcesOf(att.job.sub),
 		})
 	}
@@ -232,7 +232,7 @@
 		if r := att.job.run; r != nil && att.tracked {
 			r.stopsByTask[att.index]++
 		}
-		c.stop(att, c.stopModeFor(att, j))
+		c.stop(att, c.preemptionPolicy.stopMode(att, j))
 		c.log(Debug, "task stopped for a job of higher priority", "task", wire.TaskName(att.job.id, att.index), "machine", o.machine.id, "for", j.id)
 	}
 	reserved := &o.machine.view.reservation
--- a/internal/controller/preemption_policy.go
+++ b/internal/controller/preemption_policy.go
@@ -3,12 +3,11 @@
 import (
 	"math"
 
+	"garnethitch/internal/controller/estimate"
 	"garnethitch/internal/controller/scheduling"
 	"garnethitch/internal/micros"
 )
 
-// When tasks are stopped for a job, what may be lost by that, and how they are stopped.
-
 const (
 	// smallLoss is what may be lost for a task at once, in CPU seconds.
 	smallLoss = 100
@@ -29,16 +28,23 @@
 	saveTimeFactor = 2
 )
 
-// preemptionDelay returns how long a job waits for capacity to come free by itself before others
+// preemptionPolicy says when tasks are stopped for a job, what may be lost by that, and how they
+// are stopped.
+type preemptionPolicy struct {
+	*stepContext
+	estimates *estimate.RunTimes
+}
+
+// delay returns how long a job waits for capacity to come free by itself before others
 // are stopped for it. Tasks end all the time, and work that is stopped is partly lost.
-func (c *Controller) preemptionDelay(j *job) micros.Micros {
-	if within, hasObjective := c.cfg.StartWithin[j.sub.Class]; hasObjective {
+func (p *preemptionPolicy) delay(j *job) micros.Micros {
+	if within, hasObjective := p.cfg.StartWithin[j.sub.Class]; hasObjective {
 		if within < promptStart {
 			return 0
 		}
 		return within / preemptionDelayDivisor
 	}
-	if c.deadlineNear(j) {
+	if p.deadlineNear(j) {
 		return 0
 	}
 	return defaultPreemptionDelay
@@ -46,8 +52,8 @@
 
 // deadlineNear reports whether the job can still be in time, but only if its tasks start within
 // some seconds.
-func (c *Controller) deadlineNear(j *job) bool {
-	slack := c.dueOf(j) - c.wall - c.estimates.Expect(j.sub)
+func (p *preemptionPolicy) deadlineNear(j *job) bool {
+	slack := p.dueOf(j) - p.wall - p.estimates.Expect(j.sub)
 	return slack > 0 && slack < nearDeadline
 }
 
@@ -60,32 +66,32 @@
 	return due
 }
 
-// maxPreemptionLoss returns the most that may be lost for one task of a job, in CPU seconds.
+// maxLoss returns the most that may be lost for one task of a job, in CPU seconds.
 // Tasks end all the time in a large shard: for a while only what costs little is stopped, so that
 // long work that is nearly done is not thrown away for a wait of seconds.
-func (c *Controller) maxPreemptionLoss(j *job) float64 {
+func (p *preemptionPolicy) maxLoss(j *job) float64 {
 	smallLossFor := smallLossDuration
-	if within, hasObjective := c.cfg.StartWithin[j.sub.Class]; hasObjective {
+	if within, hasObjective := p.cfg.StartWithin[j.sub.Class]; hasObjective {
 		smallLossFor = within / smallLossDivisor
 	}
-	if c.now < j.run.arrivedAt+c.preemptionDelay(j)+smallLossFor {
+	if p.now < j.run.arrivedAt+p.delay(j)+smallLossFor {
 		return smallLoss
 	}
 	return math.Inf(1)
 }
 
-// preemptionLoss returns the loss of stopping an attempt, in CPU seconds.
-func (c *Controller) preemptionLoss(att *attempt) float64 {
+// loss returns the loss of stopping an attempt, in CPU seconds.
+func (p *preemptionPolicy) loss(att *attempt) float64 {
 	sub := att.job.sub
 	loss := scheduling.PreemptionLoss{
-		Expected:           c.estimates.Expect(sub),
+		Expected:           p.estimates.Expect(sub),
 		CheckpointInterval: sub.CheckpointS,
 		CPUs:               sub.CPUs,
 		Priority:           att.job.priority,
-		OnlyStart:          c.onlyStart(att),
+		OnlyStart:          p.onlyStart(att),
 	}
 	if att.runAt != 0 {
-		loss.Ran = c.now - att.runAt
+		loss.Ran = p.now - att.runAt
 	}
 	if r := att.job.run; r != nil {
 		loss.EarlierStops = r.stopsByTask[att.index]
@@ -93,16 +99,16 @@
 	return loss.Total()
 }
 
-// stopModeFor returns how a victim is stopped for a job: with time to save, unless the job is
+// stopMode returns how a victim is stopped for a job: with time to save, unless the job is
 // wanted started sooner than that.
-func (c *Controller) stopModeFor(victim *attempt, j *job) stopMode {
+func (p *preemptionPolicy) stopMode(victim *attempt, j *job) stopMode {
 	if victim.job.sub.CheckpointS <= 0 || victim.state != attemptRunning {
 		return stopImmediate
 	}
-	if within, hasObjective := c.cfg.StartWithin[j.sub.Class]; hasObjective && within < saveTimeFactor*micros.FromSeconds(victim.job.sub.SaveS) {
+	if within, hasObjective := p.cfg.StartWithin[j.sub.Class]; hasObjective && within < saveTimeFactor*micros.FromSeconds(victim.job.sub.SaveS) {
 		return stopImmediate
 	}
-	if c.deadlineNear(j) {
+	if p.deadlineNear(j) {
 		return stopImmediate
 	}
 	return stopGraceful
--- a/internal/controller/preemption_test.go
+++ b/internal/controller/preemption_test.go
@@ -73,14 +73,14 @@
 			s.DeadlineS = tc.deadline
 			h.submit(s)
 			j := h.c.jobs.open["job-000001"]
-			if got := h.c.deadlineNear(j); got != tc.want {
+			if got := h.c.preemptionPolicy.deadlineNear(j); got != tc.want {
 				t.Errorf("deadline near: %v, want %v", got, tc.want)
 			}
 			low := jobOf("job-000002", 1)
 			low.Priority, low.CheckpointS, low.SaveS = "best_effort", 5, 2
 			h.submit(low)
 			victim := &attempt{job: h.c.jobs.open["job-000002"], state: attemptRunning}
-			if got := h.c.stopModeFor(victim, j) == stopImmediate; got != tc.want {
+			if got := h.c.preemptionPolicy.stopMode(victim, j) == stopImmediate; got != tc.want {
 				t.Errorf("stopped without saving: %v, want %v", got, tc.want)
 			}
 		})
@@ -108,7 +108,7 @@
 		{"never stopped before, though it ran for longer", newAttempt("standard", 20*sec, 40*sec, 0), newAttempt("standard", 3*sec, 40*sec, 1)},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			if a, b := h.c.preemptionLoss(tc.less), h.c.preemptionLoss(tc.more); a >= b {
+			if a, b := h.c.preemptionPolicy.loss(tc.less), h.c.preemptionPolicy.loss(tc.more); a >= b {
 				t.Errorf("losses %v and %v", a, b)
 			}
 		})
@@ -138,7 +138,7 @@
 			sub.Class = tc.class
 			h.c.now = h.now
 			j := &job{sub: &sub, deadline: micros.Never, run: &run{arrivedAt: h.now - tc.waited}}
-			if got := h.c.maxPreemptionLoss(j) == smallLoss; got != tc.small {
+			if got := h.c.preemptionPolicy.maxLoss(j) == smallLoss; got != tc.small {
 				t.Errorf("class %s after %v s: small loss only: %v, want %v", tc.class, tc.waited.Seconds(), got, tc.small)
 			}
 		})
