--- a/ci_test.go
+++ b/ci_test.go
@@ -22,8 +22,8 @@
 }
 `
 
-// TestKnownRed: an entry of KNOWN-RED.txt is taken only in its form, and only for a test that
-// fails; one that is listed as failing at times may pass.
+// TestKnownRed checks that an entry of KNOWN-RED.txt is taken only in its form, and only for a test
+// that fails; one that is listed as failing at times may pass.
 func TestKnownRed(t *testing.T) {
 	script, err := filepath.Abs(".ci/known-red")
 	if err != nil {
--- a/dependencies_test.go
+++ b/dependencies_test.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// TestDependencies: dependent jobs are submitted to a whole controller over HTTP and run in
-// order, and others are cancelled with the one that they depend on.
+// TestDependencies checks that dependent jobs are submitted to a whole controller over HTTP and run
+// in order, and others are cancelled with the one that they depend on.
 func TestDependencies(t *testing.T) {
 	serve, internal := freeAddr(t), freeAddr(t)
 	w, services := startWorld(t, 16, serve)
@@ -121,8 +121,8 @@
 	}
 }
 
-// checkRunsInOrder: until the last of the three jobs is done, none has started before the one
-// that it depends on is done.
+// checkRunsInOrder checks that until the last of the three jobs is done, none has started before
+// the one that it depends on is done.
 func checkRunsInOrder(u user, w *world) {
 	u.t.Helper()
 	deadline := time.Now().Add(30 * time.Second)
@@ -145,8 +145,8 @@
 	}
 }
 
-// checkCancellationCascade: jobs that depend on a cancelled one are cancelled, directly or
-// not, and whether submitted before or after it.
+// checkCancellationCascade checks that jobs that depend on a cancelled one are cancelled, directly
+// or not, and whether submitted before or after it.
 func checkCancellationCascade(u user) {
 	u.t.Helper()
 	for n, dependency := range []int{501, 601, 602} { // 501 is done
--- a/docs_test.go
+++ b/docs_test.go
@@ -218,7 +218,7 @@
 	return string(bytes.ReplaceAll(text, []byte("\r"), nil))
 }
 
-// TestArchitecturePage: each package, function and type that the page names in backticks
+// TestArchitecturePage checks that each package, function and type that the page names in backticks
 // stands in the code, its diagram shows imports that are there, and all of those, and it
 // leaves out no package.
 func TestArchitecturePage(t *testing.T) {
@@ -342,7 +342,8 @@
 // protocol's.
 var foreignWords = map[string]bool{"oneZone": true, "dueS": true}
 
-// TestPagesNameCode: functions, types, tests and files that the pages name stand in the code.
+// TestPagesNameCode checks that functions, types, tests and files that the pages name stand in the
+// code.
 func TestPagesNameCode(t *testing.T) {
 	names := parseModule(t)
 	pages := []string{"README.md", operationsPage, "docs/design.md", "docs/concurrent-faults.md",
@@ -356,8 +357,8 @@
 	}
 }
 
-// TestOperationsPageLogLines: each log line that the first column of the page's table of lines
-// names stands in the code as it is named, or begins so where the page ends it with "...".
+// TestOperationsPageLogLines checks that each log line that the first column of the page's table of
+// lines names stands in the code as it is named, or begins so where the page ends it with "...".
 func TestOperationsPageLogLines(t *testing.T) {
 	names := parseModule(t)
 	_, rest, found := strings.Cut(readPage(t, operationsPage), "\n## Logs at info\n")
@@ -379,8 +380,8 @@
 	}
 }
 
-// TestOperationsPageQuestions: the lines that "Where do I look when ..." sends its reader to
-// stand in the code, in the order of the page's columns: question, lines, functions.
+// TestOperationsPageQuestions checks that the lines that "Where do I look when ..." sends its
+// reader to stand in the code, in the order of the page's columns: question, lines, functions.
 func TestOperationsPageQuestions(t *testing.T) {
 	names := parseModule(t)
 	_, rest, found := strings.Cut(readPage(t, operationsPage), "\n## Where do I look when ...\n")
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -18,7 +18,8 @@
 	"garnethitch/quota"
 )
 
-// TestShowAndSet: a limit that an operator sets at one running controller is shown by another.
+// TestShowAndSet checks that a limit that an operator sets at one running controller is shown by
+// another.
 func TestShowAndSet(t *testing.T) {
 	c, err := faulttest.NewCluster(faulttest.ClusterPlan{Seed: 1, Nodes: 2, Machines: 4, Teams: []string{"kigali", "rubavu", "karongi"}, Groups: faulttest.GrantGroups()})
 	if err != nil {
@@ -67,7 +68,7 @@
 	}
 }
 
-// TestCheckSet: a request that no controller would grant is refused with the reason.
+// TestCheckSet checks that a request that no controller would grant is refused with the reason.
 func TestCheckSet(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "options.yaml")
 	if err := os.WriteFile(path, []byte("quota:\n  groups:\n    - {name: lake, teams: [rubavu], limit: {cpus: 5}}\n"), 0o600); err != nil {
--- a/internal/controller/authority/invariants.go
+++ b/internal/controller/authority/invariants.go
@@ -5,13 +5,13 @@
 type Invariant string
 
 const (
-	// RenewalStopsCancelledTasks: no reply renews the lease of a machine on which a cancelled
-	// task is left without its stop.
+	// RenewalStopsCancelledTasks means that no reply renews the lease of a machine on which a
+	// cancelled task is left without its stop.
 	RenewalStopsCancelledTasks Invariant = "a renewal stops cancelled tasks"
-	// RenewalKeepsNoUnknownJob: no reply renews the lease of a machine with a task of a job
-	// that is not known to be open.
+	// RenewalKeepsNoUnknownJob means that no reply renews the lease of a machine with a task of a
+	// job that is not known to be open.
 	RenewalKeepsNoUnknownJob Invariant = "a renewal feeds no task of an unknown job"
-	// NoStartAfterEnd: no start is sent for a job that has ended or is to be cancelled.
+	// NoStartAfterEnd means that no start is sent for a job that has ended or is to be cancelled.
 	NoStartAfterEnd Invariant = "no start of a job that is over"
 )
 
--- a/internal/controller/checkpoints.go
+++ b/internal/controller/checkpoints.go
@@ -27,9 +27,9 @@
 type jobCheckpoint struct {
 	// modRevision is the revision of the checkpoint's key; 0: none stands.
 	modRevision uint64
-	// dirty: the job has progress that no checkpoint was written for.
+	// dirty is set if the job has progress that no checkpoint was written for.
 	dirty bool
-	// inFlight: a write, or the read that resolves one, is under way.
+	// inFlight is set while a write, or the read that resolves one, is under way.
 	inFlight    bool
 	nextWriteAt micros.Micros
 	// recorded are the tasks whose end is in a recorded checkpoint.
--- a/internal/controller/command_queue.go
+++ b/internal/controller/command_queue.go
@@ -12,8 +12,8 @@
 }
 
 const (
-	// probeDivisor: one in so many of the requests under way may be probes and reconciliations that
-	// begin between two maintenances.
+	// probeDivisor is such that one in so many of the requests under way may be probes and
+	// reconciliations that begin between two maintenances.
 	probeDivisor = 4
 	// minProbes is how many they may begin at least.
 	minProbes = 4
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -9,9 +9,9 @@
 type commandCarrier int
 
 const (
-	// inReply: the reply to a heartbeat. The next heartbeat shows whether it arrived.
+	// inReply is the reply to a heartbeat. The next heartbeat shows whether it arrived.
 	inReply commandCarrier = iota
-	// inDirectCommand: a request of its own, the answer to which may be lost.
+	// inDirectCommand is a request of its own, the answer to which may be lost.
 	inDirectCommand
 )
 
--- a/internal/controller/direct_commands.go
+++ b/internal/controller/direct_commands.go
@@ -34,11 +34,11 @@
 type commandOutcome int
 
 const (
-	// commandsExecuted: the worker has carried it out.
+	// commandsExecuted means that the worker has carried it out.
 	commandsExecuted commandOutcome = iota
-	// commandsRefused: it was not sent, or the worker refused it; it can't act any more.
+	// commandsRefused means that it was not sent, or the worker refused it; it can't act any more.
 	commandsRefused
-	// commandsInDoubt: it was sent and not answered; it may still act, however late.
+	// commandsInDoubt means that it was sent and not answered; it may still act, however late.
 	commandsInDoubt
 )
 
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -33,7 +33,7 @@
 	reply   ReplyID
 	// stateDown and peersDown leave calls without an answer.
 	stateDown, peersDown bool
-	// refused: with stateDown, calls get a 503 at once.
+	// refused is set if calls get a 503 at once while stateDown is set.
 	refused bool
 	// lose swallows the answers of transactions that touch a key.
 	lose string
--- a/internal/controller/job.go
+++ b/internal/controller/job.go
@@ -27,7 +27,7 @@
 	unblockedMS int64
 	// needs are its dependencies that are not done by their records.
 	needs map[string]bool
-	// dependencyCancelled: a job that it needs, directly or through others, is cancelled.
+	// dependencyCancelled is set if a job that it needs, directly or through others, is cancelled.
 	dependencyCancelled bool
 	knownAt             micros.Micros
 	// run is set at the owner only.
@@ -36,7 +36,7 @@
 	queueRank     float64 // among jobs of its kind; see queue
 	queuePosition int     // in its shard's queue
 	startOverdue  bool    // it should have started; see overdue
-	// guaranteeOverdue: it is within its guarantee, and has waited for half of what it
+	// guaranteeOverdue is set if it is within its guarantee, and has waited for half of what it
 	// should at most.
 	guaranteeOverdue bool
 	withinGuarantee  bool // it fits into its team's guarantee; see markGuaranteed
@@ -62,10 +62,10 @@
 	active      map[int]*attempt // by task
 	nextUntried int              // tasks from here on were never tried
 	retries     intHeap          // tasks to try again
-	// acceptedUnderClaim: the job was accepted after this node's claim, so that no former
+	// acceptedUnderClaim is set if the job was accepted after this node's claim, so that no former
 	// owner can have started it.
 	acceptedUnderClaim bool
-	// checkpointApplied: the progress in its checkpoint, if there is one, is known.
+	// checkpointApplied is set if the progress in its checkpoint, if there is one, is known.
 	checkpointApplied bool
 	steps             []wire.FinishedTask
 	arrivedAt         micros.Micros
--- a/internal/controller/job_end_state.go
+++ b/internal/controller/job_end_state.go
@@ -10,11 +10,11 @@
 type endPhase int
 
 const (
-	// endNone: the job has no end to record.
+	// endNone means that the job has no end to record.
 	endNone endPhase = iota
-	// endRequested: an end is to be recorded.
+	// endRequested means that an end is to be recorded.
 	endRequested
-	// endInFlight: a transaction that records it was sent, or a read that resolves one.
+	// endInFlight means that a transaction that records it was sent, or a read that resolves one.
 	endInFlight
 )
 
@@ -32,7 +32,7 @@
 	phase endPhase
 	// state is the final state to record; "" in phase endNone.
 	state wire.JobState
-	// inDoubt: a transaction was sent whose outcome stays unknown. A late copy of it may
+	// inDoubt is set if a transaction was sent whose outcome stays unknown. A late copy of it may
 	// be executed at any time, while others read what it wrote, so the job's status is
 	// answered from memory no more.
 	inDoubt bool
--- a/internal/controller/job_end_test.go
+++ b/internal/controller/job_end_test.go
@@ -142,7 +142,7 @@
 	for _, tc := range []struct {
 		name string
 		lose bool
-		// cancelFirst: the cancellation comes before the heartbeat with the end.
+		// cancelFirst is set if the cancellation comes before the heartbeat with the end.
 		cancelFirst bool
 		want        wire.JobState
 	}{
--- a/internal/controller/job_table.go
+++ b/internal/controller/job_table.go
@@ -12,9 +12,9 @@
 type finalJob struct {
 	state wire.JobState
 	tasks int
-	// broadcast: the other controllers are being notified of its cancellation.
+	// broadcast is set while the other controllers are being notified of its cancellation.
 	broadcast bool
-	// recorded: its own record said so, not just another controller.
+	// recorded is set if its own record said so, not just another controller.
 	recorded bool
 	endMS    int64 // by the time of day; 0: not known
 }
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -164,7 +164,7 @@
 type openJobsSurvey struct {
 	// due are jobs with an end to retry or a checkpoint to record, by id.
 	due []*job
-	// blocked: some job waits for its dependencies; ownBlocked: one of this node does.
+	// blocked is set if some job waits for its dependencies, ownBlocked if one of this node does.
 	blocked, ownBlocked bool
 }
 
--- a/internal/controller/machine_record_writes.go
+++ b/internal/controller/machine_record_writes.go
@@ -26,11 +26,12 @@
 type writeOutcome int
 
 const (
-	// writeApplied: the records stand.
+	// writeApplied means that the records stand.
 	writeApplied writeOutcome = iota
-	// writeNotApplied: they do not, and the write can't be applied any more.
+	// writeNotApplied means that they do not, and the write can't be applied any more.
 	writeNotApplied
-	// writeInDoubt: the write may have been applied or may yet be; the watch shows it then.
+	// writeInDoubt means that the write may have been applied or may yet be; the watch shows it
+	// then.
 	writeInDoubt
 )
 
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -10,7 +10,7 @@
 	// agentEpoch is the last one that the machine showed to this node, under any lock: the
 	// first command to it names it, though it may be out of date.
 	agentEpoch uint64
-	// returned: the cloud has confirmed its return, so it never comes back.
+	// returned is set if the cloud has confirmed its return, so it never comes back.
 	returned bool
 	view     *view // nil unless this node owns its shard
 }
--- a/internal/controller/ownership.go
+++ b/internal/controller/ownership.go
@@ -24,13 +24,13 @@
 type shardOwnership int
 
 const (
-	// shardNotOwned: another node owns it, or none.
+	// shardNotOwned means that another node owns it, or none.
 	shardNotOwned shardOwnership = iota
-	// shardOwned: this node saw its own claim in the watch, so that its view of machines is at
-	// least as new as the claim.
+	// shardOwned means that this node saw its own claim in the watch, so that its view of machines
+	// is at least as new as the claim.
 	shardOwned
-	// shardReleasing: this node still holds the lock, but does nothing more for the shard, and
-	// deletes its key.
+	// shardReleasing means that this node still holds the lock, but does nothing more for the
+	// shard, and deletes its key.
 	shardReleasing
 )
 
@@ -53,8 +53,8 @@
 	recountAll    bool       // the usage of all machines is
 	usage         []usage    // what could be on them at most, by team
 	queue         []*job     // unfinished jobs in the order in which they are served
-	// firstWaiting: no job before this place in the queue has a task that waits, so that a
-	// heartbeat need not pass hundreds of them.
+	// firstWaiting means that no job before this place in the queue has a task that waits, so that
+	// a heartbeat need not pass hundreds of them.
 	firstWaiting  int
 	queueStale    bool          // a job has been added or removed since the queue was ordered
 	nextReorderAt micros.Micros // when the queue is ordered again
--- a/internal/controller/ownership/lease.go
+++ b/internal/controller/ownership/lease.go
@@ -12,11 +12,12 @@
 type leaseState int
 
 const (
-	// leaseAbsent: there is none, and none has been requested.
+	// leaseAbsent means that there is none, and none has been requested.
 	leaseAbsent leaseState = iota
-	// leaseRequested: one has been requested.
+	// leaseRequested means that one has been requested.
 	leaseRequested
-	// leaseHeld: one has been granted. Whether it is still valid depends on its last renewal.
+	// leaseHeld means that one has been granted. Whether it is still valid depends on its last
+	// renewal.
 	leaseHeld
 )
 
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -43,7 +43,7 @@
 	stateOK        bool // it has the state service
 	withoutWorkers bool
 	quota          bool // it has quota groups
-	// statusInFlight: a status to it is not answered yet.
+	// statusInFlight is set while a status to it is not answered.
 	statusInFlight bool
 	nextStatusAt   micros.Micros
 	demand         []peer.Demand
--- a/internal/controller/prefetch.go
+++ b/internal/controller/prefetch.go
@@ -24,8 +24,8 @@
 	prefetchSpan = 10 * micros.Minute
 	// prefetchInterval is the least time between two prefetches on a machine.
 	prefetchInterval = 10 * micros.Second
-	// fetchTimeDivisor: an image is prefetched if fetching it takes at least one in so many parts
-	// of the time within which a task is to be started.
+	// fetchTimeDivisor is such that an image is prefetched if fetching it takes at least one in so
+	// many parts of the time within which a task is to be started.
 	fetchTimeDivisor = 4
 )
 
--- a/internal/controller/reachability/reachability.go
+++ b/internal/controller/reachability/reachability.go
@@ -20,11 +20,11 @@
 type Confirmation int
 
 const (
-	// Undetermined: the heartbeat would look the same whether or not the reply arrived.
+	// Undetermined means that the heartbeat would look the same whether or not the reply arrived.
 	Undetermined Confirmation = iota
-	// Confirmed: the heartbeat shows what the reply said.
+	// Confirmed means that the heartbeat shows what the reply said.
 	Confirmed
-	// Unconfirmed: the heartbeat should show what the reply said, and does not.
+	// Unconfirmed means that the heartbeat should show what the reply said, and does not.
 	Unconfirmed
 )
 
--- a/internal/controller/reconciliation.go
+++ b/internal/controller/reconciliation.go
@@ -25,8 +25,8 @@
 	reconciled     bool // its task list is complete, and no older command can still act
 	neverCommanded bool // nobody but this owner can have commanded it
 	reconciledAt   micros.Micros
-	// unreconciledFromPredecessor: it has neither been reconciled nor gone since the claim: a
-	// former owner's tasks may be on it.
+	// unreconciledFromPredecessor is set if it has neither been reconciled nor gone since the
+	// claim: a former owner's tasks may be on it.
 	unreconciledFromPredecessor bool
 	leaseExpired                bool // it can hold no task any more
 	sequenceKnown               bool // agentEpoch and sequence are set
--- a/internal/controller/shard_recovery.go
+++ b/internal/controller/shard_recovery.go
@@ -21,8 +21,8 @@
 	// when they said so.
 	quiescedPeers map[string]micros.Micros
 	reconciled    bool // no task of a former owner can be at an unknown place
-	// jobsViewCurrent: this node's view of jobs is at least as new as its claim. Until then a
-	// job that it believes open may long have ended.
+	// jobsViewCurrent is set if this node's view of jobs is at least as new as its claim. Until
+	// then a job that it believes open may long have ended.
 	jobsViewCurrent        bool
 	refreshingJobsView     bool
 	loadingCheckpoints     bool
--- a/internal/controller/statestore/lookup.go
+++ b/internal/controller/statestore/lookup.go
@@ -4,11 +4,11 @@
 type Lookup int
 
 const (
-	// LookupFailed: there was no answer, or none that can be used.
+	// LookupFailed means that there was no answer, or none that can be used.
 	LookupFailed Lookup = iota
-	// LookupFound: the record stands.
+	// LookupFound means that the record stands.
 	LookupFound
-	// LookupMissing: there is no record.
+	// LookupMissing means that there is no record.
 	LookupMissing
 )
 
--- a/internal/controller/statestore/watch.go
+++ b/internal/controller/statestore/watch.go
@@ -22,9 +22,9 @@
 type watchPhase int
 
 const (
-	// watchListing: the keys are listed, page by page.
+	// watchListing means that the keys are listed, page by page.
 	watchListing watchPhase = iota
-	// watchFollowing: all keys have been listed, and changes are waited for.
+	// watchFollowing means that all keys have been listed, and changes are waited for.
 	watchFollowing
 )
 
--- a/internal/controller/task_lists.go
+++ b/internal/controller/task_lists.go
@@ -9,10 +9,11 @@
 type heartbeatSource int
 
 const (
-	// sentByWorker: the worker sent it of its own accord, after the reply to the one before it.
+	// sentByWorker means that the worker sent it of its own accord, after the reply to the one
+	// before it.
 	sentByWorker heartbeatSource = iota
-	// answerToRequest: it answers a direct command or a probe. The reply to an earlier heartbeat
-	// may still be under way.
+	// answerToRequest means that it answers a direct command or a probe. The reply to an earlier
+	// heartbeat may still be under way.
 	answerToRequest
 )
 
--- a/internal/controller/worker_contact.go
+++ b/internal/controller/worker_contact.go
@@ -27,9 +27,9 @@
 type contactState int
 
 const (
-	// contactHeld: heartbeats arrive.
+	// contactHeld means that heartbeats arrive.
 	contactHeld contactState = iota
-	// contactLost: the locks have been released, and machines are probed.
+	// contactLost means that the locks have been released, and machines are probed.
 	contactLost
 )
 
--- a/internal/digest/digest_test.go
+++ b/internal/digest/digest_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// TestEveryRunIsRecorded: the file has a line for each run that is played by default.
+// TestEveryRunIsRecorded checks that the file has a line for each run that is played by default.
 func TestEveryRunIsRecorded(t *testing.T) {
 	t.Parallel()
 	lines := recorded(t)
@@ -75,7 +75,7 @@
 	}
 }
 
-// TestHookChangesNothing: a run goes the same way with and without a recorder.
+// TestHookChangesNothing checks that a run goes the same way with and without a recorder.
 func TestHookChangesNothing(t *testing.T) {
 	t.Parallel()
 	for _, plan := range simulation.RulePlans()[:4] {
--- a/internal/eventqueue/eventqueue_test.go
+++ b/internal/eventqueue/eventqueue_test.go
@@ -34,7 +34,8 @@
 	}
 }
 
-// TestQueueEventAddsEvent: an event that is added while another runs is taken in its turn.
+// TestQueueEventAddsEvent checks that an event that is added while another runs is taken in its
+// turn.
 func TestQueueEventAddsEvent(t *testing.T) {
 	var q Queue
 	var taken []string
--- a/internal/fakes/server_test.go
+++ b/internal/fakes/server_test.go
@@ -12,7 +12,7 @@
 	"garnethitch/internal/wire"
 )
 
-// TestServer: calls as a controller encodes them are answered as the fakes do.
+// TestServer checks that calls as a controller encodes them are answered as the fakes do.
 func TestServer(t *testing.T) {
 	s := NewServer(StateLimits{ValueBytes: 100, TxnOps: 2})
 	for i := range 3 {
--- a/internal/fakes/worker_test.go
+++ b/internal/fakes/worker_test.go
@@ -157,8 +157,9 @@
 	}
 }
 
-// TestWorkerLease: the lease is counted from when a heartbeat was sent that was answered; when
-// it runs out, tasks end and the agent's epoch changes, after a hang as soon as it is over.
+// TestWorkerLease checks that the lease is counted from when a heartbeat was sent that was
+// answered; when it runs out, tasks end and the agent's epoch changes, after a hang as soon as it
+// is over.
 func TestWorkerLease(t *testing.T) {
 	clock, host, w := newTestWorker()
 	clock.advance(3 * testLease)
--- a/internal/faulttest/soak_faults_test.go
+++ b/internal/faulttest/soak_faults_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// TestSoakFaults: a soak's faults come of its seed alone, and are of every kind.
+// TestSoakFaults checks that a soak's faults come of its seed alone, and are of every kind.
 func TestSoakFaults(t *testing.T) {
 	kinds := map[FaultKind]int{}
 	for seed := range uint64(20) {
--- a/internal/faulttest/task_runs_test.go
+++ b/internal/faulttest/task_runs_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestCheckTaskRuns: the checker of a soak finds tasks that outlast their cancellation or run on
-// two machines at once, and no others.
+// TestCheckTaskRuns checks that the checker of a soak finds tasks that outlast their cancellation
+// or run on two machines at once, and no others.
 func TestCheckTaskRuns(t *testing.T) {
 	at := func(s float64) time.Time { return time.Unix(1000, 0).Add(time.Duration(s * float64(time.Second))) }
 	cancelledAt := map[string]time.Time{"job-000001": at(10)}
--- a/internal/joblog/joblog_test.go
+++ b/internal/joblog/joblog_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestWrite: the output holds what all controllers logged about the job, the heartbeats of
-// machines that had its tasks, and who might issue commands to them; nothing of other jobs.
+// TestWrite checks that the output holds what all controllers logged about the job, the heartbeats
+// of machines that had its tasks, and who might issue commands to them; nothing of other jobs.
 func TestWrite(t *testing.T) {
 	logs := map[string]string{
 		"n-0": `time=2026-12-03T10:00:01.000Z level=INFO msg="lease granted" lease=4
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestMachineStateIsSentAsInteger: other versions read the state as an integer.
+// TestMachineStateIsSentAsInteger checks that other versions read the state as an integer.
 func TestMachineStateIsSentAsInteger(t *testing.T) {
 	for state := MachineIdle; state <= MachineUnreconciled; state++ {
 		got, err := Encode(state)
--- a/internal/runtime/answers_test.go
+++ b/internal/runtime/answers_test.go
@@ -11,8 +11,8 @@
 	"garnethitch/internal/wire"
 )
 
-// TestDecodeResult: the body is read for the statuses that carry one, into the type that the
-// controller expects; one that cannot be read is an error where the controller needs it.
+// TestDecodeResult checks that the body is read for the statuses that carry one, into the type that
+// the controller expects; one that cannot be read is an error where the controller needs it.
 func TestDecodeResult(t *testing.T) {
 	heartbeat := wire.Heartbeat{Machine: "vm-1", AgentEpoch: 1}
 	null := wire.Raw{0xf6}
--- a/internal/runtime/calls.go
+++ b/internal/runtime/calls.go
@@ -11,8 +11,8 @@
 // cloudPart of the connections to services may be in use for calls to the cloud.
 const cloudPart = 8
 
-// callsPerWorkerRequest: beside the requests that the controller counts, as many again may
-// still be under way.
+// callsPerWorkerRequest is how many calls there may be to a request that the controller counts: beside
+// those, as many again may still be under way.
 const callsPerWorkerRequest = 2
 
 // callCounts are numbers of calls by target.
--- a/internal/runtime/requests_test.go
+++ b/internal/runtime/requests_test.go
@@ -10,7 +10,7 @@
 	"garnethitch/internal/wire"
 )
 
-// TestEncodeCall: a request with a body names the body's type, one without it has none.
+// TestEncodeCall checks that a request with a body names the body's type, one without it has none.
 func TestEncodeCall(t *testing.T) {
 	for _, tc := range []struct {
 		name           string
--- a/internal/runtime/runtime_test.go
+++ b/internal/runtime/runtime_test.go
@@ -9,8 +9,8 @@
 	"garnethitch/internal/server"
 )
 
-// TestControllerConfig: of several objectives for a class the strictest counts, and bounds
-// follow the settings at any size.
+// TestControllerConfig checks that of several objectives for a class the strictest counts, and
+// bounds follow the settings at any size.
 func TestControllerConfig(t *testing.T) {
 	set := config.Settings{Label: "a"}
 	set.Cluster.Nodes = 3
@@ -51,9 +51,9 @@
 	connBytes    = 2 << 10
 )
 
-// TestSizes: one controller left alone serves every worker, at half as many machines again
-// as a deployment is planned for, and some users; the connections
-// kept for calls suffice; all of it fits into the sockets and the memory of the settings.
+// TestSizes checks that one controller left alone serves every worker, at half as many machines
+// again as a deployment is planned for, and some users; the connections kept for calls suffice; all
+// of it fits into the sockets and the memory of the settings.
 func TestSizes(t *testing.T) {
 	const users = 200 // connections of users and probes that come and go
 	for _, tc := range []struct {
@@ -114,8 +114,8 @@
 	}
 }
 
-// TestCallBounds: many calls to one target leave the others theirs: each target has a bound of its own,
-// and a call past it fails at once.
+// TestCallBounds checks that many calls to one target leave the others theirs: each target has a
+// bound of its own, and a call past it fails at once.
 func TestCallBounds(t *testing.T) {
 	var set config.Settings
 	set.Cluster.Resources = config.Resources{Sockets: 4317, RAMMB: 441}
--- a/internal/simulation/cascade.go
+++ b/internal/simulation/cascade.go
@@ -24,11 +24,12 @@
 
 // Shapes of a cascade.
 const (
-	// Wide: all depend on the same job.
+	// Wide means that all depend on the same job.
 	Wide CascadeShape = iota + 1
-	// Deep: each depends on the one before it.
+	// Deep means that each depends on the one before it.
 	Deep
-	// Diamonds: pairs that depend on the one before them both, and one that depends on the pair.
+	// Diamonds are pairs that depend on the one before them both, and one that depends on
+	// the pair.
 	Diamonds
 )
 
@@ -38,15 +39,15 @@
 // Faults of a cascade.
 const (
 	NoFault CascadeFault = iota
-	// OwnerEnds: it is away for longer than its lease.
+	// OwnerEnds means that it is away for longer than its lease.
 	OwnerEnds
-	// OwnerReturns: it ends and is back at once.
+	// OwnerReturns means that it ends and is back at once.
 	OwnerReturns
-	// OwnerCutOff: it loses the network.
+	// OwnerCutOff means that it loses the network.
 	OwnerCutOff
-	// OwnerRefused: the state service refuses it alone.
+	// OwnerRefused means that the state service refuses it alone.
 	OwnerRefused
-	// LimitsLowered: the state service lowers its limits, for all.
+	// LimitsLowered means that the state service lowers its limits, for all.
 	LimitsLowered
 )
 
--- a/internal/simulation/concurrent_faults.go
+++ b/internal/simulation/concurrent_faults.go
@@ -145,15 +145,16 @@
 	}
 }
 
-// oldHeartbeatsAtFailover: a heartbeat is held back until a new leader has acted; an old one
-// reaches every controller just as it begins; copies come after newer ones.
+// oldHeartbeatsAtFailover is the case that a heartbeat is held back until a new leader has acted;
+// an old one reaches every controller just as it begins; copies come after newer ones.
 func (s *Simulation) oldHeartbeatsAtFailover() {
 	s.concurrent.keepUntil = s.now + 20*sec
 	s.copiesUntil = s.now + 30*sec
 	s.after(s.between(2*sec, 18*sec), func() { s.crashOwner(5 * sec) })
 }
 
-// cancelDuringFailover: jobs are cancelled in the seconds in which shards change owners.
+// cancelDuringFailover is the case that jobs are cancelled in the seconds in which shards change
+// owners.
 func (s *Simulation) cancelDuringFailover() {
 	s.crashOwner(6 * sec)
 	for range 4 {
@@ -161,7 +162,8 @@
 	}
 }
 
-// allAwayForLongerThanLease: all controllers are away for longer than a worker's lease.
+// allAwayForLongerThanLease is the case that all controllers are away for longer than a worker's
+// lease.
 func (s *Simulation) allAwayForLongerThanLease() {
 	s.cancelRunning(3, 0)
 	for _, n := range s.nodes {
@@ -169,15 +171,16 @@
 	}
 }
 
-// heartbeatsLostAtFailover: workers reach no controller, while commands reach them; a leader
-// changes.
+// heartbeatsLostAtFailover is the case that workers reach no controller, while commands reach them;
+// a leader changes.
 func (s *Simulation) heartbeatsLostAtFailover() {
 	lease := s.cfg.WorkerLease
 	s.cutHeartbeats(0.5, s.between(lease/2, 2*lease))
 	s.after(s.between(0, lease), func() { s.crashOwner(4 * sec) })
 }
 
-// quickMachinesAndLateWrites: new machines are up at once while writes lag, and the leader ends.
+// quickMachinesAndLateWrites is the case that new machines are up at once while writes lag, and the
+// leader ends.
 func (s *Simulation) quickMachinesAndLateWrites() {
 	s.concurrent.quickBootUntil = s.now + 30*sec
 	s.startLateWrites(0.5, s.chance(0.5), 20*sec)
@@ -185,8 +188,8 @@
 	s.after(s.between(2*sec, 15*sec), func() { s.crashOwner(4 * sec) })
 }
 
-// ownerRefusedBeforeOutage: the state service refuses the leader alone and then everybody for
-// longer than a cancellation may take, while users cancel and ask.
+// ownerRefusedBeforeOutage is the case that the state service refuses the leader alone and then
+// everybody for longer than a cancellation may take, while users cancel and ask.
 func (s *Simulation) ownerRefusedBeforeOutage() {
 	s.owner().stateRefusedUntil = s.now + s.between(2*sec, 8*sec)
 	s.cancelRunning(3, 0)
@@ -196,7 +199,8 @@
 	})
 }
 
-// failoversInSeries: shards change owners back and forth, also within a second, and all end.
+// failoversInSeries is the case that shards change owners back and forth, also within a second, and
+// all end.
 func (s *Simulation) failoversInSeries() {
 	for i := range 10 {
 		s.after(micros.Micros(i)*3*sec, func() { s.crashOwner(sec) })
@@ -220,16 +224,16 @@
 	}
 }
 
-// machinesUnreachableAtFailover: a leader ends while machines can't be reached, or don't get
-// the new one's reply.
+// machinesUnreachableAtFailover is the case that a leader ends while machines can't be reached, or
+// don't get the new one's reply.
 func (s *Simulation) machinesUnreachableAtFailover() {
 	lease := s.cfg.WorkerLease
 	s.makeUnreachable(0.4, s.between(lease/2, lease+5*sec))
 	s.after(s.between(0, 4*sec), func() { s.crashOwner(5 * sec) })
 }
 
-// leaderCutFromStateAndPeers: a leader keeps its workers and users only; jobs are cancelled
-// through another.
+// leaderCutFromStateAndPeers is the case that a leader keeps its workers and users only; jobs are
+// cancelled through another.
 func (s *Simulation) leaderCutFromStateAndPeers() {
 	lease := s.cfg.WorkerLease
 	n := s.owner()
@@ -239,8 +243,8 @@
 	}
 }
 
-// cancelOnHangingMachines: teams at their limits, cancelled jobs whose machines hang or are cut
-// off, and a leader that changes.
+// cancelOnHangingMachines is the case of teams at their limits, cancelled jobs whose machines
+// hang or are cut off, and a leader that changes.
 func (s *Simulation) cancelOnHangingMachines() {
 	lease := s.cfg.WorkerLease
 	s.cancelRunning(6, s.between(lease/2, lease+4*sec))
--- a/internal/simulation/concurrent_faults_test.go
+++ b/internal/simulation/concurrent_faults_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// TestConcurrentFaultsHappen: what a plan of concurrent faults is made of does take place.
+// TestConcurrentFaultsHappen checks that what a plan of concurrent faults is made of does take
+// place.
 func TestConcurrentFaultsHappen(t *testing.T) {
 	var runs []ConcurrentCounts
 	for seed := range uint64(8) {
--- a/internal/simulation/outages.go
+++ b/internal/simulation/outages.go
@@ -20,9 +20,9 @@
 	s.after(s.plan.Length*2/3, s.longOutage)
 }
 
-// longOutage: what the owner writes is carried out, but its answers are lost and its watches
-// bring nothing; a moment later it is refused; then the state service is away for all for
-// longer than cancelled tasks may last.
+// longOutage is the case that what the owner writes is carried out, but its answers are lost and
+// its watches bring nothing; a moment later it is refused; then the state service is away for all
+// for longer than cancelled tasks may last.
 func (s *Simulation) longOutage() {
 	n := s.owner()
 	s.Concurrent.LongOutages++
@@ -61,8 +61,8 @@
 	s.after(s.plan.Length/2, s.staleJobs)
 }
 
-// staleJobs: jobs are cancelled just before reads of jobs are refused and owners end one after
-// the other; some of the machines hang meanwhile.
+// staleJobs is the case that jobs are cancelled just before reads of jobs are refused and owners
+// end one after the other; some of the machines hang meanwhile.
 func (s *Simulation) staleJobs() {
 	const owners = 6
 	s.StaleEpisodes++
--- a/internal/simulation/rules_test.go
+++ b/internal/simulation/rules_test.go
@@ -87,7 +87,7 @@
 	}
 }
 
-// TestSameSeed: two runs of one seed are equal, so that a failure can be repeated.
+// TestSameSeed checks that two runs of one seed are equal, so that a failure can be repeated.
 func TestSameSeed(t *testing.T) {
 	play := func() string {
 		s := New(Plan{Seed: 5, Nodes: 3, Machines: 8, Jobs: 15, Faults: true, Teams: fourTeams(), Length: 60 * sec, RecoveryTime: 200 * sec})
--- a/internal/sourcecheck/sourcecheck_test.go
+++ b/internal/sourcecheck/sourcecheck_test.go
@@ -156,7 +156,7 @@
 	}
 }
 
-// TestLoadPackages: the variant of a package with its test files is loaded as well.
+// TestLoadPackages checks that the variant of a package with its test files is loaded as well.
 func TestLoadPackages(t *testing.T) {
 	packages, err := loadPackages([]string{"."})
 	if err != nil {
--- a/internal/tracing/tracing_test.go
+++ b/internal/tracing/tracing_test.go
@@ -10,7 +10,7 @@
 	"garnethitch/internal/controller"
 )
 
-// TestExport: a span is written with the controller's IDs and times, under its parent.
+// TestExport checks that a span is written with the controller's IDs and times, under its parent.
 func TestExport(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "spans.json")
 	tracer, err := New(Options{Exporter: ExporterFile, File: path}, "n-0")
@@ -39,7 +39,7 @@
 	}
 }
 
-// TestOptions: options that contradict themselves are refused.
+// TestOptions checks that options that contradict themselves are refused.
 func TestOptions(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
--- a/internal/wire/heartbeat_test.go
+++ b/internal/wire/heartbeat_test.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// TestHeartbeatReader: a machine's list is decoded anew just when it has changed, and never taken for
-// another machine's or an older one, whatever the reader has to forget.
+// TestHeartbeatReader checks that a machine's list is decoded anew just when it has changed, and
+// never taken for another machine's or an older one, whatever the reader has to forget.
 func TestHeartbeatReader(t *testing.T) {
 	reader := NewHeartbeatReader(8 << 10)
 	var last [3]*TaskStatus
@@ -122,7 +122,7 @@
 	}
 }
 
-// TestUnchangedHeartbeatAllocs: a list that says nothing new is not decoded again.
+// TestUnchangedHeartbeatAllocs checks that a list that says nothing new is not decoded again.
 func TestUnchangedHeartbeatAllocs(t *testing.T) {
 	body, err := Encode(heartbeatOf("vm-1", 1, slices.Repeat([]TaskState{TaskRunning}, 32)...))
 	if err != nil {
--- a/internal/wire/paths_test.go
+++ b/internal/wire/paths_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// TestTargets: the forms are those of the protocol's examples; what may hold any byte is
+// TestTargets checks that the forms are those of the protocol's examples; what may hold any byte is
 // escaped, but not the slashes of a key.
 func TestTargets(t *testing.T) {
 	for _, tc := range []struct{ name, got, want string }{
--- a/internal/wire/protocolwords_test.go
+++ b/internal/wire/protocolwords_test.go
@@ -55,8 +55,8 @@
 	"internal/http1/write_test.go":       {"application/cbor"},
 }
 
-// TestProtocolWordsStayInTranslators: outside the packages that translate, no identifier and
-// no text is a word of the protocol; and no exception is listed that is not needed.
+// TestProtocolWordsStayInTranslators checks that outside the packages that translate, no identifier
+// and no text is a word of the protocol; and no exception is listed that is not needed.
 func TestProtocolWordsStayInTranslators(t *testing.T) {
 	for _, path := range goFiles(t) {
 		needed := map[string]bool{}
@@ -74,7 +74,7 @@
 	}
 }
 
-// TestExceptionsNameFiles: a file that is gone has no exceptions.
+// TestExceptionsNameFiles checks that a file that is gone has no exceptions.
 func TestExceptionsNameFiles(t *testing.T) {
 	paths := goFiles(t)
 	for path := range exceptions {
--- a/internal/wire/submission_test.go
+++ b/internal/wire/submission_test.go
@@ -121,7 +121,7 @@
 	}
 }
 
-// TestDependencies: each is named once; null and empty are the same.
+// TestDependencies checks that each is named once; null and empty are the same.
 func TestDependencies(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
--- a/path_test.go
+++ b/path_test.go
@@ -130,8 +130,8 @@
 	return time.Duration(ru.Utime.Nano() + ru.Stime.Nano()), reads, writes
 }
 
-// TestSystemCallsPerHeartbeat: a heartbeat is read and answered by one system call each. An
-// answer in two writes would be two packets.
+// TestSystemCallsPerHeartbeat checks that a heartbeat is read and answered by one system call each.
+// An answer in two writes would be two packets.
 func TestSystemCallsPerHeartbeat(t *testing.T) {
 	w := startPath(t, 24)
 	w.say("reports 480") // until all are on record and full
--- a/quota/announce_test.go
+++ b/quota/announce_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// TestMembersJoin: a group's record says by itself whom it binds, also before the record of
-// a group within it is known; and what a team used before it joined is registered anew
-// before the limit counts as in force.
+// TestMembersJoin checks that a group's record says by itself whom it binds, also before the record
+// of a group within it is known; and what a team used before it joined is registered anew before
+// the limit counts as in force.
 func TestMembersJoin(t *testing.T) {
 	all := Definition{Name: "all", Teams: []string{"a"}, Limit: CPULimit(4)}
 	lake := Definition{Name: "lake", Parent: "all", Teams: []string{"b"}}
@@ -77,8 +77,8 @@
 	d.step(Used{Shard: 0, Groups: d.ledger.Claims(0, true, []TeamDemand{team})})
 }
 
-// TestRenamedGroup: a group that is renamed is one that is removed and one that is new: its
-// limit is in force once every shard has registered what it uses, and the old name binds
+// TestRenamedGroup checks that a group that is renamed is one that is removed and one that is new:
+// its limit is in force once every shard has registered what it uses, and the old name binds
 // nobody.
 func TestRenamedGroup(t *testing.T) {
 	l := NewLedger(Config{Shards: 1, Timing: DefaultTiming()})
--- a/quota/claims_test.go
+++ b/quota/claims_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestOuterGroupIsAskedLater: an outer group is asked only for tasks that have quota of the
-// inner one.
+// TestOuterGroupIsAskedLater checks that an outer group is asked only for tasks that have quota of
+// the inner one.
 func TestOuterGroupIsAskedLater(t *testing.T) {
 	inner := recordInForce(10, row(0, 0, 0, 1), row(1, 10, 10, 1))
 	inner.Parent = outerGroup
--- a/quota/divide_test.go
+++ b/quota/divide_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestDivide: guarantees come first, the rest is divided evenly, in whole tasks, and nobody is
-// left out for ever.
+// TestDivide checks that guarantees come first, the rest is divided evenly, in whole tasks, and
+// nobody is left out for ever.
 func TestDivide(t *testing.T) {
 	claim := func(used, want, guaranteed, task float64, sinceMS int64) Claim {
 		return Claim{
--- a/quota/messages.go
+++ b/quota/messages.go
@@ -50,13 +50,13 @@
 
 // Outcomes of a Write.
 const (
-	// Unknown: it may have been carried out, or may be yet.
+	// Unknown means that it may have been carried out, or may be yet.
 	Unknown Outcome = iota
-	// Applied: it was carried out.
+	// Applied means that it was carried out.
 	Applied
-	// Refused: its conditions were not met.
+	// Refused means that its conditions were not met.
 	Refused
-	// NotSent: it was not carried out and never will be.
+	// NotSent means that it was not carried out and never will be.
 	NotSent
 )
 
@@ -126,15 +126,15 @@
 
 // Kinds of changes.
 const (
-	// Asked: the claim of an own shard has changed, but not its allowance.
+	// Asked means that the claim of an own shard has changed, but not its allowance.
 	Asked ChangeKind = "asking"
-	// Grown: an allowance has grown.
+	// Grown means that an allowance has grown.
 	Grown ChangeKind = "growing"
-	// Shrunk: an allowance has been reduced.
+	// Shrunk means that an allowance has been reduced.
 	Shrunk ChangeKind = "shrinking"
-	// Announced: a limit or a definition stands in the record.
+	// Announced means that a limit or a definition stands in the record.
 	Announced ChangeKind = "announcing"
-	// InForce: another limit is in force.
+	// InForce means that another limit is in force.
 	InForce ChangeKind = "in force"
 )
 
@@ -143,13 +143,13 @@
 
 // Outcomes of a Set.
 const (
-	// SetAnnounced: the limit stands in the record.
+	// SetAnnounced means that the limit stands in the record.
 	SetAnnounced SetStatus = iota
-	// SetNoGroup: there is no such group.
+	// SetNoGroup means that there is no such group.
 	SetNoGroup
-	// SetConflict: the group was changed meanwhile, by the leader or another operator.
+	// SetConflict means that the group was changed meanwhile, by the leader or another operator.
 	SetConflict
-	// SetBusy: the limit was not written, since the store did not answer in time or other
+	// SetBusy means that the limit was not written, since the store did not answer in time or other
 	// writes came first again and again.
 	SetBusy
 )
--- a/quota/plan_test.go
+++ b/quota/plan_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestExcessOfOthersIsGivenUp: where others don't give up their part of a lowered limit, this
-// shard gives up more after a while, as far as it is unused.
+// TestExcessOfOthersIsGivenUp checks that where others don't give up their part of a lowered limit,
+// this shard gives up more after a while, as far as it is unused.
 func TestExcessOfOthersIsGivenUp(t *testing.T) {
 	record := recordInForce(10, row(0, 10, 10, 1), row(1, 10, 10, 1))
 	before := CPULimit(20)
--- a/quota/schedule_test.go
+++ b/quota/schedule_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestSchedule: a limit holds at the times that its rule and zone say, on the days on which
-// clocks change too. In New York in 2027 they are put forward on 14 March, from 2:00 to 3:00,
+// TestSchedule checks that a limit holds at the times that its rule and zone say, on the days on
+// which clocks change too. In New York in 2027 they are put forward on 14 March, from 2:00 to 3:00,
 // and back on 7 November, from 2:00 to 1:00.
 func TestSchedule(t *testing.T) {
 	daily := func(from, to string) ScheduleOptions {
--- a/quota/set_test.go
+++ b/quota/set_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// TestSetConflict: an operator's request that another has come before fails, one whose
+// TestSetConflict checks that an operator's request that another has come before fails, one whose
 // write was carried out with its answer lost is recognised, one that waits too long fails.
 func TestSetConflict(t *testing.T) {
 	limit := CPULimit(5)
--- a/quota/simulation_test.go
+++ b/quota/simulation_test.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// TestGathered: without faults, no task waits for long beside free quota that it fits into,
-// however it is spread over owners, and few writes are needed.
+// TestGathered checks that without faults, no task waits for long beside free quota that it fits
+// into, however it is spread over owners, and few writes are needed.
 func TestGathered(t *testing.T) {
 	const longestWait = 4 * sec
 	for _, tc := range []struct {
@@ -141,8 +141,8 @@
 	}
 }
 
-// TestGuarantee: what a group's guarantee has lent out is there within the stated time when
-// its tasks come, also where the lender's owner is slow, cut off or ended.
+// TestGuarantee checks that what a group's guarantee has lent out is there within the stated time
+// when its tasks come, also where the lender's owner is slow, cut off or ended.
 func TestGuarantee(t *testing.T) {
 	const (
 		tasksComeAt = 20 * sec
--- a/quota/tree_test.go
+++ b/quota/tree_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestInvalidOptions: an option that can't be used is named by its key.
+// TestInvalidOptions checks that an option that can't be used is named by its key.
 func TestInvalidOptions(t *testing.T) {
 	teams := []string{"rubavu", "karongi", "rusizi"}
 	monthly := ScheduleOptions{Rule: "FREQ=MONTHLY;BYMONTHDAY=1", From: "06:00", To: "12:00", Zone: "Africa/Kigali", Limit: CPULimit(5)}
--- a/quota/writes_test.go
+++ b/quota/writes_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestUnknownOutcome: what a write of unknown outcome gives up is not granted, and not lost
-// for ever either: the record is written again until the outcome is known.
+// TestUnknownOutcome checks that what a write of unknown outcome gives up is not granted, and not
+// lost for ever either: the record is written again until the outcome is known.
 func TestUnknownOutcome(t *testing.T) {
 	h := newHarness(recordInForce(10, row(0, 8, 8, 1), row(1, 2, 2, 1)))
 	for range 9 { // until what is unused is given up
