--- a/internal/controller/assignment.go
+++ b/internal/controller/assignment.go
@@ -61,7 +61,7 @@
 // newAttempt puts an attempt that is to be sent on a machine, and counts what it takes.
 func (c *Controller) newAttempt(s *shard, j *job, index int, m *machine) *attempt {
 	key := c.nextAttemptKey(s, j, index)
-	att := &attempt{key: key, job: j, index: index, machine: m, state: attemptAssigned, since: c.now, stopSentAt: -micros.Never}
+	att := &attempt{key: key, job: j, index: index, machine: m, state: attemptAssigned, stateSince: c.now, stopSentAt: -micros.Never}
 	v := m.view
 	usageCurrent := !v.usageStale // then it can be added to, which spares counting it again
 	v.put(att)
--- a/internal/controller/attempt_end.go
+++ b/internal/controller/attempt_end.go
@@ -24,7 +24,7 @@
 	}
 	delete(j.run.active, att.index)
 	c.schedulingDue = true
-	if j.run.done.Has(att.index) {
+	if j.run.doneTasks.Has(att.index) {
 		return
 	}
 	j.requeue(att.index)
@@ -36,9 +36,9 @@
 	}
 }
 
-// freeAll forgets what was on a machine. Unless commandsVoid, starts in direct commands that
+// freeAllAttempts forgets what was on a machine. Unless commandsVoid, starts in direct commands that
 // were not answered are kept: a machine that hung may yet find them.
-func (c *Controller) freeAll(m *machine, reason string, commandsVoid bool) {
+func (c *Controller) freeAllAttempts(m *machine, reason string, commandsVoid bool) {
 	c.logFreedTasks(m, reason)
 	for _, att := range m.view.each() {
 		mayStillStart := att.state == attemptCommanded || att.state == attemptInDoubt
--- a/internal/controller/attempts.go
+++ b/internal/controller/attempts.go
@@ -101,7 +101,7 @@
 	sentSequence    uint64
 	lastSeenRound   uint64 // the round of applyTaskList that saw it last
 	tracked         bool   // it stands in job.run.active
-	since           micros.Micros
+	stateSince           micros.Micros
 	runAt           micros.Micros // when it was first seen running; 0: not yet
 	stopMode        stopMode
 	stopRequestedAt micros.Micros // when it was first to be stopped in this way
@@ -130,16 +130,16 @@
 	return att.state >= attemptFetching && att.state != attemptExited
 }
 
-// ran returns for how long an attempt has been seen running.
-func (att *attempt) ran(now micros.Micros) micros.Micros {
+// runTime returns for how long an attempt has been seen running.
+func (att *attempt) runTime(now micros.Micros) micros.Micros {
 	if att.runAt == 0 {
 		return 0
 	}
 	return now - att.runAt
 }
 
-// saveAll stops a machine's tasks so that they continue elsewhere, if all of them may.
-func (c *Controller) saveAll(m *machine) {
+// evictAllTasks stops a machine's tasks so that they continue elsewhere, if all of them may.
+func (c *Controller) evictAllTasks(m *machine) {
 	attempts := m.view.each()
 	for _, att := range attempts {
 		leaving := att.state == attemptExited || att.state == attemptSaving
--- a/internal/controller/authority.go
+++ b/internal/controller/authority.go
@@ -205,7 +205,7 @@
 		return
 	}
 	for _, att := range m.view.list {
-		for _, invariant := range authority.BrokenByRenewal(c.jobs.stopPending(att), c.jobStatusForRenewal(s, att)) {
+		for _, invariant := range authority.BrokenByRenewal(c.jobs.needsImmediateStop(att), c.jobStatusForRenewal(s, att)) {
 			c.reportBrokenInvariant(invariant, "task", wire.TaskName(att.key.job, att.index), "machine", m.id, "epoch", s.ownerEpoch)
 		}
 	}
--- a/internal/controller/cancellation_cascade.go
+++ b/internal/controller/cancellation_cascade.go
@@ -33,8 +33,8 @@
 	// cascadeTxnsPerSecond is the least number of transactions into which the writes of a second
 	// are split: a more urgent request waits no longer than one of them takes.
 	cascadeTxnsPerSecond = 4
-	// cascadeCatchUp bounds the time of which unused writes may still be used.
-	cascadeCatchUp = micros.Second / 2
+	// maxCascadeBurst bounds the time of which unused writes may still be used.
+	maxCascadeBurst = micros.Second / 2
 	// dependentsWritesFraction is the part of this node's writes that dependents take at
 	// most: they come before the records of machines, which need the rest.
 	dependentsWritesFraction = 0.75
@@ -42,9 +42,9 @@
 	helpThreshold = 3 * micros.Second
 	// maxRecordRequests bounds the jobs named in one message; it is repeated each second.
 	maxRecordRequests = 200
-	// claimLostPause is how long a dependent is put off whose owner's claim is over by its
+	// lostClaimBackoff is how long a dependent is put off whose owner's claim is over by its
 	// record; the watch brings the rest.
-	claimLostPause = micros.Second
+	lostClaimBackoff = micros.Second
 	// helpDelay is the time until the other controllers know of a cancellation and of what
 	// they are to record.
 	helpDelay = 3 * statusInterval
@@ -137,7 +137,7 @@
 	batch := c.nextDependentBatch(jobs)
 	writesPerSecond := c.stateQueue.WriteRate() * dependentsWritesFraction
 	took := micros.FromSeconds(float64(len(batch.jobs)) / writesPerSecond)
-	cascade.nextTxnAt = max(cascade.nextTxnAt, c.now-cascadeCatchUp) + took
+	cascade.nextTxnAt = max(cascade.nextTxnAt, c.now-maxCascadeBurst) + took
 	c.recordCancelled(batch)
 }
 
@@ -236,7 +236,7 @@
 		cascade.recording[j.id] = true
 		b.runs[i] = j.run
 		if j.run != nil {
-			j.run.end.sent(j.run.end.state)
+			j.run.end.markSent(j.run.end.state)
 		}
 	}
 	c.askState(statestore.ClassDependents, txn, cascadeTimeout, func(res statestore.Reply) {
@@ -251,7 +251,7 @@
 	failed := res.FailedKeys()
 	current := c.cascade.generation == b.generation
 	if current {
-		c.dependentTxnEnded(b, txn, outcome, failed)
+		c.handleDependentTxnEnd(b, txn, outcome, failed)
 	}
 	claimLost := slices.Contains(failed, ownerKey(b.shard))
 	for i, j := range b.jobs {
@@ -266,13 +266,13 @@
 			continue
 		}
 		jobChanged := slices.Contains(failed, wire.JobKey(j.id))
-		c.dependentNotRecorded(j, outcome, jobChanged, claimLost)
+		c.handleUnrecordedDependent(j, outcome, jobChanged, claimLost)
 	}
 }
 
-// dependentTxnEnded takes a transaction off those in flight, and puts the next one off if
+// handleDependentTxnEnd takes a transaction off those in flight, and puts the next one off if
 // it was not applied.
-func (c *Controller) dependentTxnEnded(b *dependentBatch, txn wire.Txn, outcome statestore.Outcome, failed []string) {
+func (c *Controller) handleDependentTxnEnd(b *dependentBatch, txn wire.Txn, outcome statestore.Outcome, failed []string) {
 	cascade := &c.cascade
 	cascade.txnsInFlight--
 	if outcome != statestore.Applied && len(failed) == 0 {
@@ -280,13 +280,13 @@
 	}
 	if outcome == statestore.Rejected {
 		c.log(Error, "ends of dependents refused by the state service", "first", b.jobs[0].id, "changes", txn.Writes())
-		cascade.retryAt = c.now + c.jitter(refusedPause)
+		cascade.retryAt = c.now + c.jitter(rejectedWriteBackoff)
 	}
 }
 
-// dependentNotRecorded handles a dependent whose transaction did not succeed, or may not
+// handleUnrecordedDependent handles a dependent whose transaction did not succeed, or may not
 // have: jobChanged and claimLost say which conditions were not met.
-func (c *Controller) dependentNotRecorded(j *job, outcome statestore.Outcome, jobChanged, claimLost bool) {
+func (c *Controller) handleUnrecordedDependent(j *job, outcome statestore.Outcome, jobChanged, claimLost bool) {
 	r := j.run
 	if r == nil {
 		if jobChanged || claimLost {
@@ -298,10 +298,10 @@
 	c.failWaiters(j)
 	switch {
 	case jobChanged:
-		r.end.resolving()
+		r.end.markResolving()
 		c.resolveEnd(j, r)
 	case claimLost:
-		r.end.retryAt(c.now + c.jitter(claimLostPause))
+		r.end.retryAt(c.now + c.jitter(lostClaimBackoff))
 	case outcome == statestore.InDoubt:
 		r.end.inDoubt = true // a late copy may yet be executed
 	}
--- a/internal/controller/checkpoint_recovery.go
+++ b/internal/controller/checkpoint_recovery.go
@@ -104,11 +104,11 @@
 // restore adds what a checkpoint record of a job with so many tasks says.
 func (r *run) restore(rec wire.CheckpointRecord, tasks int) {
 	for task := range checkpoint.DoneTasks(rec, tasks).All() {
-		if r.done.Add(task) {
+		if r.doneTasks.Add(task) {
 			r.doneCount++
 		}
 		r.checkpoint.recorded.Add(task)
 	}
-	r.steps = rec.Steps
+	r.finishedTasks = rec.Steps
 	r.checkpoint.recoveries = rec.Recoveries
 }
--- a/internal/controller/checkpoints.go
+++ b/internal/controller/checkpoints.go
@@ -87,9 +87,9 @@
 func (c *Controller) buildCheckpoint(j *job) (wire.CheckpointRecord, checkpoint.TaskSet) {
 	progress := checkpoint.Progress{
 		Tasks:      j.sub.Tasks,
-		Done:       j.run.done,
+		Done:       j.run.doneTasks,
 		DoneCount:  j.run.doneCount,
-		Steps:      j.run.steps,
+		Steps:      j.run.finishedTasks,
 		Recoveries: j.run.checkpoint.recoveries,
 	}
 	return checkpoint.NewRecord(progress, c.cfg.ValueBytes)
@@ -155,7 +155,7 @@
 	case statestore.Rejected:
 		c.log(Error, "checkpoint refused by the state service", "job", j.id, "bytes", valueBytes)
 		p.inFlight = false
-		p.nextWriteAt = c.now + c.jitter(refusedPause)
+		p.nextWriteAt = c.now + c.jitter(rejectedWriteBackoff)
 	default:
 		// In doubt, or a condition failed: read the key's revision before writing again.
 		c.readCheckpointRevision(j, r)
--- a/internal/controller/checkpoints_test.go
+++ b/internal/controller/checkpoints_test.go
@@ -18,7 +18,7 @@
 	h.heartbeat(heartbeatFrom("vm-1", 1, 10, fencingToken, wire.TaskStatus{Task: "job-000001/0", Attempt: 7, State: wire.TaskRunning}))
 	sub := jobOf("job-000001", 1)
 	// As if accepted before this node's claim: its record has a lower revision.
-	h.c.learnJob("job-000001", wire.JobRecord{Submission: &sub, State: wire.StatePending, Tasks: 1}, 1)
+	h.c.applyJobRecord("job-000001", wire.JobRecord{Submission: &sub, State: wire.StatePending, Tasks: 1}, 1)
 	h.c.schedulingDue = true
 	h.run(sec)
 	_, body := h.heartbeat(heartbeatFrom("vm-2", 1, 10, other))
@@ -35,7 +35,7 @@
 	sub := jobOf("job-000001", tasks)
 	newJob := func() *job {
 		r := &run{
-			done:               checkpoint.NewTaskSet(tasks),
+			doneTasks:               checkpoint.NewTaskSet(tasks),
 			checkpoint:         jobCheckpoint{recorded: checkpoint.NewTaskSet(tasks)},
 			acceptedUnderClaim: true,
 		}
@@ -43,7 +43,7 @@
 	}
 	former := newJob()
 	for i := 0; i < tasks; i += 2 {
-		former.run.done.Add(i)
+		former.run.doneTasks.Add(i)
 		former.run.doneCount++
 	}
 	rec, _ := c.buildCheckpoint(former)
@@ -52,10 +52,10 @@
 	}
 	recovered := newJob()
 	c.applyCheckpoint(&shard{shardRecovery: shardRecovery{checkpoints: map[string]wire.CheckpointRecord{sub.ID: rec}}}, recovered)
-	if recovered.run.doneCount != done || !slices.Equal(recovered.run.done, former.run.done) {
+	if recovered.run.doneCount != done || !slices.Equal(recovered.run.doneTasks, former.run.doneTasks) {
 		t.Errorf("read as %d done, want %d", recovered.run.doneCount, done)
 	}
-	if !slices.Equal(recovered.run.checkpoint.recorded, former.run.done) {
+	if !slices.Equal(recovered.run.checkpoint.recorded, former.run.doneTasks) {
 		t.Error("the restored tasks do not count as recorded")
 	}
 }
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -91,7 +91,7 @@
 		att.state = attemptCommanded
 		att.startToken = c.fencingToken(c.ownership.shards[m.rec.Shard], m)
 	}
-	att.since = c.now
+	att.stateSince = c.now
 	c.ownership.markDirty(m)
 }
 
--- a/internal/controller/compat_test.go
+++ b/internal/controller/compat_test.go
@@ -172,11 +172,11 @@
 	h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}}) // claimed anew
 	h.run(3 * sec)
 	c := h.c
-	if j := c.jobs.open["job-000414"]; version == lastLanded && (j == nil || !j.blocked() || len(j.needs) != 2) {
+	if j := c.jobs.open["job-000414"]; version == lastLanded && (j == nil || !j.blocked() || len(j.unmetDependencies) != 2) {
 		t.Errorf("its chained job is taken as %+v", j)
 	}
 	j := c.jobs.open["job-000412"]
-	if j == nil || j.run == nil || j.run.doneCount != 6 || !j.run.done.Has(9) {
+	if j == nil || j.run == nil || j.run.doneCount != 6 || !j.run.doneTasks.Has(9) {
 		t.Fatalf("its job or Version was not taken over: %+v", j)
 	}
 	if len(c.machines) != 50 || !c.machines["vm-000103"].rec.Cordoned {
@@ -188,7 +188,7 @@
 	if a := h.submit(after("job-000501", 1, "job-000002")); a.Status != 201 || stateOf(a) != wire.StateCancelled {
 		t.Errorf("depends on one that it cancelled: %d %s", a.Status, stateOf(a))
 	}
-	if j := c.jobs.open["job-000500"]; j == nil || !j.blocked() || j.needs["job-000001"] {
+	if j := c.jobs.open["job-000500"]; j == nil || !j.blocked() || j.unmetDependencies["job-000001"] {
 		t.Errorf("%+v: want held by job-000413 alone", j)
 	}
 	h.cancel("job-000413")
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -31,7 +31,7 @@
 // gives it what it inherits from the jobs that it needs and those that need it.
 func (c *Controller) linkDependencies(j *job) {
 	c.updatePriority(j)
-	delete(c.jobs.unknown, j.id)
+	delete(c.jobs.unknownDependencies, j.id)
 	for _, id := range j.sub.DependsOn {
 		c.linkDependency(j, id)
 	}
@@ -48,13 +48,13 @@
 		j.unblockedMS = max(j.unblockedMS, f.endMS)
 		return
 	}
-	if j.needs == nil {
-		j.needs = map[string]bool{}
+	if j.unmetDependencies == nil {
+		j.unmetDependencies = map[string]bool{}
 	}
-	j.needs[id] = true
+	j.unmetDependencies[id] = true
 	t.dependents[id] = append(t.dependents[id], j)
 	if d := t.open[id]; d == nil {
-		t.unknown[id] = c.now + unknownReadDelay
+		t.unknownDependencies[id] = c.now + unknownReadDelay
 	} else if d.dependencyCancelled {
 		c.markDependencyCancelled(j)
 	}
@@ -64,13 +64,13 @@
 func (c *Controller) unlinkDependencies(j *job) {
 	t := &c.jobs
 	for _, id := range j.sub.DependsOn {
-		if !j.needs[id] {
+		if !j.unmetDependencies[id] {
 			continue
 		}
 		rest := slices.DeleteFunc(t.dependents[id], func(d *job) bool { return d == j })
 		if len(rest) == 0 {
 			delete(t.dependents, id)
-			delete(t.unknown, id)
+			delete(t.unknownDependencies, id)
 		} else {
 			t.dependents[id] = rest
 		}
@@ -78,11 +78,11 @@
 	c.propagatePriority(j)
 }
 
-// dependencyEnded unblocks the jobs that waited for one that is over, or cancels them with
+// handleDependencyEnd unblocks the jobs that waited for one that is over, or cancels them with
 // it.
-func (c *Controller) dependencyEnded(id string, f finalJob) {
+func (c *Controller) handleDependencyEnd(id string, f finalJob) {
 	t := &c.jobs
-	delete(t.unknown, id)
+	delete(t.unknownDependencies, id)
 	dependents := t.dependents[id]
 	if f.state == wire.StateCancelled {
 		c.markDependencyCancelled(dependents...)
@@ -92,7 +92,7 @@
 		return
 	}
 	if !f.recorded {
-		t.unknown[id] = c.now // read first: nothing starts on another controller's word
+		t.unknownDependencies[id] = c.now // read first: nothing starts on another controller's word
 		return
 	}
 	delete(t.dependents, id)
@@ -101,16 +101,16 @@
 		endMS = c.wall.Millis() // recorded by an older version, without the time
 	}
 	for _, d := range dependents {
-		delete(d.needs, id)
+		delete(d.unmetDependencies, id)
 		d.unblockedMS = max(d.unblockedMS, endMS)
 		if !d.blocked() && !d.dependencyCancelled && d.run != nil {
-			c.jobUnblocked(d, endMS)
+			c.unblockJob(d, endMS)
 		}
 	}
 }
 
-// jobUnblocked lets an owned job start whose last dependency was done at a time of day.
-func (c *Controller) jobUnblocked(j *job, endMS int64) {
+// unblockJob lets an owned job start whose last dependency was done at a time of day.
+func (c *Controller) unblockJob(j *job, endMS int64) {
 	s := c.ownership.shards[j.shard]
 	s.queueStale = true
 	c.schedulingDue = true
@@ -138,7 +138,7 @@
 		}
 		j.dependencyCancelled = true
 		c.cascade.add(j)
-		if c.requestDependentEnd(j) {
+		if c.requestDependentCancellation(j) {
 			count++
 			if count == 1 {
 				first = j.id
@@ -152,9 +152,9 @@
 	}
 }
 
-// requestDependentEnd has an owned job end as cancelled, and reports whether it was to end
+// requestDependentCancellation has an owned job end as cancelled, and reports whether it was to end
 // in no way before. recordDependents records it.
-func (c *Controller) requestDependentEnd(j *job) bool {
+func (c *Controller) requestDependentCancellation(j *job) bool {
 	if j.run == nil || j.run.end.requested() {
 		return false
 	}
@@ -163,9 +163,9 @@
 	return true
 }
 
-// namesCancelled reports whether a job that is to be accepted needs one that is cancelled,
+// dependsOnCancelled reports whether a job that is to be accepted needs one that is cancelled,
 // directly or through others, as far as this node knows.
-func (t *jobTable) namesCancelled(sub *wire.Submission) bool {
+func (t *jobTable) dependsOnCancelled(sub *wire.Submission) bool {
 	return slices.ContainsFunc(sub.DependsOn, func(id string) bool {
 		if f, over := t.final(id); over && f.state == wire.StateCancelled {
 			return true
@@ -175,11 +175,11 @@
 	})
 }
 
-// mayWait reports whether a job may be answered as pending as far as its dependencies go.
+// mayAnswerPending reports whether a job may be answered as pending as far as its dependencies go.
 // One that needs a cancelled job may not, and a blocked one only while this node's view of
 // jobs is new enough: after an outage of the state service a cancellation that its user was
 // answered long ago may not have come here yet.
-func (c *Controller) mayWait(j *job) bool {
+func (c *Controller) mayAnswerPending(j *job) bool {
 	if j.dependencyCancelled {
 		return false
 	}
@@ -191,18 +191,18 @@
 	if !watch.Ready() || c.now-watch.CompleteAsOf > maxAge {
 		return false
 	}
-	return c.jobs.knowsAllNeeded(j)
+	return c.jobs.knowsAllDependencies(j)
 }
 
-// knowsAllNeeded reports whether this node knows the state of everything that a blocked job
+// knowsAllDependencies reports whether this node knows the state of everything that a blocked job
 // needs, directly or through others. A cancelled one that left memory may be far above.
-func (t *jobTable) knowsAllNeeded(j *job) bool {
+func (t *jobTable) knowsAllDependencies(j *job) bool {
 	visited := map[string]bool{}
 	for stack := []*job{j}; len(stack) > 0; {
 		dependent := stack[len(stack)-1]
 		stack = stack[:len(stack)-1]
-		for id := range dependent.needs {
-			if _, unknown := t.unknown[id]; unknown {
+		for id := range dependent.unmetDependencies {
+			if _, unknown := t.unknownDependencies[id]; unknown {
 				return false
 			}
 			if d := t.open[id]; d != nil && d.blocked() && !visited[id] {
@@ -252,7 +252,7 @@
 	for stack := []*job{j}; len(stack) > 0; {
 		dependent := stack[len(stack)-1]
 		stack = stack[:len(stack)-1]
-		for id := range dependent.needs {
+		for id := range dependent.unmetDependencies {
 			if d := c.jobs.open[id]; d != nil && c.updatePriority(d) {
 				stack = append(stack, d)
 			}
@@ -260,22 +260,22 @@
 	}
 }
 
-// readUnknown reads dependencies of this node's jobs that are not known here: their ends
+// readUnknownDependencies reads dependencies of this node's jobs that are not known here: their ends
 // may have left memory.
-func (c *Controller) readUnknown() {
+func (c *Controller) readUnknownDependencies() {
 	t := &c.jobs
-	if len(t.unknown) == 0 {
+	if len(t.unknownDependencies) == 0 {
 		return
 	}
 	ownedAndBlocked := func(d *job) bool { return d.run != nil && !d.dependencyCancelled }
-	for _, id := range sortedKeys(t.unknown) {
+	for _, id := range sortedKeys(t.unknownDependencies) {
 		if t.readsInFlight >= maxDependencyReads {
 			return
 		}
-		if c.now < t.unknown[id] || !slices.ContainsFunc(t.dependents[id], ownedAndBlocked) {
+		if c.now < t.unknownDependencies[id] || !slices.ContainsFunc(t.dependents[id], ownedAndBlocked) {
 			continue
 		}
-		t.unknown[id] = c.now + unknownReadInterval
+		t.unknownDependencies[id] = c.now + unknownReadInterval
 		t.readsInFlight++
 		c.readJob(statestore.ClassDependents, id, func(statestore.Lookup) { t.readsInFlight-- })
 	}
@@ -286,7 +286,7 @@
 func (c *Controller) lookUpDependencies(sub wire.Submission, done func(statestore.Lookup)) {
 	var unknown []string
 	for _, id := range sub.DependsOn {
-		if !c.jobs.knows(id) {
+		if !c.jobs.contains(id) {
 			unknown = append(unknown, id)
 		}
 	}
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -290,8 +290,8 @@
 			if j == nil || j.blocked() {
 				t.Fatalf("%+v: blocked, or not known", j)
 			}
-			if j.since() != 9_000_000 {
-				t.Errorf("counts from %d, want 9000000", j.since())
+			if j.waitingSinceMS() != 9_000_000 {
+				t.Errorf("counts from %d, want 9000000", j.waitingSinceMS())
 			}
 		})
 	}
@@ -562,10 +562,10 @@
 			h.c.ownership.jobWatch.InFlight = true
 		}},
 		{"the dependency's end is not in memory", func(h *harness) {
-			h.c.jobs.unknown["job-000001"] = micros.Never
+			h.c.jobs.unknownDependencies["job-000001"] = micros.Never
 		}},
 		{"an end further up is not in memory", func(h *harness) {
-			h.c.jobs.unknown["job-000000"] = micros.Never
+			h.c.jobs.unknownDependencies["job-000000"] = micros.Never
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/controller/first_start.go
+++ b/internal/controller/first_start.go
@@ -34,7 +34,7 @@
 
 // waited returns for how long a job could have run.
 func (sc *stepContext) waited(j *job) micros.Micros {
-	return sc.wall - micros.Micros(j.since())*micros.Millisecond
+	return sc.wall - micros.Micros(j.waitingSinceMS())*micros.Millisecond
 }
 
 // onlyStart reports whether the attempt is all that an overdue job has got, and is not to be
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -128,7 +128,7 @@
 // commands to the former epoch are void.
 func (c *Controller) beginAgentEpoch(m *machine) {
 	v := m.view
-	c.freeAll(m, "worker began a new session", true)
+	c.freeAllAttempts(m, "worker began a new session", true)
 	v.inDoubtToken = 0
 	v.leaseExpired = false
 	v.images = map[string]bool{}
--- a/internal/controller/heartbeats_test.go
+++ b/internal/controller/heartbeats_test.go
@@ -278,7 +278,7 @@
 	}
 	// An older one again changes nothing.
 	h.heartbeat(heartbeatFrom("vm-1", 1, 6, fencingToken, task("1", 7, wire.TaskExited, wire.ExitDone)))
-	if j.run.done.Has(1) {
+	if j.run.doneTasks.Has(1) {
 		t.Error("a heartbeat of an earlier agent epoch changed the view")
 	}
 }
--- a/internal/controller/job.go
+++ b/internal/controller/job.go
@@ -25,8 +25,8 @@
 	// unblockedMS is when the latest of its finished dependencies was done, by the time
 	// of day; 0: none is.
 	unblockedMS int64
-	// needs are its dependencies that are not done by their records.
-	needs map[string]bool
+	// unmetDependencies are its dependencies that are not done by their records.
+	unmetDependencies map[string]bool
 	// dependencyCancelled is set if a job that it needs, directly or through others, is cancelled.
 	dependencyCancelled bool
 	knownAt             micros.Micros
@@ -42,10 +42,10 @@
 	withinGuarantee  bool // it fits into its team's guarantee; see markGuaranteed
 }
 
-// since returns the time of day, in milliseconds, from which a job's waiting counts: its
+// waitingSinceMS returns the time of day, in milliseconds, from which a job's waiting counts: its
 // acceptance, or the end of the last job that it needs, by that job's record, so that every
 // owner says the same.
-func (j *job) since() int64 {
+func (j *job) waitingSinceMS() int64 {
 	if j.unblockedMS == 0 {
 		return j.rec.AcceptedMS
 	}
@@ -53,11 +53,11 @@
 }
 
 // blocked reports whether a job that this one needs is not done.
-func (j *job) blocked() bool { return len(j.needs) > 0 }
+func (j *job) blocked() bool { return len(j.unmetDependencies) > 0 }
 
 // run is what the owner of a job keeps of it.
 type run struct {
-	done        checkpoint.TaskSet
+	doneTasks        checkpoint.TaskSet
 	doneCount   int
 	active      map[int]*attempt // by task
 	nextUntried int              // tasks from here on were never tried
@@ -67,7 +67,7 @@
 	acceptedUnderClaim bool
 	// checkpointApplied is set if the progress in its checkpoint, if there is one, is known.
 	checkpointApplied bool
-	steps             []wire.FinishedTask
+	finishedTasks             []wire.FinishedTask
 	arrivedAt         micros.Micros
 
 	checkpoint jobCheckpoint
@@ -79,8 +79,8 @@
 	// nextRetryAt is set while the job fails everywhere and is tried one task at a time.
 	nextRetryAt  micros.Micros
 	retryBackoff micros.Micros
-	// failAfter is the longest that a task ran before it failed.
-	failAfter  micros.Micros
+	// longestFailedRun is the longest that a task ran before it failed.
+	longestFailedRun  micros.Micros
 	firstRunAt micros.Micros
 	// reservedUntil is until when capacity is reserved for its start; see reserveCapacity.
 	reservedUntil    micros.Micros
@@ -94,7 +94,7 @@
 // newRun returns the state of a job that this node owns from now on, under a claim.
 func newRun(j *job, ownerEpoch uint64, now micros.Micros) *run {
 	return &run{
-		done:               checkpoint.NewTaskSet(j.sub.Tasks),
+		doneTasks:               checkpoint.NewTaskSet(j.sub.Tasks),
 		checkpoint:         jobCheckpoint{recorded: checkpoint.NewTaskSet(j.sub.Tasks)},
 		active:             map[int]*attempt{},
 		acceptedUnderClaim: j.modRevision > ownerEpoch,
@@ -105,32 +105,32 @@
 	}
 }
 
-// addStep adds a completed task to the latest steps.
-func (r *run) addStep(step wire.FinishedTask) {
-	r.steps = append(r.steps, step)
-	if excess := len(r.steps) - checkpoint.MaxSteps; excess > 0 {
-		r.steps = r.steps[excess:]
+// addFinishedTask adds a completed task to the latest steps.
+func (r *run) addFinishedTask(step wire.FinishedTask) {
+	r.finishedTasks = append(r.finishedTasks, step)
+	if excess := len(r.finishedTasks) - checkpoint.MaxSteps; excess > 0 {
+		r.finishedTasks = r.finishedTasks[excess:]
 	}
 }
 
 // pending returns how many tasks wait for a machine.
 func (j *job) pending() int { return j.sub.Tasks - j.run.doneCount - len(j.run.active) }
 
-// waits reports whether a task is neither done nor on a machine.
-func (r *run) waits(task int) bool { return !r.done.Has(task) && r.active[task] == nil }
+// isWaiting reports whether a task is neither done nor on a machine.
+func (r *run) isWaiting(task int) bool { return !r.doneTasks.Has(task) && r.active[task] == nil }
 
 // nextTask returns the next task to start, lowest index first among those to try again; ok
 // is false when none waits.
 func (j *job) nextTask() (task int, ok bool) {
 	r := j.run
 	for len(r.retries) > 0 {
-		if task := r.retries[0]; r.waits(task) {
+		if task := r.retries[0]; r.isWaiting(task) {
 			return task, true
 		}
 		heap.Pop(&r.retries)
 	}
 	for r.nextUntried < j.sub.Tasks {
-		if r.waits(r.nextUntried) {
+		if r.isWaiting(r.nextUntried) {
 			return r.nextUntried, true
 		}
 		r.nextUntried++
--- a/internal/controller/job_end.go
+++ b/internal/controller/job_end.go
@@ -18,9 +18,9 @@
 const (
 	// maxCancelWaiters bounds the requests that wait for one job's cancellation.
 	maxCancelWaiters = 64
-	// refusedPause is how long a write is put off that the state service refused as
+	// rejectedWriteBackoff is how long a write is put off that the state service refused as
 	// malformed or too large.
-	refusedPause = 15 * micros.Second
+	rejectedWriteBackoff = 15 * micros.Second
 
 	endTimeout = 1500 * micros.Millisecond
 	// endRetryInterval is the mean time to the next try of an end that was not executed.
@@ -80,8 +80,8 @@
 	return j != nil && j.run != nil && j.run.end.state == wire.StateCancelled
 }
 
-// stopPending reports whether a cancelled task is on its machine without an immediate stop.
-func (t *jobTable) stopPending(att *attempt) bool {
+// needsImmediateStop reports whether a cancelled task is on its machine without an immediate stop.
+func (t *jobTable) needsImmediateStop(att *attempt) bool {
 	return att.stopMode != stopImmediate && att.onMachine() && t.cancelled(att.key.job)
 }
 
@@ -93,7 +93,7 @@
 func (c *Controller) stopsForCancelledTasks(s *shard, m *machine, heartbeat *wire.Heartbeat) (stops []wire.Command) {
 	if m.view.reconciled {
 		for _, att := range m.view.list {
-			if c.jobs.stopPending(att) {
+			if c.jobs.needsImmediateStop(att) {
 				c.stop(att, stopImmediate)
 			}
 		}
@@ -115,7 +115,7 @@
 	if err != nil || t.State == wire.TaskExited {
 		return false
 	}
-	if !c.jobs.knows(id) && c.jobStatusOf(s, id, t.Attempt, c.now) == authority.JobEnded {
+	if !c.jobs.contains(id) && c.jobStatusOf(s, id, t.Attempt, c.now) == authority.JobEnded {
 		c.logEndedTask(s, m, t.Task, id, t.Attempt)
 		return true
 	}
@@ -140,7 +140,7 @@
 		c.log(Error, "job record not encoded", "job", j.id, "error", err)
 		return
 	}
-	r.end.sent(state)
+	r.end.markSent(state)
 	txn := c.endTxn(j, value)
 	c.askState(statestore.ClassEnd, txn, endTimeout, func(res statestore.Reply) {
 		if j.run != r {
@@ -154,7 +154,7 @@
 		if outcome == statestore.Rejected {
 			c.log(Error, "end of a job refused by the state service", "job", j.id, "bytes", len(value), "changes", txn.Writes())
 		}
-		c.endNotRecorded(j, r, outcome)
+		c.handleUnrecordedEnd(j, r, outcome)
 	})
 }
 
@@ -175,8 +175,8 @@
 	return txn
 }
 
-// endNotRecorded handles an end whose transaction did not succeed, or may not have.
-func (c *Controller) endNotRecorded(j *job, r *run, outcome statestore.Outcome) {
+// handleUnrecordedEnd handles an end whose transaction did not succeed, or may not have.
+func (c *Controller) handleUnrecordedEnd(j *job, r *run, outcome statestore.Outcome) {
 	switch outcome {
 	case statestore.NotExecuted:
 		r.end.retryAt(c.now + c.jitter(endRetryInterval))
@@ -184,7 +184,7 @@
 	case statestore.Rejected:
 		// Retried after a long pause, so that no other write waits behind it: the state service
 		// takes less than the settings say.
-		r.end.retryAt(c.now + c.jitter(refusedPause))
+		r.end.retryAt(c.now + c.jitter(rejectedWriteBackoff))
 		c.failWaiters(j)
 	default:
 		// In doubt, or a condition failed: a read resolves it.
@@ -226,7 +226,7 @@
 	if !c.jobs.recordFinal(id, f) {
 		return
 	}
-	c.dependencyEnded(id, f)
+	c.handleDependencyEnd(id, f)
 	j := c.jobs.open[id]
 	if j == nil {
 		return
--- a/internal/controller/job_end_state.go
+++ b/internal/controller/job_end_state.go
@@ -63,8 +63,8 @@
 	e.state = state
 }
 
-// sent takes note that a transaction with the state was sent.
-func (e *jobEnd) sent(state wire.JobState) {
+// markSent takes note that a transaction with the state was markSent.
+func (e *jobEnd) markSent(state wire.JobState) {
 	e.phase = endInFlight
 	e.state = state
 	e.nextAttemptAt = micros.Never
@@ -76,9 +76,9 @@
 	e.nextAttemptAt = at
 }
 
-// resolving takes note that a condition of the transaction was not met, so that a read is to
+// markResolving takes note that a condition of the transaction was not met, so that a read is to
 // find out whether the job has ended.
-func (e *jobEnd) resolving() {
+func (e *jobEnd) markResolving() {
 	e.phase = endInFlight
 	e.inDoubt = true
 }
--- a/internal/controller/job_queue.go
+++ b/internal/controller/job_queue.go
@@ -60,7 +60,7 @@
 		j.guaranteeOverdue = c.guaranteeOverdue(j)
 		remainingTasks := float64(j.sub.Tasks - j.run.doneCount)
 		work := remainingTasks * j.sub.CPUs * c.estimates.Expect(j.sub).Seconds()
-		j.queueRank = float64(j.since())/1000 + agingFactor*work/cpus
+		j.queueRank = float64(j.waitingSinceMS())/1000 + agingFactor*work/cpus
 	}
 }
 
@@ -83,7 +83,7 @@
 
 // compareByAge orders jobs by the time from which their waiting counts.
 func compareByAge(a, b *job) int {
-	return cmp.Or(cmp.Compare(a.since(), b.since()), cmp.Compare(a.id, b.id))
+	return cmp.Or(cmp.Compare(a.waitingSinceMS(), b.waitingSinceMS()), cmp.Compare(a.id, b.id))
 }
 
 // compareTrueFirst orders true before false.
--- a/internal/controller/job_queue_test.go
+++ b/internal/controller/job_queue_test.go
@@ -41,7 +41,7 @@
 				sub := jobOf("job-00000"+j.id, j.tasks)
 				sub.Priority = j.priority
 				rec := wire.JobRecord{Submission: &sub, State: wire.StatePending, Tasks: j.tasks, AcceptedMS: (1000*sec - j.age).Millis()}
-				h.c.learnJob(sub.ID, rec, h.rev+100)
+				h.c.applyJobRecord(sub.ID, rec, h.rev+100)
 			}
 			got := ""
 			h.c.wall = 1000 * sec
--- a/internal/controller/job_status.go
+++ b/internal/controller/job_status.go
@@ -16,9 +16,9 @@
 	peerCancelTimeout = 3 * micros.Second
 )
 
-// answerOfLookup returns the answer about a job whose record was looked up, where memory has no
+// answerFromLookup returns the answer about a job whose record was looked up, where memory has no
 // more.
-func answerOfLookup(found statestore.Lookup) peer.JobResponse {
+func answerFromLookup(found statestore.Lookup) peer.JobResponse {
 	switch found {
 	case statestore.LookupFound:
 		return peer.JobResponse{Status: http.StatusOK, State: wire.StatePending}
@@ -61,7 +61,7 @@
 		c.askOwner(j, done)
 		return
 	}
-	if j.run.end.unresolved() || !c.mayWait(j) {
+	if j.run.end.unresolved() || !c.mayAnswerPending(j) {
 		c.readJobState(id, done)
 		return
 	}
@@ -110,11 +110,11 @@
 
 // readJob reads a job's record on behalf of other work. For users there is readForUser.
 func (c *Controller) readJob(class statestore.Class, id string, done func(statestore.Lookup)) {
-	c.askState(class, statestore.GetKey{Key: wire.JobKey(id)}, statestore.ReadTimeout, func(r statestore.Reply) { done(c.learnRead(r)) })
+	c.askState(class, statestore.GetKey{Key: wire.JobKey(id)}, statestore.ReadTimeout, func(r statestore.Reply) { done(c.applyJobRead(r)) })
 }
 
-// learnRead takes what the read of a job's record brought.
-func (c *Controller) learnRead(r statestore.Reply) statestore.Lookup {
+// applyJobRead takes what the read of a job's record brought.
+func (c *Controller) applyJobRead(r statestore.Reply) statestore.Lookup {
 	switch r.Status {
 	case http.StatusOK:
 		kv, ok := r.Body.(*wire.KeyValue)
@@ -123,7 +123,7 @@
 		}
 		c.ownership.lastStateReplyAt = c.now
 		c.applyPut(kv.Key, kv.Value, kv.ModRevision)
-		if id := kv.Key[len(wire.PrefixJob):]; !c.jobs.knows(id) && !c.jobs.unusable[id] {
+		if id := kv.Key[len(wire.PrefixJob):]; !c.jobs.contains(id) && !c.jobs.unusable[id] {
 			return statestore.LookupFailed // it has ended since; see outdated
 		}
 		return statestore.LookupFound
@@ -142,9 +142,9 @@
 			return
 		}
 		j := c.jobs.open[id]
-		if found == statestore.LookupFound && j != nil && !c.mayWait(j) {
+		if found == statestore.LookupFound && j != nil && !c.mayAnswerPending(j) {
 			found = statestore.LookupFailed
 		}
-		done(answerOfLookup(found))
+		done(answerFromLookup(found))
 	})
 }
--- a/internal/controller/job_table.go
+++ b/internal/controller/job_table.go
@@ -60,7 +60,7 @@
 	// dependents are the open jobs that wait for a job, by its id, which may not be
 	// known yet: then unknown says when to read it.
 	dependents map[string][]*job
-	unknown    map[string]micros.Micros
+	unknownDependencies    map[string]micros.Micros
 	// readsInFlight counts the reads of unknown jobs.
 	readsInFlight int
 }
@@ -72,7 +72,7 @@
 	t.pendingCreations = map[string]*jobCreation{}
 	t.unusable = map[string]bool{}
 	t.dependents = map[string][]*job{}
-	t.unknown = map[string]micros.Micros{}
+	t.unknownDependencies = map[string]micros.Micros{}
 }
 
 // final returns how a job has ended; ok is false if it has not, or left memory.
@@ -81,8 +81,8 @@
 	return f, ok
 }
 
-// knows reports whether a job is in the table, open or over.
-func (t *jobTable) knows(id string) bool {
+// contains reports whether a job is in the table, open or over.
+func (t *jobTable) contains(id string) bool {
 	_, over := t.final(id)
 	return over || t.open[id] != nil
 }
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -11,8 +11,8 @@
 	"garnethitch/internal/wire"
 )
 
-// learnJob takes a job's record from a watch, a listing, a read or a hint.
-func (c *Controller) learnJob(id string, rec wire.JobRecord, modRevision uint64) {
+// applyJobRecord takes a job's record from a watch, a listing, a read or a hint.
+func (c *Controller) applyJobRecord(id string, rec wire.JobRecord, modRevision uint64) {
 	if !wire.ValidID(id) {
 		return
 	}
@@ -127,13 +127,13 @@
 // taskDone takes note that a task has completed, by an attempt if that is known.
 func (c *Controller) taskDone(j *job, task int, att *attempt) {
 	r := j.run
-	if r == nil || task >= j.sub.Tasks || !r.done.Add(task) {
+	if r == nil || task >= j.sub.Tasks || !r.doneTasks.Add(task) {
 		return
 	}
 	r.doneCount++
 	r.checkpoint.dirty = true
 	if att != nil && att.machine != nil {
-		r.addStep(c.stepOf(task, att))
+		r.addFinishedTask(c.finishedTaskOf(task, att))
 	}
 	r.retryBackoff = 0
 	r.nextRetryAt = 0
@@ -142,8 +142,8 @@
 	}
 }
 
-// stepOf describes an attempt that has completed a task now.
-func (c *Controller) stepOf(task int, att *attempt) wire.FinishedTask {
+// finishedTaskOf describes an attempt that has completed a task now.
+func (c *Controller) finishedTaskOf(task int, att *attempt) wire.FinishedTask {
 	start := c.wall
 	if att.runAt > 0 {
 		start -= c.now - att.runAt
@@ -160,12 +160,12 @@
 	j.run.checkpoint.await(att)
 }
 
-// openJobsSurvey is what one pass over the open jobs found.
-type openJobsSurvey struct {
+// openJobsScan is what one pass over the open jobs found.
+type openJobsScan struct {
 	// due are jobs with an end to retry or a checkpoint to record, by id.
 	due []*job
-	// blocked is set if some job waits for its dependencies, ownBlocked if one of this node does.
-	blocked, ownBlocked bool
+	// blocked is set if some job waits for its dependencies, ownedBlocked if one of this node does.
+	blocked, ownedBlocked bool
 }
 
 // maintainJobs does what is due for jobs: ends to retry, checkpoints to record.
@@ -173,24 +173,24 @@
 	if !c.ownership.leaseValid() {
 		return
 	}
-	c.readUnknown()
-	survey := c.surveyOpenJobs()
+	c.readUnknownDependencies()
+	survey := c.scanOpenJobs()
 	c.ownership.adjustJobWatch(survey)
 	for _, j := range survey.due {
 		c.maintainJob(j)
 	}
 }
 
-// surveyOpenJobs goes over the open jobs once.
-func (c *Controller) surveyOpenJobs() openJobsSurvey {
-	var out openJobsSurvey
+// scanOpenJobs goes over the open jobs once.
+func (c *Controller) scanOpenJobs() openJobsScan {
+	var out openJobsScan
 	for _, j := range c.jobs.open {
 		blocked := j.blocked()
 		out.blocked = out.blocked || blocked
 		if j.run == nil || c.ownership.activeShard(j.shard) == nil {
 			continue
 		}
-		out.ownBlocked = out.ownBlocked || blocked
+		out.ownedBlocked = out.ownedBlocked || blocked
 		if c.maintenanceDue(j) {
 			out.due = append(out.due, j)
 		}
@@ -208,14 +208,14 @@
 }
 
 // adjustJobWatch sets the pace of the watch of jobs: blocked jobs depend on it.
-func (o *ownershipState) adjustJobWatch(survey openJobsSurvey) {
+func (o *ownershipState) adjustJobWatch(survey openJobsScan) {
 	watch := &o.jobWatch
 	watch.BlockTimeout = statestore.WatchTimeout
 	if survey.blocked {
 		watch.BlockTimeout = blockedWatchTimeout
 	}
 	interval := jobWatchInterval
-	if survey.ownBlocked {
+	if survey.ownedBlocked {
 		interval = blockedWatchInterval
 	}
 	watch.Interval = o.watchInterval(interval, jobWatchFraction)
--- a/internal/controller/machine_health.go
+++ b/internal/controller/machine_health.go
@@ -52,7 +52,7 @@
 	}
 	r.failuresByMachine[m.id]++
 	r.failuresByTask[att.index]++
-	r.failAfter = max(r.failAfter, att.ran(c.now))
+	r.longestFailedRun = max(r.longestFailedRun, att.runTime(c.now))
 	if c.suspect(j) {
 		c.throttleFailingJob(j)
 		c.clearFailuresOf(j)
@@ -139,7 +139,7 @@
 	}
 	runningWell := 0
 	for _, att := range r.active {
-		if att.ran(c.now) > r.failAfter+runsWellMargin {
+		if att.runTime(c.now) > r.longestFailedRun+runsWellMargin {
 			runningWell++
 		}
 	}
@@ -152,7 +152,7 @@
 		return true
 	}
 	for _, att := range j.run.active {
-		if att.machine != m && att.ran(c.now) > provenRunTime {
+		if att.machine != m && att.runTime(c.now) > provenRunTime {
 			return true
 		}
 	}
--- a/internal/controller/machine_records.go
+++ b/internal/controller/machine_records.go
@@ -154,7 +154,7 @@
 // dropMachine removes a machine that is gone, and all on it.
 func (c *Controller) dropMachine(m *machine) {
 	if m.view != nil {
-		c.freeAll(m, "machine gone", true)
+		c.freeAllAttempts(m, "machine gone", true)
 	}
 	c.detach(m)
 	delete(c.machines, m.id)
--- a/internal/controller/machine_release.go
+++ b/internal/controller/machine_release.go
@@ -58,7 +58,7 @@
 	m.view.plannedRelease = plan
 	m.view.plannedUntil = c.now + releasePlanSpan
 	if r.Save {
-		c.saveAll(m)
+		c.evictAllTasks(m)
 	}
 }
 
--- a/internal/controller/peer_requests.go
+++ b/internal/controller/peer_requests.go
@@ -61,7 +61,7 @@
 	if err := wire.Decode(hint.Record, &rec); err != nil || !wire.ValidID(hint.ID) {
 		return false
 	}
-	c.learnJob(hint.ID, rec, hint.ModRevision)
+	c.applyJobRecord(hint.ID, rec, hint.ModRevision)
 	return true
 }
 
@@ -84,7 +84,7 @@
 		done(unavailable())
 	case ask.Cancel:
 		c.cancelJob(j, done)
-	case j.run.end.unresolved() || !c.mayWait(j):
+	case j.run.end.unresolved() || !c.mayAnswerPending(j):
 		done(unavailable())
 	default:
 		done(c.memoryAnswer(j))
--- a/internal/controller/preemption_policy.go
+++ b/internal/controller/preemption_policy.go
@@ -61,7 +61,7 @@
 func (sc *stepContext) dueOf(j *job) micros.Micros {
 	due := j.deadline
 	if within := sc.cfg.FinishWithin[j.sub.Class]; within > 0 {
-		due = min(due, micros.Micros(j.since())*micros.Millisecond+within)
+		due = min(due, micros.Micros(j.waitingSinceMS())*micros.Millisecond+within)
 	}
 	return due
 }
--- a/internal/controller/quota_limits.go
+++ b/internal/controller/quota_limits.go
@@ -107,7 +107,7 @@
 		}
 	}
 	slices.SortStableFunc(attempts, func(a, b *attempt) int {
-		return cmp.Or(cmp.Compare(a.job.priority, b.job.priority), cmp.Compare(b.since, a.since))
+		return cmp.Or(cmp.Compare(a.job.priority, b.job.priority), cmp.Compare(b.stateSince, a.stateSince))
 	})
 	return attempts
 }
--- a/internal/controller/quota_usage.go
+++ b/internal/controller/quota_usage.go
@@ -116,7 +116,7 @@
 	return quota.WaitingTasks{
 		Size:    quotaAmountOf(j.sub),
 		Count:   count,
-		SinceMS: max(j.since(), j.run.startedMS, 1),
+		SinceMS: max(j.waitingSinceMS(), j.run.startedMS, 1),
 	}
 }
 
--- a/internal/controller/reconciliation.go
+++ b/internal/controller/reconciliation.go
@@ -68,7 +68,7 @@
 // expireLease notes that a machine's lease has run out: it holds no task any more.
 func (c *Controller) expireLease(m *machine) {
 	v := m.view
-	c.freeAll(m, "its lease has run out", false)
+	c.freeAllAttempts(m, "its lease has run out", false)
 	v.leaseExpired = true
 	v.reconciled = false
 	v.unreconciledFromPredecessor = false
--- a/internal/controller/record_limits_test.go
+++ b/internal/controller/record_limits_test.go
@@ -108,14 +108,14 @@
 		for pattern, every := range map[string]int{"alternating": 2, "in threes": 3, "all but the last": 1} {
 			h.submit(jobOf(name, tasks))
 			j := h.c.jobs.open[name]
-			j.run.done, j.run.doneCount = checkpoint.NewTaskSet(tasks), 0
+			j.run.doneTasks, j.run.doneCount = checkpoint.NewTaskSet(tasks), 0
 			for i := 0; i < tasks-1; i += every {
-				j.run.done.Add(i)
+				j.run.doneTasks.Add(i)
 				j.run.doneCount++
 			}
-			j.run.steps, j.run.checkpoint.recoveries = nil, nil
+			j.run.finishedTasks, j.run.checkpoint.recoveries = nil, nil
 			for i := range checkpoint.MaxSteps {
-				j.run.steps = append(j.run.steps, wire.FinishedTask{Task: 99_000 + i, Machine: "vm-123456", StartMS: 1_800_000_000_000, EndMS: 1_800_000_000_000})
+				j.run.finishedTasks = append(j.run.finishedTasks, wire.FinishedTask{Task: 99_000 + i, Machine: "vm-123456", StartMS: 1_800_000_000_000, EndMS: 1_800_000_000_000})
 			}
 			for range checkpoint.MaxRecoveries {
 				j.run.checkpoint.recoveries = append(j.run.checkpoint.recoveries, 1_800_000_000_000)
--- a/internal/controller/returned_machines.go
+++ b/internal/controller/returned_machines.go
@@ -58,7 +58,7 @@
 	if v == nil {
 		return
 	}
-	c.freeAll(m, "returned to the cloud", true)
+	c.freeAllAttempts(m, "returned to the cloud", true)
 	v.inDoubtToken = 0
 	v.leaseExpired = true
 	v.reconciled = false
--- a/internal/controller/state_records.go
+++ b/internal/controller/state_records.go
@@ -129,7 +129,7 @@
 		c.jobs.unusable[id] = true
 		return err
 	}
-	c.learnJob(id, rec, modRevision)
+	c.applyJobRecord(id, rec, modRevision)
 	return nil
 }
 
--- a/internal/controller/state_requests.go
+++ b/internal/controller/state_requests.go
@@ -12,7 +12,7 @@
 		Queue:      c.stateQueue,
 		MaxRecords: c.cfg.MaxOpenJobs,
 		NewRequest: func(id string) any { return statestore.GetKey{Key: wire.JobKey(id)} },
-		Learn:      c.learnRead,
+		Learn:      c.applyJobRead,
 		Defer:      c.later,
 	})
 }
--- a/internal/controller/submission.go
+++ b/internal/controller/submission.go
@@ -35,7 +35,7 @@
 		return
 	}
 	id := in.Job.ID
-	if c.jobs.knows(id) {
+	if c.jobs.contains(id) {
 		c.findJobState(id, func(a peer.JobResponse) { c.answerJobStatus(in.Reply, id, a) })
 		return
 	}
@@ -183,7 +183,7 @@
 // when the other may have been cancelled long ago.
 func (c *Controller) newJobRecord(sub *wire.Submission) wire.JobRecord {
 	rec := wire.NewJobRecord(sub, c.wall.Millis())
-	if !c.jobs.namesCancelled(sub) {
+	if !c.jobs.dependsOnCancelled(sub) {
 		return rec
 	}
 	return wire.JobRecord{
@@ -206,7 +206,7 @@
 func (c *Controller) handleCreation(id string, rec wire.JobRecord, value wire.Raw, r statestore.Reply) {
 	if revision, ok := r.Revision(); ok {
 		c.ownership.lastStateReplyAt = c.now
-		c.learnJob(id, rec, revision)
+		c.applyJobRecord(id, rec, revision)
 		c.sendJobRecordHint(id, revision, value)
 		c.jobs.finishCreation(id, peer.JobResponse{Status: http.StatusCreated, State: rec.State})
 		return
--- a/internal/controller/task_adoption.go
+++ b/internal/controller/task_adoption.go
@@ -40,7 +40,7 @@
 		// It is not known yet which tasks are done: see reconcileAfterCheckpointLoad.
 	case att.state == attemptExited:
 		c.adoptExitedTask(j, att)
-	case j.run.active[att.index] != nil || j.run.done.Has(att.index):
+	case j.run.active[att.index] != nil || j.run.doneTasks.Has(att.index):
 		c.stopSurplusAttempt(j, att)
 	default:
 		c.trackAttempt(j, att)
--- a/internal/controller/task_lists.go
+++ b/internal/controller/task_lists.go
@@ -51,7 +51,7 @@
 		if len(v.list) > maxListedAttempts {
 			return
 		}
-		att = &attempt{key: key, index: index, machine: m, since: c.now, stopSentAt: -micros.Never}
+		att = &attempt{key: key, index: index, machine: m, stateSince: c.now, stopSentAt: -micros.Never}
 		c.addAttempt(att)
 	}
 	att.lastSeenRound = c.listRound
@@ -93,7 +93,7 @@
 	if att.state == before {
 		return
 	}
-	att.since = c.now
+	att.stateSince = c.now
 	c.ownership.markDirty(att.machine)
 }
 
@@ -112,8 +112,8 @@
 func (c *Controller) recordExit(att *attempt, status *wire.TaskStatus) {
 	att.state = attemptExited
 	att.exitReason = status.ExitReason
-	att.since = c.now
-	c.log(Debug, "task exited", "task", status.Task, "machine", att.machine.id, "reason", string(status.ExitReason), "saved", status.Saved, "ran_s", att.ran(c.now).Seconds())
+	att.stateSince = c.now
+	c.log(Debug, "task exited", "task", status.Task, "machine", att.machine.id, "reason", string(status.ExitReason), "saved", status.Saved, "ran_s", att.runTime(c.now).Seconds())
 	if att.tracked {
 		c.handleExit(att)
 	}
--- a/internal/controller/unknown_jobs.go
+++ b/internal/controller/unknown_jobs.go
@@ -37,7 +37,7 @@
 
 // stopIfEnded stops a task of a job that this node does not know, if the job has ended.
 func (c *Controller) stopIfEnded(s *shard, att *attempt) {
-	if c.jobStatusOf(s, att.key.job, att.key.attempt, att.since) != authority.JobEnded {
+	if c.jobStatusOf(s, att.key.job, att.key.attempt, att.stateSince) != authority.JobEnded {
 		return
 	}
 	if att.state == attemptExited {
@@ -77,7 +77,7 @@
 	if att.job != nil || !att.onMachine() || att.stopMode == stopImmediate {
 		return authority.JobOpen
 	}
-	return c.jobStatusOf(s, att.key.job, att.key.attempt, att.since)
+	return c.jobStatusOf(s, att.key.job, att.key.attempt, att.stateSince)
 }
 
 // listsTaskOfUnknownJob is holdsTaskOfUnknownJob for the heartbeat of a machine that is not
--- a/internal/controller/unknown_jobs_test.go
+++ b/internal/controller/unknown_jobs_test.go
@@ -205,7 +205,7 @@
 	h.held, h.stateDown = nil, false
 	h.put(wire.JobKey("job-000001"), wire.JobRecord{State: wire.StateCancelled, Tasks: 1})
 	h.put(wire.JobKey("job-000002"), wire.JobRecord{State: wire.StateDone, Tasks: 1})
-	if h.c.jobs.knows("job-000001") {
+	if h.c.jobs.contains("job-000001") {
 		t.Fatal("the job is still known: the case is not what it should be")
 	}
 	reads := 0
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -47,7 +47,7 @@
 		return
 	}
 	done := func(a peer.JobResponse) { c.answerJob(in.Reply, in.ID, a, retrySoon) }
-	if c.jobs.knows(in.ID) {
+	if c.jobs.contains(in.ID) {
 		c.cancelKnownJob(in.ID, done)
 		return
 	}
