--- a/internal/controller/attempts.go
+++ b/internal/controller/attempts.go
@@ -101,7 +101,7 @@
 	sentSequence    uint64
 	lastSeenRound   uint64 // the round of applyTaskList that saw it last
 	tracked         bool   // it stands in job.run.active
-	stateSince           micros.Micros
+	stateSince      micros.Micros
 	runAt           micros.Micros // when it was first seen running; 0: not yet
 	stopMode        stopMode
 	stopRequestedAt micros.Micros // when it was first to be stopped in this way
--- a/internal/controller/cancellation_cascade.go
+++ b/internal/controller/cancellation_cascade.go
@@ -100,16 +100,16 @@
 // the time that a cancellation has, with some of the controllers away and the state
 // service down for a while of it. Each takes one write; acceptances and ends of jobs
 // go first and take from that.
-func CancellableDependents(cfg Config, away int, outage micros.Micros) int {
+func CancellableDependents(cfg Config, controllersDown int, outage micros.Micros) int {
 	nodes := len(cfg.Peers) + 1
 	available := cfg.Cancel - outage - helpDelay
-	if away > 0 {
+	if controllersDown > 0 {
 		available -= failoverLeases * cfg.Lease
 	}
-	if available <= 0 || away >= nodes {
+	if available <= 0 || controllersDown >= nodes {
 		return 0
 	}
-	rate := cfg.WriteRPS * statestore.UsableFraction * dependentsWritesFraction * float64(nodes-away) / float64(nodes)
+	rate := cfg.WriteRPS * statestore.UsableFraction * dependentsWritesFraction * float64(nodes-controllersDown) / float64(nodes)
 	return int(rate * available.Seconds())
 }
 
--- a/internal/controller/cancellation_cascade_test.go
+++ b/internal/controller/cancellation_cascade_test.go
@@ -12,9 +12,9 @@
 	"garnethitch/internal/wire"
 )
 
-// cascade is a harness of three controllers that writes as much as it may, with a job and
+// newCascadeHarness is a harness of three controllers that writes as much as it may, with a job and
 // n others that need it; those of before are stored as another node would store them.
-func cascade(t *testing.T, n int, writeRPS float64) *harness {
+func newCascadeHarness(t *testing.T, n int, writeRPS float64) *harness {
 	h := newOwnerHarness(t, func(c *Config) {
 		c.Peers = []string{"n-1", "n-2"}
 		c.WriteRPS = writeRPS
@@ -22,7 +22,7 @@
 	root := jobOf("job-000100", 1)
 	h.record(root)
 	for i := range n {
-		sub := after(dependentID(i), 1, root.ID)
+		sub := dependentSubmission(dependentID(i), 1, root.ID)
 		h.txn(wire.Txn{Changes: []wire.Change{{Put: wire.JobKey(sub.ID), Value: encoded(t, wire.NewJobRecord(&sub, h.now.Millis()))}}})
 	}
 	h.run(sec)
@@ -31,8 +31,8 @@
 
 func dependentID(i int) string { return fmt.Sprintf("job-%06d", 1000+i) }
 
-// recorded counts the dependents that stand as cancelled.
-func (h *harness) recorded(n int) (cancelled int) {
+// cancelledDependents counts the dependents that stand as cancelled.
+func (h *harness) cancelledDependents(n int) (cancelled int) {
 	for i := range n {
 		var rec wire.JobRecord
 		if wire.Decode(h.keys[wire.JobKey(dependentID(i))].Value, &rec) == nil && rec.State == wire.StateCancelled {
@@ -47,21 +47,21 @@
 // not.
 func TestDependentsAreRecorded(t *testing.T) {
 	const n = 90
-	h := cascade(t, n, 30) // some 10 a second of its own
+	h := newCascadeHarness(t, n, 30) // some 10 a second of its own
 	h.statusesSent, h.done = nil, nil
 	h.recordEnd("job-000100", wire.StateCancelled, 0)
 	h.run(2 * sec)
-	asked := map[string]bool{}
+	requested := map[string]bool{}
 	for _, s := range h.statusesSent {
 		for _, id := range s.JobsToCancel {
-			asked[id] = true
+			requested[id] = true
 		}
 	}
-	if len(asked) < n/3 || len(asked) > n*5/6 {
-		t.Errorf("the others are asked to record %d of %d, want about two thirds", len(asked), n)
+	if len(requested) < n/3 || len(requested) > n*5/6 {
+		t.Errorf("the others are asked to record %d of %d, want about two thirds", len(requested), n)
 	}
 	h.run(10 * sec)
-	if got := h.recorded(n); got != n {
+	if got := h.cancelledDependents(n); got != n {
 		t.Errorf("%d of %d recorded: nobody helped, and the owner did not go on", got, n)
 	}
 	most := 0
@@ -81,7 +81,7 @@
 
 // TestFewDependentsAreNotRequested checks that the owner records a short list without the others.
 func TestFewDependentsAreNotRequested(t *testing.T) {
-	h := cascade(t, 6, 30)
+	h := newCascadeHarness(t, 6, 30)
 	h.statusesSent = nil
 	h.recordEnd("job-000100", wire.StateCancelled, 0)
 	h.run(3 * sec)
@@ -90,15 +90,15 @@
 			t.Errorf("asked for %v", s.JobsToCancel)
 		}
 	}
-	if got := h.recorded(6); got != 6 {
+	if got := h.cancelledDependents(6); got != 6 {
 		t.Errorf("%d of 6 recorded", got)
 	}
 }
 
-// TestRecordsForAnOwner checks that a controller records dependents of another's only when their
+// TestRecordsDependentsOnRequestOfOwner checks that a controller records dependents of another's only when their
 // owner requests it, only those that it knows to need a cancelled job, and only under the claim of
 // that owner.
-func TestRecordsForAnOwner(t *testing.T) {
+func TestRecordsDependentsOnRequestOfOwner(t *testing.T) {
 	const n = 6
 	all := func() (ids []string) {
 		for i := range n {
@@ -108,7 +108,7 @@
 	}
 	for _, tc := range []struct {
 		name string
-		play func(h *harness, ask func(modRevision uint64))
+		act  func(h *harness, ask func(modRevision uint64))
 		want int
 	}{
 		{"asked", func(h *harness, ask func(uint64)) {
@@ -161,11 +161,11 @@
 		}, n},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			h := cascade(t, n, 1000)
+			h := newCascadeHarness(t, n, 1000)
 			// Another controller owns the shard.
 			h.put(ownerKey(0), wire.OwnerRecord{Label: "n-1", Incarnation: 99})
 			h.done = nil
-			tc.play(h, func(modRevision uint64) {
+			tc.act(h, func(modRevision uint64) {
 				st := &peer.Status{ControllerState: peer.ControllerState{StateOK: true}, JobsToCancel: append(all(), "job-000777", "no id")}
 				if modRevision != 0 {
 					st.Claims = []peer.ShardClaim{{Shard: 0, OwnerEpoch: modRevision}}
@@ -174,11 +174,11 @@
 				h.run(sec)
 			})
 			h.run(4 * sec)
-			if got := h.recorded(n); got != tc.want {
+			if got := h.cancelledDependents(n); got != tc.want {
 				t.Errorf("%d of %d recorded, want %d", got, n, tc.want)
 			}
 			h.checkEndsWrittenOnce()
-			h.checkRecordedUnderAClaim()
+			h.checkEndsRequireClaim()
 		})
 	}
 }
@@ -199,8 +199,8 @@
 	}
 }
 
-// checkRecordedUnderAClaim checks that every end of a job is conditional on an owner's claim.
-func (h *harness) checkRecordedUnderAClaim() {
+// checkEndsRequireClaim checks that every end of a job is conditional on an owner's claim.
+func (h *harness) checkEndsRequireClaim() {
 	for _, txn := range h.done {
 		if len(txn.Changes) > 0 && strings.HasPrefix(txn.Changes[0].Put, wire.PrefixJob) &&
 			!slices.ContainsFunc(txn.Conditions, func(c wire.Condition) bool { return c.Key == ownerKey(0) && c.ModRevision != 0 }) {
@@ -213,7 +213,7 @@
 // more urgent: jobs are accepted, others end, and the lease is renewed.
 func TestDependentsYieldToUrgentRequests(t *testing.T) {
 	const n = 200
-	h := cascade(t, n, 30)
+	h := newCascadeHarness(t, n, 30)
 	h.recordEnd("job-000100", wire.StateCancelled, 0)
 	h.run(sec)
 	for i := range 5 {
@@ -234,7 +234,7 @@
 	if !h.c.ownership.leaseValid() {
 		t.Error("the lease was not renewed")
 	}
-	if got := h.recorded(n); got == 0 || got == n {
+	if got := h.cancelledDependents(n); got == 0 || got == n {
 		t.Errorf("%d of %d recorded: the case is not what it should be", got, n)
 	}
 }
@@ -242,23 +242,23 @@
 // TestCancellableDependents checks that CancellableDependents counts the dependents that fit into
 // the time of a cancellation.
 func TestCancellableDependents(t *testing.T) {
-	inkingi := Config{Peers: make([]string, 2), WriteRPS: 18, Cancel: 70 * sec, Lease: 4 * sec}
+	threeControllers := Config{Peers: make([]string, 2), WriteRPS: 18, Cancel: 70 * sec, Lease: 4 * sec}
 	for _, tc := range []struct {
-		name   string
-		cfg    Config
-		away   int
-		outage micros.Micros
-		want   int
+		name            string
+		cfg             Config
+		controllersDown int
+		outage          micros.Micros
+		want            int
 	}{
-		{"all controllers", inkingi, 0, 0, 859},
-		{"one away", inkingi, 1, 0, 504},
-		{"two away", inkingi, 2, 0, 252},
-		{"all away", inkingi, 3, 0, 0},
-		{"an outage of 30 s", inkingi, 0, 30 * sec, 474},
-		{"an outage as long as the time", inkingi, 0, 70 * sec, 0},
+		{"all controllers", threeControllers, 0, 0, 859},
+		{"one away", threeControllers, 1, 0, 504},
+		{"two away", threeControllers, 2, 0, 252},
+		{"all away", threeControllers, 3, 0, 0},
+		{"an outage of 30 s", threeControllers, 0, 30 * sec, 474},
+		{"an outage as long as the time", threeControllers, 0, 70 * sec, 0},
 		{"a controller alone", Config{WriteRPS: 40, Cancel: 49 * sec, Lease: 4 * sec}, 0, 0, 1311},
 	} {
-		if got := CancellableDependents(tc.cfg, tc.away, tc.outage); got != tc.want {
+		if got := CancellableDependents(tc.cfg, tc.controllersDown, tc.outage); got != tc.want {
 			t.Errorf("%s: %d, want %d", tc.name, got, tc.want)
 		}
 	}
@@ -270,7 +270,7 @@
 	for _, tc := range []struct {
 		name string
 		key  string
-		play func(h *harness, fencingToken uint64)
+		act  func(h *harness, fencingToken uint64)
 	}{
 		{"the end of a job", wire.JobKey("job-000001"), func(h *harness, _ uint64) { h.cancel("job-000001") }},
 		{"a checkpoint", wire.PrefixCheckpoint, func(h *harness, _ uint64) {
@@ -283,10 +283,10 @@
 			h := newOwnerHarness(t, withPeer)
 			fencingToken := h.reconcile("vm-1")
 			h.submit(jobOf("job-000001", 3))
-			h.submit(after("job-000002", 1, "job-000001"))
+			h.submit(dependentSubmission("job-000002", 1, "job-000001"))
 			h.dropCalls()
 			h.tooLarge = tc.key
-			tc.play(h, fencingToken)
+			tc.act(h, fencingToken)
 			h.run(20 * sec)
 			if h.refusals == 0 || h.refusals > 3 {
 				t.Errorf("sent %d times in 20 s, want once to three times", h.refusals)
@@ -315,7 +315,7 @@
 // answered by a read as long as there are requests to spare, and with 503 at once when there are
 // none: never by an older state, and never at the cost of the records.
 func TestStatusOfDependents(t *testing.T) {
-	h := cascade(t, 3, 1000)
+	h := newCascadeHarness(t, 3, 1000)
 	h.put(ownerKey(0), wire.OwnerRecord{Label: "n-1", Incarnation: 99}) // which records nothing
 	h.recordEnd("job-000100", wire.StateCancelled, 0)
 	h.watchBlocked = wire.PrefixJob
@@ -348,7 +348,7 @@
 		all        bool // they are recorded within the 10 s that the test runs
 	}{{"few", 60, true}, {"more than there is time for", 300, false}} {
 		t.Run(tc.name, func(t *testing.T) {
-			h := cascade(t, tc.dependents, 30)
+			h := newCascadeHarness(t, tc.dependents, 30)
 			machines := 0
 			h.recordEnd("job-000100", wire.StateCancelled, 0)
 			for range 100 {
@@ -362,7 +362,7 @@
 				}
 				h.run(100 * ms)
 			}
-			if got := h.recorded(tc.dependents); got == 0 || (got == tc.dependents) != tc.all {
+			if got := h.cancelledDependents(tc.dependents); got == 0 || (got == tc.dependents) != tc.all {
 				t.Errorf("%d of %d dependents recorded in 10 s beside records of machines", got, tc.dependents)
 			}
 			if machines < 10 {
--- a/internal/controller/checkpoints_test.go
+++ b/internal/controller/checkpoints_test.go
@@ -35,7 +35,7 @@
 	sub := jobOf("job-000001", tasks)
 	newJob := func() *job {
 		r := &run{
-			doneTasks:               checkpoint.NewTaskSet(tasks),
+			doneTasks:          checkpoint.NewTaskSet(tasks),
 			checkpoint:         jobCheckpoint{recorded: checkpoint.NewTaskSet(tasks)},
 			acceptedUnderClaim: true,
 		}
--- a/internal/controller/compat_test.go
+++ b/internal/controller/compat_test.go
@@ -182,10 +182,10 @@
 	if len(c.machines) != 50 || !c.machines["vm-000103"].rec.Cordoned {
 		t.Errorf("%d machines, want 50", len(c.machines))
 	}
-	if a := h.submit(after("job-000500", 1, "job-000001", "job-000413")); a.Status != 201 {
+	if a := h.submit(dependentSubmission("job-000500", 1, "job-000001", "job-000413")); a.Status != 201 {
 		t.Errorf("depends on its jobs: %d", a.Status)
 	}
-	if a := h.submit(after("job-000501", 1, "job-000002")); a.Status != 201 || stateOf(a) != wire.StateCancelled {
+	if a := h.submit(dependentSubmission("job-000501", 1, "job-000002")); a.Status != 201 || stateOf(a) != wire.StateCancelled {
 		t.Errorf("depends on one that it cancelled: %d %s", a.Status, stateOf(a))
 	}
 	if j := c.jobs.open["job-000500"]; j == nil || !j.blocked() || j.unmetDependencies["job-000001"] {
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -14,8 +14,8 @@
 	"garnethitch/internal/wire"
 )
 
-// after returns a plain submission that depends on others.
-func after(id string, tasks int, dependencies ...string) wire.Submission {
+// dependentSubmission returns a plain submission that depends on others.
+func dependentSubmission(id string, tasks int, dependencies ...string) wire.Submission {
 	s := jobOf(id, tasks)
 	s.DependsOn = dependencies
 	return s
@@ -46,10 +46,10 @@
 		h.run(sec)
 	}
 	for _, tc := range []struct {
-		name string
-		set  func(h *harness)
-		deps []string
-		want int
+		name  string
+		setUp func(h *harness)
+		deps  []string
+		want  int
 	}{
 		{"open and known", func(h *harness) { h.submit(jobOf("job-000001", 1)) }, []string{"job-000001"}, 201},
 		{"accepted elsewhere, not known here", func(h *harness) { blockWatch(h); h.record(jobOf("job-000001", 1)) }, []string{"job-000001"}, 201},
@@ -57,24 +57,24 @@
 		{"cancelled", func(h *harness) { h.recordEnd("job-000001", wire.StateCancelled, 0) }, []string{"job-000001"}, 201},
 		{"two, one blocked itself", func(h *harness) {
 			h.submit(jobOf("job-000001", 1))
-			h.submit(after("job-000002", 1, "job-000001"))
+			h.submit(dependentSubmission("job-000002", 1, "job-000001"))
 		}, []string{"job-000001", "job-000002"}, 201},
 		{"never accepted", nil, []string{"job-000001"}, 422},
 		{"one of two never accepted", func(h *harness) { h.submit(jobOf("job-000001", 1)) }, []string{"job-000001", "job-000002"}, 422},
 		{"itself", nil, []string{"job-000009"}, 422},
 		{"no read possible", func(h *harness) { h.stateDown, h.refused = true, true }, []string{"job-000001"}, 503},
 		{"too many for a record", func(h *harness) {
-			for _, id := range names(100, 150) {
+			for _, id := range jobIDs(100, 150) {
 				h.recordEnd(id, wire.StateDone, 0)
 			}
-		}, names(100, 150), 400},
+		}, jobIDs(100, 150), 400},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newOwnerHarness(t, func(c *Config) { withPeer(c); c.ValueBytes = 2 << 10 })
-			if tc.set != nil {
-				tc.set(h)
+			if tc.setUp != nil {
+				tc.setUp(h)
 			}
-			a := h.submit(after("job-000009", 1, tc.deps...))
+			a := h.submit(dependentSubmission("job-000009", 1, tc.deps...))
 			if a.Status != tc.want {
 				t.Fatalf("answered %d, want %d", a.Status, tc.want)
 			}
@@ -86,7 +86,7 @@
 			}
 			// Its repeat is answered with its state, whatever it names now.
 			for _, deps := range [][]string{tc.deps, {"job-000777"}, {"job-000009"}, nil} {
-				if a := h.submit(after("job-000009", 1, deps...)); a.Status != 200 && a.Status != 503 {
+				if a := h.submit(dependentSubmission("job-000009", 1, deps...)); a.Status != 200 && a.Status != 503 {
 					t.Errorf("repeat that names %v: %d", deps, a.Status)
 				}
 			}
@@ -99,13 +99,13 @@
 func TestTooManyDependencies(t *testing.T) {
 	for _, known := range []bool{true, false} {
 		h := newOwnerHarness(t, func(c *Config) { withPeer(c); c.ValueBytes = 2 << 10 })
-		for _, id := range names(100, 150) {
+		for _, id := range jobIDs(100, 150) {
 			if known {
 				h.put(wire.JobKey(id), wire.JobRecord{State: wire.StateDone, Tasks: 1})
 			}
 		}
 		before := h.reads
-		if a := h.submit(after("job-000009", 1, names(100, 5000)...)); a.Status != 400 {
+		if a := h.submit(dependentSubmission("job-000009", 1, jobIDs(100, 5000)...)); a.Status != 400 {
 			t.Errorf("known %v: answered %d, want 400", known, a.Status)
 		}
 		if n := h.reads - before; n > 1 {
@@ -113,30 +113,30 @@
 		}
 		// An accepted job's repeat gets its state all the same.
 		h.submit(jobOf("job-000010", 1))
-		if a := h.submit(after("job-000010", 1, names(100, 5000)...)); a.Status != 200 {
+		if a := h.submit(dependentSubmission("job-000010", 1, jobIDs(100, 5000)...)); a.Status != 200 {
 			t.Errorf("a repeat that names too many: %d", a.Status)
 		}
 	}
 }
 
-// names returns n ids of jobs, the first with the number from.
-func names(from, n int) (out []string) {
+// jobIDs returns n ids of jobs, the first with the number from.
+func jobIDs(from, n int) (out []string) {
 	for i := range n {
 		out = append(out, fmt.Sprintf("job-%06d", from+i))
 	}
 	return out
 }
 
-// diamond returns a harness with a machine, and jobs that need each other as a diamond:
+// newDiamondHarness returns a harness with a machine, and jobs that need each other as a newDiamondHarness:
 // 2 and 3 need 1, 4 needs both.
-func diamond(t *testing.T) (h *harness, fencingToken uint64) {
+func newDiamondHarness(t *testing.T) (h *harness, fencingToken uint64) {
 	t.Helper()
 	h = newOwnerHarness(t, withPeer)
 	fencingToken = h.reconcile("vm-1")
 	h.submit(jobOf("job-000001", 1))
-	h.submit(after("job-000002", 1, "job-000001"))
-	h.submit(after("job-000003", 1, "job-000001"))
-	h.submit(after("job-000004", 1, "job-000002", "job-000003"))
+	h.submit(dependentSubmission("job-000002", 1, "job-000001"))
+	h.submit(dependentSubmission("job-000003", 1, "job-000001"))
+	h.submit(dependentSubmission("job-000004", 1, "job-000002", "job-000003"))
 	h.dropCalls()
 	return h, fencingToken
 }
@@ -167,7 +167,7 @@
 
 // TestDAGRuns checks that a DAG runs in order, each job once all that it needs is done on record.
 func TestDAGRuns(t *testing.T) {
-	h, fencingToken := diamond(t)
+	h, fencingToken := newDiamondHarness(t)
 	seq := uint64(20)
 	var running []wire.Command
 	for _, want := range []string{"job-000001/0", "job-000002/0 job-000003/0", "job-000004/0"} {
@@ -203,7 +203,7 @@
 	fencingToken := h.reconcile("vm-1")
 	other := jobOf("job-000001", 1)
 	h.record(other)
-	h.submit(after("job-000002", 2, "job-000001"))
+	h.submit(dependentSubmission("job-000002", 2, "job-000001"))
 	h.submit(jobOf("job-000003", 2))
 	c := h.c
 	s := c.ownership.shards[0]
@@ -251,7 +251,7 @@
 func TestWaitingCountsFromLastEnd(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		turn func(h *harness, sub wire.Submission)
+		act  func(h *harness, sub wire.Submission)
 	}{
 		{"at the owner", func(h *harness, sub wire.Submission) {
 			h.record(jobOf("job-000001", 1))
@@ -285,7 +285,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newOwnerHarness(t, withPeer)
-			tc.turn(h, after("job-000009", 1, "job-000001", "job-000002"))
+			tc.act(h, dependentSubmission("job-000009", 1, "job-000001", "job-000002"))
 			j := h.c.jobs.open["job-000009"]
 			if j == nil || j.blocked() {
 				t.Fatalf("%+v: blocked, or not known", j)
@@ -305,7 +305,7 @@
 	h.t.Helper()
 	h.record(jobOf(chainID(0), 1))
 	for i := 1; i < n; i++ {
-		h.record(after(chainID(i), 1, chainID(i-1)))
+		h.record(dependentSubmission(chainID(i), 1, chainID(i-1)))
 	}
 }
 
@@ -326,7 +326,7 @@
 	const n = 60
 	for _, tc := range []struct {
 		name string
-		play func(h *harness)
+		act  func(h *harness)
 	}{
 		{"cancelled here", func(h *harness) { h.recordChain(n); h.cancel("job-000100") }},
 		{"recorded by another owner", func(h *harness) { h.recordChain(n); h.recordEnd("job-000100", wire.StateCancelled, 0) }},
@@ -338,7 +338,7 @@
 		{"cancelled before its dependents are submitted", func(h *harness) {
 			h.recordEnd("job-000100", wire.StateCancelled, 0)
 			for i := 1; i < n; i++ {
-				if a := h.submit(after(chainID(i), 1, chainID(i-1))); a.Status != 201 {
+				if a := h.submit(dependentSubmission(chainID(i), 1, chainID(i-1))); a.Status != 201 {
 					t.Fatalf("submission after a cancelled job: %d", a.Status)
 				}
 			}
@@ -346,20 +346,20 @@
 		{"cancelled, then dependents accepted by another controller", func(h *harness) {
 			h.recordEnd("job-000100", wire.StateCancelled, 0)
 			for i := 1; i < n; i++ {
-				h.record(after(chainID(i), 1, chainID(i-1)))
+				h.record(dependentSubmission(chainID(i), 1, chainID(i-1)))
 			}
 		}},
 		{"wide", func(h *harness) {
 			h.record(jobOf("job-000100", 1))
 			for i := 1; i < n; i++ {
-				h.record(after(chainID(i), 1, "job-000100"))
+				h.record(dependentSubmission(chainID(i), 1, "job-000100"))
 			}
 			h.cancel("job-000100")
 		}},
 		{"learned by a controller that has just started, dependents first", func(h *harness) {
-			h.record(after("job-000101", 1, "job-000100"))
+			h.record(dependentSubmission("job-000101", 1, "job-000100"))
 			for i := 2; i < n; i++ {
-				h.record(after(chainID(i), 1, chainID(i-1)))
+				h.record(dependentSubmission(chainID(i), 1, chainID(i-1)))
 			}
 			h.recordEnd("job-000100", wire.StateCancelled, 0)
 		}},
@@ -392,7 +392,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			h := newOwnerHarness(t, withPeer)
 			h.reconcile("vm-1")
-			tc.play(h)
+			tc.act(h)
 			h.run(6 * sec)
 			if got := h.chainStates(n); got[wire.StateCancelled] != n {
 				t.Errorf("states %v, want all %d cancelled", got, n)
@@ -435,7 +435,7 @@
 func TestPriorityPropagatesUp(t *testing.T) {
 	h := newOwnerHarness(t, withPeer)
 	low := func(id string, dependencies ...string) wire.Submission {
-		s := after(id, 1, dependencies...)
+		s := dependentSubmission(id, 1, dependencies...)
 		s.Priority = "best_effort"
 		return s
 	}
@@ -449,7 +449,7 @@
 	if p, due := at("job-000001"); p != wire.PriorityLow || due != micros.Never {
 		t.Errorf("priority %d, due %v before anything urgent needs it", p, due)
 	}
-	last := after("job-000004", 1, "job-000002", "job-000003")
+	last := dependentSubmission("job-000004", 1, "job-000002", "job-000003")
 	last.Priority = "high"
 	last.DeadlineS = new(100.0)
 	h.record(last)
@@ -461,7 +461,7 @@
 		}
 	}
 	// More urgent work of its own keeps its own.
-	own := after("job-000005", 1, "job-000004")
+	own := dependentSubmission("job-000005", 1, "job-000004")
 	own.Priority, own.DeadlineS = "standard", new(500.0)
 	h.record(own)
 	if p, d := at("job-000004"); p != wire.PriorityHigh || d != due {
@@ -571,8 +571,8 @@
 		t.Run(tc.name, func(t *testing.T) {
 			h := newOwnerHarness(t, withPeer)
 			h.record(jobOf("job-000000", 1))
-			h.record(after("job-000001", 1, "job-000000"))
-			h.record(after("job-000002", 1, "job-000001"))
+			h.record(dependentSubmission("job-000001", 1, "job-000000"))
+			h.record(dependentSubmission("job-000002", 1, "job-000001"))
 			h.record(jobOf("job-000003", 1))
 			h.run(sec)
 			if s := h.state("job-000002"); s != wire.StatePending {
--- a/internal/controller/job.go
+++ b/internal/controller/job.go
@@ -57,7 +57,7 @@
 
 // run is what the owner of a job keeps of it.
 type run struct {
-	doneTasks        checkpoint.TaskSet
+	doneTasks   checkpoint.TaskSet
 	doneCount   int
 	active      map[int]*attempt // by task
 	nextUntried int              // tasks from here on were never tried
@@ -67,7 +67,7 @@
 	acceptedUnderClaim bool
 	// checkpointApplied is set if the progress in its checkpoint, if there is one, is known.
 	checkpointApplied bool
-	finishedTasks             []wire.FinishedTask
+	finishedTasks     []wire.FinishedTask
 	arrivedAt         micros.Micros
 
 	checkpoint jobCheckpoint
@@ -80,8 +80,8 @@
 	nextRetryAt  micros.Micros
 	retryBackoff micros.Micros
 	// longestFailedRun is the longest that a task ran before it failed.
-	longestFailedRun  micros.Micros
-	firstRunAt micros.Micros
+	longestFailedRun micros.Micros
+	firstRunAt       micros.Micros
 	// reservedUntil is until when capacity is reserved for its start; see reserveCapacity.
 	reservedUntil    micros.Micros
 	nextPreemptionAt micros.Micros
@@ -94,7 +94,7 @@
 // newRun returns the state of a job that this node owns from now on, under a claim.
 func newRun(j *job, ownerEpoch uint64, now micros.Micros) *run {
 	return &run{
-		doneTasks:               checkpoint.NewTaskSet(j.sub.Tasks),
+		doneTasks:          checkpoint.NewTaskSet(j.sub.Tasks),
 		checkpoint:         jobCheckpoint{recorded: checkpoint.NewTaskSet(j.sub.Tasks)},
 		active:             map[int]*attempt{},
 		acceptedUnderClaim: j.modRevision > ownerEpoch,
--- a/internal/controller/job_reads_test.go
+++ b/internal/controller/job_reads_test.go
@@ -20,25 +20,25 @@
 // fleet_expired 261. The deletion of the owner key was among the 261, and until it is
 // applied nobody owns the shard, so that questions go on to take reads.
 
-// questions are job status requests of users, for more jobs than can be read.
-type questions struct {
+// statusRequestLoad are job status requests of users, for more jobs than can be read.
+type statusRequestLoad struct {
 	h    *harness
 	next int
 	ids  int // they are about so many jobs
 }
 
-// runBeside runs for a time, with two questions every 20 ms.
-func (q *questions) runBeside(d micros.Micros) {
+// run runs for a time, with two questions every 20 ms.
+func (q *statusRequestLoad) run(d micros.Micros) {
 	for until := q.h.now + d; q.h.now < until; {
 		for range 2 {
 			q.next++
-			q.h.jobStatus(questionID(q.next % q.ids))
+			q.h.jobStatus(requestedJobID(q.next % q.ids))
 		}
 		q.h.run(20 * ms)
 	}
 }
 
-func questionID(i int) string { return fmt.Sprintf("job-%06d", 700000+i) }
+func requestedJobID(i int) string { return fmt.Sprintf("job-%06d", 700000+i) }
 
 func fewRequests(c *Config) {
 	withPeer(c)
@@ -49,9 +49,9 @@
 // changes at the minimum rate of its class, and what else is due.
 const longestWorkWait = 10 * sec
 
-// TestWorkBesideQuestions checks that all other work makes progress beside questions, about one job
+// TestWorkBesideStatusRequests checks that all other work makes progress beside questions, about one job
 // and about many.
-func TestWorkBesideQuestions(t *testing.T) {
+func TestWorkBesideStatusRequests(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		// begin starts the work once questions have been asked for a while; done reports
@@ -85,12 +85,12 @@
 			t.Run(fmt.Sprintf("%s, questions about %d", tc.name, ids), func(t *testing.T) {
 				h := newOwnerHarness(t, fewRequests)
 				h.runOne()
-				q := &questions{h: h, ids: ids}
-				q.runBeside(3 * sec)
+				q := &statusRequestLoad{h: h, ids: ids}
+				q.run(3 * sec)
 				began := h.now
 				tc.begin(h)
 				for !tc.done(h) {
-					q.runBeside(100 * ms)
+					q.run(100 * ms)
 					if h.now > began+longestWorkWait {
 						t.Fatalf("not done after %v s beside questions", longestWorkWait.Seconds())
 					}
@@ -100,9 +100,9 @@
 	}
 }
 
-// TestLockReleaseBeforeAllElse checks that the deletion of an owner key is of the class of leases:
+// TestOwnerKeyDeletionHasPriority checks that the deletion of an owner key is of the class of leases:
 // it does not wait for any other class, though their queues are full.
-func TestLockReleaseBeforeAllElse(t *testing.T) {
+func TestOwnerKeyDeletionHasPriority(t *testing.T) {
 	h := newOwnerHarness(t, fewRequests)
 	for class := statestore.ClassAccept; class < statestore.ClassCount; class++ {
 		for range 100 {
@@ -129,22 +129,22 @@
 	return rec
 }
 
-// TestQuestionsAreFairAmongJobs checks that no job stays unanswered because another is asked about
+// TestStatusRequestsAreFairAmongJobs checks that no job stays unanswered because another is asked about
 // more often, or because more are asked about than can be read at once. Each of 150 jobs is asked
 // about every 2 s, and one other a hundred times a second; 150 reads take some 33 s at the least
 // part of requests of the class of questions, and the bound is 75 s.
-func TestQuestionsAreFairAmongJobs(t *testing.T) {
+func TestStatusRequestsAreFairAmongJobs(t *testing.T) {
 	const jobs, within = 150, 75 * sec
 	h := newOwnerHarness(t, fewRequests)
 	answered := map[int]bool{}
 	asked := map[ReplyID]int{} // questions without an answer, and the jobs that they are about
 	for began := h.now; h.now < began+within && len(answered) < jobs; {
 		for range 2 {
-			h.jobStatus(questionID(jobs + 1))
+			h.jobStatus(requestedJobID(jobs + 1))
 		}
 		step := int((h.now - began) / (20 * ms))
 		for i := step % 100; i < jobs; i += 100 {
-			h.jobStatus(questionID(i))
+			h.jobStatus(requestedJobID(i))
 			asked[h.reply] = i
 		}
 		h.run(20 * ms)
@@ -163,9 +163,9 @@
 	}
 }
 
-// TestQuestionWaitsForItsOwnRead checks that an answer is never older than its question: one that
+// TestStatusRequestWaitsForLaterRead checks that an answer is never older than its question: one that
 // comes while a read of the same job is in flight waits for a read of its own.
-func TestQuestionWaitsForItsOwnRead(t *testing.T) {
+func TestStatusRequestWaitsForLaterRead(t *testing.T) {
 	h := newOwnerHarness(t, withPeer)
 	h.stateDown = true // what is sent is held
 	first := h.jobStatus("job-000777")
@@ -217,7 +217,7 @@
 		h := newOwnerHarness(t, limits)
 		h.stateDown = true // what is sent is held, without an answer
 		for i := range 100 {
-			h.jobStatus(questionID(i))
+			h.jobStatus(requestedJobID(i))
 		}
 		h.run(sec)
 		reads, renewals := 0, 0
@@ -263,9 +263,9 @@
 			h := newOwnerHarness(t, fewRequests)
 			h.stateDown = true // nothing is answered
 			for i := range tc.waiting {
-				h.jobStatus(questionID(i))
+				h.jobStatus(requestedJobID(i))
 			}
-			h.jobStatus(questionID(tc.waiting))
+			h.jobStatus(requestedJobID(tc.waiting))
 			reply := h.reply
 			h.run(statestore.ReadTimeout + 300*ms)
 			if a := h.answers[reply]; tc.waiting > 100 && (a.Status != 503 || a.RetryAfterS < tc.least || a.RetryAfterS > tc.most) {
@@ -285,7 +285,7 @@
 	h := newOwnerHarness(t, fewRequests)
 	h.stateDown, h.refused = true, true
 	for i := range 300 {
-		h.jobStatus(questionID(i))
+		h.jobStatus(requestedJobID(i))
 		h.run(20 * ms)
 	}
 	a := h.ask(func(r ReplyID) Input { return SubmitRequest{Reply: r, Job: jobOf("job-000002", 1)} })
@@ -303,7 +303,7 @@
 	h.submit(jobOf("job-000002", 1))
 	h.stateDown, h.refused = true, true
 	for i := range 100 { // not for so long that the lease is over
-		h.jobStatus(questionID(i))
+		h.jobStatus(requestedJobID(i))
 		h.run(20 * ms)
 	}
 	h.cancel("job-000002")
--- a/internal/controller/job_status.go
+++ b/internal/controller/job_status.go
@@ -86,13 +86,13 @@
 }
 
 // askPeer asks the owner of a job on behalf of a user.
-func (c *Controller) askPeer(p *peerView, ask peer.JobRequest, timeout micros.Micros, done func(peer.JobResponse)) {
+func (c *Controller) askPeer(p *peerView, jobReq peer.JobRequest, timeout micros.Micros, done func(peer.JobResponse)) {
 	if c.cfg.MaxPeerQuestions > 0 && c.peerQuestionsInFlight >= c.cfg.MaxPeerQuestions {
 		done(unavailable())
 		return
 	}
 	c.peerQuestionsInFlight++
-	req := peer.Request{From: c.cfg.Label, JobRequest: &ask}
+	req := peer.Request{From: c.cfg.Label, JobRequest: &jobReq}
 	c.call(Call{To: ToPeer, Addr: p.label, Req: req, Timeout: timeout}, func(r Result) {
 		c.peerQuestionsInFlight--
 		resp, ok := r.Body.(*peer.Response)
@@ -102,7 +102,7 @@
 		}
 		a := *resp.JobResponse
 		if a.Status == http.StatusOK && a.State.Final() {
-			c.finishJob(ask.ID, finalJob{state: a.State, tasks: a.Done})
+			c.finishJob(jobReq.ID, finalJob{state: a.State, tasks: a.Done})
 		}
 		done(a)
 	})
--- a/internal/controller/job_table.go
+++ b/internal/controller/job_table.go
@@ -59,8 +59,8 @@
 	unusable map[string]bool
 	// dependents are the open jobs that wait for a job, by its id, which may not be
 	// known yet: then unknown says when to read it.
-	dependents map[string][]*job
-	unknownDependencies    map[string]micros.Micros
+	dependents          map[string][]*job
+	unknownDependencies map[string]micros.Micros
 	// readsInFlight counts the reads of unknown jobs.
 	readsInFlight int
 }
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -174,29 +174,29 @@
 		return
 	}
 	c.readUnknownDependencies()
-	survey := c.scanOpenJobs()
-	c.ownership.adjustJobWatch(survey)
-	for _, j := range survey.due {
+	scan := c.scanOpenJobs()
+	c.ownership.adjustJobWatch(scan)
+	for _, j := range scan.due {
 		c.maintainJob(j)
 	}
 }
 
 // scanOpenJobs goes over the open jobs once.
 func (c *Controller) scanOpenJobs() openJobsScan {
-	var out openJobsScan
+	var scan openJobsScan
 	for _, j := range c.jobs.open {
 		blocked := j.blocked()
-		out.blocked = out.blocked || blocked
+		scan.blocked = scan.blocked || blocked
 		if j.run == nil || c.ownership.activeShard(j.shard) == nil {
 			continue
 		}
-		out.ownedBlocked = out.ownedBlocked || blocked
+		scan.ownedBlocked = scan.ownedBlocked || blocked
 		if c.maintenanceDue(j) {
-			out.due = append(out.due, j)
+			scan.due = append(scan.due, j)
 		}
 	}
-	slices.SortFunc(out.due, func(a, b *job) int { return cmp.Compare(a.id, b.id) })
-	return out
+	slices.SortFunc(scan.due, func(a, b *job) int { return cmp.Compare(a.id, b.id) })
+	return scan
 }
 
 // maintenanceDue reports whether something is due for a job of this node.
@@ -208,14 +208,14 @@
 }
 
 // adjustJobWatch sets the pace of the watch of jobs: blocked jobs depend on it.
-func (o *ownershipState) adjustJobWatch(survey openJobsScan) {
+func (o *ownershipState) adjustJobWatch(scan openJobsScan) {
 	watch := &o.jobWatch
 	watch.BlockTimeout = statestore.WatchTimeout
-	if survey.blocked {
+	if scan.blocked {
 		watch.BlockTimeout = blockedWatchTimeout
 	}
 	interval := jobWatchInterval
-	if survey.ownedBlocked {
+	if scan.ownedBlocked {
 		interval = blockedWatchInterval
 	}
 	watch.Interval = o.watchInterval(interval, jobWatchFraction)
--- a/internal/controller/unknown_jobs_test.go
+++ b/internal/controller/unknown_jobs_test.go
@@ -85,13 +85,13 @@
 	})
 }
 
-// TestUnknownJobAtOwnerWithStaleView has an owner that can't learn of jobs, and a machine that
+// TestUnknownJobWithStaleView has an owner that can't learn of jobs, and a machine that
 // lists a task of one that it does not know. If the task was started under a claim that its view
 // includes, the job may have ended long ago, and nothing says when its user was notified: the
 // machine's lease is not renewed, and the task is not stopped either, since it may be of a job that
 // has just been accepted. If it was started under a later claim, the job had not ended when the
 // view was complete.
-func TestUnknownJobAtOwnerWithStaleView(t *testing.T) {
+func TestUnknownJobWithStaleView(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
 		later    bool // started under a claim that the view does not include
--- a/internal/controller/user_requests_test.go
+++ b/internal/controller/user_requests_test.go
@@ -117,7 +117,7 @@
 	}
 	for _, tc := range []struct {
 		name  string
-		set   func(h *harness)
+		setUp func(h *harness)
 		ask   func(ReplyID) Input
 		want  int
 		state wire.JobState
@@ -125,21 +125,21 @@
 		{"malformed, unknown", nil, bad, 400, ""},
 		{"fits nothing, unknown", nil, unfit, 422, ""},
 		{"no such team, unknown", nil, noTeam, 422, ""},
-		{"malformed, accepted elsewhere", accepted, bad, 200, wire.StatePending},
-		{"fits nothing, accepted elsewhere", accepted, unfit, 200, wire.StatePending},
-		{"malformed, done and out of memory", over, bad, 200, wire.StateDone},
-		{"fits nothing, done and out of memory", over, unfit, 200, wire.StateDone},
+		{"malformed, accepted elsewhere", recordAccepted, bad, 200, wire.StatePending},
+		{"fits nothing, accepted elsewhere", recordAccepted, unfit, 200, wire.StatePending},
+		{"malformed, done and out of memory", recordDone, bad, 200, wire.StateDone},
+		{"fits nothing, done and out of memory", recordDone, unfit, 200, wire.StateDone},
 		{"malformed, no state service", func(h *harness) { h.stateDown, h.refused = true, true }, bad, 503, ""},
 		{"fits nothing, no state service", func(h *harness) { h.stateDown, h.refused = true, true }, unfit, 503, ""},
 		{"fits nothing, types not known", func(h *harness) { h.c.types = machineTypes{} }, unfit, 503, ""},
-		{"cancelled though done", over, func(r ReplyID) Input { return CancelRequest{Reply: r, ID: "job-000001"} }, 200, wire.StateDone},
+		{"cancelled though done", recordDone, func(r ReplyID) Input { return CancelRequest{Reply: r, ID: "job-000001"} }, 200, wire.StateDone},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newOwnerHarness(t, withPeer)
 			h.watchBlocked = wire.PrefixJob // it learns of no job by itself
 			h.run(sec)
-			if tc.set != nil {
-				tc.set(h)
+			if tc.setUp != nil {
+				tc.setUp(h)
 			}
 			a := h.ask(tc.ask)
 			b, _ := a.Body.(wire.JobAnswer)
@@ -153,11 +153,11 @@
 	}
 }
 
-func accepted(h *harness) {
+func recordAccepted(h *harness) {
 	sub := jobOf("job-000001", 1)
 	h.put(wire.JobKey("job-000001"), wire.JobRecord{Submission: &sub, State: wire.StatePending, Tasks: 1})
 }
 
-func over(h *harness) {
+func recordDone(h *harness) {
 	h.put(wire.JobKey("job-000001"), wire.JobRecord{State: wire.StateDone, Tasks: 1})
 }
