--- a/internal/controller/attempt_end.go
+++ b/internal/controller/attempt_end.go
@@ -5,14 +5,15 @@
 	"garnethitch/internal/wire"
 )
 
-// freeAttempt removes an attempt that is not, or no longer, on its machine. Its task waits again
-// unless it is done. lost is whether work of the task was lost with it.
+// freeAttempt drops an attempt that never reached its machine or has left it, and requeues its task
+// unless the task is done. lost says whether work of the task was lost with the attempt.
 func (c *Controller) freeAttempt(att *attempt, lost bool) {
 	c.dropAttempt(att)
 	c.requeue(att, lost)
 }
 
-// requeue lets an attempt's task wait again, unless it is done or its job is not this node's.
+// requeue makes the task of an attempt wait for a machine again, unless the task is done or this
+// node does not own its job.
 func (c *Controller) requeue(att *attempt, lost bool) {
 	if !att.tracked {
 		return
@@ -36,8 +37,9 @@
 	}
 }
 
-// freeAllAttempts forgets what was on a machine. Unless commandsVoid, starts in direct commands that
-// were not answered are kept: a machine that hung may yet find them.
+// freeAllAttempts frees the attempts on a machine that no longer holds tasks. Starts that were sent
+// in direct commands and not answered are kept unless commandsVoid is set: a machine that hung may
+// still execute them.
 func (c *Controller) freeAllAttempts(m *machine, reason string, commandsVoid bool) {
 	c.logFreedTasks(m, reason)
 	for _, att := range m.view.each() {
@@ -45,14 +47,14 @@
 		switch {
 		case mayStillStart && !commandsVoid:
 		case att.state == attemptExited:
-			c.dropAttempt(att) // its end was handled when it was seen
+			c.dropAttempt(att) // handleExit has handled its end already
 		default:
 			c.freeAttempt(att, att.state >= attemptFetching)
 		}
 	}
 }
 
-// logFreedTasks logs that the tasks on a machine are gone, if there were any.
+// logFreedTasks logs that the tasks on a machine are gone, unless there were none.
 func (c *Controller) logFreedTasks(m *machine, reason string) {
 	tasks := 0
 	for _, att := range m.view.list {
@@ -65,10 +67,11 @@
 	}
 }
 
-// refusedStartBackoff is how long nothing is started on a machine that refused a start.
+// refusedStartBackoff is the time for which nothing is started on a machine after it refused a
+// start.
 const refusedStartBackoff = 2 * micros.Second
 
-// handleExit deals with the end of a tracked attempt.
+// handleExit handles the exit of a tracked attempt according to its exit reason.
 func (c *Controller) handleExit(att *attempt) {
 	c.schedulingDue = true
 	switch att.exitReason {
@@ -78,7 +81,8 @@
 	case wire.ExitError:
 		c.noteFailure(att)
 	case wire.ExitNoCapacity, wire.ExitInUse, wire.ExitUnknown:
-		// Disagreements about state, not failures: start again a little later.
+		// The machine's state differs from this node's view of it. That is not a failure of the
+		// task: it is retried after the backoff.
 		m := att.machine
 		m.view.backoffUntil = c.now + refusedStartBackoff
 		c.log(Info, "start refused", "task", wire.TaskName(att.job.id, att.index), "machine", m.id, "reason", string(att.exitReason))
@@ -87,7 +91,7 @@
 	c.requeue(att, false)
 }
 
-// handleCompletion takes the result of an attempt that has done its task.
+// handleCompletion handles an attempt that has completed its task.
 func (c *Controller) handleCompletion(att *attempt) {
 	c.learnFromRunTime(att)
 	j := att.job
@@ -102,8 +106,9 @@
 	c.awaitCheckpoint(j, att)
 }
 
-// learnFromRunTime compares a completed attempt's run time with the estimate and adds it to
-// the estimates, unless this node has stalled meanwhile and may have seen the end late.
+// learnFromRunTime compares the run time of a completed attempt with the estimate and adds it to
+// the estimates. It ignores the run time if this node has stalled since the attempt began to run,
+// because the node may then have seen the end late.
 func (c *Controller) learnFromRunTime(att *attempt) {
 	if att.runAt <= max(c.lastStalledAt, 0) {
 		return
--- a/internal/controller/attempts.go
+++ b/internal/controller/attempts.go
@@ -7,7 +7,7 @@
 	"garnethitch/internal/wire"
 )
 
-// attemptKey identifies an attempt: the job, the index of the task in it, and the attempt's
+// attemptKey identifies an attempt by its job's id, the task's index in the job and the attempt
 // number.
 type attemptKey struct {
 	job     string
@@ -15,30 +15,31 @@
 	attempt uint64
 }
 
-// An attempt's number holds the epoch of the shard's owner that started it above
-// attemptCounterBits bits of a counter, so that no two owners give the same number.
+// An attempt number has the epoch of the shard owner that started the attempt in its high bits and
+// a counter in its low attemptCounterBits bits, so that no two owners assign the same number.
 const (
 	attemptCounterBits = 32
 	attemptCounterMask = 1<<attemptCounterBits - 1
 )
 
-// attemptNumber returns the number of an attempt that is started under an owner's epoch.
+// attemptNumber returns the attempt number for an owner's epoch and counter. Only the low bits of
+// the counter are used.
 func attemptNumber(ownerEpoch, counter uint64) uint64 {
 	return ownerEpoch<<attemptCounterBits | counter&attemptCounterMask
 }
 
-// epochOfAttempt returns the epoch of the owner that started the attempt of a number.
+// epochOfAttempt returns the epoch of the owner that started the attempt with a number.
 func epochOfAttempt(attempt uint64) uint64 { return attempt >> attemptCounterBits }
 
-// attemptState is how far an attempt has come. Up to attemptInDoubt the worker may not know of
-// the attempt.
+// attemptState is the progress of an attempt. In the states up to attemptInDoubt the worker may not
+// know of the attempt.
 type attemptState int
 
 const (
-	attemptAssigned  attemptState = iota // not sent
-	attemptSent                          // in the reply to a heartbeat: the next heartbeat shows it
-	attemptCommanded                     // in a direct command whose answer is awaited
-	attemptInDoubt                       // in a direct command that was not answered
+	attemptAssigned  attemptState = iota // not sent yet
+	attemptSent                          // sent in the reply to a heartbeat; the next heartbeat must list it
+	attemptCommanded                     // sent in a direct command whose answer is awaited
+	attemptInDoubt                       // sent in a direct command that was not answered
 	attemptFetching
 	attemptRunning
 	attemptSaving
@@ -68,7 +69,7 @@
 	return fmt.Sprintf("attemptState(%d)", int(s))
 }
 
-// stopMode is how a task is to be stopped; a later mode overrides an earlier one.
+// stopMode is how a task is to be stopped. A mode overrides those listed before it.
 type stopMode int
 
 const (
@@ -90,33 +91,34 @@
 	return fmt.Sprintf("stopMode(%d)", int(m))
 }
 
-// attempt is one attempt at a task on one machine. From its creation until it is dropped it
-// counts against capacity, limits and placement.
+// attempt is one attempt to run a task on one machine. It counts against the machine's capacity,
+// the team's limits and the placement rules from its creation until it is dropped.
 type attempt struct {
 	key             attemptKey
-	job             *job // nil: not known (yet)
+	job             *job // nil if the job is not in the job table (yet)
 	index           int
 	machine         *machine
 	state           attemptState
 	sentSequence    uint64
-	lastSeenRound   uint64 // the round of applyTaskList that saw it last
-	tracked         bool   // it stands in job.run.active
+	lastSeenRound   uint64 // the latest round of applyTaskList that saw it
+	tracked         bool   // whether job.run.active contains it
 	stateSince      micros.Micros
-	runAt           micros.Micros // when it was first seen running; 0: not yet
+	runAt           micros.Micros // when it was first seen running; 0 if it was not
 	stopMode        stopMode
-	stopRequestedAt micros.Micros // when it was first to be stopped in this way
+	stopRequestedAt micros.Micros // when a stop with stopMode was first requested
 	stopSentAt      micros.Micros // when the stop was last sent
-	prefetch        bool          // a done task run again for its image only; see prefetch.go
+	prefetch        bool          // runs a done task again only to fetch its image; see prefetch.go
 	exitReason      wire.ExitReason
-	outcomeHandled  bool // exited, and its end is on record or needs nothing more
-	// startToken is the fencing token of the direct command that carried the start; 0: none.
+	outcomeHandled  bool // exited, and its result is recorded or not needed
+	// startToken is the fencing token of the direct command that carried the start; 0 if no direct
+	// command did.
 	startToken uint64
 }
 
-// clearable reports whether the worker may forget an attempt. One that was started by a direct
-// command and did not complete must stay known until a higher token was seen: a repeat of
-// that command, which can follow the end of the process that sent it, has no effect only
-// as long as the attempt is known.
+// clearable reports whether the worker may forget the attempt. The worker must remember an attempt
+// that was started by a direct command and did not complete until it has seen a higher fencing
+// token. A copy of that command can arrive even after the process that sent it has ended, and it
+// starts the task again unless the worker still knows the attempt.
 func (att *attempt) clearable() bool {
 	if att.state != attemptExited || !att.outcomeHandled {
 		return false
@@ -125,12 +127,13 @@
 	return att.startToken == 0 || completed || att.machine.view.fencingToken > att.startToken
 }
 
-// onMachine reports whether the machine has shown the attempt, and not its end.
+// onMachine reports whether the machine has listed the attempt and has not yet listed it as exited.
 func (att *attempt) onMachine() bool {
 	return att.state >= attemptFetching && att.state != attemptExited
 }
 
-// runTime returns for how long an attempt has been seen running.
+// runTime returns how long the attempt has been running, counted from when it was first seen
+// running; 0 if it was not.
 func (att *attempt) runTime(now micros.Micros) micros.Micros {
 	if att.runAt == 0 {
 		return 0
@@ -138,7 +141,8 @@
 	return now - att.runAt
 }
 
-// evictAllTasks stops a machine's tasks so that they continue elsewhere, if all of them may.
+// evictAllTasks stops all running tasks of a machine so that they continue on other machines. Tasks
+// of jobs with checkpoints are given time to save. It stops none if any task may not be moved.
 func (c *Controller) evictAllTasks(m *machine) {
 	attempts := m.view.each()
 	for _, att := range attempts {
--- a/internal/controller/attempts_test.go
+++ b/internal/controller/attempts_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestAttemptNumber checks that an attempt's number gives back the epoch of its starter, whatever
-// the counter.
+// TestAttemptNumber checks that an attempt number encodes the epoch of the owner that started the
+// attempt, whatever the value of the counter.
 func TestAttemptNumber(t *testing.T) {
 	for _, tc := range []struct {
 		name           string
--- a/internal/controller/cancellation_cascade.go
+++ b/internal/controller/cancellation_cascade.go
@@ -9,77 +9,80 @@
 	"garnethitch/internal/wire"
 )
 
-// A cancellation reaches every job that needs the cancelled one, directly or through
-// others. Such a dependent has no tasks, so that its record is all there is to write, but
-// there may be more dependents than one controller's part of the state service's write
-// limit takes within the time that a cancellation has. Their owner therefore records
-// several in a transaction, behind acceptances and other ends, and requests the other
-// controllers to record some of them too.
+// A cancellation extends to all direct and transitive dependents of the cancelled job. Dependents
+// have no tasks on machines, so only their records must be written. There may be more of them than
+// one controller's share of the state service's write limit can record within the time allowed for
+// a cancellation. The owner therefore records several dependents in one transaction, with a lower
+// urgency than acceptances and other ends, and requests the other controllers to record some too.
 //
-// Another controller writes only what the owner requested: the owner then knows of the
-// cancellation, and calls the job pending no more, whatever the other one answers a user.
-// The record is conditional on the job's revision and on the claim under which the owner
-// requested it, so that a late copy, a second writer or a former owner changes nothing.
+// Another controller records only the dependents that the owner requested. The owner then knows of
+// the cancellation and no longer answers that the job is pending, whatever the other controller
+// answers a user. The transaction is conditional on the job's revision and on the claim under which
+// the owner requested it, so that a late copy, a second writer or a former owner changes nothing.
 
 const (
-	// maxCascadeTransactions bounds the transactions of dependents in flight: one waits
-	// for the write limit while another waits for its answer.
+	// maxCascadeTransactions bounds the transactions of dependents in flight. With two, one waits
+	// for the write limit while the other waits for its answer.
 	maxCascadeTransactions = 2
-	// cascadeTimeout is how long such a transaction may wait for both.
+	// cascadeTimeout is how long such a transaction may take in all, for the write limit and the
+	// answer.
 	cascadeTimeout = 3 * micros.Second
-	// cascadeRetryInterval is the mean time to the next transaction after one that was
-	// not applied.
+	// cascadeRetryInterval is the mean time before the next transaction after one that was not
+	// applied.
 	cascadeRetryInterval = 400 * micros.Millisecond
-	// cascadeTxnsPerSecond is the least number of transactions into which the writes of a second
-	// are split: a more urgent request waits no longer than one of them takes.
+	// cascadeTxnsPerSecond is the least number of transactions into which the writes of one second
+	// are split. A more urgent request waits no longer than one of them takes.
 	cascadeTxnsPerSecond = 4
-	// maxCascadeBurst bounds the time of which unused writes may still be used.
+	// maxCascadeBurst bounds the burst of writes after a pause: it is the time for which unused
+	// writes may be made up.
 	maxCascadeBurst = micros.Second / 2
-	// dependentsWritesFraction is the part of this node's writes that dependents take at
-	// most: they come before the records of machines, which need the rest.
+	// dependentsWritesFraction is the greatest fraction of this node's writes that dependents may
+	// take. They go before the records of machines, which need the rest.
 	dependentsWritesFraction = 0.75
-	// helpThreshold is how long an owner would need alone before it requests help.
+	// helpThreshold is the time that an owner would need to record all dependents alone from which
+	// on it requests help.
 	helpThreshold = 3 * micros.Second
-	// maxRecordRequests bounds the jobs named in one message; it is repeated each second.
+	// maxRecordRequests bounds the jobs named in one status message. The message is repeated each
+	// second.
 	maxRecordRequests = 200
-	// lostClaimBackoff is how long a dependent is put off whose owner's claim is over by its
-	// record; the watch brings the rest.
+	// lostClaimBackoff is the time before a dependent is retried after its transaction found that
+	// the owner's claim is no longer valid. The watch brings the new owner.
 	lostClaimBackoff = micros.Second
-	// helpDelay is the time until the other controllers know of a cancellation and of what
-	// they are to record.
+	// helpDelay is the time until the other controllers know of a cancellation and of the
+	// dependents that they are requested to record.
 	helpDelay = 3 * statusInterval
-	// failoverLeases is how many lease times the shards of a controller that is away take
-	// at most to get another owner.
+	// failoverLeases is the longest time, in lease durations, until the shards of a failed
+	// controller have another owner.
 	failoverLeases = 2
 )
 
-// cancellationCascade is the work on open jobs that need a cancelled one.
+// cancellationCascade is the state of recording the dependents of cancelled jobs as cancelled.
 type cancellationCascade struct {
-	// jobs are all of them that this node knows of, whoever owns them.
+	// jobs holds all open jobs with a cancelled dependency, by id, whoever owns them.
 	jobs map[string]*job
-	// requested are those whose owners want them recorded here, with the epoch under
-	// which each owner requested it.
+	// requested holds the jobs that their owners requested this node to record, with the epoch of
+	// the claim under which each owner did.
 	requested map[string]uint64
-	// recording are those in transactions in flight.
+	// recording holds the jobs in transactions in flight.
 	recording    map[string]bool
 	txnsInFlight int
 	retryAt      micros.Micros
-	// nextTxnAt is when the writes of earlier transactions have taken their part.
+	// nextTxnAt is when the fraction of writes for dependents allows the next transaction.
 	nextTxnAt micros.Micros
-	// generation rises when this node loses a shard: earlier transactions are waited for
-	// no more.
+	// generation is incremented when this node loses a shard. Transactions of earlier generations
+	// no longer count as in flight.
 	generation int
 }
 
-// init makes the cascade's maps.
+// init makes the maps of an empty cascade.
 func (cascade *cancellationCascade) init() {
 	cascade.jobs = map[string]*job{}
 	cascade.requested = map[string]uint64{}
 	cascade.recording = map[string]bool{}
 }
 
-// forgetTransactions forgets the transactions in flight: their conditions name a claim
-// that is over.
+// forgetTransactions stops counting the transactions in flight, since their conditions name a claim
+// that is no longer valid.
 func (cascade *cancellationCascade) forgetTransactions() {
 	cascade.generation++
 	cascade.txnsInFlight = 0
@@ -87,19 +90,19 @@
 	clear(cascade.recording)
 }
 
-// add takes a job whose dependency is cancelled.
+// add adds a job with a cancelled dependency.
 func (cascade *cancellationCascade) add(j *job) { cascade.jobs[j.id] = j }
 
-// remove forgets a job that is over.
+// remove removes a job that has ended.
 func (cascade *cancellationCascade) remove(id string) {
 	delete(cascade.jobs, id)
 	delete(cascade.requested, id)
 }
 
-// CancellableDependents returns how many dependents of a cancelled job are recorded within
-// the time that a cancellation has, with some of the controllers away and the state
-// service down for a while of it. Each takes one write; acceptances and ends of jobs
-// go first and take from that.
+// CancellableDependents returns how many dependents of a cancelled job can be recorded within
+// cfg.Cancel while controllersDown controllers are down and the state service is unavailable for
+// the given part of that time. Each dependent takes one write. Acceptances and ends of jobs go first
+// and reduce the number.
 func CancellableDependents(cfg Config, controllersDown int, outage micros.Micros) int {
 	nodes := len(cfg.Peers) + 1
 	available := cfg.Cancel - outage - helpDelay
@@ -113,13 +116,13 @@
 	return int(rate * available.Seconds())
 }
 
-// recorderOf returns the controller that is to record a dependent, where all take part. It
-// is independent of the job's shard, which comes of the same hash.
+// recorderOf returns the label of the controller that records a dependent when all controllers take
+// part. The choice is independent of the job's shard, although both derive from the same hash.
 func (c *Controller) recorderOf(id string) string {
 	return c.nodes[hashOf(id)/uint64(c.cfg.Shards)%uint64(len(c.nodes))]
 }
 
-// recordDependents records the next dependents, as far as the limits allow.
+// recordDependents sends the transaction for the next batch of dependents if the limits allow it.
 func (c *Controller) recordDependents() {
 	cascade := &c.cascade
 	if len(cascade.jobs) == 0 || cascade.txnsInFlight >= maxCascadeTransactions || !c.ownership.leaseValid() {
@@ -141,7 +144,8 @@
 	c.recordCancelled(batch)
 }
 
-// recordingEpoch returns the epoch of the claim under which this node records a dependent.
+// recordingEpoch returns the epoch of the claim under which this node records a dependent: that of
+// its own claim, or of the claim of the owner that requested it.
 func (c *Controller) recordingEpoch(j *job) uint64 {
 	if c.Owns(j.id) {
 		return c.ownership.shards[j.shard].ownerEpoch
@@ -149,9 +153,10 @@
 	return c.cascade.requested[j.id]
 }
 
-// dependentsToRecord lists the dependents that this node is to record: its part of its
-// own, then what others request of it, then the rest of its own. The rest comes in reverse
-// order, so that it meets the controllers that were requested to record it only at the end.
+// dependentsToRecord lists the dependents that this node should record, in order: those of its own
+// that recorderOf assigns to it, those that other owners requested, then the rest of its own. The
+// rest is in reverse order, because the controllers that were requested to record these jobs begin
+// at the other end.
 func (c *Controller) dependentsToRecord() []*job {
 	var own, requested, rest []*job
 	cascade := &c.cascade
@@ -174,21 +179,21 @@
 	return slices.Concat(own, requested, rest)
 }
 
-// dependentBatch is dependents of one shard that one transaction records as cancelled.
+// dependentBatch is a set of dependents of one shard that one transaction records as cancelled.
 type dependentBatch struct {
 	shard      int
 	ownerEpoch uint64
 	jobs       []*job
-	// runs are those of the jobs when the transaction was sent; nil where another owns
-	// the job.
+	// runs holds job.run of each job when the transaction was sent; nil where another controller
+	// owns the job.
 	runs  []*run
-	endMS int64 // by the time of day
-	// generation is the cascade's when the transaction was sent.
+	endMS int64 // time of day in milliseconds
+	// generation is the cascade's generation when the transaction was sent.
 	generation int
 }
 
-// nextDependentBatch takes the first of the jobs, of one shard and claim, that fit into a
-// transaction.
+// nextDependentBatch returns a batch of the first jobs that share a shard and a claim, as many as
+// fit into a transaction.
 func (c *Controller) nextDependentBatch(jobs []*job) *dependentBatch {
 	shard := jobs[0].shard
 	ownerEpoch := c.recordingEpoch(jobs[0])
@@ -245,7 +250,7 @@
 	})
 }
 
-// handleDependentBatch takes the result of the transaction of a batch.
+// handleDependentBatch handles the result of the transaction of a batch.
 func (c *Controller) handleDependentBatch(b *dependentBatch, txn wire.Txn, res statestore.Reply) {
 	outcome := res.Outcome()
 	failed := res.FailedKeys()
@@ -259,7 +264,7 @@
 			delete(c.cascade.recording, j.id)
 		}
 		if c.jobs.open[j.id] != j || j.run != b.runs[i] {
-			continue // over, or owned by another
+			continue // ended, or its owner has changed
 		}
 		if outcome == statestore.Applied {
 			c.finishJob(j.id, finalJob{state: wire.StateCancelled, tasks: j.sub.Tasks, recorded: true, endMS: b.endMS})
@@ -270,8 +275,8 @@
 	}
 }
 
-// handleDependentTxnEnd takes a transaction off those in flight, and puts the next one off if
-// it was not applied.
+// handleDependentTxnEnd removes a transaction from those in flight and delays the next one if it was
+// not applied.
 func (c *Controller) handleDependentTxnEnd(b *dependentBatch, txn wire.Txn, outcome statestore.Outcome, failed []string) {
 	cascade := &c.cascade
 	cascade.txnsInFlight--
@@ -284,13 +289,13 @@
 	}
 }
 
-// handleUnrecordedDependent handles a dependent whose transaction did not succeed, or may not
-// have: jobChanged and claimLost say which conditions were not met.
+// handleUnrecordedDependent handles a dependent whose transaction failed or whose outcome is unknown.
+// jobChanged and claimLost say which of its conditions were not met.
 func (c *Controller) handleUnrecordedDependent(j *job, outcome statestore.Outcome, jobChanged, claimLost bool) {
 	r := j.run
 	if r == nil {
 		if jobChanged || claimLost {
-			delete(c.cascade.requested, j.id) // its owner requests it again if it still wants it
+			delete(c.cascade.requested, j.id) // its owner repeats the request if it is still needed
 		}
 		return
 	}
@@ -307,8 +312,8 @@
 	}
 }
 
-// recordRequestsFor lists the dependents that another controller is to record, none where
-// this one has recorded all of them soon.
+// recordRequestsFor lists the dependents that another controller is requested to record. It returns
+// none if this node can record all of its dependents within helpThreshold.
 func (c *Controller) recordRequestsFor(p *peerView) (ids []string) {
 	if len(c.cascade.jobs) == 0 || !c.ownership.leaseValid() {
 		return nil
@@ -330,8 +335,8 @@
 	return ids
 }
 
-// takeRecordRequests takes the dependents that an owner wants recorded, with the shards that
-// it claims. A job that this node does not know to need a cancelled one is ignored.
+// takeRecordRequests stores an owner's requests to record dependents, with the epochs of its claims.
+// It ignores jobs that this node does not know to have a cancelled dependency.
 func (c *Controller) takeRecordRequests(ids []string, claims []peer.ShardClaim) {
 	for _, id := range ids {
 		j := c.cascade.jobs[id]
--- a/internal/controller/cancellation_cascade_test.go
+++ b/internal/controller/cancellation_cascade_test.go
@@ -12,8 +12,8 @@
 	"garnethitch/internal/wire"
 )
 
-// newCascadeHarness is a harness of three controllers that writes as much as it may, with a job and
-// n others that need it; those of before are stored as another node would store them.
+// newCascadeHarness returns a harness for one of three controllers, with the given write limit. It
+// stores a job and n dependents of it as another controller would store them.
 func newCascadeHarness(t *testing.T, n int, writeRPS float64) *harness {
 	h := newOwnerHarness(t, func(c *Config) {
 		c.Peers = []string{"n-1", "n-2"}
@@ -31,7 +31,7 @@
 
 func dependentID(i int) string { return fmt.Sprintf("job-%06d", 1000+i) }
 
-// cancelledDependents counts the dependents that stand as cancelled.
+// cancelledDependents returns how many of the n dependents are recorded as cancelled.
 func (h *harness) cancelledDependents(n int) (cancelled int) {
 	for i := range n {
 		var rec wire.JobRecord
@@ -42,12 +42,11 @@
 	return cancelled
 }
 
-// TestDependentsAreRecorded checks that a long list of dependents is recorded several at a time by
-// their owner, which requests the others to record some, and records those by itself if they do
-// not.
+// TestDependentsAreRecorded checks that the owner records many dependents in batches, requests the
+// other controllers to record some of them, and records these itself if the others do not.
 func TestDependentsAreRecorded(t *testing.T) {
 	const n = 90
-	h := newCascadeHarness(t, n, 30) // some 10 a second of its own
+	h := newCascadeHarness(t, n, 30) // this controller's share is about 10 writes a second
 	h.statusesSent, h.done = nil, nil
 	h.recordEnd("job-000100", wire.StateCancelled, 0)
 	h.run(2 * sec)
@@ -58,28 +57,29 @@
 		}
 	}
 	if len(requested) < n/3 || len(requested) > n*5/6 {
-		t.Errorf("the others are asked to record %d of %d, want about two thirds", len(requested), n)
+		t.Errorf("the other controllers are requested to record %d of %d dependents, want about two thirds", len(requested), n)
 	}
 	h.run(10 * sec)
 	if got := h.cancelledDependents(n); got != n {
-		t.Errorf("%d of %d recorded: nobody helped, and the owner did not go on", got, n)
+		t.Errorf("%d of %d dependents recorded: the others did not help and the owner did not record the rest", got, n)
 	}
 	most := 0
 	for _, txn := range h.done {
 		most = max(most, txn.Writes())
 	}
 	if most < 2 || most > h.c.cfg.TxnOps {
-		t.Errorf("%d changes at most in a transaction", most)
+		t.Errorf("the largest transaction has %d changes, want 2 to TxnOps", most)
 	}
 	h.run(sec)
 	for _, id := range []string{dependentID(0), dependentID(n - 1)} {
 		if got := h.state(id); got != wire.StateCancelled {
-			t.Errorf("%s is called %q", id, got)
+			t.Errorf("%s is in state %q, want cancelled", id, got)
 		}
 	}
 }
 
-// TestFewDependentsAreNotRequested checks that the owner records a short list without the others.
+// TestFewDependentsAreNotRequested checks that the owner records a few dependents by itself, without
+// requesting help from the other controllers.
 func TestFewDependentsAreNotRequested(t *testing.T) {
 	h := newCascadeHarness(t, 6, 30)
 	h.statusesSent = nil
@@ -87,17 +87,17 @@
 	h.run(3 * sec)
 	for _, s := range h.statusesSent {
 		if len(s.JobsToCancel) > 0 {
-			t.Errorf("asked for %v", s.JobsToCancel)
+			t.Errorf("another controller is requested to record %v", s.JobsToCancel)
 		}
 	}
 	if got := h.cancelledDependents(6); got != 6 {
-		t.Errorf("%d of 6 recorded", got)
+		t.Errorf("%d of 6 dependents recorded", got)
 	}
 }
 
-// TestRecordsDependentsOnRequestOfOwner checks that a controller records dependents of another's only when their
-// owner requests it, only those that it knows to need a cancelled job, and only under the claim of
-// that owner.
+// TestRecordsDependentsOnRequestOfOwner checks that a controller records dependents that another one
+// owns only if the owner requests it, only those that it knows to have a cancelled dependency, and
+// only under the claim of that owner.
 func TestRecordsDependentsOnRequestOfOwner(t *testing.T) {
 	const n = 6
 	all := func() (ids []string) {
@@ -183,7 +183,7 @@
 	}
 }
 
-// checkEndsWrittenOnce checks that no job's end is recorded a second time.
+// checkEndsWrittenOnce checks that no job's end is written twice.
 func (h *harness) checkEndsWrittenOnce() {
 	ends := map[string]int{}
 	for _, e := range h.log {
@@ -194,23 +194,24 @@
 	}
 	for key, n := range ends {
 		if n > 1 {
-			h.t.Errorf("the end of %s is written %d times", key, n)
+			h.t.Errorf("the end of %s is written %d times, want once", key, n)
 		}
 	}
 }
 
-// checkEndsRequireClaim checks that every end of a job is conditional on an owner's claim.
+// checkEndsRequireClaim checks that every transaction that ends jobs is conditional on the owner's
+// claim.
 func (h *harness) checkEndsRequireClaim() {
 	for _, txn := range h.done {
 		if len(txn.Changes) > 0 && strings.HasPrefix(txn.Changes[0].Put, wire.PrefixJob) &&
 			!slices.ContainsFunc(txn.Conditions, func(c wire.Condition) bool { return c.Key == ownerKey(0) && c.ModRevision != 0 }) {
-			h.t.Errorf("recorded without the owner's claim: %v", txn.Conditions)
+			h.t.Errorf("an end is written without a condition on the owner's claim: %v", txn.Conditions)
 		}
 	}
 }
 
-// TestDependentsYieldToUrgentRequests checks that a long list of dependents does not delay what is
-// more urgent: jobs are accepted, others end, and the lease is renewed.
+// TestDependentsYieldToUrgentRequests checks that recording many dependents does not delay more
+// urgent requests: jobs are accepted, other jobs end, and the lease is renewed.
 func TestDependentsYieldToUrgentRequests(t *testing.T) {
 	const n = 200
 	h := newCascadeHarness(t, n, 30)
@@ -222,25 +223,25 @@
 		reply := h.reply
 		h.run(sec)
 		if a := h.answers[reply]; a.Status != 201 {
-			t.Fatalf("submission beside the list: %d", a.Status)
+			t.Fatalf("a submission while dependents are recorded is answered %d, want 201", a.Status)
 		}
 		h.cancel(id)
 		reply = h.reply
 		h.run(sec)
 		if a := h.answers[reply]; stateOf(a) != wire.StateCancelled {
-			t.Fatalf("cancellation beside the list: %d %s", a.Status, stateOf(a))
+			t.Fatalf("a cancellation while dependents are recorded is answered %d %s", a.Status, stateOf(a))
 		}
 	}
 	if !h.c.ownership.leaseValid() {
 		t.Error("the lease was not renewed")
 	}
 	if got := h.cancelledDependents(n); got == 0 || got == n {
-		t.Errorf("%d of %d recorded: the case is not what it should be", got, n)
+		t.Errorf("%d of %d dependents recorded, want some but not all: the test does not exercise its case", got, n)
 	}
 }
 
-// TestCancellableDependents checks that CancellableDependents counts the dependents that fit into
-// the time of a cancellation.
+// TestCancellableDependents checks the number of dependents that CancellableDependents says can be
+// recorded within the time allowed for a cancellation.
 func TestCancellableDependents(t *testing.T) {
 	threeControllers := Config{Peers: make([]string, 2), WriteRPS: 18, Cancel: 70 * sec, Lease: 4 * sec}
 	for _, tc := range []struct {
@@ -259,13 +260,13 @@
 		{"a controller alone", Config{WriteRPS: 40, Cancel: 49 * sec, Lease: 4 * sec}, 0, 0, 1311},
 	} {
 		if got := CancellableDependents(tc.cfg, tc.controllersDown, tc.outage); got != tc.want {
-			t.Errorf("%s: %d, want %d", tc.name, got, tc.want)
+			t.Errorf("%s: %d dependents, want %d", tc.name, got, tc.want)
 		}
 	}
 }
 
 // TestRefusedAsTooLarge checks that a write that the state service refuses as too large is retried
-// seldom, and delays no other kind of write.
+// only after a long backoff and delays no other kind of write.
 func TestRefusedAsTooLarge(t *testing.T) {
 	for _, tc := range []struct {
 		name string
@@ -289,42 +290,42 @@
 			tc.act(h, fencingToken)
 			h.run(20 * sec)
 			if h.refusals == 0 || h.refusals > 3 {
-				t.Errorf("sent %d times in 20 s, want once to three times", h.refusals)
+				t.Errorf("the write was sent %d times in 20 s, want one to three times", h.refusals)
 			}
 			if a := h.submit(jobOf("job-000003", 1)); a.Status != 201 {
-				t.Errorf("another job is answered %d meanwhile", a.Status)
+				t.Errorf("the submission of another job is answered %d in the meantime, want 201", a.Status)
 			}
 			if a := h.cancel("job-000003"); stateOf(a) != wire.StateCancelled {
-				t.Errorf("its cancellation is answered %d %q", a.Status, stateOf(a))
+				t.Errorf("the cancellation of the other job is answered %d %q, want cancelled", a.Status, stateOf(a))
 			}
 			h.tooLarge = ""
 			h.run(20 * sec)
 			for _, id := range []string{"job-000001", "job-000002"} {
 				if s := h.state(id); tc.key != wire.PrefixCheckpoint && s != wire.StateCancelled {
-					t.Errorf("%s is called %q once the state service takes it", id, s)
+					t.Errorf("%s is in state %q after the state service accepts the write, want cancelled", id, s)
 				}
 			}
 			if tc.key == wire.PrefixCheckpoint && h.keys[wire.CheckpointKey("job-000001")].ModRevision == 0 {
-				t.Error("no checkpoint stands once the state service takes it")
+				t.Error("no checkpoint is stored after the state service accepts the write")
 			}
 		})
 	}
 }
 
-// TestStatusOfDependents checks that a status request for a job that needs a cancelled one is
-// answered by a read as long as there are requests to spare, and with 503 at once when there are
-// none: never by an older state, and never at the cost of the records.
+// TestStatusOfDependents checks that a status request for a job with a cancelled dependency is
+// answered by a read while there are spare state requests, and with 503 at once when there are none.
+// It is never answered with an outdated state, and never takes requests that the records need.
 func TestStatusOfDependents(t *testing.T) {
 	h := newCascadeHarness(t, 3, 1000)
-	h.put(ownerKey(0), wire.OwnerRecord{Label: "n-1", Incarnation: 99}) // which records nothing
+	h.put(ownerKey(0), wire.OwnerRecord{Label: "n-1", Incarnation: 99}) // n-1 records nothing
 	h.recordEnd("job-000100", wire.StateCancelled, 0)
 	h.watchBlocked = wire.PrefixJob
 	h.put(wire.JobKey(dependentID(0)), wire.JobRecord{State: wire.StateCancelled, Tasks: 1})
 	if got := h.state(dependentID(0)); got != wire.StateCancelled {
-		t.Errorf("called %q, want what the record says", got)
+		t.Errorf("the dependent is in state %q, want the recorded state: cancelled", got)
 	}
 	if a := h.jobStatus(dependentID(1)); a.Status != 503 {
-		t.Errorf("one that is not recorded yet is answered %d %q", a.Status, stateOf(a))
+		t.Errorf("the status of a dependent that is not recorded yet is answered %d %q, want 503", a.Status, stateOf(a))
 	}
 	for h.c.hasSpareRequests() {
 		for range 50 {
@@ -334,18 +335,19 @@
 	}
 	before := h.reads
 	if a := h.jobStatus(dependentID(2)); a.Status != 503 || h.reads != before {
-		t.Errorf("without requests to spare: %d after %d reads", a.Status, h.reads-before)
+		t.Errorf("without spare requests: answered %d after %d reads, want 503 and no read", a.Status, h.reads-before)
 	}
 }
 
-// TestDependentsAndMachineRecords checks that dependents go before the records of machines, and
-// leave these a part: neither waits for the other to end (found by randomized tests: one dependent
-// waited for 80 s behind a fleet that was returned).
+// TestDependentsAndMachineRecords checks that dependents are recorded before the records of machines
+// but leave these a fraction of the writes, so that neither waits until the other is finished.
+// Randomized tests found the fault: one dependent waited for 80 s behind the records of a fleet that
+// was returned.
 func TestDependentsAndMachineRecords(t *testing.T) {
 	for _, tc := range []struct {
 		name       string
 		dependents int
-		all        bool // they are recorded within the 10 s that the test runs
+		all        bool // whether all are recorded within the 10 s that the test runs
 	}{{"few", 60, true}, {"more than there is time for", 300, false}} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newCascadeHarness(t, tc.dependents, 30)
@@ -363,10 +365,10 @@
 				h.run(100 * ms)
 			}
 			if got := h.cancelledDependents(tc.dependents); got == 0 || (got == tc.dependents) != tc.all {
-				t.Errorf("%d of %d dependents recorded in 10 s beside records of machines", got, tc.dependents)
+				t.Errorf("%d of %d dependents recorded in 10 s while machine records were written", got, tc.dependents)
 			}
 			if machines < 10 {
-				t.Errorf("%d records of machines were written in 10 s beside dependents", machines)
+				t.Errorf("%d machine records written in 10 s while dependents were recorded, want at least 10", machines)
 			}
 		})
 	}
--- a/internal/controller/cancellation_test.go
+++ b/internal/controller/cancellation_test.go
@@ -7,15 +7,15 @@
 	"garnethitch/internal/wire"
 )
 
-// TestCancelledTaskAcrossFailovers reproduces the incident of the cancelled task
-// (docs/incidents/2026-12-cancelled-task-ran-on.md).
+// TestCancelledTaskAcrossFailovers is the regression test of an incident
+// (docs/incidents/2026-12-cancelled-task-ran-on.md): a task was still on its machine more than
+// cancel_s after its user had been notified of the cancellation.
 //
-// Seen: a task was on its machine more than cancel_s after its user had been notified that the job
-// is cancelled. How: the stop did not reach the machine, which then reached a controller only now
-// and then, and each time a new claim of its shard had just been made. Cause: the first answer
-// after a claim renewed the machine's lease with the new token and nothing else, since lists of
-// tasks were believed only once the fencing token had been shown. Proof: a machine that carries out
-// all that it receives is rid of the task in time.
+// The stop did not reach the machine. The machine then reached a controller only from time to time,
+// each time just after its shard had been claimed again. The first reply after a claim renewed the
+// machine's lease with the new fencing token and contained no stop, because a controller ignored the
+// task list until the machine had shown that token. The test checks that a machine that executes
+// every command it receives no longer runs the task when the time allowed for a cancellation ends.
 func TestCancelledTaskAcrossFailovers(t *testing.T) {
 	h := newOwnerHarness(t, withPeer)
 	fencingToken, attempt := h.runOne()
@@ -26,15 +26,15 @@
 	notifiedAt := h.now
 	for w.alive() {
 		w.checkDeadline(notifiedAt)
-		h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}}) // the owner ends, the next one claims
+		h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}}) // the owner is gone, the next one claims
 		h.run(3 * sec)
 		w.sendHeartbeat()
-		h.run(3 * sec) // nothing that is sent to it directly arrives
+		h.run(3 * sec) // direct commands do not reach the machine
 	}
 }
 
-// slowWorker is a machine that runs job-000001/0. It receives replies to its heartbeats, and
-// nothing that is sent to it directly.
+// slowWorker is a machine that runs job-000001/0. It receives the replies to its heartbeats but no
+// direct commands.
 type slowWorker struct {
 	h                     *harness
 	fencingToken, attempt uint64
@@ -49,8 +49,8 @@
 
 func (w *slowWorker) alive() bool { return !w.stopped && w.h.now < w.leaseEnds }
 
-// checkDeadline fails the test if the task is still there after the time that a cancellation has,
-// counted from when its user was notified.
+// checkDeadline fails the test if the task is still on the machine when the time allowed for a
+// cancellation has passed, counted from when the user was notified.
 func (w *slowWorker) checkDeadline(notifiedAt micros.Micros) {
 	w.h.t.Helper()
 	if now := w.h.now; now > notifiedAt+w.h.c.cfg.Cancel {
@@ -58,7 +58,7 @@
 	}
 }
 
-// sendHeartbeat sends a heartbeat, and does what the reply says.
+// sendHeartbeat sends a heartbeat and applies the reply.
 func (w *slowWorker) sendHeartbeat() {
 	w.sequence++
 	status, body := w.h.heartbeat(w.h.running(w.sequence, w.fencingToken, w.attempt))
@@ -70,12 +70,12 @@
 	w.stopped = w.stopped || stops(body.Commands) > 0
 }
 
-// TestOwnersWithStaleViewsInSeries reproduces a fault found beside the incident, by the simulation:
-// owners with a stale view of jobs followed one another, and each renewed its machines' leases for
-// a time that began with its own claim. Seen: a cancelled task lived on while the state service let
-// claims and renewals through and no watch of jobs. Cause: the time allowed to an owner that does
-// not know what its predecessor ended counted on a predecessor that did. Proof: whatever the number
-// of claims, a machine whose heartbeats all arrive is rid of the task in time.
+// TestOwnersWithStaleViewsInSeries guards against a fault that the simulation found while the
+// incident was examined: a cancelled task kept running while the state service served claims and
+// lease renewals but no watch of jobs. Owners with a stale view of jobs followed one another, and
+// each renewed its machines' leases for a period that began with its own claim. The length of that
+// period assumed that the previous owner had a current view. The test checks that a machine whose
+// heartbeats all arrive is rid of the task in time, whatever the number of claims.
 func TestOwnersWithStaleViewsInSeries(t *testing.T) {
 	h := newOwnerHarness(t, func(c *Config) {
 		withPeer(c)
@@ -89,7 +89,7 @@
 	h.put(wire.JobKey("job-000001"), wire.JobRecord{State: wire.StateCancelled, Tasks: 1})
 	notifiedAt := h.now
 	for w.alive() {
-		h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}}) // the owner ends, this node claims
+		h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}}) // the owner is gone, this node claims
 		for until := h.now + 8*sec; h.now < until && w.alive(); {
 			h.run(sec)
 			w.sendHeartbeat()
@@ -98,14 +98,14 @@
 	}
 }
 
-// TestUnknownJobUnreadable reproduces a fault found beside the incident, by the simulation
-// (docs/incidents/2026-12-unknown-job-was-fed.md). Seen: a cancelled task lived on at an owner with
-// a current view of jobs. How: its machine was unreachable when it was cancelled, the shard was
-// claimed anew, and the job's end had left the memory of ends; reads of single jobs were refused.
-// Cause: the lease of a machine with a task of an unknown job was renewed until a read succeeded,
-// without a bound, although the view of jobs showed that the job had ended: "shard entitlement"
-// said current_view, then each "report" said answered=true commands=0. Proof: a machine whose
-// heartbeats all arrive is rid of the task in time.
+// TestUnknownJobUnreadable guards against a fault that the simulation found while the incident was
+// examined (docs/incidents/2026-12-unknown-job-was-fed.md): a cancelled task kept running under an
+// owner with a current view of jobs. The machine was unreachable when the job was cancelled, the
+// shard was claimed again, the job's end had been evicted from memory, and reads of single jobs were
+// refused. The lease of a machine with a task of an unknown job was renewed without a bound until a
+// read succeeded, although the view of jobs showed that the job had ended: the log line "shard
+// entitlement" said current_view, and each "report" said answered=true commands=0. The test checks
+// that a machine whose heartbeats all arrive is rid of the task in time.
 func TestUnknownJobUnreadable(t *testing.T) {
 	h := newOwnerHarness(t, func(c *Config) {
 		withPeer(c)
@@ -117,7 +117,7 @@
 	notifiedAt := h.now
 	h.put(wire.JobKey("job-000002"), wire.JobRecord{State: wire.StateDone, Tasks: 1})
 	h.unreadablePrefix = wire.PrefixJob
-	h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}}) // the owner ends, this node claims
+	h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}}) // the owner is gone, this node claims
 	for w.alive() {
 		h.run(sec)
 		w.sendHeartbeat()
@@ -126,8 +126,8 @@
 }
 
 // TestCancelledTaskBeforeCheckpoints checks that a cancellation that is requested before the
-// checkpoints of the former owner are loaded stops the tasks that the machines list: its record
-// may be applied, and users notified by others, without this node's knowing.
+// checkpoints of the former owner are loaded stops the tasks that machines list. The record may be
+// applied, and other controllers may notify users, without this node knowing it.
 func TestCancelledTaskBeforeCheckpoints(t *testing.T) {
 	h := newOwnerHarness(t, withPeer)
 	fencingToken, attempt := h.runOne()
@@ -137,7 +137,7 @@
 	_, body := h.heartbeat(h.running(20, fencingToken, attempt))
 	fencingToken = body.FencingToken
 	if status, body := h.heartbeat(h.running(21, fencingToken, attempt)); status != 200 || stops(body.Commands) != 0 || !h.c.machines["vm-1"].view.reconciled {
-		t.Fatalf("answered %d %v: the case is not what it should be", status, body.Commands)
+		t.Fatalf("answered %d %v, want 200 without a stop from a reconciled machine's owner: the test does not exercise its case", status, body.Commands)
 	}
 	h.lose, h.watchBlocked = wire.JobKey("job-000001"), wire.PrefixJob
 	h.cancel("job-000001")
@@ -146,8 +146,8 @@
 	}
 }
 
-// TestReplyHasCommandList checks that the reply to a heartbeat has a list of commands, also where
-// there are none.
+// TestReplyHasCommandList checks that the reply to a heartbeat contains a list of commands even if
+// the list is empty.
 func TestReplyHasCommandList(t *testing.T) {
 	h := newOwnerHarness(t, withPeer)
 	fencingToken := h.reconcile("vm-1")
@@ -158,18 +158,18 @@
 		}
 		status, body := h.heartbeat(heartbeatFrom("vm-1", 1, 50+uint64(h.now/sec), fencingToken))
 		if status != 200 || body.Commands == nil || len(body.Commands) > 0 {
-			t.Errorf("reconciled %v: answered %d with %#v, want an empty list", reconciled, status, body.Commands)
+			t.Errorf("reconciled %v: answered %d with commands %#v, want 200 with an empty list", reconciled, status, body.Commands)
 		}
 	}
 }
 
-// TestLateStartIsBounded checks that a start that is carried out late has a bound in time. Found by
-// reading the code, and shown by this test: a direct command was not answered, and the record that
-// raises its machine's token does not get through, so that the command may be executed as long as
-// the machine's agent epoch lasts. Its job is cancelled. The machine's heartbeats were answered all
-// the same, which went on renewing its lease: nothing bounded when the task might yet start. Proof:
-// once the time of the cancellation is over, so is the machine's lease, and with it the agent epoch
-// that the command names.
+// TestLateStartIsBounded checks that there is a time after which a delayed direct command can no
+// longer start a task of a cancelled job. The fault was found by reading the code: a direct command
+// was not answered, and the write that raises the machine's fencing token did not succeed, so the
+// machine could execute the command as long as its agent epoch lasted. The machine's heartbeats were
+// still answered, which renewed its lease without a bound. The test checks that the machine's lease,
+// and with it the agent epoch that the command names, ends within the time allowed for a
+// cancellation.
 func TestLateStartIsBounded(t *testing.T) {
 	h := newOwnerHarness(t, withPeer)
 	fencingToken := h.reconcile("vm-1")
@@ -196,6 +196,6 @@
 		t.Error("no heartbeat was answered")
 	}
 	if leaseEnds > notifiedAt+h.c.cfg.Cancel {
-		t.Errorf("the command may start the task until %v s after its user was notified, want at most %v s", (leaseEnds - notifiedAt).Seconds(), h.c.cfg.Cancel.Seconds())
+		t.Errorf("the command may start the task until %v s after the user was notified, want at most %v s", (leaseEnds - notifiedAt).Seconds(), h.c.cfg.Cancel.Seconds())
 	}
 }
--- a/internal/controller/collections.go
+++ b/internal/controller/collections.go
@@ -1,6 +1,6 @@
 package controller
 
-// intHeap is a heap.Interface of integers, the least first.
+// intHeap implements heap.Interface as a min-heap of integers.
 type intHeap []int
 
 func (h intHeap) Len() int { return len(h) }
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -8,27 +8,28 @@
 	"garnethitch/internal/wire"
 )
 
-// A job may depend on others (a DAG): none of its tasks starts before each of them is done
-// by its own record. Until then it is blocked: pending, and without a part in any limit,
-// guarantee, queue or demand. Every node knows which open jobs wait for which, and the
-// states of those that they need; the owner of a dependent acts on it when it first sees the
-// job's record, when it becomes the job's owner, and when a job that is needed ends.
+// Jobs may depend on other jobs and so form a DAG. No task of a job starts before the records of
+// all its dependencies say that they are done. Until then the job is blocked: it is pending and
+// counts in no limit, guarantee, queue or demand. Every controller keeps the graph of all open jobs
+// and the states of their dependencies. The owner of a dependent acts on it when it first sees the
+// dependent's record, when it becomes its owner, and when one of its dependencies ends.
 
 const (
-	// unknownReadDelay is how long a dependency that is not known may yet come by the
-	// watch before it is read.
+	// unknownReadDelay is the time for which the watch may still deliver an unknown dependency
+	// before its record is read.
 	unknownReadDelay = micros.Second
-	// unknownReadInterval is the time between two reads of one.
+	// unknownReadInterval is the time between two reads of the same unknown dependency.
 	unknownReadInterval = 2 * micros.Second
 	// maxDependencyReads bounds the reads of unknown dependencies in flight.
 	maxDependencyReads = 4
-	// maxBlockedViewAge is the age of the view of jobs up to which a blocked job is
-	// answered as pending, counted from when what brought the view was asked for.
+	// maxBlockedViewAge is the greatest age of the view of jobs at which a blocked job is answered
+	// as pending. The age counts from when the request that brought the view was sent.
 	maxBlockedViewAge = 10 * micros.Second
 )
 
-// linkDependencies adds a job that has become known to the graph of dependencies, and
-// gives it what it inherits from the jobs that it needs and those that need it.
+// linkDependencies adds a new job to the dependency graph. The job becomes cancelled if one of its
+// dependencies is, it takes its effective priority and deadline from its dependents, and it passes
+// them on to its dependencies.
 func (c *Controller) linkDependencies(j *job) {
 	c.updatePriority(j)
 	delete(c.jobs.unknownDependencies, j.id)
@@ -38,7 +39,8 @@
 	c.propagatePriority(j)
 }
 
-// linkDependency has a job wait for another, unless that is done on record.
+// linkDependency makes a job wait for the dependency with the given id, unless the record of the
+// dependency says that it is done.
 func (c *Controller) linkDependency(j *job, id string) {
 	t := &c.jobs
 	f, over := t.final(id)
@@ -60,7 +62,7 @@
 	}
 }
 
-// unlinkDependencies removes a job that is over from the dependents of those that it needed.
+// unlinkDependencies removes an ended job from the dependents of its dependencies.
 func (c *Controller) unlinkDependencies(j *job) {
 	t := &c.jobs
 	for _, id := range j.sub.DependsOn {
@@ -78,8 +80,8 @@
 	c.propagatePriority(j)
 }
 
-// handleDependencyEnd unblocks the jobs that waited for one that is over, or cancels them with
-// it.
+// handleDependencyEnd handles the end of a job for its dependents: it cancels them if the job was
+// cancelled, and otherwise unblocks those that have no other unmet dependency.
 func (c *Controller) handleDependencyEnd(id string, f finalJob) {
 	t := &c.jobs
 	delete(t.unknownDependencies, id)
@@ -92,13 +94,13 @@
 		return
 	}
 	if !f.recorded {
-		t.unknownDependencies[id] = c.now // read first: nothing starts on another controller's word
+		t.unknownDependencies[id] = c.now // only the record unblocks, not another controller's message
 		return
 	}
 	delete(t.dependents, id)
 	endMS := f.endMS
 	if endMS == 0 {
-		endMS = c.wall.Millis() // recorded by an older version, without the time
+		endMS = c.wall.Millis() // older versions did not record the time
 	}
 	for _, d := range dependents {
 		delete(d.unmetDependencies, id)
@@ -109,7 +111,8 @@
 	}
 }
 
-// unblockJob lets an owned job start whose last dependency was done at a time of day.
+// unblockJob makes a job that this node owns eligible to start. endMS is when its last dependency was
+// done, as a time of day in milliseconds.
 func (c *Controller) unblockJob(j *job, endMS int64) {
 	s := c.ownership.shards[j.shard]
 	s.queueStale = true
@@ -119,15 +122,16 @@
 	c.log(Info, "job unblocked, all its dependencies are done", "job", j.id, "after_ms", c.wall.Millis()-endMS, "class", j.sub.Class, "priority", j.priority)
 }
 
-// noteArrival counts work that may start from now on.
+// noteArrival adds the expected CPU seconds of a job that may start from now on to the arrivals of
+// its shard.
 func (c *Controller) noteArrival(s *shard, j *job) {
 	work := float64(j.sub.Tasks) * j.sub.CPUs * c.estimates.Expect(j.sub).Seconds()
 	s.arrivals.Add(c.now, work)
 }
 
-// markDependencyCancelled marks jobs as to be cancelled, since one that they need is, and
-// with them all that need them, however deep: none of them can ever start. Each is recorded
-// by its own owner, and called cancelled only then.
+// markDependencyCancelled marks jobs that have a cancelled dependency, and all their direct and
+// transitive dependents. None of them can ever start. The owner of each records its cancellation,
+// and users are told that it is cancelled only after that.
 func (c *Controller) markDependencyCancelled(jobs ...*job) {
 	count, first := 0, ""
 	for stack := slices.Clone(jobs); len(stack) > 0; {
@@ -152,8 +156,9 @@
 	}
 }
 
-// requestDependentCancellation has an owned job end as cancelled, and reports whether it was to end
-// in no way before. recordDependents records it.
+// requestDependentCancellation requests that a job with a cancelled dependency end as cancelled if
+// this node owns it. It returns false if the node does not own the job or an end was requested
+// already. recordDependents writes the record.
 func (c *Controller) requestDependentCancellation(j *job) bool {
 	if j.run == nil || j.run.end.requested() {
 		return false
@@ -163,8 +168,8 @@
 	return true
 }
 
-// dependsOnCancelled reports whether a job that is to be accepted needs one that is cancelled,
-// directly or through others, as far as this node knows.
+// dependsOnCancelled reports whether a submission has a direct or transitive dependency that this
+// node knows to be cancelled.
 func (t *jobTable) dependsOnCancelled(sub *wire.Submission) bool {
 	return slices.ContainsFunc(sub.DependsOn, func(id string) bool {
 		if f, over := t.final(id); over && f.state == wire.StateCancelled {
@@ -175,10 +180,10 @@
 	})
 }
 
-// mayAnswerPending reports whether a job may be answered as pending as far as its dependencies go.
-// One that needs a cancelled job may not, and a blocked one only while this node's view of
-// jobs is new enough: after an outage of the state service a cancellation that its user was
-// answered long ago may not have come here yet.
+// mayAnswerPending reports whether a job's dependencies allow the answer that it is pending. A job
+// with a cancelled dependency may not be called pending. A blocked job may be only while this node's
+// view of jobs is recent and holds the states of all its dependencies: after an outage of the state
+// service, this node may not know of a cancellation of which a user was notified long ago.
 func (c *Controller) mayAnswerPending(j *job) bool {
 	if j.dependencyCancelled {
 		return false
@@ -194,8 +199,8 @@
 	return c.jobs.knowsAllDependencies(j)
 }
 
-// knowsAllDependencies reports whether this node knows the state of everything that a blocked job
-// needs, directly or through others. A cancelled one that left memory may be far above.
+// knowsAllDependencies reports whether this node knows the states of all direct and transitive
+// dependencies of a blocked job. A transitive one may have been cancelled and evicted from memory.
 func (t *jobTable) knowsAllDependencies(j *job) bool {
 	visited := map[string]bool{}
 	for stack := []*job{j}; len(stack) > 0; {
@@ -214,8 +219,8 @@
 	return true
 }
 
-// updatePriority sets a job's effective priority and deadline, and reports whether they
-// have changed.
+// updatePriority recomputes a job's effective priority and deadline and reports whether either has
+// changed.
 func (c *Controller) updatePriority(j *job) bool {
 	priority, deadline := c.effectivePriority(j)
 	if priority == j.priority && deadline == j.deadline {
@@ -227,9 +232,9 @@
 	return true
 }
 
-// effectivePriority returns the priority of a job and its deadline by the time of day, with
-// those of its dependents: it has the highest of their priorities, and must be done before
-// each of their deadlines by as much as the dependent takes.
+// effectivePriority returns the priority of a job and its deadline as a time of day, both with its
+// dependents taken into account. The priority is the highest of its own and theirs. The deadline is
+// early enough to leave each dependent its expected run time before that dependent's deadline.
 func (c *Controller) effectivePriority(j *job) (priority int, deadline micros.Micros) {
 	priority, _ = wire.PriorityOf(j.sub.Priority)
 	deadline = micros.Never
@@ -246,8 +251,8 @@
 	return priority, deadline
 }
 
-// propagatePriority updates the priority and deadline of all jobs that a job needs, directly
-// or through others.
+// propagatePriority updates the effective priority and deadline of all direct and transitive
+// dependencies of a job.
 func (c *Controller) propagatePriority(j *job) {
 	for stack := []*job{j}; len(stack) > 0; {
 		dependent := stack[len(stack)-1]
@@ -260,8 +265,8 @@
 	}
 }
 
-// readUnknownDependencies reads dependencies of this node's jobs that are not known here: their ends
-// may have left memory.
+// readUnknownDependencies reads the records of dependencies that are not in the job table, for the
+// jobs that this node owns. Such a dependency may have ended and been evicted from memory.
 func (c *Controller) readUnknownDependencies() {
 	t := &c.jobs
 	if len(t.unknownDependencies) == 0 {
@@ -281,8 +286,9 @@
 	}
 }
 
-// lookUpDependencies finds out whether all jobs that a submission names were accepted:
-// found, or missing if one surely was not, or failed if that can't be said now.
+// lookUpDependencies finds out whether all dependencies of a submission were accepted. It calls done
+// with LookupFound if they were, with LookupMissing if one certainly was not, and with LookupFailed
+// if that can't be determined now.
 func (c *Controller) lookUpDependencies(sub wire.Submission, done func(statestore.Lookup)) {
 	var unknown []string
 	for _, id := range sub.DependsOn {
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -14,7 +14,7 @@
 	"garnethitch/internal/wire"
 )
 
-// dependentSubmission returns a plain submission that depends on others.
+// dependentSubmission returns a plain submission with dependencies.
 func dependentSubmission(id string, tasks int, dependencies ...string) wire.Submission {
 	s := jobOf(id, tasks)
 	s.DependsOn = dependencies
@@ -27,19 +27,20 @@
 	return b.State
 }
 
-// record stores a job's record as another controller would.
+// record stores the record of an accepted job as another controller would.
 func (h *harness) record(s wire.Submission) {
 	h.put(wire.JobKey(s.ID), wire.NewJobRecord(&s, h.now.Millis()))
 }
 
-// recordEnd stores the record of a job that ended at a time of day, as another controller would.
+// recordEnd stores the final record of a job as another controller would. endMS is a time of day in
+// milliseconds.
 func (h *harness) recordEnd(id string, state wire.JobState, endMS int64) {
 	h.put(wire.JobKey(id), wire.JobRecord{State: state, Tasks: 1, EndMS: endMS})
 }
 
-// TestDependenciesAccepted checks that a submission may name jobs that any controller accepted, in
-// whatever state they are; one that was never accepted, itself included, is answered 422 after a
-// read only.
+// TestDependenciesAccepted checks that a submission may depend on jobs in any state that any
+// controller accepted. A submission that depends on a job that was never accepted, or on itself, is
+// answered 422, but only after a read of the record.
 func TestDependenciesAccepted(t *testing.T) {
 	blockWatch := func(h *harness) {
 		h.watchBlocked = wire.PrefixJob
@@ -79,23 +80,23 @@
 				t.Fatalf("answered %d, want %d", a.Status, tc.want)
 			}
 			if a.Status == 503 && a.RetryAfterS < 1 {
-				t.Error("no time to come back")
+				t.Error("503 without a retry time")
 			}
 			if a.Status != 201 {
 				return
 			}
-			// Its repeat is answered with its state, whatever it names now.
+			// A repeated submission is answered with the job's state, whatever its dependencies.
 			for _, deps := range [][]string{tc.deps, {"job-000777"}, {"job-000009"}, nil} {
 				if a := h.submit(dependentSubmission("job-000009", 1, deps...)); a.Status != 200 && a.Status != 503 {
-					t.Errorf("repeat that names %v: %d", deps, a.Status)
+					t.Errorf("a repeat with dependencies %v is answered %d, want 200 or 503", deps, a.Status)
 				}
 			}
 		})
 	}
 }
 
-// TestTooManyDependencies checks that a list of dependencies too long for a record is refused alike
-// whether they are known or not, and without a read for each.
+// TestTooManyDependencies checks that a submission with too many dependencies for a record is refused
+// whether the dependencies are known or not, and without a read for each of them.
 func TestTooManyDependencies(t *testing.T) {
 	for _, known := range []bool{true, false} {
 		h := newOwnerHarness(t, func(c *Config) { withPeer(c); c.ValueBytes = 2 << 10 })
@@ -109,17 +110,17 @@
 			t.Errorf("known %v: answered %d, want 400", known, a.Status)
 		}
 		if n := h.reads - before; n > 1 {
-			t.Errorf("known %v: %d reads, want one, of the job itself", known, n)
+			t.Errorf("known %v: %d reads, want at most one, of the submitted job", known, n)
 		}
-		// An accepted job's repeat gets its state all the same.
+		// A repeated submission of an accepted job is answered with the job's state nevertheless.
 		h.submit(jobOf("job-000010", 1))
 		if a := h.submit(dependentSubmission("job-000010", 1, jobIDs(100, 5000)...)); a.Status != 200 {
-			t.Errorf("a repeat that names too many: %d", a.Status)
+			t.Errorf("a repeat with too many dependencies is answered %d, want 200", a.Status)
 		}
 	}
 }
 
-// jobIDs returns n ids of jobs, the first with the number from.
+// jobIDs returns n job ids with consecutive numbers that begin with from.
 func jobIDs(from, n int) (out []string) {
 	for i := range n {
 		out = append(out, fmt.Sprintf("job-%06d", from+i))
@@ -127,8 +128,8 @@
 	return out
 }
 
-// newDiamondHarness returns a harness with a machine, and jobs that need each other as a newDiamondHarness:
-// 2 and 3 need 1, 4 needs both.
+// newDiamondHarness returns a harness with a machine and four jobs whose dependencies form a diamond:
+// 2 and 3 depend on 1, and 4 depends on 2 and 3.
 func newDiamondHarness(t *testing.T) (h *harness, fencingToken uint64) {
 	t.Helper()
 	h = newOwnerHarness(t, withPeer)
@@ -141,8 +142,8 @@
 	return h, fencingToken
 }
 
-// finishAndStart sends a heartbeat in which the tasks started before are done, and returns
-// the starts in its answer.
+// finishAndStart sends a heartbeat in which the tasks of earlier starts are done, and returns the
+// starts in the reply.
 func (h *harness) finishAndStart(seq uint64, fencingToken uint64, before []wire.Command) []wire.Command {
 	h.dropCalls()
 	_, body := h.heartbeat(heartbeatFrom("vm-1", 1, seq, fencingToken, shownDone(before)...))
@@ -165,7 +166,8 @@
 	return strings.Join(out, " ")
 }
 
-// TestDAGRuns checks that a DAG runs in order, each job once all that it needs is done on record.
+// TestDAGRuns checks that the jobs of a DAG run in order, each once the records of all its
+// dependencies say that they are done.
 func TestDAGRuns(t *testing.T) {
 	h, fencingToken := newDiamondHarness(t)
 	seq := uint64(20)
@@ -180,7 +182,7 @@
 			h.run(200 * ms)
 		}
 		if taskNames(got) != want {
-			t.Fatalf("%q started, want %q", taskNames(got), want)
+			t.Fatalf("tasks %q started, want %q", taskNames(got), want)
 		}
 		running = got
 	}
@@ -191,13 +193,13 @@
 	}
 	for _, id := range []string{"job-000001", "job-000004"} {
 		if s := h.state(id); s != wire.StateDone {
-			t.Errorf("%s is called %q", id, s)
+			t.Errorf("%s is in state %q, want done", id, s)
 		}
 	}
 }
 
-// TestBlockedJob checks that a blocked job is pending and takes nothing of its team's limit,
-// guarantee or demand, and nothing but a record unblocks it.
+// TestBlockedJob checks that a blocked job is pending and does not count against its team's limit,
+// guarantee or demand, and that only the record of its dependency unblocks it.
 func TestBlockedJob(t *testing.T) {
 	h := newOwnerHarness(t, func(c *Config) { withPeer(c); c.Teams = []Team{{Name: "t", CPUs: 3, CPUsMax: 4}} })
 	fencingToken := h.reconcile("vm-1")
@@ -209,16 +211,16 @@
 	s := c.ownership.shards[0]
 	blockedJob, free := c.jobs.open["job-000002"], c.jobs.open["job-000003"]
 	if !blockedJob.blocked() || slices.Contains(c.queue(s), blockedJob) {
-		t.Error("a blocked job stands in the queue")
+		t.Error("a blocked job is in the queue")
 	}
 	if !free.withinGuarantee {
-		t.Error("a blocked job takes of its team's guarantee")
+		t.Error("a blocked job takes part of its team's guarantee")
 	}
 	if d, _ := c.demandOf(s, maxRowBytes); fleet.WaitingCPUs(&d)+d.Busy > 3+scheduling.Tolerance {
-		t.Errorf("%v CPUs are wanted: a blocked job is among them", fleet.WaitingCPUs(&d)+d.Busy)
+		t.Errorf("the demand is %v CPUs: it includes a blocked job", fleet.WaitingCPUs(&d)+d.Busy)
 	}
 	if got := h.state("job-000002"); got != wire.StatePending {
-		t.Errorf("called %q", got)
+		t.Errorf("the blocked job is in state %q, want pending", got)
 	}
 	noStart := func(when string) {
 		t.Helper()
@@ -226,28 +228,27 @@
 		_, body := h.heartbeat(heartbeatFrom("vm-1", 1, h.c.machines["vm-1"].view.sequence+1, fencingToken))
 		for _, cmd := range starts(body.Commands) {
 			if strings.HasPrefix(cmd.Task, "job-000002/") {
-				t.Fatalf("started %s", when)
+				t.Fatalf("the blocked job was started %s", when)
 			}
 		}
 	}
 	noStart("while blocked")
-	// Its dependency's task is done by a heartbeat; another controller says that the job
-	// is; the record does not.
+	// Another controller says that the dependency is done, but its record does not say so.
 	c.finishJob("job-000001", finalJob{state: wire.StateDone, tasks: 1})
 	h.run(100 * ms)
 	if !blockedJob.blocked() {
-		t.Error("unblocked on another controller's word")
+		t.Error("unblocked by another controller's message")
 	}
-	noStart("on another controller's word")
+	noStart("after another controller's message")
 	h.recordEnd("job-000001", wire.StateDone, 0)
-	h.run(3 * sec) // read, since it had left the list of open jobs
+	h.run(3 * sec) // the record is read, since the dependency is no longer an open job
 	if blockedJob.blocked() || !slices.Contains(c.queue(s), blockedJob) {
-		t.Error("still blocked, though its dependency is done on record")
+		t.Error("still blocked although the record of the dependency says done")
 	}
 }
 
-// TestWaitingCountsFromLastEnd checks that the time from which a job's waiting counts is the end of
-// the last job that it needs, by that one's record: the same at any owner.
+// TestWaitingCountsFromLastEnd checks that a job's waiting time counts from the recorded end of its
+// last dependency, so that it is the same for every owner.
 func TestWaitingCountsFromLastEnd(t *testing.T) {
 	for _, tc := range []struct {
 		name string
@@ -278,7 +279,7 @@
 			h.recordEnd("job-000002", wire.StateDone, 8_000_000)
 			h.submit(sub)
 			if j := h.c.jobs.open["job-000009"]; j == nil || !j.blocked() {
-				h.t.Error("nothing is unknown: the case is not what it should be")
+				h.t.Error("no dependency is unknown: the test does not exercise its case")
 			}
 			h.run(4 * sec)
 		}},
@@ -288,19 +289,19 @@
 			tc.act(h, dependentSubmission("job-000009", 1, "job-000001", "job-000002"))
 			j := h.c.jobs.open["job-000009"]
 			if j == nil || j.blocked() {
-				t.Fatalf("%+v: blocked, or not known", j)
+				t.Fatalf("job %+v is blocked or not known", j)
 			}
 			if j.waitingSinceMS() != 9_000_000 {
-				t.Errorf("counts from %d, want 9000000", j.waitingSinceMS())
+				t.Errorf("the waiting time counts from %d, want 9000000", j.waitingSinceMS())
 			}
 		})
 	}
 }
 
-// chainID is the id of a job of a chain; see recordChain.
+// chainID returns the id of job i of a chain; see recordChain.
 func chainID(i int) string { return fmt.Sprintf("job-%06d", 100+i) }
 
-// recordChain stores n jobs as another controller would, each of which needs the one before.
+// recordChain stores n jobs as another controller would. Each depends on the one before it.
 func (h *harness) recordChain(n int) {
 	h.t.Helper()
 	h.record(jobOf(chainID(0), 1))
@@ -309,7 +310,7 @@
 	}
 }
 
-// chainStates counts the n jobs of a chain by the state that a user is answered.
+// chainStates counts the n jobs of a chain by the state that users get as an answer.
 func (h *harness) chainStates(n int) (states map[wire.JobState]int) {
 	h.t.Helper()
 	states = map[wire.JobState]int{}
@@ -319,9 +320,9 @@
 	return states
 }
 
-// TestCancellationReachesDependents checks that a cancellation reaches all jobs that need the
-// cancelled one, however deep and wide, in whatever order the owner learns of them; one that is
-// answered with done reaches none.
+// TestCancellationReachesDependents checks that a cancellation extends to all direct and transitive
+// dependents of a job, however long the chain and however many they are, and in whatever order the
+// owner learns of them. A cancellation that is answered with done extends to none.
 func TestCancellationReachesDependents(t *testing.T) {
 	const n = 60
 	for _, tc := range []struct {
@@ -339,7 +340,7 @@
 			h.recordEnd("job-000100", wire.StateCancelled, 0)
 			for i := 1; i < n; i++ {
 				if a := h.submit(dependentSubmission(chainID(i), 1, chainID(i-1))); a.Status != 201 {
-					t.Fatalf("submission after a cancelled job: %d", a.Status)
+					t.Fatalf("the submission of a dependent of a cancelled job is answered %d, want 201", a.Status)
 				}
 			}
 		}},
@@ -370,7 +371,7 @@
 			h.run(sec)
 			for i := 1; i < n; i++ {
 				if s := h.state(chainID(i)); s != "" && s != wire.StateCancelled {
-					t.Errorf("called %q with a cancelled job before it", s)
+					t.Errorf("a dependent of a cancelled job is in state %q, want cancelled", s)
 				}
 			}
 			h.run(8 * sec)
@@ -385,7 +386,7 @@
 			h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}})
 			h.run(2 * sec)
 			if applied := h.carryOut(); applied != 0 {
-				t.Errorf("%d writes of the former owner were applied", applied)
+				t.Errorf("%d writes of the former owner were applied, want none", applied)
 			}
 		}},
 	} {
@@ -399,7 +400,7 @@
 			}
 			for _, c := range h.commandsOut() {
 				if c.Op == wire.OpStart && c.Task != "job-000100/0" {
-					t.Errorf("%s is started", c.Task)
+					t.Errorf("task %s of a dependent is started", c.Task)
 				}
 			}
 		})
@@ -416,7 +417,7 @@
 			t.Errorf("states %v, want two pending", got)
 		}
 		if h.c.jobs.open["job-000101"].blocked() {
-			t.Error("still blocked")
+			t.Error("the dependent is still blocked")
 		}
 	})
 }
@@ -430,8 +431,8 @@
 	return value
 }
 
-// TestPriorityPropagatesUp checks that priority and deadline of a job apply to all jobs that it
-// needs, from when it is submitted until it is over.
+// TestPriorityPropagatesUp checks that the priority and the deadline of a job apply to all its
+// dependencies from its submission until its end.
 func TestPriorityPropagatesUp(t *testing.T) {
 	h := newOwnerHarness(t, withPeer)
 	low := func(id string, dependencies ...string) wire.Submission {
@@ -447,7 +448,7 @@
 		return j.priority, j.deadline
 	}
 	if p, due := at("job-000001"); p != wire.PriorityLow || due != micros.Never {
-		t.Errorf("priority %d, due %v before anything urgent needs it", p, due)
+		t.Errorf("priority %d, due %v before an urgent job depends on it", p, due)
 	}
 	last := dependentSubmission("job-000004", 1, "job-000002", "job-000003")
 	last.Priority = "high"
@@ -460,25 +461,25 @@
 			t.Errorf("%s: priority %d, due %v, want high and %v", id, p, d, want)
 		}
 	}
-	// More urgent work of its own keeps its own.
+	// A less urgent dependent does not change the priority and deadline of a more urgent job.
 	own := dependentSubmission("job-000005", 1, "job-000004")
 	own.Priority, own.DeadlineS = "standard", new(500.0)
 	h.record(own)
 	if p, d := at("job-000004"); p != wire.PriorityHigh || d != due {
-		t.Errorf("priority %d, due %v: a laxer dependent changed it", p, d)
+		t.Errorf("priority %d, due %v: a less urgent dependent changed them", p, d)
 	}
 	h.cancel("job-000004")
 	h.run(2 * sec)
 	if p, d := at("job-000001"); p != wire.PriorityLow || d != micros.Never {
-		t.Errorf("priority %d, due %v after what needed it is cancelled", p, d)
+		t.Errorf("priority %d, due %v after its urgent dependent is cancelled", p, d)
 	}
 }
 
-// TestPriorityAcrossTeamsAndOwners checks that priority and deadline reach a job through others of
-// any team and any owner, in whatever order they become known, and count from the submission of the
-// last job however long it waits; nothing is left of them once that one is over.
+// TestPriorityAcrossTeamsAndOwners checks that priority and deadline propagate through jobs of any
+// team and any owner, in whatever order the jobs become known. The deadline counts from the
+// submission of the last job, however long that job waits. Both are reset once the last job ends.
 func TestPriorityAcrossTeamsAndOwners(t *testing.T) {
-	const ids = 4 // job-000004 needs 3, 3 needs 2, 2 needs 1
+	const ids = 4 // job-000004 depends on 3, 3 on 2 and 2 on 1
 	for _, tc := range []struct {
 		name  string
 		order []int
@@ -524,17 +525,17 @@
 			for i := 1; i < ids; i++ {
 				j := h.c.jobs.open[fmt.Sprintf("job-%06d", i)]
 				if j.priority != wire.PriorityLow || j.deadline != micros.Never {
-					t.Errorf("%s keeps priority %d, due %v", j.id, j.priority, j.deadline)
+					t.Errorf("%s still has priority %d, due %v", j.id, j.priority, j.deadline)
 				}
 			}
 		})
 	}
 }
 
-// TestBlockedIsPendingOnlyWithNewView checks when a blocked job is called pending. After an outage,
-// a partition or a start, a controller may not know of a cancellation that a user was answered long
-// ago: it calls no blocked job pending before its view is new enough (found by the simulation: a
-// controller back from an outage longer than a cancellation may take).
+// TestBlockedIsPendingOnlyWithNewView checks that a blocked job is answered as pending only while the
+// view of jobs is recent. After an outage, a partition or a start, a controller may not know of a
+// cancellation of which a user was notified long ago. The simulation found the fault with a
+// controller that came back from an outage longer than the time allowed for a cancellation.
 func TestBlockedIsPendingOnlyWithNewView(t *testing.T) {
 	for _, tc := range []struct {
 		name string
@@ -554,7 +555,7 @@
 					break
 				}
 			}
-			h.run(4 * sec) // 11 s since it was asked for
+			h.run(4 * sec) // 11 s after the watch request was sent
 		}},
 		{"it is listing anew", func(h *harness) {
 			h.watchBlocked = wire.PrefixJob
@@ -576,23 +577,23 @@
 			h.record(jobOf("job-000003", 1))
 			h.run(sec)
 			if s := h.state("job-000002"); s != wire.StatePending {
-				t.Fatalf("called %q without faults", s)
+				t.Fatalf("the blocked job is in state %q without faults, want pending", s)
 			}
 			tc.lose(h)
 			if a := h.jobStatus("job-000002"); a.Status != 503 {
-				t.Errorf("answered %d %q with an old view", a.Status, stateOf(a))
+				t.Errorf("a user is answered %d %q with a stale view, want 503", a.Status, stateOf(a))
 			}
 			if b := h.askAs("n-1", "job-000002"); b.Status != 503 {
-				t.Errorf("another controller is answered %d %q with an old view", b.Status, b.State)
+				t.Errorf("another controller is answered %d %q with a stale view, want 503", b.Status, b.State)
 			}
 			if s := h.state("job-000003"); s != wire.StatePending {
-				t.Errorf("a job without dependencies is called %q", s)
+				t.Errorf("a job without dependencies is in state %q, want pending", s)
 			}
 		})
 	}
 }
 
-// askAs asks for the state of a job as another controller.
+// askAs requests the state of a job as another controller would.
 func (h *harness) askAs(label, id string) peer.JobResponse {
 	a := h.ask(func(r ReplyID) Input {
 		return PeerRequest{Reply: r, Req: peer.Request{From: label, JobRequest: &peer.JobRequest{ID: id}}}
--- a/internal/controller/idempotency_test.go
+++ b/internal/controller/idempotency_test.go
@@ -21,8 +21,8 @@
 	return out
 }
 
-// checkRepeatsDoNothing executes all transactions so far again, and fails if the store
-// changes.
+// checkRepeatsDoNothing executes all transactions so far a second time and fails if the store
+// changes. after names what was done last.
 func (h *harness) checkRepeatsDoNothing(after string) {
 	h.t.Helper()
 	before := h.modRevisionsOf()
@@ -32,18 +32,18 @@
 		}
 		id, isCheckpoint := strings.CutPrefix(txn.Changes[0].Put, wire.PrefixCheckpoint)
 		if _, over := h.c.jobs.final(id); isCheckpoint && len(txn.Changes) == 1 && over {
-			delete(h.keys, txn.Changes[0].Put) // nobody reads the checkpoint of a job that is over
+			delete(h.keys, txn.Changes[0].Put) // nobody reads the checkpoint of an ended job
 			continue
 		}
-		h.t.Errorf("after %s: a repeat of %v is applied", after, txn.Changes)
+		h.t.Errorf("after %s: a repeated transaction with the changes %v is applied", after, txn.Changes)
 	}
 	if !maps.Equal(before, h.modRevisionsOf()) {
-		h.t.Fatalf("after %s the store has changed", after)
+		h.t.Fatalf("after %s: repeated transactions have changed the store", after)
 	}
 }
 
-// runOnMachines has each of n machines start the tasks that it is given, and list their
-// ends.
+// runOnMachines makes each of n machines start the tasks that it is sent and then report that they
+// are done.
 func (h *harness) runOnMachines(n int, tokens map[string]uint64) {
 	h.t.Helper()
 	h.dropCalls()
@@ -60,7 +60,7 @@
 	}
 }
 
-// checkpointsStored counts the checkpoints in the store.
+// checkpointsStored returns the number of checkpoints in the store.
 func (h *harness) checkpointsStored() int {
 	n := 0
 	for key := range h.keys {
@@ -71,13 +71,13 @@
 	return n
 }
 
-// moveRetireAndRewrite moves the first of three machines to the other shard, retires the
-// second, and has the record set of the third rewritten.
+// moveRetireAndRewrite moves the first of three machines to the other shard, cordons the second for
+// its return, and causes a rewrite of the record set of the third.
 func (h *harness) moveRetireAndRewrite(tokens map[string]uint64) {
 	h.t.Helper()
 	h.run(3 * sec)
 	moved, retired := h.c.machines[machineName(0)], h.c.machines[machineName(1)]
-	for i := range 3 { // empty again
+	for i := range 3 { // the machines hold no tasks any more
 		h.heartbeat(heartbeatFrom(machineName(i), 1, 30, tokens[machineName(i)]))
 	}
 	h.dropCalls()
@@ -87,14 +87,14 @@
 	h.c.release(peer.Release{Machines: []string{retired.id}, Cordon: true})
 	h.run(2 * sec)
 	if h.c.machines[moved.id].rec.Shard == from || !retired.rec.Cordoned {
-		h.t.Fatalf("moved %v, retired %v", h.c.machines[moved.id].rec.Shard != from, retired.rec.Cordoned)
+		h.t.Fatalf("machine moved: %v, machine cordoned: %v; want both", h.c.machines[moved.id].rec.Shard != from, retired.rec.Cordoned)
 	}
 	third := h.c.machines[machineName(2)]
 	h.c.raiseFencingToken(h.c.ownership.shards[third.rec.Shard], third)
 	h.run(sec)
 }
 
-// returnIdleMachines lets time pass until all machines are returned.
+// returnIdleMachines runs until all idle machines are returned.
 func (h *harness) returnIdleMachines() {
 	h.t.Helper()
 	h.c.fleet.planNext = h.now
@@ -107,14 +107,14 @@
 		}
 	}
 	if len(h.c.machines) != 0 {
-		h.t.Fatalf("%d machines are left", len(h.c.machines))
+		h.t.Fatalf("%d machines are not returned", len(h.c.machines))
 	}
 }
 
-// TestRepeatedWrites checks that the repeat of a write does nothing. A transaction that was
-// executed may be executed again at any later time, also after its sender has ended, so whatever
-// the controller writes has conditions that a repeat does not meet: in a run with every kind of
-// write, each is repeated after each later one.
+// TestRepeatedWrites checks that a repeated write changes nothing. The state service may execute a
+// transaction a second time at any later moment, even after its sender has ended, so every
+// transaction of the controller needs a condition that a repeat does not meet. The test performs
+// every kind of write, and after each repeats all earlier transactions.
 func TestRepeatedWrites(t *testing.T) {
 	h := newHarness(t, func(c *Config) {
 		c.Shards, c.MaxMachines = 2, 100
@@ -126,20 +126,20 @@
 		tokens[machineName(i)] = h.reconcile(machineName(i))
 	}
 	h.checkRepeatsDoNothing("assignment")
-	h.c.fleet.planNext = micros.Never // idle machines stay for now
+	h.c.fleet.planNext = micros.Never // idle machines are not returned yet
 	h.submit(jobOf("job-000001", 2))
 	h.submit(jobOf("job-000002", 400))
 	h.checkRepeatsDoNothing("accepting")
 	h.runOnMachines(3, tokens)
 	if h.state("job-000001") != wire.StateDone {
-		t.Fatalf("the first job is %q", h.state("job-000001"))
+		t.Fatalf("the first job is in state %q, want done", h.state("job-000001"))
 	}
 	if h.checkpointsStored() == 0 {
 		t.Fatal("no checkpoint was recorded")
 	}
 	h.checkRepeatsDoNothing("an end and checkpoints")
 	if a := h.ask(func(r ReplyID) Input { return CancelRequest{Reply: r, ID: "job-000002"} }); a.Status != 200 {
-		t.Fatalf("cancelled: %d", a.Status)
+		t.Fatalf("the cancellation is answered %d, want 200", a.Status)
 	}
 	h.checkRepeatsDoNothing("a cancellation")
 	h.moveRetireAndRewrite(tokens)
@@ -154,12 +154,12 @@
 		}
 	}
 	if len(h.done) < 12 || len(kinds) < 3 {
-		t.Errorf("only %d transactions of kinds %v were repeated", len(h.done), kinds)
+		t.Errorf("only %d transactions of the kinds %v were repeated", len(h.done), kinds)
 	}
 }
 
-// TestRepeatedRequests checks that requests to the controller that were executed and come again,
-// late, get the state that they find and change nothing.
+// TestRepeatedRequests checks that a late repeat of a user's request that was already executed is
+// answered with the current state and changes nothing.
 func TestRepeatedRequests(t *testing.T) {
 	submit := func(r ReplyID) Input { return SubmitRequest{Reply: r, Job: jobOf("job-000001", 1)} }
 	cancel := func(r ReplyID) Input { return CancelRequest{Reply: r, ID: "job-000001"} }
@@ -219,18 +219,19 @@
 				state = b.State
 			}
 			if got := fmt.Sprintf("%d %s", a.Status, state); got != tc.want {
-				t.Errorf("got %q, want %q", got, tc.want)
+				t.Errorf("answered %q, want %q", got, tc.want)
 			}
 			if h.rev != rev || len(h.c.machines["vm-1"].view.list) != tasks {
-				t.Error("the repeat has changed something")
+				t.Error("the repeat has changed the store or the machine's tasks")
 			}
 		})
 	}
 }
 
-// TestRepeatedPeerMessages checks that messages of other controllers that come again, late, do no
-// harm: an old claim deprives no owner of its shard, names of returned machines stay true, a
-// release finds the machine gone or busy, and a hint of a job that is over does not bring it back.
+// TestRepeatedPeerMessages checks that late repeats of messages from other controllers do no harm: an
+// old claim takes no shard from its owner, the names of returned machines are still correct, a
+// release of a machine that is gone or busy has no effect, and a hint about an ended job does not
+// reopen it.
 func TestRepeatedPeerMessages(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.Peers = []string{"n-1"}; c.MaxMachines = 100 })
 	h.submit(jobOf("job-000009", 4000))
@@ -265,19 +266,19 @@
 		case h.c.machines["vm-1"] == nil || h.c.machines["vm-1"].rec.Cordoned || len(h.c.machines["vm-1"].view.list) == 0:
 			t.Errorf("%s: a machine in use was released", tc.name)
 		case h.c.jobs.open["job-000001"] != nil || h.state("job-000001") != wire.StateDone:
-			t.Errorf("%s: a job that is over came back", tc.name)
+			t.Errorf("%s: an ended job was reopened", tc.name)
 		}
 	}
 }
 
-// startOneOf has a waiting task started by the answer to a machine's heartbeat.
+// startOneOf makes a machine start the waiting tasks that the reply to its heartbeat contains.
 func (h *harness) startOneOf(id string, fencingToken uint64) {
 	h.t.Helper()
 	h.dropCalls()
 	_, body := h.heartbeat(heartbeatFrom(id, 1, 10, fencingToken))
 	cmds := starts(body.Commands)
 	if len(cmds) == 0 {
-		h.t.Fatal("nothing was started")
+		h.t.Fatal("the reply to the heartbeat starts no task")
 	}
 	h.heartbeat(heartbeatFrom(id, 1, 11, fencingToken, shown(cmds, wire.TaskRunning)...))
 }
--- a/internal/controller/job.go
+++ b/internal/controller/job.go
@@ -8,7 +8,8 @@
 	"garnethitch/internal/wire"
 )
 
-// job is an accepted, unfinished job, whoever owns it.
+// job is an accepted job that has not ended. Every controller keeps all of them, including those
+// that other controllers own.
 type job struct {
 	id          string
 	rec         wire.JobRecord
@@ -16,35 +17,36 @@
 	modRevision uint64
 	shard       int
 	team        int
-	// constraint names the machines that the job allows; see constraintOf.
+	// constraint identifies the set of machines that the job allows; see constraintOf.
 	constraint string
-	// priority and deadline (by the time of day) are the effective ones; see
-	// updatePriority.
+	// priority and deadline are the effective ones, which include those of dependents; see
+	// updatePriority. The deadline is a time of day.
 	priority int
 	deadline micros.Micros
-	// unblockedMS is when the latest of its finished dependencies was done, by the time
-	// of day; 0: none is.
+	// unblockedMS is when the last of the finished dependencies was done, as a time of day in
+	// milliseconds; 0 if no dependency is done.
 	unblockedMS int64
-	// unmetDependencies are its dependencies that are not done by their records.
+	// unmetDependencies holds the ids of the dependencies whose records do not say that they are
+	// done.
 	unmetDependencies map[string]bool
-	// dependencyCancelled is set if a job that it needs, directly or through others, is cancelled.
+	// dependencyCancelled is set if a direct or transitive dependency is cancelled.
 	dependencyCancelled bool
 	knownAt             micros.Micros
-	// run is set at the owner only.
+	// run is the owner's state of the job; nil on controllers that do not own it.
 	run *run
 
-	queueRank     float64 // among jobs of its kind; see queue
-	queuePosition int     // in its shard's queue
-	startOverdue  bool    // it should have started; see overdue
-	// guaranteeOverdue is set if it is within its guarantee, and has waited for half of what it
-	// should at most.
+	queueRank     float64 // rank among jobs of its kind; see queue
+	queuePosition int     // index in its shard's queue
+	startOverdue  bool    // the job should have started by now; see overdue
+	// guaranteeOverdue is set if the job is within its team's guarantee and has waited for half of
+	// the longest acceptable wait.
 	guaranteeOverdue bool
-	withinGuarantee  bool // it fits into its team's guarantee; see markGuaranteed
+	withinGuarantee  bool // the job fits into its team's guarantee; see markGuaranteed
 }
 
-// waitingSinceMS returns the time of day, in milliseconds, from which a job's waiting counts: its
-// acceptance, or the end of the last job that it needs, by that job's record, so that every
-// owner says the same.
+// waitingSinceMS returns the time of day, in milliseconds, from which the job's waiting time
+// counts: its acceptance or the end of its last dependency, whichever is later. Both times come
+// from job records, so every owner computes the same value.
 func (j *job) waitingSinceMS() int64 {
 	if j.unblockedMS == 0 {
 		return j.rec.AcceptedMS
@@ -52,20 +54,22 @@
 	return max(j.rec.AcceptedMS, j.unblockedMS)
 }
 
-// blocked reports whether a job that this one needs is not done.
+// blocked reports whether a dependency of the job is not done.
 func (j *job) blocked() bool { return len(j.unmetDependencies) > 0 }
 
-// run is what the owner of a job keeps of it.
+// run is the state that only the owner of a job keeps: progress, attempts, retries, checkpoint and
+// end.
 type run struct {
 	doneTasks   checkpoint.TaskSet
 	doneCount   int
 	active      map[int]*attempt // by task
-	nextUntried int              // tasks from here on were never tried
-	retries     intHeap          // tasks to try again
-	// acceptedUnderClaim is set if the job was accepted after this node's claim, so that no former
-	// owner can have started it.
+	nextUntried int              // tasks with this index or a higher one were never tried
+	retries     intHeap          // indexes of tasks to retry
+	// acceptedUnderClaim is set if the job was accepted after this node claimed the shard, so that
+	// no former owner can have started it.
 	acceptedUnderClaim bool
-	// checkpointApplied is set if the progress in its checkpoint, if there is one, is known.
+	// checkpointApplied is set once the progress in the job's checkpoint is known, or it is known
+	// that there is no checkpoint.
 	checkpointApplied bool
 	finishedTasks     []wire.FinishedTask
 	arrivedAt         micros.Micros
@@ -76,22 +80,23 @@
 	failuresByMachine map[string]int
 	failuresByTask    map[int]int
 	stopsByTask       map[int]int // preemptions
-	// nextRetryAt is set while the job fails everywhere and is tried one task at a time.
+	// nextRetryAt is set while the job fails on every machine and is tried one task at a time.
 	nextRetryAt  micros.Micros
 	retryBackoff micros.Micros
-	// longestFailedRun is the longest that a task ran before it failed.
+	// longestFailedRun is the longest time that a task ran before it failed.
 	longestFailedRun micros.Micros
 	firstRunAt       micros.Micros
-	// reservedUntil is until when capacity is reserved for its start; see reserveCapacity.
+	// reservedUntil is when the reservation of capacity for the job ends; see reserveCapacity.
 	reservedUntil    micros.Micros
 	nextPreemptionAt micros.Micros
-	startedMS        int64 // the latest start of a task, by the time of day
-	// quotaWaitSince is since when tasks wait for quota; 0: none does.
+	startedMS        int64 // latest start of a task, as a time of day in milliseconds
+	// quotaWaitSince is when the job's tasks began to wait for quota; 0 if none waits.
 	quotaWaitSince  micros.Micros
 	quotaWaitLogged bool
 }
 
-// newRun returns the state of a job that this node owns from now on, under a claim.
+// newRun returns the initial state of a job that this node owns from now on. ownerEpoch is the
+// epoch of this node's claim of the shard.
 func newRun(j *job, ownerEpoch uint64, now micros.Micros) *run {
 	return &run{
 		doneTasks:          checkpoint.NewTaskSet(j.sub.Tasks),
@@ -105,7 +110,8 @@
 	}
 }
 
-// addFinishedTask adds a completed task to the latest steps.
+// addFinishedTask adds a completed task to finishedTasks and drops the oldest entries beyond
+// checkpoint.MaxSteps.
 func (r *run) addFinishedTask(step wire.FinishedTask) {
 	r.finishedTasks = append(r.finishedTasks, step)
 	if excess := len(r.finishedTasks) - checkpoint.MaxSteps; excess > 0 {
@@ -113,14 +119,14 @@
 	}
 }
 
-// pending returns how many tasks wait for a machine.
+// pending returns the number of tasks that wait for a machine.
 func (j *job) pending() int { return j.sub.Tasks - j.run.doneCount - len(j.run.active) }
 
-// isWaiting reports whether a task is neither done nor on a machine.
+// isWaiting reports whether a task is neither done nor has an active attempt.
 func (r *run) isWaiting(task int) bool { return !r.doneTasks.Has(task) && r.active[task] == nil }
 
-// nextTask returns the next task to start, lowest index first among those to try again; ok
-// is false when none waits.
+// nextTask returns the next task to start: the task to retry with the lowest index, or else the
+// first untried one. ok is false if no task waits.
 func (j *job) nextTask() (task int, ok bool) {
 	r := j.run
 	for len(r.retries) > 0 {
@@ -138,15 +144,15 @@
 	return 0, false
 }
 
-// requeue lets a task wait again after its attempt is gone.
+// requeue returns a task to the waiting tasks after its attempt has gone.
 func (j *job) requeue(task int) {
 	if task >= j.run.nextUntried {
-		return // nextTask has not come to it
+		return // still among the untried tasks
 	}
 	heap.Push(&j.run.retries, task)
 }
 
-// running counts the tasks that users are shown as running.
+// running returns the number of tasks that users are shown as running.
 func (j *job) running() int {
 	n := 0
 	for _, att := range j.run.active {
--- a/internal/controller/job_end.go
+++ b/internal/controller/job_end.go
@@ -12,27 +12,28 @@
 	"garnethitch/internal/wire"
 )
 
-// The end of a job, done or cancelled, is one record. Users are answered with a final state
-// only after that record stands.
+// A job ends when its final record, done or cancelled, is written. Users are answered with a final
+// state only once that record is in the state service.
 
 const (
-	// maxCancelWaiters bounds the requests that wait for one job's cancellation.
+	// maxCancelWaiters bounds the requests that wait for the cancellation of one job.
 	maxCancelWaiters = 64
-	// rejectedWriteBackoff is how long a write is put off that the state service refused as
+	// rejectedWriteBackoff is the time before a write is retried that the state service refused as
 	// malformed or too large.
 	rejectedWriteBackoff = 15 * micros.Second
 
 	endTimeout = 1500 * micros.Millisecond
-	// endRetryInterval is the mean time to the next try of an end that was not executed.
+	// endRetryInterval is the mean time before an end is retried whose transaction was not executed.
 	endRetryInterval = 400 * micros.Millisecond
-	// endReadRetryInterval is the same for a read that resolves an end in doubt.
+	// endReadRetryInterval is the mean time before a read that resolves an end in doubt is retried.
 	endReadRetryInterval = 500 * micros.Millisecond
 )
 
-// unavailable is the answer where this node can't say in what state a job is.
+// unavailable returns the answer for a job whose state this node can't determine: 503.
 func unavailable() peer.JobResponse { return peer.JobResponse{Status: http.StatusServiceUnavailable} }
 
-// cancelJob records a cancellation and answers once it stands.
+// cancelJob cancels a job that this node owns. It calls done once the cancellation is recorded, or
+// with unavailable if that fails or too many requests wait for it.
 func (c *Controller) cancelJob(j *job, done func(peer.JobResponse)) {
 	end := &j.run.end
 	if len(end.waiters) >= maxCancelWaiters {
@@ -46,11 +47,11 @@
 	}
 }
 
-// requestCancellation takes a user's request to cancel a job. The job's tasks are stopped
-// before and whether or not the record stands: nobody has any use for what they do from
-// now on, and another controller may answer "cancelled" before this one knows that its
-// record was written. The tasks count until they are seen gone, and the owner keeps trying
-// to record.
+// requestCancellation starts a cancellation that a user requested. The job's tasks are stopped
+// before the record is written and even if writing it fails: nobody needs their work any more, and
+// another controller may answer "cancelled" before this one knows that its record was written. The
+// tasks count against limits until their machines no longer list them, and the owner retries the
+// record until it is written.
 func (c *Controller) requestCancellation(j *job) {
 	if j.run.end.requested() {
 		return
@@ -63,14 +64,14 @@
 	c.schedulingDue = true
 }
 
-// stopAllTasks stops all of a job's tasks.
+// stopAllTasks stops all tasks of a job immediately.
 func (c *Controller) stopAllTasks(j *job) {
 	for _, idx := range slices.Sorted(maps.Keys(j.run.active)) {
 		c.stop(j.run.active[idx], stopImmediate)
 	}
 }
 
-// cancelled reports whether a user was answered, or may be at any moment, that a job is
+// cancelled reports whether a user may have been told, or may be told at any moment, that a job is
 // cancelled.
 func (t *jobTable) cancelled(id string) bool {
 	if f, over := t.final(id); over {
@@ -80,16 +81,17 @@
 	return j != nil && j.run != nil && j.run.end.state == wire.StateCancelled
 }
 
-// needsImmediateStop reports whether a cancelled task is on its machine without an immediate stop.
+// needsImmediateStop reports whether an attempt of a cancelled job is on its machine and no immediate
+// stop was requested for it.
 func (t *jobTable) needsImmediateStop(att *attempt) bool {
 	return att.stopMode != stopImmediate && att.onMachine() && t.cancelled(att.key.job)
 }
 
-// stopsForCancelledTasks ensures that the answer to a heartbeat stops each cancelled task that the
-// heartbeat lists. An answer renews the machine's lease, so every answer has the stops, the
-// first after a claim too: the machine may not receive the next before its shard changes
-// hands again. It returns the stops for a machine that is not reconciled; the age of its
-// list does not matter to them, since no attempt number is used twice.
+// stopsForCancelledTasks ensures that the reply to a heartbeat stops each cancelled task that the
+// heartbeat lists. Every reply renews the machine's lease, so every reply must contain the stops,
+// including the first one after a claim: the owner of the shard may change again before the machine
+// receives the next. For a reconciled machine the stops are requested through c.stop; for any other
+// the function returns them. An old task list does no harm, since no attempt number is used twice.
 func (c *Controller) stopsForCancelledTasks(s *shard, m *machine, heartbeat *wire.Heartbeat) (stops []wire.Command) {
 	if m.view.reconciled {
 		for _, att := range m.view.list {
@@ -108,8 +110,8 @@
 	return stops
 }
 
-// mayBeCancelled reports whether a task that a machine lists is of a job that is cancelled,
-// or that has ended and left memory, so that it may have been cancelled.
+// mayBeCancelled reports whether a listed task belongs to a job that is cancelled, or that has ended
+// and was evicted from memory, so that it may have been cancelled.
 func (c *Controller) mayBeCancelled(s *shard, m *machine, t *wire.TaskStatus) bool {
 	id, _, err := wire.ParseTask(t.Task)
 	if err != nil || t.State == wire.TaskExited {
@@ -122,12 +124,14 @@
 	return c.jobs.cancelled(id)
 }
 
-// finalRecord is the record of a job that ended in a state at a time of day in milliseconds.
+// finalRecord returns the record of a job that ended in the given state. endMS is a time of day in
+// milliseconds.
 func (j *job) finalRecord(state wire.JobState, endMS int64) wire.JobRecord {
 	return wire.JobRecord{AcceptedMS: j.rec.AcceptedMS, State: state, Tasks: j.sub.Tasks, EndMS: endMS}
 }
 
-// endJob records a job as done or cancelled.
+// endJob writes the record that a job is done or cancelled. If a write is in flight or the lease is
+// not valid, it only requests the end, and maintainJob retries it.
 func (c *Controller) endJob(j *job, state wire.JobState) {
 	r := j.run
 	if r.end.inFlight() || !c.ownership.leaseValid() {
@@ -158,8 +162,8 @@
 	})
 }
 
-// endTxn is the transaction that writes the final record of a job and deletes its
-// checkpoint.
+// endTxn returns the transaction that writes the final record of a job and deletes its checkpoint.
+// It is conditional on the job's revision and on this node's claim of the shard.
 func (c *Controller) endTxn(j *job, value wire.Raw) wire.Txn {
 	s := c.ownership.shards[j.shard]
 	txn := wire.Txn{
@@ -175,19 +179,19 @@
 	return txn
 }
 
-// handleUnrecordedEnd handles an end whose transaction did not succeed, or may not have.
+// handleUnrecordedEnd handles an end whose transaction failed or whose outcome is unknown.
 func (c *Controller) handleUnrecordedEnd(j *job, r *run, outcome statestore.Outcome) {
 	switch outcome {
 	case statestore.NotExecuted:
 		r.end.retryAt(c.now + c.jitter(endRetryInterval))
 		c.failWaiters(j)
 	case statestore.Rejected:
-		// Retried after a long pause, so that no other write waits behind it: the state service
-		// takes less than the settings say.
+		// The state service accepts less than the settings say. The long backoff keeps the retries
+		// from delaying other writes.
 		r.end.retryAt(c.now + c.jitter(rejectedWriteBackoff))
 		c.failWaiters(j)
 	default:
-		// In doubt, or a condition failed: a read resolves it.
+		// The outcome is in doubt or a condition failed. A read resolves it.
 		r.end.inDoubt = true
 		c.resolveEnd(j, r)
 	}
@@ -197,11 +201,11 @@
 func (c *Controller) resolveEnd(j *job, r *run) {
 	c.readJob(statestore.ClassEnd, j.id, func(found statestore.Lookup) {
 		if j.run != r {
-			return // ended, or no longer owned here
+			return // the job has ended or this node no longer owns it
 		}
 		if found == statestore.LookupFound {
-			// Not ended, and j.modRevision is as read. A late copy of the transaction can
-			// still end it, so that it stays in doubt.
+			// The job has not ended, and j.modRevision is the revision that was read. A late copy
+			// of the transaction can still end the job, so the end stays in doubt.
 			r.end.retryAt(c.now)
 		} else {
 			r.end.nextAttemptAt = c.now + c.jitter(endReadRetryInterval)
@@ -210,17 +214,18 @@
 	})
 }
 
-// failWaiters answers those who wait for a job's end that it is not known.
+// failWaiters answers unavailable to all requests that wait for a job's end.
 func (c *Controller) failWaiters(j *job) { c.answerWaiters(j.run, unavailable()) }
 
-// answerWaiters answers those who wait for a job's end.
+// answerWaiters answers all requests that wait for a job's end.
 func (c *Controller) answerWaiters(r *run, answer peer.JobResponse) {
 	for _, waiter := range r.end.takeWaiters() {
 		c.later(func() { waiter(answer) })
 	}
 }
 
-// finishJob takes note that a job is over.
+// finishJob stores how a job ended, handles its dependents and removes it from the open jobs. It
+// does nothing if the end was known already.
 func (c *Controller) finishJob(id string, f finalJob) {
 	delete(c.jobs.unusable, id)
 	if !c.jobs.recordFinal(id, f) {
@@ -246,7 +251,7 @@
 	}
 }
 
-// finishRun ends an owner's work on a job that is over.
+// finishRun ends this node's work on a job that it owns and that has ended.
 func (c *Controller) finishRun(j *job, f finalJob) {
 	r := j.run
 	c.answerWaiters(r, f.answer())
--- a/internal/controller/job_end_state.go
+++ b/internal/controller/job_end_state.go
@@ -6,7 +6,7 @@
 	"garnethitch/internal/wire"
 )
 
-// endPhase is how far an owner is with recording the end of a job.
+// endPhase is the progress of an owner in recording the end of a job.
 type endPhase int
 
 const (
@@ -14,7 +14,8 @@
 	endNone endPhase = iota
 	// endRequested means that an end is to be recorded.
 	endRequested
-	// endInFlight means that a transaction that records it was sent, or a read that resolves one.
+	// endInFlight means that the transaction that records the end, or a read that resolves its
+	// outcome, was sent and not answered yet.
 	endInFlight
 )
 
@@ -27,34 +28,35 @@
 // String returns the name of the phase.
 func (p endPhase) String() string { return endPhaseNames[p] }
 
-// jobEnd is what the owner of a job knows of the job's end.
+// jobEnd is the owner's state of recording a job's end.
 type jobEnd struct {
 	phase endPhase
 	// state is the final state to record; "" in phase endNone.
 	state wire.JobState
-	// inDoubt is set if a transaction was sent whose outcome stays unknown. A late copy of it may
-	// be executed at any time, while others read what it wrote, so the job's status is
-	// answered from memory no more.
+	// inDoubt is set if a transaction was sent whose outcome is unknown. A late copy of it may be
+	// executed at any time and other controllers may read what it wrote, so the job's status may no
+	// longer be answered from memory.
 	inDoubt bool
-	// nextAttemptAt is when to send the transaction, or to read what came of it.
+	// nextAttemptAt is when to send the transaction next, or the read that resolves its outcome.
 	nextAttemptAt micros.Micros
-	// waiters are called with the answer to those who cancel the job.
+	// waiters are the callbacks of requests to cancel the job. They are called with the answer.
 	waiters []func(peer.JobResponse)
 }
 
-// requested reports whether the job is to end.
+// requested reports whether an end was requested.
 func (e *jobEnd) requested() bool { return e.phase != endNone }
 
-// inFlight reports whether a transaction or a read that resolves one is under way.
+// inFlight reports whether a transaction, or a read that resolves its outcome, is in flight.
 func (e *jobEnd) inFlight() bool { return e.phase == endInFlight }
 
-// unresolved reports whether the record may say that the job has ended.
+// unresolved reports whether the stored record may say that the job has ended without this node
+// knowing it.
 func (e *jobEnd) unresolved() bool { return e.inFlight() || e.inDoubt }
 
-// due reports whether the next attempt is due.
+// due reports whether an end is requested and its next transaction or read is due.
 func (e *jobEnd) due(now micros.Micros) bool { return e.requested() && now >= e.nextAttemptAt }
 
-// request has the job end in a state, unless another is already requested.
+// request requests that the job end in a state. It does nothing if an end was requested already.
 func (e *jobEnd) request(state wire.JobState) {
 	if e.requested() {
 		return
@@ -63,27 +65,27 @@
 	e.state = state
 }
 
-// markSent takes note that a transaction with the state was markSent.
+// markSent records that the transaction that writes the state was sent.
 func (e *jobEnd) markSent(state wire.JobState) {
 	e.phase = endInFlight
 	e.state = state
 	e.nextAttemptAt = micros.Never
 }
 
-// retryAt puts the next transaction off.
+// retryAt schedules the next transaction for a time.
 func (e *jobEnd) retryAt(at micros.Micros) {
 	e.phase = endRequested
 	e.nextAttemptAt = at
 }
 
-// markResolving takes note that a condition of the transaction was not met, so that a read is to
-// find out whether the job has ended.
+// markResolving records that a condition of the transaction was not met, so that a read must find
+// out whether the job has ended.
 func (e *jobEnd) markResolving() {
 	e.phase = endInFlight
 	e.inDoubt = true
 }
 
-// takeWaiters returns the waiters and forgets them.
+// takeWaiters removes and returns the waiters.
 func (e *jobEnd) takeWaiters() []func(peer.JobResponse) {
 	waiters := e.waiters
 	e.waiters = nil
--- a/internal/controller/job_end_test.go
+++ b/internal/controller/job_end_test.go
@@ -6,28 +6,29 @@
 	"garnethitch/internal/wire"
 )
 
-// TestUnansweredEnd checks that an end whose transaction was not answered is resolved by a read;
-// until then the job's status is not answered from memory.
+// TestUnansweredEnd checks that an end whose transaction was not answered is resolved by a read, and
+// that the job's status is not answered from memory until then.
 func TestUnansweredEnd(t *testing.T) {
 	h := newHarness(t, nil)
 	fencingToken := h.reconcile("vm-1")
 	a := h.startOne(fencingToken)
 	h.lose, h.watchBlocked = wire.JobKey("job-000001"), wire.PrefixJob
 	h.heartbeat(heartbeatFrom("vm-1", 1, 11, fencingToken, wire.TaskStatus{Task: "job-000001/0", Attempt: a, State: wire.TaskExited, ExitReason: wire.ExitDone}))
-	// Applied, not answered: the store holds done, and so must every answer.
+	// The transaction was applied and not answered. The store says done, so every answer must too.
 	if s := h.state("job-000001"); s != wire.StateDone {
-		t.Errorf("called %q while its end stands on record", s)
+		t.Errorf("the job is in state %q, want the recorded state: done", s)
 	}
 }
 
-// TestCancellationRequestStopsTasks has the owner's record of a cancellation executed with its
-// answer lost, and the state service refuse the owner from then on. Its machines must stop the task
-// although the owner can neither read nor watch. Several guards each suffice; this case is about
-// the request itself: no start follows it, and its tasks are stopped.
+// TestCancellationRequestStopsTasks checks that a cancellation request stops the job's tasks even if
+// the owner does not know whether its record was written. In the main case the record is written, its
+// answer is lost, and the state service then refuses the owner, which can neither read nor watch.
+// Other mechanisms would also stop the task; the test is about the request itself: no start follows
+// it, and the tasks are stopped.
 func TestCancellationRequestStopsTasks(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		// fault comes before the cancellation, later after it.
+		// fault is applied before the cancellation, later after it.
 		fault func(h *harness)
 		later func(h *harness)
 	}{
@@ -52,7 +53,7 @@
 			h.dropCalls()
 			tc.fault(h)
 			if got := h.cancel("job-000001"); got.Status == 200 {
-				t.Fatalf("called cancelled without a record")
+				t.Fatalf("answered as cancelled without a record")
 			}
 			if tc.later != nil {
 				tc.later(h)
@@ -61,28 +62,29 @@
 			h.step(Tick{})
 			status, body := h.heartbeat(h.running(1000, fencingToken, a))
 			if status != 200 || stops(body.Commands) != 1 {
-				t.Errorf("heartbeat answered %d, %v; want the task stopped", status, body.Commands)
+				t.Errorf("heartbeat answered %d with %v; want 200 with a stop of the task", status, body.Commands)
 			}
 			for _, c := range starts(body.Commands) {
 				if c.Task == "job-000001/0" {
-					t.Errorf("started after its user asked to cancel it")
+					t.Errorf("the task is started after the cancellation request")
 				}
 			}
-			// A 503 says that nothing was recorded, so nobody can have answered anything newer.
+			// A 503 from the state service means that nothing was written, so no controller can have
+			// answered with a newer state.
 			if s := h.state("job-000001"); s != "" && (s != wire.StateRunning || tc.name != "refused before the record") {
-				t.Errorf("called %q while nobody can know", s)
+				t.Errorf("the job is in state %q while its state is not known", s)
 			}
-			// What has exited is not tried again, and counts until it is seen gone.
+			// The task counts until its machine lists it as exited, and is not retried after that.
 			if n := h.c.ownership.shards[0].usage[0].cpus; n < 1 {
-				t.Errorf("a task that is not seen gone counts %v CPUs", n)
+				t.Errorf("a task that its machine still lists counts %v CPUs, want at least 1", n)
 			}
 			_, body = h.heartbeat(heartbeatFrom("vm-1", 1, 1001, fencingToken, wire.TaskStatus{Task: "job-000001/0", Attempt: a, State: wire.TaskExited, ExitReason: wire.ExitStopped}))
 			for _, c := range starts(body.Commands) {
 				if c.Task == "job-000001/0" {
-					t.Errorf("started again")
+					t.Errorf("the cancelled task is started again")
 				}
 			}
-			// The owner records by itself once it can.
+			// Once the state service is available, the owner records the end without a new request.
 			h.stateDown, h.refused, h.watchBlocked, h.lose, h.late = false, false, "", "", ""
 			for range 8 {
 				h.giveUp()
@@ -98,29 +100,29 @@
 				h.run(sec)
 			}
 			if s := h.state("job-000001"); s != wire.StateCancelled {
-				t.Errorf("called %q at the end, want cancelled without another request", s)
+				t.Errorf("the job is in state %q at the end, want cancelled without another request", s)
 			}
 		})
 	}
 }
 
-// TestInDoubtEnd checks that an owner does not answer from memory about a job whose end is in
-// doubt. A transaction that ends a job may be executed at any time once its answer is missing, also
-// after newer ones of the same controller were refused, and another controller may call the job
-// cancelled from then on.
+// TestInDoubtEnd checks that an owner does not answer from memory about a job whose end is in doubt.
+// A transaction that was not answered may be executed at any later time, even after newer ones of
+// the same controller were refused. From then on another controller may answer that the job is
+// cancelled.
 func TestInDoubtEnd(t *testing.T) {
 	h := newOwnerHarness(t, withPeer)
 	h.runOne()
 	h.late = wire.JobKey("job-000001")
 	h.cancel("job-000001")
-	for range 4 { // unanswered, read as pending, sent again: again unanswered
+	for range 4 { // each round: not answered, read as pending, sent again
 		h.run(sec)
 		for _, c := range h.lateOut {
 			h.step(Result{ID: c.ID})
 		}
 	}
 	if len(h.lateOut) < 2 {
-		t.Fatalf("%d transactions delayed, want some", len(h.lateOut))
+		t.Fatalf("%d transactions delayed, want at least 2", len(h.lateOut))
 	}
 	h.watchBlocked, h.stateDown, h.refused = wire.PrefixJob, true, true
 	h.run(sec / 2)
@@ -128,16 +130,16 @@
 		t.Fatalf("%d of the copies were executed, want 1", n)
 	}
 	if s := h.state("job-000001"); s == wire.StateRunning || s == wire.StatePending {
-		t.Errorf("called %q, cancelled on record", s)
+		t.Errorf("the job is in state %q although it is recorded as cancelled", s)
 	}
 	h.stateDown = false
 	if s := h.state("job-000001"); s != wire.StateCancelled {
-		t.Errorf("called %q, cancelled on record", s)
+		t.Errorf("the job is in state %q, want the recorded state: cancelled", s)
 	}
 }
 
-// TestCancelDuringEnd has a cancellation, a status request and a repeated submission coincide with
-// the end of a job's last task: every answer gives the state that was recorded first.
+// TestCancelDuringEnd checks a cancellation, a status request and a repeated submission that coincide
+// with the end of a job's last task: every answer contains the state that was recorded first.
 func TestCancelDuringEnd(t *testing.T) {
 	for _, tc := range []struct {
 		name string
@@ -167,10 +169,10 @@
 				first, asked = h.cancel("job-000001"), h.reply
 			}
 			if s := h.state("job-000001"); s != tc.want {
-				t.Errorf("a status request in between: %q, want %s", s, tc.want)
+				t.Errorf("a status request in between is answered %q, want %s", s, tc.want)
 			}
 			if b, _ := h.submit(jobOf("job-000001", 1)).Body.(wire.JobAnswer); b.State != tc.want {
-				t.Errorf("a repeated submission in between: %q, want %s", b.State, tc.want)
+				t.Errorf("a repeated submission in between is answered %q, want %s", b.State, tc.want)
 			}
 			h.giveUp()
 			h.run(2 * sec)
@@ -181,15 +183,15 @@
 				t.Errorf("cancellation answered %q, want %s", b.State, tc.want)
 			}
 			if b, _ := h.cancel("job-000001").Body.(wire.JobAnswer); b.State != tc.want {
-				t.Errorf("cancelled again: %q, want %s", b.State, tc.want)
+				t.Errorf("a second cancellation is answered %q, want %s", b.State, tc.want)
 			}
 		})
 	}
 }
 
-// TestCancelledTasksCountUntilGone checks that with every team at its limit, cancelled tasks on
-// machines that can't be reached count until they are provably gone, also at a new owner that knows
-// the job to be over.
+// TestCancelledTasksCountUntilGone checks that cancelled tasks on unreachable machines count against
+// the limit of their team until they are certainly gone, also at a new owner that knows that the job
+// has ended.
 func TestCancelledTasksCountUntilGone(t *testing.T) {
 	limit := func(c *Config) {
 		withPeer(c)
@@ -207,12 +209,12 @@
 			t.Fatalf("%d starts, want 2", len(cmds))
 		}
 		if a := h.cancel("job-000001"); a.Status != 200 {
-			t.Fatalf("cancellation got %d", a.Status)
+			t.Fatalf("cancellation answered %d, want 200", a.Status)
 		}
 		h.submit(jobOf("job-000002", 2))
 		h.open = nil
 		if _, body := h.heartbeat(heartbeatFrom("vm-2", 1, 11, fencingToken)); len(starts(body.Commands)) != 0 {
-			t.Errorf("%v: started beyond the limit", body.Commands)
+			t.Errorf("%v starts tasks beyond the limit", body.Commands)
 		}
 	})
 	t.Run("new owner", func(t *testing.T) {
@@ -224,7 +226,7 @@
 		sub := jobOf("job-000002", 2)
 		h.put(wire.JobKey("job-000001"), wire.JobRecord{State: wire.StateCancelled, Tasks: 2})
 		h.putMachines("h-1-1", "vm-1", "vm-2")
-		h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}}) // claimed anew: they are older
+		h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}}) // a new claim, so that the machines are older than it
 		h.run(sec)
 		h.put(wire.JobKey("job-000002"), wire.JobRecord{Submission: &sub, State: wire.StatePending, Tasks: 2})
 		h.open = nil
@@ -236,19 +238,19 @@
 			_, body := h.heartbeat(heartbeatFrom("vm-2", 1, seq, fencingToken))
 			if n := len(starts(body.Commands)); n > 0 {
 				if h.now < s.machinesFreeAt {
-					t.Errorf("%d started %v s after the claim, vm-1 may hold cancelled tasks until %v s", n, (h.now - s.claimedAt).Seconds(), (s.machinesFreeAt - s.claimedAt).Seconds())
+					t.Errorf("%d tasks started %v s after the claim, but vm-1 may hold cancelled tasks until %v s after it", n, (h.now - s.claimedAt).Seconds(), (s.machinesFreeAt - s.claimedAt).Seconds())
 				}
 				return
 			}
 			h.run(sec / 2)
 			h.dropCalls()
 		}
-		t.Error("never started")
+		t.Error("the second job's tasks were never started")
 	})
 }
 
-// TestCancellationRequestEndsWithItsOwner checks that a cancellation that was never recorded ends
-// with its owner: the next owner runs the job.
+// TestCancellationRequestEndsWithItsOwner checks that a cancellation that was requested but never
+// recorded is forgotten when the shard gets another owner: the next owner runs the job.
 func TestCancellationRequestEndsWithItsOwner(t *testing.T) {
 	h := newOwnerHarness(t, withPeer)
 	fencingToken, a := h.runOne()
@@ -257,11 +259,11 @@
 	h.heartbeat(heartbeatFrom("vm-1", 1, 20, fencingToken, wire.TaskStatus{Task: "job-000001/0", Attempt: a, State: wire.TaskExited, ExitReason: wire.ExitStopped}))
 	h.held = nil
 	h.stateDown = false
-	h.c.loseLease() // as after a 404
+	h.c.loseLease() // as if the renewal was answered 404
 	h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}, {Delete: wire.KeyLeader}}})
 	h.run(3 * sec)
 	if j := h.c.jobs.open["job-000001"]; j == nil || j.run == nil || j.run.end.requested() {
-		t.Fatalf("the job is stuck: %+v", j)
+		t.Fatalf("the job is not run by the next owner: %+v", j)
 	}
 	fencingToken = h.c.fencingToken(h.c.ownership.shards[0], h.c.machines["vm-1"])
 	h.dropCalls()
@@ -273,9 +275,9 @@
 		h.dropCalls()
 	}
 	if !started {
-		t.Error("not started again at its next owner")
+		t.Error("the task is not started by the next owner")
 	}
 	if s := h.state("job-000001"); s != wire.StatePending && s != wire.StateRunning {
-		t.Errorf("called %q", s)
+		t.Errorf("the job is in state %q, want pending or running", s)
 	}
 }
--- a/internal/controller/job_sharding.go
+++ b/internal/controller/job_sharding.go
@@ -2,12 +2,12 @@
 
 import "garnethitch/internal/controller/ownership"
 
-// jobSharding says which shard a job belongs to: that of its team, or one by the hash of its id
-// if there is just one team and it has no limit.
+// jobSharding assigns jobs to shards: by their team, or by the hash of their id if there is only one
+// team and it has no limit.
 type jobSharding struct {
 	shards      int
-	teamOf      map[string]int // a team's number by its name
-	shardOfTeam []int          // by the team's number; nil where jobs are assigned by their ids
+	teamOf      map[string]int // team number by team name
+	shardOfTeam []int          // shard by team number; nil if jobs are assigned by id
 }
 
 // newJobSharding numbers the teams and assigns them to shards.
@@ -23,7 +23,7 @@
 	return js
 }
 
-// teamsToAssign returns what the assignment of teams to shards depends on.
+// teamsToAssign returns the properties of the teams on which their assignment to shards depends.
 func teamsToAssign(teams []Team) []ownership.Team {
 	var out []ownership.Team
 	for _, t := range teams {
@@ -50,7 +50,8 @@
 	fnvPrime  = 1099511628211
 )
 
-// hashOf is FNV-1a with a final mix, so that ids that differ at the end spread evenly.
+// hashOf returns the FNV-1a hash of an id with a final mixing step, without which ids that differ
+// only at the end would not spread evenly.
 func hashOf(id string) uint64 {
 	h := uint64(fnvOffset)
 	for i := 0; i < len(id); i++ {
--- a/internal/controller/job_sharding_test.go
+++ b/internal/controller/job_sharding_test.go
@@ -7,14 +7,14 @@
 	"garnethitch/internal/controller/ownership"
 )
 
-// TestTeamsToAssign checks what the assignment to shards depends on: a limit of either resource
-// keeps a team in one shard.
+// TestTeamsToAssign checks the properties on which the assignment of teams to shards depends: a limit
+// on either resource keeps all jobs of a team in one shard.
 func TestTeamsToAssign(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		team Team
 		want ownership.Team
-		one  []int // the assignment where it is the only team
+		one  []int // shardOfTeam if this is the only team
 	}{
 		{"no limit", Team{Name: "a", CPUs: 4, GPUs: 1}, ownership.Team{CPUs: 4, GPUs: 1}, nil},
 		{"limited CPUs", Team{Name: "a", CPUsMax: 4}, ownership.Team{Limited: true}, []int{0}},
@@ -26,7 +26,7 @@
 				t.Errorf("got %+v, want %+v", got, tc.want)
 			}
 			if got := New(Config{Label: "n-0", Shards: 3, Teams: []Team{tc.team}}, 1).jobSharding.shardOfTeam; !slices.Equal(got, tc.one) || (got == nil) != (tc.one == nil) {
-				t.Errorf("shards %v, want %v", got, tc.one)
+				t.Errorf("shardOfTeam is %v, want %v", got, tc.one)
 			}
 		})
 	}
--- a/internal/controller/job_status.go
+++ b/internal/controller/job_status.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// peerStatusTimeout is how long a status request to a job's owner may take.
+	// peerStatusTimeout is the timeout of a status request to a job's owner.
 	peerStatusTimeout = 400 * micros.Millisecond
-	// peerCancelTimeout is the same for a cancellation.
+	// peerCancelTimeout is the timeout of a cancellation request to a job's owner.
 	peerCancelTimeout = 3 * micros.Second
 )
 
-// answerFromLookup returns the answer about a job whose record was looked up, where memory has no
-// more.
+// answerFromLookup returns the answer for a job whose record was looked up and whose end is not in
+// memory.
 func answerFromLookup(found statestore.Lookup) peer.JobResponse {
 	switch found {
 	case statestore.LookupFound:
@@ -29,18 +29,18 @@
 	}
 }
 
-// handleJobStatus answers a user who asks for the status of a job.
+// handleJobStatus handles a user's status request.
 func (c *Controller) handleJobStatus(in JobStatusRequest) {
 	if !wire.ValidID(in.ID) {
-		// Only ids of the protocol's form exist.
+		// A job's id always has the form that the protocol defines.
 		c.answer(in.Reply, http.StatusNotFound, nil, 0)
 		return
 	}
 	c.findJobState(in.ID, func(a peer.JobResponse) { c.answerJobStatus(in.Reply, in.ID, a) })
 }
 
-// findJobState finds the state of a job: a final state from memory, any other from the
-// job's owner, or from a read of its record.
+// findJobState finds the state of a job and calls done with it. A final state comes from memory, any
+// other from the job's owner or from a read of its record.
 func (c *Controller) findJobState(id string, done func(peer.JobResponse)) {
 	if f, ok := c.jobs.final(id); ok {
 		done(f.answer())
@@ -52,8 +52,9 @@
 		return
 	}
 	if j.dependencyCancelled && !c.hasSpareRequests() {
-		// It is to be recorded as cancelled, and the watch brings that. Reads for the
-		// users of a thousand such jobs would leave no requests for the records.
+		// The job will be recorded as cancelled, and the watch will deliver the record. Reads for
+		// status requests about a thousand such jobs would leave no requests for writing the
+		// records.
 		done(unavailable())
 		return
 	}
@@ -68,7 +69,7 @@
 	done(c.memoryAnswer(j))
 }
 
-// askOwner asks the owner of a job for its state; without its answer the record is read.
+// askOwner asks the owner of a job for its state. If the owner does not answer, the record is read.
 func (c *Controller) askOwner(j *job, done func(peer.JobResponse)) {
 	s := c.ownership.shards[j.shard]
 	p := c.peers[s.owner.Label]
@@ -85,7 +86,8 @@
 	})
 }
 
-// askPeer asks the owner of a job on behalf of a user.
+// askPeer sends a user's request about a job to its owner, and calls done with unavailable if too
+// many such requests are in flight or no answer comes.
 func (c *Controller) askPeer(p *peerView, jobReq peer.JobRequest, timeout micros.Micros, done func(peer.JobResponse)) {
 	if c.cfg.MaxPeerQuestions > 0 && c.peerQuestionsInFlight >= c.cfg.MaxPeerQuestions {
 		done(unavailable())
@@ -108,12 +110,13 @@
 	})
 }
 
-// readJob reads a job's record on behalf of other work. For users there is readForUser.
+// readJob reads a job's record for internal work of the given class. Users' requests use
+// readForUser.
 func (c *Controller) readJob(class statestore.Class, id string, done func(statestore.Lookup)) {
 	c.askState(class, statestore.GetKey{Key: wire.JobKey(id)}, statestore.ReadTimeout, func(r statestore.Reply) { done(c.applyJobRead(r)) })
 }
 
-// applyJobRead takes what the read of a job's record brought.
+// applyJobRead updates the job table from the result of reading a job's record.
 func (c *Controller) applyJobRead(r statestore.Reply) statestore.Lookup {
 	switch r.Status {
 	case http.StatusOK:
@@ -124,7 +127,7 @@
 		c.ownership.lastStateReplyAt = c.now
 		c.applyPut(kv.Key, kv.Value, kv.ModRevision)
 		if id := kv.Key[len(wire.PrefixJob):]; !c.jobs.contains(id) && !c.jobs.unusable[id] {
-			return statestore.LookupFailed // it has ended since; see outdated
+			return statestore.LookupFailed // the job has ended since the read; see outdated
 		}
 		return statestore.LookupFound
 	case http.StatusNotFound:
@@ -134,7 +137,7 @@
 	return statestore.LookupFailed
 }
 
-// readJobState finds the state of a job by a read of its record.
+// readJobState finds the state of a job by reading its record.
 func (c *Controller) readJobState(id string, done func(peer.JobResponse)) {
 	c.readForUser(id, func(found statestore.Lookup) {
 		if f, ok := c.jobs.final(id); ok {
--- a/internal/controller/job_table.go
+++ b/internal/controller/job_table.go
@@ -8,18 +8,19 @@
 	"garnethitch/internal/wire"
 )
 
-// finalJob is how a job has ended.
+// finalJob describes how a job ended.
 type finalJob struct {
 	state wire.JobState
 	tasks int
 	// broadcast is set while the other controllers are being notified of its cancellation.
 	broadcast bool
-	// recorded is set if its own record said so, not just another controller.
+	// recorded is set if the end is known from the job's record, and not only from another
+	// controller's message.
 	recorded bool
-	endMS    int64 // by the time of day; 0: not known
+	endMS    int64 // time of day in milliseconds; 0 if not known
 }
 
-// answer is the answer to users who ask for the job.
+// answer returns the answer to a status request for the job.
 func (f finalJob) answer() peer.JobResponse {
 	a := peer.JobResponse{Status: http.StatusOK, State: f.state}
 	if f.state == wire.StateDone {
@@ -28,17 +29,17 @@
 	return a
 }
 
-// finalJobs remembers the jobs that ended last, up to a limit.
+// finalJobs holds the most recently ended jobs, up to a limit.
 type finalJobs struct {
 	limit int
 	byID  map[string]finalJob
-	// ring are the ids in byID; once it is full, oldest is the index of the next to
-	// forget.
+	// ring holds the ids in byID. Once it is full, oldest is the index of the next id to evict.
 	ring   []string
 	oldest int
 }
 
-// add remembers a job that is not remembered, in place of the oldest if there are too many.
+// add adds an ended job that byID does not contain, and evicts the oldest one if the limit is
+// reached.
 func (f *finalJobs) add(id string, final finalJob) {
 	if len(f.ring) < f.limit {
 		f.ring = append(f.ring, id)
@@ -50,22 +51,24 @@
 	f.byID[id] = final
 }
 
-// jobTable holds the jobs that are not over, and a bounded memory of those that are.
+// jobTable holds all open jobs and a bounded number of ended ones.
 type jobTable struct {
 	open             map[string]*job
 	finals           finalJobs
 	pendingCreations map[string]*jobCreation
-	// unusable are jobs whose records this node can't use; they are neither open nor over.
+	// unusable holds the ids of jobs whose records this node can't use. They are in neither open
+	// nor finals.
 	unusable map[string]bool
-	// dependents are the open jobs that wait for a job, by its id, which may not be
-	// known yet: then unknown says when to read it.
-	dependents          map[string][]*job
+	// dependents holds the open jobs that wait for a job, by the id of that job.
+	dependents map[string][]*job
+	// unknownDependencies holds, for each id in dependents whose state is not known, the time from
+	// which its record may be read.
 	unknownDependencies map[string]micros.Micros
-	// readsInFlight counts the reads of unknown jobs.
+	// readsInFlight is the number of reads of unknown dependencies in flight.
 	readsInFlight int
 }
 
-// init prepares an empty table that remembers at most maxFinals jobs that are over.
+// init makes the table empty, with a limit of maxFinals ended jobs.
 func (t *jobTable) init(maxFinals int) {
 	t.open = map[string]*job{}
 	t.finals = finalJobs{limit: maxFinals, byID: map[string]finalJob{}}
@@ -75,20 +78,21 @@
 	t.unknownDependencies = map[string]micros.Micros{}
 }
 
-// final returns how a job has ended; ok is false if it has not, or left memory.
+// final returns how a job ended. ok is false if the job has not ended or its end was evicted from
+// memory.
 func (t *jobTable) final(id string) (f finalJob, ok bool) {
 	f, ok = t.finals.byID[id]
 	return f, ok
 }
 
-// contains reports whether a job is in the table, open or over.
+// contains reports whether a job is in the table, open or ended.
 func (t *jobTable) contains(id string) bool {
 	_, over := t.final(id)
 	return over || t.open[id] != nil
 }
 
-// recordFinal takes how a job has ended, and reports whether that is news: its end was not
-// known, or only by another controller's word and now by its record.
+// recordFinal stores how a job ended and reports whether that is new information: the end was not
+// known, or it was known only from another controller and is now confirmed by the job's record.
 func (t *jobTable) recordFinal(id string, f finalJob) bool {
 	old, ok := t.final(id)
 	if !ok {
@@ -103,7 +107,8 @@
 	return true
 }
 
-// startBroadcast marks a job that is over as broadcast, and reports whether it was not.
+// startBroadcast marks an ended job as being broadcast. It returns false if the job is not in
+// memory or was marked already.
 func (t *jobTable) startBroadcast(id string) bool {
 	f, ok := t.final(id)
 	if !ok || f.broadcast {
--- a/internal/controller/job_table_test.go
+++ b/internal/controller/job_table_test.go
@@ -9,7 +9,7 @@
 	"garnethitch/internal/wire"
 )
 
-// TestFinalJobsForgetOldest checks that the jobs that ended last are remembered, up to the limit.
+// TestFinalJobsForgetOldest checks that finalJobs keeps the most recently ended jobs, up to its limit.
 func TestFinalJobsForgetOldest(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
@@ -28,14 +28,14 @@
 				f.add(fmt.Sprint(i), finalJob{state: wire.StateDone})
 			}
 			if got := slices.Sorted(maps.Keys(f.byID)); !slices.Equal(got, tc.want) {
-				t.Errorf("remembers %v, want %v", got, tc.want)
+				t.Errorf("finalJobs holds %v, want %v", got, tc.want)
 			}
 		})
 	}
 }
 
-// TestRecordFinal checks that a record overrides another controller's word, and nothing overrides a
-// record.
+// TestRecordFinal checks that a record overrides what another controller said about a job's end, and
+// that nothing overrides a record.
 func TestRecordFinal(t *testing.T) {
 	recorded := finalJob{state: wire.StateDone, tasks: 2, recorded: true, endMS: 7}
 	byPeer := finalJob{state: wire.StateDone}
@@ -63,10 +63,10 @@
 				table.recordFinal("job-000001", *tc.before)
 			}
 			if got := table.recordFinal("job-000001", tc.add); got != tc.news {
-				t.Errorf("news: %v, want %v", got, tc.news)
+				t.Errorf("recordFinal returned %v, want %v", got, tc.news)
 			}
 			if got, _ := table.final("job-000001"); got != tc.want {
-				t.Errorf("remembers %+v, want %+v", got, tc.want)
+				t.Errorf("the table holds %+v, want %+v", got, tc.want)
 			}
 		})
 	}
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -11,7 +11,8 @@
 	"garnethitch/internal/wire"
 )
 
-// applyJobRecord takes a job's record from a watch, a listing, a read or a hint.
+// applyJobRecord updates the job table from a job's record, which comes from a watch, a listing, a
+// read or another controller's hint.
 func (c *Controller) applyJobRecord(id string, rec wire.JobRecord, modRevision uint64) {
 	if !wire.ValidID(id) {
 		return
@@ -38,14 +39,14 @@
 	c.addJob(j)
 }
 
-// outdated reports whether a record of an unfinished job that this node does not know is no
-// longer current. The watch has passed it, so that the job was known and has ended since, and
-// its end has left memory. A late read, hint or answer must not bring such a job back.
+// outdated reports whether the record of an unfinished job that is not in the job table is no
+// longer current. The watch has already delivered its revision, so the job was in the table, has
+// ended, and its end was evicted from memory. A late read, hint or answer must not reopen it.
 func (o *ownershipState) outdated(modRevision uint64) bool {
 	return modRevision <= o.jobWatch.Since
 }
 
-// newJob returns the job of a record, or nil if this node can't use the record.
+// newJob returns the job that a record describes, or nil if this node can't use the record.
 func (c *Controller) newJob(id string, rec wire.JobRecord, modRevision uint64) *job {
 	sub := rec.Job()
 	if sub == nil || sub.Tasks < 1 || sub.Tasks > wire.MaxTasks {
@@ -69,7 +70,7 @@
 	}
 }
 
-// addJob adds an open job, and starts its run if this node owns it.
+// addJob adds an open job to the job table and starts its run if this node owns its shard.
 func (c *Controller) addJob(j *job) {
 	c.jobs.open[j.id] = j
 	c.linkDependencies(j)
@@ -78,12 +79,12 @@
 	}
 }
 
-// startRun begins an owner's work on a job.
+// startRun begins this node's work on a job of a shard that it owns.
 func (c *Controller) startRun(s *shard, j *job) {
 	j.run = newRun(j, s.ownerEpoch, c.now)
 	s.queueStale = true
 	if j.dependencyCancelled {
-		j.run.end.request(wire.StateCancelled) // recordDependents records it
+		j.run.end.request(wire.StateCancelled) // recordDependents writes the record
 	}
 	if j.run.acceptedUnderClaim {
 		j.run.checkpointApplied = true
@@ -92,15 +93,15 @@
 		}
 	} else if s.checkpointsLoaded {
 		c.applyCheckpoint(s, j)
-		// A node that was cut off from the state service claims a shard with an old view: the
-		// job may have become known after its tasks were seen on reconciled machines. They
-		// are adopted before any task is scheduled again.
+		// A node that was cut off from the state service may claim a shard with a stale view. It
+		// can then learn of a job after it has seen the job's tasks on reconciled machines. These
+		// tasks must be adopted before any task is scheduled a second time.
 		c.reconcileAfterCheckpointLoad(s)
 	}
 	c.schedulingDue = true
 }
 
-// stopRun ends an owner's work on a job that another node owns from now on.
+// stopRun ends this node's work on a job that another node owns from now on.
 func (c *Controller) stopRun(j *job) {
 	if j.run == nil {
 		return
@@ -110,7 +111,7 @@
 	c.ownership.shards[j.shard].queueStale = true
 }
 
-// memoryAnswer is the answer to users about a job that this node owns.
+// memoryAnswer returns the answer to a status request for a job that this node owns, from memory.
 func (c *Controller) memoryAnswer(j *job) peer.JobResponse {
 	a := peer.JobResponse{
 		Status:  http.StatusOK,
@@ -124,7 +125,8 @@
 	return a
 }
 
-// taskDone takes note that a task has completed, by an attempt if that is known.
+// taskDone records that a task has completed. att is the attempt that completed it, or nil if that
+// is not known.
 func (c *Controller) taskDone(j *job, task int, att *attempt) {
 	r := j.run
 	if r == nil || task >= j.sub.Tasks || !r.doneTasks.Add(task) {
@@ -142,7 +144,7 @@
 	}
 }
 
-// finishedTaskOf describes an attempt that has completed a task now.
+// finishedTaskOf returns the checkpoint entry for a task that the attempt has just completed.
 func (c *Controller) finishedTaskOf(task int, att *attempt) wire.FinishedTask {
 	start := c.wall
 	if att.runAt > 0 {
@@ -151,7 +153,7 @@
 	return wire.FinishedTask{Task: task, Machine: att.machine.id, StartMS: start.Millis(), EndMS: c.wall.Millis()}
 }
 
-// awaitCheckpoint keeps an exited attempt until its end is in a recorded checkpoint.
+// awaitCheckpoint keeps an exited attempt until a recorded checkpoint contains its result.
 func (c *Controller) awaitCheckpoint(j *job, att *attempt) {
 	if j.run == nil {
 		att.outcomeHandled = true
@@ -160,15 +162,17 @@
 	j.run.checkpoint.await(att)
 }
 
-// openJobsScan is what one pass over the open jobs found.
+// openJobsScan is the result of one pass over the open jobs.
 type openJobsScan struct {
-	// due are jobs with an end to retry or a checkpoint to record, by id.
+	// due holds the jobs with an end to retry or a checkpoint to record, ordered by id.
 	due []*job
-	// blocked is set if some job waits for its dependencies, ownedBlocked if one of this node does.
+	// blocked is set if any job waits for its dependencies, ownedBlocked if one that this node owns
+	// does.
 	blocked, ownedBlocked bool
 }
 
-// maintainJobs does what is due for jobs: ends to retry, checkpoints to record.
+// maintainJobs does the due work on jobs: it reads unknown dependencies, adjusts the watch of jobs,
+// retries ends and records checkpoints.
 func (c *Controller) maintainJobs() {
 	if !c.ownership.leaseValid() {
 		return
@@ -181,7 +185,7 @@
 	}
 }
 
-// scanOpenJobs goes over the open jobs once.
+// scanOpenJobs makes one pass over the open jobs.
 func (c *Controller) scanOpenJobs() openJobsScan {
 	var scan openJobsScan
 	for _, j := range c.jobs.open {
@@ -199,15 +203,16 @@
 	return scan
 }
 
-// maintenanceDue reports whether something is due for a job of this node.
+// maintenanceDue reports whether maintainJob has work on a job that this node owns.
 func (c *Controller) maintenanceDue(j *job) bool {
 	if j.dependencyCancelled && !j.run.end.inFlight() {
-		return false // recordDependents does what is due
+		return false // recordDependents records the end
 	}
 	return j.run.end.due(c.now) || j.run.checkpoint.due(c.now)
 }
 
-// adjustJobWatch sets the pace of the watch of jobs: blocked jobs depend on it.
+// adjustJobWatch sets the interval and the timeout of the watch of jobs. Both are shorter while
+// jobs are blocked, since the watch brings the ends that unblock them.
 func (o *ownershipState) adjustJobWatch(scan openJobsScan) {
 	watch := &o.jobWatch
 	watch.BlockTimeout = statestore.WatchTimeout
@@ -221,7 +226,8 @@
 	watch.Interval = o.watchInterval(interval, jobWatchFraction)
 }
 
-// maintainJob does what is due for a job of this node.
+// maintainJob does the due work on a job that this node owns: it resolves or retries the job's end,
+// or records a checkpoint.
 func (c *Controller) maintainJob(j *job) {
 	r := j.run
 	switch {
--- a/internal/controller/record_limits_test.go
+++ b/internal/controller/record_limits_test.go
@@ -10,9 +10,9 @@
 	"garnethitch/internal/wire"
 )
 
-// TestOversizeRecordSetsAreSplit checks that machine record sets that a version with larger limits
-// wrote are split in one transaction; what runs on their machines continues, in whatever order the
-// watch brings the parts.
+// TestOversizeRecordSetsAreSplit checks that machine record sets that were written under larger
+// limits are split in one transaction, and that the tasks on their machines continue, in whatever
+// order the watch delivers the parts.
 func TestOversizeRecordSetsAreSplit(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
@@ -66,7 +66,7 @@
 			in := map[string]int{}
 			for key, o := range h.c.machineRecords.sets {
 				if value := h.keys[key].Value; wire.StoredSize(value, 2<<10) > 2<<10 {
-					t.Errorf("%s takes %d bytes", key, len(value))
+					t.Errorf("record set %s takes %d bytes, more than the limit", key, len(value))
 				}
 				for _, m := range o.machines {
 					in[m.id]++
@@ -79,28 +79,28 @@
 			for id, times := range in {
 				m := h.c.machines[id]
 				if times != 1 || m == nil || m.view == nil || len(m.view.list) != 4 {
-					t.Fatalf("%s stands in %d record sets, or its tasks are gone", id, times)
+					t.Fatalf("machine %s is in %d record sets, want 1, or its tasks are gone", id, times)
 				}
 				if h.c.fencingToken(s, m) <= fencingToken {
-					t.Errorf("the token of %s did not rise", id)
+					t.Errorf("the fencing token of %s did not rise", id)
 				}
 			}
 		})
 	}
 }
 
-// smallValueBytes is the smaller of the limits that records must fit.
+// smallValueBytes is a small limit on the size of a stored value, in bytes, that records must fit.
 const smallValueBytes = 2 << 10
 
-// withSmallLimits configures a controller with a peer and the smaller limits.
+// withSmallLimits configures a controller with a peer and small limits of the state service.
 func withSmallLimits(c *Config) {
 	withPeer(c)
 	c.ValueBytes = smallValueBytes
 	c.TxnOps = 4
 }
 
-// TestCheckpointsFitLimit checks that checkpoints fit the limit in their textual form, and name
-// tasks nevertheless.
+// TestCheckpointsFitLimit checks that the textual form of checkpoints fits the size limit and that
+// they still contain done tasks.
 func TestCheckpointsFitLimit(t *testing.T) {
 	h := newOwnerHarness(t, withSmallLimits)
 	h.reconcile("vm-1")
@@ -123,17 +123,17 @@
 			rec, _ := h.c.buildCheckpoint(j)
 			value := encoded(t, rec)
 			if n := wire.StoredSize(value, smallValueBytes); n > smallValueBytes {
-				t.Errorf("a checkpoint of %d tasks, %s, counts %d bytes", tasks, pattern, n)
+				t.Errorf("a checkpoint of %d tasks, %s, takes %d bytes, more than the limit", tasks, pattern, n)
 			}
 			if rec.Count == 0 && tasks > 1 {
-				t.Errorf("a checkpoint of %d tasks, %s, names none", tasks, pattern)
+				t.Errorf("a checkpoint of %d tasks, %s, contains no done task", tasks, pattern)
 			}
 		}
 	}
 }
 
-// TestRecordSetsFitLimit checks that the largest machine record sets fit the limit in their textual
-// form.
+// TestRecordSetsFitLimit checks that the textual form of the largest machine record sets fits the
+// size limit.
 func TestRecordSetsFitLimit(t *testing.T) {
 	h := newOwnerHarness(t, withSmallLimits)
 	h.reconcile("vm-1")
@@ -144,6 +144,6 @@
 		list = append(list, m)
 	}
 	if n := wire.StoredSize(encoded(t, recordSetOf(list, nil, nil)), smallValueBytes); n > smallValueBytes {
-		t.Errorf("a record set of %d machines counts %d bytes", len(list), n)
+		t.Errorf("a record set of %d machines takes %d bytes, more than the limit", len(list), n)
 	}
 }
--- a/internal/controller/submission.go
+++ b/internal/controller/submission.go
@@ -11,24 +11,24 @@
 )
 
 const (
-	// maxAccepting is how many records of new jobs may wait for their turn: more would
-	// not be written in time.
+	// maxAccepting bounds the records of new jobs that wait to be written. More would not be
+	// written in time.
 	maxAccepting = 40
-	// maxCreationWaiters bounds the submissions that wait for one job's record.
+	// maxCreationWaiters bounds the submissions that wait for the record of the same job.
 	maxCreationWaiters = 16
 
 	creationTimeout = 1200 * micros.Millisecond
-	// hintTimeout is how long the message to the owner of a new job may take.
+	// hintTimeout is the timeout of the message that sends a new job's record to its owner.
 	hintTimeout = micros.Second
 )
 
-// jobCreation is a submission whose record is being written.
+// jobCreation is a new job whose record is being written.
 type jobCreation struct {
 	waiters []func(peer.JobResponse)
 }
 
-// handleSubmit takes a user's job. A submission of a job that was accepted before is
-// answered with the state of that job, whatever the submission says now.
+// handleSubmit handles a user's submission. If a job with the same id was accepted before, the
+// answer is the state of that job, whatever the submission says now.
 func (c *Controller) handleSubmit(in SubmitRequest) {
 	if in.Err != nil {
 		c.refuseMalformed(in.Reply, in.Err)
@@ -54,8 +54,8 @@
 	c.lookUpDependencies(in.Job, func(found statestore.Lookup) { c.acceptSubmission(in, found) })
 }
 
-// refuseMalformed answers a submission that could not be decoded. Its job may have been
-// accepted before without this node knowing, so that a read decides.
+// refuseMalformed answers a submission that could not be decoded. A job with its id may have been
+// accepted before without this node knowing, so the record is looked up first.
 func (c *Controller) refuseMalformed(r ReplyID, err *wire.SubmissionError) {
 	if err.ID == "" {
 		c.answer(r, http.StatusBadRequest, nil, 0)
@@ -64,9 +64,8 @@
 	c.refuseSubmission(r, err.ID, http.StatusBadRequest)
 }
 
-// refusalOf returns the status with which a submission is refused for good, if it is. The
-// record's size is checked before the dependencies are looked up, since their list may name
-// thousands.
+// refusalOf returns the HTTP status if a submission is refused permanently. The size of the record
+// is checked before the dependencies are looked up, since there may be thousands of them.
 func (c *Controller) refusalOf(sub *wire.Submission) (status int, refused bool) {
 	if !c.canRun(sub) {
 		return http.StatusUnprocessableEntity, true
@@ -77,12 +76,13 @@
 	return 0, false
 }
 
-// jobTableFull reports whether new jobs are to come later.
+// jobTableFull reports whether new jobs must be refused for now, because too many jobs are open or
+// too many records wait to be written.
 func (c *Controller) jobTableFull() bool {
 	return len(c.jobs.open) >= c.cfg.MaxOpenJobs || c.stateQueue.Waiting(statestore.ClassAccept) > maxAccepting
 }
 
-// acceptSubmission creates a job whose dependencies were looked up.
+// acceptSubmission creates the job of a submission, given the result of looking up its dependencies.
 func (c *Controller) acceptSubmission(in SubmitRequest, dependencies statestore.Lookup) {
 	id := in.Job.ID
 	switch dependencies {
@@ -95,14 +95,14 @@
 	}
 }
 
-// storable reports whether a value fits the limits of the state service, those to come
-// included.
+// storable reports whether a value fits the size limit of the state service. The limit takes
+// scheduled reductions into account.
 func (sc *stepContext) storable(value wire.Raw) bool {
 	return wire.StoredSize(value, sc.cfg.ValueBytes) <= sc.cfg.ValueBytes
 }
 
-// fitsRecord reports whether the record of a job, dependencies included, is no larger than
-// the state service takes.
+// fitsRecord reports whether the record of a job, including its dependencies, fits the size limit of
+// the state service.
 func (sc *stepContext) fitsRecord(sub *wire.Submission) bool {
 	value, err := wire.Encode(wire.NewJobRecord(sub, sc.wall.Millis()))
 	if err == nil && sc.storable(value) {
@@ -112,8 +112,8 @@
 	return false
 }
 
-// refuseSubmission answers a submission that can't be accepted, unless its job was accepted
-// before: then the answer is that job's state.
+// refuseSubmission refuses a submission with an HTTP status. If its job was accepted before, the
+// answer is the state of that job instead.
 func (c *Controller) refuseSubmission(r ReplyID, id string, status int) {
 	c.findJobState(id, func(a peer.JobResponse) {
 		if a.Status == http.StatusNotFound {
@@ -124,8 +124,8 @@
 	})
 }
 
-// canRun reports whether a job could ever run: its team is known, and a task fits an
-// allowed machine type in an allowed zone and its team's limit.
+// canRun reports whether a job could ever run: its team is known, and a task fits into the team's
+// limit and into an allowed machine type in an allowed zone.
 func (c *Controller) canRun(sub *wire.Submission) bool {
 	team, ok := c.jobSharding.teamOf[sub.Team]
 	if !ok {
@@ -140,8 +140,8 @@
 	})
 }
 
-// fitsType reports whether a task of a job fits an empty machine of a type, in a zone that
-// the job allows.
+// fitsType reports whether a task of a job fits on an empty machine of a type that is offered in a
+// zone that the job allows.
 func fitsType(sub *wire.Submission, mt wire.MachineType) bool {
 	if sub.CPUs > mt.CPUs || sub.GPUs > mt.GPUs || sub.MemGB > mt.MemGB {
 		return false
@@ -154,7 +154,7 @@
 	return sub.Types == nil || slices.Contains(sub.Types, name)
 }
 
-// createJob writes the record of a new job, and answers 201 once that stands.
+// createJob writes the record of a new job and calls done with 201 once it is written.
 func (c *Controller) createJob(sub wire.Submission, done func(peer.JobResponse)) {
 	id := sub.ID
 	if pending := c.jobs.pendingCreations[id]; pending != nil {
@@ -178,9 +178,9 @@
 	})
 }
 
-// newJobRecord returns the record of a job that is accepted now. If the job needs a
-// cancelled one it is accepted and over in one write, so that nobody is answered "pending"
-// when the other may have been cancelled long ago.
+// newJobRecord returns the record of a job that is accepted now. If a dependency is cancelled, the
+// job is accepted and cancelled in a single write, so that no user is answered "pending" although
+// the dependency may have been cancelled long ago.
 func (c *Controller) newJobRecord(sub *wire.Submission) wire.JobRecord {
 	rec := wire.NewJobRecord(sub, c.wall.Millis())
 	if !c.jobs.dependsOnCancelled(sub) {
@@ -194,7 +194,8 @@
 	}
 }
 
-// creationTxn is the transaction that writes the record of a new job.
+// creationTxn returns the transaction that writes the record of a new job. It is conditional on the
+// absence of a record.
 func creationTxn(id string, value wire.Raw) wire.Txn {
 	return wire.Txn{
 		Conditions: []wire.Condition{{Key: wire.JobKey(id), ModRevision: 0}},
@@ -202,7 +203,7 @@
 	}
 }
 
-// handleCreation takes the result of the transaction that writes the record of a new job.
+// handleCreation handles the result of the transaction that writes the record of a new job.
 func (c *Controller) handleCreation(id string, rec wire.JobRecord, value wire.Raw, r statestore.Reply) {
 	if revision, ok := r.Revision(); ok {
 		c.ownership.lastStateReplyAt = c.now
@@ -215,8 +216,8 @@
 		c.jobs.finishCreation(id, unavailable())
 		return
 	}
-	// A record stands already, or the outcome is unknown: a read resolves it. If there is
-	// none, a late copy may still create it; the user's retry finds it then.
+	// A record exists already or the outcome is unknown. A read resolves it. If the read finds no
+	// record, a late copy of the transaction may still create it, and the user's retry finds it.
 	c.readJobState(id, func(a peer.JobResponse) {
 		if a.Status == http.StatusNotFound {
 			a.Status = http.StatusServiceUnavailable
@@ -225,7 +226,7 @@
 	})
 }
 
-// finishCreation answers all who wait for the record of a new job.
+// finishCreation answers all submissions that wait for the record of a new job.
 func (t *jobTable) finishCreation(id string, answer peer.JobResponse) {
 	waiters := t.pendingCreations[id].waiters
 	delete(t.pendingCreations, id)
@@ -234,7 +235,8 @@
 	}
 }
 
-// sendJobRecordHint sends the record of a new job to its owner, before the watch brings it.
+// sendJobRecordHint sends the record of a new job to its owner, so that the owner need not wait for
+// the watch to deliver it.
 func (c *Controller) sendJobRecordHint(id string, modRevision uint64, record []byte) {
 	j := c.jobs.open[id]
 	if j == nil || j.run != nil {
--- a/internal/controller/task_adoption.go
+++ b/internal/controller/task_adoption.go
@@ -2,7 +2,7 @@
 
 import "garnethitch/internal/wire"
 
-// adoptTasks matches the tasks found on a machine with their jobs, or stops what should not
+// adoptTasks matches the tasks that a machine lists with their jobs, and stops those that should not
 // be there.
 func (c *Controller) adoptTasks(m *machine) {
 	for _, att := range m.view.each() {
@@ -16,7 +16,7 @@
 	}
 }
 
-// adoptTask matches one task with its job.
+// adoptTask matches a listed task with its job. It tracks the attempt, takes its result or stops it.
 func (c *Controller) adoptTask(m *machine, att *attempt) {
 	if _, ended := c.jobs.final(att.key.job); ended {
 		c.stopTaskOfEndedJob(att)
@@ -37,7 +37,8 @@
 	}
 	switch {
 	case j.run == nil || !j.run.checkpointApplied:
-		// It is not known yet which tasks are done: see reconcileAfterCheckpointLoad.
+		// Which tasks are done is not known before the checkpoint is loaded; see
+		// reconcileAfterCheckpointLoad.
 	case att.state == attemptExited:
 		c.adoptExitedTask(j, att)
 	case j.run.active[att.index] != nil || j.run.doneTasks.Has(att.index):
@@ -47,7 +48,8 @@
 	}
 }
 
-// stopTaskOfEndedJob stops a task whose job is over; one that has exited needs nothing more.
+// stopTaskOfEndedJob stops a task whose job has ended. If the task has exited, its outcome needs no
+// further handling.
 func (c *Controller) stopTaskOfEndedJob(att *attempt) {
 	if att.state == attemptExited {
 		att.outcomeHandled = true
@@ -56,15 +58,15 @@
 	c.stop(att, stopImmediate)
 }
 
-// stopMisplacedTask stops a task of a job of another shard, or one with an index that its job
-// does not have.
+// stopMisplacedTask stops a task whose job belongs to another shard, or whose index is out of range
+// for its job.
 func (c *Controller) stopMisplacedTask(j *job, att *attempt) {
 	att.job = j
 	c.stop(att, stopImmediate)
 	att.outcomeHandled = att.state == attemptExited
 }
 
-// adoptExitedTask takes the result of a task that ended before this node knew of it.
+// adoptExitedTask handles a task that exited before this node tracked it.
 func (c *Controller) adoptExitedTask(j *job, att *attempt) {
 	if att.outcomeHandled {
 		return
@@ -77,7 +79,7 @@
 	c.awaitCheckpoint(j, att)
 }
 
-// stopSurplusAttempt stops an attempt at a task that is done or has another attempt.
+// stopSurplusAttempt stops an attempt at a task that is done or has another active attempt.
 func (c *Controller) stopSurplusAttempt(j *job, att *attempt) {
 	if j.run.active[att.index] == att || att.stopMode == stopImmediate {
 		return
@@ -86,7 +88,7 @@
 	c.stop(att, stopImmediate)
 }
 
-// trackAttempt makes an attempt found on a machine the one at its task.
+// trackAttempt makes an attempt that a machine lists the active attempt of its task.
 func (c *Controller) trackAttempt(j *job, att *attempt) {
 	att.tracked = true
 	j.run.active[att.index] = att
@@ -98,8 +100,8 @@
 	}
 }
 
-// reconcileAfterCheckpointLoad adopts the tasks on a shard's machines once its checkpoints are
-// known.
+// reconcileAfterCheckpointLoad adopts the tasks on a shard's reconciled machines once the checkpoints
+// of the shard are loaded.
 func (c *Controller) reconcileAfterCheckpointLoad(s *shard) {
 	for _, m := range s.machines {
 		if m.view != nil && m.view.reconciled {
--- a/internal/controller/task_lists.go
+++ b/internal/controller/task_lists.go
@@ -5,20 +5,20 @@
 	"garnethitch/internal/wire"
 )
 
-// heartbeatSource is how a worker's heartbeat came to this node.
+// heartbeatSource says what caused a worker to send a heartbeat.
 type heartbeatSource int
 
 const (
-	// sentByWorker means that the worker sent it of its own accord, after the reply to the one
-	// before it.
+	// sentByWorker means that the worker sent the heartbeat by itself, after it had received the
+	// reply to the previous one.
 	sentByWorker heartbeatSource = iota
-	// answerToRequest means that it answers a direct command or a probe. The reply to an earlier
-	// heartbeat may still be under way.
+	// answerToRequest means that the heartbeat answers a direct command or a probe. The reply to an
+	// earlier heartbeat may still be in flight.
 	answerToRequest
 )
 
-// maxListedAttempts is how many attempts of a machine's task lists are followed; what is
-// listed beyond them is ignored.
+// maxListedAttempts bounds the attempts that are tracked per machine. Further listed tasks are
+// ignored.
 const maxListedAttempts = 4000
 
 // applyTaskList updates a machine's attempts from the task list of a heartbeat.
@@ -38,7 +38,7 @@
 	}
 }
 
-// applyTaskStatus updates the attempt of a listed task, which is added if it is not known.
+// applyTaskStatus updates the attempt of a listed task, and adds the attempt if it is not known.
 func (c *Controller) applyTaskStatus(m *machine, status *wire.TaskStatus) {
 	id, index, err := wire.ParseTask(status.Task)
 	if err != nil {
@@ -58,14 +58,14 @@
 	c.updateAttempt(att, status)
 }
 
-// handleMissingAttempt deals with an attempt that its machine does not list.
+// handleMissingAttempt handles an attempt that the latest heartbeat of its machine does not list.
 func (c *Controller) handleMissingAttempt(att *attempt, heartbeat *wire.Heartbeat, source heartbeatSource) {
 	switch att.state {
 	case attemptAssigned, attemptCommanded, attemptInDoubt:
-		// Not sent, or its message may still be under way.
+		// The start was not sent, or may still be in flight.
 	case attemptSent:
 		if source == sentByWorker && heartbeat.Sequence > att.sentSequence {
-			c.freeAttempt(att, false) // the reply that carried it was dropped
+			c.freeAttempt(att, false) // the reply with the start was lost
 		}
 	case attemptExited:
 		c.dropAttempt(att)
@@ -75,7 +75,7 @@
 	}
 }
 
-// updateAttempt takes one task's state from a heartbeat.
+// updateAttempt updates an attempt from its task's status in a heartbeat.
 func (c *Controller) updateAttempt(att *attempt, status *wire.TaskStatus) {
 	before := att.state
 	switch status.State {
@@ -97,7 +97,7 @@
 	c.ownership.markDirty(att.machine)
 }
 
-// recordRunning takes in that an attempt is running, for which its machine must have the image.
+// recordRunning records that an attempt is running, which implies that its machine has the image.
 func (c *Controller) recordRunning(att *attempt) {
 	att.state = attemptRunning
 	if att.runAt == 0 {
@@ -108,7 +108,7 @@
 	}
 }
 
-// recordExit takes in that an attempt has exited.
+// recordExit records that an attempt has exited, and handles its exit if it is tracked.
 func (c *Controller) recordExit(att *attempt, status *wire.TaskStatus) {
 	att.state = attemptExited
 	att.exitReason = status.ExitReason
@@ -119,10 +119,10 @@
 	}
 }
 
-// taskListUnchanged reports whether a heartbeat lists just what the last one did, and nothing
-// was sent to the machine or forgotten here meanwhile, so that there is nothing to take
-// from it. Most heartbeats are like that. Lists are compared by where they are held, see
-// wire.HeartbeatReader.
+// taskListUnchanged reports whether a heartbeat has the same task list as the last one and no
+// attempt was added or dropped in between, so that the list need not be applied. This holds for
+// most heartbeats. Lists are compared by their address, not by their content, because
+// wire.HeartbeatReader returns the same slice for an unchanged list as long as it remembers it.
 func (v *view) taskListUnchanged(heartbeat *wire.Heartbeat) bool {
 	n := len(heartbeat.Tasks)
 	if n != len(v.list) || n != len(v.lastTaskList) {
--- a/internal/controller/unknown_jobs.go
+++ b/internal/controller/unknown_jobs.go
@@ -8,12 +8,12 @@
 	"garnethitch/internal/wire"
 )
 
-// Tasks on machines whose jobs this node does not know: neither open nor remembered as ended,
-// since only so many ends are kept. What may be done about them follows from the view of jobs,
-// without a read; see authority.JobStatusOf.
+// This file handles tasks on machines whose jobs are not in the job table: neither open nor among
+// the ended jobs, of which only a bounded number is kept. The view of jobs determines what may be
+// done with such a task, without a read; see authority.JobStatusOf.
 
-// jobStatusOf returns what this node knows of the job of an attempt that has been seen on a
-// machine of a shard since a moment.
+// jobStatusOf returns what this node knows about the job of an attempt on a machine of the shard.
+// seenAt is the time since which the attempt has been seen there.
 func (c *Controller) jobStatusOf(s *shard, job string, attempt uint64, seenAt micros.Micros) authority.JobStatus {
 	_, ended := c.jobs.final(job)
 	jobsView := &c.ownership.jobWatch
@@ -31,11 +31,11 @@
 	}, c.bounds)
 }
 
-// EndedTaskStopped is the text of the log line of a task that is stopped since the view of jobs
-// shows that its job has ended; how the job ended has left memory.
+// EndedTaskStopped is the log message for a task that is stopped because the view of jobs shows that
+// its job has ended, although the end was evicted from memory.
 const EndedTaskStopped = "task stopped, its job has ended and has left memory"
 
-// stopIfEnded stops a task of a job that this node does not know, if the job has ended.
+// stopIfEnded stops a task of a job that is not in the job table if the job has ended.
 func (c *Controller) stopIfEnded(s *shard, att *attempt) {
 	if c.jobStatusOf(s, att.key.job, att.key.attempt, att.stateSince) != authority.JobEnded {
 		return
@@ -50,7 +50,7 @@
 	c.stop(att, stopImmediate)
 }
 
-// logEndedTask logs that a task is stopped whose job has ended and has left memory.
+// logEndedTask logs that a task is stopped because its job has ended and was evicted from memory.
 func (c *Controller) logEndedTask(s *shard, m *machine, task, job string, attempt uint64) {
 	jobsView := &c.ownership.jobWatch
 	c.log(Info, EndedTaskStopped,
@@ -63,16 +63,17 @@
 		"jobs_age_ms", (c.now - jobsView.CompleteAsOf).Millis())
 }
 
-// holdsTaskOfUnknownJob reports whether a reconciled machine holds a task of a job that may have
-// ended at any time.
+// holdsTaskOfUnknownJob reports whether a reconciled machine holds a task whose job may have ended
+// at any time without this node knowing it.
 func (c *Controller) holdsTaskOfUnknownJob(s *shard, m *machine) bool {
 	return slices.ContainsFunc(m.view.list, func(att *attempt) bool {
 		return c.jobStatusForRenewal(s, att) == authority.JobStatusUnknown
 	})
 }
 
-// jobStatusForRenewal returns the status of the job of a task that continues if its machine's
-// lease is renewed; it is open where the job is known, or the stop is sent.
+// jobStatusForRenewal returns the status of the job of an attempt, for the decision whether to renew
+// its machine's lease. It returns JobOpen if the job is known, the attempt is not on the machine, or
+// an immediate stop was requested.
 func (c *Controller) jobStatusForRenewal(s *shard, att *attempt) authority.JobStatus {
 	if att.job != nil || !att.onMachine() || att.stopMode == stopImmediate {
 		return authority.JobOpen
@@ -80,8 +81,8 @@
 	return c.jobStatusOf(s, att.key.job, att.key.attempt, att.stateSince)
 }
 
-// listsTaskOfUnknownJob is holdsTaskOfUnknownJob for the heartbeat of a machine that is not
-// reconciled yet.
+// listsTaskOfUnknownJob is like holdsTaskOfUnknownJob, for a machine that is not reconciled yet: it
+// checks the tasks in the machine's heartbeat.
 func (c *Controller) listsTaskOfUnknownJob(s *shard, heartbeat *wire.Heartbeat) bool {
 	for i := range heartbeat.Tasks {
 		task := &heartbeat.Tasks[i]
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -8,23 +8,22 @@
 	"garnethitch/internal/wire"
 )
 
-// Times in seconds after which a user is to come back whose submission or cancellation
-// can't be taken now.
+// Seconds after which a user should retry a submission or cancellation that can't be handled now.
 const (
-	// retrySoon is short, since a user gives up after a minute and each try counts.
+	// retrySoon is short because a user gives up after a minute and each try counts.
 	retrySoon = 1
-	// retryWhenFull is for a controller that has as many jobs as it takes.
+	// retryWhenFull is used when the job table is full.
 	retryWhenFull = 2
 )
 
-// answerJobStatus answers a user who asks about a job; one who is refused is to come back
-// when the jobs that wait for a read can have had theirs.
+// answerJobStatus answers a status request. A user who is refused should retry when the backlog of
+// reads can have been worked off.
 func (c *Controller) answerJobStatus(r ReplyID, id string, a peer.JobResponse) {
 	c.answerJob(r, id, a, c.retryAfter())
 }
 
-// answerJob answers a user about a job; one who is refused is to come back after
-// retryAfter seconds.
+// answerJob answers a user's request about a job. A user who gets 503 should retry after retryAfter
+// seconds.
 func (c *Controller) answerJob(r ReplyID, id string, a peer.JobResponse, retryAfter int) {
 	switch a.Status {
 	case http.StatusOK, http.StatusCreated:
@@ -40,7 +39,7 @@
 	}
 }
 
-// handleCancel answers a user who cancels a job.
+// handleCancel handles a user's request to cancel a job.
 func (c *Controller) handleCancel(in CancelRequest) {
 	if !wire.ValidID(in.ID) {
 		c.answer(in.Reply, http.StatusNotFound, nil, 0)
@@ -64,8 +63,8 @@
 	})
 }
 
-// cancelKnownJob cancels a job here or at its owner, unless it is over. One whose record
-// can't be used is not in the job table, and can't be cancelled.
+// cancelKnownJob cancels a job here or at its owner, unless it has ended. A job whose record this
+// node can't use is not in the job table and can't be cancelled.
 func (c *Controller) cancelKnownJob(id string, done func(peer.JobResponse)) {
 	if f, ok := c.jobs.final(id); ok {
 		done(f.answer())
@@ -100,8 +99,8 @@
 	})
 }
 
-// stopCancelledTasks stops the tasks of a job that its user cancels, at an owner that may
-// still issue commands but neither record nor answer.
+// stopCancelledTasks stops the tasks of a job that its user cancels, if this node owns the job and
+// may still send commands, although it may no longer record the end or answer from memory.
 func (c *Controller) stopCancelledTasks(j *job) {
 	if j.run != nil && c.ownership.activeShard(j.shard) != nil {
 		c.requestCancellation(j)
--- a/internal/controller/user_requests_test.go
+++ b/internal/controller/user_requests_test.go
@@ -6,8 +6,8 @@
 	"garnethitch/internal/wire"
 )
 
-// TestSubmissionsAndStatusRequests checks the answers to submissions and status requests, whether
-// or not the job is known.
+// TestSubmissionsAndStatusRequests checks the answers to submissions and status requests for known and
+// unknown jobs.
 func TestSubmissionsAndStatusRequests(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.Teams = []Team{{Name: "t", CPUsMax: 3}, {Name: "u"}} })
 	change := func(f func(*wire.Submission)) wire.Submission {
@@ -36,10 +36,10 @@
 	if a := h.ask(func(r ReplyID) Input {
 		return SubmitRequest{Reply: r, Err: &wire.SubmissionError{ID: "job-000001", Reason: "x"}}
 	}); a.Status != 200 {
-		t.Errorf("malformed repeat of an accepted job: %d, want 200", a.Status)
+		t.Errorf("a malformed repeat of an accepted submission is answered %d, want 200", a.Status)
 	}
 	if a := h.ask(func(r ReplyID) Input { return SubmitRequest{Reply: r, Err: &wire.SubmissionError{Reason: "x"}} }); a.Status != 400 {
-		t.Errorf("malformed: %d, want 400", a.Status)
+		t.Errorf("a malformed submission is answered %d, want 400", a.Status)
 	}
 	for id, want := range map[string]int{"job-000001": 200, "job-000002": 404, "nonsense": 404} {
 		if a := h.jobStatus(id); a.Status != want {
@@ -48,9 +48,9 @@
 	}
 	h.stateDown = true
 	if a := h.submit(jobOf("job-000003", 1)); a.Status != 0 {
-		t.Errorf("answered %d while the outcome is open", a.Status)
+		t.Errorf("answered %d while the outcome is not known", a.Status)
 	}
-	h.run(2 * sec) // no answer comes, and a read can't resolve it either
+	h.run(2 * sec) // the write is not answered, and the read that would resolve it is not either
 	for _, c := range h.held {
 		h.step(Result{ID: c.ID})
 	}
@@ -59,12 +59,12 @@
 		h.step(Result{ID: c.ID})
 	}
 	if a := h.answers[h.reply]; a.Status != 503 || a.RetryAfterS < 1 {
-		t.Errorf("outcome unknown: %d, come back after %d s; want 503 and a time", a.Status, a.RetryAfterS)
+		t.Errorf("with an unknown outcome: answered %d, retry after %d s; want 503 and a retry time", a.Status, a.RetryAfterS)
 	}
 }
 
-// TestFullJobTable checks that past the bounds of the job table a new job is refused with a time to
-// come back, a known one is answered as before, and a final state that left memory is read again.
+// TestFullJobTable checks the bounds of the job table: a new job is refused with a retry time, a known
+// job is answered as before, and a final state that was evicted from memory is read again.
 func TestFullJobTable(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.MaxOpenJobs, c.MaxFinalJobs = 3, 2 })
 	ids := []string{"job-000001", "job-000002", "job-000003", "job-000004"}
@@ -74,15 +74,15 @@
 			t.Errorf("%s answered %d, want %d", id, a.Status, want)
 		}
 		if i == 3 && (a.Status != 429 || a.RetryAfterS < 1) {
-			t.Errorf("past the bound: %d, come back after %d s", a.Status, a.RetryAfterS)
+			t.Errorf("with a full table: answered %d, retry after %d s; want 429 and a retry time", a.Status, a.RetryAfterS)
 		}
 	}
 	if a := h.submit(jobOf(ids[0], 1)); a.Status != 200 {
-		t.Errorf("a known job's submission past the bound: %d, want 200", a.Status)
+		t.Errorf("with a full table: the submission of a known job is answered %d, want 200", a.Status)
 	}
 	for _, id := range ids[:3] {
 		if a := h.ask(func(r ReplyID) Input { return CancelRequest{Reply: r, ID: id} }); a.Status != 200 {
-			t.Errorf("cancelling %s: %d", id, a.Status)
+			t.Errorf("the cancellation of %s is answered %d, want 200", id, a.Status)
 		}
 	}
 	if n := len(h.c.jobs.finals.byID); n != 2 {
@@ -90,17 +90,17 @@
 	}
 	for _, id := range ids[:3] {
 		if state := h.state(id); state != wire.StateCancelled {
-			t.Errorf("%s is %q", id, state)
+			t.Errorf("%s is in state %q, want cancelled", id, state)
 		}
 	}
 	if a := h.submit(jobOf(ids[3], 1)); a.Status != 201 {
-		t.Errorf("with space again: %d, want 201", a.Status)
+		t.Errorf("with space in the table again: answered %d, want 201", a.Status)
 	}
 }
 
-// TestUnacceptableSubmissions checks that a submission that can't be accepted gets 400 or 422 only
-// where its job is surely unknown; one of a job that was accepted never does, at any controller and
-// during any fault.
+// TestUnacceptableSubmissions checks that a submission that can't be accepted is answered 400 or 422
+// only if its job was certainly never accepted. For an accepted job no controller answers so, during
+// any fault.
 func TestUnacceptableSubmissions(t *testing.T) {
 	bad := func(r ReplyID) Input {
 		return SubmitRequest{Reply: r, Err: &wire.SubmissionError{ID: "job-000001", Reason: "x"}}
@@ -136,7 +136,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newOwnerHarness(t, withPeer)
-			h.watchBlocked = wire.PrefixJob // it learns of no job by itself
+			h.watchBlocked = wire.PrefixJob // the watch delivers no job to this controller
 			h.run(sec)
 			if tc.setUp != nil {
 				tc.setUp(h)
@@ -147,7 +147,7 @@
 				t.Errorf("answered %d %q, want %d %q", a.Status, b.State, tc.want, tc.state)
 			}
 			if a.Status == 503 && a.RetryAfterS < 1 {
-				t.Error("no time to come back")
+				t.Error("503 without a retry time")
 			}
 		})
 	}
