--- a/internal/controller/cancellation_cascade_test.go
+++ b/internal/controller/cancellation_cascade_test.go
@@ -108,54 +108,54 @@
 	}
 	for _, tc := range []struct {
 		name string
-		act  func(h *harness, ask func(modRevision uint64))
+		act  func(h *harness, request func(modRevision uint64))
 		want int
 	}{
-		{"asked", func(h *harness, ask func(uint64)) {
+		{"requested", func(h *harness, request func(uint64)) {
 			h.recordEnd("job-000100", wire.StateCancelled, 0)
-			ask(h.keys[ownerKey(0)].ModRevision)
+			request(h.keys[ownerKey(0)].ModRevision)
 		}, n},
-		{"not asked", func(h *harness, _ func(uint64)) {
+		{"not requested", func(h *harness, _ func(uint64)) {
 			h.recordEnd("job-000100", wire.StateCancelled, 0)
 		}, 0},
-		{"asked, does not know of the cancellation", func(h *harness, ask func(uint64)) {
-			ask(h.keys[ownerKey(0)].ModRevision)
+		{"requested, does not know of the cancellation", func(h *harness, request func(uint64)) {
+			request(h.keys[ownerKey(0)].ModRevision)
 		}, 0},
-		{"asked again once it knows", func(h *harness, ask func(uint64)) {
-			ask(h.keys[ownerKey(0)].ModRevision)
+		{"requested again once it knows", func(h *harness, request func(uint64)) {
+			request(h.keys[ownerKey(0)].ModRevision)
 			h.recordEnd("job-000100", wire.StateCancelled, 0)
-			ask(h.keys[ownerKey(0)].ModRevision)
+			request(h.keys[ownerKey(0)].ModRevision)
 		}, n},
-		{"asked by a former owner", func(h *harness, ask func(uint64)) {
+		{"requested by a former owner", func(h *harness, request func(uint64)) {
 			h.recordEnd("job-000100", wire.StateCancelled, 0)
 			old := h.keys[ownerKey(0)].ModRevision
 			h.put(ownerKey(0), wire.OwnerRecord{Label: "n-2", Incarnation: 98})
-			ask(old)
+			request(old)
 		}, 0},
-		{"asked by one that names no claim", func(h *harness, ask func(uint64)) {
+		{"requested without naming a claim", func(h *harness, request func(uint64)) {
 			h.recordEnd("job-000100", wire.StateCancelled, 0)
-			ask(0)
+			request(0)
 		}, 0},
-		{"one was recorded meanwhile", func(h *harness, ask func(uint64)) {
+		{"one was recorded meanwhile", func(h *harness, request func(uint64)) {
 			h.recordEnd("job-000100", wire.StateCancelled, 0)
 			h.watchBlocked = wire.PrefixJob
 			h.put(wire.JobKey(dependentID(2)), wire.JobRecord{State: wire.StateCancelled, Tasks: 1})
-			ask(h.keys[ownerKey(0)].ModRevision)
+			request(h.keys[ownerKey(0)].ModRevision)
 			h.run(2 * sec)
-			ask(h.keys[ownerKey(0)].ModRevision)
+			request(h.keys[ownerKey(0)].ModRevision)
 		}, n},
-		{"answers are lost", func(h *harness, ask func(uint64)) {
+		{"answers are lost", func(h *harness, request func(uint64)) {
 			h.recordEnd("job-000100", wire.StateCancelled, 0)
 			h.lose = wire.PrefixJob
-			ask(h.keys[ownerKey(0)].ModRevision)
+			request(h.keys[ownerKey(0)].ModRevision)
 			h.run(sec)
 			h.lose = ""
 			h.giveUp()
 		}, n},
-		{"the state service refuses for a while", func(h *harness, ask func(uint64)) {
+		{"the state service refuses for a while", func(h *harness, request func(uint64)) {
 			h.recordEnd("job-000100", wire.StateCancelled, 0)
 			h.stateDown, h.refused = true, true
-			ask(h.keys[ownerKey(0)].ModRevision)
+			request(h.keys[ownerKey(0)].ModRevision)
 			h.run(sec)
 			h.stateDown, h.refused = false, false
 		}, n},
@@ -345,10 +345,10 @@
 // was returned.
 func TestDependentsAndMachineRecords(t *testing.T) {
 	for _, tc := range []struct {
-		name       string
-		dependents int
-		all        bool // whether all are recorded within the 10 s that the test runs
-	}{{"few", 60, true}, {"more than there is time for", 300, false}} {
+		name        string
+		dependents  int
+		allRecorded bool // whether all are recorded within the 10 s that the test runs
+	}{{"few", 60, true}, {"more than can be recorded in time", 300, false}} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newCascadeHarness(t, tc.dependents, 30)
 			machines := 0
@@ -364,7 +364,7 @@
 				}
 				h.run(100 * ms)
 			}
-			if got := h.cancelledDependents(tc.dependents); got == 0 || (got == tc.dependents) != tc.all {
+			if got := h.cancelledDependents(tc.dependents); got == 0 || (got == tc.dependents) != tc.allRecorded {
 				t.Errorf("%d of %d dependents recorded in 10 s while machine records were written", got, tc.dependents)
 			}
 			if machines < 10 {
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -43,10 +43,10 @@
 // dependency says that it is done.
 func (c *Controller) linkDependency(j *job, id string) {
 	t := &c.jobs
-	f, over := t.final(id)
-	if over && f.state == wire.StateCancelled {
+	f, ended := t.final(id)
+	if ended && f.state == wire.StateCancelled {
 		c.markDependencyCancelled(j)
-	} else if over && f.recorded {
+	} else if ended && f.recorded {
 		j.unblockedMS = max(j.unblockedMS, f.endMS)
 		return
 	}
@@ -172,7 +172,7 @@
 // node knows to be cancelled.
 func (t *jobTable) dependsOnCancelled(sub *wire.Submission) bool {
 	return slices.ContainsFunc(sub.DependsOn, func(id string) bool {
-		if f, over := t.final(id); over && f.state == wire.StateCancelled {
+		if f, ended := t.final(id); ended && f.state == wire.StateCancelled {
 			return true
 		}
 		d := t.open[id]
@@ -300,15 +300,15 @@
 		done(statestore.LookupFound)
 		return
 	}
-	remaining, all := len(unknown), statestore.LookupFound
+	remaining, result := len(unknown), statestore.LookupFound
 	for _, id := range unknown {
 		c.readForUser(id, func(found statestore.Lookup) {
-			if found == statestore.LookupMissing || found == statestore.LookupFailed && all == statestore.LookupFound {
-				all = found
+			if found == statestore.LookupMissing || found == statestore.LookupFailed && result == statestore.LookupFound {
+				result = found
 			}
 			remaining--
 			if remaining == 0 {
-				done(all)
+				done(result)
 			}
 		})
 	}
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -53,8 +53,8 @@
 		want  int
 	}{
 		{"open and known", func(h *harness) { h.submit(jobOf("job-000001", 1)) }, []string{"job-000001"}, 201},
-		{"accepted elsewhere, not known here", func(h *harness) { blockWatch(h); h.record(jobOf("job-000001", 1)) }, []string{"job-000001"}, 201},
-		{"done and out of memory", func(h *harness) { blockWatch(h); h.recordEnd("job-000001", wire.StateDone, 0) }, []string{"job-000001"}, 201},
+		{"accepted by another controller, not known here", func(h *harness) { blockWatch(h); h.record(jobOf("job-000001", 1)) }, []string{"job-000001"}, 201},
+		{"done and evicted from memory", func(h *harness) { blockWatch(h); h.recordEnd("job-000001", wire.StateDone, 0) }, []string{"job-000001"}, 201},
 		{"cancelled", func(h *harness) { h.recordEnd("job-000001", wire.StateCancelled, 0) }, []string{"job-000001"}, 201},
 		{"two, one blocked itself", func(h *harness) {
 			h.submit(jobOf("job-000001", 1))
@@ -266,12 +266,12 @@
 			h.recordEnd("job-000002", wire.StateDone, 8_000_000)
 			h.recordEnd("job-000001", wire.StateDone, 9_000_000)
 		}},
-		{"learned when all are over", func(h *harness, sub wire.Submission) {
+		{"learned after all have ended", func(h *harness, sub wire.Submission) {
 			h.recordEnd("job-000001", wire.StateDone, 9_000_000)
 			h.recordEnd("job-000002", wire.StateDone, 8_000_000)
 			h.record(sub)
 		}},
-		{"out of memory", func(h *harness, sub wire.Submission) {
+		{"evicted from memory", func(h *harness, sub wire.Submission) {
 			h.watchBlocked = wire.PrefixJob
 			h.run(sec)
 			h.c.jobs.finals.limit = 1
--- a/internal/controller/idempotency_test.go
+++ b/internal/controller/idempotency_test.go
@@ -31,7 +31,7 @@
 			continue
 		}
 		id, isCheckpoint := strings.CutPrefix(txn.Changes[0].Put, wire.PrefixCheckpoint)
-		if _, over := h.c.jobs.final(id); isCheckpoint && len(txn.Changes) == 1 && over {
+		if _, ended := h.c.jobs.final(id); isCheckpoint && len(txn.Changes) == 1 && ended {
 			delete(h.keys, txn.Changes[0].Put) // nobody reads the checkpoint of an ended job
 			continue
 		}
@@ -163,18 +163,18 @@
 func TestRepeatedRequests(t *testing.T) {
 	submit := func(r ReplyID) Input { return SubmitRequest{Reply: r, Job: jobOf("job-000001", 1)} }
 	cancel := func(r ReplyID) Input { return CancelRequest{Reply: r, ID: "job-000001"} }
-	broken := func(r ReplyID) Input {
+	malformed := func(r ReplyID) Input {
 		return SubmitRequest{Reply: r, Err: &wire.SubmissionError{ID: "job-000001"}}
 	}
-	misfit := func(r ReplyID) Input {
+	tooLarge := func(r ReplyID) Input {
 		s := jobOf("job-000001", 1)
 		s.CPUs = 1000
 		return SubmitRequest{Reply: r, Job: s}
 	}
 	for _, tc := range []struct {
-		since  string
-		repeat func(ReplyID) Input
-		want   string
+		jobState string
+		repeat   func(ReplyID) Input
+		want     string
 	}{
 		{"accepted", submit, "200 pending"},
 		{"running", submit, "200 running"},
@@ -182,24 +182,24 @@
 		{"cancelled", submit, "200 cancelled"},
 		{"done", cancel, "200 done"},
 		{"cancelled", cancel, "200 cancelled"},
-		{"cancelled", broken, "200 cancelled"},
-		{"running", broken, "200 running"},
-		{"done", misfit, "200 done"},
+		{"cancelled", malformed, "200 cancelled"},
+		{"running", malformed, "200 running"},
+		{"done", tooLarge, "200 done"},
 		{"nothing", cancel, "404 "},
-		{"nothing", broken, "400 "},
+		{"nothing", malformed, "400 "},
 	} {
-		t.Run(fmt.Sprintf("%s, %T", tc.since, tc.repeat(0)), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%s, %T", tc.jobState, tc.repeat(0)), func(t *testing.T) {
 			h := newHarness(t, nil)
 			fencingToken := h.reconcile("vm-1")
-			if tc.since != "nothing" {
+			if tc.jobState != "nothing" {
 				h.submit(jobOf("job-000001", 1))
 			}
-			switch tc.since {
+			switch tc.jobState {
 			case "running", "done":
 				h.dropCalls()
 				_, body := h.heartbeat(heartbeatFrom("vm-1", 1, 10, fencingToken))
 				h.heartbeat(heartbeatFrom("vm-1", 1, 11, fencingToken, shown(starts(body.Commands), wire.TaskRunning)...))
-				if tc.since == "done" {
+				if tc.jobState == "done" {
 					end := shown(starts(body.Commands), wire.TaskExited)
 					end[0].ExitReason = wire.ExitDone
 					h.heartbeat(heartbeatFrom("vm-1", 1, 12, fencingToken, end...))
@@ -254,7 +254,7 @@
 		{"a status from before our claim", peer.Request{Status: &peer.Status{ControllerState: peer.ControllerState{Claims: []peer.ShardClaim{{Shard: 0, OwnerEpoch: s.ownerEpoch - 1}}}}}},
 		{"a release of a busy machine", peer.Request{Release: &peer.Release{Machines: []string{"vm-1"}, Cordon: true}}},
 		{"a release of a machine that is gone", peer.Request{Release: &peer.Release{Machines: []string{"vm-8"}, Cordon: true}}},
-		{"a hint of a job that is over", peer.Request{JobRecordHint: &peer.JobRecordHint{ID: "job-000001", ModRevision: 1, Record: record}}},
+		{"a hint about an ended job", peer.Request{JobRecordHint: &peer.JobRecordHint{ID: "job-000001", ModRevision: 1, Record: record}}},
 		{"the return of a machine that is gone", peer.Request{Status: &peer.Status{ReturnedMachines: []string{"vm-8"}}}},
 	} {
 		tc.req.From = "n-1"
--- a/internal/controller/job_end.go
+++ b/internal/controller/job_end.go
@@ -74,7 +74,7 @@
 // cancelled reports whether a user may have been told, or may be told at any moment, that a job is
 // cancelled.
 func (t *jobTable) cancelled(id string) bool {
-	if f, over := t.final(id); over {
+	if f, ended := t.final(id); ended {
 		return f.state == wire.StateCancelled
 	}
 	j := t.open[id]
--- a/internal/controller/job_end_test.go
+++ b/internal/controller/job_end_test.go
@@ -11,9 +11,9 @@
 func TestUnansweredEnd(t *testing.T) {
 	h := newHarness(t, nil)
 	fencingToken := h.reconcile("vm-1")
-	a := h.startOne(fencingToken)
+	attempt := h.startOne(fencingToken)
 	h.lose, h.watchBlocked = wire.JobKey("job-000001"), wire.PrefixJob
-	h.heartbeat(heartbeatFrom("vm-1", 1, 11, fencingToken, wire.TaskStatus{Task: "job-000001/0", Attempt: a, State: wire.TaskExited, ExitReason: wire.ExitDone}))
+	h.heartbeat(heartbeatFrom("vm-1", 1, 11, fencingToken, wire.TaskStatus{Task: "job-000001/0", Attempt: attempt, State: wire.TaskExited, ExitReason: wire.ExitDone}))
 	// The transaction was applied and not answered. The store says done, so every answer must too.
 	if s := h.state("job-000001"); s != wire.StateDone {
 		t.Errorf("the job is in state %q, want the recorded state: done", s)
@@ -39,7 +39,7 @@
 		}, func(h *harness) { h.stateDown, h.refused = true, true }},
 		{"delayed, then refused", func(h *harness) { h.late = wire.JobKey("job-000001") },
 			func(h *harness) { h.stateDown, h.refused = true, true }},
-		{"cancelled once the lease is over", func(h *harness) {
+		{"cancelled after the lease has ended", func(h *harness) {
 			h.stateDown = true
 			for seq := uint64(100); h.now < h.c.ownership.lease.RenewedAt()+h.c.bounds.LeaseValidity+sec/2; seq++ {
 				h.run(100 * ms)
@@ -48,7 +48,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newOwnerHarness(t, withPeer)
-			fencingToken, a := h.runOne()
+			fencingToken, attempt := h.runOne()
 			h.submit(jobOf("job-000002", 1))
 			h.dropCalls()
 			tc.fault(h)
@@ -60,7 +60,7 @@
 			}
 			h.open = nil
 			h.step(Tick{})
-			status, body := h.heartbeat(h.running(1000, fencingToken, a))
+			status, body := h.heartbeat(h.running(1000, fencingToken, attempt))
 			if status != 200 || stops(body.Commands) != 1 {
 				t.Errorf("heartbeat answered %d with %v; want 200 with a stop of the task", status, body.Commands)
 			}
@@ -78,7 +78,7 @@
 			if n := h.c.ownership.shards[0].usage[0].cpus; n < 1 {
 				t.Errorf("a task that its machine still lists counts %v CPUs, want at least 1", n)
 			}
-			_, body = h.heartbeat(heartbeatFrom("vm-1", 1, 1001, fencingToken, wire.TaskStatus{Task: "job-000001/0", Attempt: a, State: wire.TaskExited, ExitReason: wire.ExitStopped}))
+			_, body = h.heartbeat(heartbeatFrom("vm-1", 1, 1001, fencingToken, wire.TaskStatus{Task: "job-000001/0", Attempt: attempt, State: wire.TaskExited, ExitReason: wire.ExitStopped}))
 			for _, c := range starts(body.Commands) {
 				if c.Task == "job-000001/0" {
 					t.Errorf("the cancelled task is started again")
@@ -155,7 +155,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newOwnerHarness(t, withPeer)
-			fencingToken, a := h.runOne()
+			fencingToken, attempt := h.runOne()
 			if tc.lose {
 				h.lose, h.watchBlocked = wire.JobKey("job-000001"), wire.PrefixJob
 			}
@@ -164,7 +164,7 @@
 			if tc.cancelFirst {
 				first, asked = h.cancel("job-000001"), h.reply
 			}
-			h.heartbeat(heartbeatFrom("vm-1", 1, 12, fencingToken, wire.TaskStatus{Task: "job-000001/0", Attempt: a, State: wire.TaskExited, ExitReason: wire.ExitDone}))
+			h.heartbeat(heartbeatFrom("vm-1", 1, 12, fencingToken, wire.TaskStatus{Task: "job-000001/0", Attempt: attempt, State: wire.TaskExited, ExitReason: wire.ExitDone}))
 			if !tc.cancelFirst {
 				first, asked = h.cancel("job-000001"), h.reply
 			}
@@ -253,10 +253,10 @@
 // recorded is forgotten when the shard gets another owner: the next owner runs the job.
 func TestCancellationRequestEndsWithItsOwner(t *testing.T) {
 	h := newOwnerHarness(t, withPeer)
-	fencingToken, a := h.runOne()
+	fencingToken, attempt := h.runOne()
 	h.stateDown = true
 	h.cancel("job-000001")
-	h.heartbeat(heartbeatFrom("vm-1", 1, 20, fencingToken, wire.TaskStatus{Task: "job-000001/0", Attempt: a, State: wire.TaskExited, ExitReason: wire.ExitStopped}))
+	h.heartbeat(heartbeatFrom("vm-1", 1, 20, fencingToken, wire.TaskStatus{Task: "job-000001/0", Attempt: attempt, State: wire.TaskExited, ExitReason: wire.ExitStopped}))
 	h.held = nil
 	h.stateDown = false
 	h.c.loseLease() // as if the renewal was answered 404
--- a/internal/controller/job_reads_test.go
+++ b/internal/controller/job_reads_test.go
@@ -10,24 +10,25 @@
 	"garnethitch/internal/wire"
 )
 
-// A shard made no progress beside users' questions (docs/incidents/2026-12-share-stood-still.md).
+// These tests guard against an incident in which a shard made no progress while users requested the
+// status of jobs (docs/incidents/2026-12-share-stood-still.md).
 //
-// At 4,000 machines and a state service that takes 60 requests a second, jobs waited for
-// over 90 s after all faults, and one was unanswered for 78 s. Each question about a job
-// without an owner takes a read of its record. The reads were in one class with
-// acceptances, above all but leases, and a class with anything left in it stopped all below.
-// "state requests" of seed 1: accept_sent 8,309 and accept_expired 10,715, fleet_sent 45 and
-// fleet_expired 261. The deletion of the owner key was among the 261, and until it is
-// applied nobody owns the shard, so that questions go on to take reads.
+// With 4,000 machines and a state service limited to 60 requests a second, jobs waited for over 90 s
+// after the last fault, and one status request was unanswered for 78 s. Each status request for a
+// job without an owner takes a read of its record. These reads were in the same class as
+// acceptances, whose priority is second only to leases, and a class with a backlog blocked all
+// classes below it. With seed 1, the log line "state requests" showed accept_sent 8,309 and
+// accept_expired 10,715, fleet_sent 45 and fleet_expired 261. The deletion of the owner key was among
+// the 261. Until it is applied nobody owns the shard, so that status requests continue to take reads.
 
-// statusRequestLoad are job status requests of users, for more jobs than can be read.
+// statusRequestLoad sends users' job status requests for more jobs than can be read.
 type statusRequestLoad struct {
 	h    *harness
 	next int
-	ids  int // they are about so many jobs
+	ids  int // number of jobs that the requests are about
 }
 
-// run runs for a time, with two questions every 20 ms.
+// run runs the harness for a duration and sends two status requests every 20 ms.
 func (q *statusRequestLoad) run(d micros.Micros) {
 	for until := q.h.now + d; q.h.now < until; {
 		for range 2 {
@@ -45,17 +46,17 @@
 	c.StateRPS, c.WriteRPS = 60, 20
 }
 
-// longestWorkWait is how long work of any class may wait beside questions: a record set of TxnOps
-// changes at the minimum rate of its class, and what else is due.
+// longestWorkWait is how long work of any class may wait while status requests arrive. It suffices
+// for a record set of TxnOps changes at the minimum rate of its class, with the other due work.
 const longestWorkWait = 10 * sec
 
-// TestWorkBesideStatusRequests checks that all other work makes progress beside questions, about one job
-// and about many.
+// TestWorkBesideStatusRequests checks that all other work makes progress while status requests arrive,
+// about one job and about many.
 func TestWorkBesideStatusRequests(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		// begin starts the work once questions have been asked for a while; done reports
-		// whether it is finished.
+		// begin starts the work after status requests have arrived for a while. done reports whether
+		// the work is finished.
 		begin func(h *harness)
 		done  func(h *harness) bool
 	}{
@@ -82,7 +83,7 @@
 		}, func(h *harness) bool { s := h.c.ownership.shards[0]; return s.owned() && s.checkpointsLoaded }},
 	} {
 		for _, ids := range []int{1, 5000} {
-			t.Run(fmt.Sprintf("%s, questions about %d", tc.name, ids), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, status requests about %d", tc.name, ids), func(t *testing.T) {
 				h := newOwnerHarness(t, fewRequests)
 				h.runOne()
 				q := &statusRequestLoad{h: h, ids: ids}
@@ -92,7 +93,7 @@
 				for !tc.done(h) {
 					q.run(100 * ms)
 					if h.now > began+longestWorkWait {
-						t.Fatalf("not done after %v s beside questions", longestWorkWait.Seconds())
+						t.Fatalf("not done after %v s of status requests", longestWorkWait.Seconds())
 					}
 				}
 			})
@@ -100,8 +101,8 @@
 	}
 }
 
-// TestOwnerKeyDeletionHasPriority checks that the deletion of an owner key is of the class of leases:
-// it does not wait for any other class, though their queues are full.
+// TestOwnerKeyDeletionHasPriority checks that the deletion of an owner key belongs to the class of
+// leases: it does not wait for any other class, even if their queues are full.
 func TestOwnerKeyDeletionHasPriority(t *testing.T) {
 	h := newOwnerHarness(t, fewRequests)
 	for class := statestore.ClassAccept; class < statestore.ClassCount; class++ {
@@ -115,11 +116,11 @@
 	h.c.releaseShard(s)
 	h.run(200 * ms)
 	if h.keys[ownerKey(0)].ModRevision == modRevision {
-		t.Error("the owner key is still there 200 ms after the shard was to be released")
+		t.Error("the owner key is still stored 200 ms after the release of the shard was requested")
 	}
 }
 
-// stored returns a job's record.
+// stored returns the record of a job from the store; the zero value if there is none.
 func (h *harness) stored(id string) (rec wire.JobRecord) {
 	if kv, ok := h.keys[wire.JobKey(id)]; ok {
 		if err := wire.Decode(kv.Value, &rec); err != nil {
@@ -129,15 +130,15 @@
 	return rec
 }
 
-// TestStatusRequestsAreFairAmongJobs checks that no job stays unanswered because another is asked about
-// more often, or because more are asked about than can be read at once. Each of 150 jobs is asked
-// about every 2 s, and one other a hundred times a second; 150 reads take some 33 s at the least
-// part of requests of the class of questions, and the bound is 75 s.
+// TestStatusRequestsAreFairAmongJobs checks that status requests for a job are answered although
+// another job is requested more often, or more jobs are requested than can be read at once. The
+// status of each of 150 jobs is requested every 2 s, and that of one other a hundred times a second.
+// 150 reads take about 33 s at the minimum rate of the class of status requests; the bound is 75 s.
 func TestStatusRequestsAreFairAmongJobs(t *testing.T) {
 	const jobs, within = 150, 75 * sec
 	h := newOwnerHarness(t, fewRequests)
 	answered := map[int]bool{}
-	asked := map[ReplyID]int{} // questions without an answer, and the jobs that they are about
+	asked := map[ReplyID]int{} // job number by reply, of the requests without an answer
 	for began := h.now; h.now < began+within && len(answered) < jobs; {
 		for range 2 {
 			h.jobStatus(requestedJobID(jobs + 1))
@@ -163,11 +164,11 @@
 	}
 }
 
-// TestStatusRequestWaitsForLaterRead checks that an answer is never older than its question: one that
-// comes while a read of the same job is in flight waits for a read of its own.
+// TestStatusRequestWaitsForLaterRead checks that an answer is never older than its request: a request
+// that comes while a read of the same job is in flight waits for a later read.
 func TestStatusRequestWaitsForLaterRead(t *testing.T) {
 	h := newOwnerHarness(t, withPeer)
-	h.stateDown = true // what is sent is held
+	h.stateDown = true // requests are held without an answer
 	first := h.jobStatus("job-000777")
 	second := h.jobStatus("job-000777")
 	if first.Status != 0 || second.Status != 0 {
@@ -189,16 +190,16 @@
 	}
 	h.run(200 * ms)
 	if got := h.answers[firstReply].Status; got != 404 {
-		t.Errorf("the first question was answered %d, want what its read found: 404", got)
+		t.Errorf("the first status request was answered %d, want the result of its read: 404", got)
 	}
 	if got := h.answers[secondReply].Status; got != 200 {
-		t.Errorf("the question that came after that read was sent was answered %d, want 200", got)
+		t.Errorf("the status request that came after the first read was sent is answered %d, want 200", got)
 	}
 }
 
-// TestCallsInFlightAreBounded checks the bounds of calls for users. Where the state service or
-// another controller is slow, calls pile up until the process takes no more. Those for users stop
-// before, so that renewals and watches, and the controllers' own messages, are still sent.
+// TestCallsInFlightAreBounded checks the bounds on calls on behalf of users. If the state service or
+// another controller is slow, calls accumulate until the process can't make any more. Calls for users
+// stop before that, so that lease renewals, watches and messages between controllers are still sent.
 func TestCallsInFlightAreBounded(t *testing.T) {
 	const stateRequests, peerQuestions = 6, 4
 	limits := func(c *Config) {
@@ -215,7 +216,7 @@
 	}
 	t.Run("state service", func(t *testing.T) {
 		h := newOwnerHarness(t, limits)
-		h.stateDown = true // what is sent is held, without an answer
+		h.stateDown = true // requests are held without an answer
 		for i := range 100 {
 			h.jobStatus(requestedJobID(i))
 		}
@@ -230,7 +231,7 @@
 			}
 		}
 		if reads > stateRequests || renewals == 0 {
-			t.Errorf("%d reads are in flight, want at most %d; %d renewals were sent", reads, stateRequests, renewals)
+			t.Errorf("%d reads are in flight, want at most %d; %d lease renewals were sent, want some", reads, stateRequests, renewals)
 		}
 	})
 	t.Run("other controller", func(t *testing.T) {
@@ -242,13 +243,13 @@
 		before := len(h.asked)
 		ask(h, "job-000001", sec/5)
 		if n := len(h.asked) - before; n == 0 || n > peerQuestions {
-			t.Errorf("%d questions to the other controller are in flight, want some and at most %d", n, peerQuestions)
+			t.Errorf("%d requests to the other controller are in flight, want some and at most %d", n, peerQuestions)
 		}
 	})
 }
 
-// TestRetryAfterFitsBacklog checks that a user who is refused is to try again when all that wait
-// can have been read, and soon.
+// TestRetryAfterFitsBacklog checks the retry time for a user who is refused: it suffices to read all
+// jobs that wait, and is no longer than necessary.
 func TestRetryAfterFitsBacklog(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
@@ -269,18 +270,19 @@
 			reply := h.reply
 			h.run(statestore.ReadTimeout + 300*ms)
 			if a := h.answers[reply]; tc.waiting > 100 && (a.Status != 503 || a.RetryAfterS < tc.least || a.RetryAfterS > tc.most) {
-				t.Errorf("answered %d, to try again after %d s, want 503 and %d s", a.Status, a.RetryAfterS, tc.least)
+				t.Errorf("answered %d, retry after %d s, want 503 and %d s", a.Status, a.RetryAfterS, tc.least)
 			}
 			if got := h.c.retryAfter(); got < tc.least || got > tc.most {
-				t.Errorf("%d s with %d jobs waiting, want %d to %d s", got, h.c.reads.Records(), tc.least, tc.most)
+				t.Errorf("retry after %d s with %d jobs waiting, want %d to %d s", got, h.c.reads.Records(), tc.least, tc.most)
 			}
 		})
 	}
 }
 
-// TestSubmissionRetriesSoon checks that a submission that can't be accepted in an outage does not
-// have to wait for the backlog of questions: its user tries for a minute in all, and each try
-// counts. Found by review: with 300 jobs asked about in vain it was to try again after 10 s, not 1.
+// TestSubmissionRetriesSoon checks that the retry time of a submission that can't be accepted during
+// an outage does not depend on the backlog of status requests: the user tries for only a minute, and
+// each try counts. A review found that with 300 unanswered status requests the retry time was 10 s
+// instead of 1 s.
 func TestSubmissionRetriesSoon(t *testing.T) {
 	h := newOwnerHarness(t, fewRequests)
 	h.stateDown, h.refused = true, true
@@ -292,17 +294,17 @@
 	reply := h.reply
 	h.run(2 * sec)
 	if a = h.answers[reply]; a.Status != 503 || a.RetryAfterS != 1 {
-		t.Errorf("answered %d, to try again after %d s, want 503 and 1 s", a.Status, a.RetryAfterS)
+		t.Errorf("the submission is answered %d, retry after %d s, want 503 and 1 s", a.Status, a.RetryAfterS)
 	}
 }
 
-// TestCancelRequestRetriesSoon checks the same as TestSubmissionRetriesSoon for a cancellation that
-// can't be recorded, at the job's owner.
+// TestCancelRequestRetriesSoon checks, at the job's owner, that the retry time of a cancellation that
+// can't be recorded does not depend on the backlog of status requests either.
 func TestCancelRequestRetriesSoon(t *testing.T) {
 	h := newOwnerHarness(t, fewRequests)
 	h.submit(jobOf("job-000002", 1))
 	h.stateDown, h.refused = true, true
-	for i := range 100 { // not for so long that the lease is over
+	for i := range 100 { // short enough that the lease does not end
 		h.jobStatus(requestedJobID(i))
 		h.run(20 * ms)
 	}
@@ -310,6 +312,6 @@
 	reply := h.reply
 	h.run(sec)
 	if a := h.answers[reply]; a.Status != 503 || a.RetryAfterS != 1 {
-		t.Errorf("answered %d, to try again after %d s, want 503 and 1 s", a.Status, a.RetryAfterS)
+		t.Errorf("the cancellation is answered %d, retry after %d s, want 503 and 1 s", a.Status, a.RetryAfterS)
 	}
 }
--- a/internal/controller/job_sharding_test.go
+++ b/internal/controller/job_sharding_test.go
@@ -11,10 +11,10 @@
 // on either resource keeps all jobs of a team in one shard.
 func TestTeamsToAssign(t *testing.T) {
 	for _, tc := range []struct {
-		name string
-		team Team
-		want ownership.Team
-		one  []int // shardOfTeam if this is the only team
+		name       string
+		team       Team
+		want       ownership.Team
+		wantShards []int // shardOfTeam if this is the only team
 	}{
 		{"no limit", Team{Name: "a", CPUs: 4, GPUs: 1}, ownership.Team{CPUs: 4, GPUs: 1}, nil},
 		{"limited CPUs", Team{Name: "a", CPUsMax: 4}, ownership.Team{Limited: true}, []int{0}},
@@ -25,8 +25,8 @@
 			if len(got) != 1 || got[0] != tc.want {
 				t.Errorf("got %+v, want %+v", got, tc.want)
 			}
-			if got := New(Config{Label: "n-0", Shards: 3, Teams: []Team{tc.team}}, 1).jobSharding.shardOfTeam; !slices.Equal(got, tc.one) || (got == nil) != (tc.one == nil) {
-				t.Errorf("shardOfTeam is %v, want %v", got, tc.one)
+			if got := New(Config{Label: "n-0", Shards: 3, Teams: []Team{tc.team}}, 1).jobSharding.shardOfTeam; !slices.Equal(got, tc.wantShards) || (got == nil) != (tc.wantShards == nil) {
+				t.Errorf("shardOfTeam is %v, want %v", got, tc.wantShards)
 			}
 		})
 	}
--- a/internal/controller/job_table.go
+++ b/internal/controller/job_table.go
@@ -87,8 +87,8 @@
 
 // contains reports whether a job is in the table, open or ended.
 func (t *jobTable) contains(id string) bool {
-	_, over := t.final(id)
-	return over || t.open[id] != nil
+	_, ended := t.final(id)
+	return ended || t.open[id] != nil
 }
 
 // recordFinal stores how a job ended and reports whether that is new information: the end was not
--- a/internal/controller/job_table_test.go
+++ b/internal/controller/job_table_test.go
@@ -44,7 +44,7 @@
 		name   string
 		before *finalJob
 		add    finalJob
-		news   bool
+		isNew  bool
 		want   finalJob
 	}{
 		{"not known, recorded", nil, recorded, true, recorded},
@@ -62,8 +62,8 @@
 			if tc.before != nil {
 				table.recordFinal("job-000001", *tc.before)
 			}
-			if got := table.recordFinal("job-000001", tc.add); got != tc.news {
-				t.Errorf("recordFinal returned %v, want %v", got, tc.news)
+			if got := table.recordFinal("job-000001", tc.add); got != tc.isNew {
+				t.Errorf("recordFinal returned %v, want %v", got, tc.isNew)
 			}
 			if got, _ := table.final("job-000001"); got != tc.want {
 				t.Errorf("the table holds %+v, want %+v", got, tc.want)
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -21,7 +21,7 @@
 		c.finishJob(id, finalJob{state: rec.State, tasks: rec.Tasks, recorded: true, endMS: rec.EndMS})
 		return
 	}
-	if _, over := c.jobs.final(id); over {
+	if _, ended := c.jobs.final(id); ended {
 		return
 	}
 	if j := c.jobs.open[id]; j != nil {
--- a/internal/controller/unknown_jobs_test.go
+++ b/internal/controller/unknown_jobs_test.go
@@ -8,17 +8,20 @@
 	"garnethitch/internal/wire"
 )
 
-// Tasks of jobs that this node does not know (docs/incidents/2026-12-unknown-job-was-fed.md).
+// These tests guard against an incident with tasks of jobs that are not in the job table
+// (docs/incidents/2026-12-unknown-job-was-fed.md).
 //
-// A cancelled task lived on at an owner with a current view of jobs. Its job's end had left
-// the bounded memory of ends when the machine sent a heartbeat after a claim, and the job's record
-// was to be read before anything was done: one read at a time, 5 s after the task had been
-// listed, begun only by a heartbeat. Where reads were refused, each heartbeat was answered, which
-// renewed the machine's lease, with no stop; in TestUnknownJobUnreadable for 40 s and more. The
-// simulation broke ran_cancelled or "renewed" in the same way with the ends of four jobs kept.
+// A cancelled task kept running under an owner with a current view of jobs. The job's end had been
+// evicted from memory before the machine sent its first heartbeat after a claim. The owner did
+// nothing until it had read the job's record. It made one read at a time, 5 s after the task had
+// been listed, and began reads only on a heartbeat. Where reads were refused, each heartbeat was
+// answered without a stop, which renewed the machine's lease; in TestUnknownJobUnreadable for 40 s
+// and more. The simulation violated ran_cancelled or "renewed" in the same way when only the ends of
+// four jobs were kept.
 
-// TestEndedTaskIsStoppedWithoutRead checks that after a claim with a current view the task of a job
-// that has ended and has left memory is stopped as soon as a machine lists it.
+// TestEndedTaskIsStoppedWithoutRead checks that after a claim with a current view of jobs, a task
+// whose job has ended and was evicted from memory is stopped as soon as a machine lists it, without a
+// read.
 func TestEndedTaskIsStoppedWithoutRead(t *testing.T) {
 	fewEndsInMemory := func(c *Config) {
 		withPeer(c)
@@ -77,7 +80,7 @@
 		h.unreadablePrefix = wire.PrefixJob
 		later := uint64(1000)
 		h.heartbeat(lists("vm-1", 20, fencingToken, "job-000007", later<<32|1))
-		h.put(wire.JobKey("job-000009"), wire.JobRecord{State: wire.StateDone, Tasks: 1}) // the view goes on
+		h.put(wire.JobKey("job-000009"), wire.JobRecord{State: wire.StateDone, Tasks: 1}) // the view of jobs advances
 		h.run(sec)
 		if status, body := h.heartbeat(lists("vm-1", 21, fencingToken, "job-000007", later<<32|1)); status == 200 && stops(body.Commands) != 1 {
 			t.Errorf("answered 200 with %v, want the task stopped", body.Commands)
@@ -85,16 +88,16 @@
 	})
 }
 
-// TestUnknownJobWithStaleView has an owner that can't learn of jobs, and a machine that
-// lists a task of one that it does not know. If the task was started under a claim that its view
-// includes, the job may have ended long ago, and nothing says when its user was notified: the
-// machine's lease is not renewed, and the task is not stopped either, since it may be of a job that
-// has just been accepted. If it was started under a later claim, the job had not ended when the
-// view was complete.
+// TestUnknownJobWithStaleView checks how an owner with a stale view of jobs treats a machine that
+// lists a task of an unknown job. If the task was started under a claim that the view includes, the
+// job may have ended long ago, and the owner can't tell when its user was notified: the machine's
+// lease is not renewed. The task is not stopped either, since its job may just have been accepted. If
+// the task was started under a later claim, the job had not ended when the view was complete, and
+// the lease is renewed.
 func TestUnknownJobWithStaleView(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
-		later    bool // started under a claim that the view does not include
+		later    bool // whether the task was started under a claim that the view does not include
 		answered bool
 	}{{"started before the view", false, false}, {"started after the view", true, true}} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -113,12 +116,12 @@
 			h.run(2 * sec)
 			s := h.c.ownership.shards[0]
 			if !s.owned() || s.jobsViewCurrent {
-				t.Fatal("not an owner with a stale view: the case is not what it should be")
+				t.Fatal("this node is not an owner with a stale view: the test does not exercise its case")
 			}
 			for seq := uint64(20); seq < 23; seq++ {
 				status, body := h.heartbeat(heartbeatFrom("vm-1", 1, seq, fencingToken, wire.TaskStatus{Task: "job-000007/0", Attempt: claim<<32 | 1, State: wire.TaskRunning}))
 				if (status == 200) != tc.answered || stops(body.Commands) > 0 {
-					t.Errorf("heartbeat %d: answered %d with %v, want it answered: %v, and nothing stopped", seq, status, body.Commands, tc.answered)
+					t.Errorf("heartbeat %d: answered %d with %v, want 200: %v, and no stop", seq, status, body.Commands, tc.answered)
 				}
 				fencingToken = max(fencingToken, body.FencingToken)
 				h.run(sec)
@@ -127,12 +130,12 @@
 	}
 }
 
-// TestUnknownJobIsNotStopped checks that no task of an accepted job is stopped because this node
-// does not know the job yet, or cannot use its record.
+// TestUnknownJobIsNotStopped checks that a task of an accepted job is not stopped because this node
+// does not know the job yet or can't use its record.
 func TestUnknownJobIsNotStopped(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
-		later  bool // started under a claim that the view does not include
+		later  bool // whether the task was started under a claim that the view does not include
 		record func(h *harness)
 	}{
 		{"accepted while the watch hangs", true, func(h *harness) {
@@ -156,7 +159,7 @@
 			}
 			for seq := uint64(20); seq < 24; seq++ {
 				if _, body := h.heartbeat(heartbeatFrom("vm-1", 1, seq, fencingToken, wire.TaskStatus{Task: "job-000007/0", Attempt: attempt, State: wire.TaskRunning})); stops(body.Commands) > 0 {
-					t.Errorf("heartbeat %d: stopped by %v", seq, body.Commands)
+					t.Errorf("heartbeat %d: %v stops the task", seq, body.Commands)
 				}
 				h.run(sec)
 			}
@@ -164,9 +167,9 @@
 	}
 }
 
-// TestUnknownJobIsRenewedForBoundedTime checks that the lease of such a task's machine is not
-// renewed for ever: where the view of jobs does not advance, the job may have ended once the view
-// is so old that its user may have been notified in the meantime.
+// TestUnknownJobIsRenewedForBoundedTime checks that the lease of a machine with a task of an unknown
+// job is renewed for a bounded time only. If the view of jobs does not advance, it becomes so old that
+// the job may have ended and its user may have been notified in the meantime.
 func TestUnknownJobIsRenewedForBoundedTime(t *testing.T) {
 	h := newOwnerHarness(t, withPeer)
 	fencingToken := h.reconcile("vm-1")
@@ -176,21 +179,21 @@
 		return status
 	}
 	if got := heartbeat(20); got != 200 {
-		t.Errorf("answered %d at first, want 200", got)
+		t.Errorf("the first heartbeat is answered %d, want 200", got)
 	}
 	h.run(h.c.ownership.jobWatch.CompleteAsOf + h.c.bounds.StaleViewGrace - h.now)
 	if got := heartbeat(21); got == 200 {
-		t.Error("its machine's lease is renewed beyond the bound")
+		t.Error("the machine's lease is renewed beyond the bound")
 	}
-	h.run(11 * sec) // until refused heartbeats are logged
+	h.run(11 * sec) // refused heartbeats are logged only after this time
 	if got := h.logged("heartbeats refused", "unknown_job"); len(got) == 0 {
-		t.Error("nothing says why the heartbeat was refused")
+		t.Error("the log does not say why the heartbeat was refused")
 	}
 }
 
-// TestLateReadOfEndedJob checks that a read that was answered before its job ended, and that comes
-// after the end has left memory, does not bring the job back: its tasks would be started again.
-// Found by reading the code.
+// TestLateReadOfEndedJob checks that a late read does not reopen an ended job: the read was executed
+// before the job ended, and its answer arrives after the end was evicted from memory. The job's tasks
+// would be started again. The fault was found by reading the code.
 func TestLateReadOfEndedJob(t *testing.T) {
 	h := newOwnerHarness(t, func(c *Config) {
 		withPeer(c)
@@ -198,7 +201,7 @@
 	})
 	h.put(wire.JobKey("job-000001"), wire.NewJobRecord(new(jobOf("job-000001", 1)), 1))
 	recorded := h.keys[wire.JobKey("job-000001")]
-	h.c.jobs.open["job-000001"].run.end.inDoubt = true // so that a request is answered by a read
+	h.c.jobs.open["job-000001"].run.end.inDoubt = true // causes a status request to be answered by a read
 	h.stateDown = true
 	h.jobStatus("job-000001")
 	held := h.held
@@ -206,7 +209,7 @@
 	h.put(wire.JobKey("job-000001"), wire.JobRecord{State: wire.StateCancelled, Tasks: 1})
 	h.put(wire.JobKey("job-000002"), wire.JobRecord{State: wire.StateDone, Tasks: 1})
 	if h.c.jobs.contains("job-000001") {
-		t.Fatal("the job is still known: the case is not what it should be")
+		t.Fatal("the job's end is still in memory: the test does not exercise its case")
 	}
 	reads := 0
 	for _, c := range held {
@@ -221,12 +224,12 @@
 		t.Errorf("%d reads were answered, and the job is open: %v", reads, h.c.jobs.open["job-000001"] != nil)
 	}
 	if got := h.answers[h.reply].Status; got != 503 {
-		t.Errorf("answered %d, want 503: what was read is no longer so", got)
+		t.Errorf("answered %d, want 503: the record that was read is no longer current", got)
 	}
 }
 
-// TestTaskOfUnknownJob checks that a task whose job is unknown, since its end has left memory, is
-// stopped, and one that nobody submitted as well.
+// TestTaskOfUnknownJob checks that a task is stopped if its job's end was evicted from memory, or if
+// no such job was ever submitted.
 func TestTaskOfUnknownJob(t *testing.T) {
 	for _, tc := range []struct {
 		name string
@@ -249,7 +252,7 @@
 				h.run(sec)
 			}
 			if stopped == 0 {
-				t.Error("never stopped")
+				t.Error("the task was never stopped")
 			}
 		})
 	}
--- a/internal/controller/user_requests_test.go
+++ b/internal/controller/user_requests_test.go
@@ -102,10 +102,10 @@
 // only if its job was certainly never accepted. For an accepted job no controller answers so, during
 // any fault.
 func TestUnacceptableSubmissions(t *testing.T) {
-	bad := func(r ReplyID) Input {
+	malformed := func(r ReplyID) Input {
 		return SubmitRequest{Reply: r, Err: &wire.SubmissionError{ID: "job-000001", Reason: "x"}}
 	}
-	unfit := func(r ReplyID) Input {
+	tooLarge := func(r ReplyID) Input {
 		s := jobOf("job-000001", 1)
 		s.CPUs = 1000
 		return SubmitRequest{Reply: r, Job: s}
@@ -122,16 +122,16 @@
 		want  int
 		state wire.JobState
 	}{
-		{"malformed, unknown", nil, bad, 400, ""},
-		{"fits nothing, unknown", nil, unfit, 422, ""},
+		{"malformed, unknown", nil, malformed, 400, ""},
+		{"fits nothing, unknown", nil, tooLarge, 422, ""},
 		{"no such team, unknown", nil, noTeam, 422, ""},
-		{"malformed, accepted elsewhere", recordAccepted, bad, 200, wire.StatePending},
-		{"fits nothing, accepted elsewhere", recordAccepted, unfit, 200, wire.StatePending},
-		{"malformed, done and out of memory", recordDone, bad, 200, wire.StateDone},
-		{"fits nothing, done and out of memory", recordDone, unfit, 200, wire.StateDone},
-		{"malformed, no state service", func(h *harness) { h.stateDown, h.refused = true, true }, bad, 503, ""},
-		{"fits nothing, no state service", func(h *harness) { h.stateDown, h.refused = true, true }, unfit, 503, ""},
-		{"fits nothing, types not known", func(h *harness) { h.c.types = machineTypes{} }, unfit, 503, ""},
+		{"malformed, accepted by another controller", recordAccepted, malformed, 200, wire.StatePending},
+		{"fits nothing, accepted by another controller", recordAccepted, tooLarge, 200, wire.StatePending},
+		{"malformed, done and evicted from memory", recordDone, malformed, 200, wire.StateDone},
+		{"fits nothing, done and evicted from memory", recordDone, tooLarge, 200, wire.StateDone},
+		{"malformed, no state service", func(h *harness) { h.stateDown, h.refused = true, true }, malformed, 503, ""},
+		{"fits nothing, no state service", func(h *harness) { h.stateDown, h.refused = true, true }, tooLarge, 503, ""},
+		{"fits nothing, types not known", func(h *harness) { h.c.types = machineTypes{} }, tooLarge, 503, ""},
 		{"cancelled though done", recordDone, func(r ReplyID) Input { return CancelRequest{Reply: r, ID: "job-000001"} }, 200, wire.StateDone},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
