--- a/internal/controller/attempt_end.go
+++ b/internal/controller/attempt_end.go
@@ -47,7 +47,7 @@
 		switch {
 		case mayStillStart && !commandsVoid:
 		case att.state == attemptExited:
-			c.dropAttempt(att) // handleExit has handled its end already
+			c.dropAttempt(att) // its end was handled when the machine listed it as exited
 		default:
 			c.freeAttempt(att, att.state >= attemptFetching)
 		}
--- a/internal/controller/cancellation_cascade_test.go
+++ b/internal/controller/cancellation_cascade_test.go
@@ -252,12 +252,12 @@
 		want            int
 	}{
 		{"all controllers", threeControllers, 0, 0, 859},
-		{"one away", threeControllers, 1, 0, 504},
-		{"two away", threeControllers, 2, 0, 252},
-		{"all away", threeControllers, 3, 0, 0},
+		{"one controller down", threeControllers, 1, 0, 504},
+		{"two controllers down", threeControllers, 2, 0, 252},
+		{"all controllers down", threeControllers, 3, 0, 0},
 		{"an outage of 30 s", threeControllers, 0, 30 * sec, 474},
-		{"an outage as long as the time", threeControllers, 0, 70 * sec, 0},
-		{"a controller alone", Config{WriteRPS: 40, Cancel: 49 * sec, Lease: 4 * sec}, 0, 0, 1311},
+		{"an outage as long as the time for a cancellation", threeControllers, 0, 70 * sec, 0},
+		{"a single controller", Config{WriteRPS: 40, Cancel: 49 * sec, Lease: 4 * sec}, 0, 0, 1311},
 	} {
 		if got := CancellableDependents(tc.cfg, tc.controllersDown, tc.outage); got != tc.want {
 			t.Errorf("%s: %d dependents, want %d", tc.name, got, tc.want)
--- a/internal/controller/cancellation_test.go
+++ b/internal/controller/cancellation_test.go
@@ -137,7 +137,7 @@
 	_, body := h.heartbeat(h.running(20, fencingToken, attempt))
 	fencingToken = body.FencingToken
 	if status, body := h.heartbeat(h.running(21, fencingToken, attempt)); status != 200 || stops(body.Commands) != 0 || !h.c.machines["vm-1"].view.reconciled {
-		t.Fatalf("answered %d %v, want 200 without a stop from a reconciled machine's owner: the test does not exercise its case", status, body.Commands)
+		t.Fatalf("answered %d %v, want 200 without a stop and a reconciled machine: the test does not exercise its case", status, body.Commands)
 	}
 	h.lose, h.watchBlocked = wire.JobKey("job-000001"), wire.PrefixJob
 	h.cancel("job-000001")
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -27,9 +27,9 @@
 	maxBlockedViewAge = 10 * micros.Second
 )
 
-// linkDependencies adds a new job to the dependency graph. The job becomes cancelled if one of its
-// dependencies is, it takes its effective priority and deadline from its dependents, and it passes
-// them on to its dependencies.
+// linkDependencies adds a new job to the dependency graph. It computes the job's effective priority
+// and deadline, marks the job if a dependency is cancelled, and passes priority and deadline on to
+// its dependencies.
 func (c *Controller) linkDependencies(j *job) {
 	c.updatePriority(j)
 	delete(c.jobs.unknownDependencies, j.id)
