--- a/internal/controller/cancellation_cascade_test.go
+++ b/internal/controller/cancellation_cascade_test.go
@@ -29,6 +29,7 @@
 	return h
 }
 
+// dependentID returns the id of dependent i in a cascade harness.
 func dependentID(i int) string { return fmt.Sprintf("job-%06d", 1000+i) }
 
 // cancelledDependents returns how many of the n dependents are recorded as cancelled.
--- a/internal/controller/cancellation_test.go
+++ b/internal/controller/cancellation_test.go
@@ -43,10 +43,12 @@
 	leaseEnds             micros.Micros
 }
 
+// newSlowWorker returns a machine whose lease begins now and whose task is running.
 func newSlowWorker(h *harness, fencingToken, attempt uint64) slowWorker {
 	return slowWorker{h: h, fencingToken: fencingToken, attempt: attempt, sequence: 100, leaseEnds: h.now + h.c.cfg.WorkerLease}
 }
 
+// alive reports whether the task may still run: it was not stopped and the lease has not ended.
 func (w *slowWorker) alive() bool { return !w.stopped && w.h.now < w.leaseEnds }
 
 // checkDeadline fails the test if the task is still on the machine when the time allowed for a
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -150,6 +150,7 @@
 	return starts(body.Commands)
 }
 
+// shownDone returns the statuses of started tasks that are done.
 func shownDone(cmds []wire.Command) (out []wire.TaskStatus) {
 	for _, c := range cmds {
 		out = append(out, wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskExited, ExitReason: wire.ExitDone})
@@ -157,6 +158,7 @@
 	return out
 }
 
+// taskNames returns the sorted task names of commands, separated by spaces.
 func taskNames(cmds []wire.Command) string {
 	var out []string
 	for _, c := range cmds {
@@ -422,6 +424,7 @@
 	})
 }
 
+// encoded returns the encoding of a record.
 func encoded(t *testing.T, rec any) wire.Raw {
 	t.Helper()
 	value, err := wire.Encode(rec)
--- a/internal/controller/job_reads_test.go
+++ b/internal/controller/job_reads_test.go
@@ -39,8 +39,10 @@
 	}
 }
 
+// requestedJobID returns the id of job i that status requests are about. No such job is stored.
 func requestedJobID(i int) string { return fmt.Sprintf("job-%06d", 700000+i) }
 
+// fewRequests configures a controller with a peer and a low rate limit of the state service.
 func fewRequests(c *Config) {
 	withPeer(c)
 	c.StateRPS, c.WriteRPS = 60, 20
--- a/internal/controller/user_requests_test.go
+++ b/internal/controller/user_requests_test.go
@@ -153,11 +153,13 @@
 	}
 }
 
+// recordAccepted stores the record of an accepted job as another controller would.
 func recordAccepted(h *harness) {
 	sub := jobOf("job-000001", 1)
 	h.put(wire.JobKey("job-000001"), wire.JobRecord{Submission: &sub, State: wire.StatePending, Tasks: 1})
 }
 
+// recordDone stores the record of a done job as another controller would.
 func recordDone(h *harness) {
 	h.put(wire.JobKey("job-000001"), wire.JobRecord{State: wire.StateDone, Tasks: 1})
 }
