--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -8,69 +8,71 @@
 	"garnethitch/internal/wire"
 )
 
-// A job may depend on others (a DAG): none of its tasks starts before each of them is done
-// by its own record. Until then it is blocked: pending, and without a part in any limit,
-// guarantee, queue or demand. Every node knows which open jobs wait for which, and the
-// states of those that they need; the owner of a dependent acts on it when it first sees the
-// job's record, when it becomes the job's owner, and when a job that is needed ends.
+// Jobs may depend on other jobs and so form a DAG. No task of a job starts before the records of
+// all its dependencies say that they are done. Until then the job is blocked: it is pending and
+// counts in no limit, guarantee, queue or demand. Every controller keeps the graph of all open jobs
+// and the states of their dependencies. The owner of a dependent acts on it when it first sees the
+// dependent's record, when it becomes its owner, and when one of its dependencies ends.
 
 const (
-	// unknownReadDelay is how long a dependency that is not known may yet come by the
-	// watch before it is read.
+	// unknownReadDelay is the time for which the watch may still deliver an unknown dependency
+	// before its record is read.
 	unknownReadDelay = micros.Second
-	// unknownReadInterval is the time between two reads of one.
+	// unknownReadInterval is the time between two reads of the same unknown dependency.
 	unknownReadInterval = 2 * micros.Second
 	// maxDependencyReads bounds the reads of unknown dependencies in flight.
 	maxDependencyReads = 4
-	// maxBlockedViewAge is the age of the view of jobs up to which a blocked job is
-	// answered as pending, counted from when what brought the view was asked for.
+	// maxBlockedViewAge is the greatest age of the view of jobs at which a blocked job is answered
+	// as pending. The age counts from when the request that brought the view was sent.
 	maxBlockedViewAge = 10 * micros.Second
 )
 
-// linkDependencies adds a job that has become known to the graph of dependencies, and
-// gives it what it inherits from the jobs that it needs and those that need it.
+// linkDependencies adds a new job to the dependency graph. It computes the job's effective priority
+// and deadline, marks the job if a dependency is cancelled, and passes priority and deadline on to
+// its dependencies.
 func (c *Controller) linkDependencies(j *job) {
 	c.updatePriority(j)
-	delete(c.jobs.unknown, j.id)
+	delete(c.jobs.unknownDependencies, j.id)
 	for _, id := range j.sub.DependsOn {
 		c.linkDependency(j, id)
 	}
 	c.propagatePriority(j)
 }
 
-// linkDependency has a job wait for another, unless that is done on record.
+// linkDependency makes a job wait for the dependency with the given id, unless the record of the
+// dependency says that it is done.
 func (c *Controller) linkDependency(j *job, id string) {
 	t := &c.jobs
-	f, over := t.final(id)
-	if over && f.state == wire.StateCancelled {
+	f, ended := t.final(id)
+	if ended && f.state == wire.StateCancelled {
 		c.markDependencyCancelled(j)
-	} else if over && f.recorded {
+	} else if ended && f.recorded {
 		j.unblockedMS = max(j.unblockedMS, f.endMS)
 		return
 	}
-	if j.needs == nil {
-		j.needs = map[string]bool{}
+	if j.unmetDependencies == nil {
+		j.unmetDependencies = map[string]bool{}
 	}
-	j.needs[id] = true
+	j.unmetDependencies[id] = true
 	t.dependents[id] = append(t.dependents[id], j)
 	if d := t.open[id]; d == nil {
-		t.unknown[id] = c.now + unknownReadDelay
+		t.unknownDependencies[id] = c.now + unknownReadDelay
 	} else if d.dependencyCancelled {
 		c.markDependencyCancelled(j)
 	}
 }
 
-// unlinkDependencies removes a job that is over from the dependents of those that it needed.
+// unlinkDependencies removes an ended job from the dependents of its dependencies.
 func (c *Controller) unlinkDependencies(j *job) {
 	t := &c.jobs
 	for _, id := range j.sub.DependsOn {
-		if !j.needs[id] {
+		if !j.unmetDependencies[id] {
 			continue
 		}
 		rest := slices.DeleteFunc(t.dependents[id], func(d *job) bool { return d == j })
 		if len(rest) == 0 {
 			delete(t.dependents, id)
-			delete(t.unknown, id)
+			delete(t.unknownDependencies, id)
 		} else {
 			t.dependents[id] = rest
 		}
@@ -78,11 +80,11 @@
 	c.propagatePriority(j)
 }
 
-// dependencyEnded unblocks the jobs that waited for one that is over, or cancels them with
-// it.
-func (c *Controller) dependencyEnded(id string, f finalJob) {
+// handleDependencyEnd handles the end of a job for its dependents: it cancels them if the job was
+// cancelled, and otherwise unblocks those that have no other unmet dependency.
+func (c *Controller) handleDependencyEnd(id string, f finalJob) {
 	t := &c.jobs
-	delete(t.unknown, id)
+	delete(t.unknownDependencies, id)
 	dependents := t.dependents[id]
 	if f.state == wire.StateCancelled {
 		c.markDependencyCancelled(dependents...)
@@ -92,25 +94,26 @@
 		return
 	}
 	if !f.recorded {
-		t.unknown[id] = c.now // read first: nothing starts on another controller's word
+		t.unknownDependencies[id] = c.now // only the record unblocks, not another controller's message
 		return
 	}
 	delete(t.dependents, id)
 	endMS := f.endMS
 	if endMS == 0 {
-		endMS = c.wall.Millis() // recorded by an older version, without the time
+		endMS = c.wall.Millis() // older versions did not record the time
 	}
 	for _, d := range dependents {
-		delete(d.needs, id)
+		delete(d.unmetDependencies, id)
 		d.unblockedMS = max(d.unblockedMS, endMS)
 		if !d.blocked() && !d.dependencyCancelled && d.run != nil {
-			c.jobUnblocked(d, endMS)
+			c.unblockJob(d, endMS)
 		}
 	}
 }
 
-// jobUnblocked lets an owned job start whose last dependency was done at a time of day.
-func (c *Controller) jobUnblocked(j *job, endMS int64) {
+// unblockJob makes a job that this node owns eligible to start. endMS is when its last dependency was
+// done, as a time of day in milliseconds.
+func (c *Controller) unblockJob(j *job, endMS int64) {
 	s := c.ownership.shards[j.shard]
 	s.queueStale = true
 	c.schedulingDue = true
@@ -119,15 +122,16 @@
 	c.log(Info, "job unblocked, all its dependencies are done", "job", j.id, "after_ms", c.wall.Millis()-endMS, "class", j.sub.Class, "priority", j.priority)
 }
 
-// noteArrival counts work that may start from now on.
+// noteArrival adds the expected CPU seconds of a job that may start from now on to the arrivals of
+// its shard.
 func (c *Controller) noteArrival(s *shard, j *job) {
 	work := float64(j.sub.Tasks) * j.sub.CPUs * c.estimates.Expect(j.sub).Seconds()
 	s.arrivals.Add(c.now, work)
 }
 
-// markDependencyCancelled marks jobs as to be cancelled, since one that they need is, and
-// with them all that need them, however deep: none of them can ever start. Each is recorded
-// by its own owner, and called cancelled only then.
+// markDependencyCancelled marks jobs that have a cancelled dependency, and all their direct and
+// transitive dependents. None of them can ever start. The owner of each records its cancellation,
+// and users are told that it is cancelled only after that.
 func (c *Controller) markDependencyCancelled(jobs ...*job) {
 	count, first := 0, ""
 	for stack := slices.Clone(jobs); len(stack) > 0; {
@@ -138,7 +142,7 @@
 		}
 		j.dependencyCancelled = true
 		c.cascade.add(j)
-		if c.requestDependentEnd(j) {
+		if c.requestDependentCancellation(j) {
 			count++
 			if count == 1 {
 				first = j.id
@@ -152,9 +156,10 @@
 	}
 }
 
-// requestDependentEnd has an owned job end as cancelled, and reports whether it was to end
-// in no way before. recordDependents records it.
-func (c *Controller) requestDependentEnd(j *job) bool {
+// requestDependentCancellation requests that a job with a cancelled dependency end as cancelled if
+// this node owns it. It returns false if the node does not own the job or an end was requested
+// already. recordDependents writes the record.
+func (c *Controller) requestDependentCancellation(j *job) bool {
 	if j.run == nil || j.run.end.requested() {
 		return false
 	}
@@ -163,11 +168,11 @@
 	return true
 }
 
-// namesCancelled reports whether a job that is to be accepted needs one that is cancelled,
-// directly or through others, as far as this node knows.
-func (t *jobTable) namesCancelled(sub *wire.Submission) bool {
+// dependsOnCancelled reports whether a submission has a direct or transitive dependency that this
+// node knows to be cancelled.
+func (t *jobTable) dependsOnCancelled(sub *wire.Submission) bool {
 	return slices.ContainsFunc(sub.DependsOn, func(id string) bool {
-		if f, over := t.final(id); over && f.state == wire.StateCancelled {
+		if f, ended := t.final(id); ended && f.state == wire.StateCancelled {
 			return true
 		}
 		d := t.open[id]
@@ -175,11 +180,11 @@
 	})
 }
 
-// mayWait reports whether a job may be answered as pending as far as its dependencies go.
-// One that needs a cancelled job may not, and a blocked one only while this node's view of
-// jobs is new enough: after an outage of the state service a cancellation that its user was
-// answered long ago may not have come here yet.
-func (c *Controller) mayWait(j *job) bool {
+// mayAnswerPending reports whether a job's dependencies allow the answer that it is pending. A job
+// with a cancelled dependency may not be called pending. A blocked job may be only while this node's
+// view of jobs is recent and holds the states of all its dependencies: after an outage of the state
+// service, this node may not know of a cancellation of which a user was notified long ago.
+func (c *Controller) mayAnswerPending(j *job) bool {
 	if j.dependencyCancelled {
 		return false
 	}
@@ -191,18 +196,18 @@
 	if !watch.Ready() || c.now-watch.CompleteAsOf > maxAge {
 		return false
 	}
-	return c.jobs.knowsAllNeeded(j)
+	return c.jobs.knowsAllDependencies(j)
 }
 
-// knowsAllNeeded reports whether this node knows the state of everything that a blocked job
-// needs, directly or through others. A cancelled one that left memory may be far above.
-func (t *jobTable) knowsAllNeeded(j *job) bool {
+// knowsAllDependencies reports whether this node knows the states of all direct and transitive
+// dependencies of a blocked job. A transitive one may have been cancelled and evicted from memory.
+func (t *jobTable) knowsAllDependencies(j *job) bool {
 	visited := map[string]bool{}
 	for stack := []*job{j}; len(stack) > 0; {
 		dependent := stack[len(stack)-1]
 		stack = stack[:len(stack)-1]
-		for id := range dependent.needs {
-			if _, unknown := t.unknown[id]; unknown {
+		for id := range dependent.unmetDependencies {
+			if _, unknown := t.unknownDependencies[id]; unknown {
 				return false
 			}
 			if d := t.open[id]; d != nil && d.blocked() && !visited[id] {
@@ -214,8 +219,8 @@
 	return true
 }
 
-// updatePriority sets a job's effective priority and deadline, and reports whether they
-// have changed.
+// updatePriority recomputes a job's effective priority and deadline and reports whether either has
+// changed.
 func (c *Controller) updatePriority(j *job) bool {
 	priority, deadline := c.effectivePriority(j)
 	if priority == j.priority && deadline == j.deadline {
@@ -227,9 +232,9 @@
 	return true
 }
 
-// effectivePriority returns the priority of a job and its deadline by the time of day, with
-// those of its dependents: it has the highest of their priorities, and must be done before
-// each of their deadlines by as much as the dependent takes.
+// effectivePriority returns the priority of a job and its deadline as a time of day, both with its
+// dependents taken into account. The priority is the highest of its own and theirs. The deadline is
+// early enough to leave each dependent its expected run time before that dependent's deadline.
 func (c *Controller) effectivePriority(j *job) (priority int, deadline micros.Micros) {
 	priority, _ = wire.PriorityOf(j.sub.Priority)
 	deadline = micros.Never
@@ -246,13 +251,13 @@
 	return priority, deadline
 }
 
-// propagatePriority updates the priority and deadline of all jobs that a job needs, directly
-// or through others.
+// propagatePriority updates the effective priority and deadline of all direct and transitive
+// dependencies of a job.
 func (c *Controller) propagatePriority(j *job) {
 	for stack := []*job{j}; len(stack) > 0; {
 		dependent := stack[len(stack)-1]
 		stack = stack[:len(stack)-1]
-		for id := range dependent.needs {
+		for id := range dependent.unmetDependencies {
 			if d := c.jobs.open[id]; d != nil && c.updatePriority(d) {
 				stack = append(stack, d)
 			}
@@ -260,33 +265,34 @@
 	}
 }
 
-// readUnknown reads dependencies of this node's jobs that are not known here: their ends
-// may have left memory.
-func (c *Controller) readUnknown() {
+// readUnknownDependencies reads the records of dependencies that are not in the job table, for the
+// jobs that this node owns. Such a dependency may have ended and been evicted from memory.
+func (c *Controller) readUnknownDependencies() {
 	t := &c.jobs
-	if len(t.unknown) == 0 {
+	if len(t.unknownDependencies) == 0 {
 		return
 	}
 	ownedAndBlocked := func(d *job) bool { return d.run != nil && !d.dependencyCancelled }
-	for _, id := range sortedKeys(t.unknown) {
+	for _, id := range sortedKeys(t.unknownDependencies) {
 		if t.readsInFlight >= maxDependencyReads {
 			return
 		}
-		if c.now < t.unknown[id] || !slices.ContainsFunc(t.dependents[id], ownedAndBlocked) {
+		if c.now < t.unknownDependencies[id] || !slices.ContainsFunc(t.dependents[id], ownedAndBlocked) {
 			continue
 		}
-		t.unknown[id] = c.now + unknownReadInterval
+		t.unknownDependencies[id] = c.now + unknownReadInterval
 		t.readsInFlight++
 		c.readJob(statestore.ClassDependents, id, func(statestore.Lookup) { t.readsInFlight-- })
 	}
 }
 
-// lookUpDependencies finds out whether all jobs that a submission names were accepted:
-// found, or missing if one surely was not, or failed if that can't be said now.
+// lookUpDependencies finds out whether all dependencies of a submission were accepted. It calls done
+// with LookupFound if they were, with LookupMissing if one certainly was not, and with LookupFailed
+// if that can't be determined now.
 func (c *Controller) lookUpDependencies(sub wire.Submission, done func(statestore.Lookup)) {
 	var unknown []string
 	for _, id := range sub.DependsOn {
-		if !c.jobs.knows(id) {
+		if !c.jobs.contains(id) {
 			unknown = append(unknown, id)
 		}
 	}
@@ -294,15 +300,15 @@
 		done(statestore.LookupFound)
 		return
 	}
-	remaining, all := len(unknown), statestore.LookupFound
+	remaining, result := len(unknown), statestore.LookupFound
 	for _, id := range unknown {
 		c.readForUser(id, func(found statestore.Lookup) {
-			if found == statestore.LookupMissing || found == statestore.LookupFailed && all == statestore.LookupFound {
-				all = found
+			if found == statestore.LookupMissing || found == statestore.LookupFailed && result == statestore.LookupFound {
+				result = found
 			}
 			remaining--
 			if remaining == 0 {
-				done(all)
+				done(result)
 			}
 		})
 	}
--- a/internal/controller/job_status.go
+++ b/internal/controller/job_status.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// peerStatusTimeout is how long a status request to a job's owner may take.
+	// peerStatusTimeout is the timeout of a status request to a job's owner.
 	peerStatusTimeout = 400 * micros.Millisecond
-	// peerCancelTimeout is the same for a cancellation.
+	// peerCancelTimeout is the timeout of a cancellation request to a job's owner.
 	peerCancelTimeout = 3 * micros.Second
 )
 
-// answerOfLookup returns the answer about a job whose record was looked up, where memory has no
-// more.
-func answerOfLookup(found statestore.Lookup) peer.JobResponse {
+// answerFromLookup returns the answer for a job whose record was looked up and whose end is not in
+// memory.
+func answerFromLookup(found statestore.Lookup) peer.JobResponse {
 	switch found {
 	case statestore.LookupFound:
 		return peer.JobResponse{Status: http.StatusOK, State: wire.StatePending}
@@ -29,18 +29,18 @@
 	}
 }
 
-// handleJobStatus answers a user who asks for the status of a job.
+// handleJobStatus handles a user's status request.
 func (c *Controller) handleJobStatus(in JobStatusRequest) {
 	if !wire.ValidID(in.ID) {
-		// Only ids of the protocol's form exist.
+		// A job's id always has the form that the protocol defines.
 		c.answer(in.Reply, http.StatusNotFound, nil, 0)
 		return
 	}
 	c.findJobState(in.ID, func(a peer.JobResponse) { c.answerJobStatus(in.Reply, in.ID, a) })
 }
 
-// findJobState finds the state of a job: a final state from memory, any other from the
-// job's owner, or from a read of its record.
+// findJobState finds the state of a job and calls done with it. A final state comes from memory, any
+// other from the job's owner or from a read of its record.
 func (c *Controller) findJobState(id string, done func(peer.JobResponse)) {
 	if f, ok := c.jobs.final(id); ok {
 		done(f.answer())
@@ -52,8 +52,9 @@
 		return
 	}
 	if j.dependencyCancelled && !c.hasSpareRequests() {
-		// It is to be recorded as cancelled, and the watch brings that. Reads for the
-		// users of a thousand such jobs would leave no requests for the records.
+		// The job will be recorded as cancelled, and the watch will deliver the record. Reads for
+		// status requests about a thousand such jobs would leave no requests for writing the
+		// records.
 		done(unavailable())
 		return
 	}
@@ -61,14 +62,14 @@
 		c.askOwner(j, done)
 		return
 	}
-	if j.run.end.unresolved() || !c.mayWait(j) {
+	if j.run.end.unresolved() || !c.mayAnswerPending(j) {
 		c.readJobState(id, done)
 		return
 	}
 	done(c.memoryAnswer(j))
 }
 
-// askOwner asks the owner of a job for its state; without its answer the record is read.
+// askOwner asks the owner of a job for its state. If the owner does not answer, the record is read.
 func (c *Controller) askOwner(j *job, done func(peer.JobResponse)) {
 	s := c.ownership.shards[j.shard]
 	p := c.peers[s.owner.Label]
@@ -85,14 +86,15 @@
 	})
 }
 
-// askPeer asks the owner of a job on behalf of a user.
-func (c *Controller) askPeer(p *peerView, ask peer.JobRequest, timeout micros.Micros, done func(peer.JobResponse)) {
+// askPeer sends a user's request about a job to its owner, and calls done with unavailable if too
+// many such requests are in flight or no answer comes.
+func (c *Controller) askPeer(p *peerView, jobReq peer.JobRequest, timeout micros.Micros, done func(peer.JobResponse)) {
 	if c.cfg.MaxPeerQuestions > 0 && c.peerQuestionsInFlight >= c.cfg.MaxPeerQuestions {
 		done(unavailable())
 		return
 	}
 	c.peerQuestionsInFlight++
-	req := peer.Request{From: c.cfg.Label, JobRequest: &ask}
+	req := peer.Request{From: c.cfg.Label, JobRequest: &jobReq}
 	c.call(Call{To: ToPeer, Addr: p.label, Req: req, Timeout: timeout}, func(r Result) {
 		c.peerQuestionsInFlight--
 		resp, ok := r.Body.(*peer.Response)
@@ -102,19 +104,20 @@
 		}
 		a := *resp.JobResponse
 		if a.Status == http.StatusOK && a.State.Final() {
-			c.finishJob(ask.ID, finalJob{state: a.State, tasks: a.Done})
+			c.finishJob(jobReq.ID, finalJob{state: a.State, tasks: a.Done})
 		}
 		done(a)
 	})
 }
 
-// readJob reads a job's record on behalf of other work. For users there is readForUser.
+// readJob reads a job's record for internal work of the given class. Users' requests use
+// readForUser.
 func (c *Controller) readJob(class statestore.Class, id string, done func(statestore.Lookup)) {
-	c.askState(class, statestore.GetKey{Key: wire.JobKey(id)}, statestore.ReadTimeout, func(r statestore.Reply) { done(c.learnRead(r)) })
+	c.askState(class, statestore.GetKey{Key: wire.JobKey(id)}, statestore.ReadTimeout, func(r statestore.Reply) { done(c.applyJobRead(r)) })
 }
 
-// learnRead takes what the read of a job's record brought.
-func (c *Controller) learnRead(r statestore.Reply) statestore.Lookup {
+// applyJobRead updates the job table from the result of reading a job's record.
+func (c *Controller) applyJobRead(r statestore.Reply) statestore.Lookup {
 	switch r.Status {
 	case http.StatusOK:
 		kv, ok := r.Body.(*wire.KeyValue)
@@ -123,8 +126,8 @@
 		}
 		c.ownership.lastStateReplyAt = c.now
 		c.applyPut(kv.Key, kv.Value, kv.ModRevision)
-		if id := kv.Key[len(wire.PrefixJob):]; !c.jobs.knows(id) && !c.jobs.unusable[id] {
-			return statestore.LookupFailed // it has ended since; see outdated
+		if id := kv.Key[len(wire.PrefixJob):]; !c.jobs.contains(id) && !c.jobs.unusable[id] {
+			return statestore.LookupFailed // the job has ended since the read; see outdated
 		}
 		return statestore.LookupFound
 	case http.StatusNotFound:
@@ -134,7 +137,7 @@
 	return statestore.LookupFailed
 }
 
-// readJobState finds the state of a job by a read of its record.
+// readJobState finds the state of a job by reading its record.
 func (c *Controller) readJobState(id string, done func(peer.JobResponse)) {
 	c.readForUser(id, func(found statestore.Lookup) {
 		if f, ok := c.jobs.final(id); ok {
@@ -142,9 +145,9 @@
 			return
 		}
 		j := c.jobs.open[id]
-		if found == statestore.LookupFound && j != nil && !c.mayWait(j) {
+		if found == statestore.LookupFound && j != nil && !c.mayAnswerPending(j) {
 			found = statestore.LookupFailed
 		}
-		done(answerOfLookup(found))
+		done(answerFromLookup(found))
 	})
 }
