--- a/internal/controller/authority.go
+++ b/internal/controller/authority.go
@@ -81,13 +81,13 @@
 }
 
 // positionOf returns the position of a heartbeat among those of its machine.
-func positionOf(heartbeat *wire.Heartbeat) authority.Position {
-	return authority.Position{AgentEpoch: heartbeat.AgentEpoch, Sequence: heartbeat.Sequence}
+func positionOf(heartbeat *wire.Heartbeat) authority.HeartbeatPosition {
+	return authority.HeartbeatPosition{AgentEpoch: heartbeat.AgentEpoch, Sequence: heartbeat.Sequence}
 }
 
 // lastPosition returns the position of the last heartbeat that was accepted.
-func (v *view) lastPosition() authority.Position {
-	return authority.Position{AgentEpoch: v.agentEpoch, Sequence: v.sequence}
+func (v *view) lastPosition() authority.HeartbeatPosition {
+	return authority.HeartbeatPosition{AgentEpoch: v.agentEpoch, Sequence: v.sequence}
 }
 
 // mayRenewMachineLease decides whether an accepted heartbeat may be answered, which renews the
@@ -154,7 +154,7 @@
 // run out.
 func (o *ownershipState) mayFreeMachine(s *shard, m *machine) bool {
 	v := m.view
-	return authority.MayFreeMachine(authority.ContentsKnowledge{
+	return authority.MayFreeMachine(authority.MachineTasksKnowledge{
 		LeaseValid:                  o.leaseValid(),
 		LeaseExpired:                v.leaseExpired,
 		Reconciled:                  v.reconciled,
@@ -179,7 +179,7 @@
 		LeaseExpired:   v.leaseExpired,
 		HeartbeatSeen:  v.sequenceKnown,
 		Empty:          v.empty(),
-		Retire:         retire,
+		ReturnToCloud:         retire,
 	}) && c.mayWriteRecordSet(m.recordSet)
 }
 
--- a/internal/controller/authority/bounds.go
+++ b/internal/controller/authority/bounds.go
@@ -3,12 +3,12 @@
 import "garnethitch/internal/micros"
 
 const (
-	// driftPPM is how fast a steady clock may run, in millionths.
-	driftPPM = 500
+	// maxClockDriftPPM is how fast a steady clock may run, in millionths.
+	maxClockDriftPPM = 500
 	// cancelMargin is kept free of the time within which a cancelled job's tasks must end.
 	cancelMargin = 3 * micros.Second
-	// stepDelay is how late a step of a timer, or a reply on its way out, may be.
-	stepDelay = 100 * micros.Millisecond
+	// maxSendDelay is how late a step of a timer, or a reply on its way out, may be.
+	maxSendDelay = 100 * micros.Millisecond
 )
 
 // Bounds are the times that keep an old owner and its successor apart. They follow from the
@@ -35,10 +35,10 @@
 }
 
 // addDrift returns d and what the drift of the two clocks involved can take away from it.
-func addDrift(d micros.Micros) micros.Micros { return d + d*2*driftPPM/1_000_000 + 1 }
+func addDrift(d micros.Micros) micros.Micros { return d + d*2*maxClockDriftPPM/1_000_000 + 1 }
 
 // subtractDrift returns d without what the drift of the two clocks involved can add to it.
-func subtractDrift(d micros.Micros) micros.Micros { return d - d*2*driftPPM/1_000_000 - 1 }
+func subtractDrift(d micros.Micros) micros.Micros { return d - d*2*maxClockDriftPPM/1_000_000 - 1 }
 
 // NewBounds returns the bounds for a controllers' lease in the state service, the workers'
 // lease, and the time within which the tasks of a cancelled job must have ended.
@@ -53,7 +53,7 @@
 // of its lease.
 func NewBounds(lease, workerLease, cancel micros.Micros) Bounds {
 	extra := max(cancel-addDrift(workerLease)-cancelMargin, 0)
-	validity := max(subtractDrift(lease)-stepDelay, 0)
+	validity := max(subtractDrift(lease)-maxSendDelay, 0)
 	return Bounds{
 		LeaseValidity:   validity,
 		CommandValidity: max(validity, extra),
@@ -62,7 +62,7 @@
 		StaleViewGrace: extra,
 		// The command that may start the task is void once the machine's agent epoch ends.
 		LateStartGrace: extra,
-		WorkerExpiry:   addDrift(workerLease) + stepDelay,
-		SuccessorWait:  addDrift(extra+workerLease) + 3*stepDelay,
+		WorkerExpiry:   addDrift(workerLease) + maxSendDelay,
+		SuccessorWait:  addDrift(extra+workerLease) + 3*maxSendDelay,
 	}
 }
--- a/internal/controller/authority/job_status.go
+++ b/internal/controller/authority/job_status.go
@@ -44,8 +44,8 @@
 	JobEnded, JobOpen bool
 	// StartEpoch is the revision of the claim under which the task was started.
 	StartEpoch uint64
-	// SeenAt is since when the task has been seen on the machine.
-	SeenAt micros.Micros
+	// FirstSeenAt is since when the task has been seen on the machine.
+	FirstSeenAt micros.Micros
 	Now    micros.Micros
 }
 
@@ -63,7 +63,7 @@
 		// was accepted after the view was brought up to this node's claim; and what this node
 		// started was open in its memory.
 		return JobEnded
-	case view.CompleteAsOf > task.SeenAt:
+	case view.CompleteAsOf > task.FirstSeenAt:
 		return JobEnded // the record is older than the task, and the task than the view
 	case task.StartEpoch > view.Revision && task.Now < view.CompleteAsOf+bounds.StaleViewGrace:
 		// Its starter knew all ends up to its own claim. If the job has ended, that was
--- a/internal/controller/authority/machine.go
+++ b/internal/controller/authority/machine.go
@@ -2,14 +2,14 @@
 
 import "garnethitch/internal/micros"
 
-// Position orders the heartbeats of a machine: by agent epoch, and by sequence within one.
-type Position struct {
+// HeartbeatPosition orders the heartbeats of a machine: by agent epoch, and by sequence within one.
+type HeartbeatPosition struct {
 	AgentEpoch uint64
 	Sequence   uint64
 }
 
 // After reports whether p is newer than other.
-func (p Position) After(other Position) bool {
+func (p HeartbeatPosition) After(other HeartbeatPosition) bool {
 	if p.AgentEpoch != other.AgentEpoch {
 		return p.AgentEpoch > other.AgentEpoch
 	}
@@ -28,14 +28,14 @@
 	Tracked bool
 	// PositionKnown is whether a heartbeat has been accepted; LastPosition is that of the last.
 	PositionKnown bool
-	LastPosition  Position
+	LastPosition  HeartbeatPosition
 	// FencingToken is the token under which this node commands it.
 	FencingToken uint64
 }
 
 // HeartbeatKnowledge is what a heartbeat says of itself.
 type HeartbeatKnowledge struct {
-	Position Position
+	Position HeartbeatPosition
 	// FencingToken is the highest that the machine has seen.
 	FencingToken uint64
 }
@@ -88,8 +88,8 @@
 	return Allow(ReasonHeartbeatAccepted)
 }
 
-// ContentsKnowledge is what a controller knows of the tasks that may be on a machine of its.
-type ContentsKnowledge struct {
+// MachineTasksKnowledge is what a controller knows of the tasks that may be on a machine of its.
+type MachineTasksKnowledge struct {
 	// LeaseValid is whether the node's own lease is valid.
 	LeaseValid bool
 	// LeaseExpired is whether the machine's lease is known to have ended already.
@@ -113,7 +113,7 @@
 // MayFreeMachine reports whether a machine has provably no task any more, because its lease
 // has run out. A node whose own lease is not valid can't tell: another node may own the shard,
 // and may have renewed the machine's lease.
-func MayFreeMachine(k ContentsKnowledge, bounds Bounds) bool {
+func MayFreeMachine(k MachineTasksKnowledge, bounds Bounds) bool {
 	mayHoldTasks := k.HeartbeatSeen || k.UnreconciledFromPredecessor
 	if k.LeaseExpired || !mayHoldTasks || !k.LeaseValid {
 		return false
@@ -138,8 +138,8 @@
 	HeartbeatSeen bool
 	// Empty is whether no task on it matters any more.
 	Empty bool
-	// Retire is whether it is to be returned to the cloud rather than moved to another shard.
-	Retire bool
+	// ReturnToCloud is whether it is to be returned to the cloud rather than moved to another shard.
+	ReturnToCloud bool
 }
 
 // MayReleaseMachine reports whether a machine may leave its shard: nothing is on it, and nothing
@@ -150,5 +150,5 @@
 	if k.Releasing || k.CommandPending || !contentsKnown || !k.Empty {
 		return false
 	}
-	return k.Retire || inContact
+	return k.ReturnToCloud || inContact
 }
--- a/internal/controller/authority/machine_test.go
+++ b/internal/controller/authority/machine_test.go
@@ -13,7 +13,7 @@
 		want   Decision
 	}{
 		{"a new heartbeat", func(*MachineKnowledge, *HeartbeatKnowledge) {}, Allow(ReasonCurrentView)},
-		{"the first heartbeat", func(m *MachineKnowledge, _ *HeartbeatKnowledge) { m.PositionKnown, m.LastPosition = false, Position{} }, Allow(ReasonCurrentView)},
+		{"the first heartbeat", func(m *MachineKnowledge, _ *HeartbeatKnowledge) { m.PositionKnown, m.LastPosition = false, HeartbeatPosition{} }, Allow(ReasonCurrentView)},
 		{"a stale view of jobs within its grace", func(m *MachineKnowledge, _ *HeartbeatKnowledge) { m.Shard = Allow(ReasonStaleViewWithinGrace) }, Allow(ReasonStaleViewWithinGrace)},
 		{"the shard may not be commanded", func(m *MachineKnowledge, _ *HeartbeatKnowledge) { m.Shard = Refuse(ReasonReleasing) }, Refuse(ReasonReleasing)},
 		{"cordoned, in a shard that may not be commanded", func(m *MachineKnowledge, _ *HeartbeatKnowledge) {
@@ -23,10 +23,10 @@
 		{"returned to the cloud", func(m *MachineKnowledge, _ *HeartbeatKnowledge) { m.Returned = true }, Refuse(ReasonReturned)},
 		{"a copy", func(_ *MachineKnowledge, heartbeat *HeartbeatKnowledge) { heartbeat.Position.Sequence = 5 }, Refuse(ReasonStaleHeartbeat)},
 		{"of an earlier agent epoch", func(_ *MachineKnowledge, heartbeat *HeartbeatKnowledge) {
-			heartbeat.Position = Position{AgentEpoch: 1, Sequence: 99}
+			heartbeat.Position = HeartbeatPosition{AgentEpoch: 1, Sequence: 99}
 		}, Refuse(ReasonStaleHeartbeat)},
 		{"of a later agent epoch", func(_ *MachineKnowledge, heartbeat *HeartbeatKnowledge) {
-			heartbeat.Position = Position{AgentEpoch: 3, Sequence: 1}
+			heartbeat.Position = HeartbeatPosition{AgentEpoch: 3, Sequence: 1}
 		}, Allow(ReasonCurrentView)},
 		{"a lower fencing token", func(_ *MachineKnowledge, heartbeat *HeartbeatKnowledge) { heartbeat.FencingToken-- }, Allow(ReasonCurrentView)},
 		{"another owner's fencing token", func(_ *MachineKnowledge, heartbeat *HeartbeatKnowledge) { heartbeat.FencingToken++ }, Refuse(ReasonHigherFencingToken)},
@@ -36,10 +36,10 @@
 				Shard:         Allow(ReasonCurrentView),
 				Tracked:       true,
 				PositionKnown: true,
-				LastPosition:  Position{AgentEpoch: 2, Sequence: 5},
+				LastPosition:  HeartbeatPosition{AgentEpoch: 2, Sequence: 5},
 				FencingToken:  40,
 			}
-			heartbeat := HeartbeatKnowledge{Position: Position{AgentEpoch: 2, Sequence: 6}, FencingToken: 40}
+			heartbeat := HeartbeatKnowledge{Position: HeartbeatPosition{AgentEpoch: 2, Sequence: 6}, FencingToken: 40}
 			tc.change(&known, &heartbeat)
 			if got := MayAcceptHeartbeat(known, heartbeat); got != tc.want {
 				t.Errorf("got %+v (%s), want %+v (%s)", got, got.Reason, tc.want, tc.want.Reason)
@@ -72,36 +72,36 @@
 	const expired = now - 45*micros.Second // testBounds.WorkerExpiry ago
 	for _, tc := range []struct {
 		name   string
-		change func(k *ContentsKnowledge)
+		change func(k *MachineTasksKnowledge)
 		want   bool
 	}{
-		{"lease run out", func(*ContentsKnowledge) {}, true},
-		{"replied to within the expiry", func(k *ContentsKnowledge) { k.LastReplyAt = expired + 1 }, false},
-		{"reconciled within the expiry", func(k *ContentsKnowledge) { k.ReconciledAt = expired + 1 }, false},
-		{"the wait after the claim does not count once it is reconciled", func(k *ContentsKnowledge) { k.MachinesFreeAt = now + 1 }, true},
-		{"not reconciled, the wait after the claim is over", func(k *ContentsKnowledge) { k.Reconciled = false }, true},
-		{"not reconciled, the wait after the claim is not over", func(k *ContentsKnowledge) {
+		{"lease run out", func(*MachineTasksKnowledge) {}, true},
+		{"replied to within the expiry", func(k *MachineTasksKnowledge) { k.LastReplyAt = expired + 1 }, false},
+		{"reconciled within the expiry", func(k *MachineTasksKnowledge) { k.ReconciledAt = expired + 1 }, false},
+		{"the wait after the claim does not count once it is reconciled", func(k *MachineTasksKnowledge) { k.MachinesFreeAt = now + 1 }, true},
+		{"not reconciled, the wait after the claim is over", func(k *MachineTasksKnowledge) { k.Reconciled = false }, true},
+		{"not reconciled, the wait after the claim is not over", func(k *MachineTasksKnowledge) {
 			k.Reconciled = false
 			k.MachinesFreeAt = now + 1
 		}, false},
-		{"not reconciled, replied to within the expiry", func(k *ContentsKnowledge) {
+		{"not reconciled, replied to within the expiry", func(k *MachineTasksKnowledge) {
 			k.Reconciled = false
 			k.LastReplyAt = expired + 1
 		}, false},
-		{"not reconciled any more, but within the expiry", func(k *ContentsKnowledge) {
+		{"not reconciled any more, but within the expiry", func(k *MachineTasksKnowledge) {
 			k.Reconciled = false
 			k.ReconciledAt = expired + 1
 		}, false},
-		{"known to be free already", func(k *ContentsKnowledge) { k.LeaseExpired = true }, false},
-		{"this node's lease is not valid", func(k *ContentsKnowledge) { k.LeaseValid = false }, false},
-		{"no heartbeat, and new on record", func(k *ContentsKnowledge) { k.HeartbeatSeen = false }, false},
-		{"no heartbeat, but a predecessor's", func(k *ContentsKnowledge) {
+		{"known to be free already", func(k *MachineTasksKnowledge) { k.LeaseExpired = true }, false},
+		{"this node's lease is not valid", func(k *MachineTasksKnowledge) { k.LeaseValid = false }, false},
+		{"no heartbeat, and new on record", func(k *MachineTasksKnowledge) { k.HeartbeatSeen = false }, false},
+		{"no heartbeat, but a predecessor's", func(k *MachineTasksKnowledge) {
 			k.HeartbeatSeen = false
 			k.UnreconciledFromPredecessor = true
 		}, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			known := ContentsKnowledge{
+			known := MachineTasksKnowledge{
 				LeaseValid:     true,
 				Reconciled:     true,
 				ReconciledAt:   expired,
@@ -138,7 +138,7 @@
 			if got := MayReleaseMachine(known); got != tc.wantMove {
 				t.Errorf("to another shard: %v, want %v", got, tc.wantMove)
 			}
-			known.Retire = true
+			known.ReturnToCloud = true
 			if got := MayReleaseMachine(known); got != tc.wantRetire {
 				t.Errorf("to the cloud: %v, want %v", got, tc.wantRetire)
 			}
--- a/internal/controller/authority_test.go
+++ b/internal/controller/authority_test.go
@@ -51,7 +51,7 @@
 // renewedAt has the lease of a controller last renewed at a time.
 func renewedAt(c *Controller, at micros.Micros) {
 	lease := &c.ownership.lease
-	lease.Grant(lease.ID(), at, c.now)
+	lease.Granted(lease.ID(), at, c.now)
 }
 
 // TestMayCommandShard checks what the controller knows of a shard, and what it decides from that;
@@ -68,7 +68,7 @@
 		{"a newer claim is known", func(_ *Controller, s *shard) { s.highestSeenEpoch = s.ownerEpoch + 1 }, authority.Refuse(authority.ReasonNewerClaim)},
 		{"the last renewal as old as it may be", func(c *Controller, _ *shard) { renewedAt(c, c.now-c.bounds.CommandValidity+1) }, authority.Allow(authority.ReasonCurrentView)},
 		{"the last renewal too old", func(c *Controller, _ *shard) { renewedAt(c, c.now-c.bounds.CommandValidity) }, authority.Refuse(authority.ReasonLeaseTooOld)},
-		{"no lease", func(c *Controller, _ *shard) { c.ownership.lease.Lose() }, authority.Refuse(authority.ReasonLeaseTooOld)},
+		{"no lease", func(c *Controller, _ *shard) { c.ownership.lease.Lost() }, authority.Refuse(authority.ReasonLeaseTooOld)},
 		{"a view as old as it may be", func(c *Controller, s *shard) {
 			s.jobsViewCurrent, c.ownership.jobWatch.CompleteAsOf = false, c.now-c.bounds.StaleViewGrace+1
 		}, authority.Allow(authority.ReasonStaleViewWithinGrace)},
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -16,7 +16,7 @@
 type Controller struct {
 	stepContext
 
-	reads        *statestore.Reads // of job records, for users
+	reads        *statestore.ReadCoalescer // of job records, for users
 	unsentLogged uint64            // requests given up unsent when that was last logged
 
 	ownership             ownershipState
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -558,7 +558,7 @@
 		}},
 		{"it is listing anew", func(h *harness) {
 			h.watchBlocked = wire.PrefixJob
-			h.c.ownership.jobWatch.ListAgain()
+			h.c.ownership.jobWatch.Relist()
 			h.c.ownership.jobWatch.InFlight = true
 		}},
 		{"the dependency's end is not in memory", func(h *harness) {
--- a/internal/controller/estimate/estimate_test.go
+++ b/internal/controller/estimate/estimate_test.go
@@ -64,14 +64,14 @@
 func TestRateMeter(t *testing.T) {
 	var r RateMeter
 	now := micros.Micros(0)
-	for now < 20*meterSpan {
+	for now < 20*meterTimeConstant {
 		now += sec
 		r.Add(now, 3)
 	}
 	if got := r.Rate(now); !near(got, 3, 0.02) {
 		t.Errorf("rate %v per second, want 3", got)
 	}
-	if got := r.Rate(now + meterSpan); !near(got, 3/math.E, 0.02) {
+	if got := r.Rate(now + meterTimeConstant); !near(got, 3/math.E, 0.02) {
 		t.Errorf("rate %v per second a time constant later, want %v", got, 3/math.E)
 	}
 }
--- a/internal/controller/fleet/catalog.go
+++ b/internal/controller/fleet/catalog.go
@@ -61,8 +61,8 @@
 	return float64(machines) * c.Types[machineType].CPUs
 }
 
-// Hosts reports whether a group's tasks could run on machines of a kind.
-func (c Catalog) Hosts(g peer.WaitingTasks, k Kind) bool {
+// CanRun reports whether a group's tasks could run on machines of a kind.
+func (c Catalog) CanRun(g peer.WaitingTasks, k Kind) bool {
 	mt, known := c.Types[k.Type]
 	if !known || !allows(g, k) {
 		return false
@@ -82,7 +82,7 @@
 // Useful reports whether tasks that wait in a shard could use a machine of a kind.
 func (c Catalog) Useful(d *peer.Demand, k Kind) bool {
 	for _, g := range d.Groups {
-		if g.Waiting > 0 && c.Hosts(g, k) {
+		if g.Waiting > 0 && c.CanRun(g, k) {
 			return true
 		}
 	}
@@ -103,7 +103,7 @@
 func (c Catalog) Constrained(g peer.WaitingTasks) bool {
 	for _, name := range c.Names {
 		for _, zone := range c.Types[name].Zones {
-			if !c.Hosts(g, Kind{name, zone, true}) || !c.Hosts(g, Kind{name, zone, false}) {
+			if !c.CanRun(g, Kind{name, zone, true}) || !c.CanRun(g, Kind{name, zone, false}) {
 				return true
 			}
 		}
--- a/internal/controller/fleet/catalog_test.go
+++ b/internal/controller/fleet/catalog_test.go
@@ -50,7 +50,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			c := testCatalog()
-			if got := c.Hosts(tc.group, tc.kind); got != tc.want {
+			if got := c.CanRun(tc.group, tc.kind); got != tc.want {
 				t.Errorf("hosts: %v, want %v", got, tc.want)
 			}
 			demands := Demands{3: {Shard: 3, Groups: []peer.WaitingTasks{tc.group}}}
--- a/internal/controller/fleet/consolidation.go
+++ b/internal/controller/fleet/consolidation.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	// drainedDivisor divides the machines of a shard into those that are drained at a time at
+	// maxDrainingDivisor divides the machines of a shard into those that are drained at a time at
 	// most.
-	drainedDivisor = 20
-	// minDrainLeft is how long a machine's tasks must still take for it to be worth draining.
-	minDrainLeft = 30 * micros.Second
+	maxDrainingDivisor = 20
+	// minRemainingRunTime is how long a machine's tasks must still take for it to be worth draining.
+	minRemainingRunTime = 30 * micros.Second
 	// repeatedWorkWeight weighs work that is done again against machines standing unused: its
 	// user waits as well.
 	repeatedWorkWeight = 3
@@ -38,7 +38,7 @@
 // worthDraining reports whether the machine would otherwise stay mostly unused for long.
 func (m DrainCandidate) worthDraining() bool {
 	mostlyUnused := 2*m.Busy <= m.CPUs
-	return mostlyUnused && micros.Micros(m.LeftUS) >= minDrainLeft && m.gain() > minDrainGain
+	return mostlyUnused && micros.Micros(m.LeftUS) >= minRemainingRunTime && m.gain() > minDrainGain
 }
 
 // Consolidation decides which busy machines are drained.
@@ -53,7 +53,7 @@
 func (c *Consolidation) Choose(d *peer.Demand, candidates []DrainCandidate, draining int) []DrainCandidate {
 	candidates = slices.DeleteFunc(candidates, func(m DrainCandidate) bool { return !m.worthDraining() })
 	slices.SortStableFunc(candidates, func(a, b DrainCandidate) int { return -cmp.Compare(a.gain(), b.gain()) })
-	most := max(1, d.All/drainedDivisor) - draining
+	most := max(1, d.All/maxDrainingDivisor) - draining
 	free := d.CPUs - d.Busy
 	for i, m := range candidates {
 		freeElsewhere := free - (m.CPUs - m.Busy)
--- a/internal/controller/fleet/demand.go
+++ b/internal/controller/fleet/demand.go
@@ -73,8 +73,8 @@
 	return (cpus - m.Busy) * micros.Micros(m.LeftUS).Seconds()
 }
 
-// Sums is what all shards want and have together.
-type Sums struct {
+// Totals is what all shards want and have together.
+type Totals struct {
 	Work     float64 // unfinished work, in CPU seconds
 	Arrival  float64 // work that came in recently, in CPUs kept busy
 	Parallel float64 // CPUs that could be in use at once
@@ -84,7 +84,7 @@
 }
 
 // Add adds what a shard wants and has.
-func (s *Sums) Add(d *peer.Demand) {
+func (s *Totals) Add(d *peer.Demand) {
 	s.Have += d.CPUs
 	s.Booting += d.Booting
 	s.Busy += d.Busy
@@ -96,7 +96,7 @@
 // Need returns how many CPUs are worth having at a price that is ratio times the lowest: the
 // dearer a machine, the longer the work would have to wait without it. drainHorizon is the time
 // within which the fleet is to be large enough to work off what waits.
-func (s Sums) Need(drainHorizon micros.Micros, ratio float64) float64 {
+func (s Totals) Need(drainHorizon micros.Micros, ratio float64) float64 {
 	forBacklog := s.Work / (drainHorizon.Seconds() * ratio)
 	forArrivals := s.Arrival / ratio
 	return min(max(forBacklog, forArrivals), s.Parallel)
--- a/internal/controller/fleet/demand_test.go
+++ b/internal/controller/fleet/demand_test.go
@@ -15,11 +15,11 @@
 		1: {Shard: 1, CPUs: 40, Busy: 30, Booting: 8, ArrivalCPUs: 2, RunLeftUS: cpuSeconds(60), Groups: []peer.WaitingTasks{{CPUs: 2, Waiting: 5, WorkUS: cpuSeconds(50)}}},
 		0: {Shard: 0, CPUs: 10, Busy: 1, ArrivalCPUs: 1, RunLeftUS: cpuSeconds(4)},
 	}
-	sums := Sums{Booting: 4}
+	sums := Totals{Booting: 4}
 	for _, shard := range demands.Shards() {
 		sums.Add(demands[shard])
 	}
-	want := Sums{Work: 60 + 100 + 4, Arrival: 3, Parallel: 30 + 10 + 1, Have: 50, Busy: 31, Booting: 12}
+	want := Totals{Work: 60 + 100 + 4, Arrival: 3, Parallel: 30 + 10 + 1, Have: 50, Busy: 31, Booting: 12}
 	if sums != want {
 		t.Errorf("sums %+v, want %+v", sums, want)
 	}
@@ -34,14 +34,14 @@
 func TestSumsNeed(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
-		sums  Sums
+		sums  Totals
 		ratio float64
 		want  float64
 	}{
-		{"by the backlog", Sums{Work: 3000, Parallel: 500}, 1, 100},
-		{"at twice the price, half of it", Sums{Work: 3000, Parallel: 500}, 2, 50},
-		{"by what arrives", Sums{Work: 30, Arrival: 40, Parallel: 500}, 1, 40},
-		{"no more than could be in use", Sums{Work: 30_000, Parallel: 200}, 1, 200},
+		{"by the backlog", Totals{Work: 3000, Parallel: 500}, 1, 100},
+		{"at twice the price, half of it", Totals{Work: 3000, Parallel: 500}, 2, 50},
+		{"by what arrives", Totals{Work: 30, Arrival: 40, Parallel: 500}, 1, 40},
+		{"no more than could be in use", Totals{Work: 30_000, Parallel: 200}, 1, 200},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if got := tc.sums.Need(30*micros.Second, tc.ratio); got != tc.want {
--- a/internal/controller/fleet/rebalancing.go
+++ b/internal/controller/fleet/rebalancing.go
@@ -12,15 +12,15 @@
 	// maxDraining bounds the machines that are drained for other shards at a time, beyond what
 	// may be drained without loss: one that empties slowly stands half used meanwhile.
 	maxDraining = 2
-	// drainWithin is how soon such a machine must be empty.
-	drainWithin = 15 * micros.Second
+	// maxDrainTime is how soon such a machine must be empty.
+	maxDrainTime = 15 * micros.Second
 	// minMoveGain is the least lack, in CPUs, that a machine is moved for.
 	minMoveGain = 0.5
 	// idleMoveGap is added to what a shard lacks of its part of the fleet, in CPUs, where an idle
 	// machine is considered: one that lacks nothing may still have tasks that wait.
 	idleMoveGap = 0.01
-	// keptDivisor divides the CPUs of a shard into those that are kept free where nothing waits.
-	keptDivisor = 20
+	// reserveDivisor divides the CPUs of a shard into those that are kept free where nothing waits.
+	reserveDivisor = 20
 )
 
 // Machine is a machine that may be moved to another shard.
@@ -46,9 +46,9 @@
 	catalog Catalog
 	demands Demands
 	shards  []int
-	// target is what each shard should have, has what it has, with moves under way counted
+	// target is what each shard should have, actual what it actual, with moves under way counted
 	// where they go.
-	target, has map[int]float64
+	target, actual map[int]float64
 	// shortfall is what its waiting tasks want beyond what is free there.
 	shortfall map[int]float64
 	// spare is what may be drained without loss, where nothing waits.
@@ -68,31 +68,31 @@
 		demands:   demands,
 		shards:    demands.Shards(),
 		target:    TargetCPUs(demands, total),
-		has:       map[int]float64{},
+		actual:       map[int]float64{},
 		shortfall: map[int]float64{},
 		spare:     map[int]float64{},
 	}
 	for shard, d := range demands {
 		free := d.CPUs - d.Busy
 		waiting := WaitingCPUs(d)
-		r.has[shard] = d.CPUs
+		r.actual[shard] = d.CPUs
 		r.shortfall[shard] = max(0, waiting-free)
 		if waiting == 0 {
-			r.spare[shard] = free - d.CPUs/keptDivisor
+			r.spare[shard] = free - d.CPUs/reserveDivisor
 		}
 	}
 	return r
 }
 
-// Wanted reports whether a machine that is drained for another shard is needed in its own again.
-func (r *Rebalancing) Wanted(m Machine) bool {
-	return WaitingCPUs(r.demands[m.From]) > 0 && r.has[m.From] < r.target[m.From]
+// NeededInOwnShard reports whether a machine that is drained for another shard is needed in its own again.
+func (r *Rebalancing) NeededInOwnShard(m Machine) bool {
+	return WaitingCPUs(r.demands[m.From]) > 0 && r.actual[m.From] < r.target[m.From]
 }
 
 // AddDraining counts a machine that is drained for a shard where it goes.
 func (r *Rebalancing) AddDraining(m Machine, to int) {
 	r.draining++
-	r.has[to] += m.CPUs
+	r.actual[to] += m.CPUs
 	r.shortfall[to] = max(0, r.shortfall[to]-m.CPUs)
 }
 
@@ -108,8 +108,8 @@
 		if !found || !r.mayLeave(m, gain) {
 			continue
 		}
-		r.has[m.From] -= m.CPUs
-		r.has[to] += m.CPUs
+		r.actual[m.From] -= m.CPUs
+		r.actual[to] += m.CPUs
 		r.shortfall[to] -= m.CPUs
 		moves = append(moves, Move{Machine: m, To: to, Drain: !m.idle()})
 	}
@@ -124,7 +124,7 @@
 		if shard == m.From || !r.catalog.Useful(r.demands[shard], m.Kind) {
 			continue
 		}
-		gap := r.target[shard] - r.has[shard]
+		gap := r.target[shard] - r.actual[shard]
 		if m.idle() {
 			gap = max(gap, 0) + idleMoveGap
 		}
@@ -145,7 +145,7 @@
 		own := r.demands[m.From]
 		return WaitingCPUs(own) == 0 || !r.catalog.Useful(own, m.Kind)
 	}
-	surplus := r.has[m.From] - r.target[m.From]
+	surplus := r.actual[m.From] - r.target[m.From]
 	if gain < m.CPUs/2 || surplus < m.CPUs/2 {
 		return false
 	}
@@ -153,7 +153,7 @@
 		r.spare[m.From] -= unused
 		return true
 	}
-	if micros.Micros(m.LeftUS) > drainWithin || r.draining >= maxDraining {
+	if micros.Micros(m.LeftUS) > maxDrainTime || r.draining >= maxDraining {
 		return false
 	}
 	r.draining++
--- a/internal/controller/fleet/rebalancing_test.go
+++ b/internal/controller/fleet/rebalancing_test.go
@@ -88,15 +88,15 @@
 func TestRebalancingWanted(t *testing.T) {
 	demands := rebalancingDemands(1000, 80)
 	m := movable("vm-2", peer.MachineDraining, 4, 0)
-	if NewRebalancing(testCatalog(), demands).Wanted(m) {
+	if NewRebalancing(testCatalog(), demands).NeededInOwnShard(m) {
 		t.Error("wanted where nothing waits")
 	}
 	m.From = 0
-	if !NewRebalancing(testCatalog(), demands).Wanted(m) {
+	if !NewRebalancing(testCatalog(), demands).NeededInOwnShard(m) {
 		t.Error("not wanted where tasks wait and machines are missing")
 	}
 	demands[1].Groups = []peer.WaitingTasks{{Any: true, CPUs: 1, Waiting: 1000, WorkUS: cpuSeconds(90_000)}}
-	if NewRebalancing(testCatalog(), demands).Wanted(m) {
+	if NewRebalancing(testCatalog(), demands).NeededInOwnShard(m) {
 		t.Error("wanted in a shard that has more than its part")
 	}
 }
--- a/internal/controller/fleet/scale_in.go
+++ b/internal/controller/fleet/scale_in.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	// largeSurplusIdle is how long a machine may be idle at most where there is much more than
+	// largeSurplusMaxIdle is how long a machine may be idle at most where there is much more than
 	// is needed.
-	largeSurplusIdle = 2 * micros.Second
-	// fullFleetIdle is how long a machine may be idle where the fleet may not grow: it takes the
+	largeSurplusMaxIdle = 2 * micros.Second
+	// fullFleetMaxIdle is how long a machine may be idle where the fleet may not grow: it takes the
 	// place of one that would be of use.
-	fullFleetIdle = 5 * micros.Second
+	fullFleetMaxIdle = 5 * micros.Second
 )
 
 // IdleMachine is a machine that may be returned to the cloud.
@@ -22,12 +22,12 @@
 	CPUs     float64
 	CPUPrice float64 // of each CPU for an hour
 	IdleFor  micros.Micros
-	Useless  bool // tasks wait, and none of them can use the machine
+	Unusable  bool // tasks wait, and none of them can use the machine
 }
 
 // ScaleIn decides which idle machines are returned to the cloud.
 type ScaleIn struct {
-	Sums         Sums
+	Totals         Totals
 	DrainHorizon micros.Micros // see Sums.Need
 	LowestPrice  float64       // see Catalog.LowestPrice
 	// Reserve is how many CPUs are kept although nothing waits.
@@ -47,7 +47,7 @@
 	var chosen []string
 	for _, m := range idle {
 		if s.surplus(m) {
-			s.Sums.Have -= m.CPUs
+			s.Totals.Have -= m.CPUs
 			chosen = append(chosen, m.ID)
 		}
 	}
@@ -56,14 +56,14 @@
 
 // surplus reports whether a machine is not needed any more.
 func (s ScaleIn) surplus(m IdleMachine) bool {
-	if s.FleetFull && m.IdleFor >= fullFleetIdle {
+	if s.FleetFull && m.IdleFor >= fullFleetMaxIdle {
 		return true
 	}
-	need := s.Sums.Need(s.DrainHorizon, max(m.CPUPrice/s.LowestPrice, 1))
-	surplus := s.Sums.Have - max(need, min(s.Sums.Parallel, s.Sums.Have))
+	need := s.Totals.Need(s.DrainHorizon, max(m.CPUPrice/s.LowestPrice, 1))
+	surplus := s.Totals.Have - max(need, min(s.Totals.Parallel, s.Totals.Have))
 	maxIdle := s.MaxIdle
 	if surplus-m.CPUs >= s.Reserve {
-		maxIdle = min(maxIdle, largeSurplusIdle)
+		maxIdle = min(maxIdle, largeSurplusMaxIdle)
 	}
-	return (surplus >= m.CPUs || m.Useless) && m.IdleFor >= maxIdle
+	return (surplus >= m.CPUs || m.Unusable) && m.IdleFor >= maxIdle
 }
--- a/internal/controller/fleet/scale_in_test.go
+++ b/internal/controller/fleet/scale_in_test.go
@@ -12,7 +12,7 @@
 		return IdleMachine{ID: id, CPUs: 4, CPUPrice: price, IdleFor: since}
 	}
 	useless := idle("vm-1", 1, micros.Minute)
-	useless.Useless = true
+	useless.Unusable = true
 	three := []IdleMachine{idle("vm-2", 1, micros.Minute), idle("vm-1", 1, micros.Minute), idle("vm-3", 2, micros.Minute)}
 	for _, tc := range []struct {
 		name   string
@@ -20,16 +20,16 @@
 		idle   []IdleMachine
 		want   []string
 	}{
-		{"the dearest first, as far as more is there than needed", func(s *ScaleIn) { s.Sums = Sums{Have: 29, Parallel: 20, Work: 6000} }, three, []string{"vm-3", "vm-1"}},
-		{"all are needed", func(s *ScaleIn) { s.Sums = Sums{Have: 20, Parallel: 20, Work: 6000} }, three, nil},
+		{"the dearest first, as far as more is there than needed", func(s *ScaleIn) { s.Totals = Totals{Have: 29, Parallel: 20, Work: 6000} }, three, []string{"vm-3", "vm-1"}},
+		{"all are needed", func(s *ScaleIn) { s.Totals = Totals{Have: 20, Parallel: 20, Work: 6000} }, three, nil},
 		{"large surplus: after two seconds", func(*ScaleIn) {}, []IdleMachine{idle("vm-1", 1, 2*micros.Second)}, []string{"vm-1"}},
 		{"large surplus, for a moment only", func(*ScaleIn) {}, []IdleMachine{idle("vm-1", 1, micros.Second)}, nil},
 		{"kept in reserve for a while", func(s *ScaleIn) { s.Reserve = 100 }, []IdleMachine{idle("vm-1", 1, 2*micros.Second)}, nil},
-		{"of no use", func(s *ScaleIn) { s.Sums = Sums{Have: 20, Parallel: 20, Work: 6000} }, []IdleMachine{useless}, []string{"vm-1"}},
-		{"the fleet may not grow", func(s *ScaleIn) { s.Sums, s.FleetFull = Sums{Have: 20, Parallel: 20, Work: 6000}, true }, []IdleMachine{idle("vm-1", 1, 5*micros.Second), idle("vm-2", 1, 4*micros.Second)}, []string{"vm-1"}},
+		{"of no use", func(s *ScaleIn) { s.Totals = Totals{Have: 20, Parallel: 20, Work: 6000} }, []IdleMachine{useless}, []string{"vm-1"}},
+		{"the fleet may not grow", func(s *ScaleIn) { s.Totals, s.FleetFull = Totals{Have: 20, Parallel: 20, Work: 6000}, true }, []IdleMachine{idle("vm-1", 1, 5*micros.Second), idle("vm-2", 1, 4*micros.Second)}, []string{"vm-1"}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			s := ScaleIn{Sums: Sums{Have: 100}, DrainHorizon: 30 * micros.Second, LowestPrice: 1, MaxIdle: 10 * micros.Second}
+			s := ScaleIn{Totals: Totals{Have: 100}, DrainHorizon: 30 * micros.Second, LowestPrice: 1, MaxIdle: 10 * micros.Second}
 			tc.change(&s)
 			if got := s.Choose(slices.Clone(tc.idle)); !slices.Equal(got, tc.want) {
 				t.Errorf("returned %v, want %v", got, tc.want)
--- a/internal/controller/fleet/scale_out.go
+++ b/internal/controller/fleet/scale_out.go
@@ -25,7 +25,7 @@
 type ScaleOut struct {
 	Catalog      Catalog
 	DrainHorizon micros.Micros // see Sums.Need
-	Sums         Sums
+	Totals         Totals
 	Groups       []peer.WaitingTasks // what waits
 	Free         map[Kind]float64    // CPUs of the machines that are idle or on their way
 	// MachinesInZone counts the machines by zone.
@@ -39,7 +39,7 @@
 // Add counts a rental among what there is.
 func (s *ScaleOut) Add(rental wire.Rental) {
 	cpus := s.Catalog.CPUs(rental.Type, rental.Count)
-	s.Sums.Have += cpus
+	s.Totals.Have += cpus
 	s.Free[Kind{rental.Type, rental.Zone, rental.Spot}] += cpus
 	s.MaxMachines -= rental.Count
 	s.MachinesInZone[rental.Zone] += rental.Count
@@ -65,9 +65,9 @@
 
 // rentalFor returns the rental for a group's tasks; false if they are not to have any.
 func (s *ScaleOut) rentalFor(g peer.WaitingTasks, lowestPrice float64) (wire.Rental, bool) {
-	shortfall := s.Sums.Parallel - s.Sums.Have
+	shortfall := s.Totals.Parallel - s.Totals.Have
 	groupShortfall := 0.0
-	hardlyAnyMachine := s.Sums.Have+scheduling.Tolerance < g.CPUs
+	hardlyAnyMachine := s.Totals.Have+scheduling.Tolerance < g.CPUs
 	if s.Catalog.Constrained(g) || hardlyAnyMachine {
 		groupShortfall = s.groupShortfall(g)
 		shortfall = max(shortfall, groupShortfall)
@@ -76,7 +76,7 @@
 		return wire.Rental{}, false
 	}
 	for _, o := range s.options(g, shortfall) {
-		deficit := max(s.Sums.Need(s.DrainHorizon, max(o.cpuPrice/lowestPrice, 1))-s.Sums.Have, groupShortfall)
+		deficit := max(s.Totals.Need(s.DrainHorizon, max(o.cpuPrice/lowestPrice, 1))-s.Totals.Have, groupShortfall)
 		if deficit < minDeficit {
 			continue
 		}
@@ -93,7 +93,7 @@
 	toDrain := micros.Micros(g.WorkUS).Seconds() * g.CPUs / s.DrainHorizon.Seconds()
 	shortfall := min(waiting, max(toDrain, g.CPUs))
 	for k, cpus := range s.Free {
-		if s.Catalog.Hosts(g, k) {
+		if s.Catalog.CanRun(g, k) {
 			shortfall -= cpus
 		}
 	}
@@ -120,7 +120,7 @@
 		}
 		usedCPUs := min(mt.CPUs, max(shortfall, g.CPUs))
 		for _, k := range kindsOf(mt, name) {
-			if !s.Catalog.Hosts(g, k) || s.Unavailable(k) {
+			if !s.Catalog.CanRun(g, k) || s.Unavailable(k) {
 				continue
 			}
 			price := CPUPrice(mt, k.Spot)
--- a/internal/controller/fleet/target.go
+++ b/internal/controller/fleet/target.go
@@ -2,14 +2,14 @@
 
 import "garnethitch/internal/controller/scheduling"
 
-// maxDistributionRounds bounds how often what a shard cannot use is given to the others.
-const maxDistributionRounds = 4
+// maxAllocationRounds bounds how often what a shard cannot use is given to the others.
+const maxAllocationRounds = 4
 
 // TargetCPUs returns how many of total CPUs each shard should have: first what its jobs within
 // their team's guarantee can use, then in proportion to its unfinished work, and never more than
 // its tasks could use at once.
 func TargetCPUs(demands Demands, total float64) map[int]float64 {
-	d := distribution{shards: demands.Shards(), given: map[int]float64{}, left: total}
+	d := allocation{shards: demands.Shards(), allocated: map[int]float64{}, remaining: total}
 	usable := map[int]float64{}
 	guaranteed := map[int]float64{}
 	work := map[int]float64{}
@@ -23,36 +23,36 @@
 	for shard, cpus := range guaranteed {
 		withinGuarantee[shard] = min(cpus, usable[shard])
 	}
-	d.give(guaranteed, withinGuarantee)
-	d.give(work, usable)
-	return d.given
+	d.allocate(guaranteed, withinGuarantee)
+	d.allocate(work, usable)
+	return d.allocated
 }
 
-// distribution gives CPUs to shards.
-type distribution struct {
+// allocation gives CPUs to shards.
+type allocation struct {
 	shards []int
-	given  map[int]float64
-	left   float64
+	allocated  map[int]float64
+	remaining   float64
 }
 
-// give distributes what is left in proportion to the shards' weights, to each up to its limit.
-func (d *distribution) give(weights, limits map[int]float64) {
-	for range maxDistributionRounds {
+// allocate distributes what is left in proportion to the shards' weights, to each up to its limit.
+func (d *allocation) allocate(weights, limits map[int]float64) {
+	for range maxAllocationRounds {
 		sum := 0.0
 		for _, shard := range d.shards {
-			if d.given[shard] < limits[shard]-scheduling.Tolerance {
+			if d.allocated[shard] < limits[shard]-scheduling.Tolerance {
 				sum += weights[shard]
 			}
 		}
-		if sum <= 0 || d.left <= scheduling.Tolerance {
+		if sum <= 0 || d.remaining <= scheduling.Tolerance {
 			return
 		}
-		toGive := d.left
+		toGive := d.remaining
 		for _, shard := range d.shards {
-			if headroom := limits[shard] - d.given[shard]; headroom > scheduling.Tolerance {
+			if headroom := limits[shard] - d.allocated[shard]; headroom > scheduling.Tolerance {
 				cpus := min(headroom, toGive*weights[shard]/sum)
-				d.given[shard] += cpus
-				d.left -= cpus
+				d.allocated[shard] += cpus
+				d.remaining -= cpus
 			}
 		}
 	}
--- a/internal/controller/fleet_plan.go
+++ b/internal/controller/fleet_plan.go
@@ -116,8 +116,8 @@
 
 // sumDemands adds up what the shards want and have, beside the CPUs of machines that are not on
 // record yet.
-func (c *Controller) sumDemands(demands fleet.Demands, bootingCPUs float64) fleet.Sums {
-	sums := fleet.Sums{Booting: bootingCPUs}
+func (c *Controller) sumDemands(demands fleet.Demands, bootingCPUs float64) fleet.Totals {
+	sums := fleet.Totals{Booting: bootingCPUs}
 	for _, id := range demands.Shards() {
 		d := demands[id]
 		sums.Add(d)
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -210,9 +210,9 @@
 // adjustJobWatch sets the pace of the watch of jobs: blocked jobs depend on it.
 func (o *ownershipState) adjustJobWatch(survey openJobsSurvey) {
 	watch := &o.jobWatch
-	watch.BlockTimeout = statestore.WatchTimeout
+	watch.PollTimeout = statestore.WatchTimeout
 	if survey.blocked {
-		watch.BlockTimeout = blockedWatchTimeout
+		watch.PollTimeout = blockedWatchTimeout
 	}
 	interval := jobWatchInterval
 	if survey.ownBlocked {
--- a/internal/controller/lease.go
+++ b/internal/controller/lease.go
@@ -32,7 +32,7 @@
 // requestLease requests a lease. It counts from when it is requested.
 func (o *ownershipState) requestLease() {
 	lease := &o.lease
-	lease.Request()
+	lease.Requested()
 	sentAt := o.now
 	o.askState(statestore.ClassLease, wire.NewLease{TTLMS: lease.Duration().Millis()}, leaseRequestTimeout, func(r statestore.Reply) {
 		granted, ok := r.Body.(*wire.Lease)
@@ -40,7 +40,7 @@
 			lease.RequestFailed()
 			return
 		}
-		lease.Grant(granted.ID, sentAt, o.now)
+		lease.Granted(granted.ID, sentAt, o.now)
 		o.lastStateReplyAt = o.now
 		o.log(Info, "lease granted", "lease", granted.ID)
 	})
@@ -51,9 +51,9 @@
 	lease := &c.ownership.lease
 	id := lease.ID()
 	sentAt := c.now
-	lease.SendRenewal(c.now)
+	lease.RenewalSent(c.now)
 	c.askState(statestore.ClassLease, statestore.RenewLease{Lease: id}, lease.Duration(), func(r statestore.Reply) {
-		if !lease.EndRenewal(id) {
+		if !lease.RenewalEnded(id) {
 			return
 		}
 		switch r.Status {
@@ -64,7 +64,7 @@
 			c.ownership.lastStateReplyAt = c.now
 			c.loseLease()
 		default:
-			lease.RetryRenewal(c.now + c.jitter(renewalRetryDelay))
+			lease.RetryRenewalBy(c.now + c.jitter(renewalRetryDelay))
 		}
 	})
 }
@@ -75,14 +75,14 @@
 	if o.now >= lease.RenewedAt()+o.bounds.LeaseValidity {
 		o.log(Info, "lease renewed after a gap", "gap_ms", (o.now - lease.RenewedAt()).Millis())
 	}
-	lease.Renew(sentAt)
+	lease.RenewalSucceeded(sentAt)
 	o.lastStateReplyAt = o.now
 	o.schedulingDue = true
 }
 
 // loseLease gives up the lease, and every shard whose lock was held under it.
 func (c *Controller) loseLease() {
-	c.ownership.lease.Lose()
+	c.ownership.lease.Lost()
 	for _, s := range c.ownership.shards {
 		if s.owned() {
 			c.deactivate(s)
--- a/internal/controller/ownership.go
+++ b/internal/controller/ownership.go
@@ -157,7 +157,7 @@
 		Shards:         shardsOf[c.cfg.Label],
 		PreferredOwner: c.preferredOwner(index),
 		Starting:       c.now < c.startedAt+startingPeriod,
-		WithoutWorkers: c.contact.lost(),
+		WorkersUnreachable: c.contact.lost(),
 	}
 	for _, label := range c.nodes {
 		if p := c.peers[label]; p != nil && c.hasWorkers(p) {
--- a/internal/controller/ownership/claim.go
+++ b/internal/controller/ownership/claim.go
@@ -13,8 +13,8 @@
 	// startingDelay is the delay of a controller that has just started: the others may be
 	// starting as well.
 	startingDelay = 2 * claimStep
-	// withoutWorkersDelay is the delay of a controller that does not reach the workers.
-	withoutWorkersDelay = 8 * claimStep
+	// workersUnreachableDelay is the delay of a controller that does not reach the workers.
+	workersUnreachableDelay = 8 * claimStep
 )
 
 // PreferredOwner returns the controller that a shard belongs to when all are well. labels are
@@ -38,38 +38,38 @@
 	PreferredOwner string
 	// Starting is whether the controller has started just now.
 	Starting bool
-	// WithoutWorkers is whether it has lost contact with the workers.
-	WithoutWorkers bool
+	// WorkersUnreachable is whether it has lost contact with the workers.
+	WorkersUnreachable bool
 	Candidates     []Candidate
 }
 
 // ClaimDelay returns how long after the shard became free the controller is to claim it. The
 // best candidate goes first: the preferred owner, then the one that owns the fewest shards.
 func ClaimDelay(k ClaimKnowledge) micros.Micros {
-	if k.PreferredOwner == k.Label && !k.WithoutWorkers {
+	if k.PreferredOwner == k.Label && !k.WorkersUnreachable {
 		return 0
 	}
 	delay := micros.Micros(0)
 	switch {
 	case k.Starting:
 		delay = startingDelay
-	case k.WithoutWorkers:
-		delay = withoutWorkersDelay
+	case k.WorkersUnreachable:
+		delay = workersUnreachableDelay
 	}
 	for _, candidate := range k.Candidates {
 		if candidate.Label == k.PreferredOwner {
 			delay += claimStep
 		}
-		if k.comesAfter(candidate) {
+		if k.goesAfter(candidate) {
 			delay += claimStep
 		}
 	}
 	return delay
 }
 
-// comesAfter reports whether a candidate goes before the controller: it owns fewer shards, or as
+// goesAfter reports whether a candidate goes before the controller: it owns fewer shards, or as
 // many and its label comes first.
-func (k ClaimKnowledge) comesAfter(candidate Candidate) bool {
+func (k ClaimKnowledge) goesAfter(candidate Candidate) bool {
 	if candidate.Shards != k.Shards {
 		return candidate.Shards < k.Shards
 	}
--- a/internal/controller/ownership/lease.go
+++ b/internal/controller/ownership/lease.go
@@ -64,22 +64,22 @@
 // RequestDue reports whether a lease is to be requested.
 func (l *Lease) RequestDue() bool { return l.state == leaseAbsent }
 
-// Request notes that a lease has been requested.
-func (l *Lease) Request() { l.state = leaseRequested }
+// Requested notes that a lease has been requested.
+func (l *Lease) Requested() { l.state = leaseRequested }
 
 // RequestFailed notes that the requested lease has not been granted.
 func (l *Lease) RequestFailed() { l.state = leaseAbsent }
 
-// Grant takes the lease that was requested at sentAt.
-func (l *Lease) Grant(id uint64, sentAt, now micros.Micros) {
+// Granted takes the lease that was requested at sentAt.
+func (l *Lease) Granted(id uint64, sentAt, now micros.Micros) {
 	l.state = leaseHeld
 	l.id = id
 	l.renewedAt = sentAt
 	l.nextRenewalAt = now + l.renewalInterval()
 }
 
-// Lose gives up the lease.
-func (l *Lease) Lose() {
+// Lost gives up the lease.
+func (l *Lease) Lost() {
 	l.state = leaseAbsent
 	l.id = 0
 }
@@ -89,24 +89,24 @@
 	return l.Held() && l.renewalsInFlight < MaxRenewalsInFlight && now >= l.nextRenewalAt
 }
 
-// SendRenewal notes that a renewal is sent.
-func (l *Lease) SendRenewal(now micros.Micros) {
+// RenewalSent notes that a renewal is sent.
+func (l *Lease) RenewalSent(now micros.Micros) {
 	l.renewalsInFlight++
 	l.nextRenewalAt = now + l.renewalInterval()
 }
 
-// EndRenewal notes that the response to a renewal of a lease has come, or will not come. It
+// RenewalEnded notes that the response to a renewal of a lease has come, or will not come. It
 // reports whether that lease is still held.
-func (l *Lease) EndRenewal(id uint64) bool {
+func (l *Lease) RenewalEnded(id uint64) bool {
 	l.renewalsInFlight--
 	return l.id == id
 }
 
-// Renew extends the lease by a renewal that was sent at sentAt.
-func (l *Lease) Renew(sentAt micros.Micros) { l.renewedAt = max(l.renewedAt, sentAt) }
+// RenewalSucceeded extends the lease by a renewal that was sent at sentAt.
+func (l *Lease) RenewalSucceeded(sentAt micros.Micros) { l.renewedAt = max(l.renewedAt, sentAt) }
 
-// RetryRenewal has the next renewal sent no later than at a time.
-func (l *Lease) RetryRenewal(at micros.Micros) { l.nextRenewalAt = min(l.nextRenewalAt, at) }
+// RetryRenewalBy has the next renewal sent no later than at a time.
+func (l *Lease) RetryRenewalBy(at micros.Micros) { l.nextRenewalAt = min(l.nextRenewalAt, at) }
 
 // renewalInterval returns the time between two renewals.
 func (l *Lease) renewalInterval() micros.Micros { return l.duration / renewalsPerLease }
--- a/internal/controller/ownership/lease_test.go
+++ b/internal/controller/ownership/lease_test.go
@@ -13,7 +13,7 @@
 	if !l.RequestDue() || l.Held() || l.RenewalDue(100*sec) {
 		t.Fatalf("a new lease is %s", l.state)
 	}
-	l.Request()
+	l.Requested()
 	if l.RequestDue() || l.Held() {
 		t.Fatalf("a lease that has been requested is %s", l.state)
 	}
@@ -21,12 +21,12 @@
 	if !l.RequestDue() {
 		t.Fatalf("a lease whose request failed is %s", l.state)
 	}
-	l.Request()
-	l.Grant(7, 10*sec, 11*sec)
+	l.Requested()
+	l.Granted(7, 10*sec, 11*sec)
 	if !l.Held() || l.RequestDue() || l.ID() != 7 || l.RenewedAt() != 10*sec {
 		t.Fatalf("a lease that has been granted is %+v", l)
 	}
-	l.Lose()
+	l.Lost()
 	if l.Held() || l.ID() != 0 || !l.RequestDue() {
 		t.Fatalf("a lost lease is %+v", l)
 	}
@@ -34,7 +34,7 @@
 
 func TestLeaseRenewalsAreBoundedAndSteady(t *testing.T) {
 	l := NewLease(8 * sec)
-	l.Grant(7, 10*sec, 10*sec)
+	l.Granted(7, 10*sec, 10*sec)
 	if l.RenewalDue(12*sec - 1) {
 		t.Error("a renewal is due before a quarter of the lease is over")
 	}
@@ -43,7 +43,7 @@
 		if !l.RenewalDue(now) {
 			t.Fatalf("renewal %d is not due", i+1)
 		}
-		l.SendRenewal(now)
+		l.RenewalSent(now)
 		if l.RenewalDue(now) {
 			t.Fatalf("renewal %d is sent twice", i+1)
 		}
@@ -52,7 +52,7 @@
 	if l.RenewalDue(now) {
 		t.Errorf("a renewal is due beside %d in flight", MaxRenewalsInFlight)
 	}
-	if !l.EndRenewal(7) || !l.RenewalDue(now) {
+	if !l.RenewalEnded(7) || !l.RenewalDue(now) {
 		t.Error("no renewal is due after one has ended")
 	}
 }
@@ -64,16 +64,16 @@
 		wantRenewed micros.Micros
 		wantNext    micros.Micros
 	}{
-		{"counts from when it was sent", func(l *Lease) { l.Renew(12 * sec) }, 12 * sec, 14 * sec},
-		{"an earlier one that comes later changes nothing", func(l *Lease) { l.Renew(12 * sec); l.Renew(11 * sec) }, 12 * sec, 14 * sec},
-		{"failed: tried again early", func(l *Lease) { l.RetryRenewal(13 * sec) }, 10 * sec, 13 * sec},
-		{"failed late: the next one is due before the retry", func(l *Lease) { l.RetryRenewal(15 * sec) }, 10 * sec, 14 * sec},
+		{"counts from when it was sent", func(l *Lease) { l.RenewalSucceeded(12 * sec) }, 12 * sec, 14 * sec},
+		{"an earlier one that comes later changes nothing", func(l *Lease) { l.RenewalSucceeded(12 * sec); l.RenewalSucceeded(11 * sec) }, 12 * sec, 14 * sec},
+		{"failed: tried again early", func(l *Lease) { l.RetryRenewalBy(13 * sec) }, 10 * sec, 13 * sec},
+		{"failed late: the next one is due before the retry", func(l *Lease) { l.RetryRenewalBy(15 * sec) }, 10 * sec, 14 * sec},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			l := NewLease(8 * sec)
-			l.Grant(7, 10*sec, 10*sec)
-			l.SendRenewal(12 * sec)
-			if !l.EndRenewal(7) {
+			l.Granted(7, 10*sec, 10*sec)
+			l.RenewalSent(12 * sec)
+			if !l.RenewalEnded(7) {
 				t.Fatal("the lease is not held any more")
 			}
 			tc.respond(&l)
@@ -89,12 +89,12 @@
 
 func TestLeaseRenewalOfFormerLease(t *testing.T) {
 	l := NewLease(8 * sec)
-	l.Grant(7, 10*sec, 10*sec)
-	l.SendRenewal(12 * sec)
-	l.Lose()
-	l.Request()
-	l.Grant(8, 13*sec, 13*sec)
-	if l.EndRenewal(7) {
+	l.Granted(7, 10*sec, 10*sec)
+	l.RenewalSent(12 * sec)
+	l.Lost()
+	l.Requested()
+	l.Granted(8, 13*sec, 13*sec)
+	if l.RenewalEnded(7) {
 		t.Error("the response to a renewal of a former lease counts")
 	}
 }
--- a/internal/controller/preemption_policy.go
+++ b/internal/controller/preemption_policy.go
@@ -84,17 +84,17 @@
 func (p *preemptionPolicy) loss(att *attempt) float64 {
 	sub := att.job.sub
 	loss := scheduling.PreemptionLoss{
-		Expected:           p.estimates.Expect(sub),
+		ExpectedRunTime:           p.estimates.Expect(sub),
 		CheckpointInterval: sub.CheckpointS,
 		CPUs:               sub.CPUs,
 		Priority:           att.job.priority,
-		OnlyStart:          p.onlyStart(att),
+		OnlyRunningTask:          p.onlyStart(att),
 	}
 	if att.runAt != 0 {
-		loss.Ran = p.now - att.runAt
+		loss.RunTime = p.now - att.runAt
 	}
 	if r := att.job.run; r != nil {
-		loss.EarlierStops = r.stopsByTask[att.index]
+		loss.EarlierPreemptions = r.stopsByTask[att.index]
 	}
 	return loss.Total()
 }
--- a/internal/controller/reachability/reachability.go
+++ b/internal/controller/reachability/reachability.go
@@ -67,7 +67,7 @@
 // HeartbeatReceived compares a heartbeat that follows the last reply with it. It reports
 // whether the machine has become unreachable by it.
 func (t *Tracker) HeartbeatReceived(now micros.Micros, heartbeat *wire.Heartbeat) bool {
-	confirmation := t.confirmationIn(heartbeat)
+	confirmation := t.confirmationFrom(heartbeat)
 	t.expectNothing()
 	switch confirmation {
 	case Confirmed:
@@ -101,8 +101,8 @@
 	t.expectedCommand = wire.Command{}
 }
 
-// confirmationIn compares a heartbeat with what it was to show.
-func (t *Tracker) confirmationIn(heartbeat *wire.Heartbeat) Confirmation {
+// confirmationFrom compares a heartbeat with what it was to show.
+func (t *Tracker) confirmationFrom(heartbeat *wire.Heartbeat) Confirmation {
 	if t.expectedToken != 0 {
 		return confirmedIf(heartbeat.FencingToken >= t.expectedToken)
 	}
--- a/internal/controller/reachability/reachability_test.go
+++ b/internal/controller/reachability/reachability_test.go
@@ -33,7 +33,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			tracker := Tracker{expectedToken: tc.token, expectedCommand: tc.command}
-			if got := tracker.confirmationIn(&tc.heartbeat); got != tc.want {
+			if got := tracker.confirmationFrom(&tc.heartbeat); got != tc.want {
 				t.Errorf("%v, want %v", got, tc.want)
 			}
 		})
--- a/internal/controller/rebalancing.go
+++ b/internal/controller/rebalancing.go
@@ -59,7 +59,7 @@
 	case !planned || c.now >= move.until:
 	case move.retire:
 		c.requestMachineRelease(m.ID, peer.Release{Cordon: true, Drain: true})
-	case choice.Wanted(m):
+	case choice.NeededInOwnShard(m):
 		delete(c.fleet.plannedMoves, m.ID)
 	default:
 		choice.AddDraining(m, move.shard)
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -113,9 +113,9 @@
 
 // scaleInIdle has machines returned that are idle, the dearest first, as long as there are more
 // than are needed. fleetFull is whether the fleet may not grow.
-func (c *Controller) scaleInIdle(demands fleet.Demands, sums fleet.Sums, fleetFull bool) {
+func (c *Controller) scaleInIdle(demands fleet.Demands, sums fleet.Totals, fleetFull bool) {
 	choice := fleet.ScaleIn{
-		Sums:         sums,
+		Totals:         sums,
 		DrainHorizon: c.cfg.DrainHorizon,
 		LowestPrice:  c.catalog().LowestPrice(),
 		Reserve:      c.reservedCPUs(sums),
@@ -144,7 +144,7 @@
 				CPUs:     mt.CPUs,
 				CPUPrice: fleet.CPUPrice(mt, rec.rec.Spot),
 				IdleFor:  micros.Micros(m.SinceUS),
-				Useless:  waiting && !catalog.UsefulAnywhere(demands, rec.kind()),
+				Unusable:  waiting && !catalog.UsefulAnywhere(demands, rec.kind()),
 			})
 		}
 	}
@@ -154,7 +154,7 @@
 // reservedCPUs returns how many CPUs are kept although nothing waits. Where tasks are wanted
 // started sooner than a machine boots, that is what arrives while one would boot; elsewhere
 // nothing.
-func (c *Controller) reservedCPUs(sums fleet.Sums) float64 {
+func (c *Controller) reservedCPUs(sums fleet.Totals) float64 {
 	boot := c.catalog().LongestBoot()
 	for _, within := range c.cfg.StartWithin {
 		if within < boot/2 {
@@ -167,7 +167,7 @@
 // consolidate drains machines of a shard where nothing waits, if their tasks may go on in what
 // the shard's other machines have free, and if they would otherwise keep mostly unused machines
 // for long.
-func (c *Controller) consolidate(demands fleet.Demands, sums fleet.Sums) {
+func (c *Controller) consolidate(demands fleet.Demands, sums fleet.Totals) {
 	choice := fleet.Consolidation{Have: sums.Have, Need: max(sums.Parallel, c.reservedCPUs(sums))}
 	for _, shard := range demands.Shards() {
 		d := demands[shard]
--- a/internal/controller/scale_out.go
+++ b/internal/controller/scale_out.go
@@ -109,12 +109,12 @@
 
 // scaleOut rents the cheapest machines that the waiting tasks can use, as long as there are fewer
 // than are worth their price, and no more than maxMachines.
-func (c *Controller) scaleOut(demands fleet.Demands, sums fleet.Sums, maxMachines int) {
+func (c *Controller) scaleOut(demands fleet.Demands, sums fleet.Totals, maxMachines int) {
 	f := &c.fleet
 	choice := fleet.ScaleOut{
 		Catalog:        c.catalog(),
 		DrainHorizon:   c.cfg.DrainHorizon,
-		Sums:           sums,
+		Totals:           sums,
 		Groups:         demands.Groups(),
 		Free:           c.freeByKind(demands),
 		MachinesInZone: c.machinesInZone(),
--- a/internal/controller/scale_out_test.go
+++ b/internal/controller/scale_out_test.go
@@ -21,7 +21,7 @@
 	for _, tc := range []struct {
 		name        string
 		group       peer.WaitingTasks
-		sums        fleet.Sums
+		sums        fleet.Totals
 		free        map[fleet.Kind]float64
 		spotRefused bool
 		partitioned string // a zone
@@ -32,56 +32,56 @@
 		{
 			name:     "a large backlog: as many as one rental takes",
 			group:    waiting(10_000, 1, 100),
-			sums:     fleet.Sums{Work: 1e6, Parallel: 10_000},
+			sums:     fleet.Totals{Work: 1e6, Parallel: 10_000},
 			wantSpot: true, wantCount: 50,
 		},
 		{
 			name:  "enough is on its way",
 			group: waiting(100, 1, 100),
-			sums:  fleet.Sums{Work: 1e4, Parallel: 100, Have: 400},
+			sums:  fleet.Totals{Work: 1e4, Parallel: 100, Have: 400},
 		},
 		{
 			name:     "little work and no machine at all",
 			group:    waiting(2, 1, 6),
-			sums:     fleet.Sums{Work: 12, Parallel: 2},
+			sums:     fleet.Totals{Work: 12, Parallel: 2},
 			wantSpot: true, wantCount: 1,
 		},
 		{
 			name:        "expensive machines only for work that would wait long",
 			group:       waiting(100, 1, 60),
-			sums:        fleet.Sums{Work: 6000, Parallel: 100, Have: 100},
+			sums:        fleet.Totals{Work: 6000, Parallel: 100, Have: 100},
 			spotRefused: true,
 		},
 		{
 			name:        "expensive machines for a long backlog",
 			group:       waiting(400, 1, 600),
-			sums:        fleet.Sums{Work: 240_000, Parallel: 400, Have: 100},
+			sums:        fleet.Totals{Work: 240_000, Parallel: 400, Have: 100},
 			spotRefused: true,
 			wantCount:   50,
 		},
 		{
 			name:      "the fleet is large, but none of it can be used",
 			group:     noSpot,
-			sums:      fleet.Sums{Work: 1200, Parallel: 304, Have: 400},
+			sums:      fleet.Totals{Work: 1200, Parallel: 304, Have: 400},
 			wantCount: 1,
 		},
 		{
 			name:        "a zone is partitioned: what is rented there could not send heartbeats",
 			group:       waiting(100, 1, 100),
-			sums:        fleet.Sums{Work: 1e4, Parallel: 100},
+			sums:        fleet.Totals{Work: 1e4, Parallel: 100},
 			partitioned: "a",
 		},
 		{
 			name:        "another zone is partitioned",
 			group:       waiting(100, 1, 100),
-			sums:        fleet.Sums{Work: 1e4, Parallel: 100},
+			sums:        fleet.Totals{Work: 1e4, Parallel: 100},
 			partitioned: "b",
 			wantSpot:    true, wantCount: 25,
 		},
 		{
 			name:  "one that can be used is idle",
 			group: noSpot,
-			sums:  fleet.Sums{Work: 1200, Parallel: 304, Have: 400},
+			sums:  fleet.Totals{Work: 1200, Parallel: 304, Have: 400},
 			free:  map[fleet.Kind]float64{onDemand: 40},
 		},
 	} {
@@ -98,7 +98,7 @@
 			choice := fleet.ScaleOut{
 				Catalog:        c.catalog(),
 				DrainHorizon:   c.cfg.DrainHorizon,
-				Sums:           tc.sums,
+				Totals:           tc.sums,
 				Groups:         []peer.WaitingTasks{tc.group},
 				Free:           free,
 				MachinesInZone: map[string]int{},
--- a/internal/controller/scheduling/preemption.go
+++ b/internal/controller/scheduling/preemption.go
@@ -42,32 +42,32 @@
 
 // PreemptionLoss is what the loss of stopping a task depends on.
 type PreemptionLoss struct {
-	// Ran is for how long the task has run, Expected how long it runs in all.
-	Ran, Expected micros.Micros
+	// RunTime is for how long the task has run, ExpectedRunTime how long it runs in all.
+	RunTime, ExpectedRunTime micros.Micros
 	// CheckpointInterval is the time between two saves; 0: the task cannot save.
 	CheckpointInterval float64 // seconds
 	CPUs               float64
 	// Priority is the task's, from 0, the lowest, to 3.
 	Priority int
-	// EarlierStops counts how often the task was stopped for others before.
-	EarlierStops int
-	// OnlyStart is set if the task is all that its overdue job has running.
-	OnlyStart bool
+	// EarlierPreemptions counts how often the task was stopped for others before.
+	EarlierPreemptions int
+	// OnlyRunningTask is set if the task is all that its overdue job has running.
+	OnlyRunningTask bool
 }
 
 const (
-	// stopCostPerPriority is what a stop costs the task's user by each step of priority, in CPU
+	// preemptionCostPerPriority is what a stop costs the task's user by each step of priority, in CPU
 	// seconds.
-	stopCostPerPriority = 4
+	preemptionCostPerPriority = 4
 	// waitCostPerSecond is what it costs beside, by each step of priority and second of the
 	// task's run time.
 	waitCostPerSecond = 0.25
-	// earlierStopCost is what each earlier stop of a task adds to the loss of another, in CPU
+	// earlierPreemptionCost is what each earlier stop of a task adds to the loss of another, in CPU
 	// seconds.
-	earlierStopCost = 25
-	// onlyStartStops is how many earlier stops the only running task of an overdue job counts
+	earlierPreemptionCost = 25
+	// onlyRunningTaskPreemptions is how many earlier stops the only running task of an overdue job counts
 	// as.
-	onlyStartStops = 10
+	onlyRunningTaskPreemptions = 10
 )
 
 // workWeight returns the weight of a task's own work by its priority.
@@ -80,14 +80,14 @@
 // the more often it was stopped before. So the youngest tasks are the cheapest, and one that has
 // just been started again is not.
 func (l PreemptionLoss) Total() float64 {
-	lostSeconds := l.Ran.Seconds()
+	lostSeconds := l.RunTime.Seconds()
 	if l.CheckpointInterval > 0 {
 		lostSeconds = min(lostSeconds, l.CheckpointInterval)
 	}
-	stops := float64(l.EarlierStops)
-	if l.OnlyStart {
-		stops += onlyStartStops
+	stops := float64(l.EarlierPreemptions)
+	if l.OnlyRunningTask {
+		stops += onlyRunningTaskPreemptions
 	}
-	userCost := float64(l.Priority) * (stopCostPerPriority + waitCostPerSecond*l.Expected.Seconds())
-	return lostSeconds*l.CPUs*workWeight(l.Priority) + userCost + earlierStopCost*stops
+	userCost := float64(l.Priority) * (preemptionCostPerPriority + waitCostPerSecond*l.ExpectedRunTime.Seconds())
+	return lostSeconds*l.CPUs*workWeight(l.Priority) + userCost + earlierPreemptionCost*stops
 }
--- a/internal/controller/scheduling/preemption_test.go
+++ b/internal/controller/scheduling/preemption_test.go
@@ -41,7 +41,7 @@
 }
 
 func TestPreemptionLossTotal(t *testing.T) {
-	base := PreemptionLoss{Ran: 20 * micros.Second, Expected: 40 * micros.Second, CPUs: 2, Priority: 1}
+	base := PreemptionLoss{RunTime: 20 * micros.Second, ExpectedRunTime: 40 * micros.Second, CPUs: 2, Priority: 1}
 	with := func(change func(*PreemptionLoss)) PreemptionLoss {
 		l := base
 		change(&l)
@@ -53,13 +53,13 @@
 		want float64 // CPU seconds
 	}{
 		{"work and waiting", base, 40 + 14},
-		{"not running yet", with(func(l *PreemptionLoss) { l.Ran = 0 }), 14},
+		{"not running yet", with(func(l *PreemptionLoss) { l.RunTime = 0 }), 14},
 		{"saves", with(func(l *PreemptionLoss) { l.CheckpointInterval = 5 }), 10 + 14},
 		{"has not run for a checkpoint interval", with(func(l *PreemptionLoss) { l.CheckpointInterval = 50 }), 40 + 14},
 		{"lowest priority", with(func(l *PreemptionLoss) { l.Priority = 0 }), 10},
 		{"higher priority", with(func(l *PreemptionLoss) { l.Priority = 2 }), 80 + 28},
-		{"stopped twice before", with(func(l *PreemptionLoss) { l.EarlierStops = 2 }), 40 + 14 + 50},
-		{"only start of an overdue job", with(func(l *PreemptionLoss) { l.OnlyStart = true }), 40 + 14 + 250},
+		{"stopped twice before", with(func(l *PreemptionLoss) { l.EarlierPreemptions = 2 }), 40 + 14 + 50},
+		{"only start of an overdue job", with(func(l *PreemptionLoss) { l.OnlyRunningTask = true }), 40 + 14 + 250},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if got := tc.loss.Total(); got != tc.want {
--- a/internal/controller/shard_recovery.go
+++ b/internal/controller/shard_recovery.go
@@ -130,8 +130,8 @@
 func (c *Controller) applyJobsRefresh(s *shard, r statestore.Reply, sentAt micros.Micros) {
 	s.refreshingJobsView = false
 	w := &c.ownership.jobWatch
-	if statestore.MustListAgain(r.Status) {
-		w.ListAgain()
+	if statestore.MustRelist(r.Status) {
+		w.Relist()
 	}
 	events, ok := r.Body.(*wire.Events)
 	if !ok || r.Status != http.StatusOK || events.Revision < s.ownerEpoch {
--- a/internal/controller/state_requests.go
+++ b/internal/controller/state_requests.go
@@ -7,12 +7,12 @@
 )
 
 // newStateReads returns the reads of job records on behalf of users.
-func (c *Controller) newStateReads() *statestore.Reads {
-	return statestore.NewReads(statestore.ReadsConfig{
+func (c *Controller) newStateReads() *statestore.ReadCoalescer {
+	return statestore.NewReadCoalescer(statestore.ReadCoalescerConfig{
 		Queue:      c.stateQueue,
 		MaxRecords: c.cfg.MaxOpenJobs,
 		NewRequest: func(id string) any { return statestore.GetKey{Key: wire.JobKey(id)} },
-		Learn:      c.learnRead,
+		HandleReply:      c.learnRead,
 		Defer:      c.later,
 	})
 }
@@ -37,7 +37,7 @@
 // drainState sends the requests to the state service that the limits allow.
 func (c *Controller) drainState() {
 	for {
-		c.reads.Offer(c.now)
+		c.reads.QueueNext(c.now)
 		if expired, ok := c.stateQueue.Expire(c.now); ok {
 			c.later(func() { expired.Done(statestore.Reply{NotSent: true}) })
 			continue
@@ -72,7 +72,7 @@
 
 // readForUser reads a job's record for a user.
 func (c *Controller) readForUser(id string, done func(statestore.Lookup)) {
-	c.reads.Ask(c.now, id, done)
+	c.reads.Read(c.now, id, done)
 }
 
 // retryAfter returns after how many seconds a user who is refused now is to try again.
@@ -82,7 +82,7 @@
 // class first.
 func (c *Controller) StateRequests() []statestore.ClassMetrics {
 	metrics := c.stateQueue.Metrics(c.now)
-	metrics[statestore.ClassQuestion].Depth = c.reads.Waiting() // of which one is queued
+	metrics[statestore.ClassUserRead].Depth = c.reads.Waiting() // of which one is queued
 	return metrics
 }
 
@@ -97,7 +97,7 @@
 			continue
 		}
 		class := m.Class.String()
-		args = append(args, class+"_sent", m.Sent, class+"_waiting", m.Depth, class+"_oldest_ms", m.Oldest.Millis(),
+		args = append(args, class+"_sent", m.Sent, class+"_waiting", m.Depth, class+"_oldest_ms", m.OldestWait.Millis(),
 			class+"_longest_ms", m.LongestWait.Millis(), class+"_expired", m.Expired, class+"_rejected", m.Rejected)
 	}
 	if unsent > c.unsentLogged {
--- a/internal/controller/statestore/metrics.go
+++ b/internal/controller/statestore/metrics.go
@@ -7,7 +7,7 @@
 	Class Class
 	// Depth is the number of requests that wait, Oldest how long the first of them has.
 	Depth  int
-	Oldest micros.Micros
+	OldestWait micros.Micros
 	// Sent counts requests that were sent, Expired those that waited for too long, and
 	// Rejected those that found the queue full. The last two were never sent.
 	Sent, Expired, Rejected uint64
@@ -35,7 +35,7 @@
 			LongestWait: count.longestWait,
 		}
 		if m.Depth > 0 {
-			m.Oldest = now - q.waiting[class][0].QueuedAt
+			m.OldestWait = now - q.waiting[class][0].QueuedAt
 		}
 		metrics = append(metrics, m)
 	}
--- a/internal/controller/statestore/queue.go
+++ b/internal/controller/statestore/queue.go
@@ -17,8 +17,8 @@
 	// LeaseFraction is the part of a controller's requests that ClassLease takes at most.
 	LeaseFraction = 0.5
 
-	// maxQueued bounds the requests that wait in one class.
-	maxQueued = 256
+	// maxQueuedPerClass bounds the requests that wait in one class.
+	maxQueuedPerClass = 256
 )
 
 // minimumRate is the least part of a controller's requests and writes that a class gets,
@@ -34,7 +34,7 @@
 	ClassDependents: {requests: 0.04, writes: 0.05},
 	ClassFleet:      {requests: 0.08, writes: 0.20},
 	ClassCheckpoint: {requests: 0.05, writes: 0.10},
-	ClassQuestion:   {requests: 0.15},
+	ClassUserRead:   {requests: 0.15},
 }
 
 // Limits are what a Queue keeps to.
@@ -85,7 +85,7 @@
 
 // Push queues a request. It returns false if the queue of its class is full.
 func (q *Queue) Push(class Class, request Request) bool {
-	if q.Waiting(class) >= maxQueued {
+	if q.Waiting(class) >= maxQueuedPerClass {
 		q.CountRejected(class, 1)
 		return false
 	}
@@ -140,7 +140,7 @@
 func (q *Queue) Next(now micros.Micros) (request Request, ok bool, wait micros.Micros) {
 	q.requests.Refill(now)
 	q.writes.Refill(now)
-	turns := q.turns(now)
+	turns := q.sendOrder(now)
 	if len(turns) == 0 {
 		return Request{}, false, 0
 	}
@@ -168,17 +168,17 @@
 	}
 }
 
-// full reports whether as many requests below ClassLease are in flight as may be.
-func (q *Queue) full() bool { return q.maxInFlight > 0 && q.inFlight >= q.maxInFlight }
+// atInFlightLimit reports whether as many requests below ClassLease are in flight as may be.
+func (q *Queue) atInFlightLimit() bool { return q.maxInFlight > 0 && q.inFlight >= q.maxInFlight }
 
-// turns returns the classes in which requests wait, in the order of their turns; ClassLease
+// sendOrder returns the classes in which requests wait, in the order of their sendOrder; ClassLease
 // alone while the queue is full.
-func (q *Queue) turns(now micros.Micros) []Class {
+func (q *Queue) sendOrder(now micros.Micros) []Class {
 	var turns, due, rest []Class
 	if q.Waiting(ClassLease) > 0 {
 		turns = append(turns, ClassLease)
 	}
-	if q.full() {
+	if q.atInFlightLimit() {
 		return turns
 	}
 	for class := ClassLease + 1; class < ClassCount; class++ {
@@ -223,7 +223,7 @@
 	q.requests.Take(1)
 	q.writes.Take(request.Writes)
 	if i == 0 {
-		q.dueAt[class] = now + q.turnaround(class, request.Writes)
+		q.dueAt[class] = now + q.minimumRateInterval(class, request.Writes)
 	}
 	count := &q.counters[class]
 	count.sent++
@@ -238,9 +238,9 @@
 	return request
 }
 
-// turnaround returns how long a request with so many writes takes at the minimum rate of its
+// minimumRateInterval returns how long a request with so many writes takes at the minimum rate of its
 // class.
-func (q *Queue) turnaround(class Class, writes float64) micros.Micros {
+func (q *Queue) minimumRateInterval(class Class, writes float64) micros.Micros {
 	minimum := minimumRates[class]
 	var seconds float64
 	if minimum.requests > 0 {
--- a/internal/controller/statestore/queue_test.go
+++ b/internal/controller/statestore/queue_test.go
@@ -56,7 +56,7 @@
 		}, 0, "lease accept end dependents fleet checkpoint question"},
 		{"leases before all else", func(q *Queue) {
 			setTokens(&q.requests, 2)
-			q.pushTest(ClassQuestion, "question", 0, never)
+			q.pushTest(ClassUserRead, "question", 0, never)
 			for range 2 {
 				q.pushTest(ClassLease, "lease", 0, never)
 			}
@@ -65,7 +65,7 @@
 			setTokens(&q.requests, 4)
 			for range 3 {
 				q.pushTest(ClassAccept, "accept", 0, never)
-				q.pushTest(ClassQuestion, "question", 0, never)
+				q.pushTest(ClassUserRead, "question", 0, never)
 			}
 		}, 0, "accept question accept accept"},
 		{"a renewal passes a claim that waits for the write limit", func(q *Queue) {
@@ -77,7 +77,7 @@
 			setTokens(&q.writes, 1)
 			q.pushTest(ClassAccept, "large", 5, never)
 			q.pushTest(ClassEnd, "small", 1, never)
-			q.pushTest(ClassQuestion, "question", 0, never)
+			q.pushTest(ClassUserRead, "question", 0, never)
 		}, 0, "question"},
 		{"a transaction larger than the burst goes with a full bucket", func(q *Queue) {
 			setTokens(&q.writes, 0)
@@ -108,7 +108,7 @@
 // TestQueueFull checks that a class whose queue is full rejects requests, the others do not.
 func TestQueueFull(t *testing.T) {
 	q := testQueue(30, 10)
-	for range maxQueued {
+	for range maxQueuedPerClass {
 		if !q.pushTest(ClassCheckpoint, "v", 1, micros.Never) {
 			t.Fatal("rejected before the queue is full")
 		}
@@ -135,7 +135,7 @@
 		}
 	}
 	requests := micros.FromSeconds(float64(ClassCount) / (q.RequestRate() * (1 - LeaseFraction)))
-	return q.turnaround(class, changes) + requests + micros.FromSeconds(writers*changes/q.WriteRate())
+	return q.minimumRateInterval(class, changes) + requests + micros.FromSeconds(writers*changes/q.WriteRate())
 }
 
 // stateLimits are limits under which the minimum rates are checked: those of the deployments,
--- a/internal/controller/statestore/reads_test.go
+++ b/internal/controller/statestore/reads_test.go
@@ -8,13 +8,13 @@
 )
 
 // newTestReads returns reads, with a queue that lets a second's 100 requests through at once.
-func newTestReads(maxRecords int) (*Reads, *Queue) {
+func newTestReads(maxRecords int) (*ReadCoalescer, *Queue) {
 	q := testQueue(100, 10)
-	return NewReads(ReadsConfig{
+	return NewReadCoalescer(ReadCoalescerConfig{
 		Queue:      q,
 		MaxRecords: maxRecords,
 		NewRequest: func(id string) any { return id },
-		Learn:      lookupByStatus,
+		HandleReply:      lookupByStatus,
 		Defer:      func(f func()) { f() },
 	}), q
 }
@@ -31,9 +31,9 @@
 }
 
 // sendNext sends the read whose turn it is.
-func sendNext(t *testing.T, r *Reads, q *Queue, now micros.Micros) Request {
+func sendNext(t *testing.T, r *ReadCoalescer, q *Queue, now micros.Micros) Request {
 	t.Helper()
-	r.Offer(now)
+	r.QueueNext(now)
 	request, ok, _ := q.Next(now)
 	if !ok {
 		t.Fatal("no read is sent")
@@ -48,13 +48,13 @@
 	r, q := newTestReads(10)
 	var answers []string
 	ask := func(name string) {
-		r.Ask(0, "a", func(Lookup) { answers = append(answers, name) })
+		r.Read(0, "a", func(Lookup) { answers = append(answers, name) })
 	}
 	ask("first")
 	ask("second")
 	read := sendNext(t, r, q, 0)
 	ask("late")
-	r.Offer(0)
+	r.QueueNext(0)
 	if _, ok, _ := q.Next(0); ok {
 		t.Error("a second read is sent beside the first")
 	}
@@ -78,11 +78,11 @@
 // them while they have no answer.
 func TestReadsTurns(t *testing.T) {
 	r, q := newTestReads(10)
-	ask := func(now micros.Micros, id string) { r.Ask(now, id, func(Lookup) {}) }
+	ask := func(now micros.Micros, id string) { r.Read(now, id, func(Lookup) {}) }
 	ask(0, "old")
 	late := ReadTimeout + 1
 	ask(late-2, "new")
-	r.Offer(late) // the question about old has expired
+	r.QueueNext(late) // the question about old has expired
 	ask(late, "old")
 	if read := sendNext(t, r, q, late); read.Body != "old" {
 		t.Errorf("read first is %v, want old", read.Body)
@@ -95,9 +95,9 @@
 // TestReadsBounds checks that past each bound a question is refused, and counted where its record
 // has a place.
 func TestReadsBounds(t *testing.T) {
-	refused := func(r *Reads, now micros.Micros, id string) bool {
+	refused := func(r *ReadCoalescer, now micros.Micros, id string) bool {
 		status := Lookup(-1)
-		r.Ask(now, id, func(got Lookup) { status = got })
+		r.Read(now, id, func(got Lookup) { status = got })
 		return status == LookupFailed
 	}
 	t.Run("records", func(t *testing.T) {
@@ -108,7 +108,7 @@
 	})
 	t.Run("questions about a record", func(t *testing.T) {
 		r, _ := newTestReads(2)
-		for range maxQuestions {
+		for range maxWaitersPerRecord {
 			if refused(r, 0, "a") {
 				t.Fatal("refused within the bound")
 			}
@@ -118,8 +118,8 @@
 		}
 	})
 	t.Run("records that wait", func(t *testing.T) {
-		r, q := newTestReads(2 * maxReadsWaiting)
-		for i := range maxReadsWaiting {
+		r, q := newTestReads(2 * maxRecordsWaiting)
+		for i := range maxRecordsWaiting {
 			if refused(r, micros.Micros(i), string(rune('a'+i))) {
 				t.Fatal("refused within the bound")
 			}
@@ -127,24 +127,24 @@
 		if !refused(r, micros.Second, "last") {
 			t.Error("accepted beyond the bound")
 		}
-		if got := q.Metrics(0)[ClassQuestion].Rejected; got != 1 {
+		if got := q.Metrics(0)[ClassUserRead].Rejected; got != 1 {
 			t.Errorf("%d counted as rejected, want 1", got)
 		}
 	})
 	t.Run("time", func(t *testing.T) {
 		r, q := newTestReads(2)
 		status := Lookup(-1)
-		r.Ask(0, "a", func(got Lookup) { status = got })
-		if r.Offer(ReadTimeout); status != -1 {
+		r.Read(0, "a", func(got Lookup) { status = got })
+		if r.QueueNext(ReadTimeout); status != -1 {
 			t.Error("refused before the timeout")
 		}
-		if r.Offer(ReadTimeout + 1); status != LookupFailed {
+		if r.QueueNext(ReadTimeout + 1); status != LookupFailed {
 			t.Errorf("found %v after the timeout, want no answer", status)
 		}
-		if got := q.Metrics(0)[ClassQuestion].Expired; got != 1 {
+		if got := q.Metrics(0)[ClassUserRead].Expired; got != 1 {
 			t.Errorf("%d counted as expired, want 1", got)
 		}
-		if r.Offer(ReadTimeout + 2 + placeKept); r.Records() != 0 {
+		if r.QueueNext(ReadTimeout + 2 + recordRetention); r.Records() != 0 {
 			t.Errorf("%d records keep a place that nobody asks about", r.Records())
 		}
 	})
--- a/internal/controller/statestore/statestore.go
+++ b/internal/controller/statestore/statestore.go
@@ -23,9 +23,9 @@
 	ClassFleet
 	// ClassCheckpoint is for checkpoints of jobs.
 	ClassCheckpoint
-	// ClassQuestion is for reads on behalf of users, whose number the controller does not
+	// ClassUserRead is for reads on behalf of users, whose number the controller does not
 	// bound.
-	ClassQuestion
+	ClassUserRead
 	// ClassCount is the number of classes.
 	ClassCount
 )
@@ -37,7 +37,7 @@
 	ClassDependents: "dependents",
 	ClassFleet:      "fleet",
 	ClassCheckpoint: "checkpoint",
-	ClassQuestion:   "question",
+	ClassUserRead:   "question",
 }
 
 // String returns the name of the class in logs and metrics.
--- a/internal/controller/statestore/watch.go
+++ b/internal/controller/statestore/watch.go
@@ -41,7 +41,7 @@
 type Watch struct {
 	Prefix       string
 	Interval     micros.Micros // least time between two requests
-	BlockTimeout micros.Micros // how long a long poll waits for changes
+	PollTimeout micros.Micros // how long a long poll waits for changes
 
 	phase watchPhase
 	// InFlight is set while a request is not answered yet. The next one is made at
@@ -72,7 +72,7 @@
 	return Watch{
 		Prefix:       prefix,
 		Interval:     interval,
-		BlockTimeout: WatchTimeout,
+		PollTimeout: WatchTimeout,
 		OpenedAt:     -micros.Never,
 		CompleteAsOf: -micros.Never,
 	}
@@ -81,8 +81,8 @@
 // Ready reports whether all keys have been listed, so that the view is that of CompleteAsOf.
 func (w *Watch) Ready() bool { return w.phase == watchFollowing }
 
-// ListAgain has the keys listed anew by the next request.
-func (w *Watch) ListAgain() { w.phase = watchListing }
+// Relist has the keys listed anew by the next request.
+func (w *Watch) Relist() { w.phase = watchListing }
 
 // UntilNext returns how long until the next request may be made; not above 0: now.
 func (w *Watch) UntilNext(now micros.Micros) micros.Micros { return w.OpenedAt + w.Interval - now }
@@ -92,8 +92,8 @@
 	w.InFlight = true
 	w.OpenedAt = now
 	if w.phase == watchFollowing {
-		body = WatchKeys{Prefix: w.Prefix, Since: w.Since, WaitMS: w.BlockTimeout.Millis()}
-		return body, w.BlockTimeout + watchReplyTimeout
+		body = WatchKeys{Prefix: w.Prefix, Since: w.Since, WaitMS: w.PollTimeout.Millis()}
+		return body, w.PollTimeout + watchReplyTimeout
 	}
 	if w.listing.after == "" {
 		w.listing.startedAt = now
@@ -101,8 +101,8 @@
 	return ListKeys{Prefix: w.Prefix, After: w.listing.after, Limit: keysPerPage}, listTimeout
 }
 
-// TakePage takes in a page of the listing.
-func (w *Watch) TakePage(page *wire.KeyList) {
+// AddPage takes in a page of the listing.
+func (w *Watch) AddPage(page *wire.KeyList) {
 	listing := &w.listing
 	if listing.after == "" {
 		listing.revision = page.Revision
@@ -128,23 +128,23 @@
 	return w.listing.keys, w.listing.revision
 }
 
-// TakeChanges takes in that all changes up to a revision are known.
-func (w *Watch) TakeChanges(revision uint64) {
+// AdvanceTo takes in that all changes up to a revision are known.
+func (w *Watch) AdvanceTo(revision uint64) {
 	w.Since = max(w.Since, revision)
 	w.CompleteAsOf = max(w.CompleteAsOf, w.OpenedAt)
 }
 
-// TakeFailure takes in that a watch has ended without an answer that can be used.
-func (w *Watch) TakeFailure(now micros.Micros, status int) {
-	if MustListAgain(status) {
-		w.ListAgain()
+// HandleFailure takes in that a watch has ended without an answer that can be used.
+func (w *Watch) HandleFailure(now micros.Micros, status int) {
+	if MustRelist(status) {
+		w.Relist()
 		return
 	}
 	w.OpenedAt = now // pause before the next request
 }
 
-// MustListAgain reports whether the keys have to be listed anew after a watch: the changes are
+// MustRelist reports whether the keys have to be listed anew after a watch: the changes are
 // no longer kept, or are too many for one answer.
-func MustListAgain(status int) bool {
+func MustRelist(status int) bool {
 	return status == http.StatusGone || status == http.StatusRequestEntityTooLarge
 }
--- a/internal/controller/statestore/watch_test.go
+++ b/internal/controller/statestore/watch_test.go
@@ -24,7 +24,7 @@
 		for _, key := range keys {
 			answer.Items = append(answer.Items, wire.KeyValue{Key: key})
 		}
-		w.TakePage(answer)
+		w.AddPage(answer)
 		if wait := w.UntilNext(at); wait > 0 {
 			t.Errorf("the request after a page waits for %v", wait)
 		}
@@ -42,15 +42,15 @@
 	if want := (WatchKeys{Prefix: "p/", Since: 5, WaitMS: WatchTimeout.Millis()}); body != want || timeout <= WatchTimeout {
 		t.Errorf("request %+v with timeout %v, want %+v and a longer timeout", body, timeout, want)
 	}
-	w.TakeChanges(9)
+	w.AdvanceTo(9)
 	if w.Since != 9 || w.CompleteAsOf != 12*sec {
 		t.Errorf("changes since %d, complete as of %v, want 9 and 12 s", w.Since, w.CompleteAsOf)
 	}
 	w.NextRequest(13 * sec)
-	if w.TakeFailure(20*sec, 0); !w.Ready() || w.UntilNext(20*sec) != sec {
+	if w.HandleFailure(20*sec, 0); !w.Ready() || w.UntilNext(20*sec) != sec {
 		t.Errorf("phase %v, next request in %v, want following after a pause of 1 s", w.phase, w.UntilNext(20*sec))
 	}
-	if w.TakeFailure(21*sec, http.StatusRequestEntityTooLarge); w.Ready() {
+	if w.HandleFailure(21*sec, http.StatusRequestEntityTooLarge); w.Ready() {
 		t.Error("not listed anew after an answer that is too large")
 	}
 	page(22*sec, "", 11)
--- a/internal/controller/unknown_jobs.go
+++ b/internal/controller/unknown_jobs.go
@@ -21,7 +21,7 @@
 		JobEnded:   ended,
 		JobOpen:    c.jobs.open[job] != nil || c.jobs.unusable[job],
 		StartEpoch: epochOfAttempt(attempt),
-		SeenAt:     seenAt,
+		FirstSeenAt:     seenAt,
 		Now:        c.now,
 	}, authority.JobsView{
 		Current:      s.jobsViewCurrent,
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -60,11 +60,11 @@
 	changes, ok := r.Body.(*wire.Events)
 	switch {
 	case !ok:
-		w.TakeFailure(c.now, r.Status)
+		w.HandleFailure(c.now, r.Status)
 	case r.Status == http.StatusOK:
 		c.ownership.lastStateReplyAt = c.now
 		c.applyEvents(changes.Events)
-		w.TakeChanges(changes.Revision)
+		w.AdvanceTo(changes.Revision)
 	}
 	c.follow(w)
 }
@@ -76,7 +76,7 @@
 		return
 	}
 	c.ownership.lastStateReplyAt = c.now
-	w.TakePage(page)
+	w.AddPage(page)
 	for _, kv := range page.Items {
 		c.applyPut(kv.Key, kv.Value, kv.ModRevision)
 	}
