--- a/internal/controller/authority.go
+++ b/internal/controller/authority.go
@@ -179,7 +179,7 @@
 		LeaseExpired:   v.leaseExpired,
 		HeartbeatSeen:  v.sequenceKnown,
 		Empty:          v.empty(),
-		ReturnToCloud:         retire,
+		ReturnToCloud:  retire,
 	}) && c.mayWriteRecordSet(m.recordSet)
 }
 
--- a/internal/controller/authority/bounds.go
+++ b/internal/controller/authority/bounds.go
@@ -52,17 +52,17 @@
 // A successor allows a former owner more: one of an older version counted extra from the end
 // of its lease.
 func NewBounds(lease, workerLease, cancel micros.Micros) Bounds {
-	extra := max(cancel-addDrift(workerLease)-cancelMargin, 0)
-	validity := max(subtractDrift(lease)-maxSendDelay, 0)
+	replyGrace := max(cancel-addDrift(workerLease)-cancelMargin, 0)
+	leaseValidity := max(subtractDrift(lease)-maxSendDelay, 0)
 	return Bounds{
-		LeaseValidity:   validity,
-		CommandValidity: max(validity, extra),
+		LeaseValidity:   leaseValidity,
+		CommandValidity: max(leaseValidity, replyGrace),
 		// Whoever ended a job unknown to this owner, its user was notified after the view was
 		// complete. Counted from a claim, the times of successive owners would add up.
-		StaleViewGrace: extra,
+		StaleViewGrace: replyGrace,
 		// The command that may start the task is void once the machine's agent epoch ends.
-		LateStartGrace: extra,
+		LateStartGrace: replyGrace,
 		WorkerExpiry:   addDrift(workerLease) + maxSendDelay,
-		SuccessorWait:  addDrift(extra+workerLease) + 3*maxSendDelay,
+		SuccessorWait:  addDrift(replyGrace+workerLease) + 3*maxSendDelay,
 	}
 }
--- a/internal/controller/authority/job_status.go
+++ b/internal/controller/authority/job_status.go
@@ -46,7 +46,7 @@
 	StartEpoch uint64
 	// FirstSeenAt is since when the task has been seen on the machine.
 	FirstSeenAt micros.Micros
-	Now    micros.Micros
+	Now         micros.Micros
 }
 
 // JobStatusOf returns what a controller knows of a task's job, which need not be in its memory:
--- a/internal/controller/authority/machine.go
+++ b/internal/controller/authority/machine.go
@@ -41,22 +41,22 @@
 }
 
 // MayAcceptHeartbeat decides whether a node may use what a heartbeat says of a machine.
-func MayAcceptHeartbeat(m MachineKnowledge, heartbeat HeartbeatKnowledge) Decision {
+func MayAcceptHeartbeat(machine MachineKnowledge, heartbeat HeartbeatKnowledge) Decision {
 	switch {
-	case m.Cordoned:
+	case machine.Cordoned:
 		return Refuse(ReasonCordoned)
-	case !m.Shard.Allowed:
-		return m.Shard
-	case !m.Tracked:
+	case !machine.Shard.Allowed:
+		return machine.Shard
+	case !machine.Tracked:
 		return Refuse(ReasonNotOwner)
-	case m.Returned:
+	case machine.Returned:
 		return Refuse(ReasonReturned)
-	case m.PositionKnown && !heartbeat.Position.After(m.LastPosition):
+	case machine.PositionKnown && !heartbeat.Position.After(machine.LastPosition):
 		return Refuse(ReasonStaleHeartbeat)
-	case heartbeat.FencingToken > m.FencingToken:
+	case heartbeat.FencingToken > machine.FencingToken:
 		return Refuse(ReasonHigherFencingToken)
 	}
-	return m.Shard
+	return machine.Shard
 }
 
 // RenewalKnowledge is what a controller knows of a machine whose heartbeat it has accepted.
@@ -72,15 +72,15 @@
 
 // MayRenewMachineLease decides whether an accepted heartbeat may be answered, which renews the
 // machine's lease.
-func MayRenewMachineLease(k RenewalKnowledge) Decision {
+func MayRenewMachineLease(known RenewalKnowledge) Decision {
 	switch {
-	case k.UnknownJob:
+	case known.UnknownJob:
 		// The job's user may have been notified long ago that it is cancelled. The view of
 		// jobs decides it soon; if it can't, the lease runs out.
 		return Refuse(ReasonUnknownJob)
-	case k.LateStart:
+	case known.LateStart:
 		return Refuse(ReasonLateStart)
-	case k.Unreachable:
+	case known.Unreachable:
 		// What the machine says counts, but it receives nothing. No reply may renew its lease
 		// by chance while this node relies on the end of that lease.
 		return Refuse(ReasonUnreachable)
@@ -113,16 +113,16 @@
 // MayFreeMachine reports whether a machine has provably no task any more, because its lease
 // has run out. A node whose own lease is not valid can't tell: another node may own the shard,
 // and may have renewed the machine's lease.
-func MayFreeMachine(k MachineTasksKnowledge, bounds Bounds) bool {
-	mayHoldTasks := k.HeartbeatSeen || k.UnreconciledFromPredecessor
-	if k.LeaseExpired || !mayHoldTasks || !k.LeaseValid {
+func MayFreeMachine(known MachineTasksKnowledge, bounds Bounds) bool {
+	mayHoldTasks := known.HeartbeatSeen || known.UnreconciledFromPredecessor
+	if known.LeaseExpired || !mayHoldTasks || !known.LeaseValid {
 		return false
 	}
-	freeAt := max(k.ReconciledAt, k.LastReplyAt) + bounds.WorkerExpiry
-	if !k.Reconciled {
-		freeAt = max(k.MachinesFreeAt, freeAt)
+	freeAt := max(known.ReconciledAt, known.LastReplyAt) + bounds.WorkerExpiry
+	if !known.Reconciled {
+		freeAt = max(known.MachinesFreeAt, freeAt)
 	}
-	return k.Now >= freeAt
+	return known.Now >= freeAt
 }
 
 // ReleaseKnowledge is what a controller knows of a machine that is to leave its shard.
@@ -144,11 +144,11 @@
 
 // MayReleaseMachine reports whether a machine may leave its shard: nothing is on it, and nothing
 // can come. One that is moved to another shard must be in contact as well.
-func MayReleaseMachine(k ReleaseKnowledge) bool {
-	contentsKnown := k.Reconciled || k.LeaseExpired
-	inContact := k.HeartbeatSeen && !k.LeaseExpired
-	if k.Releasing || k.CommandPending || !contentsKnown || !k.Empty {
+func MayReleaseMachine(known ReleaseKnowledge) bool {
+	contentsKnown := known.Reconciled || known.LeaseExpired
+	inContact := known.HeartbeatSeen && !known.LeaseExpired
+	if known.Releasing || known.CommandPending || !contentsKnown || !known.Empty {
 		return false
 	}
-	return k.ReturnToCloud || inContact
+	return known.ReturnToCloud || inContact
 }
--- a/internal/controller/authority/machine_test.go
+++ b/internal/controller/authority/machine_test.go
@@ -13,7 +13,9 @@
 		want   Decision
 	}{
 		{"a new heartbeat", func(*MachineKnowledge, *HeartbeatKnowledge) {}, Allow(ReasonCurrentView)},
-		{"the first heartbeat", func(m *MachineKnowledge, _ *HeartbeatKnowledge) { m.PositionKnown, m.LastPosition = false, HeartbeatPosition{} }, Allow(ReasonCurrentView)},
+		{"the first heartbeat", func(m *MachineKnowledge, _ *HeartbeatKnowledge) {
+			m.PositionKnown, m.LastPosition = false, HeartbeatPosition{}
+		}, Allow(ReasonCurrentView)},
 		{"a stale view of jobs within its grace", func(m *MachineKnowledge, _ *HeartbeatKnowledge) { m.Shard = Allow(ReasonStaleViewWithinGrace) }, Allow(ReasonStaleViewWithinGrace)},
 		{"the shard may not be commanded", func(m *MachineKnowledge, _ *HeartbeatKnowledge) { m.Shard = Refuse(ReasonReleasing) }, Refuse(ReasonReleasing)},
 		{"cordoned, in a shard that may not be commanded", func(m *MachineKnowledge, _ *HeartbeatKnowledge) {
--- a/internal/controller/authority/shard.go
+++ b/internal/controller/authority/shard.go
@@ -11,13 +11,13 @@
 }
 
 // LeaseValid reports whether a node may answer for its shards from memory, and write records.
-func LeaseValid(k LeaseKnowledge, bounds Bounds) bool {
-	return k.Held && k.Now < k.RenewedAt+bounds.LeaseValidity
+func LeaseValid(known LeaseKnowledge, bounds Bounds) bool {
+	return known.Held && known.Now < known.RenewedAt+bounds.LeaseValidity
 }
 
 // MayIssueCommands reports whether a node may answer heartbeats and command machines at all.
-func MayIssueCommands(k LeaseKnowledge, bounds Bounds) bool {
-	return k.Held && k.Now < k.RenewedAt+bounds.CommandValidity
+func MayIssueCommands(known LeaseKnowledge, bounds Bounds) bool {
+	return known.Held && known.Now < known.RenewedAt+bounds.CommandValidity
 }
 
 // ShardKnowledge is what a controller knows of a shard.
@@ -40,19 +40,19 @@
 // MayCommandShard decides whether a node may answer the heartbeats of a shard's machines and
 // send them commands. An owner that can't learn which jobs a former owner ended lets the
 // leases of its machines run out: tasks of a cancelled job may be on them.
-func MayCommandShard(k ShardKnowledge, bounds Bounds) Decision {
+func MayCommandShard(known ShardKnowledge, bounds Bounds) Decision {
 	switch {
-	case !k.Owned:
+	case !known.Owned:
 		return Refuse(ReasonNotOwner)
-	case k.Releasing:
+	case known.Releasing:
 		return Refuse(ReasonReleasing)
-	case k.OwnerEpoch < k.HighestSeenEpoch:
+	case known.OwnerEpoch < known.HighestSeenEpoch:
 		return Refuse(ReasonNewerClaim)
-	case !MayIssueCommands(k.Lease, bounds):
+	case !MayIssueCommands(known.Lease, bounds):
 		return Refuse(ReasonLeaseTooOld)
-	case k.JobsViewCurrent:
+	case known.JobsViewCurrent:
 		return Allow(ReasonCurrentView)
-	case k.Lease.Now < k.JobsCompleteAsOf+bounds.StaleViewGrace:
+	case known.Lease.Now < known.JobsCompleteAsOf+bounds.StaleViewGrace:
 		return Allow(ReasonStaleViewWithinGrace)
 	}
 	return Refuse(ReasonStaleViewBeyondGrace)
@@ -72,9 +72,9 @@
 
 // MayAnswerFromMemory reports whether a node may answer users' requests about an open job without
 // a read.
-func MayAnswerFromMemory(k OpenJobKnowledge, bounds Bounds) bool {
-	knowsEnds := k.JobsViewCurrent || k.AcceptedUnderClaim
-	return k.Shard.Allowed && LeaseValid(k.Lease, bounds) && knowsEnds
+func MayAnswerFromMemory(known OpenJobKnowledge, bounds Bounds) bool {
+	knowsEnds := known.JobsViewCurrent || known.AcceptedUnderClaim
+	return known.Shard.Allowed && LeaseValid(known.Lease, bounds) && knowsEnds
 }
 
 // LeaderKnowledge is what a controller knows of the leader lock.
@@ -87,6 +87,6 @@
 }
 
 // MayLead reports whether a node may rent, return and assign machines for all shards.
-func MayLead(k LeaderKnowledge, bounds Bounds) bool {
-	return k.Owned && !k.SteppingDown && LeaseValid(k.Lease, bounds)
+func MayLead(known LeaderKnowledge, bounds Bounds) bool {
+	return known.Owned && !known.SteppingDown && LeaseValid(known.Lease, bounds)
 }
--- a/internal/controller/checkpoint/checkpoint.go
+++ b/internal/controller/checkpoint/checkpoint.go
@@ -45,19 +45,19 @@
 // NewRecord returns the checkpoint record of p that takes at most maxBytes, and the done
 // tasks that it names. Tasks that do not fit are left out: they would run again, which
 // does no harm.
-func NewRecord(p Progress, maxBytes int) (wire.CheckpointRecord, TaskSet) {
+func NewRecord(progress Progress, maxBytes int) (wire.CheckpointRecord, TaskSet) {
 	rec := wire.CheckpointRecord{
-		Steps:      latestSteps(p.Steps, maxBytes),
-		Recoveries: p.Recoveries,
+		Steps:      latestSteps(progress.Steps, maxBytes),
+		Recoveries: progress.Recoveries,
 	}
 	remainingBytes := maxBytes - stepBytes*len(rec.Steps) - otherBytes
-	if setIsShorter(p, remainingBytes) {
-		rec.Set = slices.Clone(p.Done)
-		rec.Count = p.DoneCount
+	if setIsShorter(progress, remainingBytes) {
+		rec.Set = slices.Clone(progress.Done)
+		rec.Count = progress.DoneCount
 		return rec, TaskSet(rec.Set)
 	}
 	maxRanges := max(remainingBytes/rangeBytes, 1)
-	covered := addRanges(&rec, p, maxRanges)
+	covered := addRanges(&rec, progress, maxRanges)
 	return rec, covered
 }
 
@@ -72,17 +72,17 @@
 
 // setIsShorter reports whether the done tasks as a set of words are shorter than as
 // ranges, and fit.
-func setIsShorter(p Progress, remainingBytes int) bool {
-	ranges := countRanges(p)
-	size := wordBytes * len(p.Done)
+func setIsShorter(progress Progress, remainingBytes int) bool {
+	ranges := countRanges(progress)
+	size := wordBytes * len(progress.Done)
 	return ranges > minRangesForSet && size < rangeBytes*ranges && size <= remainingBytes
 }
 
 // countRanges returns how many ranges the done tasks form.
-func countRanges(p Progress) int {
+func countRanges(progress Progress) int {
 	ranges := 0
-	for task := range p.Tasks {
-		if p.Done.Has(task) && (task == 0 || !p.Done.Has(task-1)) {
+	for task := range progress.Tasks {
+		if progress.Done.Has(task) && (task == 0 || !progress.Done.Has(task-1)) {
 			ranges++
 		}
 	}
@@ -91,16 +91,16 @@
 
 // addRanges adds the first maxRanges ranges of done tasks to a record, and returns the
 // tasks in them.
-func addRanges(rec *wire.CheckpointRecord, p Progress, maxRanges int) TaskSet {
-	covered := NewTaskSet(p.Tasks)
+func addRanges(rec *wire.CheckpointRecord, progress Progress, maxRanges int) TaskSet {
+	covered := NewTaskSet(progress.Tasks)
 	ranges := 0
-	for task := 0; task < p.Tasks && ranges < maxRanges; {
-		if !p.Done.Has(task) {
+	for task := 0; task < progress.Tasks && ranges < maxRanges; {
+		if !progress.Done.Has(task) {
 			task++
 			continue
 		}
 		first := task
-		for task < p.Tasks && p.Done.Has(task) {
+		for task < progress.Tasks && progress.Done.Has(task) {
 			covered.Add(task)
 			task++
 		}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -17,7 +17,7 @@
 	stepContext
 
 	reads        *statestore.ReadCoalescer // of job records, for users
-	unsentLogged uint64            // requests given up unsent when that was last logged
+	unsentLogged uint64                    // requests given up unsent when that was last logged
 
 	ownership             ownershipState
 	jobSharding           jobSharding
--- a/internal/controller/estimate/runtimes.go
+++ b/internal/controller/estimate/runtimes.go
@@ -57,8 +57,8 @@
 
 // Learn takes the run time of a completed task of a job. One without an estimate teaches
 // nothing.
-func (r *RunTimes) Learn(sub *wire.Submission, took micros.Micros) {
-	if sub.EstimateS <= 0 || took <= 0 {
+func (r *RunTimes) Learn(sub *wire.Submission, runTime micros.Micros) {
+	if sub.EstimateS <= 0 || runTime <= 0 {
 		return
 	}
 	cl := r.byClass[sub.Class]
@@ -69,7 +69,7 @@
 		cl = &class{}
 		r.byClass[sub.Class] = cl
 	}
-	cl.add(math.Log(max(took.Seconds(), minRunTimeS) / sub.EstimateS))
+	cl.add(math.Log(max(runTime.Seconds(), minRunTimeS) / sub.EstimateS))
 }
 
 // add takes the natural logarithm of one task's run time / estimate.
--- a/internal/controller/fleet/catalog.go
+++ b/internal/controller/fleet/catalog.go
@@ -26,20 +26,20 @@
 }
 
 // CPUPrice returns the price of a CPU for an hour.
-func CPUPrice(mt wire.MachineType, spot bool) float64 {
-	price := mt.Price
+func CPUPrice(machineType wire.MachineType, spot bool) float64 {
+	price := machineType.Price
 	if spot {
-		price = mt.SpotPrice
+		price = machineType.SpotPrice
 	}
-	return price / max(mt.CPUs, minPricedCPUs)
+	return price / max(machineType.CPUs, minPricedCPUs)
 }
 
 // LowestPrice returns the lowest price of a CPU that costs anything; +Inf if there is none.
 func (c Catalog) LowestPrice() float64 {
 	lowest := math.Inf(1)
-	for _, mt := range c.Types {
+	for _, machineType := range c.Types {
 		for _, spot := range []bool{true, false} {
-			if price := CPUPrice(mt, spot); price > 0 {
+			if price := CPUPrice(machineType, spot); price > 0 {
 				lowest = min(lowest, price)
 			}
 		}
@@ -50,8 +50,8 @@
 // LongestBoot returns how long the machines of the slowest type boot.
 func (c Catalog) LongestBoot() micros.Micros {
 	longest := micros.Micros(0)
-	for _, mt := range c.Types {
-		longest = max(longest, micros.FromSeconds(mt.BootS))
+	for _, machineType := range c.Types {
+		longest = max(longest, micros.FromSeconds(machineType.BootS))
 	}
 	return longest
 }
@@ -62,27 +62,27 @@
 }
 
 // CanRun reports whether a group's tasks could run on machines of a kind.
-func (c Catalog) CanRun(g peer.WaitingTasks, k Kind) bool {
-	mt, known := c.Types[k.Type]
-	if !known || !allows(g, k) {
+func (c Catalog) CanRun(group peer.WaitingTasks, kind Kind) bool {
+	machineType, known := c.Types[kind.Type]
+	if !known || !allows(group, kind) {
 		return false
 	}
-	need := scheduling.Resources{CPUs: g.CPUs, GPUs: g.GPUs, MemGB: g.MemGB}
-	return need.Fits(scheduling.Resources{CPUs: mt.CPUs, GPUs: mt.GPUs, MemGB: mt.MemGB})
+	need := scheduling.Resources{CPUs: group.CPUs, GPUs: group.GPUs, MemGB: group.MemGB}
+	return need.Fits(scheduling.Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, MemGB: machineType.MemGB})
 }
 
 // allows reports whether a group's constraints admit machines of a kind.
-func allows(g peer.WaitingTasks, k Kind) bool {
-	if g.Zone != "" && g.Zone != k.Zone || k.Spot && !g.Spot {
+func allows(group peer.WaitingTasks, kind Kind) bool {
+	if group.Zone != "" && group.Zone != kind.Zone || kind.Spot && !group.Spot {
 		return false
 	}
-	return g.Any || slices.Contains(g.Types, k.Type)
+	return group.Any || slices.Contains(group.Types, kind.Type)
 }
 
 // Useful reports whether tasks that wait in a shard could use a machine of a kind.
-func (c Catalog) Useful(d *peer.Demand, k Kind) bool {
-	for _, g := range d.Groups {
-		if g.Waiting > 0 && c.CanRun(g, k) {
+func (c Catalog) Useful(demand *peer.Demand, kind Kind) bool {
+	for _, group := range demand.Groups {
+		if group.Waiting > 0 && c.CanRun(group, kind) {
 			return true
 		}
 	}
@@ -90,9 +90,9 @@
 }
 
 // UsefulAnywhere reports whether tasks that wait in any shard could use a machine of a kind.
-func (c Catalog) UsefulAnywhere(demands Demands, k Kind) bool {
-	for _, d := range demands {
-		if c.Useful(d, k) {
+func (c Catalog) UsefulAnywhere(demands Demands, kind Kind) bool {
+	for _, demand := range demands {
+		if c.Useful(demand, kind) {
 			return true
 		}
 	}
@@ -100,10 +100,10 @@
 }
 
 // Constrained reports whether a group's tasks cannot run on machines of every kind.
-func (c Catalog) Constrained(g peer.WaitingTasks) bool {
+func (c Catalog) Constrained(group peer.WaitingTasks) bool {
 	for _, name := range c.Names {
 		for _, zone := range c.Types[name].Zones {
-			if !c.CanRun(g, Kind{name, zone, true}) || !c.CanRun(g, Kind{name, zone, false}) {
+			if !c.CanRun(group, Kind{name, zone, true}) || !c.CanRun(group, Kind{name, zone, false}) {
 				return true
 			}
 		}
--- a/internal/controller/fleet/consolidation.go
+++ b/internal/controller/fleet/consolidation.go
@@ -50,11 +50,11 @@
 // Choose returns the machines of a shard that are drained, the largest gain first: their tasks go
 // on in what the shard's other machines have free. draining counts those that are drained
 // already. What it chooses is taken off Have.
-func (c *Consolidation) Choose(d *peer.Demand, candidates []DrainCandidate, draining int) []DrainCandidate {
+func (c *Consolidation) Choose(demand *peer.Demand, candidates []DrainCandidate, draining int) []DrainCandidate {
 	candidates = slices.DeleteFunc(candidates, func(m DrainCandidate) bool { return !m.worthDraining() })
 	slices.SortStableFunc(candidates, func(a, b DrainCandidate) int { return -cmp.Compare(a.gain(), b.gain()) })
-	most := max(1, d.All/maxDrainingDivisor) - draining
-	free := d.CPUs - d.Busy
+	most := max(1, demand.All/maxDrainingDivisor) - draining
+	free := demand.CPUs - demand.Busy
 	for i, m := range candidates {
 		freeElsewhere := free - (m.CPUs - m.Busy)
 		if i >= most || c.Have-m.CPUs < c.Need || freeElsewhere < m.Busy {
--- a/internal/controller/fleet/demand.go
+++ b/internal/controller/fleet/demand.go
@@ -37,19 +37,19 @@
 }
 
 // WaitingCPUs returns the CPUs that a shard's waiting tasks would take at once.
-func WaitingCPUs(d *peer.Demand) float64 {
+func WaitingCPUs(demand *peer.Demand) float64 {
 	cpus := 0.0
-	for _, g := range d.Groups {
-		cpus += float64(g.Waiting) * g.CPUs
+	for _, group := range demand.Groups {
+		cpus += float64(group.Waiting) * group.CPUs
 	}
 	return cpus
 }
 
 // UnfinishedWork returns all unfinished work of a shard, in CPU seconds.
-func UnfinishedWork(d *peer.Demand) float64 {
-	work := micros.Micros(d.RunLeftUS).Seconds()
-	for _, g := range d.Groups {
-		work += micros.Micros(g.WorkUS).Seconds() * g.CPUs
+func UnfinishedWork(demand *peer.Demand) float64 {
+	work := micros.Micros(demand.RunLeftUS).Seconds()
+	for _, group := range demand.Groups {
+		work += micros.Micros(group.WorkUS).Seconds() * group.CPUs
 	}
 	return work
 }
@@ -57,20 +57,20 @@
 // BlockedWork returns how much of a shard's capacity stands unused until its unreconciled
 // machines are free by themselves, in CPU seconds: what is free now, and what comes free
 // meanwhile, as far as tasks wait for it.
-func BlockedWork(d *peer.Demand) float64 {
-	blocked := micros.Micros(d.BlockedUS).Seconds()
-	unused := (d.CPUs - d.Busy) * blocked
-	if d.Busy > 0 {
-		runLeft := micros.Micros(d.RunLeftUS).Seconds() / d.Busy
-		unused += d.Busy * max(0, blocked-runLeft)
+func BlockedWork(demand *peer.Demand) float64 {
+	blocked := micros.Micros(demand.BlockedUS).Seconds()
+	unused := (demand.CPUs - demand.Busy) * blocked
+	if demand.Busy > 0 {
+		runLeft := micros.Micros(demand.RunLeftUS).Seconds() / demand.Busy
+		unused += demand.Busy * max(0, blocked-runLeft)
 	}
-	return min(unused, WaitingCPUs(d)*blocked)
+	return min(unused, WaitingCPUs(demand)*blocked)
 }
 
 // UnusedWork returns how much of a machine with so many CPUs stands unused until it is empty, in
 // CPU seconds.
-func UnusedWork(m peer.Machine, cpus float64) float64 {
-	return (cpus - m.Busy) * micros.Micros(m.LeftUS).Seconds()
+func UnusedWork(machine peer.Machine, cpus float64) float64 {
+	return (cpus - machine.Busy) * micros.Micros(machine.LeftUS).Seconds()
 }
 
 // Totals is what all shards want and have together.
@@ -84,13 +84,13 @@
 }
 
 // Add adds what a shard wants and has.
-func (s *Totals) Add(d *peer.Demand) {
-	s.Have += d.CPUs
-	s.Booting += d.Booting
-	s.Busy += d.Busy
-	s.Work += UnfinishedWork(d)
-	s.Parallel += d.Busy + WaitingCPUs(d)
-	s.Arrival += d.ArrivalCPUs
+func (s *Totals) Add(demand *peer.Demand) {
+	s.Have += demand.CPUs
+	s.Booting += demand.Booting
+	s.Busy += demand.Busy
+	s.Work += UnfinishedWork(demand)
+	s.Parallel += demand.Busy + WaitingCPUs(demand)
+	s.Arrival += demand.ArrivalCPUs
 }
 
 // Need returns how many CPUs are worth having at a price that is ratio times the lowest: the
--- a/internal/controller/fleet/rebalancing.go
+++ b/internal/controller/fleet/rebalancing.go
@@ -60,40 +60,40 @@
 // NewRebalancing returns a rebalancing that knows of no moves under way.
 func NewRebalancing(catalog Catalog, demands Demands) *Rebalancing {
 	total := 0.0
-	for _, d := range demands {
-		total += d.CPUs
+	for _, demand := range demands {
+		total += demand.CPUs
 	}
 	r := &Rebalancing{
 		catalog:   catalog,
 		demands:   demands,
 		shards:    demands.Shards(),
 		target:    TargetCPUs(demands, total),
-		actual:       map[int]float64{},
+		actual:    map[int]float64{},
 		shortfall: map[int]float64{},
 		spare:     map[int]float64{},
 	}
-	for shard, d := range demands {
-		free := d.CPUs - d.Busy
-		waiting := WaitingCPUs(d)
-		r.actual[shard] = d.CPUs
+	for shard, demand := range demands {
+		free := demand.CPUs - demand.Busy
+		waiting := WaitingCPUs(demand)
+		r.actual[shard] = demand.CPUs
 		r.shortfall[shard] = max(0, waiting-free)
 		if waiting == 0 {
-			r.spare[shard] = free - d.CPUs/reserveDivisor
+			r.spare[shard] = free - demand.CPUs/reserveDivisor
 		}
 	}
 	return r
 }
 
 // NeededInOwnShard reports whether a machine that is drained for another shard is needed in its own again.
-func (r *Rebalancing) NeededInOwnShard(m Machine) bool {
-	return WaitingCPUs(r.demands[m.From]) > 0 && r.actual[m.From] < r.target[m.From]
+func (r *Rebalancing) NeededInOwnShard(machine Machine) bool {
+	return WaitingCPUs(r.demands[machine.From]) > 0 && r.actual[machine.From] < r.target[machine.From]
 }
 
 // AddDraining counts a machine that is drained for a shard where it goes.
-func (r *Rebalancing) AddDraining(m Machine, to int) {
+func (r *Rebalancing) AddDraining(machine Machine, to int) {
 	r.draining++
-	r.actual[to] += m.CPUs
-	r.shortfall[to] = max(0, r.shortfall[to]-m.CPUs)
+	r.actual[to] += machine.CPUs
+	r.shortfall[to] = max(0, r.shortfall[to]-machine.CPUs)
 }
 
 // Moves returns the machines that are to move to shards whose tasks wait: idle ones at once, busy
@@ -103,33 +103,33 @@
 		return cmp.Or(cmp.Compare(a.State, b.State), cmp.Compare(a.LeftUS, b.LeftUS), cmp.Compare(a.ID, b.ID))
 	})
 	var moves []Move
-	for _, m := range machines {
-		to, gain, found := r.destination(m)
-		if !found || !r.mayLeave(m, gain) {
+	for _, machine := range machines {
+		to, gain, found := r.destination(machine)
+		if !found || !r.mayLeave(machine, gain) {
 			continue
 		}
-		r.actual[m.From] -= m.CPUs
-		r.actual[to] += m.CPUs
-		r.shortfall[to] -= m.CPUs
-		moves = append(moves, Move{Machine: m, To: to, Drain: !m.idle()})
+		r.actual[machine.From] -= machine.CPUs
+		r.actual[to] += machine.CPUs
+		r.shortfall[to] -= machine.CPUs
+		moves = append(moves, Move{Machine: machine, To: to, Drain: !machine.idle()})
 	}
 	return moves
 }
 
 // destination returns the shard that a machine would help most, and by how many CPUs; false if
 // there is none.
-func (r *Rebalancing) destination(m Machine) (to int, gain float64, found bool) {
+func (r *Rebalancing) destination(machine Machine) (to int, gain float64, found bool) {
 	gain = minMoveGain
 	for _, shard := range r.shards {
-		if shard == m.From || !r.catalog.Useful(r.demands[shard], m.Kind) {
+		if shard == machine.From || !r.catalog.Useful(r.demands[shard], machine.Kind) {
 			continue
 		}
 		gap := r.target[shard] - r.actual[shard]
-		if m.idle() {
+		if machine.idle() {
 			gap = max(gap, 0) + idleMoveGap
 		}
 		shardGain := min(r.shortfall[shard], gap)
-		firstForIdle := m.idle() && !found && r.shortfall[shard] > minMoveGain
+		firstForIdle := machine.idle() && !found && r.shortfall[shard] > minMoveGain
 		if shardGain > gain || firstForIdle {
 			to, gain, found = shard, shardGain, true
 		}
@@ -139,21 +139,21 @@
 
 // mayLeave reports whether a machine may leave its shard for one that it helps by so many CPUs,
 // and counts it if it is to be drained for that.
-func (r *Rebalancing) mayLeave(m Machine, gain float64) bool {
-	if m.idle() {
+func (r *Rebalancing) mayLeave(machine Machine, gain float64) bool {
+	if machine.idle() {
 		// Its own shard may be about to use it.
-		own := r.demands[m.From]
-		return WaitingCPUs(own) == 0 || !r.catalog.Useful(own, m.Kind)
+		own := r.demands[machine.From]
+		return WaitingCPUs(own) == 0 || !r.catalog.Useful(own, machine.Kind)
 	}
-	surplus := r.actual[m.From] - r.target[m.From]
-	if gain < m.CPUs/2 || surplus < m.CPUs/2 {
+	surplus := r.actual[machine.From] - r.target[machine.From]
+	if gain < machine.CPUs/2 || surplus < machine.CPUs/2 {
 		return false
 	}
-	if unused := m.CPUs - m.Busy; unused > 0 && r.spare[m.From] >= unused {
-		r.spare[m.From] -= unused
+	if unused := machine.CPUs - machine.Busy; unused > 0 && r.spare[machine.From] >= unused {
+		r.spare[machine.From] -= unused
 		return true
 	}
-	if micros.Micros(m.LeftUS) > maxDrainTime || r.draining >= maxDraining {
+	if micros.Micros(machine.LeftUS) > maxDrainTime || r.draining >= maxDraining {
 		return false
 	}
 	r.draining++
--- a/internal/controller/fleet/scale_in.go
+++ b/internal/controller/fleet/scale_in.go
@@ -22,12 +22,12 @@
 	CPUs     float64
 	CPUPrice float64 // of each CPU for an hour
 	IdleFor  micros.Micros
-	Unusable  bool // tasks wait, and none of them can use the machine
+	Unusable bool // tasks wait, and none of them can use the machine
 }
 
 // ScaleIn decides which idle machines are returned to the cloud.
 type ScaleIn struct {
-	Totals         Totals
+	Totals       Totals
 	DrainHorizon micros.Micros // see Sums.Need
 	LowestPrice  float64       // see Catalog.LowestPrice
 	// Reserve is how many CPUs are kept although nothing waits.
@@ -45,25 +45,25 @@
 		return cmp.Or(-cmp.Compare(a.CPUPrice, b.CPUPrice), cmp.Compare(a.ID, b.ID))
 	})
 	var chosen []string
-	for _, m := range idle {
-		if s.surplus(m) {
-			s.Totals.Have -= m.CPUs
-			chosen = append(chosen, m.ID)
+	for _, machine := range idle {
+		if s.surplus(machine) {
+			s.Totals.Have -= machine.CPUs
+			chosen = append(chosen, machine.ID)
 		}
 	}
 	return chosen
 }
 
 // surplus reports whether a machine is not needed any more.
-func (s ScaleIn) surplus(m IdleMachine) bool {
-	if s.FleetFull && m.IdleFor >= fullFleetMaxIdle {
+func (s ScaleIn) surplus(machine IdleMachine) bool {
+	if s.FleetFull && machine.IdleFor >= fullFleetMaxIdle {
 		return true
 	}
-	need := s.Totals.Need(s.DrainHorizon, max(m.CPUPrice/s.LowestPrice, 1))
+	need := s.Totals.Need(s.DrainHorizon, max(machine.CPUPrice/s.LowestPrice, 1))
 	surplus := s.Totals.Have - max(need, min(s.Totals.Parallel, s.Totals.Have))
 	maxIdle := s.MaxIdle
-	if surplus-m.CPUs >= s.Reserve {
+	if surplus-machine.CPUs >= s.Reserve {
 		maxIdle = min(maxIdle, largeSurplusMaxIdle)
 	}
-	return (surplus >= m.CPUs || m.Unusable) && m.IdleFor >= maxIdle
+	return (surplus >= machine.CPUs || machine.Unusable) && machine.IdleFor >= maxIdle
 }
--- a/internal/controller/fleet/scale_out.go
+++ b/internal/controller/fleet/scale_out.go
@@ -25,7 +25,7 @@
 type ScaleOut struct {
 	Catalog      Catalog
 	DrainHorizon micros.Micros // see Sums.Need
-	Totals         Totals
+	Totals       Totals
 	Groups       []peer.WaitingTasks // what waits
 	Free         map[Kind]float64    // CPUs of the machines that are idle or on their way
 	// MachinesInZone counts the machines by zone.
@@ -52,11 +52,11 @@
 		return cmp.Compare(float64(b.WorkUS)*b.CPUs, float64(a.WorkUS)*a.CPUs)
 	})
 	lowestPrice := s.Catalog.LowestPrice()
-	for _, g := range s.Groups {
-		if g.Waiting == 0 {
+	for _, group := range s.Groups {
+		if group.Waiting == 0 {
 			continue
 		}
-		if rental, ok := s.rentalFor(g, lowestPrice); ok {
+		if rental, ok := s.rentalFor(group, lowestPrice); ok {
 			return rental, true
 		}
 	}
@@ -64,36 +64,36 @@
 }
 
 // rentalFor returns the rental for a group's tasks; false if they are not to have any.
-func (s *ScaleOut) rentalFor(g peer.WaitingTasks, lowestPrice float64) (wire.Rental, bool) {
+func (s *ScaleOut) rentalFor(group peer.WaitingTasks, lowestPrice float64) (wire.Rental, bool) {
 	shortfall := s.Totals.Parallel - s.Totals.Have
 	groupShortfall := 0.0
-	hardlyAnyMachine := s.Totals.Have+scheduling.Tolerance < g.CPUs
-	if s.Catalog.Constrained(g) || hardlyAnyMachine {
-		groupShortfall = s.groupShortfall(g)
+	hardlyAnyMachine := s.Totals.Have+scheduling.Tolerance < group.CPUs
+	if s.Catalog.Constrained(group) || hardlyAnyMachine {
+		groupShortfall = s.groupShortfall(group)
 		shortfall = max(shortfall, groupShortfall)
 	}
 	if shortfall <= 0 {
 		return wire.Rental{}, false
 	}
-	for _, o := range s.options(g, shortfall) {
-		deficit := max(s.Totals.Need(s.DrainHorizon, max(o.cpuPrice/lowestPrice, 1))-s.Totals.Have, groupShortfall)
+	for _, candidate := range s.options(group, shortfall) {
+		deficit := max(s.Totals.Need(s.DrainHorizon, max(candidate.cpuPrice/lowestPrice, 1))-s.Totals.Have, groupShortfall)
 		if deficit < minDeficit {
 			continue
 		}
-		count := max(1, min(int(math.Ceil(deficit/o.cpus-roundingDown)), maxRentalMachines, s.MaxMachines))
-		return wire.Rental{Type: o.kind.Type, Zone: o.kind.Zone, Spot: o.kind.Spot, Count: count}, true
+		count := max(1, min(int(math.Ceil(deficit/candidate.cpus-roundingDown)), maxRentalMachines, s.MaxMachines))
+		return wire.Rental{Type: candidate.kind.Type, Zone: candidate.kind.Zone, Spot: candidate.kind.Spot, Count: count}, true
 	}
 	return wire.Rental{}, false
 }
 
 // groupShortfall returns how many CPUs are wanted for a constrained group alone: the fleet may be
 // large enough and yet have none that its tasks can use.
-func (s *ScaleOut) groupShortfall(g peer.WaitingTasks) float64 {
-	waiting := float64(g.Waiting) * g.CPUs
-	toDrain := micros.Micros(g.WorkUS).Seconds() * g.CPUs / s.DrainHorizon.Seconds()
-	shortfall := min(waiting, max(toDrain, g.CPUs))
-	for k, cpus := range s.Free {
-		if s.Catalog.CanRun(g, k) {
+func (s *ScaleOut) groupShortfall(group peer.WaitingTasks) float64 {
+	waiting := float64(group.Waiting) * group.CPUs
+	toDrain := micros.Micros(group.WorkUS).Seconds() * group.CPUs / s.DrainHorizon.Seconds()
+	shortfall := min(waiting, max(toDrain, group.CPUs))
+	for kind, cpus := range s.Free {
+		if s.Catalog.CanRun(group, kind) {
 			shortfall -= cpus
 		}
 	}
@@ -111,20 +111,20 @@
 
 // options returns the kinds of machines that a group's tasks can use, the cheapest first and, of
 // these, those in the zone with the fewest machines.
-func (s *ScaleOut) options(g peer.WaitingTasks, shortfall float64) []option {
+func (s *ScaleOut) options(group peer.WaitingTasks, shortfall float64) []option {
 	var options []option
 	for _, name := range s.Catalog.Names {
-		mt := s.Catalog.Types[name]
-		if mt.CPUs <= 0 {
+		machineType := s.Catalog.Types[name]
+		if machineType.CPUs <= 0 {
 			continue
 		}
-		usedCPUs := min(mt.CPUs, max(shortfall, g.CPUs))
-		for _, k := range kindsOf(mt, name) {
-			if !s.Catalog.CanRun(g, k) || s.Unavailable(k) {
+		usedCPUs := min(machineType.CPUs, max(shortfall, group.CPUs))
+		for _, kind := range kindsOf(machineType, name) {
+			if !s.Catalog.CanRun(group, kind) || s.Unavailable(kind) {
 				continue
 			}
-			price := CPUPrice(mt, k.Spot)
-			options = append(options, option{kind: k, cpus: mt.CPUs, cpuPrice: price, usedPrice: price * mt.CPUs / usedCPUs})
+			price := CPUPrice(machineType, kind.Spot)
+			options = append(options, option{kind: kind, cpus: machineType.CPUs, cpuPrice: price, usedPrice: price * machineType.CPUs / usedCPUs})
 		}
 	}
 	slices.SortStableFunc(options, func(a, b option) int {
@@ -136,9 +136,9 @@
 }
 
 // kindsOf returns the kinds of machines of a type.
-func kindsOf(mt wire.MachineType, name string) []Kind {
+func kindsOf(machineType wire.MachineType, name string) []Kind {
 	var kinds []Kind
-	for _, zone := range mt.Zones {
+	for _, zone := range machineType.Zones {
 		kinds = append(kinds, Kind{name, zone, true}, Kind{name, zone, false})
 	}
 	return kinds
--- a/internal/controller/fleet/target.go
+++ b/internal/controller/fleet/target.go
@@ -9,11 +9,11 @@
 // their team's guarantee can use, then in proportion to its unfinished work, and never more than
 // its tasks could use at once.
 func TargetCPUs(demands Demands, total float64) map[int]float64 {
-	d := allocation{shards: demands.Shards(), allocated: map[int]float64{}, remaining: total}
+	targets := allocation{shards: demands.Shards(), allocated: map[int]float64{}, remaining: total}
 	usable := map[int]float64{}
 	guaranteed := map[int]float64{}
 	work := map[int]float64{}
-	for _, shard := range d.shards {
+	for _, shard := range targets.shards {
 		demand := demands[shard]
 		usable[shard] = demand.Busy + WaitingCPUs(demand)
 		guaranteed[shard] = demand.Guarantee
@@ -23,36 +23,36 @@
 	for shard, cpus := range guaranteed {
 		withinGuarantee[shard] = min(cpus, usable[shard])
 	}
-	d.allocate(guaranteed, withinGuarantee)
-	d.allocate(work, usable)
-	return d.allocated
+	targets.allocate(guaranteed, withinGuarantee)
+	targets.allocate(work, usable)
+	return targets.allocated
 }
 
 // allocation gives CPUs to shards.
 type allocation struct {
-	shards []int
-	allocated  map[int]float64
-	remaining   float64
+	shards    []int
+	allocated map[int]float64
+	remaining float64
 }
 
 // allocate distributes what is left in proportion to the shards' weights, to each up to its limit.
-func (d *allocation) allocate(weights, limits map[int]float64) {
+func (a *allocation) allocate(weights, limits map[int]float64) {
 	for range maxAllocationRounds {
 		sum := 0.0
-		for _, shard := range d.shards {
-			if d.allocated[shard] < limits[shard]-scheduling.Tolerance {
+		for _, shard := range a.shards {
+			if a.allocated[shard] < limits[shard]-scheduling.Tolerance {
 				sum += weights[shard]
 			}
 		}
-		if sum <= 0 || d.remaining <= scheduling.Tolerance {
+		if sum <= 0 || a.remaining <= scheduling.Tolerance {
 			return
 		}
-		toGive := d.remaining
-		for _, shard := range d.shards {
-			if headroom := limits[shard] - d.allocated[shard]; headroom > scheduling.Tolerance {
+		toGive := a.remaining
+		for _, shard := range a.shards {
+			if headroom := limits[shard] - a.allocated[shard]; headroom > scheduling.Tolerance {
 				cpus := min(headroom, toGive*weights[shard]/sum)
-				d.allocated[shard] += cpus
-				d.remaining -= cpus
+				a.allocated[shard] += cpus
+				a.remaining -= cpus
 			}
 		}
 	}
--- a/internal/controller/fleet/zones.go
+++ b/internal/controller/fleet/zones.go
@@ -28,11 +28,11 @@
 func PartitionedZones(demands Demands) map[string]bool {
 	partitioned := map[string]bool{}
 	anyConnected := false
-	for name, z := range countZones(demands) {
+	for name, zone := range countZones(demands) {
 		switch {
-		case z.partitioned():
+		case zone.partitioned():
 			partitioned[name] = true
-		case z.connected():
+		case zone.connected():
 			anyConnected = true
 		}
 	}
@@ -45,12 +45,12 @@
 // countZones adds up the shards' machines by zone.
 func countZones(demands Demands) map[string]zoneCount {
 	counts := map[string]zoneCount{}
-	for _, d := range demands {
-		for _, z := range d.Zones {
-			count := counts[z.Name]
-			count.all += z.All
-			count.silent += z.Silent
-			counts[z.Name] = count
+	for _, demand := range demands {
+		for _, zone := range demand.Zones {
+			count := counts[zone.Name]
+			count.all += zone.All
+			count.silent += zone.Silent
+			counts[zone.Name] = count
 		}
 	}
 	return counts
--- a/internal/controller/ownership.go
+++ b/internal/controller/ownership.go
@@ -153,10 +153,10 @@
 		shardsOf[s.owner.Label]++
 	}
 	known := ownership.ClaimKnowledge{
-		Label:          c.cfg.Label,
-		Shards:         shardsOf[c.cfg.Label],
-		PreferredOwner: c.preferredOwner(index),
-		Starting:       c.now < c.startedAt+startingPeriod,
+		Label:              c.cfg.Label,
+		Shards:             shardsOf[c.cfg.Label],
+		PreferredOwner:     c.preferredOwner(index),
+		Starting:           c.now < c.startedAt+startingPeriod,
 		WorkersUnreachable: c.contact.lost(),
 	}
 	for _, label := range c.nodes {
--- a/internal/controller/ownership/claim.go
+++ b/internal/controller/ownership/claim.go
@@ -40,27 +40,27 @@
 	Starting bool
 	// WorkersUnreachable is whether it has lost contact with the workers.
 	WorkersUnreachable bool
-	Candidates     []Candidate
+	Candidates         []Candidate
 }
 
 // ClaimDelay returns how long after the shard became free the controller is to claim it. The
 // best candidate goes first: the preferred owner, then the one that owns the fewest shards.
-func ClaimDelay(k ClaimKnowledge) micros.Micros {
-	if k.PreferredOwner == k.Label && !k.WorkersUnreachable {
+func ClaimDelay(known ClaimKnowledge) micros.Micros {
+	if known.PreferredOwner == known.Label && !known.WorkersUnreachable {
 		return 0
 	}
 	delay := micros.Micros(0)
 	switch {
-	case k.Starting:
+	case known.Starting:
 		delay = startingDelay
-	case k.WorkersUnreachable:
+	case known.WorkersUnreachable:
 		delay = workersUnreachableDelay
 	}
-	for _, candidate := range k.Candidates {
-		if candidate.Label == k.PreferredOwner {
+	for _, candidate := range known.Candidates {
+		if candidate.Label == known.PreferredOwner {
 			delay += claimStep
 		}
-		if k.goesAfter(candidate) {
+		if known.goesAfter(candidate) {
 			delay += claimStep
 		}
 	}
@@ -69,9 +69,9 @@
 
 // goesAfter reports whether a candidate goes before the controller: it owns fewer shards, or as
 // many and its label comes first.
-func (k ClaimKnowledge) goesAfter(candidate Candidate) bool {
-	if candidate.Shards != k.Shards {
-		return candidate.Shards < k.Shards
+func (known ClaimKnowledge) goesAfter(candidate Candidate) bool {
+	if candidate.Shards != known.Shards {
+		return candidate.Shards < known.Shards
 	}
-	return candidate.Label < k.Label
+	return candidate.Label < known.Label
 }
--- a/internal/controller/preemption_policy.go
+++ b/internal/controller/preemption_policy.go
@@ -84,11 +84,11 @@
 func (p *preemptionPolicy) loss(att *attempt) float64 {
 	sub := att.job.sub
 	loss := scheduling.PreemptionLoss{
-		ExpectedRunTime:           p.estimates.Expect(sub),
+		ExpectedRunTime:    p.estimates.Expect(sub),
 		CheckpointInterval: sub.CheckpointS,
 		CPUs:               sub.CPUs,
 		Priority:           att.job.priority,
-		OnlyRunningTask:          p.onlyStart(att),
+		OnlyRunningTask:    p.onlyStart(att),
 	}
 	if att.runAt != 0 {
 		loss.RunTime = p.now - att.runAt
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -115,7 +115,7 @@
 // than are needed. fleetFull is whether the fleet may not grow.
 func (c *Controller) scaleInIdle(demands fleet.Demands, sums fleet.Totals, fleetFull bool) {
 	choice := fleet.ScaleIn{
-		Totals:         sums,
+		Totals:       sums,
 		DrainHorizon: c.cfg.DrainHorizon,
 		LowestPrice:  c.catalog().LowestPrice(),
 		Reserve:      c.reservedCPUs(sums),
@@ -144,7 +144,7 @@
 				CPUs:     mt.CPUs,
 				CPUPrice: fleet.CPUPrice(mt, rec.rec.Spot),
 				IdleFor:  micros.Micros(m.SinceUS),
-				Unusable:  waiting && !catalog.UsefulAnywhere(demands, rec.kind()),
+				Unusable: waiting && !catalog.UsefulAnywhere(demands, rec.kind()),
 			})
 		}
 	}
--- a/internal/controller/scale_out.go
+++ b/internal/controller/scale_out.go
@@ -114,7 +114,7 @@
 	choice := fleet.ScaleOut{
 		Catalog:        c.catalog(),
 		DrainHorizon:   c.cfg.DrainHorizon,
-		Totals:           sums,
+		Totals:         sums,
 		Groups:         demands.Groups(),
 		Free:           c.freeByKind(demands),
 		MachinesInZone: c.machinesInZone(),
--- a/internal/controller/scale_out_test.go
+++ b/internal/controller/scale_out_test.go
@@ -98,7 +98,7 @@
 			choice := fleet.ScaleOut{
 				Catalog:        c.catalog(),
 				DrainHorizon:   c.cfg.DrainHorizon,
-				Totals:           tc.sums,
+				Totals:         tc.sums,
 				Groups:         []peer.WaitingTasks{tc.group},
 				Free:           free,
 				MachinesInZone: map[string]int{},
--- a/internal/controller/state_requests.go
+++ b/internal/controller/state_requests.go
@@ -9,11 +9,11 @@
 // newStateReads returns the reads of job records on behalf of users.
 func (c *Controller) newStateReads() *statestore.ReadCoalescer {
 	return statestore.NewReadCoalescer(statestore.ReadCoalescerConfig{
-		Queue:      c.stateQueue,
-		MaxRecords: c.cfg.MaxOpenJobs,
-		NewRequest: func(id string) any { return statestore.GetKey{Key: wire.JobKey(id)} },
-		HandleReply:      c.learnRead,
-		Defer:      c.later,
+		Queue:       c.stateQueue,
+		MaxRecords:  c.cfg.MaxOpenJobs,
+		NewRequest:  func(id string) any { return statestore.GetKey{Key: wire.JobKey(id)} },
+		HandleReply: c.learnRead,
+		Defer:       c.later,
 	})
 }
 
--- a/internal/controller/statestore/metrics.go
+++ b/internal/controller/statestore/metrics.go
@@ -6,7 +6,7 @@
 type ClassMetrics struct {
 	Class Class
 	// Depth is the number of requests that wait, Oldest how long the first of them has.
-	Depth  int
+	Depth      int
 	OldestWait micros.Micros
 	// Sent counts requests that were sent, Expired those that waited for too long, and
 	// Rejected those that found the queue full. The last two were never sent.
--- a/internal/controller/statestore/queue.go
+++ b/internal/controller/statestore/queue.go
@@ -140,23 +140,23 @@
 func (q *Queue) Next(now micros.Micros) (request Request, ok bool, wait micros.Micros) {
 	q.requests.Refill(now)
 	q.writes.Refill(now)
-	turns := q.sendOrder(now)
-	if len(turns) == 0 {
+	order := q.sendOrder(now)
+	if len(order) == 0 {
 		return Request{}, false, 0
 	}
 	if wait := q.requests.Until(1); wait > 0 {
 		return Request{}, false, wait
 	}
-	writesHeld := false // for a transaction that goes before
-	for _, class := range turns {
-		i, blocked := q.firstSendable(class, writesHeld)
-		if blocked > 0 && (wait == 0 || blocked < wait) {
-			wait = blocked
+	writesBlocked := false // for a transaction that goes before
+	for _, class := range order {
+		i, writeWait := q.firstSendable(class, writesBlocked)
+		if writeWait > 0 && (wait == 0 || writeWait < wait) {
+			wait = writeWait
 		}
 		if i >= 0 {
 			return q.send(now, class, i), true, 0
 		}
-		writesHeld = true
+		writesBlocked = true
 	}
 	return Request{}, false, wait
 }
@@ -174,12 +174,12 @@
 // sendOrder returns the classes in which requests wait, in the order of their sendOrder; ClassLease
 // alone while the queue is full.
 func (q *Queue) sendOrder(now micros.Micros) []Class {
-	var turns, due, rest []Class
+	var order, due, rest []Class
 	if q.Waiting(ClassLease) > 0 {
-		turns = append(turns, ClassLease)
+		order = append(order, ClassLease)
 	}
 	if q.atInFlightLimit() {
-		return turns
+		return order
 	}
 	for class := ClassLease + 1; class < ClassCount; class++ {
 		switch {
@@ -191,26 +191,26 @@
 		}
 	}
 	slices.SortStableFunc(due, func(a, b Class) int { return cmp.Compare(q.dueAt[a], q.dueAt[b]) })
-	return append(append(turns, due...), rest...)
+	return append(append(order, due...), rest...)
 }
 
 // firstSendable returns the index of the first request of a class that the limits allow now, -1
 // if there is none. blocked is how long the first transaction waits for the write limit, if it
 // waits for that alone.
-func (q *Queue) firstSendable(class Class, writesHeld bool) (i int, blocked micros.Micros) {
+func (q *Queue) firstSendable(class Class, writesBlocked bool) (i int, writeWait micros.Micros) {
 	for i, request := range q.waiting[class] {
 		if request.Writes == 0 {
-			return i, blocked
+			return i, writeWait
 		}
-		if writesHeld {
+		if writesBlocked {
 			continue
 		}
-		if blocked = q.writes.Until(request.Writes); blocked == 0 {
+		if writeWait = q.writes.Until(request.Writes); writeWait == 0 {
 			return i, 0
 		}
-		writesHeld = true
+		writesBlocked = true
 	}
-	return -1, blocked
+	return -1, writeWait
 }
 
 // send removes a request and takes its tokens. One that passes the first of its class does not
--- a/internal/controller/statestore/reads.go
+++ b/internal/controller/statestore/reads.go
@@ -26,15 +26,15 @@
 // waiter waits for a record. done is called with what the read found.
 type waiter struct {
 	requestedAt micros.Micros
-	done    func(Lookup)
+	done        func(Lookup)
 }
 
 // recordRead is a record that has been asked about and has had no answer since.
 type recordRead struct {
-	id          string
-	waitingSince       micros.Micros // decides its turn
+	id              string
+	waitingSince    micros.Micros // decides its turn
 	lastRequestedAt micros.Micros
-	waiters   []waiter // that came since the last read was sent
+	waiters         []waiter // that came since the last read was sent
 }
 
 // compareTurns orders records by their turns.
@@ -160,31 +160,31 @@
 
 // push queues the read of a record.
 func (r *ReadCoalescer) push(record *recordRead) {
-	var questions []waiter // that the read answers
+	var waiters []waiter // that the read answers
 	r.config.Queue.Push(ClassUserRead, Request{
 		Body:      r.config.NewRequest(record.id),
 		Timeout:   ReadTimeout,
 		QueuedAt:  record.waiters[0].requestedAt,
 		ExpiresAt: micros.Never,
-		Sent:      func() { questions = r.readSent(record) },
-		Done:      func(reply Reply) { r.readAnswered(record, questions, reply) },
+		Sent:      func() { waiters = r.readSent(record) },
+		Done:      func(reply Reply) { r.readAnswered(record, waiters, reply) },
 	})
 }
 
 // readSent takes the read of a record as readSent and returns the questions that it answers.
 func (r *ReadCoalescer) readSent(record *recordRead) []waiter {
-	questions := record.waiters
+	waiters := record.waiters
 	record.waiters = nil
 	if i := slices.Index(r.waiting, record); i >= 0 {
 		r.waiting = slices.Delete(r.waiting, i, i+1)
 	}
 	r.queued = nil
 	r.inFlight = append(r.inFlight, record)
-	return questions
+	return waiters
 }
 
 // readAnswered passes on what a read found.
-func (r *ReadCoalescer) readAnswered(record *recordRead, questions []waiter, reply Reply) {
+func (r *ReadCoalescer) readAnswered(record *recordRead, waiters []waiter, reply Reply) {
 	r.inFlight = slices.DeleteFunc(r.inFlight, func(other *recordRead) bool { return other == record })
 	found := r.config.HandleReply(reply)
 	switch {
@@ -196,8 +196,8 @@
 	case found != LookupFailed:
 		delete(r.records, record.id)
 	}
-	for _, question := range questions {
-		question.done(found)
+	for _, waiter := range waiters {
+		waiter.done(found)
 	}
 }
 
--- a/internal/controller/statestore/reads_test.go
+++ b/internal/controller/statestore/reads_test.go
@@ -11,11 +11,11 @@
 func newTestReads(maxRecords int) (*ReadCoalescer, *Queue) {
 	q := testQueue(100, 10)
 	return NewReadCoalescer(ReadCoalescerConfig{
-		Queue:      q,
-		MaxRecords: maxRecords,
-		NewRequest: func(id string) any { return id },
-		HandleReply:      lookupByStatus,
-		Defer:      func(f func()) { f() },
+		Queue:       q,
+		MaxRecords:  maxRecords,
+		NewRequest:  func(id string) any { return id },
+		HandleReply: lookupByStatus,
+		Defer:       func(f func()) { f() },
 	}), q
 }
 
--- a/internal/controller/statestore/watch.go
+++ b/internal/controller/statestore/watch.go
@@ -39,8 +39,8 @@
 // Watch keeps the view of the keys with a prefix current: a listing, and from its revision on
 // one long poll after the other.
 type Watch struct {
-	Prefix       string
-	Interval     micros.Micros // least time between two requests
+	Prefix      string
+	Interval    micros.Micros // least time between two requests
 	PollTimeout micros.Micros // how long a long poll waits for changes
 
 	phase watchPhase
@@ -72,7 +72,7 @@
 	return Watch{
 		Prefix:       prefix,
 		Interval:     interval,
-		PollTimeout: WatchTimeout,
+		PollTimeout:  WatchTimeout,
 		OpenedAt:     -micros.Never,
 		CompleteAsOf: -micros.Never,
 	}
