--- a/internal/controller/authority/bounds.go
+++ b/internal/controller/authority/bounds.go
@@ -3,64 +3,69 @@
 import "garnethitch/internal/micros"
 
 const (
-	// maxClockDriftPPM is how fast a steady clock may run, in millionths.
+	// maxClockDriftPPM is the largest assumed drift of a clock, in parts per million.
 	maxClockDriftPPM = 500
-	// cancelMargin is kept free of the time within which a cancelled job's tasks must end.
+	// cancelMargin is a reserve that NewBounds subtracts from the time within which the tasks of a
+	// cancelled job must end.
 	cancelMargin = 3 * micros.Second
-	// maxSendDelay is how late a step of a timer, or a reply on its way out, may be.
+	// maxSendDelay is the largest assumed delay of a timer tick, or of a reply before it is sent.
 	maxSendDelay = 100 * micros.Millisecond
 )
 
-// Bounds are the times that keep an old owner and its successor apart. They follow from the
-// settings alone; see NewBounds.
+// Bounds holds the time limits that keep a former owner of a shard and its successor from acting
+// at the same time. NewBounds derives them from the settings alone.
 type Bounds struct {
-	// LeaseValidity is for how long after the last successful renewal was sent an owner may
+	// LeaseValidity is how long after sending its last successful lease renewal an owner may
 	// answer users from memory, accept jobs and write records.
 	LeaseValidity micros.Micros
-	// CommandValidity is for how long after that it may answer heartbeats and command its
-	// machines.
+	// CommandValidity is how long after sending its last successful lease renewal an owner may
+	// answer heartbeats and send commands to its machines.
 	CommandValidity micros.Micros
-	// StaleViewGrace is for how long after its view of jobs was last complete an owner may
-	// command machines without knowing which jobs its predecessors have ended since.
+	// StaleViewGrace is how long after its view of jobs was last complete an owner may command
+	// machines without knowing which jobs former owners have ended since.
 	StaleViewGrace micros.Micros
-	// LateStartGrace is for how long the lease of a machine may be renewed after a task was
-	// to be stopped there whose start may yet be carried out.
+	// LateStartGrace is how long a machine's lease may be renewed after a task on it was to be
+	// stopped, while a command in doubt may still start that task.
 	LateStartGrace micros.Micros
-	// WorkerExpiry is how long after the last answered heartbeat a machine holds no task
-	// any more.
+	// WorkerExpiry is how long after its last answered heartbeat a machine is known to hold no
+	// tasks.
 	WorkerExpiry micros.Micros
-	// SuccessorWait is how long after its claim was confirmed a new owner may take a machine
-	// without a heartbeat since to hold no task any more.
+	// SuccessorWait is how long after the confirmation of its claim a new owner may conclude that
+	// a machine that has sent no heartbeat since holds no tasks.
 	SuccessorWait micros.Micros
 }
 
-// addDrift returns d and what the drift of the two clocks involved can take away from it.
+// addDrift returns an upper bound of the time that passes on one clock while d passes on another.
 func addDrift(d micros.Micros) micros.Micros { return d + d*2*maxClockDriftPPM/1_000_000 + 1 }
 
-// subtractDrift returns d without what the drift of the two clocks involved can add to it.
+// subtractDrift returns a lower bound of the time that passes on one clock while d passes on
+// another.
 func subtractDrift(d micros.Micros) micros.Micros { return d - d*2*maxClockDriftPPM/1_000_000 - 1 }
 
-// NewBounds returns the bounds for a controllers' lease in the state service, the workers'
-// lease, and the time within which the tasks of a cancelled job must have ended.
+// NewBounds returns the bounds for the duration of a controller's lease in the state service, the
+// duration of a worker's lease, and the time within which the tasks of a cancelled job must have
+// ended.
 //
-// An owner's own record of a job's end may be applied with the response lost, just as the
-// state service begins to refuse it: another node reads the record and answers "cancelled"
-// from then on, which may be right after the last renewal. The machines must be rid of the
-// job within cancel after that. They keep it for at most workerLease after the last reply, so
-// the owner may go on replying for extra = cancel - workerLease - margin from that renewal.
+// An owner may write the end of a job, have the write applied and lose the response, just before
+// the state service starts to refuse its writes. Another node may then read the record and report
+// the job as cancelled right after the owner's last renewal. From that moment the machines have
+// cancel to get rid of the job's tasks. A machine keeps them for at most workerLease after the
+// last reply, so the owner may keep replying for replyGrace = cancel - workerLease - cancelMargin
+// after that renewal.
 //
-// A successor allows a former owner more: one of an older version counted extra from the end
-// of its lease.
+// SuccessorWait allows a former owner more time, because owners of an older version counted
+// replyGrace from the end of their lease.
 func NewBounds(lease, workerLease, cancel micros.Micros) Bounds {
 	replyGrace := max(cancel-addDrift(workerLease)-cancelMargin, 0)
 	leaseValidity := max(subtractDrift(lease)-maxSendDelay, 0)
 	return Bounds{
 		LeaseValidity:   leaseValidity,
 		CommandValidity: max(leaseValidity, replyGrace),
-		// Whoever ended a job unknown to this owner, its user was notified after the view was
-		// complete. Counted from a claim, the times of successive owners would add up.
+		// Whichever node ended a job that is unknown to this owner, the job's user was notified
+		// after the view was complete. If the grace were counted from a claim, the graces of
+		// successive owners would add up.
 		StaleViewGrace: replyGrace,
-		// The command that may start the task is void once the machine's agent epoch ends.
+		// A command that may start the task becomes void when the machine's agent epoch ends.
 		LateStartGrace: replyGrace,
 		WorkerExpiry:   addDrift(workerLease) + maxSendDelay,
 		SuccessorWait:  addDrift(replyGrace+workerLease) + 3*maxSendDelay,
--- a/internal/controller/authority/bounds_test.go
+++ b/internal/controller/authority/bounds_test.go
@@ -6,8 +6,9 @@
 	"garnethitch/internal/micros"
 )
 
-// TestBounds checks that the bounds keep the tasks of an old owner's machines from outliving
-// what a successor may answer to users, with the clocks drifting as far apart as they may.
+// TestBounds checks that tasks on a former owner's machines end before the bounds allow a
+// successor to tell users that they have ended, even when the clocks drift apart as far as they
+// may.
 func TestBounds(t *testing.T) {
 	for _, tc := range []struct {
 		name                  string
@@ -22,31 +23,31 @@
 		t.Run(tc.name, func(t *testing.T) {
 			lease, worker, cancel := micros.FromSeconds(tc.lease), micros.FromSeconds(tc.worker), micros.FromSeconds(tc.cancel)
 			b := NewBounds(lease, worker, cancel)
-			slow := func(d micros.Micros) micros.Micros { return d + d/1000 } // true time over d of a slow clock
+			slow := func(d micros.Micros) micros.Micros { return d + d/1000 } // longest true time while a slow clock measures d
 			if slow(b.LeaseValidity) >= lease {
 				t.Errorf("lease valid until %v, but the lease may end at %v", b.LeaseValidity, lease)
 			}
 			if b.CommandValidity < b.LeaseValidity {
 				t.Errorf("commands end at %v, before the lease at %v", b.CommandValidity, b.LeaseValidity)
 			}
-			// Users are notified at the earliest right after the last renewal: the record was
-			// applied, its response lost, and another node has read it.
+			// Users may be notified right after the last renewal: the record was applied, its
+			// response was lost, and another node has read the record.
 			if last := slow(b.CommandValidity) + slow(worker); b.CommandValidity > b.LeaseValidity && last > cancel {
 				t.Errorf("a machine may keep a cancelled job until %v, allowed is %v", last, cancel)
 			}
-			// Notified at the earliest right after the owner's view of jobs was complete.
+			// Users may be notified right after the owner's view of jobs was complete.
 			if last := slow(b.StaleViewGrace) + slow(worker); b.StaleViewGrace > 0 && last > cancel {
 				t.Errorf("the machine of an owner with a stale view may keep a cancelled job until %v, allowed is %v", last, cancel)
 			}
-			// Notified at the earliest right after the task was to be stopped.
+			// Users may be notified right after the task was to be stopped.
 			if last := slow(b.LateStartGrace) + slow(worker); b.LateStartGrace > 0 && last > cancel {
 				t.Errorf("a task of a cancelled job may be started until %v, allowed is %v", last, cancel)
 			}
 			if b.WorkerExpiry < slow(worker) {
 				t.Errorf("a machine counts as free after %v, its lease may last %v", b.WorkerExpiry, slow(worker))
 			}
-			// The old owner may answer until CommandValidity after a renewal that was sent
-			// no later than lease before the claim.
+			// A former owner may answer until CommandValidity after a renewal that it sent no
+			// later than lease before the claim.
 			if need := slow(b.CommandValidity) - lease + slow(worker); b.SuccessorWait < need {
 				t.Errorf("a successor waits %v, a machine may last %v", b.SuccessorWait, need)
 			}
--- a/internal/controller/authority/machine.go
+++ b/internal/controller/authority/machine.go
@@ -2,7 +2,8 @@
 
 import "garnethitch/internal/micros"
 
-// HeartbeatPosition orders the heartbeats of a machine: by agent epoch, and by sequence within one.
+// HeartbeatPosition orders the heartbeats of a machine, first by agent epoch and then by sequence
+// number.
 type HeartbeatPosition struct {
 	AgentEpoch uint64
 	Sequence   uint64
@@ -16,31 +17,33 @@
 	return p.Sequence > other.Sequence
 }
 
-// MachineKnowledge is what a controller knows of a machine on record that sends a heartbeat.
+// MachineKnowledge is what a controller knows about a recorded machine that sends a heartbeat.
 type MachineKnowledge struct {
 	// Shard is the decision about the machine's shard.
 	Shard Decision
-	// Cordoned is whether its record says that nothing new may start on it.
+	// Cordoned is true if the machine's record says that no new task may start on it.
 	Cordoned bool
-	// Returned is whether the cloud has confirmed its return.
+	// Returned is true if the cloud has confirmed the return of the machine.
 	Returned bool
-	// Tracked is whether this node keeps a view of it, as the owner of its shard does.
+	// Tracked is true if this node keeps state for the machine, as the owner of a shard does for
+	// the shard's machines.
 	Tracked bool
-	// PositionKnown is whether a heartbeat has been accepted; LastPosition is that of the last.
+	// PositionKnown is true if a heartbeat has been accepted. LastPosition is the position of the
+	// last accepted heartbeat.
 	PositionKnown bool
 	LastPosition  HeartbeatPosition
-	// FencingToken is the token under which this node commands it.
+	// FencingToken is the fencing token with which this node sends commands to the machine.
 	FencingToken uint64
 }
 
-// HeartbeatKnowledge is what a heartbeat says of itself.
+// HeartbeatKnowledge holds the position and the fencing token that a heartbeat states.
 type HeartbeatKnowledge struct {
 	Position HeartbeatPosition
-	// FencingToken is the highest that the machine has seen.
+	// FencingToken is the highest fencing token that the machine has seen.
 	FencingToken uint64
 }
 
-// MayAcceptHeartbeat decides whether a node may use what a heartbeat says of a machine.
+// MayAcceptHeartbeat decides whether a node may use the contents of a machine's heartbeat.
 func MayAcceptHeartbeat(machine MachineKnowledge, heartbeat HeartbeatKnowledge) Decision {
 	switch {
 	case machine.Cordoned:
@@ -59,60 +62,61 @@
 	return machine.Shard
 }
 
-// RenewalKnowledge is what a controller knows of a machine whose heartbeat it has accepted.
+// RenewalKnowledge is what a controller knows about a machine whose heartbeat it has accepted.
 type RenewalKnowledge struct {
-	// UnknownJob is whether the machine holds a task of a job that may have ended at any time.
+	// UnknownJob is true if the machine holds a task of a job that may have ended at any time.
 	UnknownJob bool
-	// LateStart is whether a command in doubt may yet start a task there that was to be
-	// stopped longer ago than Bounds.LateStartGrace.
+	// LateStart is true if a command in doubt may still start a task on the machine although the
+	// task was to be stopped more than Bounds.LateStartGrace ago.
 	LateStart bool
-	// Unreachable is whether replies do not arrive at the machine.
+	// Unreachable is true if replies do not arrive at the machine.
 	Unreachable bool
 }
 
-// MayRenewMachineLease decides whether an accepted heartbeat may be answered, which renews the
-// machine's lease.
+// MayRenewMachineLease decides whether a node may answer an accepted heartbeat. The answer renews
+// the machine's lease.
 func MayRenewMachineLease(known RenewalKnowledge) Decision {
 	switch {
 	case known.UnknownJob:
-		// The job's user may have been notified long ago that it is cancelled. The view of
-		// jobs decides it soon; if it can't, the lease runs out.
+		// The job's user may have been told long ago that the job is cancelled. The view of jobs
+		// usually catches up soon and settles the question; otherwise the machine's lease expires.
 		return Refuse(ReasonUnknownJob)
 	case known.LateStart:
 		return Refuse(ReasonLateStart)
 	case known.Unreachable:
-		// What the machine says counts, but it receives nothing. No reply may renew its lease
-		// by chance while this node relies on the end of that lease.
+		// Heartbeats of the machine are processed, but replies do not reach it. A reply that
+		// happened to arrive would renew the lease while this node relies on the lease expiring.
 		return Refuse(ReasonUnreachable)
 	}
 	return Allow(ReasonHeartbeatAccepted)
 }
 
-// MachineTasksKnowledge is what a controller knows of the tasks that may be on a machine of its.
+// MachineTasksKnowledge is what a controller knows about the tasks that may be on one of its
+// machines.
 type MachineTasksKnowledge struct {
-	// LeaseValid is whether the node's own lease is valid.
+	// LeaseValid is true if the node's own lease in the state service is valid.
 	LeaseValid bool
-	// LeaseExpired is whether the machine's lease is known to have ended already.
+	// LeaseExpired is true if the machine's lease is already known to have expired.
 	LeaseExpired bool
-	// Reconciled is whether the machine's task list is complete; ReconciledAt is when it
-	// was last.
+	// Reconciled is true if the node has the complete task list of the machine. ReconciledAt is
+	// when the list was last complete.
 	Reconciled   bool
 	ReconciledAt micros.Micros
-	// HeartbeatSeen is whether a heartbeat of the machine has been accepted.
+	// HeartbeatSeen is true if a heartbeat of the machine has been accepted.
 	HeartbeatSeen bool
-	// UnreconciledFromPredecessor is whether a former owner's tasks may be on it.
+	// UnreconciledFromPredecessor is true if tasks of a former owner may be on the machine.
 	UnreconciledFromPredecessor bool
 	// LastReplyAt is when a heartbeat of the machine was last answered.
 	LastReplyAt micros.Micros
-	// MachinesFreeAt is when machines without a heartbeat since the claim of the shard are
+	// MachinesFreeAt is when machines that have sent no heartbeat since the shard was claimed are
 	// free of a former owner's tasks.
 	MachinesFreeAt micros.Micros
 	Now            micros.Micros
 }
 
-// MayFreeMachine reports whether a machine has provably no task any more, because its lease
-// has run out. A node whose own lease is not valid can't tell: another node may own the shard,
-// and may have renewed the machine's lease.
+// MayFreeMachine reports whether the machine's lease has expired, so that the machine provably
+// holds no tasks. A node whose own lease is not valid cannot tell, because another node may own
+// the shard and may have renewed the machine's lease.
 func MayFreeMachine(known MachineTasksKnowledge, bounds Bounds) bool {
 	mayHoldTasks := known.HeartbeatSeen || known.UnreconciledFromPredecessor
 	if known.LeaseExpired || !mayHoldTasks || !known.LeaseValid {
@@ -125,25 +129,26 @@
 	return known.Now >= freeAt
 }
 
-// ReleaseKnowledge is what a controller knows of a machine that is to leave its shard.
+// ReleaseKnowledge is what a controller knows about a machine that is to leave its shard.
 type ReleaseKnowledge struct {
-	// Releasing is whether it is being released already.
+	// Releasing is true if the machine is already being released.
 	Releasing bool
-	// CommandPending is whether a command to it is in flight or in doubt.
+	// CommandPending is true if a command to the machine is in flight or in doubt.
 	CommandPending bool
-	// Reconciled is whether its task list is complete, LeaseExpired whether its lease is known
-	// to have ended.
+	// Reconciled is true if the machine's task list is complete. LeaseExpired is true if the
+	// machine's lease is known to have expired.
 	Reconciled, LeaseExpired bool
-	// HeartbeatSeen is whether a heartbeat of it has been accepted.
+	// HeartbeatSeen is true if a heartbeat of the machine has been accepted.
 	HeartbeatSeen bool
-	// Empty is whether no task on it matters any more.
+	// Empty is true if the machine holds no task that is still needed.
 	Empty bool
-	// ReturnToCloud is whether it is to be returned to the cloud rather than moved to another shard.
+	// ReturnToCloud is true if the machine is to be returned to the cloud rather than moved to
+	// another shard.
 	ReturnToCloud bool
 }
 
-// MayReleaseMachine reports whether a machine may leave its shard: nothing is on it, and nothing
-// can come. One that is moved to another shard must be in contact as well.
+// MayReleaseMachine reports whether a machine may leave its shard: it holds no tasks and no
+// command can start one. A machine that moves to another shard must also be sending heartbeats.
 func MayReleaseMachine(known ReleaseKnowledge) bool {
 	contentsKnown := known.Reconciled || known.LeaseExpired
 	inContact := known.HeartbeatSeen && !known.LeaseExpired
--- a/internal/controller/authority/machine_test.go
+++ b/internal/controller/authority/machine_test.go
@@ -124,7 +124,7 @@
 	for _, tc := range []struct {
 		name                 string
 		change               func(k *ReleaseKnowledge)
-		wantMove, wantRetire bool // to another shard, and to the cloud
+		wantMove, wantRetire bool // moved to another shard, returned to the cloud
 	}{
 		{"empty and in contact", func(*ReleaseKnowledge) {}, true, true},
 		{"tasks on it", func(k *ReleaseKnowledge) { k.Empty = false }, false, false},
--- a/internal/controller/authority/shard_test.go
+++ b/internal/controller/authority/shard_test.go
@@ -8,7 +8,8 @@
 
 const now micros.Micros = 1000 * micros.Second
 
-// testBounds are bounds whose lengths all differ.
+// testBounds has a different value for every bound, so that a test fails if a decision uses the
+// wrong one.
 var testBounds = Bounds{
 	LeaseValidity:   4 * micros.Second,
 	CommandValidity: 20 * micros.Second,
--- a/internal/controller/checkpoint/checkpoint.go
+++ b/internal/controller/checkpoint/checkpoint.go
@@ -1,6 +1,6 @@
-// Package checkpoint converts between the progress of a job and its checkpoint record
-// ("Version" in the paper), from which a new owner of the job continues. It consists of
-// pure functions; reading and writing records is up to the caller.
+// Package checkpoint converts between the progress of a job and its checkpoint record ("Version"
+// in the paper). A new owner of the job continues from the record. The package consists of pure
+// functions; the caller reads and writes the records.
 package checkpoint
 
 import (
@@ -10,9 +10,9 @@
 )
 
 const (
-	// MaxSteps is how many of a job's latest steps a checkpoint keeps at most.
+	// MaxSteps is the maximum number of a job's latest steps that a checkpoint keeps.
 	MaxSteps = 16
-	// MaxRecoveries is how many of a job's latest recoveries a checkpoint keeps at most.
+	// MaxRecoveries is the maximum number of a job's latest recoveries that a checkpoint keeps.
 	MaxRecoveries = 8
 )
 
@@ -22,29 +22,30 @@
 	stepBytes  = 75
 	rangeBytes = 12
 	wordBytes  = 21
-	// otherBytes is for everything beside the steps and the done tasks.
+	// otherBytes is the size of everything in a record except the steps and the done tasks.
 	otherBytes = 250
-	// limitPerStep is how many bytes of the limit allow for one step, so that steps
-	// leave space for the done tasks.
+	// limitPerStep is the part of the size limit that allows for one step. It exceeds stepBytes so
+	// that space is left for the done tasks.
 	limitPerStep = 128
 )
 
-// minRangesForSet is how many ranges a record names before a set of words is considered.
+// minRangesForSet is the number of ranges up to which a record always uses ranges rather than a
+// set of words.
 const minRangesForSet = 16
 
-// Progress is what a job has achieved.
+// Progress is the progress of a job.
 type Progress struct {
 	Tasks     int
 	Done      TaskSet
 	DoneCount int
 	Steps     []wire.FinishedTask
-	// Recoveries are the times of day, in milliseconds, of the job's recoveries.
+	// Recoveries holds the times of the job's recoveries, as wall-clock times in milliseconds.
 	Recoveries []int64
 }
 
-// NewRecord returns the checkpoint record of p that takes at most maxBytes, and the done
-// tasks that it names. Tasks that do not fit are left out: they would run again, which
-// does no harm.
+// NewRecord returns the checkpoint record of a job's progress that takes at most maxBytes, and the
+// done tasks that the record covers. Done tasks that do not fit are omitted; a new owner would run
+// them again, which is harmless.
 func NewRecord(progress Progress, maxBytes int) (wire.CheckpointRecord, TaskSet) {
 	rec := wire.CheckpointRecord{
 		Steps:      latestSteps(progress.Steps, maxBytes),
@@ -61,7 +62,7 @@
 	return rec, covered
 }
 
-// latestSteps returns as many of the latest steps as maxBytes allows for.
+// latestSteps returns the latest steps, as many as maxBytes allows.
 func latestSteps(steps []wire.FinishedTask, maxBytes int) []wire.FinishedTask {
 	limit := max(min(MaxSteps, maxBytes/limitPerStep), 1)
 	if len(steps) <= limit {
@@ -70,15 +71,15 @@
 	return steps[len(steps)-limit:]
 }
 
-// setIsShorter reports whether the done tasks as a set of words are shorter than as
-// ranges, and fit.
+// setIsShorter reports whether encoding the done tasks as a set of words is shorter than encoding
+// them as ranges, and fits into remainingBytes.
 func setIsShorter(progress Progress, remainingBytes int) bool {
 	ranges := countRanges(progress)
 	size := wordBytes * len(progress.Done)
 	return ranges > minRangesForSet && size < rangeBytes*ranges && size <= remainingBytes
 }
 
-// countRanges returns how many ranges the done tasks form.
+// countRanges returns the number of ranges of consecutive done tasks.
 func countRanges(progress Progress) int {
 	ranges := 0
 	for task := range progress.Tasks {
@@ -89,8 +90,8 @@
 	return ranges
 }
 
-// addRanges adds the first maxRanges ranges of done tasks to a record, and returns the
-// tasks in them.
+// addRanges adds the first maxRanges ranges of done tasks to a record and returns the tasks in
+// these ranges.
 func addRanges(rec *wire.CheckpointRecord, progress Progress, maxRanges int) TaskSet {
 	covered := NewTaskSet(progress.Tasks)
 	ranges := 0
@@ -111,8 +112,8 @@
 	return covered
 }
 
-// DoneTasks returns the tasks that a record names as done, of a job with so many tasks.
-// Indexes outside the job are ignored.
+// DoneTasks returns the tasks that a record lists as done, for a job with the given number of
+// tasks. Indexes outside the job are ignored.
 func DoneTasks(rec wire.CheckpointRecord, tasks int) TaskSet {
 	done := NewTaskSet(tasks)
 	for i := 0; i+1 < len(rec.Ranges); i += 2 {
--- a/internal/controller/checkpoint/checkpoint_test.go
+++ b/internal/controller/checkpoint/checkpoint_test.go
@@ -9,7 +9,7 @@
 
 const testMaxBytes = 8 << 10
 
-// progressOf returns the progress of a job of which the tasks that done names are done.
+// progressOf returns the progress of a job in which the tasks selected by done are done.
 func progressOf(tasks int, done func(task int) bool) Progress {
 	p := Progress{Tasks: tasks, Done: NewTaskSet(tasks)}
 	for task := range tasks {
@@ -21,8 +21,8 @@
 	return p
 }
 
-// TestNewRecord checks that a record covers the done tasks as ranges or as a set, and gives them
-// back.
+// TestNewRecord checks that a record lists the done tasks as ranges or as a set, and that
+// DoneTasks reads the same tasks back.
 func TestNewRecord(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -60,8 +60,8 @@
 	}
 }
 
-// TestDoneTasksIgnoresIndexesOutsideJob checks that a record of another job size, or one that is
-// damaged, names no task outside the job.
+// TestDoneTasksIgnoresIndexesOutsideJob checks that a damaged record, or a record of a job of
+// another size, yields no task outside the job.
 func TestDoneTasksIgnoresIndexesOutsideJob(t *testing.T) {
 	for _, tc := range []struct {
 		name string
@@ -82,7 +82,8 @@
 	}
 }
 
-// TestNewRecordFitsLimit checks that the largest record fits, and names no task that is not done.
+// TestNewRecordFitsLimit checks that the largest record fits the size limit, and covers only tasks
+// that are done.
 func TestNewRecordFitsLimit(t *testing.T) {
 	p := progressOf(wire.MaxTasks, func(i int) bool { return i%2 == 0 })
 	for range MaxSteps {
--- a/internal/controller/checkpoint/taskset.go
+++ b/internal/controller/checkpoint/taskset.go
@@ -7,8 +7,8 @@
 
 const wordBits = 64
 
-// TaskSet is a set of a job's task indexes, held as a bit set. Its size is fixed by
-// NewTaskSet; an index outside it panics.
+// TaskSet is a set of a job's task indexes, stored as a bit set. NewTaskSet determines its size;
+// the methods may panic for an index beyond it.
 type TaskSet []uint64
 
 // NewTaskSet returns an empty set for the indexes from 0 to tasks-1.
@@ -17,7 +17,7 @@
 // Has reports whether the task is in the set.
 func (s TaskSet) Has(task int) bool { return s[task/wordBits]&(1<<(task%wordBits)) != 0 }
 
-// Add adds the task and reports whether it was missing.
+// Add adds the task and reports whether it was not in the set before.
 func (s TaskSet) Add(task int) bool {
 	if s.Has(task) {
 		return false
--- a/internal/controller/estimate/estimate_test.go
+++ b/internal/controller/estimate/estimate_test.go
@@ -13,8 +13,7 @@
 
 func near(got, want, tolerance float64) bool { return math.Abs(got-want) <= tolerance*want }
 
-// TestRunTimesLearn checks that an estimate moves towards the run times of its class, within
-// bounds.
+// TestRunTimesLearn checks that an estimate approaches the run times of its class, within bounds.
 func TestRunTimesLearn(t *testing.T) {
 	for _, tc := range []struct {
 		name      string
@@ -44,7 +43,8 @@
 	}
 }
 
-// TestRunTimesClasses checks that classes are learned apart, and no more of them than the bound.
+// TestRunTimesClasses checks that each class is learned separately, and that no more than
+// maxClasses are learned.
 func TestRunTimesClasses(t *testing.T) {
 	r := NewRunTimes()
 	for i := range maxClasses + 5 {
@@ -60,7 +60,8 @@
 	}
 }
 
-// TestRateMeter checks that a steady arrival is measured at its rate, and forgotten when it ends.
+// TestRateMeter checks that the meter reports the rate of a steady arrival, and that the reported
+// rate decays after the arrival ends.
 func TestRateMeter(t *testing.T) {
 	var r RateMeter
 	now := micros.Micros(0)
--- a/internal/controller/estimate/ratemeter.go
+++ b/internal/controller/estimate/ratemeter.go
@@ -6,29 +6,29 @@
 	"garnethitch/internal/micros"
 )
 
-// meterTimeConstant is the time constant with which a RateMeter forgets.
+// meterTimeConstant is the time constant of the exponential decay of a RateMeter.
 const meterTimeConstant = 90 * micros.Second
 
-// RateMeter measures the rate at which an amount arrives, as an exponentially decaying
-// mean. The zero value has measured nothing.
+// RateMeter measures the rate at which an amount arrives, as an exponentially decaying mean. The
+// zero value is ready to use.
 type RateMeter struct {
 	level float64
 	at    micros.Micros
 }
 
-// Add takes an amount that arrives now.
+// Add records an amount that arrives at now.
 func (r *RateMeter) Add(now micros.Micros, amount float64) {
 	r.decay(now)
 	r.level += amount
 }
 
-// Rate returns the amount per second.
+// Rate returns the measured rate in amount per second.
 func (r *RateMeter) Rate(now micros.Micros) float64 {
 	r.decay(now)
 	return r.level / meterTimeConstant.Seconds()
 }
 
-// decay lets the amount decay up to now.
+// decay applies the decay between the last update and now.
 func (r *RateMeter) decay(now micros.Micros) {
 	if now > r.at {
 		r.level *= math.Exp(-(now - r.at).Seconds() / meterTimeConstant.Seconds())
--- a/internal/controller/fleet/catalog.go
+++ b/internal/controller/fleet/catalog.go
@@ -10,22 +10,24 @@
 	"garnethitch/internal/wire"
 )
 
-// minPricedCPUs is the least number of CPUs by which a machine's price is divided.
+// minPricedCPUs is the smallest divisor of a machine's price, so that a type without CPUs still
+// has a finite price per CPU.
 const minPricedCPUs = 0.01
 
-// Kind is what capacity is counted by.
+// Kind is a kind of machine: its type, its zone, and whether it is a spot machine. Capacity is
+// counted by kind.
 type Kind struct {
 	Type, Zone string
 	Spot       bool
 }
 
-// Catalog is what the cloud offers.
+// Catalog holds the machine types that the cloud offers.
 type Catalog struct {
 	Types map[string]wire.MachineType
 	Names []string // of the types, in ascending order
 }
 
-// CPUPrice returns the price of a CPU for an hour.
+// CPUPrice returns the price of one CPU of a machine type per hour.
 func CPUPrice(machineType wire.MachineType, spot bool) float64 {
 	price := machineType.Price
 	if spot {
@@ -34,7 +36,7 @@
 	return price / max(machineType.CPUs, minPricedCPUs)
 }
 
-// LowestPrice returns the lowest price of a CPU that costs anything; +Inf if there is none.
+// LowestPrice returns the lowest positive price of a CPU per hour, or +Inf if there is none.
 func (c Catalog) LowestPrice() float64 {
 	lowest := math.Inf(1)
 	for _, machineType := range c.Types {
@@ -47,7 +49,7 @@
 	return lowest
 }
 
-// LongestBoot returns how long the machines of the slowest type boot.
+// LongestBoot returns the boot time of the machine type that boots slowest.
 func (c Catalog) LongestBoot() micros.Micros {
 	longest := micros.Micros(0)
 	for _, machineType := range c.Types {
@@ -56,12 +58,12 @@
 	return longest
 }
 
-// CPUs returns the CPUs of so many machines of a type.
+// CPUs returns the total CPUs of the given number of machines of a type.
 func (c Catalog) CPUs(machineType string, machines int) float64 {
 	return float64(machines) * c.Types[machineType].CPUs
 }
 
-// CanRun reports whether a group's tasks could run on machines of a kind.
+// CanRun reports whether a group's tasks can run on machines of a kind.
 func (c Catalog) CanRun(group peer.WaitingTasks, kind Kind) bool {
 	machineType, known := c.Types[kind.Type]
 	if !known || !allows(group, kind) {
@@ -71,7 +73,7 @@
 	return need.Fits(scheduling.Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, MemGB: machineType.MemGB})
 }
 
-// allows reports whether a group's constraints admit machines of a kind.
+// allows reports whether a group's constraints on zone, spot and type admit machines of a kind.
 func allows(group peer.WaitingTasks, kind Kind) bool {
 	if group.Zone != "" && group.Zone != kind.Zone || kind.Spot && !group.Spot {
 		return false
@@ -79,7 +81,7 @@
 	return group.Any || slices.Contains(group.Types, kind.Type)
 }
 
-// Useful reports whether tasks that wait in a shard could use a machine of a kind.
+// Useful reports whether any task that waits in a shard can run on a machine of a kind.
 func (c Catalog) Useful(demand *peer.Demand, kind Kind) bool {
 	for _, group := range demand.Groups {
 		if group.Waiting > 0 && c.CanRun(group, kind) {
@@ -89,7 +91,7 @@
 	return false
 }
 
-// UsefulAnywhere reports whether tasks that wait in any shard could use a machine of a kind.
+// UsefulAnywhere reports whether any task that waits in any shard can run on a machine of a kind.
 func (c Catalog) UsefulAnywhere(demands Demands, kind Kind) bool {
 	for _, demand := range demands {
 		if c.Useful(demand, kind) {
@@ -99,7 +101,7 @@
 	return false
 }
 
-// Constrained reports whether a group's tasks cannot run on machines of every kind.
+// Constrained reports whether there is a kind of machine on which a group's tasks cannot run.
 func (c Catalog) Constrained(group peer.WaitingTasks) bool {
 	for _, name := range c.Names {
 		for _, zone := range c.Types[name].Zones {
--- a/internal/controller/fleet/catalog_test.go
+++ b/internal/controller/fleet/catalog_test.go
@@ -8,7 +8,7 @@
 	"garnethitch/internal/wire"
 )
 
-// testCatalog offers a small type in two zones and a large one with GPUs in one of them.
+// testCatalog offers a small type in two zones, and a large type with GPUs in one of them.
 func testCatalog() Catalog {
 	return Catalog{
 		Types: map[string]wire.MachineType{
--- a/internal/controller/fleet/consolidation_test.go
+++ b/internal/controller/fleet/consolidation_test.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// TestConsolidationNeedsFreeCapacity checks that tasks of a machine that is drained must find
-// capacity on others.
+// TestConsolidationNeedsFreeCapacity checks that a machine is drained only if its tasks fit into
+// the free capacity of other machines.
 func TestConsolidationNeedsFreeCapacity(t *testing.T) {
 	m := DrainCandidate{Machine: peer.Machine{ID: "vm-1", Busy: 4, LeftUS: int64(100 * micros.Second)}, CPUs: 16}
 	for _, tc := range []struct {
--- a/internal/controller/fleet/demand.go
+++ b/internal/controller/fleet/demand.go
@@ -1,6 +1,6 @@
 // Package fleet decides how many machines of which kinds the fleet should have, and which shard
-// should have them. Its results depend on the arguments alone: what the owners of the shards say
-// that they want and have, and what the cloud offers. It sends nothing.
+// should have them. Its results depend only on its arguments: the demands reported by the owners
+// of the shards, and the catalog of the cloud. The package performs no I/O.
 package fleet
 
 import (
@@ -11,13 +11,13 @@
 	"garnethitch/internal/peer"
 )
 
-// Demands is what each shard wants and has, by the shard's number.
+// Demands maps the number of each shard to what the shard needs and has.
 type Demands map[int]*peer.Demand
 
 // Shards returns the numbers of the shards in ascending order.
 func (d Demands) Shards() []int { return slices.Sorted(maps.Keys(d)) }
 
-// Waiting reports whether tasks wait in any shard.
+// Waiting reports whether tasks are waiting in any shard.
 func (d Demands) Waiting() bool {
 	for _, demand := range d {
 		if WaitingCPUs(demand) > 0 {
@@ -27,7 +27,7 @@
 	return false
 }
 
-// Groups returns the waiting tasks of all shards.
+// Groups returns the groups of waiting tasks of all shards.
 func (d Demands) Groups() []peer.WaitingTasks {
 	var groups []peer.WaitingTasks
 	for _, shard := range d.Shards() {
@@ -36,7 +36,7 @@
 	return groups
 }
 
-// WaitingCPUs returns the CPUs that a shard's waiting tasks would take at once.
+// WaitingCPUs returns the CPUs that a shard's waiting tasks would use if all of them ran at once.
 func WaitingCPUs(demand *peer.Demand) float64 {
 	cpus := 0.0
 	for _, group := range demand.Groups {
@@ -45,7 +45,8 @@
 	return cpus
 }
 
-// UnfinishedWork returns all unfinished work of a shard, in CPU seconds.
+// UnfinishedWork returns the unfinished work of a shard's running and waiting tasks, in CPU
+// seconds.
 func UnfinishedWork(demand *peer.Demand) float64 {
 	work := micros.Micros(demand.RunLeftUS).Seconds()
 	for _, group := range demand.Groups {
@@ -54,9 +55,9 @@
 	return work
 }
 
-// BlockedWork returns how much of a shard's capacity stands unused until its unreconciled
-// machines are free by themselves, in CPU seconds: what is free now, and what comes free
-// meanwhile, as far as tasks wait for it.
+// BlockedWork returns how much of a shard's capacity remains unused until the shard's unreconciled
+// machines become free without intervention, in CPU seconds. It counts the capacity that is free
+// now and the capacity that becomes free in the meantime, up to what waiting tasks would use.
 func BlockedWork(demand *peer.Demand) float64 {
 	blocked := micros.Micros(demand.BlockedUS).Seconds()
 	unused := (demand.CPUs - demand.Busy) * blocked
@@ -67,23 +68,23 @@
 	return min(unused, WaitingCPUs(demand)*blocked)
 }
 
-// UnusedWork returns how much of a machine with so many CPUs stands unused until it is empty, in
-// CPU seconds.
+// UnusedWork returns how much of a machine with the given number of CPUs remains unused until its
+// tasks end, in CPU seconds.
 func UnusedWork(machine peer.Machine, cpus float64) float64 {
 	return (cpus - machine.Busy) * micros.Micros(machine.LeftUS).Seconds()
 }
 
-// Totals is what all shards want and have together.
+// Totals is the sum of what all shards need and have.
 type Totals struct {
 	Work     float64 // unfinished work, in CPU seconds
-	Arrival  float64 // work that came in recently, in CPUs kept busy
-	Parallel float64 // CPUs that could be in use at once
-	Have     float64 // CPUs of the machines that are up, leave or are on their way
+	Arrival  float64 // recent rate of arriving work, in CPUs that it would keep busy
+	Parallel float64 // CPUs that could be in use at the same time
+	Have     float64 // CPUs of machines that are up, leaving or booting
 	Busy     float64 // CPUs in use
-	Booting  float64 // the part of Have that is on its way, in CPUs
+	Booting  float64 // CPUs of machines that are booting; included in Have
 }
 
-// Add adds what a shard wants and has.
+// Add adds the demand of a shard.
 func (s *Totals) Add(demand *peer.Demand) {
 	s.Have += demand.CPUs
 	s.Booting += demand.Booting
@@ -93,9 +94,9 @@
 	s.Arrival += demand.ArrivalCPUs
 }
 
-// Need returns how many CPUs are worth having at a price that is ratio times the lowest: the
-// dearer a machine, the longer the work would have to wait without it. drainHorizon is the time
-// within which the fleet is to be large enough to work off what waits.
+// Need returns the number of CPUs that are worth having at a price of ratio times the lowest
+// price. The higher the price, the longer the work may wait instead. drainHorizon is the time
+// within which the fleet should be able to work off the backlog.
 func (s Totals) Need(drainHorizon micros.Micros, ratio float64) float64 {
 	forBacklog := s.Work / (drainHorizon.Seconds() * ratio)
 	forArrivals := s.Arrival / ratio
--- a/internal/controller/fleet/demand_test.go
+++ b/internal/controller/fleet/demand_test.go
@@ -7,7 +7,7 @@
 	"garnethitch/internal/peer"
 )
 
-// cpuSeconds returns work as messages carry it, in CPU microseconds.
+// cpuSeconds converts work in CPU seconds to CPU microseconds, the unit that messages use.
 func cpuSeconds(s float64) int64 { return int64(micros.FromSeconds(s)) }
 
 func TestDemandSums(t *testing.T) {
--- a/internal/controller/fleet/rebalancing.go
+++ b/internal/controller/fleet/rebalancing.go
@@ -9,36 +9,39 @@
 )
 
 const (
-	// maxDraining bounds the machines that are drained for other shards at a time, beyond what
-	// may be drained without loss: one that empties slowly stands half used meanwhile.
+	// maxDraining is the maximum number of machines that are drained for other shards at the same
+	// time, beyond those that can be drained without loss. A machine that empties slowly remains
+	// half used in the meantime.
 	maxDraining = 2
-	// maxDrainTime is how soon such a machine must be empty.
+	// maxDrainTime is the time within which such a machine must become empty.
 	maxDrainTime = 15 * micros.Second
-	// minMoveGain is the least lack, in CPUs, that a machine is moved for.
+	// minMoveGain is the smallest shortage of CPUs for which a machine is moved.
 	minMoveGain = 0.5
-	// idleMoveGap is added to what a shard lacks of its part of the fleet, in CPUs, where an idle
-	// machine is considered: one that lacks nothing may still have tasks that wait.
+	// idleMoveGap is added, for idle machines, to the gap between a shard's target and its actual
+	// CPUs. Without it, a shard that has reached its target would never receive an idle machine,
+	// although tasks may still wait there.
 	idleMoveGap = 0.01
-	// reserveDivisor divides the CPUs of a shard into those that are kept free where nothing waits.
+	// reserveDivisor divides the CPUs of a shard to give the CPUs that are kept free where no task
+	// waits.
 	reserveDivisor = 20
 )
 
 // Machine is a machine that may be moved to another shard.
 type Machine struct {
 	peer.Machine
-	From int // its shard
+	From int // current shard
 	Kind Kind
 	CPUs float64
 }
 
-// idle reports whether nothing is on the machine.
+// idle reports whether the machine holds no tasks.
 func (m Machine) idle() bool { return m.State == peer.MachineIdle }
 
-// Move is a machine that is to move to another shard.
+// Move states that a machine is to move to another shard.
 type Move struct {
 	Machine Machine
 	To      int
-	Drain   bool // it is to be emptied first
+	Drain   bool // the machine must be drained first
 }
 
 // Rebalancing decides which machines move between shards. Its maps hold CPUs by shard.
@@ -46,18 +49,19 @@
 	catalog Catalog
 	demands Demands
 	shards  []int
-	// target is what each shard should have, actual what it actual, with moves under way counted
-	// where they go.
+	// target holds the CPUs that each shard should have. actual holds the CPUs that it has, where
+	// machines under way are counted in the shard to which they move.
 	target, actual map[int]float64
-	// shortfall is what its waiting tasks want beyond what is free there.
+	// shortfall holds the CPUs that a shard's waiting tasks need beyond the CPUs that are free
+	// there.
 	shortfall map[int]float64
-	// spare is what may be drained without loss, where nothing waits.
+	// spare holds the CPUs that may be drained without loss, for shards where no task waits.
 	spare map[int]float64
-	// draining counts the machines that are drained for another shard.
+	// draining is the number of machines that are being drained for other shards.
 	draining int
 }
 
-// NewRebalancing returns a rebalancing that knows of no moves under way.
+// NewRebalancing returns a Rebalancing without moves under way.
 func NewRebalancing(catalog Catalog, demands Demands) *Rebalancing {
 	total := 0.0
 	for _, demand := range demands {
@@ -84,20 +88,23 @@
 	return r
 }
 
-// NeededInOwnShard reports whether a machine that is drained for another shard is needed in its own again.
+// NeededInOwnShard reports whether a machine that is being drained for another shard is needed
+// again in its own shard.
 func (r *Rebalancing) NeededInOwnShard(machine Machine) bool {
 	return WaitingCPUs(r.demands[machine.From]) > 0 && r.actual[machine.From] < r.target[machine.From]
 }
 
-// AddDraining counts a machine that is drained for a shard where it goes.
+// AddDraining records that a machine is being drained for the shard to. The machine counts as
+// capacity of that shard.
 func (r *Rebalancing) AddDraining(machine Machine, to int) {
 	r.draining++
 	r.actual[to] += machine.CPUs
 	r.shortfall[to] = max(0, r.shortfall[to]-machine.CPUs)
 }
 
-// Moves returns the machines that are to move to shards whose tasks wait: idle ones at once, busy
-// ones as they empty, where a shard has more than its part of the fleet. It sorts machines.
+// Moves returns the machines to move to shards where tasks wait. Idle machines move at once. Busy
+// machines move once they are empty, and only from shards that have more than their target. It
+// sorts machines.
 func (r *Rebalancing) Moves(machines []Machine) []Move {
 	slices.SortStableFunc(machines, func(a, b Machine) int {
 		return cmp.Or(cmp.Compare(a.State, b.State), cmp.Compare(a.LeftUS, b.LeftUS), cmp.Compare(a.ID, b.ID))
@@ -116,8 +123,8 @@
 	return moves
 }
 
-// destination returns the shard that a machine would help most, and by how many CPUs; false if
-// there is none.
+// destination returns the shard that gains most from a machine, and the gain in CPUs. found is
+// false if no shard gains enough.
 func (r *Rebalancing) destination(machine Machine) (to int, gain float64, found bool) {
 	gain = minMoveGain
 	for _, shard := range r.shards {
@@ -137,11 +144,11 @@
 	return to, gain, found
 }
 
-// mayLeave reports whether a machine may leave its shard for one that it helps by so many CPUs,
-// and counts it if it is to be drained for that.
+// mayLeave reports whether a machine may leave its shard for one that gains the given number of
+// CPUs. It counts the machine in draining or spare if the machine must be drained for the move.
 func (r *Rebalancing) mayLeave(machine Machine, gain float64) bool {
 	if machine.idle() {
-		// Its own shard may be about to use it.
+		// The machine's own shard may be about to use it.
 		own := r.demands[machine.From]
 		return WaitingCPUs(own) == 0 || !r.catalog.Useful(own, machine.Kind)
 	}
--- a/internal/controller/fleet/rebalancing_test.go
+++ b/internal/controller/fleet/rebalancing_test.go
@@ -7,8 +7,8 @@
 	"garnethitch/internal/peer"
 )
 
-// rebalancingDemands returns two shards with 80 CPUs each: 0, where the given number of
-// one-CPU tasks wait, and 1, where none do and so many CPUs are busy.
+// rebalancingDemands returns two shards with 80 CPUs each. In shard 0, the given number of one-CPU
+// tasks wait. In shard 1, no tasks wait and the given number of CPUs is busy.
 func rebalancingDemands(waiting int, busy float64) Demands {
 	return Demands{
 		0: {Shard: 0, CPUs: 80, Busy: 80, RunLeftUS: cpuSeconds(800), Groups: []peer.WaitingTasks{{Any: true, Spot: true, CPUs: 1, MemGB: 1, Waiting: waiting, WorkUS: cpuSeconds(float64(10 * waiting))}}},
@@ -68,8 +68,8 @@
 	}
 }
 
-// TestRebalancingDraining checks that a machine that is drained counts where it goes, and takes one
-// of the places for such.
+// TestRebalancingDraining checks that a machine that is being drained for another shard counts as
+// capacity of that shard, and counts towards maxDraining.
 func TestRebalancingDraining(t *testing.T) {
 	r := NewRebalancing(testCatalog(), rebalancingDemands(1000, 80))
 	for _, id := range []string{"vm-8", "vm-9"} {
--- a/internal/controller/fleet/scale_in.go
+++ b/internal/controller/fleet/scale_in.go
@@ -8,38 +8,38 @@
 )
 
 const (
-	// largeSurplusMaxIdle is how long a machine may be idle at most where there is much more than
-	// is needed.
+	// largeSurplusMaxIdle is how long a machine may stay idle while the fleet is much larger than
+	// needed.
 	largeSurplusMaxIdle = 2 * micros.Second
-	// fullFleetMaxIdle is how long a machine may be idle where the fleet may not grow: it takes the
-	// place of one that would be of use.
+	// fullFleetMaxIdle is how long a machine may stay idle while the fleet may not grow. The idle
+	// machine then takes the place of a machine that could be used.
 	fullFleetMaxIdle = 5 * micros.Second
 )
 
-// IdleMachine is a machine that may be returned to the cloud.
+// IdleMachine is an idle machine that may be returned to the cloud.
 type IdleMachine struct {
 	ID       string
 	CPUs     float64
-	CPUPrice float64 // of each CPU for an hour
+	CPUPrice float64 // price of one CPU per hour
 	IdleFor  micros.Micros
-	Unusable bool // tasks wait, and none of them can use the machine
+	Unusable bool // true if tasks wait and none of them can run on the machine
 }
 
-// ScaleIn decides which idle machines are returned to the cloud.
+// ScaleIn decides which idle machines to return to the cloud.
 type ScaleIn struct {
 	Totals       Totals
-	DrainHorizon micros.Micros // see Sums.Need
+	DrainHorizon micros.Micros // see Totals.Need
 	LowestPrice  float64       // see Catalog.LowestPrice
-	// Reserve is how many CPUs are kept although nothing waits.
+	// Reserve is the number of CPUs that are kept even if no task waits.
 	Reserve float64
-	// MaxIdle is how long a machine may be idle.
+	// MaxIdle is how long a machine may stay idle.
 	MaxIdle micros.Micros
-	// FleetFull is whether the fleet may not grow.
+	// FleetFull is true if the fleet may not grow.
 	FleetFull bool
 }
 
-// Choose returns the machines to be returned, the dearest first, as long as there is more than is
-// needed. It sorts idle.
+// Choose returns the IDs of the machines to return, the most expensive first, for as long as the
+// fleet has more than it needs. It sorts idle.
 func (s ScaleIn) Choose(idle []IdleMachine) []string {
 	slices.SortFunc(idle, func(a, b IdleMachine) int {
 		return cmp.Or(-cmp.Compare(a.CPUPrice, b.CPUPrice), cmp.Compare(a.ID, b.ID))
@@ -54,7 +54,7 @@
 	return chosen
 }
 
-// surplus reports whether a machine is not needed any more.
+// surplus reports whether a machine is no longer needed.
 func (s ScaleIn) surplus(machine IdleMachine) bool {
 	if s.FleetFull && machine.IdleFor >= fullFleetMaxIdle {
 		return true
--- a/internal/controller/fleet/scale_out.go
+++ b/internal/controller/fleet/scale_out.go
@@ -12,31 +12,31 @@
 )
 
 const (
-	// maxRentalMachines bounds the machines of one rental.
+	// maxRentalMachines is the maximum number of machines in one rental.
 	maxRentalMachines = 50
-	// minDeficit is the least lack of CPUs that a machine is rented for.
+	// minDeficit is the smallest shortage of CPUs for which a machine is rented.
 	minDeficit = 0.5
-	// roundingDown is the largest part of a machine that may be lacking without another
-	// machine being rented for it.
+	// roundingDown is the largest shortage, as a fraction of a machine, for which no additional
+	// machine is rented.
 	roundingDown = 0.25
 )
 
 // ScaleOut decides which machines to rent.
 type ScaleOut struct {
 	Catalog      Catalog
-	DrainHorizon micros.Micros // see Sums.Need
+	DrainHorizon micros.Micros // see Totals.Need
 	Totals       Totals
-	Groups       []peer.WaitingTasks // what waits
-	Free         map[Kind]float64    // CPUs of the machines that are idle or on their way
-	// MachinesInZone counts the machines by zone.
+	Groups       []peer.WaitingTasks // groups of waiting tasks
+	Free         map[Kind]float64    // CPUs of machines that are idle or booting
+	// MachinesInZone holds the number of machines by zone.
 	MachinesInZone map[string]int
-	// MaxMachines is how many machines may still be rented.
+	// MaxMachines is the number of machines that may still be rented.
 	MaxMachines int
-	// Unavailable reports whether machines of a kind cannot be had or used for now.
+	// Unavailable reports whether machines of a kind currently cannot be rented or used.
 	Unavailable func(Kind) bool
 }
 
-// Add counts a rental among what there is.
+// Add counts a rental as existing capacity.
 func (s *ScaleOut) Add(rental wire.Rental) {
 	cpus := s.Catalog.CPUs(rental.Type, rental.Count)
 	s.Totals.Have += cpus
@@ -45,8 +45,9 @@
 	s.MachinesInZone[rental.Zone] += rental.Count
 }
 
-// Next returns the next rental, of the cheapest machines that the largest waiting work can use,
-// as long as there are fewer than are worth their price; false if there is none. It sorts Groups.
+// Next returns the next rental. It serves the groups in decreasing order of waiting work, with the
+// cheapest machines that a group can use, as long as the fleet has fewer machines than are worth
+// their price. It returns false if nothing more is to be rented. It sorts Groups.
 func (s *ScaleOut) Next() (wire.Rental, bool) {
 	slices.SortStableFunc(s.Groups, func(a, b peer.WaitingTasks) int {
 		return cmp.Compare(float64(b.WorkUS)*b.CPUs, float64(a.WorkUS)*a.CPUs)
@@ -63,7 +64,7 @@
 	return wire.Rental{}, false
 }
 
-// rentalFor returns the rental for a group's tasks; false if they are not to have any.
+// rentalFor returns a rental for a group's tasks. It returns false if none is needed.
 func (s *ScaleOut) rentalFor(group peer.WaitingTasks, lowestPrice float64) (wire.Rental, bool) {
 	shortfall := s.Totals.Parallel - s.Totals.Have
 	groupShortfall := 0.0
@@ -86,8 +87,9 @@
 	return wire.Rental{}, false
 }
 
-// groupShortfall returns how many CPUs are wanted for a constrained group alone: the fleet may be
-// large enough and yet have none that its tasks can use.
+// groupShortfall returns the number of CPUs that a constrained group needs in addition to the free
+// CPUs that it can use. The fleet as a whole may be large enough and still have no machine on
+// which the group's tasks can run.
 func (s *ScaleOut) groupShortfall(group peer.WaitingTasks) float64 {
 	waiting := float64(group.Waiting) * group.CPUs
 	toDrain := micros.Micros(group.WorkUS).Seconds() * group.CPUs / s.DrainHorizon.Seconds()
@@ -104,13 +106,14 @@
 type option struct {
 	kind     Kind
 	cpus     float64
-	cpuPrice float64 // of each CPU of the machine, for an hour
-	// usedPrice is the price of each CPU that would be used: what stands unused is paid as well.
+	cpuPrice float64 // price of one CPU per hour
+	// usedPrice is the price per hour divided by the CPUs that would be used, because unused CPUs
+	// must be paid for as well.
 	usedPrice float64
 }
 
-// options returns the kinds of machines that a group's tasks can use, the cheapest first and, of
-// these, those in the zone with the fewest machines.
+// options returns the kinds of machines that a group's tasks can use, ordered by price. Of kinds
+// with equal prices, those in the zone with the fewest machines come first.
 func (s *ScaleOut) options(group peer.WaitingTasks, shortfall float64) []option {
 	var options []option
 	for _, name := range s.Catalog.Names {
@@ -135,7 +138,7 @@
 	return options
 }
 
-// kindsOf returns the kinds of machines of a type.
+// kindsOf returns the kinds of machines that exist of a type.
 func kindsOf(machineType wire.MachineType, name string) []Kind {
 	var kinds []Kind
 	for _, zone := range machineType.Zones {
--- a/internal/controller/fleet/target.go
+++ b/internal/controller/fleet/target.go
@@ -2,12 +2,13 @@
 
 import "garnethitch/internal/controller/scheduling"
 
-// maxAllocationRounds bounds how often what a shard cannot use is given to the others.
+// maxAllocationRounds is the maximum number of rounds in which CPUs that some shards cannot use
+// are offered to the other shards.
 const maxAllocationRounds = 4
 
-// TargetCPUs returns how many of total CPUs each shard should have: first what its jobs within
-// their team's guarantee can use, then in proportion to its unfinished work, and never more than
-// its tasks could use at once.
+// TargetCPUs returns how many of total CPUs each shard should have. Each shard first receives what
+// its jobs within their team's guarantee can use. The rest is distributed in proportion to
+// unfinished work. No shard receives more than its tasks could use at once.
 func TargetCPUs(demands Demands, total float64) map[int]float64 {
 	targets := allocation{shards: demands.Shards(), allocated: map[int]float64{}, remaining: total}
 	usable := map[int]float64{}
@@ -28,14 +29,15 @@
 	return targets.allocated
 }
 
-// allocation gives CPUs to shards.
+// allocation distributes CPUs among shards.
 type allocation struct {
 	shards    []int
 	allocated map[int]float64
 	remaining float64
 }
 
-// allocate distributes what is left in proportion to the shards' weights, to each up to its limit.
+// allocate distributes the remaining CPUs in proportion to the weights of the shards, up to the
+// limit of each shard.
 func (a *allocation) allocate(weights, limits map[int]float64) {
 	for range maxAllocationRounds {
 		sum := 0.0
--- a/internal/controller/fleet/zones.go
+++ b/internal/controller/fleet/zones.go
@@ -1,16 +1,16 @@
 package fleet
 
 const (
-	// minSilentForPartition is how many machines of a zone must be silent before that says
-	// anything about the zone.
+	// minSilentForPartition is the number of silent machines below which a zone is never
+	// considered partitioned. A few silent machines say nothing about the zone.
 	minSilentForPartition = 4
-	// A zone is partitioned if at least partitionedSilent in partitionedOf of its machines are
-	// silent.
+	// A zone is considered partitioned if at least partitionedSilent of every partitionedOf
+	// machines in it are silent.
 	partitionedSilent = 3
 	partitionedOf     = 4
 )
 
-// zoneCount counts machines of one zone.
+// zoneCount counts the machines of a zone.
 type zoneCount struct{ all, silent int }
 
 // partitioned reports whether hardly any machine of the zone sends heartbeats.
@@ -21,10 +21,10 @@
 // connected reports whether at least half of the zone's machines send heartbeats.
 func (z zoneCount) connected() bool { return z.all > 0 && 2*z.silent <= z.all }
 
-// PartitionedZones returns the zones from which hardly any heartbeat comes while those of another
-// zone do: the network to the zone is partitioned, and its machines are up all the same. What is
-// rented there could not send heartbeats either. If none come from any zone, the fault is not in
-// the zones, and it returns nil.
+// PartitionedZones returns the zones that appear cut off from the network: hardly any of their
+// machines send heartbeats, while those of another zone do. The machines of such a zone are most
+// likely running, and new machines rented there could not send heartbeats either. If no zone is
+// connected, the fault does not lie in the zones, and the result is nil.
 func PartitionedZones(demands Demands) map[string]bool {
 	partitioned := map[string]bool{}
 	anyConnected := false
@@ -42,7 +42,7 @@
 	return partitioned
 }
 
-// countZones adds up the shards' machines by zone.
+// countZones adds up the machines of all shards by zone.
 func countZones(demands Demands) map[string]zoneCount {
 	counts := map[string]zoneCount{}
 	for _, demand := range demands {
--- a/internal/controller/fleet/zones_test.go
+++ b/internal/controller/fleet/zones_test.go
@@ -7,7 +7,8 @@
 )
 
 // TestPartitionedZones checks that a zone counts as partitioned only if hardly any of its machines
-// is connected while another zone's are, however many rows the owners name.
+// send heartbeats while the machines of another zone do, regardless of how many shards report
+// machines of the zone.
 func TestPartitionedZones(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
--- a/internal/controller/ownership/claim.go
+++ b/internal/controller/ownership/claim.go
@@ -1,50 +1,52 @@
-// Package ownership holds what decides which controller owns a shard: the assignment of teams to
-// shards, the preferred owner of a shard, the delay of a claim, and the controller's lease in
-// the state service under which its locks are held. Nothing here sends or reads a clock.
+// Package ownership decides which controller owns a shard: it assigns teams to shards, selects the
+// preferred owner of a shard, and determines how long a controller waits before it claims a free
+// shard. It also tracks the state of the controller's lease in the state service, to which its
+// locks are bound. The package performs no I/O and reads no clock.
 package ownership
 
 import "garnethitch/internal/micros"
 
-// claimStep is the unit of the delays that order the claims of several controllers: long enough
-// for a claim to be seen by the others.
+// claimStep is the unit of the delays that stagger the claims of several controllers. It is long
+// enough for the others to see a claim before they make their own.
 const claimStep = 400 * micros.Millisecond
 
 const (
-	// startingDelay is the delay of a controller that has just started: the others may be
-	// starting as well.
+	// startingDelay is the delay of a controller that has just started, because the other
+	// controllers may be starting as well.
 	startingDelay = 2 * claimStep
-	// workersUnreachableDelay is the delay of a controller that does not reach the workers.
+	// workersUnreachableDelay is the delay of a controller that cannot reach the workers.
 	workersUnreachableDelay = 8 * claimStep
 )
 
-// PreferredOwner returns the controller that a shard belongs to when all are well. labels are
-// those of all controllers, in order.
+// PreferredOwner returns the label of the controller that owns a shard while all controllers are
+// healthy. labels holds the labels of all controllers, in order.
 func PreferredOwner(labels []string, shard int) string { return labels[shard%len(labels)] }
 
-// Candidate is another controller that may claim a free shard: it is alive and in contact with
-// the workers.
+// Candidate is another controller that may claim a free shard: it is alive and reaches the
+// workers.
 type Candidate struct {
 	Label string
-	// Shards is how many it owns.
+	// Shards is the number of shards that the candidate owns.
 	Shards int
 }
 
-// ClaimKnowledge is what a controller knows when a shard, or the leader lock, is free.
+// ClaimKnowledge is what a controller knows when a shard or the leader lock is free.
 type ClaimKnowledge struct {
-	// Label is the controller's own, and Shards how many shards it owns.
+	// Label is the controller's own label, and Shards is the number of shards that it owns.
 	Label  string
 	Shards int
-	// PreferredOwner is the label of the controller that is to own the shard.
+	// PreferredOwner is the label of the preferred owner of the shard.
 	PreferredOwner string
-	// Starting is whether the controller has started just now.
+	// Starting is true if the controller has just started.
 	Starting bool
-	// WorkersUnreachable is whether it has lost contact with the workers.
+	// WorkersUnreachable is true if the controller has lost contact with the workers.
 	WorkersUnreachable bool
 	Candidates         []Candidate
 }
 
-// ClaimDelay returns how long after the shard became free the controller is to claim it. The
-// best candidate goes first: the preferred owner, then the one that owns the fewest shards.
+// ClaimDelay returns how long after the shard became free the controller waits before it claims
+// the shard. The best candidate claims first: the preferred owner, then the controller that owns
+// the fewest shards.
 func ClaimDelay(known ClaimKnowledge) micros.Micros {
 	if known.PreferredOwner == known.Label && !known.WorkersUnreachable {
 		return 0
@@ -67,8 +69,8 @@
 	return delay
 }
 
-// goesAfter reports whether a candidate goes before the controller: it owns fewer shards, or as
-// many and its label comes first.
+// goesAfter reports whether the candidate claims before this controller: it owns fewer shards, or
+// the same number and its label sorts first.
 func (known ClaimKnowledge) goesAfter(candidate Candidate) bool {
 	if candidate.Shards != known.Shards {
 		return candidate.Shards < known.Shards
--- a/internal/controller/ownership/lease.go
+++ b/internal/controller/ownership/lease.go
@@ -2,22 +2,22 @@
 
 import "garnethitch/internal/micros"
 
-// MaxRenewalsInFlight bounds the renewals that await a response.
+// MaxRenewalsInFlight is the maximum number of renewals that await a response.
 const MaxRenewalsInFlight = 4
 
-// renewalsPerLease is how many renewals are sent within the duration of a lease.
+// renewalsPerLease is the number of renewals that are sent within the duration of a lease.
 const renewalsPerLease = 4
 
-// leaseState is how a lease stands.
+// leaseState is the state of a Lease.
 type leaseState int
 
 const (
-	// leaseAbsent means that there is none, and none has been requested.
+	// leaseAbsent means that no lease is held and none has been requested.
 	leaseAbsent leaseState = iota
-	// leaseRequested means that one has been requested.
+	// leaseRequested means that a lease has been requested and the response is outstanding.
 	leaseRequested
-	// leaseHeld means that one has been granted. Whether it is still valid depends on its last
-	// renewal.
+	// leaseHeld means that a lease has been granted. Whether it is still valid depends on when it
+	// was last renewed.
 	leaseHeld
 )
 
@@ -32,11 +32,11 @@
 	return "held"
 }
 
-// Lease is a controller's lease in the state service, under which its locks are held. It keeps
-// the times; whoever owns it sends the requests.
+// Lease tracks the state of a controller's lease in the state service, to which its locks are
+// bound. It keeps the times only; the caller sends the requests.
 //
-// Renewals are sent at a steady pace, whether the last responses have come or not: a renewal
-// counts from when it was sent, so that a late response is still worth something.
+// Renewals are sent at fixed intervals, whether or not earlier responses have arrived. A renewal
+// takes effect from the time at which it was sent, so a late response still extends the lease.
 type Lease struct {
 	duration         micros.Micros
 	state            leaseState
@@ -46,31 +46,31 @@
 	nextRenewalAt    micros.Micros
 }
 
-// NewLease returns a lease of a duration that has not been requested.
+// NewLease returns a lease of the given duration that has not been requested.
 func NewLease(duration micros.Micros) Lease { return Lease{duration: duration} }
 
-// Held reports whether a lease has been granted and not been lost.
+// Held reports whether the lease has been granted and has not been lost.
 func (l *Lease) Held() bool { return l.state == leaseHeld }
 
-// ID returns the number of the lease in the state service, or 0 if none is held.
+// ID returns the identifier of the lease in the state service, or 0 if no lease is held.
 func (l *Lease) ID() uint64 { return l.id }
 
-// Duration returns for how long the state service keeps the lease after a renewal.
+// Duration returns how long the state service keeps the lease after a renewal.
 func (l *Lease) Duration() micros.Micros { return l.duration }
 
 // RenewedAt returns when the last successful renewal was sent.
 func (l *Lease) RenewedAt() micros.Micros { return l.renewedAt }
 
-// RequestDue reports whether a lease is to be requested.
+// RequestDue reports whether a lease must be requested now.
 func (l *Lease) RequestDue() bool { return l.state == leaseAbsent }
 
-// Requested notes that a lease has been requested.
+// Requested records that a lease has been requested.
 func (l *Lease) Requested() { l.state = leaseRequested }
 
-// RequestFailed notes that the requested lease has not been granted.
+// RequestFailed records that the requested lease was not granted.
 func (l *Lease) RequestFailed() { l.state = leaseAbsent }
 
-// Granted takes the lease that was requested at sentAt.
+// Granted records that the lease requested at sentAt was granted under id.
 func (l *Lease) Granted(id uint64, sentAt, now micros.Micros) {
 	l.state = leaseHeld
 	l.id = id
@@ -78,34 +78,34 @@
 	l.nextRenewalAt = now + l.renewalInterval()
 }
 
-// Lost gives up the lease.
+// Lost records that the lease is no longer held.
 func (l *Lease) Lost() {
 	l.state = leaseAbsent
 	l.id = 0
 }
 
-// RenewalDue reports whether a renewal is to be sent.
+// RenewalDue reports whether a renewal must be sent now.
 func (l *Lease) RenewalDue(now micros.Micros) bool {
 	return l.Held() && l.renewalsInFlight < MaxRenewalsInFlight && now >= l.nextRenewalAt
 }
 
-// RenewalSent notes that a renewal is sent.
+// RenewalSent records that a renewal was sent.
 func (l *Lease) RenewalSent(now micros.Micros) {
 	l.renewalsInFlight++
 	l.nextRenewalAt = now + l.renewalInterval()
 }
 
-// RenewalEnded notes that the response to a renewal of a lease has come, or will not come. It
-// reports whether that lease is still held.
+// RenewalEnded records that the response to a renewal of the lease id has arrived, or will not
+// arrive. It reports whether that lease is still held.
 func (l *Lease) RenewalEnded(id uint64) bool {
 	l.renewalsInFlight--
 	return l.id == id
 }
 
-// RenewalSucceeded extends the lease by a renewal that was sent at sentAt.
+// RenewalSucceeded records that a renewal sent at sentAt has extended the lease.
 func (l *Lease) RenewalSucceeded(sentAt micros.Micros) { l.renewedAt = max(l.renewedAt, sentAt) }
 
-// RetryRenewalBy has the next renewal sent no later than at a time.
+// RetryRenewalBy schedules the next renewal no later than the given time.
 func (l *Lease) RetryRenewalBy(at micros.Micros) { l.nextRenewalAt = min(l.nextRenewalAt, at) }
 
 // renewalInterval returns the time between two renewals.
--- a/internal/controller/ownership/sharding.go
+++ b/internal/controller/ownership/sharding.go
@@ -5,24 +5,24 @@
 	"slices"
 )
 
-// gpuWeight is how many CPUs a GPU counts as where guarantees are compared.
+// gpuWeight is the number of CPUs that a GPU counts as when guarantees are compared.
 const gpuWeight = 8
 
-// Team is what the assignment of a team to a shard depends on.
+// Team holds the settings of a team that determine its shard.
 type Team struct {
-	// CPUs and GPUs are the team's guarantee.
+	// CPUs and GPUs are the resources guaranteed to the team.
 	CPUs, GPUs float64
-	// Limited is whether the team has a limit, which can be kept in one shard only.
+	// Limited is true if the team has a limit. A limit can only be enforced within one shard.
 	Limited bool
 }
 
-// weight returns the size of the team's guarantee.
+// weight returns the size of the team's guarantee in CPUs, with GPUs converted by gpuWeight.
 func (t Team) weight() float64 { return t.CPUs + gpuWeight*t.GPUs }
 
-// AssignTeamsToShards returns the shard of each team, or nil if jobs are assigned to shards one
-// by one instead, because there is just one team and it has no limit. Teams go to shards in
-// decreasing order of guarantee, each to the shard with the least so far, so that every
-// controller assigns them alike.
+// AssignTeamsToShards returns the shard of each team. It returns nil if there is a single team
+// without a limit; jobs are then assigned to shards one by one. Teams are assigned in decreasing
+// order of guarantee, each to the shard with the smallest sum of guarantees so far. The result is
+// deterministic, so all controllers compute the same assignment.
 func AssignTeamsToShards(teams []Team, shards int) []int {
 	if len(teams) == 1 && !teams[0].Limited {
 		return nil
@@ -38,7 +38,7 @@
 	return shardOfTeam
 }
 
-// byDecreasingWeight returns the indexes of teams, the largest guarantee first.
+// byDecreasingWeight returns the indexes of teams, ordered by decreasing guarantee.
 func byDecreasingWeight(teams []Team) []int {
 	order := make([]int, len(teams))
 	for i := range order {
@@ -50,13 +50,14 @@
 	return order
 }
 
-// shardLoad is what has been assigned to a shard so far.
+// shardLoad is the sum of the teams assigned to a shard so far.
 type shardLoad struct {
 	weight float64
 	teams  int
 }
 
-// leastLoaded returns the first shard with the least weight and, among those, the fewest teams.
+// leastLoaded returns the first shard with the smallest weight; of shards with equal weight, it
+// prefers the one with the fewest teams.
 func leastLoaded(load []shardLoad) int {
 	best := 0
 	for shard := 1; shard < len(load); shard++ {
--- a/internal/controller/reachability/reachability.go
+++ b/internal/controller/reachability/reachability.go
@@ -1,10 +1,10 @@
-// Package reachability determines whether the replies of a controller arrive at a machine whose
-// heartbeats arrive at the controller.
+// Package reachability detects machines whose heartbeats arrive at the controller while the
+// controller's replies do not arrive at them.
 //
-// Receiving heartbeats from a machine is not reaching it: the connection may work in one
-// direction only. The starts of the last reply then never appear in a task list, the
-// machine's fencing token stays behind, and later its agent epoch rises although its
-// heartbeats were answered.
+// A connection may work in one direction only, so receiving heartbeats does not prove that a
+// machine is reachable. If replies are lost, the tasks started by the last reply never appear in
+// the machine's task list, the machine's fencing token does not advance, and later its agent epoch
+// rises although its heartbeats were answered.
 package reachability
 
 import (
@@ -12,19 +12,20 @@
 	"garnethitch/internal/wire"
 )
 
-// MaxUnconfirmedReplies is how many consecutive replies may be lost before a machine counts
-// as unreachable: one or two are lost now and then.
+// MaxUnconfirmedReplies is the number of consecutive lost replies after which a machine counts as
+// unreachable. One or two lost replies are normal.
 const MaxUnconfirmedReplies = 3
 
-// Confirmation is what a heartbeat says of the reply to the heartbeat before it.
+// Confirmation states whether a heartbeat shows that the reply to the previous heartbeat arrived.
 type Confirmation int
 
 const (
-	// Undetermined means that the heartbeat would look the same whether or not the reply arrived.
+	// Undetermined means that the heartbeat would look the same whether or not the reply had
+	// arrived.
 	Undetermined Confirmation = iota
-	// Confirmed means that the heartbeat shows what the reply said.
+	// Confirmed means that the heartbeat shows the effect of the reply.
 	Confirmed
-	// Unconfirmed means that the heartbeat should show what the reply said, and does not.
+	// Unconfirmed means that the heartbeat should show the effect of the reply but does not.
 	Unconfirmed
 )
 
@@ -41,19 +42,19 @@
 	return "invalid"
 }
 
-// Tracker compares the heartbeats of one machine with the replies to them. Its zero value is
-// a machine of which nothing is expected.
+// Tracker compares the heartbeats of one machine with the replies to them. The zero value is ready
+// to use and expects nothing of the next heartbeat.
 type Tracker struct {
 	unconfirmedReplies int           // consecutive
-	unconfirmedSince   micros.Micros // when the first of them was noticed
+	unconfirmedSince   micros.Micros // when the first of these was noticed
 
 	// What the next heartbeat must show.
 	expectedToken   uint64       // the fencing token that the last reply raised; 0: none
-	expectedCommand wire.Command // one command of the last reply; Op is empty if it held none
+	expectedCommand wire.Command // one command of the last reply; Op is empty if the reply had no commands
 }
 
-// ReplySent records a reply: its fencing token and commands, and the highest fencing token
-// that the machine had shown before.
+// ReplySent records a reply: its fencing token, its commands, and the highest fencing token that
+// the machine had reported before.
 func (t *Tracker) ReplySent(fencingToken, shownToken uint64, commands []wire.Command) {
 	t.expectNothing()
 	if fencingToken > shownToken {
@@ -64,8 +65,8 @@
 	}
 }
 
-// HeartbeatReceived compares a heartbeat that follows the last reply with it. It reports
-// whether the machine has become unreachable by it.
+// HeartbeatReceived compares a heartbeat with the last reply before it. It reports whether this
+// heartbeat makes the machine unreachable.
 func (t *Tracker) HeartbeatReceived(now micros.Micros, heartbeat *wire.Heartbeat) bool {
 	confirmation := t.confirmationFrom(heartbeat)
 	t.expectNothing()
@@ -82,26 +83,27 @@
 	return false
 }
 
-// Reset begins anew, once the machine was reached in another way or its agent epoch has risen.
+// Reset clears the tracker after the machine was reached in another way or its agent epoch has
+// risen.
 func (t *Tracker) Reset() { *t = Tracker{} }
 
-// Unreachable reports whether so many replies in a row were lost that no further one is
-// likely to arrive.
+// Unreachable reports whether so many consecutive replies were lost that further replies are
+// unlikely to arrive.
 func (t *Tracker) Unreachable() bool { return t.unconfirmedReplies >= MaxUnconfirmedReplies }
 
-// UnconfirmedSince returns when the first of the consecutive unconfirmed replies was noticed;
-// ok is false if there is none.
+// UnconfirmedSince returns when the first of the consecutive unconfirmed replies was noticed. ok
+// is false if there are none.
 func (t *Tracker) UnconfirmedSince() (since micros.Micros, ok bool) {
 	return t.unconfirmedSince, t.unconfirmedReplies > 0
 }
 
-// expectNothing forgets what the next heartbeat was to show.
+// expectNothing clears the expectations for the next heartbeat.
 func (t *Tracker) expectNothing() {
 	t.expectedToken = 0
 	t.expectedCommand = wire.Command{}
 }
 
-// confirmationFrom compares a heartbeat with what it was to show.
+// confirmationFrom compares a heartbeat with the expectations set by the last reply.
 func (t *Tracker) confirmationFrom(heartbeat *wire.Heartbeat) Confirmation {
 	if t.expectedToken != 0 {
 		return confirmedIf(heartbeat.FencingToken >= t.expectedToken)
@@ -120,7 +122,7 @@
 	return confirmedIf(stopped)
 }
 
-// confirmedIf returns Confirmed if what was expected is shown, else Unconfirmed.
+// confirmedIf returns Confirmed if the expected effect is shown, and Unconfirmed otherwise.
 func confirmedIf(shown bool) Confirmation {
 	if shown {
 		return Confirmed
@@ -128,8 +130,8 @@
 	return Unconfirmed
 }
 
-// taskState returns the state in which a heartbeat lists the attempt of a command; empty if it
-// does not list it.
+// taskState returns the state in which a heartbeat lists the attempt that a command refers to, or
+// "" if the heartbeat does not list it.
 func taskState(heartbeat *wire.Heartbeat, command *wire.Command) wire.TaskState {
 	state := wire.TaskState("")
 	for i := range heartbeat.Tasks {
--- a/internal/controller/reachability/reachability_test.go
+++ b/internal/controller/reachability/reachability_test.go
@@ -6,7 +6,7 @@
 	"garnethitch/internal/wire"
 )
 
-// TestConfirmation checks what a heartbeat must show of the reply before it.
+// TestConfirmation checks which effect of the previous reply a heartbeat must show.
 func TestConfirmation(t *testing.T) {
 	start := wire.Command{Op: wire.OpStart, Task: "job-000001/0", Attempt: 5}
 	forget := wire.Command{Op: wire.OpForget, Task: "job-000001/0", Attempt: 5}
@@ -40,8 +40,8 @@
 	}
 }
 
-// TestUnreachable checks that a machine is unreachable after MaxUnconfirmedReplies lost replies in
-// a row, until one is confirmed or the tracker begins anew.
+// TestUnreachable checks that a machine becomes unreachable after MaxUnconfirmedReplies
+// consecutive lost replies, and stays so until a reply is confirmed or the tracker is reset.
 func TestUnreachable(t *testing.T) {
 	start := []wire.Command{{Op: wire.OpStart, Task: "job-000001/0", Attempt: 5}}
 	shown := &wire.Heartbeat{Tasks: []wire.TaskStatus{{Task: "job-000001/0", Attempt: 5, State: wire.TaskRunning}}}
--- a/internal/controller/scheduling/preemption.go
+++ b/internal/controller/scheduling/preemption.go
@@ -7,22 +7,22 @@
 	"garnethitch/internal/micros"
 )
 
-// Victim is a task that may be stopped for one of higher priority.
+// Victim is a task that may be preempted by a task of higher priority.
 type Victim struct {
-	// Attempt is the index of the task's attempt in the list that the caller has of the machine.
+	// Attempt is the index of the task's attempt in the caller's list for the machine.
 	Attempt int
-	// Job and Task identify the task; they decide between equal losses.
+	// Job and Task identify the task. They order victims of equal loss.
 	Job  string
 	Task int
-	// Loss is what stopping it loses, in CPU seconds; see PreemptionLoss.Total.
+	// Loss is the cost of preempting the task, in CPU seconds; see PreemptionLoss.Total.
 	Loss float64
-	// Resources is what stopping it frees.
+	// Resources is what preempting the task frees.
 	Resources Resources
 }
 
-// CheapestVictims returns the victims with the least loss that free enough for a task that needs
-// need where free is left, and the sum of their losses added to cost. It reports false if all of
-// them do not suffice. It sorts victims.
+// CheapestVictims returns the victims with the smallest losses that, together with the free
+// resources, make room for a task that needs need. It also returns cost plus the sum of their
+// losses. It returns false if preempting all victims is not enough. It sorts victims.
 func CheapestVictims(victims []Victim, need, free Resources, cost float64) ([]Victim, float64, bool) {
 	slices.SortFunc(victims, compareVictims)
 	count := 0
@@ -35,50 +35,52 @@
 	return victims[:count], cost, need.Fits(free)
 }
 
-// compareVictims orders victims by loss, then by name.
+// compareVictims orders victims by loss, then by job and task.
 func compareVictims(a, b Victim) int {
 	return cmp.Or(cmp.Compare(a.Loss, b.Loss), cmp.Compare(a.Job, b.Job), cmp.Compare(a.Task, b.Task))
 }
 
-// PreemptionLoss is what the loss of stopping a task depends on.
+// PreemptionLoss holds the values that determine the cost of preempting a task.
 type PreemptionLoss struct {
-	// RunTime is for how long the task has run, ExpectedRunTime how long it runs in all.
+	// RunTime is how long the task has run so far. ExpectedRunTime is its estimated total run
+	// time.
 	RunTime, ExpectedRunTime micros.Micros
-	// CheckpointInterval is the time between two saves; 0: the task cannot save.
+	// CheckpointInterval is the time between two checkpoints of the task; 0 means that the task
+	// cannot save checkpoints.
 	CheckpointInterval float64 // seconds
 	CPUs               float64
-	// Priority is the task's, from 0, the lowest, to 3.
+	// Priority is the task's priority, from 0 (lowest) to 3.
 	Priority int
-	// EarlierPreemptions counts how often the task was stopped for others before.
+	// EarlierPreemptions is how often the task has already been preempted.
 	EarlierPreemptions int
-	// OnlyRunningTask is set if the task is all that its overdue job has running.
+	// OnlyRunningTask is true if the task's job is overdue and has no other task running.
 	OnlyRunningTask bool
 }
 
 const (
-	// preemptionCostPerPriority is what a stop costs the task's user by each step of priority, in CPU
-	// seconds.
+	// preemptionCostPerPriority is the cost of a preemption to the task's user per priority level,
+	// in CPU seconds.
 	preemptionCostPerPriority = 4
-	// waitCostPerSecond is what it costs beside, by each step of priority and second of the
-	// task's run time.
+	// waitCostPerSecond is the additional cost per priority level and per second of the task's
+	// expected run time, in CPU seconds.
 	waitCostPerSecond = 0.25
-	// earlierPreemptionCost is what each earlier stop of a task adds to the loss of another, in CPU
+	// earlierPreemptionCost is what each earlier preemption of a task adds to its loss, in CPU
 	// seconds.
 	earlierPreemptionCost = 25
-	// onlyRunningTaskPreemptions is how many earlier stops the only running task of an overdue job counts
-	// as.
+	// onlyRunningTaskPreemptions is the number of earlier preemptions that being the only running
+	// task of an overdue job counts as.
 	onlyRunningTaskPreemptions = 10
 )
 
-// workWeight returns the weight of a task's own work by its priority.
+// workWeight returns the weight of a task's lost work for a priority.
 func workWeight(priority int) float64 {
 	return [...]float64{0.25, 1, 2, 2}[priority]
 }
 
-// Total returns the loss in CPU seconds: the work that is done again, and what waiting longer
-// costs the task's user, which counts the more the higher the priority, the longer the task and
-// the more often it was stopped before. So the youngest tasks are the cheapest, and one that has
-// just been started again is not.
+// Total returns the loss in CPU seconds. It is the sum of the work that must be repeated and the
+// cost of the delay to the task's user. The cost of the delay grows with the priority, the
+// expected run time and the number of earlier preemptions. As a result the tasks that started most
+// recently are the cheapest victims, but a task that was just restarted after a preemption is not.
 func (l PreemptionLoss) Total() float64 {
 	lostSeconds := l.RunTime.Seconds()
 	if l.CheckpointInterval > 0 {
--- a/internal/controller/scheduling/score.go
+++ b/internal/controller/scheduling/score.go
@@ -1,16 +1,16 @@
 package scheduling
 
-// ImageState says how far a machine has a task's image.
+// ImageState states whether a machine has the image of a task.
 type ImageState int
 
 // The states of an image on a machine.
 const (
 	ImageMissing  ImageState = iota
-	ImageFetching            // another task there fetches it or will
+	ImageFetching            // another task on the machine is fetching the image, or will
 	ImageCached
 )
 
-// String returns the state in words.
+// String returns the name of the state.
 func (s ImageState) String() string {
 	switch s {
 	case ImageMissing:
@@ -23,20 +23,21 @@
 	return "unknown"
 }
 
-// Candidate is a machine by what its score for a task depends on.
+// Candidate holds the properties of a machine that determine its score for a task.
 type Candidate struct {
 	Image ImageState
-	// FailedThisJob is whether a task of the same job has failed there, FailedAnyJob whether
-	// one of any job has.
+	// FailedThisJob is true if a task of the same job has failed on the machine. FailedAnyJob is
+	// true if a task of any job has failed there.
 	FailedThisJob, FailedAnyJob bool
-	// Slowness is how much slower than others the machine runs tasks, from 0 on.
+	// Slowness is how much slower than other machines this one runs tasks; 0 is not slower.
 	Slowness float64
-	// CPUs are all CPUs of the machine, FreeCPUs those that the task would leave unused.
+	// CPUs is the machine's total number of CPUs. FreeCPUs is the number that would remain free
+	// after the task is placed.
 	CPUs, FreeCPUs float64
 }
 
-// The parts of a score. How full the machine would be adds up to 1, so that it decides between
-// machines that are alike otherwise.
+// The weights of the parts of a score. The fill level of the machine adds at most 1, so it only
+// decides between machines that are otherwise alike.
 const (
 	imageCachedScore     = 4
 	imageFetchingScore   = 2
@@ -45,7 +46,7 @@
 	slownessPenalty      = 6
 )
 
-// Score returns how well the machine suits the task, the better the higher.
+// Score returns how well the machine suits the task. Higher is better.
 func (c Candidate) Score() float64 {
 	score := 0.0
 	switch c.Image {
--- a/internal/controller/scheduling/score_test.go
+++ b/internal/controller/scheduling/score_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestCandidateScore checks that the better candidate of each pair, which differ in what the pair's
-// name says, has the higher score.
+// TestCandidateScore checks that the better candidate of each pair has the higher score. The name
+// of the case says how the candidates differ.
 func TestCandidateScore(t *testing.T) {
 	plain := Candidate{CPUs: 4, FreeCPUs: 4}
 	for _, tc := range []struct {
--- a/internal/controller/statestore/lookup.go
+++ b/internal/controller/statestore/lookup.go
@@ -1,14 +1,14 @@
 package statestore
 
-// Lookup is what a read of a record found.
+// Lookup is the result of reading a record.
 type Lookup int
 
 const (
-	// LookupFailed means that there was no answer, or none that can be used.
+	// LookupFailed means that there was no answer, or no usable answer.
 	LookupFailed Lookup = iota
-	// LookupFound means that the record stands.
+	// LookupFound means that the record exists.
 	LookupFound
-	// LookupMissing means that there is no record.
+	// LookupMissing means that the record does not exist.
 	LookupMissing
 )
 
@@ -18,5 +18,5 @@
 	LookupMissing: "missing",
 }
 
-// String returns the name of what was found.
+// String returns the name of the result.
 func (l Lookup) String() string { return lookupNames[l] }
--- a/internal/controller/statestore/metrics.go
+++ b/internal/controller/statestore/metrics.go
@@ -2,16 +2,17 @@
 
 import "garnethitch/internal/micros"
 
-// ClassMetrics are the metrics of the requests of one class.
+// ClassMetrics holds the metrics of the requests of one class.
 type ClassMetrics struct {
 	Class Class
-	// Depth is the number of requests that wait, Oldest how long the first of them has.
+	// Depth is the number of waiting requests. OldestWait is how long the first of them has been
+	// waiting.
 	Depth      int
 	OldestWait micros.Micros
-	// Sent counts requests that were sent, Expired those that waited for too long, and
-	// Rejected those that found the queue full. The last two were never sent.
+	// Sent counts the requests that were sent, Expired those that waited too long, and Rejected
+	// those that found the queue full. Expired and rejected requests were never sent.
 	Sent, Expired, Rejected uint64
-	// LongestWait is the longest that a request which was sent had waited.
+	// LongestWait is the longest time that a sent request had spent in the queue.
 	LongestWait micros.Micros
 }
 
@@ -21,7 +22,7 @@
 	longestWait             micros.Micros
 }
 
-// Metrics returns the metrics of all classes, the most urgent first.
+// Metrics returns the metrics of all classes, the most urgent class first.
 func (q *Queue) Metrics(now micros.Micros) []ClassMetrics {
 	metrics := make([]ClassMetrics, 0, ClassCount)
 	for class := range ClassCount {
--- a/internal/controller/statestore/queue_test.go
+++ b/internal/controller/statestore/queue_test.go
@@ -10,20 +10,20 @@
 	"garnethitch/internal/micros"
 )
 
-// testQueue returns an empty queue that may send so many requests and changes a second.
+// testQueue returns an empty queue with the given rates, in requests and changes per second.
 func testQueue(requests, writes float64) *Queue {
 	return &Queue{requests: ratelimit.NewBucket(requests), writes: ratelimit.NewBucket(writes)}
 }
 
-// setTokens leaves a full bucket with so many tokens.
+// setTokens sets the tokens that a full bucket has left.
 func setTokens(b *ratelimit.Bucket, tokens float64) { b.Take(b.Tokens() - tokens) }
 
-// pushTest queues a request whose body is its name.
+// pushTest queues a request whose body is the given name.
 func (q *Queue) pushTest(class Class, name string, writes float64, expires micros.Micros) bool {
 	return q.Push(class, Request{Body: name, Writes: writes, ExpiresAt: expires})
 }
 
-// sentUntil returns the names of the requests that are sent between two times.
+// sentUntil returns the names of the requests that are sent in the given time range.
 func (q *Queue) sentUntil(from, to micros.Micros) (names []string) {
 	for now := from; now <= to; now += 10 * micros.Millisecond {
 		for {
@@ -40,7 +40,7 @@
 	return names
 }
 
-// TestQueueOrder checks the order in which requests are sent, one rule a row.
+// TestQueueOrder checks the order in which requests are sent. Each case covers one rule.
 func TestQueueOrder(t *testing.T) {
 	const never = micros.Never
 	for _, tc := range []struct {
@@ -105,7 +105,8 @@
 	}
 }
 
-// TestQueueFull checks that a class whose queue is full rejects requests, the others do not.
+// TestQueueFull checks that a class whose queue is full rejects requests while other classes still
+// accept them.
 func TestQueueFull(t *testing.T) {
 	q := testQueue(30, 10)
 	for range maxQueuedPerClass {
@@ -121,9 +122,10 @@
 	}
 }
 
-// worstWait returns how long the first request of a class below ClassLease waits at most,
-// whatever the other classes hold, if no transaction has more than so many changes: until its
-// class is due again, and for one request of each other class that is due before.
+// worstWait returns an upper bound of the time that the first request of a class below ClassLease
+// waits, regardless of what the other classes hold, if no transaction has more than the given
+// number of changes. The request waits until its class is due again, and then for one request of
+// each other class that is due earlier.
 func (q *Queue) worstWait(class Class, changes float64) micros.Micros {
 	if minimumRates[class].writes == 0 {
 		changes = 0 // reads do not wait for the write limit
@@ -138,8 +140,8 @@
 	return q.minimumRateInterval(class, changes) + requests + micros.FromSeconds(writers*changes/q.WriteRate())
 }
 
-// stateLimits are limits under which the minimum rates are checked: those of the deployments,
-// and small ones, for one of so many controllers.
+// stateLimits holds limits under which the minimum rates are checked: the limits of real
+// deployments, and small limits that are shared by the given number of controllers.
 var stateLimits = []struct {
 	rps, writeRPS float64
 	nodes         int
@@ -148,8 +150,8 @@
 	{150, 25, 3, 8}, {150, 18, 3, 4}, {200, 40, 3, 24}, {200, 28, 3, 8}, {60, 20, 3, 8}, {60, 20, 2, 8}, {300, 80, 1, 8}, {30, 6, 5, 8},
 }
 
-// TestWorstWait checks that whatever the other classes hold, leases included, a request waits no
-// longer than worstWait, and each class has its turns.
+// TestWorstWait checks that no request waits longer than worstWait and that every class is served,
+// while all other classes, including ClassLease, always have requests waiting.
 func TestWorstWait(t *testing.T) {
 	for _, limits := range stateLimits {
 		for class := ClassLease + 1; class < ClassCount; class++ {
@@ -191,7 +193,7 @@
 	}
 }
 
-// TestMinimumRatesFit checks that the minimum rates add up to no more than leases leave.
+// TestMinimumRatesFit checks that the minimum rates add up to no more than ClassLease leaves.
 func TestMinimumRatesFit(t *testing.T) {
 	const roundingError = 1e-9
 	var sum minimumRate
--- a/internal/controller/statestore/reads.go
+++ b/internal/controller/statestore/reads.go
@@ -8,75 +8,78 @@
 )
 
 const (
-	// ReadTimeout is how long a question may wait for its read to be sent, and the read for
-	// its answer. Users wait for two seconds.
+	// ReadTimeout is how long a caller waits for the read to be sent, and how long the read then
+	// waits for its answer. Users wait for two seconds.
 	ReadTimeout = 900 * micros.Millisecond
-	// maxRecordsWaiting bounds the records that wait for a read.
+	// maxRecordsWaiting is the maximum number of records that wait for a read.
 	maxRecordsWaiting = 100
-	// maxWaitersPerRecord bounds the questions about one record.
+	// maxWaitersPerRecord is the maximum number of callers that wait for the same record.
 	maxWaitersPerRecord = 64
-	// recordRetention is how long a record keeps its place without being asked about: users ask
-	// again every few seconds, or after the time they are given.
+	// recordRetention is how long a record keeps its place in the order of reads without a new
+	// request for it. Users repeat a request every few seconds, or after the Retry-After time.
 	recordRetention = 20 * micros.Second
-	// maxRetryAfterSeconds bounds, in seconds, the time after which users are to try again:
-	// they give up after a minute.
+	// maxRetryAfterSeconds is the longest time, in seconds, after which users are asked to retry.
+	// Users give up after a minute.
 	maxRetryAfterSeconds = 10
 )
 
-// waiter waits for a record. done is called with what the read found.
+// waiter is a caller that waits for a record. done is called with the result of the read.
 type waiter struct {
 	requestedAt micros.Micros
 	done        func(Lookup)
 }
 
-// recordRead is a record that has been asked about and has had no answer since.
+// recordRead is a record that has been requested and has not been answered since.
 type recordRead struct {
 	id              string
-	waitingSince    micros.Micros // decides its turn
+	waitingSince    micros.Micros // determines the order of reads
 	lastRequestedAt micros.Micros
-	waiters         []waiter // that came since the last read was sent
+	waiters         []waiter // callers that came after the last read was sent
 }
 
-// compareTurns orders records by their turns.
+// compareTurns orders records by the time since which they have been waiting, then by ID.
 func compareTurns(a, b *recordRead) int {
 	return cmp.Or(cmp.Compare(a.waitingSince, b.waitingSince), cmp.Compare(a.id, b.id))
 }
 
-// ReadCoalescerConfig is what Reads works with.
+// ReadCoalescerConfig holds the dependencies and bounds of a ReadCoalescer.
 type ReadCoalescerConfig struct {
-	// Queue takes the reads, as requests of ClassQuestion.
+	// Queue receives the reads as requests of ClassUserRead.
 	Queue *Queue
-	// MaxRecords bounds the records that keep a place.
+	// MaxRecords is the maximum number of records that keep a place in the order of reads.
 	MaxRecords int
-	// NewRequest returns the body of the request that reads a record.
+	// NewRequest returns the body of the request that reads the record with the given ID.
 	NewRequest func(id string) any
-	// HandleReply takes in the reply to a read and returns what it found.
+	// HandleReply processes the reply to a read and returns its result.
 	HandleReply func(Reply) Lookup
-	// Defer runs a function once the caller of Reads has returned.
+	// Defer runs a function after the current call into ReadCoalescer has returned.
 	Defer func(func())
 }
 
-// ReadCoalescer coalesces reads of records on behalf of users, who may ask for more than the limits
-// allow. At most one read of a record is in flight; it answers all questions that came before
-// it was sent. Records have their turns in the order in which they were first asked about since
-// they last had an answer, however often that is. A question that can't be answered in time is
-// refused; the record keeps its place for when it is asked about again.
+// ReadCoalescer merges reads of the same record on behalf of users, who may send more requests
+// than the limits of the state service allow. At most one read of a record is in flight; it
+// answers all callers that came before it was sent. Records are read in the order in which they
+// were first requested since their last answer, regardless of how often they are requested. A
+// caller that cannot be answered in time is refused, but the record keeps its place in the order
+// for the next request.
 type ReadCoalescer struct {
 	config  ReadCoalescerConfig
 	records map[string]*recordRead
-	// waiting have questions and no read in flight, in the order of their turns.
+	// waiting holds the records that have waiters and no read in flight, in the order of their
+	// reads.
 	waiting []*recordRead
-	// queued is the first of waiting, whose read is in the queue.
+	// queued is the record whose read is in the queue. It was first in waiting when it was queued.
 	queued *recordRead
-	// inFlight have a read that is not answered yet, and perhaps questions for the next.
+	// inFlight holds the records whose read has not been answered yet. They may have waiters for
+	// the next read.
 	inFlight []*recordRead
-	// sweepAt is when places that nobody asks about are given up next.
+	// sweepAt is when records that are no longer requested are dropped next.
 	sweepAt micros.Micros
-	// nextExpiry is a time before which no question expires.
+	// nextExpiry is a lower bound of the time at which the next waiter expires.
 	nextExpiry micros.Micros
 }
 
-// NewReadCoalescer returns reads without questions.
+// NewReadCoalescer returns a ReadCoalescer without waiters.
 func NewReadCoalescer(config ReadCoalescerConfig) *ReadCoalescer {
 	return &ReadCoalescer{config: config, records: map[string]*recordRead{}}
 }
@@ -84,18 +87,19 @@
 // Waiting returns the number of records that wait for a read.
 func (r *ReadCoalescer) Waiting() int { return len(r.waiting) }
 
-// Records returns the number of records that have been asked about and not been answered.
+// Records returns the number of records that have been requested and not been answered.
 func (r *ReadCoalescer) Records() int { return len(r.records) }
 
-// RetryAfter returns after how many seconds a user who is refused now is to try again: when
-// all records that were asked about can have been read.
+// RetryAfter returns the number of seconds after which a user who is refused now should retry. By
+// then all requested records can have been read, unless that takes longer than
+// maxRetryAfterSeconds.
 func (r *ReadCoalescer) RetryAfter() int {
 	rate := minimumRates[ClassUserRead].requests * r.config.Queue.RequestRate()
 	return min(1+int(float64(len(r.records))/rate), maxRetryAfterSeconds)
 }
 
-// Read asks for a record. done is called once, with what the read found; at once
-// if the question is refused for want of a place.
+// Read requests a record. done is called exactly once with the result of the read. If a bound on
+// records or waiters is reached, done is called with LookupFailed, possibly before Read returns.
 func (r *ReadCoalescer) Read(now micros.Micros, id string, done func(Lookup)) {
 	record := r.records[id]
 	if record == nil {
@@ -118,8 +122,8 @@
 	}
 }
 
-// addWaiting puts a record with questions among those that wait. If these are too many, the
-// questions about the last of them are refused.
+// addWaiting adds a record with waiters to the records that wait for a read. If that exceeds
+// maxRecordsWaiting, the waiters of the last record are refused.
 func (r *ReadCoalescer) addWaiting(record *recordRead) {
 	i, _ := slices.BinarySearchFunc(r.waiting, record, compareTurns)
 	r.waiting = slices.Insert(r.waiting, i, record)
@@ -132,7 +136,7 @@
 	r.refuseOldest(last, len(last.waiters))
 }
 
-// refuseOldest refuses the n oldest questions about a record.
+// refuseOldest refuses the n oldest waiters of a record.
 func (r *ReadCoalescer) refuseOldest(record *recordRead, n int) {
 	for _, refused := range record.waiters[:n] {
 		r.config.Defer(func() { refused.done(LookupFailed) })
@@ -140,7 +144,8 @@
 	record.waiters = record.waiters[n:]
 }
 
-// QueueNext queues the read whose turn it is.
+// QueueNext expires waiters, drops records that are no longer requested, and queues the read of
+// the record that is first in order.
 func (r *ReadCoalescer) QueueNext(now micros.Micros) {
 	r.expireWaiters(now)
 	r.dropAbandoned(now)
@@ -158,9 +163,9 @@
 	}
 }
 
-// push queues the read of a record.
+// push adds the read of a record to the request queue.
 func (r *ReadCoalescer) push(record *recordRead) {
-	var waiters []waiter // that the read answers
+	var waiters []waiter // answered by this read
 	r.config.Queue.Push(ClassUserRead, Request{
 		Body:      r.config.NewRequest(record.id),
 		Timeout:   ReadTimeout,
@@ -171,7 +176,7 @@
 	})
 }
 
-// readSent takes the read of a record as readSent and returns the questions that it answers.
+// readSent records that the read of a record was sent, and returns the waiters that it answers.
 func (r *ReadCoalescer) readSent(record *recordRead) []waiter {
 	waiters := record.waiters
 	record.waiters = nil
@@ -183,7 +188,7 @@
 	return waiters
 }
 
-// readAnswered passes on what a read found.
+// readAnswered processes the reply to a read and passes the result to the waiters.
 func (r *ReadCoalescer) readAnswered(record *recordRead, waiters []waiter, reply Reply) {
 	r.inFlight = slices.DeleteFunc(r.inFlight, func(other *recordRead) bool { return other == record })
 	found := r.config.HandleReply(reply)
@@ -201,7 +206,7 @@
 	}
 }
 
-// expireWaiters refuses the questions that have waited for too long.
+// expireWaiters refuses all waiters that have waited longer than ReadTimeout.
 func (r *ReadCoalescer) expireWaiters(now micros.Micros) {
 	if now <= r.nextExpiry {
 		return
@@ -213,7 +218,7 @@
 	r.waiting = slices.DeleteFunc(r.waiting, func(record *recordRead) bool { return len(record.waiters) == 0 })
 }
 
-// expireWaitersOf refuses the questions about a record that have waited for too long.
+// expireWaitersOf refuses the waiters of a record that have waited longer than ReadTimeout.
 func (r *ReadCoalescer) expireWaitersOf(now micros.Micros, record *recordRead) {
 	expired := 0
 	for expired < len(record.waiters) && now > record.waiters[expired].requestedAt+ReadTimeout {
@@ -226,7 +231,7 @@
 	}
 }
 
-// dropAbandoned gives up the places of records that nobody asks about any more.
+// dropAbandoned drops records that have not been requested for recordRetention.
 func (r *ReadCoalescer) dropAbandoned(now micros.Micros) {
 	if len(r.records) == 0 || now < r.sweepAt {
 		return
--- a/internal/controller/statestore/reads_test.go
+++ b/internal/controller/statestore/reads_test.go
@@ -7,7 +7,7 @@
 	"garnethitch/internal/micros"
 )
 
-// newTestReads returns reads, with a queue that lets a second's 100 requests through at once.
+// newTestReads returns a ReadCoalescer and its queue, which lets 100 requests through at once.
 func newTestReads(maxRecords int) (*ReadCoalescer, *Queue) {
 	q := testQueue(100, 10)
 	return NewReadCoalescer(ReadCoalescerConfig{
@@ -19,7 +19,7 @@
 	}), q
 }
 
-// lookupByStatus returns what a reply found by its status alone.
+// lookupByStatus derives the result of a read from the HTTP status of the reply alone.
 func lookupByStatus(r Reply) Lookup {
 	switch r.Status {
 	case http.StatusOK:
@@ -30,7 +30,7 @@
 	return LookupFailed
 }
 
-// sendNext sends the read whose turn it is.
+// sendNext sends the read of the record that is first in order.
 func sendNext(t *testing.T, r *ReadCoalescer, q *Queue, now micros.Micros) Request {
 	t.Helper()
 	r.QueueNext(now)
@@ -42,8 +42,8 @@
 	return request
 }
 
-// TestReadsCoalesce checks that one read answers all questions that came before it was sent, and
-// none that came later.
+// TestReadsCoalesce checks that a read answers all callers that came before it was sent, and none
+// that came later.
 func TestReadsCoalesce(t *testing.T) {
 	r, q := newTestReads(10)
 	var answers []string
@@ -74,15 +74,15 @@
 	}
 }
 
-// TestReadsTurns checks that records have their turns by when they were first asked about, and keep
-// them while they have no answer.
+// TestReadsTurns checks that records are read in the order in which they were first requested, and
+// keep their place while they have no answer.
 func TestReadsTurns(t *testing.T) {
 	r, q := newTestReads(10)
 	ask := func(now micros.Micros, id string) { r.Read(now, id, func(Lookup) {}) }
 	ask(0, "old")
 	late := ReadTimeout + 1
 	ask(late-2, "new")
-	r.QueueNext(late) // the question about old has expired
+	r.QueueNext(late) // the first request for old has expired
 	ask(late, "old")
 	if read := sendNext(t, r, q, late); read.Body != "old" {
 		t.Errorf("read first is %v, want old", read.Body)
@@ -92,8 +92,8 @@
 	}
 }
 
-// TestReadsBounds checks that past each bound a question is refused, and counted where its record
-// has a place.
+// TestReadsBounds checks that a caller beyond any of the bounds is refused. The refusal is counted
+// if the record already has a place in the order of reads.
 func TestReadsBounds(t *testing.T) {
 	refused := func(r *ReadCoalescer, now micros.Micros, id string) bool {
 		status := Lookup(-1)
--- a/internal/controller/statestore/reply.go
+++ b/internal/controller/statestore/reply.go
@@ -6,32 +6,31 @@
 	"garnethitch/internal/wire"
 )
 
-// Reply is what became of a request to the state service.
+// Reply is the result of a request to the state service.
 type Reply struct {
-	// Status is the HTTP status of the answer, 0 if there is no usable answer.
+	// Status is the HTTP status of the answer, or 0 if there is no usable answer.
 	Status int
-	// Body is the decoded body of the answer, nil if there is none.
+	// Body is the decoded body of the answer, or nil if there is none.
 	Body any
-	// NotSent is set if not a byte of the request has left.
+	// NotSent is true if no byte of the request was sent.
 	NotSent bool
 }
 
-// Outcome is what is known of a transaction that was given to the state service.
+// Outcome is what a controller knows about the effect of a transaction that it gave to the state
+// service.
 type Outcome int
 
 const (
-	// InDoubt is the outcome of a transaction that was sent and may have been applied, or
-	// may yet be.
+	// InDoubt means that the transaction was sent and may have been applied, or may still be.
 	InDoubt Outcome = iota
-	// Applied is the outcome of a transaction that was applied.
+	// Applied means that the transaction was applied.
 	Applied
-	// ConditionFailed is the outcome of a transaction that was not applied since a condition
-	// was not met. An earlier copy of it may have been applied.
+	// ConditionFailed means that the transaction was not applied because a condition did not hold.
+	// An earlier copy of the transaction may have been applied.
 	ConditionFailed
-	// Rejected is the outcome of a transaction that was not applied since it is malformed or
-	// too large.
+	// Rejected means that the transaction was not applied because it is malformed or too large.
 	Rejected
-	// NotExecuted is the outcome of a transaction that was never sent, or refused for load.
+	// NotExecuted means that the transaction was never sent, or was refused because of overload.
 	// It may be sent again.
 	NotExecuted
 )
@@ -65,8 +64,8 @@
 	return InDoubt
 }
 
-// Revision returns the revision at which a transaction was applied. ok is false if the reply
-// does not say that it was.
+// Revision returns the revision at which a transaction was applied. ok is false if the reply does
+// not state that the transaction was applied.
 func (r Reply) Revision() (revision uint64, ok bool) {
 	body, ok := r.Body.(*wire.Revision)
 	if !ok || r.Outcome() != Applied {
@@ -75,7 +74,7 @@
 	return body.Revision, true
 }
 
-// FailedKeys returns the keys whose conditions were not met, nil unless the outcome is
+// FailedKeys returns the keys whose conditions did not hold. It returns nil unless the outcome is
 // ConditionFailed.
 func (r Reply) FailedKeys() []string {
 	body, ok := r.Body.(*wire.Revision)
--- a/internal/controller/statestore/watch.go
+++ b/internal/controller/statestore/watch.go
@@ -8,9 +8,11 @@
 )
 
 const (
-	// WatchTimeout is how long the state service holds a watch open without changes.
+	// WatchTimeout is how long the state service holds a watch request open while there are no
+	// changes.
 	WatchTimeout = 5 * micros.Second
-	// watchReplyTimeout is how long the answer to a watch may take beyond its timeout.
+	// watchReplyTimeout is how long the answer to a watch request may take beyond the time for
+	// which it is held open.
 	watchReplyTimeout = 2 * micros.Second
 	// listTimeout is how long the answer to a listing may take.
 	listTimeout = 3 * micros.Second
@@ -18,13 +20,13 @@
 	keysPerPage = 500
 )
 
-// watchPhase is how the keys of a watch are followed.
+// watchPhase is the phase of a Watch.
 type watchPhase int
 
 const (
-	// watchListing means that the keys are listed, page by page.
+	// watchListing means that the keys are being listed page by page.
 	watchListing watchPhase = iota
-	// watchFollowing means that all keys have been listed, and changes are waited for.
+	// watchFollowing means that all keys have been listed and the watch waits for changes.
 	watchFollowing
 )
 
@@ -36,30 +38,30 @@
 	return "listing"
 }
 
-// Watch keeps the view of the keys with a prefix current: a listing, and from its revision on
-// one long poll after the other.
+// Watch tracks the keys with a prefix. It lists all keys first, and then follows changes from the
+// listing's revision by consecutive long polls. The caller sends the requests.
 type Watch struct {
 	Prefix      string
-	Interval    micros.Micros // least time between two requests
+	Interval    micros.Micros // minimum time between two requests
 	PollTimeout micros.Micros // how long a long poll waits for changes
 
 	phase watchPhase
-	// InFlight is set while a request is not answered yet. The next one is made at
-	// OpenedAt+Interval, where OpenedAt is when the last one was made.
+	// InFlight is true while a request is unanswered. OpenedAt is when the last request was made;
+	// the next one may be made at OpenedAt+Interval.
 	InFlight bool
 	OpenedAt micros.Micros
 
-	// Since is the revision up to which changes are known.
+	// Since is the revision up to which all changes are known.
 	Since uint64
-	// CompleteAsOf is the time of which all that the state service held is known, unless it
-	// has left memory: when what brought it was asked for, since the answer may have been
-	// long on its way.
+	// CompleteAsOf is the time as of which everything in the state service has been received,
+	// although the receiver may have dropped some of it from memory since. It is the time of the
+	// request rather than of the answer, because the answer may have been delayed.
 	CompleteAsOf micros.Micros
 
-	listing keyListing // under way in watchListing
+	listing keyListing // only used while the phase is watchListing
 }
 
-// keyListing is a listing of keys in pages.
+// keyListing is the progress of listing keys in pages.
 type keyListing struct {
 	startedAt micros.Micros
 	revision  uint64 // of the first page
@@ -67,7 +69,7 @@
 	keys      map[string]bool
 }
 
-// NewWatch returns a watch that is about to list its keys.
+// NewWatch returns a watch that starts by listing its keys.
 func NewWatch(prefix string, interval micros.Micros) Watch {
 	return Watch{
 		Prefix:       prefix,
@@ -78,16 +80,17 @@
 	}
 }
 
-// Ready reports whether all keys have been listed, so that the view is that of CompleteAsOf.
+// Ready reports whether all keys have been listed, so that the view is complete as of
+// CompleteAsOf.
 func (w *Watch) Ready() bool { return w.phase == watchFollowing }
 
-// Relist has the keys listed anew by the next request.
+// Relist makes the next request list the keys again.
 func (w *Watch) Relist() { w.phase = watchListing }
 
-// UntilNext returns how long until the next request may be made; not above 0: now.
+// UntilNext returns how long until the next request may be made. A value of 0 or less means now.
 func (w *Watch) UntilNext(now micros.Micros) micros.Micros { return w.OpenedAt + w.Interval - now }
 
-// NextRequest returns the request that is to be made now, and how long to wait for its answer.
+// NextRequest returns the request to send now, and how long to wait for its answer.
 func (w *Watch) NextRequest(now micros.Micros) (body any, timeout micros.Micros) {
 	w.InFlight = true
 	w.OpenedAt = now
@@ -101,7 +104,7 @@
 	return ListKeys{Prefix: w.Prefix, After: w.listing.after, Limit: keysPerPage}, listTimeout
 }
 
-// AddPage takes in a page of the listing.
+// AddPage adds a page to the listing.
 func (w *Watch) AddPage(page *wire.KeyList) {
 	listing := &w.listing
 	if listing.after == "" {
@@ -115,7 +118,7 @@
 	w.OpenedAt = -micros.Never // the next request follows at once
 }
 
-// FinishListing goes over from the listing to following changes.
+// FinishListing switches from listing keys to following changes.
 func (w *Watch) FinishListing() {
 	w.phase = watchFollowing
 	w.Since = w.listing.revision
@@ -123,18 +126,19 @@
 	w.listing = keyListing{}
 }
 
-// Listed returns the keys of the listing under way, and the revision of its first page.
+// Listed returns the keys listed so far, and the revision of the first page.
 func (w *Watch) Listed() (keys map[string]bool, revision uint64) {
 	return w.listing.keys, w.listing.revision
 }
 
-// AdvanceTo takes in that all changes up to a revision are known.
+// AdvanceTo records that all changes up to a revision are known.
 func (w *Watch) AdvanceTo(revision uint64) {
 	w.Since = max(w.Since, revision)
 	w.CompleteAsOf = max(w.CompleteAsOf, w.OpenedAt)
 }
 
-// HandleFailure takes in that a watch has ended without an answer that can be used.
+// HandleFailure records that a watch request ended with the given HTTP status and without a usable
+// answer.
 func (w *Watch) HandleFailure(now micros.Micros, status int) {
 	if MustRelist(status) {
 		w.Relist()
@@ -143,8 +147,8 @@
 	w.OpenedAt = now // pause before the next request
 }
 
-// MustRelist reports whether the keys have to be listed anew after a watch: the changes are
-// no longer kept, or are too many for one answer.
+// MustRelist reports whether the HTTP status of a watch answer requires listing the keys again:
+// the changes are no longer kept, or are too many for one answer.
 func MustRelist(status int) bool {
 	return status == http.StatusGone || status == http.StatusRequestEntityTooLarge
 }
