--- a/internal/controller/authority/shard_test.go
+++ b/internal/controller/authority/shard_test.go
@@ -21,9 +21,9 @@
 
 func TestLease(t *testing.T) {
 	for _, tc := range []struct {
-		name                  string
-		lease                 LeaseKnowledge
-		wantValid, wantIssues bool
+		name                    string
+		lease                   LeaseKnowledge
+		wantValid, wantCommands bool
 	}{
 		{"no lease", LeaseKnowledge{Held: false, RenewedAt: now, Now: now}, false, false},
 		{"just renewed", LeaseKnowledge{Held: true, RenewedAt: now, Now: now}, true, true},
@@ -36,8 +36,8 @@
 			if got := LeaseValid(tc.lease, testBounds); got != tc.wantValid {
 				t.Errorf("LeaseValid = %v, want %v", got, tc.wantValid)
 			}
-			if got := MayIssueCommands(tc.lease, testBounds); got != tc.wantIssues {
-				t.Errorf("MayIssueCommands = %v, want %v", got, tc.wantIssues)
+			if got := MayIssueCommands(tc.lease, testBounds); got != tc.wantCommands {
+				t.Errorf("MayIssueCommands = %v, want %v", got, tc.wantCommands)
 			}
 		})
 	}
--- a/internal/controller/estimate/ratemeter.go
+++ b/internal/controller/estimate/ratemeter.go
@@ -12,8 +12,8 @@
 // RateMeter measures the rate at which an amount arrives, as an exponentially decaying mean. The
 // zero value is ready to use.
 type RateMeter struct {
-	level float64
-	at    micros.Micros
+	level     float64
+	updatedAt micros.Micros
 }
 
 // Add records an amount that arrives at now.
@@ -30,8 +30,8 @@
 
 // decay applies the decay between the last update and now.
 func (r *RateMeter) decay(now micros.Micros) {
-	if now > r.at {
-		r.level *= math.Exp(-(now - r.at).Seconds() / meterTimeConstant.Seconds())
-		r.at = now
+	if now > r.updatedAt {
+		r.level *= math.Exp(-(now - r.updatedAt).Seconds() / meterTimeConstant.Seconds())
+		r.updatedAt = now
 	}
 }
--- a/internal/controller/fleet/consolidation.go
+++ b/internal/controller/fleet/consolidation.go
@@ -56,11 +56,11 @@
 func (c *Consolidation) Choose(demand *peer.Demand, candidates []DrainCandidate, draining int) []DrainCandidate {
 	candidates = slices.DeleteFunc(candidates, func(m DrainCandidate) bool { return !m.worthDraining() })
 	slices.SortStableFunc(candidates, func(a, b DrainCandidate) int { return -cmp.Compare(a.gain(), b.gain()) })
-	most := max(1, demand.All/maxDrainingDivisor) - draining
+	maxChosen := max(1, demand.All/maxDrainingDivisor) - draining
 	free := demand.CPUs - demand.Busy
 	for i, m := range candidates {
 		freeElsewhere := free - (m.CPUs - m.Busy)
-		if i >= most || c.Have-m.CPUs < c.Need || freeElsewhere < m.Busy {
+		if i >= maxChosen || c.Have-m.CPUs < c.Need || freeElsewhere < m.Busy {
 			return candidates[:i]
 		}
 		c.Have -= m.CPUs
--- a/internal/controller/fleet/demand_test.go
+++ b/internal/controller/fleet/demand_test.go
@@ -10,18 +10,18 @@
 // cpuSeconds converts work in CPU seconds to CPU microseconds, the unit that messages use.
 func cpuSeconds(s float64) int64 { return int64(micros.FromSeconds(s)) }
 
-func TestDemandSums(t *testing.T) {
+func TestTotalsAdd(t *testing.T) {
 	demands := Demands{
 		1: {Shard: 1, CPUs: 40, Busy: 30, Booting: 8, ArrivalCPUs: 2, RunLeftUS: cpuSeconds(60), Groups: []peer.WaitingTasks{{CPUs: 2, Waiting: 5, WorkUS: cpuSeconds(50)}}},
 		0: {Shard: 0, CPUs: 10, Busy: 1, ArrivalCPUs: 1, RunLeftUS: cpuSeconds(4)},
 	}
-	sums := Totals{Booting: 4}
+	totals := Totals{Booting: 4}
 	for _, shard := range demands.Shards() {
-		sums.Add(demands[shard])
+		totals.Add(demands[shard])
 	}
 	want := Totals{Work: 60 + 100 + 4, Arrival: 3, Parallel: 30 + 10 + 1, Have: 50, Busy: 31, Booting: 12}
-	if sums != want {
-		t.Errorf("sums %+v, want %+v", sums, want)
+	if totals != want {
+		t.Errorf("sums %+v, want %+v", totals, want)
 	}
 	if !demands.Waiting() || (Demands{0: demands[0]}).Waiting() {
 		t.Errorf("waiting: %v, and without shard 1 %v", demands.Waiting(), Demands{0: demands[0]}.Waiting())
@@ -31,12 +31,12 @@
 	}
 }
 
-func TestSumsNeed(t *testing.T) {
+func TestTotalsNeed(t *testing.T) {
 	for _, tc := range []struct {
-		name  string
-		sums  Totals
-		ratio float64
-		want  float64
+		name   string
+		totals Totals
+		ratio  float64
+		want   float64
 	}{
 		{"by the backlog", Totals{Work: 3000, Parallel: 500}, 1, 100},
 		{"at twice the price, half of it", Totals{Work: 3000, Parallel: 500}, 2, 50},
@@ -44,7 +44,7 @@
 		{"no more than could be in use", Totals{Work: 30_000, Parallel: 200}, 1, 200},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			if got := tc.sums.Need(30*micros.Second, tc.ratio); got != tc.want {
+			if got := tc.totals.Need(30*micros.Second, tc.ratio); got != tc.want {
 				t.Errorf("need %v, want %v", got, tc.want)
 			}
 		})
--- a/internal/controller/fleet/rebalancing.go
+++ b/internal/controller/fleet/rebalancing.go
@@ -17,9 +17,9 @@
 	maxDrainTime = 15 * micros.Second
 	// minMoveGain is the smallest shortage of CPUs for which a machine is moved.
 	minMoveGain = 0.5
-	// idleMoveGap is added, for idle machines, to the gap between a shard's target and its actual
-	// CPUs. Without it, a shard that has reached its target would never receive an idle machine,
-	// although tasks may still wait there.
+	// idleMoveGap is added, in CPUs, to the gap between a shard's target and its actual CPUs when
+	// the shard is considered for an idle machine. A shard that has reached its target may still
+	// have waiting tasks.
 	idleMoveGap = 0.01
 	// reserveDivisor divides the CPUs of a shard to give the CPUs that are kept free where no task
 	// waits.
@@ -149,8 +149,8 @@
 func (r *Rebalancing) mayLeave(machine Machine, gain float64) bool {
 	if machine.idle() {
 		// The machine's own shard may be about to use it.
-		own := r.demands[machine.From]
-		return WaitingCPUs(own) == 0 || !r.catalog.Useful(own, machine.Kind)
+		ownDemand := r.demands[machine.From]
+		return WaitingCPUs(ownDemand) == 0 || !r.catalog.Useful(ownDemand, machine.Kind)
 	}
 	surplus := r.actual[machine.From] - r.target[machine.From]
 	if gain < machine.CPUs/2 || surplus < machine.CPUs/2 {
--- a/internal/controller/fleet/scale_out.go
+++ b/internal/controller/fleet/scale_out.go
@@ -68,8 +68,8 @@
 func (s *ScaleOut) rentalFor(group peer.WaitingTasks, lowestPrice float64) (wire.Rental, bool) {
 	shortfall := s.Totals.Parallel - s.Totals.Have
 	groupShortfall := 0.0
-	hardlyAnyMachine := s.Totals.Have+scheduling.Tolerance < group.CPUs
-	if s.Catalog.Constrained(group) || hardlyAnyMachine {
+	fleetSmallerThanTask := s.Totals.Have+scheduling.Tolerance < group.CPUs
+	if s.Catalog.Constrained(group) || fleetSmallerThanTask {
 		groupShortfall = s.groupShortfall(group)
 		shortfall = max(shortfall, groupShortfall)
 	}
--- a/internal/controller/fleet/target.go
+++ b/internal/controller/fleet/target.go
@@ -49,10 +49,10 @@
 		if sum <= 0 || a.remaining <= scheduling.Tolerance {
 			return
 		}
-		toGive := a.remaining
+		available := a.remaining
 		for _, shard := range a.shards {
 			if headroom := limits[shard] - a.allocated[shard]; headroom > scheduling.Tolerance {
-				cpus := min(headroom, toGive*weights[shard]/sum)
+				cpus := min(headroom, available*weights[shard]/sum)
 				a.allocated[shard] += cpus
 				a.remaining -= cpus
 			}
--- a/internal/controller/statestore/queue_test.go
+++ b/internal/controller/statestore/queue_test.go
@@ -156,12 +156,12 @@
 	for _, limits := range stateLimits {
 		for class := ClassLease + 1; class < ClassCount; class++ {
 			t.Run(fmt.Sprintf("%v/%s", limits, classNames[class]), func(t *testing.T) {
-				part := UsableFraction / float64(limits.nodes)
-				q := testQueue(limits.rps*part, limits.writeRPS*part)
-				most := q.worstWait(class, limits.changes)
+				share := UsableFraction / float64(limits.nodes)
+				q := testQueue(limits.rps*share, limits.writeRPS*share)
+				bound := q.worstWait(class, limits.changes)
 				last, longest, sent := micros.Micros(0), micros.Micros(0), 0
 				leases := 0.0
-				for now := micros.Micros(0); now < 10*most; now += 10 * micros.Millisecond {
+				for now := micros.Micros(0); now < 10*bound; now += 10 * micros.Millisecond {
 					if leases += q.RequestRate() * LeaseFraction * 0.01; leases >= 1 {
 						leases--
 						q.pushTest(ClassLease, "lease", 0, micros.Never)
@@ -185,8 +185,8 @@
 						}
 					}
 				}
-				if sent < 5 || longest > most {
-					t.Errorf("%d sent, with up to %.2f s between them, want at most %.2f s", sent, longest.Seconds(), most.Seconds())
+				if sent < 5 || longest > bound {
+					t.Errorf("%d sent, with up to %.2f s between them, want at most %.2f s", sent, longest.Seconds(), bound.Seconds())
 				}
 			})
 		}
--- a/internal/controller/statestore/reads.go
+++ b/internal/controller/statestore/reads.go
@@ -37,8 +37,8 @@
 	waiters         []waiter // callers that came after the last read was sent
 }
 
-// compareTurns orders records by the time since which they have been waiting, then by ID.
-func compareTurns(a, b *recordRead) int {
+// compareReadOrder orders records by the time since which they have been waiting, then by ID.
+func compareReadOrder(a, b *recordRead) int {
 	return cmp.Or(cmp.Compare(a.waitingSince, b.waitingSince), cmp.Compare(a.id, b.id))
 }
 
@@ -125,7 +125,7 @@
 // addWaiting adds a record with waiters to the records that wait for a read. If that exceeds
 // maxRecordsWaiting, the waiters of the last record are refused.
 func (r *ReadCoalescer) addWaiting(record *recordRead) {
-	i, _ := slices.BinarySearchFunc(r.waiting, record, compareTurns)
+	i, _ := slices.BinarySearchFunc(r.waiting, record, compareReadOrder)
 	r.waiting = slices.Insert(r.waiting, i, record)
 	if len(r.waiting) <= maxRecordsWaiting {
 		return
--- a/internal/controller/statestore/reads_test.go
+++ b/internal/controller/statestore/reads_test.go
@@ -7,8 +7,9 @@
 	"garnethitch/internal/micros"
 )
 
-// newTestReads returns a ReadCoalescer and its queue, which lets 100 requests through at once.
-func newTestReads(maxRecords int) (*ReadCoalescer, *Queue) {
+// newTestReadCoalescer returns a ReadCoalescer and its queue, which lets 100 requests through at
+// once.
+func newTestReadCoalescer(maxRecords int) (*ReadCoalescer, *Queue) {
 	q := testQueue(100, 10)
 	return NewReadCoalescer(ReadCoalescerConfig{
 		Queue:       q,
@@ -42,10 +43,10 @@
 	return request
 }
 
-// TestReadsCoalesce checks that a read answers all callers that came before it was sent, and none
-// that came later.
-func TestReadsCoalesce(t *testing.T) {
-	r, q := newTestReads(10)
+// TestReadCoalescerMergesReads checks that a read answers all callers that came before it was
+// sent, and none that came later.
+func TestReadCoalescerMergesReads(t *testing.T) {
+	r, q := newTestReadCoalescer(10)
 	var answers []string
 	ask := func(name string) {
 		r.Read(0, "a", func(Lookup) { answers = append(answers, name) })
@@ -74,10 +75,10 @@
 	}
 }
 
-// TestReadsTurns checks that records are read in the order in which they were first requested, and
-// keep their place while they have no answer.
-func TestReadsTurns(t *testing.T) {
-	r, q := newTestReads(10)
+// TestReadCoalescerOrder checks that records are read in the order in which they were first
+// requested, and keep their place while they have no answer.
+func TestReadCoalescerOrder(t *testing.T) {
+	r, q := newTestReadCoalescer(10)
 	ask := func(now micros.Micros, id string) { r.Read(now, id, func(Lookup) {}) }
 	ask(0, "old")
 	late := ReadTimeout + 1
@@ -92,22 +93,22 @@
 	}
 }
 
-// TestReadsBounds checks that a caller beyond any of the bounds is refused. The refusal is counted
-// if the record already has a place in the order of reads.
-func TestReadsBounds(t *testing.T) {
+// TestReadCoalescerBounds checks that a caller beyond any of the bounds is refused. The refusal is
+// counted if the record already has a place in the order of reads.
+func TestReadCoalescerBounds(t *testing.T) {
 	refused := func(r *ReadCoalescer, now micros.Micros, id string) bool {
 		status := Lookup(-1)
 		r.Read(now, id, func(got Lookup) { status = got })
 		return status == LookupFailed
 	}
 	t.Run("records", func(t *testing.T) {
-		r, _ := newTestReads(2)
+		r, _ := newTestReadCoalescer(2)
 		if refused(r, 0, "a") || refused(r, 0, "b") || !refused(r, 0, "c") {
 			t.Error("want the third record refused alone")
 		}
 	})
 	t.Run("questions about a record", func(t *testing.T) {
-		r, _ := newTestReads(2)
+		r, _ := newTestReadCoalescer(2)
 		for range maxWaitersPerRecord {
 			if refused(r, 0, "a") {
 				t.Fatal("refused within the bound")
@@ -118,7 +119,7 @@
 		}
 	})
 	t.Run("records that wait", func(t *testing.T) {
-		r, q := newTestReads(2 * maxRecordsWaiting)
+		r, q := newTestReadCoalescer(2 * maxRecordsWaiting)
 		for i := range maxRecordsWaiting {
 			if refused(r, micros.Micros(i), string(rune('a'+i))) {
 				t.Fatal("refused within the bound")
@@ -132,7 +133,7 @@
 		}
 	})
 	t.Run("time", func(t *testing.T) {
-		r, q := newTestReads(2)
+		r, q := newTestReadCoalescer(2)
 		status := Lookup(-1)
 		r.Read(0, "a", func(got Lookup) { status = got })
 		if r.QueueNext(ReadTimeout); status != -1 {
