--- a/internal/controller/authority/invariants_test.go
+++ b/internal/controller/authority/invariants_test.go
@@ -16,7 +16,7 @@
 		{"a cancelled task without its stop", true, JobOpen, []Invariant{RenewalStopsCancelledTasks}},
 		{"a task of a job that has ended", false, JobEnded, []Invariant{RenewalKeepsNoUnknownJob}},
 		{"a task of an unknown job", false, JobStatusUnknown, []Invariant{RenewalKeepsNoUnknownJob}},
-		{"both", true, JobEnded, []Invariant{RenewalStopsCancelledTasks, RenewalKeepsNoUnknownJob}},
+		{"a cancelled task without its stop, of a job that has ended", true, JobEnded, []Invariant{RenewalStopsCancelledTasks, RenewalKeepsNoUnknownJob}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if got := BrokenByRenewal(tc.stopPending, tc.job); !slices.Equal(got, tc.want) {
--- a/internal/controller/authority/job_status_test.go
+++ b/internal/controller/authority/job_status_test.go
@@ -22,12 +22,12 @@
 		{"started under a claim that the view includes", TaskKnowledge{StartEpoch: 20, FirstSeenAt: now}, current, JobEnded},
 		{"started under a later claim, just seen", TaskKnowledge{StartEpoch: 21, FirstSeenAt: now}, current, JobStatusUnknown},
 		{"started under a later claim, older than the view", TaskKnowledge{StartEpoch: 21, FirstSeenAt: current.CompleteAsOf - 1}, current, JobEnded},
-		{"started under a claim later than the whole view, within the grace", TaskKnowledge{StartEpoch: 31, FirstSeenAt: now}, current, JobOpen},
+		{"started under a claim later than the view's revision, within the grace", TaskKnowledge{StartEpoch: 31, FirstSeenAt: now}, current, JobOpen},
 		{"stale view, started before it", TaskKnowledge{StartEpoch: 15, FirstSeenAt: now}, stale, JobStatusUnknown},
 		{"stale view, started after it, within the grace", TaskKnowledge{StartEpoch: 16, FirstSeenAt: now}, stale, JobOpen},
 		{"stale view, started after it, beyond the grace", TaskKnowledge{StartEpoch: 16, FirstSeenAt: now}, beyondGrace, JobStatusUnknown},
-		{"stale view, seen as it was complete", TaskKnowledge{StartEpoch: 15, FirstSeenAt: stale.CompleteAsOf}, stale, JobStatusUnknown},
-		{"stale view, seen before it was complete", TaskKnowledge{StartEpoch: 15, FirstSeenAt: stale.CompleteAsOf - 1}, stale, JobEnded},
+		{"stale view, first seen when it was last complete", TaskKnowledge{StartEpoch: 15, FirstSeenAt: stale.CompleteAsOf}, stale, JobStatusUnknown},
+		{"stale view, first seen before it was last complete", TaskKnowledge{StartEpoch: 15, FirstSeenAt: stale.CompleteAsOf - 1}, stale, JobEnded},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			tc.task.Now = now
--- a/internal/controller/authority/machine_test.go
+++ b/internal/controller/authority/machine_test.go
@@ -21,13 +21,13 @@
 		{"cordoned, in a shard that may not be commanded", func(m *MachineKnowledge, _ *HeartbeatKnowledge) {
 			m.Cordoned, m.Shard = true, Refuse(ReasonNotOwner)
 		}, Refuse(ReasonCordoned)},
-		{"no view of it yet", func(m *MachineKnowledge, _ *HeartbeatKnowledge) { m.Tracked = false }, Refuse(ReasonNotOwner)},
+		{"not tracked by this node yet", func(m *MachineKnowledge, _ *HeartbeatKnowledge) { m.Tracked = false }, Refuse(ReasonNotOwner)},
 		{"returned to the cloud", func(m *MachineKnowledge, _ *HeartbeatKnowledge) { m.Returned = true }, Refuse(ReasonReturned)},
-		{"a copy", func(_ *MachineKnowledge, heartbeat *HeartbeatKnowledge) { heartbeat.Position.Sequence = 5 }, Refuse(ReasonStaleHeartbeat)},
-		{"of an earlier agent epoch", func(_ *MachineKnowledge, heartbeat *HeartbeatKnowledge) {
+		{"a copy of the last heartbeat", func(_ *MachineKnowledge, heartbeat *HeartbeatKnowledge) { heartbeat.Position.Sequence = 5 }, Refuse(ReasonStaleHeartbeat)},
+		{"from an earlier agent epoch", func(_ *MachineKnowledge, heartbeat *HeartbeatKnowledge) {
 			heartbeat.Position = HeartbeatPosition{AgentEpoch: 1, Sequence: 99}
 		}, Refuse(ReasonStaleHeartbeat)},
-		{"of a later agent epoch", func(_ *MachineKnowledge, heartbeat *HeartbeatKnowledge) {
+		{"from a later agent epoch", func(_ *MachineKnowledge, heartbeat *HeartbeatKnowledge) {
 			heartbeat.Position = HeartbeatPosition{AgentEpoch: 3, Sequence: 1}
 		}, Allow(ReasonCurrentView)},
 		{"a lower fencing token", func(_ *MachineKnowledge, heartbeat *HeartbeatKnowledge) { heartbeat.FencingToken-- }, Allow(ReasonCurrentView)},
@@ -56,11 +56,11 @@
 		known RenewalKnowledge
 		want  Decision
 	}{
-		{"nothing against it", RenewalKnowledge{}, Allow(ReasonHeartbeatAccepted)},
+		{"no reason to refuse", RenewalKnowledge{}, Allow(ReasonHeartbeatAccepted)},
 		{"a task of an unknown job", RenewalKnowledge{UnknownJob: true}, Refuse(ReasonUnknownJob)},
 		{"a late start", RenewalKnowledge{LateStart: true}, Refuse(ReasonLateStart)},
 		{"replies do not arrive", RenewalKnowledge{Unreachable: true}, Refuse(ReasonUnreachable)},
-		{"all of them: the unknown job is the reason", RenewalKnowledge{UnknownJob: true, LateStart: true, Unreachable: true}, Refuse(ReasonUnknownJob)},
+		{"all reasons: the unknown job comes first", RenewalKnowledge{UnknownJob: true, LateStart: true, Unreachable: true}, Refuse(ReasonUnknownJob)},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if got := MayRenewMachineLease(tc.known); got != tc.want {
@@ -77,27 +77,27 @@
 		change func(k *MachineTasksKnowledge)
 		want   bool
 	}{
-		{"lease run out", func(*MachineTasksKnowledge) {}, true},
-		{"replied to within the expiry", func(k *MachineTasksKnowledge) { k.LastReplyAt = expired + 1 }, false},
-		{"reconciled within the expiry", func(k *MachineTasksKnowledge) { k.ReconciledAt = expired + 1 }, false},
-		{"the wait after the claim does not count once it is reconciled", func(k *MachineTasksKnowledge) { k.MachinesFreeAt = now + 1 }, true},
+		{"the lease has expired", func(*MachineTasksKnowledge) {}, true},
+		{"answered within WorkerExpiry", func(k *MachineTasksKnowledge) { k.LastReplyAt = expired + 1 }, false},
+		{"reconciled within WorkerExpiry", func(k *MachineTasksKnowledge) { k.ReconciledAt = expired + 1 }, false},
+		{"the wait after the claim does not apply to a reconciled machine", func(k *MachineTasksKnowledge) { k.MachinesFreeAt = now + 1 }, true},
 		{"not reconciled, the wait after the claim is over", func(k *MachineTasksKnowledge) { k.Reconciled = false }, true},
 		{"not reconciled, the wait after the claim is not over", func(k *MachineTasksKnowledge) {
 			k.Reconciled = false
 			k.MachinesFreeAt = now + 1
 		}, false},
-		{"not reconciled, replied to within the expiry", func(k *MachineTasksKnowledge) {
+		{"not reconciled, answered within WorkerExpiry", func(k *MachineTasksKnowledge) {
 			k.Reconciled = false
 			k.LastReplyAt = expired + 1
 		}, false},
-		{"not reconciled any more, but within the expiry", func(k *MachineTasksKnowledge) {
+		{"no longer reconciled, but reconciled within WorkerExpiry", func(k *MachineTasksKnowledge) {
 			k.Reconciled = false
 			k.ReconciledAt = expired + 1
 		}, false},
-		{"known to be free already", func(k *MachineTasksKnowledge) { k.LeaseExpired = true }, false},
+		{"already known to be free", func(k *MachineTasksKnowledge) { k.LeaseExpired = true }, false},
 		{"this node's lease is not valid", func(k *MachineTasksKnowledge) { k.LeaseValid = false }, false},
-		{"no heartbeat, and new on record", func(k *MachineTasksKnowledge) { k.HeartbeatSeen = false }, false},
-		{"no heartbeat, but a predecessor's", func(k *MachineTasksKnowledge) {
+		{"no heartbeat, and no tasks of a predecessor", func(k *MachineTasksKnowledge) { k.HeartbeatSeen = false }, false},
+		{"no heartbeat, but tasks of a predecessor may be on it", func(k *MachineTasksKnowledge) {
 			k.HeartbeatSeen = false
 			k.UnreconciledFromPredecessor = true
 		}, true},
@@ -131,7 +131,7 @@
 		{"a command pending", func(k *ReleaseKnowledge) { k.CommandPending = true }, false, false},
 		{"being released", func(k *ReleaseKnowledge) { k.Releasing = true }, false, false},
 		{"not reconciled", func(k *ReleaseKnowledge) { k.Reconciled = false }, false, false},
-		{"its lease has run out", func(k *ReleaseKnowledge) { k.Reconciled, k.LeaseExpired = false, true }, false, true},
+		{"its lease has expired", func(k *ReleaseKnowledge) { k.Reconciled, k.LeaseExpired = false, true }, false, true},
 		{"no heartbeat yet", func(k *ReleaseKnowledge) { k.HeartbeatSeen = false }, false, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/controller/authority/reason_test.go
+++ b/internal/controller/authority/reason_test.go
@@ -10,7 +10,7 @@
 			t.Errorf("reason %d has no name", int(reason))
 		}
 		if other, ok := seen[name]; ok {
-			t.Errorf("reasons %d and %d are both called %q", int(other), int(reason), name)
+			t.Errorf("reasons %d and %d have the same name %q", int(other), int(reason), name)
 		}
 		seen[name] = reason
 	}
--- a/internal/controller/authority/shard_test.go
+++ b/internal/controller/authority/shard_test.go
@@ -57,7 +57,7 @@
 		{"no lease", func(k *ShardKnowledge) { k.Lease.Held = false }, Refuse(ReasonLeaseTooOld)},
 		{"the last renewal as old as it may be", func(k *ShardKnowledge) { k.Lease.RenewedAt = now - testBounds.CommandValidity + 1 }, Allow(ReasonCurrentView)},
 		{"the last renewal too old", func(k *ShardKnowledge) { k.Lease.RenewedAt = now - testBounds.CommandValidity }, Refuse(ReasonLeaseTooOld)},
-		{"an old view that was brought up to the claim", func(k *ShardKnowledge) { k.JobsCompleteAsOf = -micros.Never }, Allow(ReasonCurrentView)},
+		{"a view that is current, but was last complete long ago", func(k *ShardKnowledge) { k.JobsCompleteAsOf = -micros.Never }, Allow(ReasonCurrentView)},
 		{"a stale view as old as it may be", func(k *ShardKnowledge) {
 			k.JobsViewCurrent = false
 			k.JobsCompleteAsOf = now - testBounds.StaleViewGrace + 1
@@ -100,7 +100,7 @@
 			k.AcceptedUnderClaim = true
 		}, true},
 		{"the shard may not be commanded", func(k *OpenJobKnowledge) { k.Shard = Refuse(ReasonReleasing) }, false},
-		{"the lease is over, commands are not", func(k *OpenJobKnowledge) { k.Lease.RenewedAt = now - testBounds.LeaseValidity }, false},
+		{"the lease has expired, but commands are still allowed", func(k *OpenJobKnowledge) { k.Lease.RenewedAt = now - testBounds.LeaseValidity }, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			known := OpenJobKnowledge{
@@ -126,8 +126,8 @@
 	}{
 		{"holds the lock", LeaderKnowledge{Lease: valid, Owned: true}, true},
 		{"does not hold the lock", LeaderKnowledge{Lease: valid}, false},
-		{"steps down", LeaderKnowledge{Lease: valid, Owned: true, SteppingDown: true}, false},
-		{"the lease is over", LeaderKnowledge{Lease: over, Owned: true}, false},
+		{"stepping down", LeaderKnowledge{Lease: valid, Owned: true, SteppingDown: true}, false},
+		{"the lease has expired", LeaderKnowledge{Lease: over, Owned: true}, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if got := MayLead(tc.known, testBounds); got != tc.want {
--- a/internal/controller/checkpoint/checkpoint_test.go
+++ b/internal/controller/checkpoint/checkpoint_test.go
@@ -34,9 +34,9 @@
 	}{
 		{"none", 10, func(int) bool { return false }, nil, 0, false},
 		{"all", 10, func(int) bool { return true }, []int{0, 9}, 10, false},
-		{"a hole", 6, func(i int) bool { return i != 3 }, []int{0, 2, 4, 5}, 5, false},
+		{"all but one", 6, func(i int) bool { return i != 3 }, []int{0, 2, 4, 5}, 5, false},
 		{"last only", 100_000, func(i int) bool { return i == 99_999 }, []int{99_999, 99_999}, 1, false},
-		{"every other of 2,000: more ranges than fit", 2000, func(i int) bool { return i%2 == 0 }, nil, 1000, true},
+		{"every other task of 2,000: more ranges than fit", 2000, func(i int) bool { return i%2 == 0 }, nil, 1000, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			p := progressOf(tc.tasks, tc.done)
@@ -92,11 +92,11 @@
 	rec, covered := NewRecord(p, testMaxBytes)
 	value, err := wire.Encode(rec)
 	if err != nil || len(value) > testMaxBytes || rec.Count == 0 {
-		t.Errorf("the worst record has %d bytes for %d tasks, %v", len(value), rec.Count, err)
+		t.Errorf("the largest record has %d bytes for %d tasks, %v", len(value), rec.Count, err)
 	}
 	for task := range covered.All() {
 		if !p.Done.Has(task) {
-			t.Fatalf("task %d is covered and not done", task)
+			t.Fatalf("task %d is covered but not done", task)
 		}
 	}
 }
--- a/internal/controller/estimate/estimate_test.go
+++ b/internal/controller/estimate/estimate_test.go
@@ -28,7 +28,7 @@
 		{"one task counts for little", 10, 20, 1, 10 * math.Pow(2, 0.2/4.2)},
 		{"many tasks count for most", 10, 20, 1000, 10 * math.Pow(2, 40.0/44)},
 		{"shorter", 10, 5, 1000, 10 * math.Pow(2, -40.0/44)},
-		{"far longer counts up to a bound", 10, 10_000, 1000, 10 * math.Exp(maxLogRatio*40/44)},
+		{"much longer, counted up to the bound", 10, 10_000, 1000, 10 * math.Exp(maxLogRatio*40/44)},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			r := NewRunTimes()
@@ -56,7 +56,7 @@
 	}
 	other := &wire.Submission{Class: "other", EstimateS: 10}
 	if got := r.Expect(other); got != 10*sec {
-		t.Errorf("a class that was not learned expects %v", got)
+		t.Errorf("a class that was not learned has an expected run time of %v", got)
 	}
 }
 
--- a/internal/controller/fleet/catalog_test.go
+++ b/internal/controller/fleet/catalog_test.go
@@ -41,17 +41,17 @@
 		{"another type", with(func(g *peer.WaitingTasks) { g.Any, g.Types = false, []string{"large"} }), small, false},
 		{"no type at all", with(func(g *peer.WaitingTasks) { g.Any = false }), small, false},
 		{"no spot machines", with(func(g *peer.WaitingTasks) { g.Spot = false }), small, false},
-		{"no spot machines, and this is none", with(func(g *peer.WaitingTasks) { g.Spot = false }), Kind{Type: "small", Zone: "a"}, true},
+		{"no spot machines, on a machine that is not spot", with(func(g *peer.WaitingTasks) { g.Spot = false }), Kind{Type: "small", Zone: "a"}, true},
 		{"all CPUs", with(func(g *peer.WaitingTasks) { g.CPUs = 4 }), small, true},
 		{"too many CPUs", with(func(g *peer.WaitingTasks) { g.CPUs = 5 }), small, false},
 		{"too much memory", with(func(g *peer.WaitingTasks) { g.MemGB = 9 }), small, false},
-		{"a GPU where there is none", with(func(g *peer.WaitingTasks) { g.GPUs = 1 }), small, false},
+		{"a GPU on a machine without one", with(func(g *peer.WaitingTasks) { g.GPUs = 1 }), small, false},
 		{"a GPU", with(func(g *peer.WaitingTasks) { g.GPUs = 1 }), Kind{Type: "large", Zone: "a"}, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			c := testCatalog()
 			if got := c.CanRun(tc.group, tc.kind); got != tc.want {
-				t.Errorf("hosts: %v, want %v", got, tc.want)
+				t.Errorf("can run: %v, want %v", got, tc.want)
 			}
 			demands := Demands{3: {Shard: 3, Groups: []peer.WaitingTasks{tc.group}}}
 			if got := c.UsefulAnywhere(demands, tc.kind); got != tc.want {
@@ -59,7 +59,7 @@
 			}
 			demands[3].Groups[0].Waiting = 0
 			if c.UsefulAnywhere(demands, tc.kind) {
-				t.Error("useful though nothing waits")
+				t.Error("useful although nothing waits")
 			}
 		})
 	}
@@ -68,13 +68,13 @@
 func TestCatalogConstrained(t *testing.T) {
 	c := testCatalog()
 	if g := (peer.WaitingTasks{Any: true, Spot: true, CPUs: 4, MemGB: 8}); c.Constrained(g) {
-		t.Error("constrained though it runs on all kinds")
+		t.Error("constrained although it runs on all kinds")
 	}
 	if g := (peer.WaitingTasks{Any: true, Spot: true, CPUs: 5, MemGB: 8}); !c.Constrained(g) {
-		t.Error("not constrained though it needs the large type")
+		t.Error("not constrained although it needs the large type")
 	}
 	if g := (peer.WaitingTasks{Any: true, CPUs: 1}); !c.Constrained(g) {
-		t.Error("not constrained though it runs on no spot machine")
+		t.Error("not constrained although it runs on no spot machine")
 	}
 }
 
--- a/internal/controller/fleet/consolidation_test.go
+++ b/internal/controller/fleet/consolidation_test.go
@@ -21,16 +21,16 @@
 		candidates []DrainCandidate
 		want       []string
 	}{
-		{"mostly unused for long", 320, 0, 20, 0, []DrainCandidate{candidate("vm-1", 4, long, 0)}, []string{"vm-1"}},
-		{"the largest gain first, one in twenty at a time", 320, 0, 20, 0, []DrainCandidate{candidate("vm-1", 4, long, 0), candidate("vm-2", 2, long, 0)}, []string{"vm-2"}},
+		{"mostly unused for a long time", 320, 0, 20, 0, []DrainCandidate{candidate("vm-1", 4, long, 0)}, []string{"vm-1"}},
+		{"the largest gain first, at most one in twenty at a time", 320, 0, 20, 0, []DrainCandidate{candidate("vm-1", 4, long, 0), candidate("vm-2", 2, long, 0)}, []string{"vm-2"}},
 		{"two of forty", 640, 0, 40, 0, []DrainCandidate{candidate("vm-1", 4, long, 0), candidate("vm-2", 2, long, 0)}, []string{"vm-2", "vm-1"}},
-		{"one is drained already", 320, 0, 20, 1, []DrainCandidate{candidate("vm-1", 4, long, 0)}, nil},
+		{"one is already being drained", 320, 0, 20, 1, []DrainCandidate{candidate("vm-1", 4, long, 0)}, nil},
 		{"mostly used", 320, 0, 20, 0, []DrainCandidate{candidate("vm-1", 9, long, 0)}, nil},
 		{"empty soon", 320, 0, 20, 0, []DrainCandidate{candidate("vm-1", 1, 29*micros.Second, 0)}, nil},
 		{"gain enough", 320, 0, 20, 0, []DrainCandidate{candidate("vm-1", 8, 30*micros.Second, 0)}, []string{"vm-1"}},
 		{"little gain", 320, 0, 20, 0, []DrainCandidate{candidate("vm-1", 8, 30*micros.Second, 20*micros.Second)}, nil},
-		{"too much work would be done again", 320, 0, 20, 0, []DrainCandidate{candidate("vm-1", 4, long, 400*micros.Second)}, nil},
-		{"needed", 320, 310, 20, 0, []DrainCandidate{candidate("vm-1", 4, long, 0)}, nil},
+		{"too much work would be repeated", 320, 0, 20, 0, []DrainCandidate{candidate("vm-1", 4, long, 400*micros.Second)}, nil},
+		{"all CPUs are needed", 320, 310, 20, 0, []DrainCandidate{candidate("vm-1", 4, long, 0)}, nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			c := Consolidation{Have: tc.have, Need: tc.need}
--- a/internal/controller/fleet/demand_test.go
+++ b/internal/controller/fleet/demand_test.go
@@ -21,7 +21,7 @@
 	}
 	want := Totals{Work: 60 + 100 + 4, Arrival: 3, Parallel: 30 + 10 + 1, Have: 50, Busy: 31, Booting: 12}
 	if totals != want {
-		t.Errorf("sums %+v, want %+v", totals, want)
+		t.Errorf("totals %+v, want %+v", totals, want)
 	}
 	if !demands.Waiting() || (Demands{0: demands[0]}).Waiting() {
 		t.Errorf("waiting: %v, and without shard 1 %v", demands.Waiting(), Demands{0: demands[0]}.Waiting())
@@ -40,7 +40,7 @@
 	}{
 		{"by the backlog", Totals{Work: 3000, Parallel: 500}, 1, 100},
 		{"at twice the price, half of it", Totals{Work: 3000, Parallel: 500}, 2, 50},
-		{"by what arrives", Totals{Work: 30, Arrival: 40, Parallel: 500}, 1, 40},
+		{"by the arrival rate", Totals{Work: 30, Arrival: 40, Parallel: 500}, 1, 40},
 		{"no more than could be in use", Totals{Work: 30_000, Parallel: 200}, 1, 200},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -61,9 +61,9 @@
 	}{
 		{"nothing waits", peer.Demand{CPUs: 100, BlockedUS: blocked}, 0},
 		{"free capacity", peer.Demand{CPUs: 100, BlockedUS: blocked, Groups: waiting(1000)}, 4000},
-		{"as far as tasks wait", peer.Demand{CPUs: 100, BlockedUS: blocked, Groups: waiting(10)}, 400},
-		{"capacity that comes free", peer.Demand{CPUs: 100, Busy: 100, RunLeftUS: cpuSeconds(1000), BlockedUS: blocked, Groups: waiting(1000)}, 3000},
-		{"running tasks outlast it", peer.Demand{CPUs: 100, Busy: 100, RunLeftUS: cpuSeconds(9000), BlockedUS: blocked, Groups: waiting(1000)}, 0},
+		{"limited by the waiting tasks", peer.Demand{CPUs: 100, BlockedUS: blocked, Groups: waiting(10)}, 400},
+		{"capacity that becomes free", peer.Demand{CPUs: 100, Busy: 100, RunLeftUS: cpuSeconds(1000), BlockedUS: blocked, Groups: waiting(1000)}, 3000},
+		{"running tasks outlast the blocked time", peer.Demand{CPUs: 100, Busy: 100, RunLeftUS: cpuSeconds(9000), BlockedUS: blocked, Groups: waiting(1000)}, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if got := BlockedWork(&tc.demand); got != tc.want {
--- a/internal/controller/fleet/rebalancing_test.go
+++ b/internal/controller/fleet/rebalancing_test.go
@@ -37,15 +37,15 @@
 	}{
 		{"idle machine to where tasks wait", rebalancingDemands(100, 40), []Machine{idle}, []string{"vm-1"}},
 		{"nothing waits", rebalancingDemands(0, 40), []Machine{idle}, nil},
-		{"its type cannot run what waits", gpuOnly, []Machine{idle}, nil},
-		{"idle ones first, then those that empty soonest", rebalancingDemands(100, 40),
+		{"its type cannot run the waiting tasks", gpuOnly, []Machine{idle}, nil},
+		{"idle machines first, then those that empty soonest", rebalancingDemands(100, 40),
 			[]Machine{movable("vm-3", peer.MachineBusy, 1, 9*micros.Second), movable("vm-2", peer.MachineBusy, 1, 5*micros.Second), idle}, []string{"vm-1", "vm-2", "vm-3"}},
-		{"no more than wait", rebalancingDemands(4, 40), []Machine{idle, movable("vm-2", peer.MachineIdle, 0, 0)}, []string{"vm-1"}},
-		{"spare capacity: drained however long that takes", rebalancingDemands(100, 40), []Machine{movable("vm-2", peer.MachineBusy, 1, micros.Minute)}, []string{"vm-2"}},
-		{"full ones: two that are empty soon", rebalancingDemands(1000, 80),
+		{"no more machines than the waiting tasks need", rebalancingDemands(4, 40), []Machine{idle, movable("vm-2", peer.MachineIdle, 0, 0)}, []string{"vm-1"}},
+		{"spare capacity: drained regardless of how long that takes", rebalancingDemands(100, 40), []Machine{movable("vm-2", peer.MachineBusy, 1, micros.Minute)}, []string{"vm-2"}},
+		{"full machines: at most two that are empty soon", rebalancingDemands(1000, 80),
 			[]Machine{movable("vm-2", peer.MachineBusy, 4, 5*micros.Second), movable("vm-3", peer.MachineBusy, 4, 6*micros.Second), movable("vm-4", peer.MachineBusy, 4, 7*micros.Second)},
 			[]string{"vm-2", "vm-3"}},
-		{"full ones that are not empty soon", rebalancingDemands(1000, 80), []Machine{movable("vm-2", peer.MachineBusy, 4, 16*micros.Second)}, nil},
+		{"full machines that are not empty soon", rebalancingDemands(1000, 80), []Machine{movable("vm-2", peer.MachineBusy, 4, 16*micros.Second)}, nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			moves := NewRebalancing(testCatalog(), tc.demands).Moves(tc.machines)
@@ -81,7 +81,7 @@
 	r = NewRebalancing(testCatalog(), rebalancingDemands(4, 40))
 	r.AddDraining(movable("vm-8", peer.MachineDraining, 1, 5*micros.Second), 0)
 	if moves := r.Moves([]Machine{movable("vm-1", peer.MachineIdle, 0, 0)}); len(moves) != 0 {
-		t.Errorf("more move than wait: %+v", moves)
+		t.Errorf("more machines move than the waiting tasks need: %+v", moves)
 	}
 }
 
@@ -89,14 +89,14 @@
 	demands := rebalancingDemands(1000, 80)
 	m := movable("vm-2", peer.MachineDraining, 4, 0)
 	if NewRebalancing(testCatalog(), demands).NeededInOwnShard(m) {
-		t.Error("wanted where nothing waits")
+		t.Error("needed in its own shard although nothing waits there")
 	}
 	m.From = 0
 	if !NewRebalancing(testCatalog(), demands).NeededInOwnShard(m) {
-		t.Error("not wanted where tasks wait and machines are missing")
+		t.Error("not needed in its own shard although tasks wait and machines are missing there")
 	}
 	demands[1].Groups = []peer.WaitingTasks{{Any: true, CPUs: 1, Waiting: 1000, WorkUS: cpuSeconds(90_000)}}
 	if NewRebalancing(testCatalog(), demands).NeededInOwnShard(m) {
-		t.Error("wanted in a shard that has more than its part")
+		t.Error("needed in its own shard although the shard has more than its target")
 	}
 }
--- a/internal/controller/fleet/scale_in_test.go
+++ b/internal/controller/fleet/scale_in_test.go
@@ -20,12 +20,12 @@
 		idle   []IdleMachine
 		want   []string
 	}{
-		{"the dearest first, as far as more is there than needed", func(s *ScaleIn) { s.Totals = Totals{Have: 29, Parallel: 20, Work: 6000} }, three, []string{"vm-3", "vm-1"}},
+		{"the most expensive first, while there is a surplus", func(s *ScaleIn) { s.Totals = Totals{Have: 29, Parallel: 20, Work: 6000} }, three, []string{"vm-3", "vm-1"}},
 		{"all are needed", func(s *ScaleIn) { s.Totals = Totals{Have: 20, Parallel: 20, Work: 6000} }, three, nil},
 		{"large surplus: after two seconds", func(*ScaleIn) {}, []IdleMachine{idle("vm-1", 1, 2*micros.Second)}, []string{"vm-1"}},
-		{"large surplus, for a moment only", func(*ScaleIn) {}, []IdleMachine{idle("vm-1", 1, micros.Second)}, nil},
-		{"kept in reserve for a while", func(s *ScaleIn) { s.Reserve = 100 }, []IdleMachine{idle("vm-1", 1, 2*micros.Second)}, nil},
-		{"of no use", func(s *ScaleIn) { s.Totals = Totals{Have: 20, Parallel: 20, Work: 6000} }, []IdleMachine{useless}, []string{"vm-1"}},
+		{"large surplus, but idle for one second only", func(*ScaleIn) {}, []IdleMachine{idle("vm-1", 1, micros.Second)}, nil},
+		{"kept as reserve until MaxIdle", func(s *ScaleIn) { s.Reserve = 100 }, []IdleMachine{idle("vm-1", 1, 2*micros.Second)}, nil},
+		{"no waiting task can use it", func(s *ScaleIn) { s.Totals = Totals{Have: 20, Parallel: 20, Work: 6000} }, []IdleMachine{useless}, []string{"vm-1"}},
 		{"the fleet may not grow", func(s *ScaleIn) { s.Totals, s.FleetFull = Totals{Have: 20, Parallel: 20, Work: 6000}, true }, []IdleMachine{idle("vm-1", 1, 5*micros.Second), idle("vm-2", 1, 4*micros.Second)}, []string{"vm-1"}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/controller/fleet/target_test.go
+++ b/internal/controller/fleet/target_test.go
@@ -21,12 +21,12 @@
 		total   float64
 		want    map[int]float64
 	}{
-		{"by the work", Demands{0: demand(0, 0, 100, 300), 1: demand(0, 0, 100, 100)}, 40, map[int]float64{0: 30, 1: 10}},
+		{"by unfinished work", Demands{0: demand(0, 0, 100, 300), 1: demand(0, 0, 100, 100)}, 40, map[int]float64{0: 30, 1: 10}},
 		{"guarantees first", Demands{0: demand(0, 0, 100, 300), 1: demand(20, 0, 100, 0)}, 40, map[int]float64{0: 20, 1: 20}},
-		{"no more than a guarantee's shard can use", Demands{0: demand(0, 0, 100, 300), 1: demand(20, 2, 3, 0)}, 40, map[int]float64{0: 35, 1: 5}},
-		{"what one cannot use goes to the other", Demands{0: demand(0, 5, 5, 300), 1: demand(0, 0, 100, 100)}, 40, map[int]float64{0: 10, 1: 30}},
-		{"nothing to do", Demands{0: demand(0, 0, 0, 0)}, 40, map[int]float64{}},
-		{"nothing to give", Demands{0: demand(0, 0, 100, 300)}, 0, map[int]float64{}},
+		{"guaranteed CPUs limited to what the shard can use", Demands{0: demand(0, 0, 100, 300), 1: demand(20, 2, 3, 0)}, 40, map[int]float64{0: 35, 1: 5}},
+		{"CPUs that one shard cannot use go to the other", Demands{0: demand(0, 5, 5, 300), 1: demand(0, 0, 100, 100)}, 40, map[int]float64{0: 10, 1: 30}},
+		{"no work", Demands{0: demand(0, 0, 0, 0)}, 40, map[int]float64{}},
+		{"no CPUs to distribute", Demands{0: demand(0, 0, 100, 300)}, 0, map[int]float64{}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if got := TargetCPUs(tc.demands, tc.total); !maps.Equal(got, tc.want) {
--- a/internal/controller/fleet/zones_test.go
+++ b/internal/controller/fleet/zones_test.go
@@ -17,11 +17,11 @@
 	}{
 		{"all connected", [][]peer.Zone{{{Name: "a", All: 100}, {Name: "b", All: 100, Silent: 3}}}, ""},
 		{"one is partitioned", [][]peer.Zone{{{Name: "a", All: 100, Silent: 90}, {Name: "b", All: 100, Silent: 3}}}, "a"},
-		{"over several shards", [][]peer.Zone{{{Name: "a", All: 3, Silent: 3}, {Name: "b", All: 9}}, {{Name: "a", All: 2, Silent: 2}}}, "a"},
-		{"a tenth of all has died", [][]peer.Zone{{{Name: "a", All: 100, Silent: 10}, {Name: "b", All: 100, Silent: 10}}}, ""},
-		{"half of a zone", [][]peer.Zone{{{Name: "a", All: 100, Silent: 50}, {Name: "b", All: 100}}}, ""},
-		{"two machines say nothing of a zone", [][]peer.Zone{{{Name: "a", All: 2, Silent: 2}, {Name: "b", All: 8}}}, ""},
-		{"no zone is connected: it is not the zone", [][]peer.Zone{{{Name: "a", All: 100, Silent: 95}, {Name: "b", All: 100, Silent: 96}}}, ""},
+		{"counted over several shards", [][]peer.Zone{{{Name: "a", All: 3, Silent: 3}, {Name: "b", All: 9}}, {{Name: "a", All: 2, Silent: 2}}}, "a"},
+		{"a tenth of all machines is silent", [][]peer.Zone{{{Name: "a", All: 100, Silent: 10}, {Name: "b", All: 100, Silent: 10}}}, ""},
+		{"half of a zone is silent", [][]peer.Zone{{{Name: "a", All: 100, Silent: 50}, {Name: "b", All: 100}}}, ""},
+		{"two silent machines are too few", [][]peer.Zone{{{Name: "a", All: 2, Silent: 2}, {Name: "b", All: 8}}}, ""},
+		{"no zone is connected: the fault is not in the zones", [][]peer.Zone{{{Name: "a", All: 100, Silent: 95}, {Name: "b", All: 100, Silent: 96}}}, ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			demands := Demands{}
--- a/internal/controller/ownership/claim_test.go
+++ b/internal/controller/ownership/claim_test.go
@@ -25,14 +25,14 @@
 		{"the preferred owner, just started", ClaimKnowledge{Label: "b", PreferredOwner: "b", Starting: true}, 0},
 		{"the preferred owner without workers", ClaimKnowledge{Label: "b", PreferredOwner: "b", WorkersUnreachable: true}, 8 * claimStep},
 		{"the preferred owner without workers, just started", ClaimKnowledge{Label: "b", PreferredOwner: "b", WorkersUnreachable: true, Starting: true}, 2 * claimStep},
-		{"alone beside a dead preferred owner", ClaimKnowledge{Label: "b", PreferredOwner: "a"}, 0},
-		{"just started beside a dead preferred owner", ClaimKnowledge{Label: "b", PreferredOwner: "a", Starting: true}, 2 * claimStep},
+		{"the preferred owner is down, no other candidates", ClaimKnowledge{Label: "b", PreferredOwner: "a"}, 0},
+		{"just started, the preferred owner is down", ClaimKnowledge{Label: "b", PreferredOwner: "a", Starting: true}, 2 * claimStep},
 		{"the preferred owner may claim, and owns more", ClaimKnowledge{Label: "b", PreferredOwner: "a", Candidates: []Candidate{{"a", 1}}}, claimStep},
 		{"the preferred owner may claim, and owns fewer", ClaimKnowledge{Label: "b", PreferredOwner: "a", Shards: 1, Candidates: []Candidate{{"a", 0}}}, 2 * claimStep},
-		{"another one owns fewer", ClaimKnowledge{Label: "a", PreferredOwner: "c", Shards: 2, Candidates: []Candidate{{"b", 1}}}, claimStep},
-		{"another one owns as many, its label comes later", ClaimKnowledge{Label: "a", PreferredOwner: "c", Shards: 1, Candidates: []Candidate{{"b", 1}}}, 0},
-		{"another one owns as many, its label comes first", ClaimKnowledge{Label: "b", PreferredOwner: "c", Shards: 1, Candidates: []Candidate{{"a", 1}}}, claimStep},
-		{"two others go first", ClaimKnowledge{Label: "c", PreferredOwner: "d", Shards: 1, Candidates: []Candidate{{"a", 1}, {"b", 0}}}, 2 * claimStep},
+		{"another candidate owns fewer", ClaimKnowledge{Label: "a", PreferredOwner: "c", Shards: 2, Candidates: []Candidate{{"b", 1}}}, claimStep},
+		{"another candidate owns as many, its label sorts later", ClaimKnowledge{Label: "a", PreferredOwner: "c", Shards: 1, Candidates: []Candidate{{"b", 1}}}, 0},
+		{"another candidate owns as many, its label sorts first", ClaimKnowledge{Label: "b", PreferredOwner: "c", Shards: 1, Candidates: []Candidate{{"a", 1}}}, claimStep},
+		{"two other candidates go first", ClaimKnowledge{Label: "c", PreferredOwner: "d", Shards: 1, Candidates: []Candidate{{"a", 1}, {"b", 0}}}, 2 * claimStep},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if got := ClaimDelay(tc.known); got != tc.want {
--- a/internal/controller/ownership/lease_test.go
+++ b/internal/controller/ownership/lease_test.go
@@ -50,7 +50,7 @@
 		now += 2 * sec
 	}
 	if l.RenewalDue(now) {
-		t.Errorf("a renewal is due beside %d in flight", MaxRenewalsInFlight)
+		t.Errorf("a renewal is due although %d are in flight", MaxRenewalsInFlight)
 	}
 	if !l.RenewalEnded(7) || !l.RenewalDue(now) {
 		t.Error("no renewal is due after one has ended")
@@ -64,9 +64,9 @@
 		wantRenewed micros.Micros
 		wantNext    micros.Micros
 	}{
-		{"counts from when it was sent", func(l *Lease) { l.RenewalSucceeded(12 * sec) }, 12 * sec, 14 * sec},
-		{"an earlier one that comes later changes nothing", func(l *Lease) { l.RenewalSucceeded(12 * sec); l.RenewalSucceeded(11 * sec) }, 12 * sec, 14 * sec},
-		{"failed: tried again early", func(l *Lease) { l.RetryRenewalBy(13 * sec) }, 10 * sec, 13 * sec},
+		{"takes effect from when it was sent", func(l *Lease) { l.RenewalSucceeded(12 * sec) }, 12 * sec, 14 * sec},
+		{"a late response to an earlier renewal changes nothing", func(l *Lease) { l.RenewalSucceeded(12 * sec); l.RenewalSucceeded(11 * sec) }, 12 * sec, 14 * sec},
+		{"failed: retried early", func(l *Lease) { l.RetryRenewalBy(13 * sec) }, 10 * sec, 13 * sec},
 		{"failed late: the next one is due before the retry", func(l *Lease) { l.RetryRenewalBy(15 * sec) }, 10 * sec, 14 * sec},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -74,7 +74,7 @@
 			l.Granted(7, 10*sec, 10*sec)
 			l.RenewalSent(12 * sec)
 			if !l.RenewalEnded(7) {
-				t.Fatal("the lease is not held any more")
+				t.Fatal("the lease is no longer held")
 			}
 			tc.respond(&l)
 			if l.RenewedAt() != tc.wantRenewed {
@@ -95,6 +95,6 @@
 	l.Requested()
 	l.Granted(8, 13*sec, 13*sec)
 	if l.RenewalEnded(7) {
-		t.Error("the response to a renewal of a former lease counts")
+		t.Error("the response to a renewal of a former lease was applied to the new one")
 	}
 }
--- a/internal/controller/ratelimit/bucket_test.go
+++ b/internal/controller/ratelimit/bucket_test.go
@@ -21,7 +21,7 @@
 		{"partly refilled", 10, 10, micros.Second / 2, 5, 5, 0},
 		{"holds no more than its burst", 10, 5, micros.Minute, 10, 10, 0},
 		{"more than the burst waits for a full bucket", 10, 5, 0, 40, 5, micros.Second/2 + 1},
-		{"debt", 10, 20, 0, 1, -10, micros.Second + micros.Second/10 + 1},
+		{"more tokens taken than available", 10, 20, 0, 1, -10, micros.Second + micros.Second/10 + 1},
 		{"holds one token at a low rate", 0.5, 1, 0, 1, 0, 2*micros.Second + 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/controller/reachability/reachability_test.go
+++ b/internal/controller/reachability/reachability_test.go
@@ -21,7 +21,7 @@
 		heartbeat wire.Heartbeat
 		want      Confirmation
 	}{
-		{"nothing to show", 0, wire.Command{}, wire.Heartbeat{FencingToken: 7}, Undetermined},
+		{"nothing expected", 0, wire.Command{}, wire.Heartbeat{FencingToken: 7}, Undetermined},
 		{"new token shown", 9, wire.Command{}, wire.Heartbeat{FencingToken: 9}, Confirmed},
 		{"new token not shown", 9, start, wire.Heartbeat{FencingToken: 7}, Unconfirmed},
 		{"start shown", 0, start, wire.Heartbeat{Tasks: listed(wire.TaskFetching)}, Confirmed},
@@ -65,7 +65,7 @@
 	}
 	loseReplies(t)
 	if tracker.HeartbeatReceived(200, missing); !tracker.Unreachable() {
-		t.Error("reachable by a heartbeat that confirms nothing")
+		t.Error("reachable after a heartbeat that confirms nothing")
 	}
 	tracker.ReplySent(7, 7, start)
 	if tracker.HeartbeatReceived(300, shown); tracker.Unreachable() {
--- a/internal/controller/scheduling/preemption_test.go
+++ b/internal/controller/scheduling/preemption_test.go
@@ -22,8 +22,8 @@
 	}{
 		{"enough is free", []Victim{victim(0, "a", 5, 1)}, 1, 1, nil, 3, true},
 		{"the cheapest one", []Victim{victim(0, "a", 5, 1), victim(1, "b", 2, 1)}, 1, 0, []int{1}, 5, true},
-		{"two, beside what is free", []Victim{victim(0, "a", 5, 1), victim(1, "b", 2, 1), victim(2, "c", 9, 1)}, 3, 1, []int{1, 0}, 10, true},
-		{"equal losses by name", []Victim{victim(0, "b", 2, 1), victim(1, "a", 2, 1)}, 1, 0, []int{1}, 5, true},
+		{"two, in addition to free resources", []Victim{victim(0, "a", 5, 1), victim(1, "b", 2, 1), victim(2, "c", 9, 1)}, 3, 1, []int{1, 0}, 10, true},
+		{"equal losses, ordered by name", []Victim{victim(0, "b", 2, 1), victim(1, "a", 2, 1)}, 1, 0, []int{1}, 5, true},
 		{"all of them do not suffice", []Victim{victim(0, "a", 5, 1)}, 3, 1, []int{0}, 8, false},
 		{"nothing to stop", nil, 1, 0, nil, 3, false},
 	} {
@@ -52,14 +52,14 @@
 		loss PreemptionLoss
 		want float64 // CPU seconds
 	}{
-		{"work and waiting", base, 40 + 14},
+		{"lost work and delay", base, 40 + 14},
 		{"not running yet", with(func(l *PreemptionLoss) { l.RunTime = 0 }), 14},
-		{"saves", with(func(l *PreemptionLoss) { l.CheckpointInterval = 5 }), 10 + 14},
+		{"saves checkpoints", with(func(l *PreemptionLoss) { l.CheckpointInterval = 5 }), 10 + 14},
 		{"has not run for a checkpoint interval", with(func(l *PreemptionLoss) { l.CheckpointInterval = 50 }), 40 + 14},
 		{"lowest priority", with(func(l *PreemptionLoss) { l.Priority = 0 }), 10},
 		{"higher priority", with(func(l *PreemptionLoss) { l.Priority = 2 }), 80 + 28},
-		{"stopped twice before", with(func(l *PreemptionLoss) { l.EarlierPreemptions = 2 }), 40 + 14 + 50},
-		{"only start of an overdue job", with(func(l *PreemptionLoss) { l.OnlyRunningTask = true }), 40 + 14 + 250},
+		{"preempted twice before", with(func(l *PreemptionLoss) { l.EarlierPreemptions = 2 }), 40 + 14 + 50},
+		{"only running task of an overdue job", with(func(l *PreemptionLoss) { l.OnlyRunningTask = true }), 40 + 14 + 250},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if got := tc.loss.Total(); got != tc.want {
--- a/internal/controller/statestore/queue_test.go
+++ b/internal/controller/statestore/queue_test.go
@@ -79,7 +79,7 @@
 			q.pushTest(ClassEnd, "small", 1, never)
 			q.pushTest(ClassUserRead, "question", 0, never)
 		}, 0, "question"},
-		{"a transaction larger than the burst goes with a full bucket", func(q *Queue) {
+		{"a transaction larger than the burst is sent once the bucket is full", func(q *Queue) {
 			setTokens(&q.writes, 0)
 			q.pushTest(ClassFleet, "large", 40, never)
 			q.pushTest(ClassAccept, "accept", 1, never)
@@ -89,7 +89,7 @@
 			q.pushTest(ClassEnd, "old", 0, -1)
 			q.pushTest(ClassEnd, "new", 0, never)
 		}, micros.Second, "new"},
-		{"a second's worth at once, and then the rate", func(q *Queue) {
+		{"one second of requests at once, then at the rate", func(q *Queue) {
 			for range 60 {
 				q.pushTest(ClassEnd, "x", 0, never)
 			}
@@ -202,7 +202,7 @@
 		sum.writes += minimum.writes
 	}
 	if sum.requests > 1-LeaseFraction+roundingError || sum.writes > 0.9+roundingError {
-		t.Errorf("minimum rates of %.2f of the requests and %.2f of the writes", sum.requests, sum.writes)
+		t.Errorf("minimum rates add up to %.2f of the requests and %.2f of the writes", sum.requests, sum.writes)
 	}
 	if slices.ContainsFunc(minimumRates[ClassAccept:], func(minimum minimumRate) bool { return minimum.requests <= 0 }) {
 		t.Error("a class has no minimum rate of requests")
--- a/internal/controller/statestore/reads_test.go
+++ b/internal/controller/statestore/reads_test.go
@@ -57,18 +57,18 @@
 	ask("late")
 	r.QueueNext(0)
 	if _, ok, _ := q.Next(0); ok {
-		t.Error("a second read is sent beside the first")
+		t.Error("a second read is sent while the first is in flight")
 	}
 	q.Answered(read)
 	read.Done(Reply{Status: 200})
 	if len(answers) != 2 || answers[0] != "first" || answers[1] != "second" {
-		t.Fatalf("answered are %q, want first and second", answers)
+		t.Fatalf("answered %q, want first and second", answers)
 	}
 	read = sendNext(t, r, q, 0)
 	q.Answered(read)
 	read.Done(Reply{Status: 404})
 	if len(answers) != 3 || answers[2] != "late" {
-		t.Errorf("answered are %q, want late at the end", answers)
+		t.Errorf("answered %q, want late at the end", answers)
 	}
 	if r.Records() != 0 {
 		t.Errorf("%d records are kept after their answers", r.Records())
@@ -104,10 +104,10 @@
 	t.Run("records", func(t *testing.T) {
 		r, _ := newTestReadCoalescer(2)
 		if refused(r, 0, "a") || refused(r, 0, "b") || !refused(r, 0, "c") {
-			t.Error("want the third record refused alone")
+			t.Error("want only the third record refused")
 		}
 	})
-	t.Run("questions about a record", func(t *testing.T) {
+	t.Run("waiters of a record", func(t *testing.T) {
 		r, _ := newTestReadCoalescer(2)
 		for range maxWaitersPerRecord {
 			if refused(r, 0, "a") {
@@ -146,7 +146,7 @@
 			t.Errorf("%d counted as expired, want 1", got)
 		}
 		if r.QueueNext(ReadTimeout + 2 + recordRetention); r.Records() != 0 {
-			t.Errorf("%d records keep a place that nobody asks about", r.Records())
+			t.Errorf("%d records are kept although nobody requests them", r.Records())
 		}
 	})
 }
--- a/internal/controller/statestore/watch_test.go
+++ b/internal/controller/statestore/watch_test.go
@@ -52,7 +52,7 @@
 		t.Errorf("phase %v, next request in %v, want following after a pause of 1 s", w.phase, w.UntilNext(20*sec))
 	}
 	if w.HandleFailure(21*sec, http.StatusRequestEntityTooLarge); w.Ready() {
-		t.Error("not listed anew after an answer that is too large")
+		t.Error("not listed again after an answer that is too large")
 	}
 	page(22*sec, "", 11)
 }
