--- a/internal/controller/authority/machine_test.go
+++ b/internal/controller/authority/machine_test.go
@@ -13,20 +13,22 @@
 		want   Decision
 	}{
 		{"a new heartbeat", func(*MachineKnowledge, *HeartbeatKnowledge) {}, Allow(ReasonCurrentView)},
-		{"the first heartbeat", func(m *MachineKnowledge, _ *HeartbeatKnowledge) { m.PositionKnown, m.LastPosition = false, Position{} }, Allow(ReasonCurrentView)},
+		{"the first heartbeat", func(m *MachineKnowledge, _ *HeartbeatKnowledge) {
+			m.PositionKnown, m.LastPosition = false, HeartbeatPosition{}
+		}, Allow(ReasonCurrentView)},
 		{"a stale view of jobs within its grace", func(m *MachineKnowledge, _ *HeartbeatKnowledge) { m.Shard = Allow(ReasonStaleViewWithinGrace) }, Allow(ReasonStaleViewWithinGrace)},
 		{"the shard may not be commanded", func(m *MachineKnowledge, _ *HeartbeatKnowledge) { m.Shard = Refuse(ReasonReleasing) }, Refuse(ReasonReleasing)},
 		{"cordoned, in a shard that may not be commanded", func(m *MachineKnowledge, _ *HeartbeatKnowledge) {
 			m.Cordoned, m.Shard = true, Refuse(ReasonNotOwner)
 		}, Refuse(ReasonCordoned)},
-		{"no view of it yet", func(m *MachineKnowledge, _ *HeartbeatKnowledge) { m.Tracked = false }, Refuse(ReasonNotOwner)},
+		{"not tracked by this node yet", func(m *MachineKnowledge, _ *HeartbeatKnowledge) { m.Tracked = false }, Refuse(ReasonNotOwner)},
 		{"returned to the cloud", func(m *MachineKnowledge, _ *HeartbeatKnowledge) { m.Returned = true }, Refuse(ReasonReturned)},
-		{"a copy", func(_ *MachineKnowledge, heartbeat *HeartbeatKnowledge) { heartbeat.Position.Sequence = 5 }, Refuse(ReasonStaleHeartbeat)},
-		{"of an earlier agent epoch", func(_ *MachineKnowledge, heartbeat *HeartbeatKnowledge) {
-			heartbeat.Position = Position{AgentEpoch: 1, Sequence: 99}
+		{"a copy of the last heartbeat", func(_ *MachineKnowledge, heartbeat *HeartbeatKnowledge) { heartbeat.Position.Sequence = 5 }, Refuse(ReasonStaleHeartbeat)},
+		{"from an earlier agent epoch", func(_ *MachineKnowledge, heartbeat *HeartbeatKnowledge) {
+			heartbeat.Position = HeartbeatPosition{AgentEpoch: 1, Sequence: 99}
 		}, Refuse(ReasonStaleHeartbeat)},
-		{"of a later agent epoch", func(_ *MachineKnowledge, heartbeat *HeartbeatKnowledge) {
-			heartbeat.Position = Position{AgentEpoch: 3, Sequence: 1}
+		{"from a later agent epoch", func(_ *MachineKnowledge, heartbeat *HeartbeatKnowledge) {
+			heartbeat.Position = HeartbeatPosition{AgentEpoch: 3, Sequence: 1}
 		}, Allow(ReasonCurrentView)},
 		{"a lower fencing token", func(_ *MachineKnowledge, heartbeat *HeartbeatKnowledge) { heartbeat.FencingToken-- }, Allow(ReasonCurrentView)},
 		{"another owner's fencing token", func(_ *MachineKnowledge, heartbeat *HeartbeatKnowledge) { heartbeat.FencingToken++ }, Refuse(ReasonHigherFencingToken)},
@@ -36,10 +38,10 @@
 				Shard:         Allow(ReasonCurrentView),
 				Tracked:       true,
 				PositionKnown: true,
-				LastPosition:  Position{AgentEpoch: 2, Sequence: 5},
+				LastPosition:  HeartbeatPosition{AgentEpoch: 2, Sequence: 5},
 				FencingToken:  40,
 			}
-			heartbeat := HeartbeatKnowledge{Position: Position{AgentEpoch: 2, Sequence: 6}, FencingToken: 40}
+			heartbeat := HeartbeatKnowledge{Position: HeartbeatPosition{AgentEpoch: 2, Sequence: 6}, FencingToken: 40}
 			tc.change(&known, &heartbeat)
 			if got := MayAcceptHeartbeat(known, heartbeat); got != tc.want {
 				t.Errorf("got %+v (%s), want %+v (%s)", got, got.Reason, tc.want, tc.want.Reason)
@@ -54,11 +56,11 @@
 		known RenewalKnowledge
 		want  Decision
 	}{
-		{"nothing against it", RenewalKnowledge{}, Allow(ReasonHeartbeatAccepted)},
+		{"no reason to refuse", RenewalKnowledge{}, Allow(ReasonHeartbeatAccepted)},
 		{"a task of an unknown job", RenewalKnowledge{UnknownJob: true}, Refuse(ReasonUnknownJob)},
 		{"a late start", RenewalKnowledge{LateStart: true}, Refuse(ReasonLateStart)},
 		{"replies do not arrive", RenewalKnowledge{Unreachable: true}, Refuse(ReasonUnreachable)},
-		{"all of them: the unknown job is the reason", RenewalKnowledge{UnknownJob: true, LateStart: true, Unreachable: true}, Refuse(ReasonUnknownJob)},
+		{"all reasons: the unknown job comes first", RenewalKnowledge{UnknownJob: true, LateStart: true, Unreachable: true}, Refuse(ReasonUnknownJob)},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if got := MayRenewMachineLease(tc.known); got != tc.want {
@@ -72,36 +74,36 @@
 	const expired = now - 45*micros.Second // testBounds.WorkerExpiry ago
 	for _, tc := range []struct {
 		name   string
-		change func(k *ContentsKnowledge)
+		change func(k *MachineTasksKnowledge)
 		want   bool
 	}{
-		{"lease run out", func(*ContentsKnowledge) {}, true},
-		{"replied to within the expiry", func(k *ContentsKnowledge) { k.LastReplyAt = expired + 1 }, false},
-		{"reconciled within the expiry", func(k *ContentsKnowledge) { k.ReconciledAt = expired + 1 }, false},
-		{"the wait after the claim does not count once it is reconciled", func(k *ContentsKnowledge) { k.MachinesFreeAt = now + 1 }, true},
-		{"not reconciled, the wait after the claim is over", func(k *ContentsKnowledge) { k.Reconciled = false }, true},
-		{"not reconciled, the wait after the claim is not over", func(k *ContentsKnowledge) {
+		{"the lease has expired", func(*MachineTasksKnowledge) {}, true},
+		{"answered within WorkerExpiry", func(k *MachineTasksKnowledge) { k.LastReplyAt = expired + 1 }, false},
+		{"reconciled within WorkerExpiry", func(k *MachineTasksKnowledge) { k.ReconciledAt = expired + 1 }, false},
+		{"the wait after the claim does not apply to a reconciled machine", func(k *MachineTasksKnowledge) { k.MachinesFreeAt = now + 1 }, true},
+		{"not reconciled, the wait after the claim is over", func(k *MachineTasksKnowledge) { k.Reconciled = false }, true},
+		{"not reconciled, the wait after the claim is not over", func(k *MachineTasksKnowledge) {
 			k.Reconciled = false
 			k.MachinesFreeAt = now + 1
 		}, false},
-		{"not reconciled, replied to within the expiry", func(k *ContentsKnowledge) {
+		{"not reconciled, answered within WorkerExpiry", func(k *MachineTasksKnowledge) {
 			k.Reconciled = false
 			k.LastReplyAt = expired + 1
 		}, false},
-		{"not reconciled any more, but within the expiry", func(k *ContentsKnowledge) {
+		{"no longer reconciled, but reconciled within WorkerExpiry", func(k *MachineTasksKnowledge) {
 			k.Reconciled = false
 			k.ReconciledAt = expired + 1
 		}, false},
-		{"known to be free already", func(k *ContentsKnowledge) { k.LeaseExpired = true }, false},
-		{"this node's lease is not valid", func(k *ContentsKnowledge) { k.LeaseValid = false }, false},
-		{"no heartbeat, and new on record", func(k *ContentsKnowledge) { k.HeartbeatSeen = false }, false},
-		{"no heartbeat, but a predecessor's", func(k *ContentsKnowledge) {
+		{"already known to be free", func(k *MachineTasksKnowledge) { k.LeaseExpired = true }, false},
+		{"this node's lease is not valid", func(k *MachineTasksKnowledge) { k.LeaseValid = false }, false},
+		{"no heartbeat, and no tasks of a predecessor", func(k *MachineTasksKnowledge) { k.HeartbeatSeen = false }, false},
+		{"no heartbeat, but tasks of a predecessor may be on it", func(k *MachineTasksKnowledge) {
 			k.HeartbeatSeen = false
 			k.UnreconciledFromPredecessor = true
 		}, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			known := ContentsKnowledge{
+			known := MachineTasksKnowledge{
 				LeaseValid:     true,
 				Reconciled:     true,
 				ReconciledAt:   expired,
@@ -122,14 +124,14 @@
 	for _, tc := range []struct {
 		name                 string
 		change               func(k *ReleaseKnowledge)
-		wantMove, wantRetire bool // to another shard, and to the cloud
+		wantMove, wantRetire bool // moved to another shard, returned to the cloud
 	}{
 		{"empty and in contact", func(*ReleaseKnowledge) {}, true, true},
 		{"tasks on it", func(k *ReleaseKnowledge) { k.Empty = false }, false, false},
 		{"a command pending", func(k *ReleaseKnowledge) { k.CommandPending = true }, false, false},
 		{"being released", func(k *ReleaseKnowledge) { k.Releasing = true }, false, false},
 		{"not reconciled", func(k *ReleaseKnowledge) { k.Reconciled = false }, false, false},
-		{"its lease has run out", func(k *ReleaseKnowledge) { k.Reconciled, k.LeaseExpired = false, true }, false, true},
+		{"its lease has expired", func(k *ReleaseKnowledge) { k.Reconciled, k.LeaseExpired = false, true }, false, true},
 		{"no heartbeat yet", func(k *ReleaseKnowledge) { k.HeartbeatSeen = false }, false, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -138,7 +140,7 @@
 			if got := MayReleaseMachine(known); got != tc.wantMove {
 				t.Errorf("to another shard: %v, want %v", got, tc.wantMove)
 			}
-			known.Retire = true
+			known.ReturnToCloud = true
 			if got := MayReleaseMachine(known); got != tc.wantRetire {
 				t.Errorf("to the cloud: %v, want %v", got, tc.wantRetire)
 			}
--- a/internal/controller/checkpoint/checkpoint_test.go
+++ b/internal/controller/checkpoint/checkpoint_test.go
@@ -9,7 +9,7 @@
 
 const testMaxBytes = 8 << 10
 
-// progressOf returns the progress of a job of which the tasks that done names are done.
+// progressOf returns the progress of a job in which the tasks selected by done are done.
 func progressOf(tasks int, done func(task int) bool) Progress {
 	p := Progress{Tasks: tasks, Done: NewTaskSet(tasks)}
 	for task := range tasks {
@@ -21,8 +21,8 @@
 	return p
 }
 
-// TestNewRecord checks that a record covers the done tasks as ranges or as a set, and gives them
-// back.
+// TestNewRecord checks that a record lists the done tasks as ranges or as a set, and that
+// DoneTasks reads the same tasks back.
 func TestNewRecord(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -34,9 +34,9 @@
 	}{
 		{"none", 10, func(int) bool { return false }, nil, 0, false},
 		{"all", 10, func(int) bool { return true }, []int{0, 9}, 10, false},
-		{"a hole", 6, func(i int) bool { return i != 3 }, []int{0, 2, 4, 5}, 5, false},
+		{"all but one", 6, func(i int) bool { return i != 3 }, []int{0, 2, 4, 5}, 5, false},
 		{"last only", 100_000, func(i int) bool { return i == 99_999 }, []int{99_999, 99_999}, 1, false},
-		{"every other of 2,000: more ranges than fit", 2000, func(i int) bool { return i%2 == 0 }, nil, 1000, true},
+		{"every other task of 2,000: more ranges than fit", 2000, func(i int) bool { return i%2 == 0 }, nil, 1000, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			p := progressOf(tc.tasks, tc.done)
@@ -60,8 +60,8 @@
 	}
 }
 
-// TestDoneTasksIgnoresIndexesOutsideJob checks that a record of another job size, or one that is
-// damaged, names no task outside the job.
+// TestDoneTasksIgnoresIndexesOutsideJob checks that a damaged record, or a record of a job of
+// another size, yields no task outside the job.
 func TestDoneTasksIgnoresIndexesOutsideJob(t *testing.T) {
 	for _, tc := range []struct {
 		name string
@@ -82,7 +82,8 @@
 	}
 }
 
-// TestNewRecordFitsLimit checks that the largest record fits, and names no task that is not done.
+// TestNewRecordFitsLimit checks that the largest record fits the size limit, and covers only tasks
+// that are done.
 func TestNewRecordFitsLimit(t *testing.T) {
 	p := progressOf(wire.MaxTasks, func(i int) bool { return i%2 == 0 })
 	for range MaxSteps {
@@ -91,11 +92,11 @@
 	rec, covered := NewRecord(p, testMaxBytes)
 	value, err := wire.Encode(rec)
 	if err != nil || len(value) > testMaxBytes || rec.Count == 0 {
-		t.Errorf("the worst record has %d bytes for %d tasks, %v", len(value), rec.Count, err)
+		t.Errorf("the largest record has %d bytes for %d tasks, %v", len(value), rec.Count, err)
 	}
 	for task := range covered.All() {
 		if !p.Done.Has(task) {
-			t.Fatalf("task %d is covered and not done", task)
+			t.Fatalf("task %d is covered but not done", task)
 		}
 	}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -16,8 +16,8 @@
 type Controller struct {
 	stepContext
 
-	reads        *statestore.Reads // of job records, for users
-	unsentLogged uint64            // requests given up unsent when that was last logged
+	reads        *statestore.ReadCoalescer // of job records, for users
+	unsentLogged uint64                    // requests given up unsent when that was last logged
 
 	ownership             ownershipState
 	jobSharding           jobSharding
--- a/internal/controller/estimate/estimate_test.go
+++ b/internal/controller/estimate/estimate_test.go
@@ -13,8 +13,7 @@
 
 func near(got, want, tolerance float64) bool { return math.Abs(got-want) <= tolerance*want }
 
-// TestRunTimesLearn checks that an estimate moves towards the run times of its class, within
-// bounds.
+// TestRunTimesLearn checks that an estimate approaches the run times of its class, within bounds.
 func TestRunTimesLearn(t *testing.T) {
 	for _, tc := range []struct {
 		name      string
@@ -29,7 +28,7 @@
 		{"one task counts for little", 10, 20, 1, 10 * math.Pow(2, 0.2/4.2)},
 		{"many tasks count for most", 10, 20, 1000, 10 * math.Pow(2, 40.0/44)},
 		{"shorter", 10, 5, 1000, 10 * math.Pow(2, -40.0/44)},
-		{"far longer counts up to a bound", 10, 10_000, 1000, 10 * math.Exp(maxLogRatio*40/44)},
+		{"much longer, counted up to the bound", 10, 10_000, 1000, 10 * math.Exp(maxLogRatio*40/44)},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			r := NewRunTimes()
@@ -44,7 +43,8 @@
 	}
 }
 
-// TestRunTimesClasses checks that classes are learned apart, and no more of them than the bound.
+// TestRunTimesClasses checks that each class is learned separately, and that no more than
+// maxClasses are learned.
 func TestRunTimesClasses(t *testing.T) {
 	r := NewRunTimes()
 	for i := range maxClasses + 5 {
@@ -56,22 +56,23 @@
 	}
 	other := &wire.Submission{Class: "other", EstimateS: 10}
 	if got := r.Expect(other); got != 10*sec {
-		t.Errorf("a class that was not learned expects %v", got)
+		t.Errorf("a class that was not learned has an expected run time of %v", got)
 	}
 }
 
-// TestRateMeter checks that a steady arrival is measured at its rate, and forgotten when it ends.
+// TestRateMeter checks that the meter reports the rate of a steady arrival, and that the reported
+// rate decays after the arrival ends.
 func TestRateMeter(t *testing.T) {
 	var r RateMeter
 	now := micros.Micros(0)
-	for now < 20*meterSpan {
+	for now < 20*meterTimeConstant {
 		now += sec
 		r.Add(now, 3)
 	}
 	if got := r.Rate(now); !near(got, 3, 0.02) {
 		t.Errorf("rate %v per second, want 3", got)
 	}
-	if got := r.Rate(now + meterSpan); !near(got, 3/math.E, 0.02) {
+	if got := r.Rate(now + meterTimeConstant); !near(got, 3/math.E, 0.02) {
 		t.Errorf("rate %v per second a time constant later, want %v", got, 3/math.E)
 	}
 }
--- a/internal/controller/fleet/catalog.go
+++ b/internal/controller/fleet/catalog.go
@@ -10,36 +10,38 @@
 	"garnethitch/internal/wire"
 )
 
-// minPricedCPUs is the least number of CPUs by which a machine's price is divided.
+// minPricedCPUs is the smallest divisor of a machine's price, so that a type without CPUs still
+// has a finite price per CPU.
 const minPricedCPUs = 0.01
 
-// Kind is what capacity is counted by.
+// Kind is a kind of machine: its type, its zone, and whether it is a spot machine. Capacity is
+// counted by kind.
 type Kind struct {
 	Type, Zone string
 	Spot       bool
 }
 
-// Catalog is what the cloud offers.
+// Catalog holds the machine types that the cloud offers.
 type Catalog struct {
 	Types map[string]wire.MachineType
 	Names []string // of the types, in ascending order
 }
 
-// CPUPrice returns the price of a CPU for an hour.
-func CPUPrice(mt wire.MachineType, spot bool) float64 {
-	price := mt.Price
+// CPUPrice returns the price of one CPU of a machine type per hour.
+func CPUPrice(machineType wire.MachineType, spot bool) float64 {
+	price := machineType.Price
 	if spot {
-		price = mt.SpotPrice
+		price = machineType.SpotPrice
 	}
-	return price / max(mt.CPUs, minPricedCPUs)
+	return price / max(machineType.CPUs, minPricedCPUs)
 }
 
-// LowestPrice returns the lowest price of a CPU that costs anything; +Inf if there is none.
+// LowestPrice returns the lowest positive price of a CPU per hour, or +Inf if there is none.
 func (c Catalog) LowestPrice() float64 {
 	lowest := math.Inf(1)
-	for _, mt := range c.Types {
+	for _, machineType := range c.Types {
 		for _, spot := range []bool{true, false} {
-			if price := CPUPrice(mt, spot); price > 0 {
+			if price := CPUPrice(machineType, spot); price > 0 {
 				lowest = min(lowest, price)
 			}
 		}
@@ -47,63 +49,63 @@
 	return lowest
 }
 
-// LongestBoot returns how long the machines of the slowest type boot.
+// LongestBoot returns the boot time of the machine type that boots slowest.
 func (c Catalog) LongestBoot() micros.Micros {
 	longest := micros.Micros(0)
-	for _, mt := range c.Types {
-		longest = max(longest, micros.FromSeconds(mt.BootS))
+	for _, machineType := range c.Types {
+		longest = max(longest, micros.FromSeconds(machineType.BootS))
 	}
 	return longest
 }
 
-// CPUs returns the CPUs of so many machines of a type.
+// CPUs returns the total CPUs of the given number of machines of a type.
 func (c Catalog) CPUs(machineType string, machines int) float64 {
 	return float64(machines) * c.Types[machineType].CPUs
 }
 
-// Hosts reports whether a group's tasks could run on machines of a kind.
-func (c Catalog) Hosts(g peer.WaitingTasks, k Kind) bool {
-	mt, known := c.Types[k.Type]
-	if !known || !allows(g, k) {
+// CanRun reports whether a group's tasks can run on machines of a kind.
+func (c Catalog) CanRun(group peer.WaitingTasks, kind Kind) bool {
+	machineType, known := c.Types[kind.Type]
+	if !known || !allows(group, kind) {
 		return false
 	}
-	need := scheduling.Resources{CPUs: g.CPUs, GPUs: g.GPUs, MemGB: g.MemGB}
-	return need.Fits(scheduling.Resources{CPUs: mt.CPUs, GPUs: mt.GPUs, MemGB: mt.MemGB})
+	need := scheduling.Resources{CPUs: group.CPUs, GPUs: group.GPUs, MemGB: group.MemGB}
+	return need.Fits(scheduling.Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, MemGB: machineType.MemGB})
 }
 
-// allows reports whether a group's constraints admit machines of a kind.
-func allows(g peer.WaitingTasks, k Kind) bool {
-	if g.Zone != "" && g.Zone != k.Zone || k.Spot && !g.Spot {
+// allows reports whether a group's constraints on zone, spot and type admit machines of a kind.
+func allows(group peer.WaitingTasks, kind Kind) bool {
+	if group.Zone != "" && group.Zone != kind.Zone || kind.Spot && !group.Spot {
 		return false
 	}
-	return g.Any || slices.Contains(g.Types, k.Type)
+	return group.Any || slices.Contains(group.Types, kind.Type)
 }
 
-// Useful reports whether tasks that wait in a shard could use a machine of a kind.
-func (c Catalog) Useful(d *peer.Demand, k Kind) bool {
-	for _, g := range d.Groups {
-		if g.Waiting > 0 && c.Hosts(g, k) {
+// Useful reports whether any task that waits in a shard can run on a machine of a kind.
+func (c Catalog) Useful(demand *peer.Demand, kind Kind) bool {
+	for _, group := range demand.Groups {
+		if group.Waiting > 0 && c.CanRun(group, kind) {
 			return true
 		}
 	}
 	return false
 }
 
-// UsefulAnywhere reports whether tasks that wait in any shard could use a machine of a kind.
-func (c Catalog) UsefulAnywhere(demands Demands, k Kind) bool {
-	for _, d := range demands {
-		if c.Useful(d, k) {
+// UsefulAnywhere reports whether any task that waits in any shard can run on a machine of a kind.
+func (c Catalog) UsefulAnywhere(demands Demands, kind Kind) bool {
+	for _, demand := range demands {
+		if c.Useful(demand, kind) {
 			return true
 		}
 	}
 	return false
 }
 
-// Constrained reports whether a group's tasks cannot run on machines of every kind.
-func (c Catalog) Constrained(g peer.WaitingTasks) bool {
+// Constrained reports whether there is a kind of machine on which a group's tasks cannot run.
+func (c Catalog) Constrained(group peer.WaitingTasks) bool {
 	for _, name := range c.Names {
 		for _, zone := range c.Types[name].Zones {
-			if !c.Hosts(g, Kind{name, zone, true}) || !c.Hosts(g, Kind{name, zone, false}) {
+			if !c.CanRun(group, Kind{name, zone, true}) || !c.CanRun(group, Kind{name, zone, false}) {
 				return true
 			}
 		}
--- a/internal/controller/fleet/rebalancing.go
+++ b/internal/controller/fleet/rebalancing.go
@@ -9,36 +9,39 @@
 )
 
 const (
-	// maxDraining bounds the machines that are drained for other shards at a time, beyond what
-	// may be drained without loss: one that empties slowly stands half used meanwhile.
+	// maxDraining is the maximum number of machines that are drained for other shards at the same
+	// time, beyond those that can be drained without loss. A machine that empties slowly remains
+	// half used in the meantime.
 	maxDraining = 2
-	// drainWithin is how soon such a machine must be empty.
-	drainWithin = 15 * micros.Second
-	// minMoveGain is the least lack, in CPUs, that a machine is moved for.
+	// maxDrainTime is the time within which such a machine must become empty.
+	maxDrainTime = 15 * micros.Second
+	// minMoveGain is the smallest shortage of CPUs for which a machine is moved.
 	minMoveGain = 0.5
-	// idleMoveGap is added to what a shard lacks of its part of the fleet, in CPUs, where an idle
-	// machine is considered: one that lacks nothing may still have tasks that wait.
+	// idleMoveGap is added, in CPUs, to the gap between a shard's target and its actual CPUs when
+	// the shard is considered for an idle machine. A shard that has reached its target may still
+	// have waiting tasks.
 	idleMoveGap = 0.01
-	// keptDivisor divides the CPUs of a shard into those that are kept free where nothing waits.
-	keptDivisor = 20
+	// reserveDivisor divides the CPUs of a shard to give the CPUs that are kept free where no task
+	// waits.
+	reserveDivisor = 20
 )
 
 // Machine is a machine that may be moved to another shard.
 type Machine struct {
 	peer.Machine
-	From int // its shard
+	From int // current shard
 	Kind Kind
 	CPUs float64
 }
 
-// idle reports whether nothing is on the machine.
+// idle reports whether the machine holds no tasks.
 func (m Machine) idle() bool { return m.State == peer.MachineIdle }
 
-// Move is a machine that is to move to another shard.
+// Move states that a machine is to move to another shard.
 type Move struct {
 	Machine Machine
 	To      int
-	Drain   bool // it is to be emptied first
+	Drain   bool // the machine must be drained first
 }
 
 // Rebalancing decides which machines move between shards. Its maps hold CPUs by shard.
@@ -46,90 +49,94 @@
 	catalog Catalog
 	demands Demands
 	shards  []int
-	// target is what each shard should have, has what it has, with moves under way counted
-	// where they go.
-	target, has map[int]float64
-	// shortfall is what its waiting tasks want beyond what is free there.
+	// target holds the CPUs that each shard should have. actual holds the CPUs that it has, where
+	// machines under way are counted in the shard to which they move.
+	target, actual map[int]float64
+	// shortfall holds the CPUs that a shard's waiting tasks need beyond the CPUs that are free
+	// there.
 	shortfall map[int]float64
-	// spare is what may be drained without loss, where nothing waits.
+	// spare holds the CPUs that may be drained without loss, for shards where no task waits.
 	spare map[int]float64
-	// draining counts the machines that are drained for another shard.
+	// draining is the number of machines that are being drained for other shards.
 	draining int
 }
 
-// NewRebalancing returns a rebalancing that knows of no moves under way.
+// NewRebalancing returns a Rebalancing without moves under way.
 func NewRebalancing(catalog Catalog, demands Demands) *Rebalancing {
 	total := 0.0
-	for _, d := range demands {
-		total += d.CPUs
+	for _, demand := range demands {
+		total += demand.CPUs
 	}
 	r := &Rebalancing{
 		catalog:   catalog,
 		demands:   demands,
 		shards:    demands.Shards(),
 		target:    TargetCPUs(demands, total),
-		has:       map[int]float64{},
+		actual:    map[int]float64{},
 		shortfall: map[int]float64{},
 		spare:     map[int]float64{},
 	}
-	for shard, d := range demands {
-		free := d.CPUs - d.Busy
-		waiting := WaitingCPUs(d)
-		r.has[shard] = d.CPUs
+	for shard, demand := range demands {
+		free := demand.CPUs - demand.Busy
+		waiting := WaitingCPUs(demand)
+		r.actual[shard] = demand.CPUs
 		r.shortfall[shard] = max(0, waiting-free)
 		if waiting == 0 {
-			r.spare[shard] = free - d.CPUs/keptDivisor
+			r.spare[shard] = free - demand.CPUs/reserveDivisor
 		}
 	}
 	return r
 }
 
-// Wanted reports whether a machine that is drained for another shard is needed in its own again.
-func (r *Rebalancing) Wanted(m Machine) bool {
-	return WaitingCPUs(r.demands[m.From]) > 0 && r.has[m.From] < r.target[m.From]
+// NeededInOwnShard reports whether a machine that is being drained for another shard is needed
+// again in its own shard.
+func (r *Rebalancing) NeededInOwnShard(machine Machine) bool {
+	return WaitingCPUs(r.demands[machine.From]) > 0 && r.actual[machine.From] < r.target[machine.From]
 }
 
-// AddDraining counts a machine that is drained for a shard where it goes.
-func (r *Rebalancing) AddDraining(m Machine, to int) {
+// AddDraining records that a machine is being drained for the shard to. The machine counts as
+// capacity of that shard.
+func (r *Rebalancing) AddDraining(machine Machine, to int) {
 	r.draining++
-	r.has[to] += m.CPUs
-	r.shortfall[to] = max(0, r.shortfall[to]-m.CPUs)
+	r.actual[to] += machine.CPUs
+	r.shortfall[to] = max(0, r.shortfall[to]-machine.CPUs)
 }
 
-// Moves returns the machines that are to move to shards whose tasks wait: idle ones at once, busy
-// ones as they empty, where a shard has more than its part of the fleet. It sorts machines.
+// Moves returns the machines to move to shards where tasks wait. Idle machines move at once. Busy
+// machines move once they are empty, and only from shards that have more than their target. It
+// sorts machines.
 func (r *Rebalancing) Moves(machines []Machine) []Move {
 	slices.SortStableFunc(machines, func(a, b Machine) int {
 		return cmp.Or(cmp.Compare(a.State, b.State), cmp.Compare(a.LeftUS, b.LeftUS), cmp.Compare(a.ID, b.ID))
 	})
 	var moves []Move
-	for _, m := range machines {
-		to, gain, found := r.destination(m)
-		if !found || !r.mayLeave(m, gain) {
+	for _, machine := range machines {
+		to, gain, found := r.destination(machine)
+		if !found || !r.mayLeave(machine, gain) {
 			continue
 		}
-		r.has[m.From] -= m.CPUs
-		r.has[to] += m.CPUs
-		r.shortfall[to] -= m.CPUs
-		moves = append(moves, Move{Machine: m, To: to, Drain: !m.idle()})
+		r.actual[machine.From] -= machine.CPUs
+		r.actual[to] += machine.CPUs
+		r.shortfall[to] -= machine.CPUs
+		moves = append(moves, Move{Machine: machine, To: to, Drain: !machine.idle()})
 	}
 	return moves
 }
 
-// destination returns the shard that a machine would help most, and by how many CPUs; false if
-// there is none.
-func (r *Rebalancing) destination(m Machine) (to int, gain float64, found bool) {
+// destination returns the shard that gains most from a machine, and the gain in CPUs. found is
+// false if no shard gains enough.
+func (r *Rebalancing) destination(machine Machine) (to int, gain float64, found bool) {
 	gain = minMoveGain
 	for _, shard := range r.shards {
-		if shard == m.From || !r.catalog.Useful(r.demands[shard], m.Kind) {
+		if shard == machine.From || !r.catalog.Useful(r.demands[shard], machine.Kind) {
 			continue
 		}
-		gap := r.target[shard] - r.has[shard]
-		if m.idle() {
+		gap := r.target[shard] - r.actual[shard]
+		if machine.idle() {
 			gap = max(gap, 0) + idleMoveGap
 		}
 		shardGain := min(r.shortfall[shard], gap)
-		firstForIdle := m.idle() && !found && r.shortfall[shard] > minMoveGain
+		firstForIdle := machine.idle() && !found && r.shortfall[shard] > minMoveGain
 		if shardGain > gain || firstForIdle {
 			to, gain, found = shard, shardGain, true
 		}
@@ -137,23 +144,23 @@
 	return to, gain, found
 }
 
-// mayLeave reports whether a machine may leave its shard for one that it helps by so many CPUs,
-// and counts it if it is to be drained for that.
-func (r *Rebalancing) mayLeave(m Machine, gain float64) bool {
-	if m.idle() {
-		// Its own shard may be about to use it.
-		own := r.demands[m.From]
-		return WaitingCPUs(own) == 0 || !r.catalog.Useful(own, m.Kind)
+// mayLeave reports whether a machine may leave its shard for one that gains the given number of
+// CPUs. It counts the machine in draining or spare if the machine must be drained for the move.
+func (r *Rebalancing) mayLeave(machine Machine, gain float64) bool {
+	if machine.idle() {
+		// The machine's own shard may be about to use it.
+		ownDemand := r.demands[machine.From]
+		return WaitingCPUs(ownDemand) == 0 || !r.catalog.Useful(ownDemand, machine.Kind)
 	}
-	surplus := r.has[m.From] - r.target[m.From]
-	if gain < m.CPUs/2 || surplus < m.CPUs/2 {
+	surplus := r.actual[machine.From] - r.target[machine.From]
+	if gain < machine.CPUs/2 || surplus < machine.CPUs/2 {
 		return false
 	}
-	if unused := m.CPUs - m.Busy; unused > 0 && r.spare[m.From] >= unused {
-		r.spare[m.From] -= unused
+	if unused := machine.CPUs - machine.Busy; unused > 0 && r.spare[machine.From] >= unused {
+		r.spare[machine.From] -= unused
 		return true
 	}
-	if micros.Micros(m.LeftUS) > drainWithin || r.draining >= maxDraining {
+	if micros.Micros(machine.LeftUS) > maxDrainTime || r.draining >= maxDraining {
 		return false
 	}
 	r.draining++
--- a/internal/controller/fleet/scale_out.go
+++ b/internal/controller/fleet/scale_out.go
@@ -12,88 +12,90 @@
 )
 
 const (
-	// maxRentalMachines bounds the machines of one rental.
+	// maxRentalMachines is the maximum number of machines in one rental.
 	maxRentalMachines = 50
-	// minDeficit is the least lack of CPUs that a machine is rented for.
+	// minDeficit is the smallest shortage of CPUs for which a machine is rented.
 	minDeficit = 0.5
-	// roundingDown is the largest part of a machine that may be lacking without another
-	// machine being rented for it.
+	// roundingDown is the largest shortage, as a fraction of a machine, for which no additional
+	// machine is rented.
 	roundingDown = 0.25
 )
 
 // ScaleOut decides which machines to rent.
 type ScaleOut struct {
 	Catalog      Catalog
-	DrainHorizon micros.Micros // see Sums.Need
-	Sums         Sums
-	Groups       []peer.WaitingTasks // what waits
-	Free         map[Kind]float64    // CPUs of the machines that are idle or on their way
-	// MachinesInZone counts the machines by zone.
+	DrainHorizon micros.Micros // see Totals.Need
+	Totals       Totals
+	Groups       []peer.WaitingTasks // groups of waiting tasks
+	Free         map[Kind]float64    // CPUs of machines that are idle or booting
+	// MachinesInZone holds the number of machines by zone.
 	MachinesInZone map[string]int
-	// MaxMachines is how many machines may still be rented.
+	// MaxMachines is the number of machines that may still be rented.
 	MaxMachines int
-	// Unavailable reports whether machines of a kind cannot be had or used for now.
+	// Unavailable reports whether machines of a kind currently cannot be rented or used.
 	Unavailable func(Kind) bool
 }
 
-// Add counts a rental among what there is.
+// Add counts a rental as existing capacity.
 func (s *ScaleOut) Add(rental wire.Rental) {
 	cpus := s.Catalog.CPUs(rental.Type, rental.Count)
-	s.Sums.Have += cpus
+	s.Totals.Have += cpus
 	s.Free[Kind{rental.Type, rental.Zone, rental.Spot}] += cpus
 	s.MaxMachines -= rental.Count
 	s.MachinesInZone[rental.Zone] += rental.Count
 }
 
-// Next returns the next rental, of the cheapest machines that the largest waiting work can use,
-// as long as there are fewer than are worth their price; false if there is none. It sorts Groups.
+// Next returns the next rental. It serves the groups in decreasing order of waiting work, with the
+// cheapest machines that a group can use, as long as the fleet has fewer machines than are worth
+// their price. It returns false if nothing more is to be rented. It sorts Groups.
 func (s *ScaleOut) Next() (wire.Rental, bool) {
 	slices.SortStableFunc(s.Groups, func(a, b peer.WaitingTasks) int {
 		return cmp.Compare(float64(b.WorkUS)*b.CPUs, float64(a.WorkUS)*a.CPUs)
 	})
 	lowestPrice := s.Catalog.LowestPrice()
-	for _, g := range s.Groups {
-		if g.Waiting == 0 {
+	for _, group := range s.Groups {
+		if group.Waiting == 0 {
 			continue
 		}
-		if rental, ok := s.rentalFor(g, lowestPrice); ok {
+		if rental, ok := s.rentalFor(group, lowestPrice); ok {
 			return rental, true
 		}
 	}
 	return wire.Rental{}, false
 }
 
-// rentalFor returns the rental for a group's tasks; false if they are not to have any.
-func (s *ScaleOut) rentalFor(g peer.WaitingTasks, lowestPrice float64) (wire.Rental, bool) {
-	shortfall := s.Sums.Parallel - s.Sums.Have
+// rentalFor returns a rental for a group's tasks. It returns false if none is needed.
+func (s *ScaleOut) rentalFor(group peer.WaitingTasks, lowestPrice float64) (wire.Rental, bool) {
+	shortfall := s.Totals.Parallel - s.Totals.Have
 	groupShortfall := 0.0
-	hardlyAnyMachine := s.Sums.Have+scheduling.Tolerance < g.CPUs
-	if s.Catalog.Constrained(g) || hardlyAnyMachine {
-		groupShortfall = s.groupShortfall(g)
+	fleetSmallerThanTask := s.Totals.Have+scheduling.Tolerance < group.CPUs
+	if s.Catalog.Constrained(group) || fleetSmallerThanTask {
+		groupShortfall = s.groupShortfall(group)
 		shortfall = max(shortfall, groupShortfall)
 	}
 	if shortfall <= 0 {
 		return wire.Rental{}, false
 	}
-	for _, o := range s.options(g, shortfall) {
-		deficit := max(s.Sums.Need(s.DrainHorizon, max(o.cpuPrice/lowestPrice, 1))-s.Sums.Have, groupShortfall)
+	for _, candidate := range s.options(group, shortfall) {
+		deficit := max(s.Totals.Need(s.DrainHorizon, max(candidate.cpuPrice/lowestPrice, 1))-s.Totals.Have, groupShortfall)
 		if deficit < minDeficit {
 			continue
 		}
-		count := max(1, min(int(math.Ceil(deficit/o.cpus-roundingDown)), maxRentalMachines, s.MaxMachines))
-		return wire.Rental{Type: o.kind.Type, Zone: o.kind.Zone, Spot: o.kind.Spot, Count: count}, true
+		count := max(1, min(int(math.Ceil(deficit/candidate.cpus-roundingDown)), maxRentalMachines, s.MaxMachines))
+		return wire.Rental{Type: candidate.kind.Type, Zone: candidate.kind.Zone, Spot: candidate.kind.Spot, Count: count}, true
 	}
 	return wire.Rental{}, false
 }
 
-// groupShortfall returns how many CPUs are wanted for a constrained group alone: the fleet may be
-// large enough and yet have none that its tasks can use.
-func (s *ScaleOut) groupShortfall(g peer.WaitingTasks) float64 {
-	waiting := float64(g.Waiting) * g.CPUs
-	toDrain := micros.Micros(g.WorkUS).Seconds() * g.CPUs / s.DrainHorizon.Seconds()
-	shortfall := min(waiting, max(toDrain, g.CPUs))
-	for k, cpus := range s.Free {
-		if s.Catalog.Hosts(g, k) {
+// groupShortfall returns the number of CPUs that a constrained group needs in addition to the free
+// CPUs that it can use. The fleet as a whole may be large enough and still have no machine on
+// which the group's tasks can run.
+func (s *ScaleOut) groupShortfall(group peer.WaitingTasks) float64 {
+	waiting := float64(group.Waiting) * group.CPUs
+	toDrain := micros.Micros(group.WorkUS).Seconds() * group.CPUs / s.DrainHorizon.Seconds()
+	shortfall := min(waiting, max(toDrain, group.CPUs))
+	for kind, cpus := range s.Free {
+		if s.Catalog.CanRun(group, kind) {
 			shortfall -= cpus
 		}
 	}
@@ -104,27 +106,28 @@
 type option struct {
 	kind     Kind
 	cpus     float64
-	cpuPrice float64 // of each CPU of the machine, for an hour
-	// usedPrice is the price of each CPU that would be used: what stands unused is paid as well.
+	cpuPrice float64 // price of one CPU per hour
+	// usedPrice is the price per hour divided by the CPUs that would be used, because unused CPUs
+	// must be paid for as well.
 	usedPrice float64
 }
 
-// options returns the kinds of machines that a group's tasks can use, the cheapest first and, of
-// these, those in the zone with the fewest machines.
-func (s *ScaleOut) options(g peer.WaitingTasks, shortfall float64) []option {
+// options returns the kinds of machines that a group's tasks can use, ordered by price. Of kinds
+// with equal prices, those in the zone with the fewest machines come first.
+func (s *ScaleOut) options(group peer.WaitingTasks, shortfall float64) []option {
 	var options []option
 	for _, name := range s.Catalog.Names {
-		mt := s.Catalog.Types[name]
-		if mt.CPUs <= 0 {
+		machineType := s.Catalog.Types[name]
+		if machineType.CPUs <= 0 {
 			continue
 		}
-		usedCPUs := min(mt.CPUs, max(shortfall, g.CPUs))
-		for _, k := range kindsOf(mt, name) {
-			if !s.Catalog.Hosts(g, k) || s.Unavailable(k) {
+		usedCPUs := min(machineType.CPUs, max(shortfall, group.CPUs))
+		for _, kind := range kindsOf(machineType, name) {
+			if !s.Catalog.CanRun(group, kind) || s.Unavailable(kind) {
 				continue
 			}
-			price := CPUPrice(mt, k.Spot)
-			options = append(options, option{kind: k, cpus: mt.CPUs, cpuPrice: price, usedPrice: price * mt.CPUs / usedCPUs})
+			price := CPUPrice(machineType, kind.Spot)
+			options = append(options, option{kind: kind, cpus: machineType.CPUs, cpuPrice: price, usedPrice: price * machineType.CPUs / usedCPUs})
 		}
 	}
 	slices.SortStableFunc(options, func(a, b option) int {
@@ -135,10 +138,10 @@
 	return options
 }
 
-// kindsOf returns the kinds of machines of a type.
-func kindsOf(mt wire.MachineType, name string) []Kind {
+// kindsOf returns the kinds of machines that exist of a type.
+func kindsOf(machineType wire.MachineType, name string) []Kind {
 	var kinds []Kind
-	for _, zone := range mt.Zones {
+	for _, zone := range machineType.Zones {
 		kinds = append(kinds, Kind{name, zone, true}, Kind{name, zone, false})
 	}
 	return kinds
--- a/internal/controller/fleet/target.go
+++ b/internal/controller/fleet/target.go
@@ -2,18 +2,19 @@
 
 import "garnethitch/internal/controller/scheduling"
 
-// maxDistributionRounds bounds how often what a shard cannot use is given to the others.
-const maxDistributionRounds = 4
+// maxAllocationRounds is the maximum number of rounds in which CPUs that some shards cannot use
+// are offered to the other shards.
+const maxAllocationRounds = 4
 
-// TargetCPUs returns how many of total CPUs each shard should have: first what its jobs within
-// their team's guarantee can use, then in proportion to its unfinished work, and never more than
-// its tasks could use at once.
+// TargetCPUs returns how many of total CPUs each shard should have. Each shard first receives what
+// its jobs within their team's guarantee can use. The rest is distributed in proportion to
+// unfinished work. No shard receives more than its tasks could use at once.
 func TargetCPUs(demands Demands, total float64) map[int]float64 {
-	d := distribution{shards: demands.Shards(), given: map[int]float64{}, left: total}
+	targets := allocation{shards: demands.Shards(), allocated: map[int]float64{}, remaining: total}
 	usable := map[int]float64{}
 	guaranteed := map[int]float64{}
 	work := map[int]float64{}
-	for _, shard := range d.shards {
+	for _, shard := range targets.shards {
 		demand := demands[shard]
 		usable[shard] = demand.Busy + WaitingCPUs(demand)
 		guaranteed[shard] = demand.Guarantee
@@ -23,36 +24,37 @@
 	for shard, cpus := range guaranteed {
 		withinGuarantee[shard] = min(cpus, usable[shard])
 	}
-	d.give(guaranteed, withinGuarantee)
-	d.give(work, usable)
-	return d.given
+	targets.allocate(guaranteed, withinGuarantee)
+	targets.allocate(work, usable)
+	return targets.allocated
 }
 
-// distribution gives CPUs to shards.
-type distribution struct {
-	shards []int
-	given  map[int]float64
-	left   float64
+// allocation distributes CPUs among shards.
+type allocation struct {
+	shards    []int
+	allocated map[int]float64
+	remaining float64
 }
 
-// give distributes what is left in proportion to the shards' weights, to each up to its limit.
-func (d *distribution) give(weights, limits map[int]float64) {
-	for range maxDistributionRounds {
+// allocate distributes the remaining CPUs in proportion to the weights of the shards, up to the
+// limit of each shard.
+func (a *allocation) allocate(weights, limits map[int]float64) {
+	for range maxAllocationRounds {
 		sum := 0.0
-		for _, shard := range d.shards {
-			if d.given[shard] < limits[shard]-scheduling.Tolerance {
+		for _, shard := range a.shards {
+			if a.allocated[shard] < limits[shard]-scheduling.Tolerance {
 				sum += weights[shard]
 			}
 		}
-		if sum <= 0 || d.left <= scheduling.Tolerance {
+		if sum <= 0 || a.remaining <= scheduling.Tolerance {
 			return
 		}
-		toGive := d.left
-		for _, shard := range d.shards {
-			if headroom := limits[shard] - d.given[shard]; headroom > scheduling.Tolerance {
-				cpus := min(headroom, toGive*weights[shard]/sum)
-				d.given[shard] += cpus
-				d.left -= cpus
+		available := a.remaining
+		for _, shard := range a.shards {
+			if headroom := limits[shard] - a.allocated[shard]; headroom > scheduling.Tolerance {
+				cpus := min(headroom, available*weights[shard]/sum)
+				a.allocated[shard] += cpus
+				a.remaining -= cpus
 			}
 		}
 	}
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -215,9 +215,9 @@
 // jobs are blocked, since the watch brings the ends that unblock them.
 func (o *ownershipState) adjustJobWatch(scan openJobsScan) {
 	watch := &o.jobWatch
-	watch.BlockTimeout = statestore.WatchTimeout
+	watch.PollTimeout = statestore.WatchTimeout
 	if scan.blocked {
-		watch.BlockTimeout = blockedWatchTimeout
+		watch.PollTimeout = blockedWatchTimeout
 	}
 	interval := jobWatchInterval
 	if scan.ownedBlocked {
--- a/internal/controller/ownership.go
+++ b/internal/controller/ownership.go
@@ -153,11 +153,11 @@
 		shardsOf[s.owner.Label]++
 	}
 	known := ownership.ClaimKnowledge{
-		Label:          c.cfg.Label,
-		Shards:         shardsOf[c.cfg.Label],
-		PreferredOwner: c.preferredOwner(index),
-		Starting:       c.now < c.startedAt+startingPeriod,
-		WithoutWorkers: c.contact.lost(),
+		Label:              c.cfg.Label,
+		Shards:             shardsOf[c.cfg.Label],
+		PreferredOwner:     c.preferredOwner(index),
+		Starting:           c.now < c.startedAt+startingPeriod,
+		WorkersUnreachable: c.contact.lost(),
 	}
 	for _, label := range c.nodes {
 		if p := c.peers[label]; p != nil && c.hasWorkers(p) {
--- a/internal/controller/reachability/reachability_test.go
+++ b/internal/controller/reachability/reachability_test.go
@@ -6,7 +6,7 @@
 	"garnethitch/internal/wire"
 )
 
-// TestConfirmation checks what a heartbeat must show of the reply before it.
+// TestConfirmation checks which effect of the previous reply a heartbeat must show.
 func TestConfirmation(t *testing.T) {
 	start := wire.Command{Op: wire.OpStart, Task: "job-000001/0", Attempt: 5}
 	forget := wire.Command{Op: wire.OpForget, Task: "job-000001/0", Attempt: 5}
@@ -21,7 +21,7 @@
 		heartbeat wire.Heartbeat
 		want      Confirmation
 	}{
-		{"nothing to show", 0, wire.Command{}, wire.Heartbeat{FencingToken: 7}, Undetermined},
+		{"nothing expected", 0, wire.Command{}, wire.Heartbeat{FencingToken: 7}, Undetermined},
 		{"new token shown", 9, wire.Command{}, wire.Heartbeat{FencingToken: 9}, Confirmed},
 		{"new token not shown", 9, start, wire.Heartbeat{FencingToken: 7}, Unconfirmed},
 		{"start shown", 0, start, wire.Heartbeat{Tasks: listed(wire.TaskFetching)}, Confirmed},
@@ -33,15 +33,15 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			tracker := Tracker{expectedToken: tc.token, expectedCommand: tc.command}
-			if got := tracker.confirmationIn(&tc.heartbeat); got != tc.want {
+			if got := tracker.confirmationFrom(&tc.heartbeat); got != tc.want {
 				t.Errorf("%v, want %v", got, tc.want)
 			}
 		})
 	}
 }
 
-// TestUnreachable checks that a machine is unreachable after MaxUnconfirmedReplies lost replies in
-// a row, until one is confirmed or the tracker begins anew.
+// TestUnreachable checks that a machine becomes unreachable after MaxUnconfirmedReplies
+// consecutive lost replies, and stays so until a reply is confirmed or the tracker is reset.
 func TestUnreachable(t *testing.T) {
 	start := []wire.Command{{Op: wire.OpStart, Task: "job-000001/0", Attempt: 5}}
 	shown := &wire.Heartbeat{Tasks: []wire.TaskStatus{{Task: "job-000001/0", Attempt: 5, State: wire.TaskRunning}}}
@@ -65,7 +65,7 @@
 	}
 	loseReplies(t)
 	if tracker.HeartbeatReceived(200, missing); !tracker.Unreachable() {
-		t.Error("reachable by a heartbeat that confirms nothing")
+		t.Error("reachable after a heartbeat that confirms nothing")
 	}
 	tracker.ReplySent(7, 7, start)
 	if tracker.HeartbeatReceived(300, shown); tracker.Unreachable() {
--- a/internal/controller/statestore/queue_test.go
+++ b/internal/controller/statestore/queue_test.go
@@ -10,20 +10,20 @@
 	"garnethitch/internal/micros"
 )
 
-// testQueue returns an empty queue that may send so many requests and changes a second.
+// testQueue returns an empty queue with the given rates, in requests and changes per second.
 func testQueue(requests, writes float64) *Queue {
 	return &Queue{requests: ratelimit.NewBucket(requests), writes: ratelimit.NewBucket(writes)}
 }
 
-// setTokens leaves a full bucket with so many tokens.
+// setTokens sets the tokens that a full bucket has left.
 func setTokens(b *ratelimit.Bucket, tokens float64) { b.Take(b.Tokens() - tokens) }
 
-// pushTest queues a request whose body is its name.
+// pushTest queues a request whose body is the given name.
 func (q *Queue) pushTest(class Class, name string, writes float64, expires micros.Micros) bool {
 	return q.Push(class, Request{Body: name, Writes: writes, ExpiresAt: expires})
 }
 
-// sentUntil returns the names of the requests that are sent between two times.
+// sentUntil returns the names of the requests that are sent in the given time range.
 func (q *Queue) sentUntil(from, to micros.Micros) (names []string) {
 	for now := from; now <= to; now += 10 * micros.Millisecond {
 		for {
@@ -40,7 +40,7 @@
 	return names
 }
 
-// TestQueueOrder checks the order in which requests are sent, one rule a row.
+// TestQueueOrder checks the order in which requests are sent. Each case covers one rule.
 func TestQueueOrder(t *testing.T) {
 	const never = micros.Never
 	for _, tc := range []struct {
@@ -56,7 +56,7 @@
 		}, 0, "lease accept end dependents fleet checkpoint question"},
 		{"leases before all else", func(q *Queue) {
 			setTokens(&q.requests, 2)
-			q.pushTest(ClassQuestion, "question", 0, never)
+			q.pushTest(ClassUserRead, "question", 0, never)
 			for range 2 {
 				q.pushTest(ClassLease, "lease", 0, never)
 			}
@@ -65,7 +65,7 @@
 			setTokens(&q.requests, 4)
 			for range 3 {
 				q.pushTest(ClassAccept, "accept", 0, never)
-				q.pushTest(ClassQuestion, "question", 0, never)
+				q.pushTest(ClassUserRead, "question", 0, never)
 			}
 		}, 0, "accept question accept accept"},
 		{"a renewal passes a claim that waits for the write limit", func(q *Queue) {
@@ -77,9 +77,9 @@
 			setTokens(&q.writes, 1)
 			q.pushTest(ClassAccept, "large", 5, never)
 			q.pushTest(ClassEnd, "small", 1, never)
-			q.pushTest(ClassQuestion, "question", 0, never)
+			q.pushTest(ClassUserRead, "question", 0, never)
 		}, 0, "question"},
-		{"a transaction larger than the burst goes with a full bucket", func(q *Queue) {
+		{"a transaction larger than the burst is sent once the bucket is full", func(q *Queue) {
 			setTokens(&q.writes, 0)
 			q.pushTest(ClassFleet, "large", 40, never)
 			q.pushTest(ClassAccept, "accept", 1, never)
@@ -89,7 +89,7 @@
 			q.pushTest(ClassEnd, "old", 0, -1)
 			q.pushTest(ClassEnd, "new", 0, never)
 		}, micros.Second, "new"},
-		{"a second's worth at once, and then the rate", func(q *Queue) {
+		{"one second of requests at once, then at the rate", func(q *Queue) {
 			for range 60 {
 				q.pushTest(ClassEnd, "x", 0, never)
 			}
@@ -105,10 +105,11 @@
 	}
 }
 
-// TestQueueFull checks that a class whose queue is full rejects requests, the others do not.
+// TestQueueFull checks that a class whose queue is full rejects requests while other classes still
+// accept them.
 func TestQueueFull(t *testing.T) {
 	q := testQueue(30, 10)
-	for range maxQueued {
+	for range maxQueuedPerClass {
 		if !q.pushTest(ClassCheckpoint, "v", 1, micros.Never) {
 			t.Fatal("rejected before the queue is full")
 		}
@@ -121,9 +122,10 @@
 	}
 }
 
-// worstWait returns how long the first request of a class below ClassLease waits at most,
-// whatever the other classes hold, if no transaction has more than so many changes: until its
-// class is due again, and for one request of each other class that is due before.
+// worstWait returns an upper bound of the time that the first request of a class below ClassLease
+// waits, regardless of what the other classes hold, if no transaction has more than the given
+// number of changes. The request waits until its class is due again, and then for one request of
+// each other class that is due earlier.
 func (q *Queue) worstWait(class Class, changes float64) micros.Micros {
 	if minimumRates[class].writes == 0 {
 		changes = 0 // reads do not wait for the write limit
@@ -135,11 +137,11 @@
 		}
 	}
 	requests := micros.FromSeconds(float64(ClassCount) / (q.RequestRate() * (1 - LeaseFraction)))
-	return q.turnaround(class, changes) + requests + micros.FromSeconds(writers*changes/q.WriteRate())
+	return q.minimumRateInterval(class, changes) + requests + micros.FromSeconds(writers*changes/q.WriteRate())
 }
 
-// stateLimits are limits under which the minimum rates are checked: those of the deployments,
-// and small ones, for one of so many controllers.
+// stateLimits holds limits under which the minimum rates are checked: the limits of real
+// deployments, and small limits that are shared by the given number of controllers.
 var stateLimits = []struct {
 	rps, writeRPS float64
 	nodes         int
@@ -148,18 +150,18 @@
 	{150, 25, 3, 8}, {150, 18, 3, 4}, {200, 40, 3, 24}, {200, 28, 3, 8}, {60, 20, 3, 8}, {60, 20, 2, 8}, {300, 80, 1, 8}, {30, 6, 5, 8},
 }
 
-// TestWorstWait checks that whatever the other classes hold, leases included, a request waits no
-// longer than worstWait, and each class has its turns.
+// TestWorstWait checks that no request waits longer than worstWait and that every class is served,
+// while all other classes, including ClassLease, always have requests waiting.
 func TestWorstWait(t *testing.T) {
 	for _, limits := range stateLimits {
 		for class := ClassLease + 1; class < ClassCount; class++ {
 			t.Run(fmt.Sprintf("%v/%s", limits, classNames[class]), func(t *testing.T) {
-				part := UsableFraction / float64(limits.nodes)
-				q := testQueue(limits.rps*part, limits.writeRPS*part)
-				most := q.worstWait(class, limits.changes)
+				share := UsableFraction / float64(limits.nodes)
+				q := testQueue(limits.rps*share, limits.writeRPS*share)
+				bound := q.worstWait(class, limits.changes)
 				last, longest, sent := micros.Micros(0), micros.Micros(0), 0
 				leases := 0.0
-				for now := micros.Micros(0); now < 10*most; now += 10 * micros.Millisecond {
+				for now := micros.Micros(0); now < 10*bound; now += 10 * micros.Millisecond {
 					if leases += q.RequestRate() * LeaseFraction * 0.01; leases >= 1 {
 						leases--
 						q.pushTest(ClassLease, "lease", 0, micros.Never)
@@ -183,15 +185,15 @@
 						}
 					}
 				}
-				if sent < 5 || longest > most {
-					t.Errorf("%d sent, with up to %.2f s between them, want at most %.2f s", sent, longest.Seconds(), most.Seconds())
+				if sent < 5 || longest > bound {
+					t.Errorf("%d sent, with up to %.2f s between them, want at most %.2f s", sent, longest.Seconds(), bound.Seconds())
 				}
 			})
 		}
 	}
 }
 
-// TestMinimumRatesFit checks that the minimum rates add up to no more than leases leave.
+// TestMinimumRatesFit checks that the minimum rates add up to no more than ClassLease leaves.
 func TestMinimumRatesFit(t *testing.T) {
 	const roundingError = 1e-9
 	var sum minimumRate
@@ -200,7 +202,7 @@
 		sum.writes += minimum.writes
 	}
 	if sum.requests > 1-LeaseFraction+roundingError || sum.writes > 0.9+roundingError {
-		t.Errorf("minimum rates of %.2f of the requests and %.2f of the writes", sum.requests, sum.writes)
+		t.Errorf("minimum rates add up to %.2f of the requests and %.2f of the writes", sum.requests, sum.writes)
 	}
 	if slices.ContainsFunc(minimumRates[ClassAccept:], func(minimum minimumRate) bool { return minimum.requests <= 0 }) {
 		t.Error("a class has no minimum rate of requests")
--- a/internal/controller/statestore/reads_test.go
+++ b/internal/controller/statestore/reads_test.go
@@ -7,19 +7,20 @@
 	"garnethitch/internal/micros"
 )
 
-// newTestReads returns reads, with a queue that lets a second's 100 requests through at once.
-func newTestReads(maxRecords int) (*Reads, *Queue) {
+// newTestReadCoalescer returns a ReadCoalescer and its queue, which lets 100 requests through at
+// once.
+func newTestReadCoalescer(maxRecords int) (*ReadCoalescer, *Queue) {
 	q := testQueue(100, 10)
-	return NewReads(ReadsConfig{
-		Queue:      q,
-		MaxRecords: maxRecords,
-		NewRequest: func(id string) any { return id },
-		Learn:      lookupByStatus,
-		Defer:      func(f func()) { f() },
+	return NewReadCoalescer(ReadCoalescerConfig{
+		Queue:       q,
+		MaxRecords:  maxRecords,
+		NewRequest:  func(id string) any { return id },
+		HandleReply: lookupByStatus,
+		Defer:       func(f func()) { f() },
 	}), q
 }
 
-// lookupByStatus returns what a reply found by its status alone.
+// lookupByStatus derives the result of a read from the HTTP status of the reply alone.
 func lookupByStatus(r Reply) Lookup {
 	switch r.Status {
 	case http.StatusOK:
@@ -30,10 +31,10 @@
 	return LookupFailed
 }
 
-// sendNext sends the read whose turn it is.
-func sendNext(t *testing.T, r *Reads, q *Queue, now micros.Micros) Request {
+// sendNext sends the read of the record that is first in order.
+func sendNext(t *testing.T, r *ReadCoalescer, q *Queue, now micros.Micros) Request {
 	t.Helper()
-	r.Offer(now)
+	r.QueueNext(now)
 	request, ok, _ := q.Next(now)
 	if !ok {
 		t.Fatal("no read is sent")
@@ -42,47 +43,47 @@
 	return request
 }
 
-// TestReadsCoalesce checks that one read answers all questions that came before it was sent, and
-// none that came later.
-func TestReadsCoalesce(t *testing.T) {
-	r, q := newTestReads(10)
+// TestReadCoalescerMergesReads checks that a read answers all callers that came before it was
+// sent, and none that came later.
+func TestReadCoalescerMergesReads(t *testing.T) {
+	r, q := newTestReadCoalescer(10)
 	var answers []string
 	ask := func(name string) {
-		r.Ask(0, "a", func(Lookup) { answers = append(answers, name) })
+		r.Read(0, "a", func(Lookup) { answers = append(answers, name) })
 	}
 	ask("first")
 	ask("second")
 	read := sendNext(t, r, q, 0)
 	ask("late")
-	r.Offer(0)
+	r.QueueNext(0)
 	if _, ok, _ := q.Next(0); ok {
-		t.Error("a second read is sent beside the first")
+		t.Error("a second read is sent while the first is in flight")
 	}
 	q.Answered(read)
 	read.Done(Reply{Status: 200})
 	if len(answers) != 2 || answers[0] != "first" || answers[1] != "second" {
-		t.Fatalf("answered are %q, want first and second", answers)
+		t.Fatalf("answered %q, want first and second", answers)
 	}
 	read = sendNext(t, r, q, 0)
 	q.Answered(read)
 	read.Done(Reply{Status: 404})
 	if len(answers) != 3 || answers[2] != "late" {
-		t.Errorf("answered are %q, want late at the end", answers)
+		t.Errorf("answered %q, want late at the end", answers)
 	}
 	if r.Records() != 0 {
 		t.Errorf("%d records are kept after their answers", r.Records())
 	}
 }
 
-// TestReadsTurns checks that records have their turns by when they were first asked about, and keep
-// them while they have no answer.
-func TestReadsTurns(t *testing.T) {
-	r, q := newTestReads(10)
-	ask := func(now micros.Micros, id string) { r.Ask(now, id, func(Lookup) {}) }
+// TestReadCoalescerOrder checks that records are read in the order in which they were first
+// requested, and keep their place while they have no answer.
+func TestReadCoalescerOrder(t *testing.T) {
+	r, q := newTestReadCoalescer(10)
+	ask := func(now micros.Micros, id string) { r.Read(now, id, func(Lookup) {}) }
 	ask(0, "old")
 	late := ReadTimeout + 1
 	ask(late-2, "new")
-	r.Offer(late) // the question about old has expired
+	r.QueueNext(late) // the first request for old has expired
 	ask(late, "old")
 	if read := sendNext(t, r, q, late); read.Body != "old" {
 		t.Errorf("read first is %v, want old", read.Body)
@@ -92,23 +93,23 @@
 	}
 }
 
-// TestReadsBounds checks that past each bound a question is refused, and counted where its record
-// has a place.
-func TestReadsBounds(t *testing.T) {
-	refused := func(r *Reads, now micros.Micros, id string) bool {
+// TestReadCoalescerBounds checks that a caller beyond any of the bounds is refused. The refusal is
+// counted if the record already has a place in the order of reads.
+func TestReadCoalescerBounds(t *testing.T) {
+	refused := func(r *ReadCoalescer, now micros.Micros, id string) bool {
 		status := Lookup(-1)
-		r.Ask(now, id, func(got Lookup) { status = got })
+		r.Read(now, id, func(got Lookup) { status = got })
 		return status == LookupFailed
 	}
 	t.Run("records", func(t *testing.T) {
-		r, _ := newTestReads(2)
+		r, _ := newTestReadCoalescer(2)
 		if refused(r, 0, "a") || refused(r, 0, "b") || !refused(r, 0, "c") {
-			t.Error("want the third record refused alone")
+			t.Error("want only the third record refused")
 		}
 	})
-	t.Run("questions about a record", func(t *testing.T) {
-		r, _ := newTestReads(2)
-		for range maxQuestions {
+	t.Run("waiters of a record", func(t *testing.T) {
+		r, _ := newTestReadCoalescer(2)
+		for range maxWaitersPerRecord {
 			if refused(r, 0, "a") {
 				t.Fatal("refused within the bound")
 			}
@@ -118,8 +119,8 @@
 		}
 	})
 	t.Run("records that wait", func(t *testing.T) {
-		r, q := newTestReads(2 * maxReadsWaiting)
-		for i := range maxReadsWaiting {
+		r, q := newTestReadCoalescer(2 * maxRecordsWaiting)
+		for i := range maxRecordsWaiting {
 			if refused(r, micros.Micros(i), string(rune('a'+i))) {
 				t.Fatal("refused within the bound")
 			}
@@ -127,25 +128,25 @@
 		if !refused(r, micros.Second, "last") {
 			t.Error("accepted beyond the bound")
 		}
-		if got := q.Metrics(0)[ClassQuestion].Rejected; got != 1 {
+		if got := q.Metrics(0)[ClassUserRead].Rejected; got != 1 {
 			t.Errorf("%d counted as rejected, want 1", got)
 		}
 	})
 	t.Run("time", func(t *testing.T) {
-		r, q := newTestReads(2)
+		r, q := newTestReadCoalescer(2)
 		status := Lookup(-1)
-		r.Ask(0, "a", func(got Lookup) { status = got })
-		if r.Offer(ReadTimeout); status != -1 {
+		r.Read(0, "a", func(got Lookup) { status = got })
+		if r.QueueNext(ReadTimeout); status != -1 {
 			t.Error("refused before the timeout")
 		}
-		if r.Offer(ReadTimeout + 1); status != LookupFailed {
+		if r.QueueNext(ReadTimeout + 1); status != LookupFailed {
 			t.Errorf("found %v after the timeout, want no answer", status)
 		}
-		if got := q.Metrics(0)[ClassQuestion].Expired; got != 1 {
+		if got := q.Metrics(0)[ClassUserRead].Expired; got != 1 {
 			t.Errorf("%d counted as expired, want 1", got)
 		}
-		if r.Offer(ReadTimeout + 2 + placeKept); r.Records() != 0 {
-			t.Errorf("%d records keep a place that nobody asks about", r.Records())
+		if r.QueueNext(ReadTimeout + 2 + recordRetention); r.Records() != 0 {
+			t.Errorf("%d records are kept although nobody requests them", r.Records())
 		}
 	})
 }
--- a/internal/controller/statestore/watch_test.go
+++ b/internal/controller/statestore/watch_test.go
@@ -11,7 +11,8 @@
 const sec = micros.Second
 
 // TestWatchPhases checks that a watch lists its keys page by page, follows changes from the
-// revision of the first page on, and is complete as of when its requests were made, not answered.
+// revision of the first page, and counts as complete as of the times at which its requests were
+// made, not answered.
 func TestWatchPhases(t *testing.T) {
 	w := NewWatch("p/", sec)
 	page := func(at micros.Micros, after string, revision uint64, keys ...string) {
@@ -24,7 +25,7 @@
 		for _, key := range keys {
 			answer.Items = append(answer.Items, wire.KeyValue{Key: key})
 		}
-		w.TakePage(answer)
+		w.AddPage(answer)
 		if wait := w.UntilNext(at); wait > 0 {
 			t.Errorf("the request after a page waits for %v", wait)
 		}
@@ -42,16 +43,16 @@
 	if want := (WatchKeys{Prefix: "p/", Since: 5, WaitMS: WatchTimeout.Millis()}); body != want || timeout <= WatchTimeout {
 		t.Errorf("request %+v with timeout %v, want %+v and a longer timeout", body, timeout, want)
 	}
-	w.TakeChanges(9)
+	w.AdvanceTo(9)
 	if w.Since != 9 || w.CompleteAsOf != 12*sec {
 		t.Errorf("changes since %d, complete as of %v, want 9 and 12 s", w.Since, w.CompleteAsOf)
 	}
 	w.NextRequest(13 * sec)
-	if w.TakeFailure(20*sec, 0); !w.Ready() || w.UntilNext(20*sec) != sec {
+	if w.HandleFailure(20*sec, 0); !w.Ready() || w.UntilNext(20*sec) != sec {
 		t.Errorf("phase %v, next request in %v, want following after a pause of 1 s", w.phase, w.UntilNext(20*sec))
 	}
-	if w.TakeFailure(21*sec, http.StatusRequestEntityTooLarge); w.Ready() {
-		t.Error("not listed anew after an answer that is too large")
+	if w.HandleFailure(21*sec, http.StatusRequestEntityTooLarge); w.Ready() {
+		t.Error("not listed again after an answer that is too large")
 	}
 	page(22*sec, "", 11)
 }
