--- a/internal/controller/assignment.go
+++ b/internal/controller/assignment.go
@@ -44,11 +44,11 @@
 	if r.firstRunAt == 0 {
 		r.firstRunAt = c.now
 	}
-	m.view.reservation.use(j)
+	m.view.reservation.consume(j)
 }
 
-// use takes one task of a job out of the reservation if it is for that job.
-func (r *reservation) use(j *job) {
+// consume takes one task of a job out of the reservation if it is for that job.
+func (r *reservation) consume(j *job) {
 	if r.job != j {
 		return
 	}
--- a/internal/controller/candidates.go
+++ b/internal/controller/candidates.go
@@ -53,15 +53,15 @@
 	if m.rec.Spot && !sub.Spot || !typeAllowed(sub, m.rec.Type) || sub.Zone != "" && sub.Zone != m.rec.Zone {
 		return false
 	}
-	if sub.SameZone && anyOutside(zones, m.rec.Zone) {
+	if sub.SameZone && anyTaskOutside(zones, m.rec.Zone) {
 		return false
 	}
 	mostPerZone := (sub.Tasks + 1) / 2
 	return !sub.Spread || zones[m.rec.Zone] < mostPerZone
 }
 
-// anyOutside reports whether a task is in another zone than the given one.
-func anyOutside(zones map[string]int, zone string) bool {
+// anyTaskOutside reports whether a task is in another zone than the given one.
+func anyTaskOutside(zones map[string]int, zone string) bool {
 	for name, tasks := range zones {
 		if tasks > 0 && name != zone {
 			return true
--- a/internal/controller/capacity.go
+++ b/internal/controller/capacity.go
@@ -47,11 +47,11 @@
 // machineUsage is what the attempts on a machine take. It is counted again only after something
 // has changed there.
 type machineUsage struct {
-	total    scheduling.Resources
-	stopping scheduling.Resources // the part of it that tasks being stopped will leave
-	tasks    int                  // not exited
-	unknown  bool                 // an attempt whose job is not known is among them
-	byTeam   []usage
+	total         scheduling.Resources
+	stopping      scheduling.Resources // the part of it that tasks being stopped will leave
+	tasks         int                  // not exited
+	hasUnknownJob bool                 // an attempt whose job is not known is among them
+	byTeam        []usage
 }
 
 // reservation keeps capacity of a machine for a job that waits for it.
@@ -61,8 +61,8 @@
 	until     micros.Micros
 }
 
-// recountUsage counts anew what a machine's attempts take.
-func (c *Controller) recountUsage(m *machine) {
+// recountMachineUsage counts anew what a machine's attempts take.
+func (c *Controller) recountMachineUsage(m *machine) {
 	v := m.view
 	v.usageStale = false
 	byTeam := v.usage.byTeam
@@ -75,7 +75,7 @@
 		c.visited++
 		v.usage.add(att)
 	}
-	if v.unreconciledFromPredecessor || v.usage.unknown {
+	if v.unreconciledFromPredecessor || v.usage.hasUnknownJob {
 		// It may hold anything that fits, of any team of the shard.
 		mt := c.types.of(m)
 		for i := range byTeam {
@@ -91,7 +91,7 @@
 		return
 	}
 	if att.job == nil {
-		u.unknown = true
+		u.hasUnknownJob = true
 		return
 	}
 	sub := att.job.sub
@@ -103,11 +103,11 @@
 	}
 }
 
-// refresh brings the sums of a shard up to date: what its teams could be using at most. Only
+// refreshUsage brings the sums of a shard up to date: what its teams could be using at most. Only
 // machines that have changed are counted again.
-func (c *Controller) refresh(s *shard) {
+func (c *Controller) refreshUsage(s *shard) {
 	if s.recountAll {
-		c.recountShard(s)
+		c.recountShardUsage(s)
 		return
 	}
 	for _, m := range s.dirtyMachines {
@@ -116,14 +116,14 @@
 			continue
 		}
 		addScaled(s.usage, v.usage.byTeam, -1)
-		c.recountUsage(m)
+		c.recountMachineUsage(m)
 		addScaled(s.usage, v.usage.byTeam, 1)
 	}
 	s.dirtyMachines = s.dirtyMachines[:0]
 }
 
-// recountShard counts anew what is used of every machine of a shard.
-func (c *Controller) recountShard(s *shard) {
+// recountShardUsage counts anew what is used of every machine of a shard.
+func (c *Controller) recountShardUsage(s *shard) {
 	s.recountAll = false
 	s.dirtyMachines = s.dirtyMachines[:0]
 	s.usage = make([]usage, len(c.cfg.Teams))
@@ -131,7 +131,7 @@
 		if m.view == nil {
 			continue
 		}
-		c.recountUsage(m)
+		c.recountMachineUsage(m)
 		addScaled(s.usage, m.view.usage.byTeam, 1)
 	}
 }
@@ -139,7 +139,7 @@
 // usable reports whether a machine may be given tasks.
 func (c *Controller) usable(m *machine) bool {
 	v := m.view
-	known := v.reconciled && v.sequenceKnown && !v.leaseExpired && !m.returned && !v.usage.unknown
+	known := v.reconciled && v.sequenceKnown && !v.leaseExpired && !m.returned && !v.usage.hasUnknownJob
 	if !known {
 		return false
 	}
@@ -163,9 +163,9 @@
 	return all.Minus(m.view.usage.total)
 }
 
-// freeFor returns what a machine has left for a job: capacity that is reserved for another job
+// freeCapacityFor returns what a machine has left for a job: capacity that is reserved for another job
 // does not count.
-func (c *Controller) freeFor(m *machine, j *job) scheduling.Resources {
+func (c *Controller) freeCapacityFor(m *machine, j *job) scheduling.Resources {
 	v := m.view
 	capacity := c.freeCapacity(m)
 	reserved := &v.reservation
@@ -182,5 +182,5 @@
 
 // fits reports whether one task of a job finds capacity on a machine now.
 func (c *Controller) fits(m *machine, j *job) bool {
-	return resourcesOf(j.sub).Fits(c.freeFor(m, j)) && m.view.usage.tasks < maxTasksPerMachine
+	return resourcesOf(j.sub).Fits(c.freeCapacityFor(m, j)) && m.view.usage.tasks < maxTasksPerMachine
 }
--- a/internal/controller/capacity_test.go
+++ b/internal/controller/capacity_test.go
@@ -41,26 +41,26 @@
 				v.reservation = reservation{job: tc.reserved, resources: scheduling.Resources{CPUs: 4}, until: tc.until}
 			}
 			m := &machine{id: "vm-1", rec: machineRecord{Type: "m"}, view: v}
-			if got := c.freeFor(m, tc.asking); got.CPUs != tc.want || got.MemGB != 8 {
+			if got := c.freeCapacityFor(m, tc.asking); got.CPUs != tc.want || got.MemGB != 8 {
 				t.Errorf("free: %+v, want %v CPUs and 8 GB", got, tc.want)
 			}
 		})
 	}
 }
 
-func TestReservationUse(t *testing.T) {
+func TestReservationConsume(t *testing.T) {
 	owner := &job{sub: &wire.Submission{CPUs: 2, MemGB: 1}}
 	other := &job{sub: &wire.Submission{CPUs: 2, MemGB: 1}}
 	r := reservation{job: owner, resources: scheduling.Resources{CPUs: 4, MemGB: 2}, until: sec}
-	r.use(other)
+	r.consume(other)
 	if r.resources.CPUs != 4 {
 		t.Errorf("another job's task took of it: %+v", r.resources)
 	}
-	r.use(owner)
+	r.consume(owner)
 	if r.job != owner || r.resources != (scheduling.Resources{CPUs: 2, MemGB: 1}) {
 		t.Errorf("after one of two tasks: %+v", r.resources)
 	}
-	r.use(owner)
+	r.consume(owner)
 	if r != (reservation{}) {
 		t.Errorf("not released after the last task: %+v", r.resources)
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -121,7 +121,7 @@
 func (c *Controller) start() {
 	c.startedAt = c.now
 	c.stateQueue.StartAt(c.now)
-	c.fleet.budget.StartAt(c.now)
+	c.fleet.cloudBudget.StartAt(c.now)
 	c.maintenance.lastRunAt = c.now - stallThreshold
 }
 
--- a/internal/controller/demand.go
+++ b/internal/controller/demand.go
@@ -17,12 +17,12 @@
 	// maxBusyRows bounds how many busy machines of a shard are named: the leader moves and drains
 	// only those that are soon or nearly empty.
 	maxBusyRows = 40
-	// maxRowBytes bounds the rows of all other machines of this controller, so that a message
+	// maxTotalRowBytes bounds the rows of all other machines of this controller, so that a message
 	// stays within peer.MaxMessage: 6,000 machines whose names are as long as a UUID. The rest is
 	// named once the first are dealt with, and all of them are counted.
-	maxRowBytes = 640 << 10
-	// rowBytes is the most that a row takes beside its machine's name.
-	rowBytes = 60
+	maxTotalRowBytes = 640 << 10
+	// rowOverheadBytes is the most that a row takes beside its machine's name.
+	rowOverheadBytes = 60
 	// minUnansweredCommands is the number of unanswered direct commands from which on an
 	// unreconciled machine counts as silent.
 	minUnansweredCommands = 2
@@ -32,15 +32,15 @@
 	// minSlowTasks of its tasks were slow.
 	unhealthySlowness = 0.4
 	minSlowTasks      = 3
-	// movedDivisor divides the expected run time of a task that cannot save into what it may have
+	// movableRunTimeDivisor divides the expected run time of a task that cannot save into what it may have
 	// run to be moved.
-	movedDivisor = 3
+	movableRunTimeDivisor = 3
 )
 
 // demands returns what each shard of this controller wants and has.
 func (c *Controller) demands() []peer.Demand {
 	var demands []peer.Demand
-	remainingBytes := maxRowBytes
+	remainingBytes := maxTotalRowBytes
 	for _, s := range c.ownership.shards {
 		if c.ownership.activeShard(s.id) != nil {
 			var d peer.Demand
@@ -54,7 +54,7 @@
 // demandOf returns what a shard wants and has. Rows of machines that are not busy take at most
 // remainingBytes; it also returns what is left of that.
 func (c *Controller) demandOf(s *shard, remainingBytes int) (peer.Demand, int) {
-	c.refresh(s)
+	c.refreshUsage(s)
 	d := peer.Demand{
 		Shard:       s.id,
 		ArrivalCPUs: s.arrivals.Rate(c.now),
@@ -62,7 +62,7 @@
 		Guarantee:   c.guaranteedCPUs(s),
 	}
 	remainingBytes = c.addMachines(s, &d, remainingBytes)
-	d.Groups = c.waitingGroups(s)
+	d.Groups = c.waitingTaskGroups(s)
 	return d, remainingBytes
 }
 
@@ -98,7 +98,7 @@
 		c.addAttempts(m, d, &row)
 		if row.State == peer.MachineBusy {
 			busy = append(busy, row)
-		} else if size := rowBytes + len(row.ID); size <= remainingBytes {
+		} else if size := rowOverheadBytes + len(row.ID); size <= remainingBytes {
 			remainingBytes -= size
 			d.Machines = append(d.Machines, row)
 		}
@@ -115,7 +115,7 @@
 	v := m.view
 	cpus := c.types.cpusOf(m)
 	used := min(v.usage.total.CPUs, cpus)
-	row := peer.Machine{ID: m.id, State: c.stateOf(m), Busy: used, Movable: true}
+	row := peer.Machine{ID: m.id, State: c.machineState(m), Busy: used, Movable: true}
 	if row.State == peer.MachineBooting {
 		d.Booting += cpus
 		return row
@@ -215,15 +215,15 @@
 		return true
 	}
 	ran := c.now - att.runAt
-	if att.job.run.stopsByTask[att.index] > 0 || movedDivisor*ran > c.estimates.Expect(att.job.sub) {
+	if att.job.run.stopsByTask[att.index] > 0 || movableRunTimeDivisor*ran > c.estimates.Expect(att.job.sub) {
 		return false
 	}
-	due := c.dueOf(att.job)
+	due := c.dueTime(att.job)
 	return due < micros.Never && c.wall > due
 }
 
-// stateOf returns how a machine counts for the leader.
-func (c *Controller) stateOf(m *machine) peer.MachineState {
+// machineState returns how a machine counts for the leader.
+func (c *Controller) machineState(m *machine) peer.MachineState {
 	v := m.view
 	switch {
 	case v.unreconciledFromPredecessor:
@@ -232,7 +232,7 @@
 		return peer.MachineBooting
 	case c.silent(m):
 		return peer.MachineSilent
-	case c.toBeReplaced(m):
+	case c.needsReplacement(m):
 		return peer.MachineUnhealthy
 	case v.releasing || c.now < v.plannedUntil:
 		return peer.MachineDraining
@@ -253,34 +253,34 @@
 	return c.leaseRunningOut(v) && v.empty()
 }
 
-// toBeReplaced reports whether a machine fails or slows tasks, or is being taken away.
-func (c *Controller) toBeReplaced(m *machine) bool {
+// needsReplacement reports whether a machine fails or slows tasks, or is being taken away.
+func (c *Controller) needsReplacement(m *machine) bool {
 	v := m.view
 	fails := v.faulty && c.now < v.cordonedUntil
 	return fails || v.reclaimAt != 0 || c.slowness(m) > unhealthySlowness && v.slowCount > minSlowTasks
 }
 
-// maxGroups bounds the groups of waiting tasks of a shard.
-const maxGroups = 32
+// maxWaitingTaskGroups bounds the groups of waiting tasks of a shard.
+const maxWaitingTaskGroups = 32
 
-// groupKey is what the tasks of a group have in common.
-type groupKey struct {
+// waitingTasksKey is what the tasks of a group have in common.
+type waitingTasksKey struct {
 	zone, types string
 	spot        bool
 	cpus, gpus  float64
 	priority    int
 }
 
-// groupKeyOf returns the key of a job's group.
-func groupKeyOf(j *job) groupKey {
+// waitingTasksKeyOf returns the key of a job's group.
+func waitingTasksKeyOf(j *job) waitingTasksKey {
 	types := strings.Join(j.sub.Types, " ")
-	return groupKey{zone: j.sub.Zone, types: types, spot: j.sub.Spot, cpus: j.sub.CPUs, gpus: j.sub.GPUs, priority: j.priority}
+	return waitingTasksKey{zone: j.sub.Zone, types: types, spot: j.sub.Spot, cpus: j.sub.CPUs, gpus: j.sub.GPUs, priority: j.priority}
 }
 
-// waitingGroups gathers a shard's waiting tasks by what they need. A team's tasks beyond its limit
+// waitingTaskGroups gathers a shard's waiting tasks by what they need. A team's tasks beyond its limit
 // are not counted: machines would not help them.
-func (c *Controller) waitingGroups(s *shard) []peer.WaitingTasks {
-	index := map[groupKey]int{}
+func (c *Controller) waitingTaskGroups(s *shard) []peer.WaitingTasks {
+	index := map[waitingTasksKey]int{}
 	var groups []peer.WaitingTasks
 	headroom := c.teamHeadroom(s)
 	quotas := quotaHeadroom{}
@@ -291,15 +291,15 @@
 		pending := j.pending()
 		count := headroom.take(j, pending)
 		count = c.quota.takeQuota(quotas, s, j, count)
-		key := groupKeyOf(j)
+		key := waitingTasksKeyOf(j)
 		i, known := index[key]
 		if !known {
-			if len(groups) >= maxGroups {
+			if len(groups) >= maxWaitingTaskGroups {
 				continue
 			}
 			i = len(groups)
 			index[key] = i
-			groups = append(groups, groupOf(j))
+			groups = append(groups, newWaitingTasks(j))
 		}
 		g := &groups[i]
 		g.Waiting += count
@@ -316,8 +316,8 @@
 	return r != nil && r.checkpointApplied && !r.end.requested() && r.nextRetryAt == 0 && j.pending() > 0
 }
 
-// groupOf returns the group of a job's tasks, without any tasks yet.
-func groupOf(j *job) peer.WaitingTasks {
+// newWaitingTasks returns the group of a job's tasks, without any tasks yet.
+func newWaitingTasks(j *job) peer.WaitingTasks {
 	return peer.WaitingTasks{
 		Types:    j.sub.Types,
 		Any:      j.sub.Types == nil,
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -214,7 +214,7 @@
 	if !free.withinGuarantee {
 		t.Error("a blocked job takes of its team's guarantee")
 	}
-	if d, _ := c.demandOf(s, maxRowBytes); fleet.WaitingCPUs(&d)+d.Busy > 3+scheduling.Tolerance {
+	if d, _ := c.demandOf(s, maxTotalRowBytes); fleet.WaitingCPUs(&d)+d.Busy > 3+scheduling.Tolerance {
 		t.Errorf("%v CPUs are wanted: a blocked job is among them", fleet.WaitingCPUs(&d)+d.Busy)
 	}
 	if got := h.state("job-000002"); got != wire.StatePending {
--- a/internal/controller/first_start.go
+++ b/internal/controller/first_start.go
@@ -48,10 +48,10 @@
 // start. Nothing is stopped for it.
 func (c *Controller) reserveCapacity(s *shard, j *job) {
 	r := j.run
-	if !c.overdue(j) || c.now < r.reservedUntil || c.scheduling.preemption.searches <= 0 {
+	if !c.overdue(j) || c.now < r.reservedUntil || c.scheduling.preemptionBudget.searches <= 0 {
 		return
 	}
-	c.scheduling.preemption.searches--
+	c.scheduling.preemptionBudget.searches--
 	m, availableIn := c.soonestCapacity(s, j)
 	if m == nil {
 		return
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -21,11 +21,11 @@
 // shards and returns them, and places no tasks.
 type fleetState struct {
 	*stepContext
-	budget ratelimit.Bucket // of requests to the cloud
+	cloudBudget ratelimit.Bucket // of requests to the cloud
 
-	ledAt    micros.Micros // when this controller began to lead
-	first    bool          // nothing was on record then
-	planNext micros.Micros // when the fleet is next planned
+	leadingSince     micros.Micros // when this controller began to lead
+	noRecordsAtStart bool          // nothing was on record then
+	nextPlanAt       micros.Micros // when the fleet is next planned
 
 	cloudTypes
 	cloudList
@@ -45,7 +45,7 @@
 
 // init prepares the state of a controller that does not lead.
 func (f *fleetState) init(cfg Config) {
-	f.budget = ratelimit.NewBucket(cfg.CloudRPS * cloudRateFraction)
+	f.cloudBudget = ratelimit.NewBucket(cfg.CloudRPS * cloudRateFraction)
 	f.typesAt = -micros.Never
 	f.reset()
 }
@@ -71,9 +71,9 @@
 	c.fleet.refuseRegistrations()
 	f := &c.fleet
 	f.reset()
-	f.ledAt = c.now
-	f.planNext = c.now
-	f.first = len(c.machineRecords.sets) == 0
+	f.leadingSince = c.now
+	f.nextPlanAt = c.now
+	f.noRecordsAtStart = len(c.machineRecords.sets) == 0
 	for _, label := range c.cfg.Peers {
 		c.peers[label].returnedMachines = nil
 	}
@@ -92,7 +92,7 @@
 
 // askCloud sends a request if the budget allows it, and reports whether it did.
 func (f *fleetState) askCloud(req any, timeout micros.Micros, done func(Result)) bool {
-	b := &f.budget
+	b := &f.cloudBudget
 	b.Refill(f.now)
 	if b.Tokens() < 1 {
 		return false
@@ -116,15 +116,15 @@
 	c.refreshList()
 	c.recordRegistrations()
 	c.maintainCreations()
-	if c.now >= f.planNext {
-		f.planNext = c.now + fleetPlanInterval
+	if c.now >= f.nextPlanAt {
+		f.nextPlanAt = c.now + fleetPlanInterval
 		c.planFleet()
 	}
 }
 
 // planFleet assigns machines to shards, and decides which to rent, to move and to return.
 func (c *Controller) planFleet() {
-	demands := c.allDemand()
+	demands := c.latestDemands()
 	c.logFreeCapacities()
 	inventoryKnown := c.fleet.listedAt != 0 && c.types.known()
 	if inventoryKnown {
--- a/internal/controller/fleet_plan.go
+++ b/internal/controller/fleet_plan.go
@@ -23,8 +23,8 @@
 	return fleet.Catalog{Types: c.types.byName, Names: c.types.names}
 }
 
-// allDemand returns the newest demand of every shard.
-func (c *Controller) allDemand() fleet.Demands {
+// latestDemands returns the newest demand of every shard.
+func (c *Controller) latestDemands() fleet.Demands {
 	demands := fleet.Demands{}
 	for _, label := range c.cfg.Peers {
 		p := c.peers[label]
@@ -53,10 +53,10 @@
 // not needed.
 func (c *Controller) resizeFleet(demands fleet.Demands) {
 	allKnown := len(demands) >= len(c.ownership.shards)
-	if !allKnown && c.now < c.fleet.ledAt+firstPlanDelay {
+	if !allKnown && c.now < c.fleet.leadingSince+firstPlanDelay {
 		return
 	}
-	c.forgetRentals()
+	c.pruneRentals()
 	machines, bootingCPUs := c.countFleet()
 	sums := c.sumDemands(demands, bootingCPUs)
 	c.scaleOut(demands, sums, c.cfg.MaxMachines-machines)
@@ -66,8 +66,8 @@
 	c.replaceUnhealthy(demands)
 }
 
-// forgetRentals forgets the rented machines that are on record or will not come any more.
-func (c *Controller) forgetRentals() {
+// pruneRentals forgets the rented machines that are on record or will not come any more.
+func (c *Controller) pruneRentals() {
 	f := &c.fleet
 	for id, r := range f.rented {
 		if c.machines[id] != nil || f.returned[id] != 0 || c.now-r.at > rentalValidity {
--- a/internal/controller/free_capacity_log.go
+++ b/internal/controller/free_capacity_log.go
@@ -5,15 +5,15 @@
 
 // The reasons in the order in which they are logged.
 const (
-	unusedFree         unusedReason = iota
-	unusedReserved                  // kept for one job
-	unusedUnreconciled              // what is on the machine is not known yet
-	unusedOverdue                   // the machine cannot be reached
-	unusedNotice                    // the cloud is about to take the machine away
+	unusedFree          unusedReason = iota
+	unusedReserved                   // kept for one job
+	unusedUnreconciled               // what is on the machine is not known yet
+	unusedOverdue                    // the machine cannot be reached
+	unusedReclaimNotice              // the cloud is about to take the machine away
 	unusedCordoned
 	unusedReleasing // the machine leaves its shard
 	unusedOther
-	unusedReasons // their number
+	unusedReasonCount // their number
 )
 
 // String returns the reason as it stands in the log.
@@ -27,7 +27,7 @@
 		return "unreconciled"
 	case unusedOverdue:
 		return "overdue"
-	case unusedNotice:
+	case unusedReclaimNotice:
 		return "notice"
 	case unusedCordoned:
 		return "cordoned"
@@ -62,7 +62,7 @@
 }
 
 // sumUnused adds up the unused CPUs of a shard by reason.
-func (c *Controller) sumUnused(s *shard) (cpus [unusedReasons]float64) {
+func (c *Controller) sumUnused(s *shard) (cpus [unusedReasonCount]float64) {
 	for _, m := range s.machines {
 		if v := m.view; v != nil && !m.returned && !v.neverCommanded {
 			cpus[c.unusedReason(m)] += c.types.cpusOf(m) - v.usage.total.CPUs
@@ -84,7 +84,7 @@
 	case c.sinceLastHeartbeat(v) > c.heartbeatDeadlines.Overdue || c.unreachable(m) || c.leaseRunningOut(v):
 		return unusedOverdue
 	case v.reclaimAt != 0:
-		return unusedNotice
+		return unusedReclaimNotice
 	case c.now < v.cordonedUntil || c.now < v.backoffUntil:
 		return unusedCordoned
 	case v.releasing || c.now < v.plannedUntil:
--- a/internal/controller/heartbeats_test.go
+++ b/internal/controller/heartbeats_test.go
@@ -40,7 +40,7 @@
 	h.heartbeat(heartbeatFrom("vm-1", 1, 11, fencingToken, wire.TaskStatus{Task: "job-000001/0", Attempt: a, State: wire.TaskRunning}))
 	last := h.now
 	other := h.reconcile("vm-2")
-	h.c.fleet.planNext = micros.Never // keep the idle machine
+	h.c.fleet.nextPlanAt = micros.Never // keep the idle machine
 	for seq := uint64(20); h.now < last+14*sec; seq++ {
 		h.run(sec / 2)
 		_, body := h.heartbeat(heartbeatFrom("vm-2", 1, seq, other))
@@ -104,7 +104,7 @@
 			a := h.startOne(fencingToken)
 			h.heartbeat(heartbeatFrom("vm-1", 1, 11, fencingToken, wire.TaskStatus{Task: "job-000001/0", Attempt: a, State: wire.TaskRunning}))
 			other := h.reconcile("vm-2")
-			h.c.fleet.planNext = micros.Never // keep the idle machine
+			h.c.fleet.nextPlanAt = micros.Never // keep the idle machine
 			h.stateDown, h.peersDown = tc.alone, tc.alone
 			started := false
 			for seq := uint64(20); seq < 50; seq++ {
@@ -228,7 +228,7 @@
 		t.Errorf("%d direct commands with a start to a machine whose lease is running out", n)
 	}
 	m := h.c.machines["vm-1"]
-	if st := h.c.stateOf(m); st == peer.MachineSilent {
+	if st := h.c.machineState(m); st == peer.MachineSilent {
 		t.Error("taken for silent with a task on it that may be completed")
 	}
 	for range 12 {
@@ -238,7 +238,7 @@
 	if s := h.state("job-000001"); s != wire.StateDone {
 		t.Errorf("called %q, its task is done", s)
 	}
-	if st := h.c.stateOf(m); st != peer.MachineSilent {
+	if st := h.c.machineState(m); st != peer.MachineSilent {
 		t.Errorf("state %d: an empty machine whose heartbeats are not answered is of no use", st)
 	}
 	if status, body := h.heartbeat(heartbeatFrom("vm-1", 1, 2000, fencingToken)); status != 200 || len(starts(body.Commands)) != 1 {
--- a/internal/controller/idempotency_test.go
+++ b/internal/controller/idempotency_test.go
@@ -51,7 +51,7 @@
 		id := machineName(i)
 		_, body := h.heartbeat(heartbeatFrom(id, 1, 10, tokens[id]))
 		cmds := starts(body.Commands)
-		h.heartbeat(heartbeatFrom(id, 1, 11, tokens[id], shown(cmds, wire.TaskRunning)...))
+		h.heartbeat(heartbeatFrom(id, 1, 11, tokens[id], taskStatuses(cmds, wire.TaskRunning)...))
 		h.run(sec)
 		h.dropCalls()
 		h.heartbeat(heartbeatFrom(id, 1, 12, tokens[id], shownDone(cmds)...))
@@ -97,7 +97,7 @@
 // returnIdleMachines lets time pass until all machines are returned.
 func (h *harness) returnIdleMachines() {
 	h.t.Helper()
-	h.c.fleet.planNext = h.now
+	h.c.fleet.nextPlanAt = h.now
 	for seq := uint64(40); seq < 80; seq++ {
 		h.run(sec)
 		h.dropCalls()
@@ -126,7 +126,7 @@
 		tokens[machineName(i)] = h.reconcile(machineName(i))
 	}
 	h.checkRepeatsDoNothing("assignment")
-	h.c.fleet.planNext = micros.Never // idle machines stay for now
+	h.c.fleet.nextPlanAt = micros.Never // idle machines stay for now
 	h.submit(jobOf("job-000001", 2))
 	h.submit(jobOf("job-000002", 400))
 	h.checkRepeatsDoNothing("accepting")
@@ -198,9 +198,9 @@
 			case "running", "done":
 				h.dropCalls()
 				_, body := h.heartbeat(heartbeatFrom("vm-1", 1, 10, fencingToken))
-				h.heartbeat(heartbeatFrom("vm-1", 1, 11, fencingToken, shown(starts(body.Commands), wire.TaskRunning)...))
+				h.heartbeat(heartbeatFrom("vm-1", 1, 11, fencingToken, taskStatuses(starts(body.Commands), wire.TaskRunning)...))
 				if tc.since == "done" {
-					end := shown(starts(body.Commands), wire.TaskExited)
+					end := taskStatuses(starts(body.Commands), wire.TaskExited)
 					end[0].ExitReason = wire.ExitDone
 					h.heartbeat(heartbeatFrom("vm-1", 1, 12, fencingToken, end...))
 					h.run(sec)
@@ -279,5 +279,5 @@
 	if len(cmds) == 0 {
 		h.t.Fatal("nothing was started")
 	}
-	h.heartbeat(heartbeatFrom(id, 1, 11, fencingToken, shown(cmds, wire.TaskRunning)...))
+	h.heartbeat(heartbeatFrom(id, 1, 11, fencingToken, taskStatuses(cmds, wire.TaskRunning)...))
 }
--- a/internal/controller/inventory.go
+++ b/internal/controller/inventory.go
@@ -213,7 +213,7 @@
 // listInterval returns the time after which a list of so many machines is read again.
 func (f *fleetState) listInterval(machines int) micros.Micros {
 	pages := float64(machines/listPageSize + 1)
-	withinBudget := micros.FromSeconds(listBudgetDivisor * pages / f.budget.Rate())
+	withinBudget := micros.FromSeconds(listBudgetDivisor * pages / f.cloudBudget.Rate())
 	return max(f.cfg.ListLag/2, minListInterval, withinBudget)
 }
 
--- a/internal/controller/job_queue.go
+++ b/internal/controller/job_queue.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// waiting returns the queue from the first job on that has tasks waiting.
-func (c *Controller) waiting(s *shard) []*job {
+// waitingJobs returns the queue from the first job on that has tasks waitingJobs.
+func (c *Controller) waitingJobs(s *shard) []*job {
 	queue := c.queue(s)
 	for s.firstWaiting < len(queue) && !hasPendingTasks(queue[s.firstWaiting]) {
 		s.firstWaiting++
@@ -148,6 +148,6 @@
 	}
 	knownInTime := j.knownAt <= c.ownership.lease.RenewedAt()+c.bounds.LeaseValidity
 	// Else a former owner may have started its tasks on a machine that is not reconciled yet.
-	startedByNobody := r.acceptedUnderClaim || s.jobsViewCurrent && s.reconciled
-	return knownInTime && startedByNobody
+	notStartedElsewhere := r.acceptedUnderClaim || s.jobsViewCurrent && s.reconciled
+	return knownInTime && notStartedElsewhere
 }
--- a/internal/controller/job_queue_test.go
+++ b/internal/controller/job_queue_test.go
@@ -8,27 +8,27 @@
 	"garnethitch/internal/wire"
 )
 
-// TestQueue checks that the waiting jobs of a shard are served in the order of priority, guarantee,
+// TestQueueOrder checks that the waiting jobs of a shard are served in the order of priority, guarantee,
 // work and age.
-func TestQueue(t *testing.T) {
-	type jb struct {
+func TestQueueOrder(t *testing.T) {
+	type queuedJob struct {
 		id, priority string
 		tasks        int
 		age          micros.Micros // how long ago it was accepted
 	}
 	for _, tc := range []struct {
 		name string
-		jobs []jb
+		jobs []queuedJob
 		want string
 	}{
-		{"priority first", []jb{{"1", "standard", 1, 0}, {"2", "high", 50, 0}, {"3", "best_effort", 1, 0}}, "213"},
-		{"little work first", []jb{{"1", "standard", 40, 0}, {"2", "standard", 2, 0}, {"3", "standard", 20, 0}}, "231"},
-		{"a large one ages", []jb{{"1", "standard", 4, 0}, {"2", "standard", 40, 800 * sec}}, "21"},
-		{"equals by age", []jb{{"1", "standard", 4, 0}, {"2", "standard", 4, sec}}, "21"},
-		{"within the guarantee first", []jb{{"1", "standard", 30, 2 * sec}, {"2", "standard", 12, sec}}, "12"},
-		{"guaranteed, and half of its time is over", []jb{{"1", "high", 30, 0}, {"2", "best_effort", 12, 60 * sec}}, "21"},
-		{"guaranteed, with time left", []jb{{"1", "high", 30, 0}, {"2", "best_effort", 12, 40 * sec}}, "12"},
-		{"beyond the guarantee, for long", []jb{{"1", "high", 3, 90 * sec}, {"2", "best_effort", 31, 60 * sec}}, "12"},
+		{"priority first", []queuedJob{{"1", "standard", 1, 0}, {"2", "high", 50, 0}, {"3", "best_effort", 1, 0}}, "213"},
+		{"little work first", []queuedJob{{"1", "standard", 40, 0}, {"2", "standard", 2, 0}, {"3", "standard", 20, 0}}, "231"},
+		{"a large one ages", []queuedJob{{"1", "standard", 4, 0}, {"2", "standard", 40, 800 * sec}}, "21"},
+		{"equals by age", []queuedJob{{"1", "standard", 4, 0}, {"2", "standard", 4, sec}}, "21"},
+		{"within the guarantee first", []queuedJob{{"1", "standard", 30, 2 * sec}, {"2", "standard", 12, sec}}, "12"},
+		{"guaranteed, and half of its time is over", []queuedJob{{"1", "high", 30, 0}, {"2", "best_effort", 12, 60 * sec}}, "21"},
+		{"guaranteed, with time left", []queuedJob{{"1", "high", 30, 0}, {"2", "best_effort", 12, 40 * sec}}, "12"},
+		{"beyond the guarantee, for long", []queuedJob{{"1", "high", 3, 90 * sec}, {"2", "best_effort", 31, 60 * sec}}, "12"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t, func(c *Config) {
--- a/internal/controller/machine_health_test.go
+++ b/internal/controller/machine_health_test.go
@@ -81,10 +81,10 @@
 			h.submit(jobOf("job-000001", 1))
 			_, body := h.heartbeat(heartbeatFrom("vm-1", 1, 4, fencingToken))
 			h.dropCalls()
-			run := shown(starts(body.Commands), wire.TaskRunning)
+			run := taskStatuses(starts(body.Commands), wire.TaskRunning)
 			if len(run) == 0 {
 				_, body = h.heartbeat(heartbeatFrom("vm-1", 1, 5, fencingToken))
-				run = shown(starts(body.Commands), wire.TaskRunning)
+				run = taskStatuses(starts(body.Commands), wire.TaskRunning)
 			}
 			h.heartbeat(heartbeatFrom("vm-1", 1, 6, fencingToken, run...))
 			h.peersDown = true
--- a/internal/controller/machine_records_test.go
+++ b/internal/controller/machine_records_test.go
@@ -29,7 +29,7 @@
 				h.lose = wire.PrefixFleet
 				h.watchBlocked = wire.PrefixControl
 			}
-			h.c.fleet.planNext = micros.Never
+			h.c.fleet.nextPlanAt = micros.Never
 			h.c.release(peer.Release{Machines: []string{"vm-1"}, Shard: 1 - from})
 			h.step(Tick{})
 			if tc.lose {
@@ -160,7 +160,7 @@
 	h.heartbeat(heartbeatFrom("vm-1", 1, 1, 0))
 	m := h.c.machines["vm-1"]
 	m.recordSet.nextWriteAt = 0
-	h.c.fleet.planNext = micros.Never
+	h.c.fleet.nextPlanAt = micros.Never
 	h.late = wire.PrefixFleet
 	if h.c.release(peer.Release{Machines: []string{"vm-1"}, Shard: 1 - m.rec.Shard}); !m.view.releasing {
 		t.Fatal("not releasing: the case is not what it should be")
--- a/internal/controller/maintenance.go
+++ b/internal/controller/maintenance.go
@@ -92,7 +92,7 @@
 // long.
 func (c *Controller) restAfter(took micros.Micros) {
 	until := c.now + min(restFactor*took, maxRest)
-	c.scheduling.restAfterRound(until)
+	c.scheduling.postponeNextRound(until)
 	c.maintenance.restAfterWalk(until)
 }
 
--- a/internal/controller/peer_requests.go
+++ b/internal/controller/peer_requests.go
@@ -12,7 +12,7 @@
 func (c *Controller) handlePeerRequest(in PeerRequest) {
 	req := in.Req
 	if req.Quota != nil {
-		c.quotaRequest(in.Reply, *req.Quota)
+		c.handleQuotaRequest(in.Reply, *req.Quota)
 		return
 	}
 	p := c.peers[req.From]
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -50,11 +50,11 @@
 		c.scheduleLater(at - c.now)
 		return
 	}
-	if c.scheduling.preemption.exhausted() {
+	if c.scheduling.preemptionBudget.exhausted() {
 		c.schedulingDue = true // in the next round
 		return
 	}
-	c.scheduling.preemption.searches--
+	c.scheduling.preemptionBudget.searches--
 	r.nextPreemptionAt = c.now + preemptionInterval
 	plan := c.planPreemption(s, j)
 	c.executePreemption(j, plan)
@@ -62,31 +62,31 @@
 
 // preemptionPlan is where capacity can be made for a job.
 type preemptionPlan struct {
-	tasks  int              // tasks that capacity is to be made for
-	offers preemptionOffers // one for each machine
+	tasks   int            // tasks that capacity is to be made for
+	options preemptionHeap // one for each machine
 }
 
-// preemptionOffer is the cheapest way to make capacity for one task on a machine.
-type preemptionOffer struct {
+// preemptionOption is the cheapest way to make capacity for one task on a machine.
+type preemptionOption struct {
 	machine *machine
 	victims []*attempt
 	cost    float64 // CPU seconds
 }
 
-// preemptionOffers is a heap.Interface, the cheapest offer first.
-type preemptionOffers []*preemptionOffer
+// preemptionHeap is a heap.Interface, the cheapest offer first.
+type preemptionHeap []*preemptionOption
 
-func (h preemptionOffers) Len() int { return len(h) }
+func (h preemptionHeap) Len() int { return len(h) }
 
-func (h preemptionOffers) Less(i, j int) bool {
+func (h preemptionHeap) Less(i, j int) bool {
 	return cmp.Or(cmp.Compare(h[i].cost, h[j].cost), cmp.Compare(h[i].machine.id, h[j].machine.id)) < 0
 }
 
-func (h preemptionOffers) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h preemptionHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-func (h *preemptionOffers) Push(x any) { *h = append(*h, x.(*preemptionOffer)) }
+func (h *preemptionHeap) Push(x any) { *h = append(*h, x.(*preemptionOption)) }
 
-func (h *preemptionOffers) Pop() any {
+func (h *preemptionHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
 	*h = old[:len(old)-1]
@@ -112,11 +112,11 @@
 		if reserved.job != nil && inForce {
 			continue
 		}
-		if o := c.preemptionOffer(j, m); o != nil {
-			plan.offers = append(plan.offers, o)
+		if option := c.cheapestPreemption(j, m); option != nil {
+			plan.options = append(plan.options, option)
 		}
 	}
-	heap.Init(&plan.offers)
+	heap.Init(&plan.options)
 	return plan
 }
 
@@ -129,19 +129,19 @@
 // the round's budget is spent, or the next one costs too much.
 func (c *Controller) executePreemption(j *job, plan *preemptionPlan) {
 	maxLoss := c.preemptionPolicy.maxLoss(j)
-	offers := &plan.offers
-	for plan.tasks > 0 && offers.Len() > 0 && c.scheduling.preemption.stops > 0 && (*offers)[0].cost <= maxLoss {
-		cheapest := (*offers)[0]
-		c.takeOffer(j, cheapest)
+	options := &plan.options
+	for plan.tasks > 0 && options.Len() > 0 && c.scheduling.preemptionBudget.stops > 0 && (*options)[0].cost <= maxLoss {
+		cheapest := (*options)[0]
+		c.preemptAndReserve(j, cheapest)
 		plan.tasks--
-		if next := c.preemptionOffer(j, cheapest.machine); next != nil {
-			(*offers)[0] = next
-			heap.Fix(offers, 0)
+		if next := c.cheapestPreemption(j, cheapest.machine); next != nil {
+			(*options)[0] = next
+			heap.Fix(options, 0)
 		} else {
-			heap.Pop(offers)
+			heap.Pop(options)
 		}
 	}
-	if plan.tasks > 0 && c.scheduling.preemption.stops <= 0 {
+	if plan.tasks > 0 && c.scheduling.preemptionBudget.stops <= 0 {
 		j.run.nextPreemptionAt = 0
 		c.schedulingDue = true
 	}
@@ -156,37 +156,37 @@
 	if !waitsForPreemption || m.view.reservation.job != nil || !c.allowed(j, m, c.zonesOf(j)) {
 		return
 	}
-	if o := c.preemptionOffer(j, m); o != nil && o.cost <= c.preemptionPolicy.maxLoss(j) {
-		c.takeOffer(j, o)
+	if option := c.cheapestPreemption(j, m); option != nil && option.cost <= c.preemptionPolicy.maxLoss(j) {
+		c.preemptAndReserve(j, option)
 	}
 }
 
-// preemptionOffer returns how a machine could make capacity for one more task of a job beside
+// cheapestPreemption returns how a machine could make capacity for one more task of a job beside
 // what is reserved there for the job, or nil if it cannot.
-func (c *Controller) preemptionOffer(j *job, m *machine) *preemptionOffer {
-	o := &preemptionOffer{machine: m}
+func (c *Controller) cheapestPreemption(j *job, m *machine) *preemptionOption {
+	option := &preemptionOption{machine: m}
 	if !m.view.images[j.sub.Image] {
-		o.cost = missingImageCost
+		option.cost = missingImageCost
 	}
 	need := resourcesOf(j.sub)
-	free := c.freeOnceStopped(j, m)
+	free := c.freeAfterStops(j, m)
 	if need.Fits(free) {
-		return o
+		return option
 	}
-	chosen, cost, enough := scheduling.CheapestVictims(c.possibleVictims(j, m), need, free, o.cost)
+	chosen, cost, enough := scheduling.CheapestVictims(c.possibleVictims(j, m), need, free, option.cost)
 	if !enough {
 		return nil
 	}
-	o.cost = cost
+	option.cost = cost
 	for i := range chosen {
-		o.victims = append(o.victims, m.view.list[chosen[i].Attempt])
+		option.victims = append(option.victims, m.view.list[chosen[i].Attempt])
 	}
-	return o
+	return option
 }
 
-// freeOnceStopped returns what a machine will have left once tasks that are being stopped have
+// freeAfterStops returns what a machine will have left once tasks that are being stopped have
 // gone, without what is reserved for the job.
-func (c *Controller) freeOnceStopped(j *job, m *machine) scheduling.Resources {
+func (c *Controller) freeAfterStops(j *job, m *machine) scheduling.Resources {
 	v := m.view
 	free := c.freeCapacity(m).Plus(v.usage.stopping)
 	if v.reservation.job == j && c.now < v.reservation.until {
@@ -224,24 +224,24 @@
 	return att.tracked && att.job.priority < j.priority || att.prefetch
 }
 
-// takeOffer stops an offer's tasks and reserves the capacity for the job, or a job further down
+// preemptAndReserve stops an offer's tasks and reserves the capacity for the job, or a job further down
 // the queue would take it and be stopped for it in turn.
-func (c *Controller) takeOffer(j *job, o *preemptionOffer) {
-	for _, att := range o.victims {
-		c.scheduling.preemption.stops--
+func (c *Controller) preemptAndReserve(j *job, option *preemptionOption) {
+	for _, att := range option.victims {
+		c.scheduling.preemptionBudget.stops--
 		if r := att.job.run; r != nil && att.tracked {
 			r.stopsByTask[att.index]++
 		}
 		c.stop(att, c.preemptionPolicy.stopMode(att, j))
-		c.log(Debug, "task stopped for a job of higher priority", "task", wire.TaskName(att.job.id, att.index), "machine", o.machine.id, "for", j.id)
+		c.log(Debug, "task stopped for a job of higher priority", "task", wire.TaskName(att.job.id, att.index), "machine", option.machine.id, "for", j.id)
 	}
-	reserved := &o.machine.view.reservation
+	reserved := &option.machine.view.reservation
 	if reserved.job != j {
 		*reserved = reservation{job: j}
 	}
 	reserved.resources = reserved.resources.Plus(resourcesOf(j.sub))
 	reserved.until = c.now + reservationDuration
-	c.refresh(c.ownership.shards[o.machine.rec.Shard])
+	c.refreshUsage(c.ownership.shards[option.machine.rec.Shard])
 }
 
 // stop has an attempt stopped; one that was never sent is just removed.
--- a/internal/controller/preemption_policy.go
+++ b/internal/controller/preemption_policy.go
@@ -11,18 +11,18 @@
 const (
 	// smallLoss is what may be lost for a task at once, in CPU seconds.
 	smallLoss = 100
-	// promptStart is the objective for the start of tasks below which capacity is not waited for.
+	// immediatePreemptionObjective is the objective for the start of tasks below which capacity is not waited for.
 	// defaultPreemptionDelay is how long it is waited for where there is no objective.
-	promptStart            = 10 * micros.Second
-	defaultPreemptionDelay = micros.Second
+	immediatePreemptionObjective = 10 * micros.Second
+	defaultPreemptionDelay       = micros.Second
 	// An objective divided by preemptionDelayDivisor is how long capacity is waited for, divided
 	// by smallLossDivisor for how long after that no more than smallLoss may be lost.
 	preemptionDelayDivisor = 10
 	smallLossDivisor       = 2
 	// smallLossDuration is for how long that is so where there is no objective.
 	smallLossDuration = 5 * micros.Second
-	// nearDeadline is the time left to start a job's tasks from which on its deadline is near.
-	nearDeadline = 15 * micros.Second
+	// nearDeadlineSlack is the time left to start a job's tasks from which on its deadline is near.
+	nearDeadlineSlack = 15 * micros.Second
 	// saveTimeFactor is how many times a victim's time to save an objective must be for the victim
 	// to be given that time.
 	saveTimeFactor = 2
@@ -39,7 +39,7 @@
 // are stopped for it. Tasks end all the time, and work that is stopped is partly lost.
 func (p *preemptionPolicy) delay(j *job) micros.Micros {
 	if within, hasObjective := p.cfg.StartWithin[j.sub.Class]; hasObjective {
-		if within < promptStart {
+		if within < immediatePreemptionObjective {
 			return 0
 		}
 		return within / preemptionDelayDivisor
@@ -53,12 +53,12 @@
 // deadlineNear reports whether the job can still be in time, but only if its tasks start within
 // some seconds.
 func (p *preemptionPolicy) deadlineNear(j *job) bool {
-	slack := p.dueOf(j) - p.wall - p.estimates.Expect(j.sub)
-	return slack > 0 && slack < nearDeadline
+	slack := p.dueTime(j) - p.wall - p.estimates.Expect(j.sub)
+	return slack > 0 && slack < nearDeadlineSlack
 }
 
-// dueOf returns when a job is wanted done, by its user or its class; Never if neither says.
-func (sc *stepContext) dueOf(j *job) micros.Micros {
+// dueTime returns when a job is wanted done, by its user or its class; Never if neither says.
+func (sc *stepContext) dueTime(j *job) micros.Micros {
 	due := j.deadline
 	if within := sc.cfg.FinishWithin[j.sub.Class]; within > 0 {
 		due = min(due, micros.Micros(j.since())*micros.Millisecond+within)
--- a/internal/controller/prefetch.go
+++ b/internal/controller/prefetch.go
@@ -13,15 +13,15 @@
 // is run again on machines that lack the image: its result is kept, so it exits as soon as
 // the image is there. It gives way to any other task.
 type prefetchImage struct {
-	job *job // done; its first task brings the image
-	at  micros.Micros
+	job        *job // done; its first task brings the image
+	lastDoneAt micros.Micros
 }
 
 const (
 	// maxPrefetchImages bounds how many images are prefetched.
 	maxPrefetchImages = 8
-	// prefetchSpan is how long an image is prefetched after a job with it was last done.
-	prefetchSpan = 10 * micros.Minute
+	// prefetchRetention is how long an image is prefetched after a job with it was last done.
+	prefetchRetention = 10 * micros.Minute
 	// prefetchInterval is the least time between two prefetches on a machine.
 	prefetchInterval = 10 * micros.Second
 	// fetchTimeDivisor is such that an image is prefetched if fetching it takes at least one in so
@@ -38,13 +38,13 @@
 	sameImage := func(known prefetchImage) bool { return known.job.sub.Image == j.sub.Image }
 	if i := slices.IndexFunc(*p, sameImage); i >= 0 {
 		known := &(*p)[i]
-		known.at = now
+		known.lastDoneAt = now
 		if j.sub.CPUs < known.job.sub.CPUs {
 			known.job = j
 		}
 		return
 	}
-	added := prefetchImage{job: j, at: now}
+	added := prefetchImage{job: j, lastDoneAt: now}
 	if len(*p) < maxPrefetchImages {
 		*p = append(*p, added)
 		return
@@ -56,7 +56,7 @@
 func (p prefetchImages) oldest() *prefetchImage {
 	oldest := &p[0]
 	for i := range p {
-		if p[i].at < oldest.at {
+		if p[i].lastDoneAt < oldest.lastDoneAt {
 			oldest = &p[i]
 		}
 	}
@@ -67,8 +67,8 @@
 // time until a start.
 func (c *Controller) notePrefetchImage(j *job) {
 	_, urgent := c.cfg.StartWithin[j.sub.Class]
-	placedByOthers := j.sub.SameZone || j.sub.Spread // where its other attempts are would matter
-	if urgent && !placedByOthers {
+	dependsOnOtherTasks := j.sub.SameZone || j.sub.Spread // where its other attempts are would matter
+	if urgent && !dependsOnOtherTasks {
 		c.prefetchImages.add(j, c.now)
 	}
 }
@@ -80,8 +80,8 @@
 		return
 	}
 	for _, image := range c.prefetchImages {
-		ofOtherShard := image.job.shard != s.id && c.jobSharding.byTeam()
-		if c.now-image.at > prefetchSpan || ofOtherShard {
+		inOtherShard := image.job.shard != s.id && c.jobSharding.byTeam()
+		if c.now-image.lastDoneAt > prefetchRetention || inOtherShard {
 			continue
 		}
 		for _, m := range free {
@@ -118,8 +118,8 @@
 	return micros.FromSeconds(j.sub.ImageGB/rate) >= within/fetchTimeDivisor
 }
 
-// notePrefetched takes the end of a prefetching attempt.
-func (c *Controller) notePrefetched(att *attempt) {
+// handlePrefetchExit takes the end of a prefetching attempt.
+func (c *Controller) handlePrefetchExit(att *attempt) {
 	if att.state != attemptExited {
 		return
 	}
--- a/internal/controller/quota.go
+++ b/internal/controller/quota.go
@@ -102,7 +102,7 @@
 	for _, s := range c.ownership.shards {
 		if q.staleShards[s.id] && s.owned() {
 			delete(q.staleShards, s.id)
-			c.refreshQuota(s, s.ownerEpoch, "")
+			c.readAllQuotas(s, s.ownerEpoch, "")
 		}
 		if c.ownership.activeShard(s.id) != nil {
 			c.updateQuotaUsage(s)
--- a/internal/controller/quota_records.go
+++ b/internal/controller/quota_records.go
@@ -26,11 +26,11 @@
 		return
 	}
 	c.stepQuota(quota.Learned{Group: group, Record: rec, ModRevision: modRevision})
-	c.quota.indexQuota()
+	c.quota.indexTeamGroups()
 }
 
-// indexQuota notes which groups each team is in, after a record has come.
-func (q *quotas) indexQuota() {
+// indexTeamGroups notes which groups each team is in, after a record has come.
+func (q *quotas) indexTeamGroups() {
 	clear(q.members)
 	for team, t := range q.cfg.Teams {
 		q.paths[team] = q.ledger.Path(t.Name)
@@ -49,12 +49,12 @@
 		return
 	}
 	c.stepQuota(quota.Held{Shard: s.id})
-	c.refreshQuota(s, s.ownerEpoch, "")
+	c.readAllQuotas(s, s.ownerEpoch, "")
 }
 
-// refreshQuota reads all records anew for a shard that was claimed at ownerEpoch, page by page,
+// readAllQuotas reads all records anew for a shard that was claimed at ownerEpoch, page by page,
 // from those after a key on.
-func (c *Controller) refreshQuota(s *shard, ownerEpoch uint64, after string) {
+func (c *Controller) readAllQuotas(s *shard, ownerEpoch uint64, after string) {
 	request := statestore.ListKeys{Prefix: wire.PrefixQuota, After: after, Limit: quotaPageSize}
 	c.askState(statestore.ClassLease, request, c.cfg.Lease, func(r statestore.Reply) {
 		if !s.owned() || s.ownerEpoch != ownerEpoch {
@@ -70,7 +70,7 @@
 			after = kv.Key
 		}
 		if body.More && len(body.Items) > 0 {
-			c.refreshQuota(s, ownerEpoch, after)
+			c.readAllQuotas(s, ownerEpoch, after)
 			return
 		}
 		c.stepQuota(quota.Refreshed{Shard: s.id})
@@ -118,7 +118,7 @@
 	c.askState(statestore.ClassFleet, txn, quotaTimeout, func(r statestore.Reply) {
 		if revision, ok := r.Revision(); ok {
 			done(quota.Applied, revision)
-			c.quota.indexQuota()
+			c.quota.indexTeamGroups()
 			return
 		}
 		done(quotaOutcome(r.Outcome()), 0)
--- a/internal/controller/quota_requests.go
+++ b/internal/controller/quota_requests.go
@@ -12,8 +12,8 @@
 // noQuotaOption is what an operator is answered where there are no groups.
 const noQuotaOption = "no groups: the controllers have no quota option"
 
-// quotaRequest answers a request of the command line.
-func (c *Controller) quotaRequest(reply ReplyID, req peer.QuotaRequest) {
+// handleQuotaRequest answers a request of the command line.
+func (c *Controller) handleQuotaRequest(reply ReplyID, req peer.QuotaRequest) {
 	switch {
 	case c.quota.ledger == nil:
 		c.answerQuota(reply, peer.QuotaResponse{Problem: noQuotaOption})
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-func (h *harness) quotaAsk(req peer.QuotaRequest) *peer.QuotaResponse {
+func (h *harness) quotaRequest(req peer.QuotaRequest) *peer.QuotaResponse {
 	a := h.ask(func(r ReplyID) Input { return PeerRequest{Reply: r, Req: peer.Request{Quota: &req}} })
 	resp, ok := a.Body.(*peer.Response)
 	if !ok || resp.Quota == nil {
@@ -35,7 +35,7 @@
 	return resp.Quota
 }
 
-func (h *harness) group() quota.Record {
+func (h *harness) groupRecord() quota.Record {
 	var rec quota.Record
 	if kv, ok := h.keys[wire.QuotaKey("all")]; ok {
 		if err := wire.Decode(kv.Value, &rec); err != nil {
@@ -60,7 +60,7 @@
 	if len(started) != 3 {
 		t.Fatalf("%d tasks started, the group's limit is 3", len(started))
 	}
-	if rec := h.group(); rec.Applied == nil || *rec.Applied.CPUs != 3 {
+	if rec := h.groupRecord(); rec.Applied == nil || *rec.Applied.CPUs != 3 {
 		t.Errorf("in force is %v", rec.Applied)
 	}
 	// Rows are written under the shard's owner key, definitions under the leader's.
@@ -74,11 +74,11 @@
 		t.Errorf("written under %v", under)
 	}
 	low := quota.CPULimit(1)
-	if resp := h.quotaAsk(peer.QuotaRequest{Set: &peer.SetLimit{WaitingTasks: "all", Limit: low}}); resp.Problem != "" || resp.Epoch != 2 {
+	if resp := h.quotaRequest(peer.QuotaRequest{Set: &peer.SetLimit{WaitingTasks: "all", Limit: low}}); resp.Problem != "" || resp.Epoch != 2 {
 		t.Errorf("lowering it says %+v", resp)
 	}
 	h.run(sec)
-	st := h.quotaAsk(peer.QuotaRequest{})
+	st := h.quotaRequest(peer.QuotaRequest{})
 	if g := st.Groups[0]; g.State != quota.StateAnnounced || len(g.HeldUp) != 1 || g.HeldUp[0].Owner != "n-0" || g.HeldUp[0].Reason != quota.StillUsed || g.Source != quota.FromOperator {
 		t.Errorf("shown as %+v", g)
 	}
@@ -89,11 +89,11 @@
 	if got := h.c.jobs.open["job-000002"].run; len(got.active) != 0 {
 		t.Errorf("%d tasks started beside cancelled ones that may run", len(got.active))
 	}
-	if resp := h.quotaAsk(peer.QuotaRequest{Set: &peer.SetLimit{WaitingTasks: "all", Clear: true}}); resp.Problem != "" {
+	if resp := h.quotaRequest(peer.QuotaRequest{Set: &peer.SetLimit{WaitingTasks: "all", Clear: true}}); resp.Problem != "" {
 		t.Error(resp.Problem)
 	}
 	h.run(3 * sec)
-	if rec := h.group(); *rec.Limit.CPUs != 3 || rec.Source != quota.FromOptions {
+	if rec := h.groupRecord(); *rec.Limit.CPUs != 3 || rec.Source != quota.FromOptions {
 		t.Errorf("cleared, the limit is %v by %s", rec.Limit, rec.Source)
 	}
 }
@@ -102,7 +102,7 @@
 func TestQuotaRequests(t *testing.T) {
 	h := newHarness(t, withGroup(t, 3))
 	h.run(3 * sec)
-	before := h.group()
+	before := h.groupRecord()
 	negative := -1.0
 	for _, tc := range []struct {
 		name, want string
@@ -111,17 +111,17 @@
 		{"an unknown group", "no such group", peer.SetLimit{WaitingTasks: "none", Limit: quota.CPULimit(1)}},
 		{"a negative limit", "limit.cpus = -1", peer.SetLimit{WaitingTasks: "all", Limit: quota.Limit{CPUs: &negative}}},
 	} {
-		if resp := h.quotaAsk(peer.QuotaRequest{Set: &tc.set}); !strings.Contains(resp.Problem, tc.want) {
+		if resp := h.quotaRequest(peer.QuotaRequest{Set: &tc.set}); !strings.Contains(resp.Problem, tc.want) {
 			t.Errorf("%s: %q", tc.name, resp.Problem)
 		}
 	}
 	h.run(sec)
-	if !reflect.DeepEqual(h.group(), before) {
-		t.Errorf("the record is %+v, was %+v", h.group(), before)
+	if !reflect.DeepEqual(h.groupRecord(), before) {
+		t.Errorf("the record is %+v, was %+v", h.groupRecord(), before)
 	}
 	// Without the option there is nothing to show, nothing is sent and nothing written.
 	off := newHarness(t, withPeer)
-	if resp := off.quotaAsk(peer.QuotaRequest{}); !strings.Contains(resp.Problem, "no groups") {
+	if resp := off.quotaRequest(peer.QuotaRequest{}); !strings.Contains(resp.Problem, "no groups") {
 		t.Errorf("without the option: %q", resp.Problem)
 	}
 	for _, w := range off.watches {
@@ -139,7 +139,7 @@
 		return PeerRequest{Reply: r, Req: peer.Request{From: "n-1", Status: &peer.Status{ControllerState: peer.ControllerState{StateOK: true, Quota: true}}}}
 	})
 	off.run(sec)
-	if resp := off.quotaAsk(peer.QuotaRequest{}); resp.Problem != "" {
+	if resp := off.quotaRequest(peer.QuotaRequest{}); resp.Problem != "" {
 		t.Errorf("beside one that keeps groups: %q", resp.Problem)
 	}
 }
@@ -203,7 +203,7 @@
 		groups, trace bool
 	}{{"off", false, false}, {"groups", true, false}, {"groups and spans", true, true}} {
 		b.Run(tc.name, func(b *testing.B) {
-			h := bigHarness(b, 700, 100, 1000)
+			h := newLargeHarness(b, 700, 100, 1000)
 			if tc.groups {
 				tree, err := quota.NewTree(quota.Options{Groups: []quota.GroupOptions{{Name: "all", Teams: []string{"t", "u"}, Limit: quota.CPULimit(1e6)}}}, []string{"t", "u"})
 				if err != nil {
@@ -216,7 +216,7 @@
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
-				h.turn(i % 700)
+				h.finishOneTask(i % 700)
 			}
 		})
 	}
@@ -236,7 +236,7 @@
 		h := newHarness(t, withGroup(t, 3))
 		h.txn(wire.Txn{Changes: []wire.Change{{Put: wire.QuotaKey("all"), Value: value}}})
 		h.run(600 * ms)
-		h.quotaAsk(peer.QuotaRequest{})
+		h.quotaRequest(peer.QuotaRequest{})
 		if h.jobStatus("job-000001").Status != 404 {
 			t.Error("no answer to a user")
 		}
--- a/internal/controller/quota_trace.go
+++ b/internal/controller/quota_trace.go
@@ -25,8 +25,8 @@
 }
 
 const (
-	// traceDuration is how long a context counts and is sent to the other controllers.
-	traceDuration = 15 * micros.Second
+	// traceContextLifetime is how long a context counts and is sent to the other controllers.
+	traceContextLifetime = 15 * micros.Second
 	// maxTraces bounds the contexts of one message.
 	maxTraces = 64
 	// announcementShard stands in place of a shard where a limit is announced.
@@ -94,7 +94,7 @@
 		}
 	case quota.Shrunk:
 		span.Trace = q.traceID()
-		if open, ok := q.causeOf(e.Group); ok {
+		if open, ok := q.newestTrace(e.Group); ok {
 			span.Trace = open.trace
 			span.Parent = open.span
 		}
@@ -105,11 +105,11 @@
 // beginTrace begins a trace with a span.
 func (q *quotas) beginTrace(key traceKey, span *Span) {
 	span.Trace = q.traceID()
-	q.tracer.own[key] = openTrace{trace: span.Trace, span: span.ID, began: q.wall, until: q.now + traceDuration}
+	q.tracer.own[key] = openTrace{trace: span.Trace, span: span.ID, began: q.wall, until: q.now + traceContextLifetime}
 }
 
-// causeOf returns the newest context for which a shard of a group may be giving something up.
-func (q *quotas) causeOf(group string) (newest openTrace, found bool) {
+// newestTrace returns the newest context for which a shard of a group may be giving something up.
+func (q *quotas) newestTrace(group string) (newest openTrace, found bool) {
 	t := &q.tracer
 	for _, contexts := range []map[traceKey]openTrace{t.own, t.remote} {
 		for key, open := range contexts {
@@ -191,7 +191,7 @@
 	remote := q.tracer.remote
 	dropExpired(remote, q.now)
 	for _, ctx := range contexts {
-		open := openTrace{began: micros.Micros(ctx.BeganUS), until: q.now + traceDuration}
+		open := openTrace{began: micros.Micros(ctx.BeganUS), until: q.now + traceContextLifetime}
 		if len(ctx.Trace) != len(open.trace) || len(ctx.Span) != len(open.span) || len(remote) >= maxTraces {
 			continue
 		}
--- a/internal/controller/quota_usage.go
+++ b/internal/controller/quota_usage.go
@@ -28,17 +28,17 @@
 	return sum
 }
 
-// usageKnowledge says how well it is known what a shard uses.
-type usageKnowledge int
+// usageAccuracy says how well it is known what a shard uses.
+type usageAccuracy int
 
 const (
-	usageUnknown    usageKnowledge = iota
-	usageUpperBound                // the most that it could be using is known
+	usageUnknown    usageAccuracy = iota
+	usageUpperBound               // the most that it could be using is known
 	usageExact
 )
 
 // String returns the knowledge in words.
-func (k usageKnowledge) String() string {
+func (k usageAccuracy) String() string {
 	switch k {
 	case usageUpperBound:
 		return "upper bound"
@@ -48,9 +48,9 @@
 	return "unknown"
 }
 
-// usageKnowledge returns how well it is known what a shard uses. A process that has just begun
+// usageAccuracy returns how well it is known what a shard uses. A process that has just begun
 // does not know how large the machines are, and must not count them as empty.
-func (c *Controller) usageKnowledge(s *shard) usageKnowledge {
+func (c *Controller) usageAccuracy(s *shard) usageAccuracy {
 	if !c.types.known() {
 		return usageUnknown
 	}
@@ -59,7 +59,7 @@
 		knowledge = usageExact
 	}
 	for _, m := range s.machines {
-		if m.view == nil || !m.view.unreconciledFromPredecessor && !m.view.usage.unknown {
+		if m.view == nil || !m.view.unreconciledFromPredecessor && !m.view.usage.hasUnknownJob {
 			continue
 		}
 		if _, sizeKnown := c.types.byName[m.rec.Type]; !sizeKnown {
@@ -72,11 +72,11 @@
 
 // updateQuotaUsage gives the ledger what a shard uses, and what waits in it.
 func (c *Controller) updateQuotaUsage(s *shard) {
-	knowledge := c.usageKnowledge(s)
+	knowledge := c.usageAccuracy(s)
 	if knowledge == usageUnknown {
 		return
 	}
-	c.refresh(s)
+	c.refreshUsage(s)
 	teams := c.quotaDemands(s)
 	c.stepQuota(quota.Used{Shard: s.id, Groups: c.quota.ledger.Claims(s.id, knowledge == usageExact, teams)})
 }
--- a/internal/controller/quota_usage_test.go
+++ b/internal/controller/quota_usage_test.go
@@ -6,21 +6,21 @@
 	"garnethitch/internal/wire"
 )
 
-// TestUsageKnowledge checks that a process that has just begun, and does not know how large
+// TestUsageAccuracy checks that a process that has just begun, and does not know how large
 // machines are, does not count those with unknown tasks as empty (a successor gave up an allowance
 // that was in use).
-func TestUsageKnowledge(t *testing.T) {
+func TestUsageAccuracy(t *testing.T) {
 	types := map[string]wire.MachineType{"m": {Name: "m", CPUs: 4}}
 	known := &view{}
 	unreconciled := &view{reconciliationView: reconciliationView{unreconciledFromPredecessor: true}}
-	unknownJob := &view{attemptView: attemptView{usage: machineUsage{unknown: true}}}
+	unknownJob := &view{attemptView: attemptView{usage: machineUsage{hasUnknownJob: true}}}
 	for _, tc := range []struct {
 		name        string
 		types       map[string]wire.MachineType
 		reconciled  bool
 		machineType string
 		view        *view
-		want        usageKnowledge
+		want        usageAccuracy
 	}{
 		{"all is known", types, true, "m", known, usageExact},
 		{"the shard is not reconciled", types, false, "m", known, usageUpperBound},
@@ -37,7 +37,7 @@
 			s := c.ownership.shards[0]
 			s.reconciled = tc.reconciled
 			s.machines = append(s.machines, &machine{id: "vm-1", rec: machineRecord{Type: tc.machineType}, view: tc.view})
-			if got := c.usageKnowledge(s); got != tc.want {
+			if got := c.usageAccuracy(s); got != tc.want {
 				t.Errorf("%v, want %v", got, tc.want)
 			}
 		})
--- a/internal/controller/record_limits_test.go
+++ b/internal/controller/record_limits_test.go
@@ -41,7 +41,7 @@
 			n := 0
 			for _, id := range ids {
 				_, body := h.heartbeat(heartbeatFrom(id, 1, 3, fencingToken))
-				running[id] = shown(starts(body.Commands), wire.TaskRunning)
+				running[id] = taskStatuses(starts(body.Commands), wire.TaskRunning)
 				h.heartbeat(heartbeatFrom(id, 1, 4, fencingToken, running[id]...))
 				n += len(running[id])
 			}
--- a/internal/controller/registration.go
+++ b/internal/controller/registration.go
@@ -130,7 +130,7 @@
 		record := wire.MachineRecord{ID: reg.in.Heartbeat.Machine, Addr: reg.in.Heartbeat.Addr}
 		list = append(list, unassigned{record, reg.kind})
 	}
-	c.assignMachines(recordSetRegistered, list, c.allDemand(), registrations)
+	c.assignMachines(recordSetRegistered, list, c.latestDemands(), registrations)
 }
 
 // assignListed assigns machines to shards that the cloud lists as running and that are
@@ -139,7 +139,7 @@
 // record.
 func (c *Controller) assignListed(demand map[int]*peer.Demand) {
 	f := &c.fleet
-	if !f.first && c.now-f.ledAt <= 2*c.cfg.ListLag+listedAssignmentMargin {
+	if !f.noRecordsAtStart && c.now-f.leadingSince <= 2*c.cfg.ListLag+listedAssignmentMargin {
 		return
 	}
 	var list []unassigned
--- a/internal/controller/replacement_test.go
+++ b/internal/controller/replacement_test.go
@@ -46,7 +46,7 @@
 				c.machines[id] = &machine{id: id, rec: machineRecord{Zone: "a", Type: "m"}}
 				d.Machines = append(d.Machines, peer.Machine{ID: id, State: peer.MachineUnreconciled, SinceUS: int64(tc.since)})
 			}
-			c.fleet.budget = ratelimit.NewBucket(10)
+			c.fleet.cloudBudget = ratelimit.NewBucket(10)
 			c.replaceUnhealthy(map[int]*peer.Demand{0: d})
 			if got := len(c.fleet.returning) == tc.unreconciled; got != tc.want || !tc.want && len(c.fleet.returning) > 0 {
 				t.Errorf("%d returned, want it: %v", len(c.fleet.returning), tc.want)
@@ -75,7 +75,7 @@
 				HeartbeatInterval: 10 * sec, WorkerLease: 45 * sec, SilentReturn: -1}, 1)
 			c.machines["vm-1"] = &machine{id: "vm-1", rec: machineRecord{Zone: tc.zone}}
 			d := &peer.Demand{All: 100, Silent: 21, Zones: tc.zones, Machines: []peer.Machine{{ID: "vm-1", State: peer.MachineSilent, SinceUS: int64(tc.since)}}}
-			c.fleet.budget = ratelimit.NewBucket(10)
+			c.fleet.cloudBudget = ratelimit.NewBucket(10)
 			c.replaceUnhealthy(map[int]*peer.Demand{0: d})
 			if got := c.fleet.returning["vm-1"]; got != tc.want {
 				t.Errorf("returned %v, want %v", got, tc.want)
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -24,8 +24,8 @@
 	// listLagMargin is added to twice the lag of the cloud's list before a machine that is
 	// missing there counts as gone.
 	listLagMargin = micros.Second
-	// maxConsolidation is how long a machine may take to be drained.
-	maxConsolidation = 30 * micros.Second
+	// maxConsolidationDuration is how long a machine may take to be drained.
+	maxConsolidationDuration = 30 * micros.Second
 )
 
 // scaleInUnusable returns machines that are of no use any more.
@@ -89,7 +89,7 @@
 		switch {
 		case listed.State == wire.MachineFailed && c.machines[id] == nil:
 			unusable = append(unusable, id)
-		case listed.State == wire.MachineBooting && c.bootsForLong(listed) && !c.hasSentHeartbeat(id):
+		case listed.State == wire.MachineBooting && c.bootOverdue(listed) && !c.hasSentHeartbeat(id):
 			c.log(Info, "machine does not come up, returned", "machine", id)
 			unusable = append(unusable, id)
 		}
@@ -97,8 +97,8 @@
 	return unusable
 }
 
-// bootsForLong reports whether a machine should have come up.
-func (c *Controller) bootsForLong(listed wire.ListedMachine) bool {
+// bootOverdue reports whether a machine should have come up.
+func (c *Controller) bootOverdue(listed wire.ListedMachine) bool {
 	boot := micros.FromSeconds(c.types.byName[listed.Type].BootS)
 	age := micros.FromSeconds(listed.AgeS) + (c.now - c.fleet.listedAt)
 	return age > max(bootTimeoutFactor*boot, boot+bootGrace)
@@ -177,7 +177,7 @@
 		candidates, draining := c.drainCandidates(d)
 		for _, m := range choice.Choose(d, candidates, draining) {
 			c.log(Info, "draining a mostly unused machine", "machine", m.ID, "shard", shard, "busy", m.Busy)
-			c.fleet.plannedMoves[m.ID] = plannedMove{retire: true, until: c.now + maxConsolidation}
+			c.fleet.plannedMoves[m.ID] = plannedMove{retire: true, until: c.now + maxConsolidationDuration}
 			c.requestMachineRelease(m.ID, peer.Release{Cordon: true, Drain: true, Save: true})
 		}
 	}
--- a/internal/controller/scale_out.go
+++ b/internal/controller/scale_out.go
@@ -18,10 +18,10 @@
 	maxScaleOuts = 4
 	// scaleOutRetryInterval is the time after which a rental that was not answered is sent again.
 	scaleOutRetryInterval = 2 * micros.Second
-	// minRefusalPause and maxRefusalPause bound the time for which a kind of machine that the
+	// minRefusalBackoff and maxRefusalPause bound the time for which a kind of machine that the
 	// cloud has refused is not asked for; it doubles with each refusal.
-	minRefusalPause = 8 * micros.Second
-	maxRefusalPause = 40 * micros.Second
+	minRefusalBackoff = 8 * micros.Second
+	maxRefusalBackoff = 40 * micros.Second
 )
 
 // rentals are the machines that this leader rents.
@@ -42,9 +42,9 @@
 // scaleOutRequest is a rental under way. It is sent again, under the same name, until the cloud
 // has answered: it may have been carried out.
 type scaleOutRequest struct {
-	rental   wire.Rental
-	nextAt   micros.Micros // when it may be sent again
-	inFlight bool
+	rental     wire.Rental
+	nextSendAt micros.Micros // when it may be sent again
+	inFlight   bool
 }
 
 // kind returns the kind of the machines that are rented.
@@ -54,7 +54,7 @@
 
 // refusal is a kind of machine that the cloud did not have.
 type refusal struct {
-	until, pause micros.Micros
+	until, backoff micros.Micros
 }
 
 // kind returns the kind of the machine.
@@ -62,8 +62,8 @@
 	return fleet.Kind{Type: m.rec.Type, Zone: m.rec.Zone, Spot: m.rec.Spot}
 }
 
-// freeByKind adds up the CPUs of the machines that are idle or on their way, by kind.
-func (c *Controller) freeByKind(demands fleet.Demands) map[fleet.Kind]float64 {
+// freeCPUsByKind adds up the CPUs of the machines that are idle or on their way, by kind.
+func (c *Controller) freeCPUsByKind(demands fleet.Demands) map[fleet.Kind]float64 {
 	f := &c.fleet
 	free := map[fleet.Kind]float64{}
 	for _, d := range demands {
@@ -89,8 +89,8 @@
 	return free
 }
 
-// machinesInZone counts the machines on record by zone.
-func (c *Controller) machinesInZone() map[string]int {
+// machinesByZone counts the machines on record by zone.
+func (c *Controller) machinesByZone() map[string]int {
 	machines := map[string]int{}
 	for _, m := range c.machines {
 		machines[m.rec.Zone]++
@@ -116,8 +116,8 @@
 		DrainHorizon:   c.cfg.DrainHorizon,
 		Sums:           sums,
 		Groups:         demands.Groups(),
-		Free:           c.freeByKind(demands),
-		MachinesInZone: c.machinesInZone(),
+		Free:           c.freeCPUsByKind(demands),
+		MachinesInZone: c.machinesByZone(),
 		MaxMachines:    maxMachines,
 		Unavailable:    c.fleet.unavailable(fleet.PartitionedZones(demands)),
 	}
@@ -137,7 +137,7 @@
 
 // sendScaleOut sends a rental unless it is in flight, or was sent a short time ago.
 func (c *Controller) sendScaleOut(req *scaleOutRequest) {
-	if req.inFlight || c.now < req.nextAt {
+	if req.inFlight || c.now < req.nextSendAt {
 		return
 	}
 	ownerEpoch := c.ownership.leader.ownerEpoch
@@ -159,20 +159,20 @@
 		f.addRented(req, names.Machines)
 	case r.Status == http.StatusServiceUnavailable && r.Body == noCapacity:
 		f.endScaleOut(req)
-		f.refuse(req.kind())
+		f.noteRefusal(req.kind())
 	case r.Status == http.StatusBadRequest:
 		f.endScaleOut(req)
-		f.refuse(req.kind())
+		f.noteRefusal(req.kind())
 		f.log(Error, "rental request called malformed", "request", req.rental.Request)
 	default:
-		req.nextAt = f.now + f.jitter(scaleOutRetryInterval)
+		req.nextSendAt = f.now + f.jitter(scaleOutRetryInterval)
 	}
 }
 
 // endScaleOut removes a rental that the cloud has answered, and has the fleet planned anew.
 func (f *fleetState) endScaleOut(req *scaleOutRequest) {
 	f.scaleOuts = slices.DeleteFunc(f.scaleOuts, func(other *scaleOutRequest) bool { return other == req })
-	f.planNext = f.now
+	f.nextPlanAt = f.now
 }
 
 // addRented takes in the machines that the cloud has rented out.
@@ -180,7 +180,7 @@
 	k := req.kind()
 	f.log(Info, "scaled out", "type", k.Type, "zone", k.Zone, "spot", k.Spot, "wanted", req.rental.Count, "got", len(machines))
 	if len(machines) < req.rental.Count {
-		f.refuse(k)
+		f.noteRefusal(k)
 	} else {
 		delete(f.refused, k)
 	}
@@ -198,14 +198,14 @@
 // RefusedRental is the Body to give with a 503 that says "no capacity".
 const RefusedRental = noCapacity
 
-// refuse has machines of a kind not asked for, for longer with each time.
-func (f *fleetState) refuse(k fleet.Kind) {
+// noteRefusal has machines of a kind not asked for, for longer with each time.
+func (f *fleetState) noteRefusal(k fleet.Kind) {
 	r := f.refused[k]
 	if r == nil {
 		r = &refusal{}
 		f.refused[k] = r
 	}
-	r.pause = min(max(2*r.pause, minRefusalPause), maxRefusalPause)
-	r.until = f.now + f.jitter(r.pause)
+	r.backoff = min(max(2*r.backoff, minRefusalBackoff), maxRefusalBackoff)
+	r.until = f.now + f.jitter(r.backoff)
 	f.log(Debug, "no more machines of a kind for now", "type", k.Type, "zone", k.Zone, "spot", k.Spot)
 }
--- a/internal/controller/scale_test.go
+++ b/internal/controller/scale_test.go
@@ -11,9 +11,9 @@
 	"garnethitch/internal/wire"
 )
 
-// bigHarness is an owner of one shard with many machines, all of them full, and
+// newLargeHarness is an owner of one shard with many machines, all of them full, and
 // many open jobs that wait.
-func bigHarness(tb testing.TB, machines, jobs, tasks int) *harness {
+func newLargeHarness(tb testing.TB, machines, jobs, tasks int) *harness {
 	h := &harness{now: sec, keys: map[string]wire.KeyValue{}, answers: map[ReplyID]Answer{}}
 	cfg := Config{
 		Label: "n-0", Shards: 1, Teams: []Team{{Name: "t"}, {Name: "u"}},
@@ -27,12 +27,12 @@
 	for i := range machines {
 		h.listed = append(h.listed, wire.ListedMachine{ID: machineName(i), Addr: machineName(i), Type: "m", Zone: "a", State: wire.MachineRunning, AgeS: 1})
 	}
-	h.c.fleet.listNext, h.c.fleet.planNext = h.now, h.now+400*ms
+	h.c.fleet.listNext, h.c.fleet.nextPlanAt = h.now, h.now+400*ms
 	h.run(sec)
 	if len(h.c.machines) != machines {
 		tb.Fatalf("%d machines on record, want %d", len(h.c.machines), machines)
 	}
-	h.c.fleet.planNext, h.c.fleet.listNext = micros.Never, micros.Never
+	h.c.fleet.nextPlanAt, h.c.fleet.listNext = micros.Never, micros.Never
 	for i := range jobs {
 		h.submit(jobOf(fmt.Sprintf("job-%06d", i), tasks))
 		if len(h.open) > 0 {
@@ -50,29 +50,29 @@
 // fill sends a machine's first heartbeat, and the one that lists the tasks started by the answer.
 func (h *harness) fill(i int) {
 	_, body := h.heartbeat(heartbeatFrom(machineName(i), 1, 1, 0))
-	h.heartbeat(heartbeatFrom(machineName(i), 1, 2, body.FencingToken, shown(starts(body.Commands), wire.TaskRunning)...))
+	h.heartbeat(heartbeatFrom(machineName(i), 1, 2, body.FencingToken, taskStatuses(starts(body.Commands), wire.TaskRunning)...))
 }
 
-func shown(cmds []wire.Command, state wire.TaskState) (out []wire.TaskStatus) {
-	for _, c := range cmds {
+func taskStatuses(commands []wire.Command, state wire.TaskState) (out []wire.TaskStatus) {
+	for _, c := range commands {
 		out = append(out, wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: state})
 	}
 	return out
 }
 
-// turn sends a heartbeat in which one task of a machine has ended, so that another is started.
-func (h *harness) turn(i int) {
+// finishOneTask sends a heartbeat in which one task of a machine has ended, so that another is started.
+func (h *harness) finishOneTask(i int) {
 	m := h.c.machines[machineName(i)]
 	v := m.view
 	var tasks []wire.TaskStatus
 	for _, att := range v.list {
-		t := wire.TaskStatus{Task: wire.TaskName(att.key.job, att.index), Attempt: att.key.attempt, State: wire.TaskRunning}
+		status := wire.TaskStatus{Task: wire.TaskName(att.key.job, att.index), Attempt: att.key.attempt, State: wire.TaskRunning}
 		if len(tasks) == 0 && att.state != attemptExited {
-			t.State, t.ExitReason = wire.TaskExited, wire.ExitDone
+			status.State, status.ExitReason = wire.TaskExited, wire.ExitDone
 		} else if att.state == attemptExited {
 			continue
 		}
-		tasks = append(tasks, t)
+		tasks = append(tasks, status)
 	}
 	h.heartbeat(heartbeatFrom(m.id, v.agentEpoch, v.sequence+1, v.fencingToken, tasks...))
 }
@@ -81,12 +81,12 @@
 // It counts visits, not time.
 func TestWorkPerHeartbeat(t *testing.T) {
 	work := func(machines, jobs, tasks int) float64 {
-		h := bigHarness(t, machines, jobs, tasks)
+		h := newLargeHarness(t, machines, jobs, tasks)
 		before := h.c.visited
 		const turns = 200
 		for i := range turns {
 			h.c.maintenance.lastRunAt = h.now // maintenance is counted below
-			h.turn(i % machines)
+			h.finishOneTask(i % machines)
 		}
 		return float64(h.c.visited-before) / turns
 	}
@@ -113,7 +113,7 @@
 // comparison, however many tasks it has; one that lists less, or comes after a command was sent, is
 // processed in full.
 func TestUnchangedHeartbeat(t *testing.T) {
-	h := bigHarness(t, 50, 20, 500)
+	h := newLargeHarness(t, 50, 20, 500)
 	m := h.c.machines[machineName(7)]
 	v := m.view
 	var tasks []wire.TaskStatus
@@ -179,7 +179,7 @@
 // many tasks wait.
 func TestWorkPerRound(t *testing.T) {
 	for _, tc := range []struct{ machines, jobs, tasks int }{{200, 20, 500}, {2200, 20, 500}, {2200, 300, 500}, {3100, 150, 2000}, {1900, 500, 90}, {700, 20, 20_000}, {4000, 150, 500}, {6000, 150, 500}} {
-		h := bigHarness(t, tc.machines, tc.jobs, tc.tasks)
+		h := newLargeHarness(t, tc.machines, tc.jobs, tc.tasks)
 		before := h.c.visited
 		h.now += micros.Second
 		h.c.schedulingDue = true
@@ -197,7 +197,7 @@
 // out no other.
 func TestWorkPerRoundOfZonedJobs(t *testing.T) {
 	const machines, zoned = 2200, 100
-	h := bigHarness(t, machines, 0, 0)
+	h := newLargeHarness(t, machines, 0, 0)
 	filler := jobOf("job-000900", machines)
 	filler.CPUs = 3
 	h.submit(filler)
@@ -205,7 +205,7 @@
 	for i := range machines { // one CPU of four is left on each
 		fencingToken := h.c.machines[machineName(i)].view.fencingToken
 		_, body := h.heartbeat(heartbeatFrom(machineName(i), 1, 3, fencingToken))
-		h.heartbeat(heartbeatFrom(machineName(i), 1, 4, fencingToken, shown(starts(body.Commands), wire.TaskRunning)...))
+		h.heartbeat(heartbeatFrom(machineName(i), 1, 4, fencingToken, taskStatuses(starts(body.Commands), wire.TaskRunning)...))
 	}
 	for i := range zoned {
 		sub := jobOf(fmt.Sprintf("job-%06d", 1000+i), 2)
@@ -236,7 +236,7 @@
 // bound the others are counted, and named in later messages.
 func TestMessageOfLargeFleet(t *testing.T) {
 	const machines = 6000
-	h := bigHarness(t, machines, 1, 1)
+	h := newLargeHarness(t, machines, 1, 1)
 	for _, m := range h.c.machines {
 		m.id += strings.Repeat("x", 36-len(m.id))
 	}
@@ -281,11 +281,11 @@
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, size := range []struct{ machines, jobs, tasks int }{{50, 20, 2000}, {700, 100, 1000}, {2200, 300, 1000}, {3100, 150, 2000}} {
 		b.Run(fmt.Sprintf("%d machines %d jobs", size.machines, size.jobs), func(b *testing.B) {
-			h := bigHarness(b, size.machines, size.jobs, size.tasks)
+			h := newLargeHarness(b, size.machines, size.jobs, size.tasks)
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
-				h.turn(i % size.machines)
+				h.finishOneTask(i % size.machines)
 			}
 		})
 	}
@@ -295,7 +295,7 @@
 func BenchmarkRound(b *testing.B) {
 	for _, machines := range []int{50, 700, 2200, 3100} {
 		b.Run(fmt.Sprintf("%d machines", machines), func(b *testing.B) {
-			h := bigHarness(b, machines, 100, 1000)
+			h := newLargeHarness(b, machines, 100, 1000)
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
@@ -310,7 +310,7 @@
 // BenchmarkMemory shows the memory taken by each machine, waiting job and final job, in bytes.
 func BenchmarkMemory(b *testing.B) {
 	held := func(machines, jobs, finished int) float64 {
-		h := bigHarness(b, machines, jobs, 500)
+		h := newLargeHarness(b, machines, jobs, 500)
 		for i := range finished {
 			h.c.jobs.finals.add(fmt.Sprintf("job-%06d", 500_000+i), finalJob{state: wire.StateDone, tasks: 1})
 		}
@@ -332,7 +332,7 @@
 // hardly more than none.
 func TestWorkOfDAGs(t *testing.T) {
 	work := func(dags int) (perHeartbeat, walk float64) {
-		h := bigHarness(t, 50, 20, 500)
+		h := newLargeHarness(t, 50, 20, 500)
 		for p := range dags {
 			first := jobOf(fmt.Sprintf("job-%06d", 500_000+10*p), 100)
 			h.submit(first)
@@ -346,7 +346,7 @@
 		before := h.c.visited
 		for i := range 100 {
 			h.c.maintenance.lastRunAt = h.now
-			h.turn(i % 50)
+			h.finishOneTask(i % 50)
 		}
 		return float64(h.c.visited-before) / 100, float64(len(h.c.queue(h.c.ownership.shards[0])))
 	}
--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -36,14 +36,14 @@
 	nextRoundAt       micros.Micros // when the next round may run
 	scheduledLastStep bool          // the step before ran a round
 
-	preemption preemptionBudget
+	preemptionBudget preemptionBudget
 	// candidateScratch and victimScratch are the storage of the lists of candidates and victims.
 	candidateScratch []candidate
 	victimScratch    []scheduling.Victim
 }
 
-// beginRound reports whether a round is due and may run now, and if so notes that it does.
-func (c *Controller) beginRound() bool {
+// tryBeginRound reports whether a round is due and may run now, and if so notes that it does.
+func (c *Controller) tryBeginRound() bool {
 	if !c.schedulingDue || c.now < c.scheduling.nextRoundAt {
 		return false
 	}
@@ -53,8 +53,8 @@
 	return true
 }
 
-// restAfterRound puts the next round off if the step before ran one.
-func (st *schedulingState) restAfterRound(until micros.Micros) {
+// postponeNextRound puts the next round off if the step before ran one.
+func (st *schedulingState) postponeNextRound(until micros.Micros) {
 	if st.scheduledLastStep {
 		st.scheduledLastStep = false
 		st.nextRoundAt = max(st.nextRoundAt, until)
@@ -64,7 +64,7 @@
 // schedule starts waiting tasks where there is capacity, in the shards of this controller, if a
 // round is due.
 func (c *Controller) schedule() {
-	if c.beginRound() {
+	if c.tryBeginRound() {
 		for _, s := range c.ownership.shards {
 			if c.ownership.activeShard(s.id) != nil {
 				c.scheduleShard(s)
@@ -93,12 +93,12 @@
 
 // scheduleShard assigns waiting tasks of a shard to its machines.
 func (c *Controller) scheduleShard(s *shard) {
-	c.refresh(s)
+	c.refreshUsage(s)
 	s.reconciled = c.ownership.allReconciled(s)
 	queue := c.queue(s)
 	round := schedulingRound{shard: s, free: c.machinesWithCapacity(s, queue)}
 	c.prefetch(s, round.free, true)
-	c.scheduling.preemption.reset()
+	c.scheduling.preemptionBudget.reset()
 	c.scheduleQueue(&round, queue)
 	c.prefetch(s, round.free, false)
 }
@@ -207,8 +207,8 @@
 	s := round.shard
 	candidates := c.candidates(j, round.free)
 	zones := c.zonesOf(j)
-	for _, best := range candidates {
-		if !c.packMachine(s, j, best.machine, zones) {
+	for _, candidate := range candidates {
+		if !c.packMachine(s, j, candidate.machine, zones) {
 			return false
 		}
 	}
@@ -223,13 +223,13 @@
 	if v == nil || c.ownership.activeShard(s.id) == nil {
 		return
 	}
-	c.refresh(s)
+	c.refreshUsage(s)
 	if !c.usable(m) {
 		return
 	}
 	cpus := c.types.cpusOf(m)
 	considered := 0
-	for _, j := range c.waiting(s) {
+	for _, j := range c.waitingJobs(s) {
 		c.visited++
 		if cpus-v.usage.total.CPUs <= scheduling.Tolerance || considered >= maxJobsPerReply {
 			return
--- a/internal/controller/scheduling_test.go
+++ b/internal/controller/scheduling_test.go
@@ -18,50 +18,50 @@
 	})
 	h.reconcile("vm-1")
 	fencingToken := h.c.fencingToken(h.c.ownership.shards[0], h.c.machines["vm-1"])
-	seq, n := uint64(100), 0
-	var list []wire.TaskStatus
+	sequence, n := uint64(100), 0
+	var statuses []wire.TaskStatus
 	slowest := micros.Micros(0)
-	type open struct {
+	type cancellation struct {
 		id    string
 		reply ReplyID
 		at    micros.Micros
 	}
-	var waits []open
+	var cancellations []cancellation
 	for range 240 { // a minute
 		n++
 		id := fmt.Sprintf("job-%06d", n)
 		h.submit(jobOf(id, 1))
 		if n%4 == 0 {
 			h.cancel(id)
-			waits = append(waits, open{id, h.reply, h.now})
+			cancellations = append(cancellations, cancellation{id, h.reply, h.now})
 		}
 		h.dropCalls()
-		seq++
-		_, body := h.heartbeat(heartbeatFrom("vm-1", 1, seq, fencingToken, list...))
-		var keep []wire.TaskStatus
-		for _, tr := range list {
+		sequence++
+		_, body := h.heartbeat(heartbeatFrom("vm-1", 1, sequence, fencingToken, statuses...))
+		var remaining []wire.TaskStatus
+		for _, status := range statuses {
 			gone := false
 			for _, c := range body.Commands {
-				gone = gone || c.Op == wire.OpForget && c.Task == tr.Task
-				if c.Op == wire.OpStop && c.Task == tr.Task {
-					tr.State, tr.ExitReason = wire.TaskExited, wire.ExitStopped
+				gone = gone || c.Op == wire.OpForget && c.Task == status.Task
+				if c.Op == wire.OpStop && c.Task == status.Task {
+					status.State, status.ExitReason = wire.TaskExited, wire.ExitStopped
 				}
 			}
-			if tr.State == wire.TaskRunning {
-				tr.State, tr.ExitReason = wire.TaskExited, wire.ExitDone
+			if status.State == wire.TaskRunning {
+				status.State, status.ExitReason = wire.TaskExited, wire.ExitDone
 			}
 			if !gone {
-				keep = append(keep, tr)
+				remaining = append(remaining, status)
 			}
 		}
-		list = keep
+		statuses = remaining
 		for _, c := range starts(body.Commands) {
-			list = append(list, wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning})
+			statuses = append(statuses, wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning})
 		}
 		h.run(190 * ms)
-		for _, w := range waits {
-			if a := h.answers[w.reply]; a.Status != 200 {
-				slowest = max(slowest, h.now-w.at)
+		for _, request := range cancellations {
+			if a := h.answers[request.reply]; a.Status != 200 {
+				slowest = max(slowest, h.now-request.at)
 			}
 		}
 	}
--- a/internal/controller/task_adoption.go
+++ b/internal/controller/task_adoption.go
@@ -9,7 +9,7 @@
 		switch {
 		case att.tracked || att.state < attemptFetching:
 		case att.prefetch:
-			c.notePrefetched(att)
+			c.handlePrefetchExit(att)
 		default:
 			c.adoptTask(m, att)
 		}
