--- a/internal/controller/assignment.go
+++ b/internal/controller/assignment.go
@@ -2,10 +2,11 @@
 
 import "garnethitch/internal/micros"
 
-// Tasks that are assigned to machines.
+// This file assigns waiting tasks to machines.
 
-// packMachine assigns a job's waiting tasks to a machine as long as they fit, and reports whether
-// the job may want other machines as well.
+// packMachine assigns waiting tasks of a job to a machine until no more fit there. It reports
+// whether the job may use further machines in this round. zones counts the job's tasks by zone and
+// is updated; it is nil if zones do not matter to the job.
 func (c *Controller) packMachine(s *shard, j *job, m *machine, zones map[string]int) bool {
 	for c.fits(m, j) && c.allowed(j, m, zones) {
 		index, waiting := j.nextTask()
@@ -19,20 +20,20 @@
 		c.assign(s, j, index, m)
 		if firstOfOverdue {
 			s.queueStale = true
-			return false // its other tasks wait for their turn
+			return false // the job is no longer overdue: its other tasks wait in the usual order
 		}
 		if zones != nil {
 			zones[m.rec.Zone]++
 		}
 		if j.run.nextRetryAt != 0 {
-			return false // one task at a time
+			return false // the job is suspected to fail everywhere and runs one task at a time
 		}
 	}
 	return true
 }
 
-// assign creates an attempt at a waiting task on a machine. Its start is sent in the next
-// heartbeat reply or direct command.
+// assign creates an attempt of a waiting task on a machine. The start command goes out with the
+// next heartbeat reply or in a direct command, whichever comes first.
 func (c *Controller) assign(s *shard, j *job, index int, m *machine) {
 	att := c.newAttempt(s, j, index, m)
 	att.tracked = true
@@ -47,7 +48,8 @@
 	m.view.reservation.consume(j)
 }
 
-// consume takes one task of a job out of the reservation if it is for that job.
+// consume subtracts the resources of one task from the reservation if it is held for the task's
+// job, and ends the reservation when nothing is left of it.
 func (r *reservation) consume(j *job) {
 	if r.job != j {
 		return
@@ -58,12 +60,13 @@
 	}
 }
 
-// newAttempt puts an attempt that is to be sent on a machine, and counts what it takes.
+// newAttempt adds an attempt to a machine, counts its resources as used, and queues a command to
+// the machine.
 func (c *Controller) newAttempt(s *shard, j *job, index int, m *machine) *attempt {
 	key := c.nextAttemptKey(s, j, index)
 	att := &attempt{key: key, job: j, index: index, machine: m, state: attemptAssigned, since: c.now, stopSentAt: -micros.Never}
 	v := m.view
-	usageCurrent := !v.usageStale // then it can be added to, which spares counting it again
+	usageCurrent := !v.usageStale // then the attempt is added to it, instead of a full recount
 	v.put(att)
 	if usageCurrent {
 		v.usage.add(att)
@@ -76,8 +79,9 @@
 	return att
 }
 
-// nextAttemptKey returns the key of a new attempt of a task. Its number begins with the epoch of
-// the shard's owner, so that it is higher than those of all former owners.
+// nextAttemptKey returns the key of a new attempt of a task. The upper bits of the attempt number
+// are the epoch of the shard's owner, so the number is higher than that of any attempt by a former
+// owner.
 func (c *Controller) nextAttemptKey(s *shard, j *job, index int) attemptKey {
 	c.attemptCounter++
 	return attemptKey{job: j.id, index: index, attempt: attemptNumber(s.ownerEpoch, c.attemptCounter)}
--- a/internal/controller/candidates.go
+++ b/internal/controller/candidates.go
@@ -10,22 +10,23 @@
 	"garnethitch/internal/wire"
 )
 
-// Which machines a job may use, and which of them suit it best.
+// This file selects the machines that a job may use and orders them by how well they suit it.
 
-// unplacedTask is what a task needs for which a round found no capacity on the machines that the
+// unplacedTask describes a task for which a round found no capacity on any machine that its
 // constraint allows; see constraintOf.
 type unplacedTask struct {
 	resources  scheduling.Resources
 	constraint string
 }
 
-// rulesOut reports whether no machine has capacity for the job's tasks, since there is none for a
-// task that needs no more and may run wherever they may.
+// rulesOut reports whether the job's tasks cannot be placed either: they need at least as much as u
+// and may run on no other machines.
 func (u unplacedTask) rulesOut(j *job) bool {
 	return u.resources.Fits(resourcesOf(j.sub)) && (u.constraint == "" || u.constraint == j.constraint)
 }
 
-// constraintOf names the machines that a submission allows; empty: any.
+// constraintOf returns a string that identifies the set of machines that a submission allows. It is
+// empty if the submission allows all machines.
 func constraintOf(sub *wire.Submission) string {
 	if sub.Types == nil && sub.Zone == "" && sub.Spot {
 		return ""
@@ -33,8 +34,8 @@
 	return fmt.Sprintf("%t %s %s", sub.Spot, sub.Zone, strings.Join(sub.Types, " "))
 }
 
-// zonesOf counts a job's tasks by zone, those that may be there included. It returns nil if their
-// zones do not matter to the job.
+// zonesOf counts a job's tasks by zone, including tasks whose start is not confirmed. It returns
+// nil if the job does not constrain the zones of its tasks.
 func (c *Controller) zonesOf(j *job) map[string]int {
 	if !j.sub.SameZone && !j.sub.Spread {
 		return nil
@@ -46,8 +47,8 @@
 	return zones
 }
 
-// allowed reports whether a job's task may start on a machine, given in which zones the job's
-// other tasks are.
+// allowed reports whether a job's constraints allow one of its tasks to start on a machine. zones
+// counts the job's other tasks by zone.
 func (c *Controller) allowed(j *job, m *machine, zones map[string]int) bool {
 	sub := j.sub
 	if m.rec.Spot && !sub.Spot || !typeAllowed(sub, m.rec.Type) || sub.Zone != "" && sub.Zone != m.rec.Zone {
@@ -60,7 +61,7 @@
 	return !sub.Spread || zones[m.rec.Zone] < mostPerZone
 }
 
-// anyTaskOutside reports whether a task is in another zone than the given one.
+// anyTaskOutside reports whether any task is in a zone other than the given one.
 func anyTaskOutside(zones map[string]int, zone string) bool {
 	for name, tasks := range zones {
 		if tasks > 0 && name != zone {
@@ -70,14 +71,14 @@
 	return false
 }
 
-// candidate is a machine with how well it suits a job.
+// candidate is a machine together with its score for a job.
 type candidate struct {
 	machine *machine
 	score   float64
 }
 
-// candidates returns the machines with capacity for a job's tasks, the best first. The result is
-// valid until the next call.
+// candidates returns the machines of free that have capacity for a task of a job, in descending
+// order of score. The slice is reused: it is valid until the next call.
 func (c *Controller) candidates(j *job, free []*machine) []candidate {
 	list := c.scheduling.candidateScratch[:0]
 	for _, m := range free {
@@ -91,7 +92,7 @@
 	return list
 }
 
-// score returns how well a machine suits a job's task, the better the higher.
+// score rates how well a machine suits a job's task; higher is better.
 func (c *Controller) score(j *job, m *machine) float64 {
 	v := m.view
 	cpus := c.types.cpusOf(m)
@@ -105,7 +106,7 @@
 	}.Score()
 }
 
-// imageState returns how far the machine has an image.
+// imageState returns whether the machine has an image, fetches it, or lacks it.
 func (v *view) imageState(image string) scheduling.ImageState {
 	switch {
 	case v.images[image]:
@@ -116,7 +117,7 @@
 	return scheduling.ImageMissing
 }
 
-// fetches reports whether an attempt on the machine waits for an image, or will.
+// fetches reports whether an attempt on the machine fetches an image or has yet to do so.
 func (v *view) fetches(image string) bool {
 	for _, att := range v.list {
 		if att.state <= attemptFetching && att.job != nil && att.job.sub.Image == image {
--- a/internal/controller/capacity.go
+++ b/internal/controller/capacity.go
@@ -6,15 +6,15 @@
 	"garnethitch/internal/wire"
 )
 
-// What the attempts on machines use, by team, and what capacity that leaves for a task.
+// This file counts what the attempts on machines use, by team, and computes the remaining capacity.
 
 // maxTasksPerMachine keeps heartbeats and their replies within their size limit.
 const maxTasksPerMachine = 150
 
-// usage is what a team's tasks could be using.
+// usage is the most that a team's tasks may be using.
 type usage struct{ cpus, gpus float64 }
 
-// addScaled adds factor times what each team uses of a machine to the sums.
+// addScaled adds factor times the usage of each team in used to the sums.
 func addScaled(sums, used []usage, factor float64) {
 	for i, u := range used {
 		sums[i].cpus += factor * u.cpus
@@ -22,21 +22,21 @@
 	}
 }
 
-// add adds one task of a submission.
+// add adds the resources of one task of a submission.
 func (u *usage) add(sub *wire.Submission) {
 	u.cpus += sub.CPUs
 	u.gpus += sub.GPUs
 }
 
-// exceeds reports whether one more task of a submission would pass the team's limit.
+// exceeds reports whether one more task of a submission would exceed the team's limit.
 func (u *usage) exceeds(t Team, sub *wire.Submission) bool {
 	cpusExceeded := t.CPUsMax > 0 && u.cpus+sub.CPUs > t.CPUsMax+scheduling.Tolerance
 	gpusExceeded := t.GPUsMax > 0 && u.gpus+sub.GPUs > t.GPUsMax+scheduling.Tolerance
 	return cpusExceeded || gpusExceeded
 }
 
-// tasksWithin returns how many of count tasks that need so much each fit into what is left of a
-// limit; limit 0: none.
+// tasksWithin returns how many of count tasks, each of which takes need, fit into a limit of which
+// used is taken. A limit of 0 means no limit.
 func tasksWithin(limit, used, need float64, count int) int {
 	if limit <= 0 || need <= 0 {
 		return count
@@ -44,13 +44,13 @@
 	return min(count, int((limit-used)/need+scheduling.Tolerance))
 }
 
-// machineUsage is what the attempts on a machine take. It is counted again only after something
-// has changed there.
+// machineUsage is what the attempts on a machine take. It is recounted only after the machine's
+// attempts have changed.
 type machineUsage struct {
 	total         scheduling.Resources
-	stopping      scheduling.Resources // the part of it that tasks being stopped will leave
-	tasks         int                  // not exited
-	hasUnknownJob bool                 // an attempt whose job is not known is among them
+	stopping      scheduling.Resources // the part of total that tasks being stopped will free
+	tasks         int                  // attempts that have not exited
+	hasUnknownJob bool                 // the job of at least one attempt is not known
 	byTeam        []usage
 }
 
@@ -61,7 +61,7 @@
 	until     micros.Micros
 }
 
-// recountMachineUsage counts anew what a machine's attempts take.
+// recountMachineUsage recomputes what the attempts on a machine take.
 func (c *Controller) recountMachineUsage(m *machine) {
 	v := m.view
 	v.usageStale = false
@@ -76,7 +76,7 @@
 		v.usage.add(att)
 	}
 	if v.unreconciledFromPredecessor || v.usage.hasUnknownJob {
-		// It may hold anything that fits, of any team of the shard.
+		// Unknown tasks of any team may take the whole machine.
 		mt := c.types.of(m)
 		for i := range byTeam {
 			byTeam[i].cpus += mt.CPUs
@@ -85,7 +85,7 @@
 	}
 }
 
-// add adds what an attempt takes.
+// add adds the resources of an attempt, unless the attempt has exited.
 func (u *machineUsage) add(att *attempt) {
 	if att.state == attemptExited {
 		return
@@ -103,8 +103,8 @@
 	}
 }
 
-// refreshUsage brings the sums of a shard up to date: what its teams could be using at most. Only
-// machines that have changed are counted again.
+// refreshUsage updates a shard's usage by team, which is an upper bound. Only machines whose
+// attempts have changed are recounted.
 func (c *Controller) refreshUsage(s *shard) {
 	if s.recountAll {
 		c.recountShardUsage(s)
@@ -122,7 +122,7 @@
 	s.dirtyMachines = s.dirtyMachines[:0]
 }
 
-// recountShardUsage counts anew what is used of every machine of a shard.
+// recountShardUsage recomputes the usage of all machines of a shard.
 func (c *Controller) recountShardUsage(s *shard) {
 	s.recountAll = false
 	s.dirtyMachines = s.dirtyMachines[:0]
@@ -136,7 +136,7 @@
 	}
 }
 
-// usable reports whether a machine may be given tasks.
+// usable reports whether tasks may be started on a machine now.
 func (c *Controller) usable(m *machine) bool {
 	v := m.view
 	known := v.reconciled && v.sequenceKnown && !v.leaseExpired && !m.returned && !v.usage.hasUnknownJob
@@ -151,20 +151,20 @@
 	return v.usage.tasks < maxTasksPerMachine && c.types.cpusOf(m) > 0
 }
 
-// resourcesOf returns what one task of a submission needs.
+// resourcesOf returns the resources that one task of a submission needs.
 func resourcesOf(sub *wire.Submission) scheduling.Resources {
 	return scheduling.Resources{CPUs: sub.CPUs, GPUs: sub.GPUs, MemGB: sub.MemGB}
 }
 
-// freeCapacity returns what a machine's attempts leave of it.
+// freeCapacity returns the capacity of a machine that its attempts do not take.
 func (c *Controller) freeCapacity(m *machine) scheduling.Resources {
 	mt := c.types.of(m)
 	all := scheduling.Resources{CPUs: mt.CPUs, GPUs: mt.GPUs, MemGB: mt.MemGB}
 	return all.Minus(m.view.usage.total)
 }
 
-// freeCapacityFor returns what a machine has left for a job: capacity that is reserved for another job
-// does not count.
+// freeCapacityFor returns the free capacity of a machine without what is reserved there for other
+// jobs. It drops a reservation that has expired or whose job has no waiting tasks.
 func (c *Controller) freeCapacityFor(m *machine, j *job) scheduling.Resources {
 	v := m.view
 	capacity := c.freeCapacity(m)
@@ -176,11 +176,11 @@
 		v.reservation = reservation{}
 		return capacity
 	}
-	// What tasks being stopped will leave serves the reservation first.
+	// Capacity that stopping tasks will free counts towards the reservation first.
 	return capacity.Minus(reserved.resources.Minus(v.usage.stopping).AtLeastZero())
 }
 
-// fits reports whether one task of a job finds capacity on a machine now.
+// fits reports whether a machine has capacity for one task of a job now.
 func (c *Controller) fits(m *machine, j *job) bool {
 	return resourcesOf(j.sub).Fits(c.freeCapacityFor(m, j)) && m.view.usage.tasks < maxTasksPerMachine
 }
--- a/internal/controller/capacity_test.go
+++ b/internal/controller/capacity_test.go
@@ -8,8 +8,8 @@
 	"garnethitch/internal/wire"
 )
 
-// TestFreeForReservation checks that what is reserved for one job is not free for another, as far
-// as tasks being stopped do not leave it anyway; and a reservation ends with its time or its job.
+// TestFreeForReservation checks that capacity reserved for one job is not free for another, except
+// where tasks being stopped will free it anyway. A reservation ends at its time or with its job.
 func TestFreeForReservation(t *testing.T) {
 	owner := &job{sub: &wire.Submission{Tasks: 2, CPUs: 1}, run: &run{}}
 	other := &job{sub: &wire.Submission{Tasks: 2, CPUs: 1}, run: &run{}}
@@ -20,7 +20,7 @@
 		asking   *job
 		stopping float64 // CPUs
 		until    micros.Micros
-		want     float64 // CPUs, of 6 that nothing uses
+		want     float64 // free CPUs; 6 are unused
 	}{
 		{"nothing is reserved", nil, other, 0, 0, 6},
 		{"reserved for the job itself", owner, owner, 0, 20 * sec, 6},
@@ -42,27 +42,29 @@
 			}
 			m := &machine{id: "vm-1", rec: machineRecord{Type: "m"}, view: v}
 			if got := c.freeCapacityFor(m, tc.asking); got.CPUs != tc.want || got.MemGB != 8 {
-				t.Errorf("free: %+v, want %v CPUs and 8 GB", got, tc.want)
+				t.Errorf("free capacity: %+v, want %v CPUs and 8 GB", got, tc.want)
 			}
 		})
 	}
 }
 
+// TestReservationConsume checks that a reservation shrinks with each task of its own job only, and
+// ends with the last one.
 func TestReservationConsume(t *testing.T) {
 	owner := &job{sub: &wire.Submission{CPUs: 2, MemGB: 1}}
 	other := &job{sub: &wire.Submission{CPUs: 2, MemGB: 1}}
 	r := reservation{job: owner, resources: scheduling.Resources{CPUs: 4, MemGB: 2}, until: sec}
 	r.consume(other)
 	if r.resources.CPUs != 4 {
-		t.Errorf("another job's task took of it: %+v", r.resources)
+		t.Errorf("a task of another job reduced the reservation: %+v", r.resources)
 	}
 	r.consume(owner)
 	if r.job != owner || r.resources != (scheduling.Resources{CPUs: 2, MemGB: 1}) {
-		t.Errorf("after one of two tasks: %+v", r.resources)
+		t.Errorf("reservation after one of two tasks: %+v", r.resources)
 	}
 	r.consume(owner)
 	if r != (reservation{}) {
-		t.Errorf("not released after the last task: %+v", r.resources)
+		t.Errorf("the reservation did not end after the last task: %+v", r.resources)
 	}
 }
 
@@ -70,7 +72,7 @@
 	for _, tc := range []struct {
 		name              string
 		limit, used, need float64
-		want              int // of 10
+		want              int // of 10 tasks
 	}{
 		{"no limit", 0, 50, 1, 10},
 		{"needs nothing of it", 8, 8, 0, 10},
--- a/internal/controller/demand.go
+++ b/internal/controller/demand.go
@@ -11,33 +11,36 @@
 	"garnethitch/internal/peer"
 )
 
-// What the shards of this controller want of the fleet and have, as it is sent to the leader.
+// This file computes the demand of the shards of this controller: the machines that they have and
+// the tasks that wait for machines. It is sent to the leader, which sizes and divides the fleet.
 
 const (
-	// maxBusyRows bounds how many busy machines of a shard are named: the leader moves and drains
-	// only those that are soon or nearly empty.
+	// maxBusyRows bounds how many busy machines of a shard are listed in each of two selections;
+	// see busyRows. The leader moves and drains only machines that will be empty soon or are nearly
+	// empty.
 	maxBusyRows = 40
-	// maxTotalRowBytes bounds the rows of all other machines of this controller, so that a message
-	// stays within peer.MaxMessage: 6,000 machines whose names are as long as a UUID. The rest is
-	// named once the first are dealt with, and all of them are counted.
+	// maxTotalRowBytes bounds the size of the rows of all other machines of this controller, so
+	// that a message stays within peer.MaxMessage: it is enough for 6,000 machines whose names are
+	// as long as a UUID. Further machines are listed in later messages, once the leader has dealt
+	// with the first ones; the counts include all machines.
 	maxTotalRowBytes = 640 << 10
-	// rowOverheadBytes is the most that a row takes beside its machine's name.
+	// rowOverheadBytes is the maximum encoded size of a row without the machine's name.
 	rowOverheadBytes = 60
-	// minUnansweredCommands is the number of unanswered direct commands from which on an
-	// unreconciled machine counts as silent.
+	// minUnansweredCommands is the number of unanswered direct commands at which an unreconciled
+	// machine counts as silent.
 	minUnansweredCommands = 2
-	// bootTimeout is for how long a machine that has sent no heartbeat counts as booting.
+	// bootTimeout is how long a machine that has sent no heartbeat counts as booting.
 	bootTimeout = 4 * micros.Minute
-	// unhealthySlowness is from which slowness on a machine is replaced if more than
-	// minSlowTasks of its tasks were slow.
+	// unhealthySlowness is the slowness above which a machine is replaced if more than minSlowTasks
+	// of its tasks were slow.
 	unhealthySlowness = 0.4
 	minSlowTasks      = 3
-	// movableRunTimeDivisor divides the expected run time of a task that cannot save into what it may have
-	// run to be moved.
+	// movableRunTimeDivisor limits which tasks that cannot save may be moved: those that have run
+	// for at most this fraction of their expected run time.
 	movableRunTimeDivisor = 3
 )
 
-// demands returns what each shard of this controller wants and has.
+// demands returns the demand of each active shard of this controller.
 func (c *Controller) demands() []peer.Demand {
 	var demands []peer.Demand
 	remainingBytes := maxTotalRowBytes
@@ -51,8 +54,8 @@
 	return demands
 }
 
-// demandOf returns what a shard wants and has. Rows of machines that are not busy take at most
-// remainingBytes; it also returns what is left of that.
+// demandOf returns the demand of a shard. Rows of machines that are not busy take at most
+// remainingBytes; the second result is what remains of it.
 func (c *Controller) demandOf(s *shard, remainingBytes int) (peer.Demand, int) {
 	c.refreshUsage(s)
 	d := peer.Demand{
@@ -66,7 +69,8 @@
 	return d, remainingBytes
 }
 
-// guaranteedCPUs returns what a shard's unfinished jobs within their team's guarantee can use.
+// guaranteedCPUs returns how many CPUs the unfinished jobs of a shard can use that are within their
+// team's guarantee.
 func (c *Controller) guaranteedCPUs(s *shard) float64 {
 	cpus := 0.0
 	for _, j := range c.queue(s) {
@@ -77,8 +81,7 @@
 	return cpus
 }
 
-// addMachines adds a shard's machines to its demand, and returns what they leave of
-// remainingBytes.
+// addMachines adds a shard's machines to its demand, and returns what remains of remainingBytes.
 func (c *Controller) addMachines(s *shard, d *peer.Demand, remainingBytes int) int {
 	var busy []peer.Machine
 	zones := map[string]*peer.Zone{}
@@ -110,7 +113,8 @@
 	return remainingBytes
 }
 
-// addMachine adds a machine to its shard's sums and its zone's, by its state, and returns its row.
+// addMachine adds a machine to the sums of its shard and its zone according to its state, and
+// returns its row.
 func (c *Controller) addMachine(s *shard, m *machine, d *peer.Demand, zone *peer.Zone) peer.Machine {
 	v := m.view
 	cpus := c.types.cpusOf(m)
@@ -138,7 +142,7 @@
 	return row
 }
 
-// addUnreconciled adds an unreconciled machine.
+// addUnreconciled adds an unreconciled machine to the sums of its shard and its zone.
 func (c *Controller) addUnreconciled(s *shard, v *view, d *peer.Demand, zone *peer.Zone, row *peer.Machine) {
 	sinceClaim := c.now - s.claimedAt
 	if v.unansweredCommands >= minUnansweredCommands {
@@ -151,7 +155,8 @@
 	}
 }
 
-// silentFor returns for how long nothing has shown that a machine can be reached both ways.
+// silentFor returns how long there has been no evidence that messages pass in both directions
+// between a machine and this controller.
 func (c *Controller) silentFor(v *view) micros.Micros {
 	silent := c.sinceLastHeartbeat(v)
 	if c.leaseRunningOut(v) {
@@ -163,7 +168,8 @@
 	return silent
 }
 
-// addAttempts adds what a machine's attempts have left to do, and what moving them would lose.
+// addAttempts adds the remaining run time of a machine's attempts, and the work that would be lost
+// by moving them.
 func (c *Controller) addAttempts(m *machine, d *peer.Demand, row *peer.Machine) {
 	for _, att := range m.view.list {
 		if att.job == nil || att.state == attemptExited {
@@ -181,8 +187,8 @@
 	}
 }
 
-// busyRows returns the busy machines that are named to the leader: those that are empty soonest,
-// and those of the others that stand most unused. It sorts busy.
+// busyRows selects the busy machines that are listed for the leader: those that will be empty
+// soonest and, of the others, those with the most unused capacity. It sorts busy.
 func (c *Controller) busyRows(busy []peer.Machine) []peer.Machine {
 	slices.SortFunc(busy, func(a, b peer.Machine) int {
 		return cmp.Or(cmp.Compare(a.LeftUS, b.LeftUS), cmp.Compare(a.ID, b.ID))
@@ -195,7 +201,8 @@
 	return busy[:soonest+min(len(rest), maxBusyRows)]
 }
 
-// unusedWork returns how much of a machine stands unused until it is empty, in CPU seconds.
+// unusedWork returns how much capacity of a machine will go unused until the machine is empty, in
+// CPU seconds.
 func (c *Controller) unusedWork(row peer.Machine) float64 {
 	m := c.machines[row.ID]
 	if m == nil {
@@ -204,9 +211,9 @@
 	return fleet.UnusedWork(row, c.types.cpusOf(m))
 }
 
-// movable reports whether a running task may be stopped so that its machine can be returned. It
-// can save, or its job is late already by what its class or its user wants, it has not been
-// stopped before, and most of its work is still ahead.
+// movable reports whether an attempt may be stopped so that its machine can be released. It must be
+// running, and either able to save or the attempt of a job that is past its due time, has not been
+// stopped before and has most of its work still ahead.
 func (c *Controller) movable(att *attempt) bool {
 	if !att.tracked || att.state != attemptRunning || att.job.run == nil {
 		return false
@@ -222,7 +229,7 @@
 	return due < micros.Never && c.wall > due
 }
 
-// machineState returns how a machine counts for the leader.
+// machineState returns the state of a machine that is reported to the leader.
 func (c *Controller) machineState(m *machine) peer.MachineState {
 	v := m.view
 	switch {
@@ -242,7 +249,7 @@
 	return peer.MachineBusy
 }
 
-// silent reports whether a machine has sent no heartbeat for a while, or does not receive its
+// silent reports whether a machine has sent no heartbeat for a while, or does not receive the
 // replies.
 func (c *Controller) silent(m *machine) bool {
 	v := m.view
@@ -253,17 +260,18 @@
 	return c.leaseRunningOut(v) && v.empty()
 }
 
-// needsReplacement reports whether a machine fails or slows tasks, or is being taken away.
+// needsReplacement reports whether a machine makes tasks fail, slows them down, or is about to be
+// reclaimed by the cloud.
 func (c *Controller) needsReplacement(m *machine) bool {
 	v := m.view
 	fails := v.faulty && c.now < v.cordonedUntil
 	return fails || v.reclaimAt != 0 || c.slowness(m) > unhealthySlowness && v.slowCount > minSlowTasks
 }
 
-// maxWaitingTaskGroups bounds the groups of waiting tasks of a shard.
+// maxWaitingTaskGroups bounds the groups of waiting tasks in the demand of a shard.
 const maxWaitingTaskGroups = 32
 
-// waitingTasksKey is what the tasks of a group have in common.
+// waitingTasksKey is what all tasks of a group have in common.
 type waitingTasksKey struct {
 	zone, types string
 	spot        bool
@@ -271,14 +279,15 @@
 	priority    int
 }
 
-// waitingTasksKeyOf returns the key of a job's group.
+// waitingTasksKeyOf returns the key of the group of a job's tasks.
 func waitingTasksKeyOf(j *job) waitingTasksKey {
 	types := strings.Join(j.sub.Types, " ")
 	return waitingTasksKey{zone: j.sub.Zone, types: types, spot: j.sub.Spot, cpus: j.sub.CPUs, gpus: j.sub.GPUs, priority: j.priority}
 }
 
-// waitingTaskGroups gathers a shard's waiting tasks by what they need. A team's tasks beyond its limit
-// are not counted: machines would not help them.
+// waitingTaskGroups groups a shard's waiting tasks by their needs. Tasks beyond the limit of their
+// team or the quota of their groups are not counted as waiting, as more machines would not let them
+// start.
 func (c *Controller) waitingTaskGroups(s *shard) []peer.WaitingTasks {
 	index := map[waitingTasksKey]int{}
 	var groups []peer.WaitingTasks
@@ -309,14 +318,14 @@
 	return groups
 }
 
-// wantsMachines reports whether tasks of a job wait, and may be started as soon as there are
-// machines.
+// wantsMachines reports whether the job has waiting tasks that may start as soon as there are
+// machines for them.
 func (j *job) wantsMachines() bool {
 	r := j.run
 	return r != nil && r.checkpointApplied && !r.end.requested() && r.nextRetryAt == 0 && j.pending() > 0
 }
 
-// newWaitingTasks returns the group of a job's tasks, without any tasks yet.
+// newWaitingTasks returns the group that a job's tasks belong to, with no tasks counted yet.
 func newWaitingTasks(j *job) peer.WaitingTasks {
 	return peer.WaitingTasks{
 		Types:    j.sub.Types,
@@ -330,7 +339,7 @@
 	}
 }
 
-// teamHeadroom is how many more CPUs each team may use, by the team's number.
+// teamHeadroom is how many more CPUs each team may use, indexed by team.
 type teamHeadroom []float64
 
 // teamHeadroom returns how many more CPUs each team may use in a shard.
@@ -345,7 +354,8 @@
 	return headroom
 }
 
-// take returns how many of count tasks of a job fit, and takes them.
+// take returns how many of count tasks of a job fit into the headroom of its team, and subtracts
+// them.
 func (h teamHeadroom) take(j *job, count int) int {
 	if j.sub.CPUs <= 0 {
 		return count
--- a/internal/controller/demand_test.go
+++ b/internal/controller/demand_test.go
@@ -6,7 +6,7 @@
 	"garnethitch/internal/micros"
 )
 
-// TestMovable checks that a running task may be stopped for the return of its machine only if
+// TestMovable checks that a running task may be stopped for the release of its machine only if
 // little is lost by that.
 func TestMovable(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.FinishWithin = map[string]micros.Micros{"late": sec, "early": 60 * micros.Minute} })
@@ -16,7 +16,7 @@
 		checkpoint  float64
 		ran         micros.Micros
 		stops       int
-		over, want  bool // over: its job is no longer this node's
+		over, want  bool // over: this node no longer owns its job
 	}{
 		{"it can save", "early", attemptRunning, 10, 90 * sec, 3, false, true},
 		{"late and young", "late", attemptRunning, 0, 20 * sec, 0, false, true},
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	// cloudTimeout bounds a request to the cloud.
+	// cloudTimeout is the timeout of a request to the cloud.
 	cloudTimeout = 4 * micros.Second
-	// cloudRateFraction is the part of the cloud's rate that is used.
+	// cloudRateFraction is the fraction of the cloud's rate limit that the controller uses.
 	cloudRateFraction = 0.8
 	// fleetPlanInterval is the time between two plans for the fleet.
 	fleetPlanInterval = micros.Second
 )
 
 // fleetState is what the leader knows of the fleet. The leader rents machines, assigns them to
-// shards and returns them, and places no tasks.
+// shards and returns them to the cloud; it does not schedule tasks.
 type fleetState struct {
 	*stepContext
-	cloudBudget ratelimit.Bucket // of requests to the cloud
+	cloudBudget ratelimit.Bucket // limits requests to the cloud
 
-	leadingSince     micros.Micros // when this controller began to lead
-	noRecordsAtStart bool          // nothing was on record then
-	nextPlanAt       micros.Micros // when the fleet is next planned
+	leadingSince     micros.Micros // when this controller became leader
+	noRecordsAtStart bool          // no machine was on record at that time
+	nextPlanAt       micros.Micros // time of the next plan
 
 	cloudTypes
 	cloudList
@@ -37,10 +37,10 @@
 
 // assignments are the machines that are being assigned to shards.
 type assignments struct {
-	pendingCreations   map[string]*recordSetCreation // record sets being recorded, by key
-	assigning          map[string]bool               // machines in them, or about to be
-	registrations      []registration                // machines without a record that have sent a heartbeat
-	registrationsDueAt micros.Micros                 // when they are recorded
+	pendingCreations   map[string]*recordSetCreation // record sets being written, by key
+	assigning          map[string]bool               // IDs of machines in these record sets or waiting for one
+	registrations      []registration                // of machines that have sent a heartbeat but have no record
+	registrationsDueAt micros.Micros                 // when the registrations are recorded
 }
 
 // init prepares the state of a controller that does not lead.
@@ -50,7 +50,7 @@
 	f.reset()
 }
 
-// reset forgets what is known of the fleet, machine types and the budget excepted.
+// reset discards the state of the fleet except for machine types and the request budget.
 func (f *fleetState) reset() {
 	f.cloudList.reset()
 	f.rentals.reset()
@@ -59,14 +59,14 @@
 	f.machineMoves.reset()
 }
 
-// reset forgets all assignments.
+// reset discards all assignments.
 func (a *assignments) reset() {
 	a.pendingCreations = map[string]*recordSetCreation{}
 	a.assigning = map[string]bool{}
 	a.registrations = nil
 }
 
-// startLeading begins anew when this controller has acquired the leader lock.
+// startLeading resets the fleet state after this controller has acquired the leader lock.
 func (c *Controller) startLeading() {
 	c.fleet.refuseRegistrations()
 	f := &c.fleet
@@ -80,8 +80,8 @@
 	c.log(Info, "leader lock acquired", "epoch", c.ownership.leader.ownerEpoch, "machines", len(c.machines))
 }
 
-// refuseRegistrations answers the machines that wait for a record. They must be free to send
-// heartbeats again: this controller may lead again under the same epoch.
+// refuseRegistrations refuses the registrations of machines that wait for a record. They must be
+// able to register again later: this controller may become leader again under the same epoch.
 func (f *fleetState) refuseRegistrations() {
 	for _, r := range f.registrations {
 		delete(f.assigning, r.in.Heartbeat.Machine)
@@ -90,7 +90,8 @@
 	f.registrations = nil
 }
 
-// askCloud sends a request if the budget allows it, and reports whether it did.
+// askCloud sends a request to the cloud if the request budget allows it, and reports whether it
+// did.
 func (f *fleetState) askCloud(req any, timeout micros.Micros, done func(Result)) bool {
 	b := &f.cloudBudget
 	b.Refill(f.now)
@@ -102,7 +103,7 @@
 	return true
 }
 
-// maintainFleet does what becomes due of the leader's work.
+// maintainFleet does the leader's periodic work that is due.
 func (c *Controller) maintainFleet() {
 	c.refreshTypes()
 	if !c.ownership.leading() {
@@ -122,7 +123,7 @@
 	}
 }
 
-// planFleet assigns machines to shards, and decides which to rent, to move and to return.
+// planFleet assigns new machines to shards, and decides which machines to rent, move and return.
 func (c *Controller) planFleet() {
 	demands := c.latestDemands()
 	c.logFreeCapacities()
--- a/internal/controller/fleet_plan.go
+++ b/internal/controller/fleet_plan.go
@@ -7,23 +7,24 @@
 	"garnethitch/internal/wire"
 )
 
-// What the shards want and have together, and what follows from it.
+// This file collects the demands of all shards and plans the size of the fleet by them.
 
 const (
-	// demandValidity is how long what another owner says of its shards counts.
+	// demandValidity is how long the demand reported by another owner remains valid.
 	demandValidity = 5 * micros.Second
-	// firstPlanDelay is how long a new leader waits for what all owners say.
+	// firstPlanDelay is how long a new leader waits for the demands of all shards before it plans
+	// with those that it has.
 	firstPlanDelay = 20 * micros.Second
-	// rentalValidity is how long a rented machine is waited for.
+	// rentalValidity is how long a rented machine is expected to appear on record.
 	rentalValidity = 5 * micros.Minute
 )
 
-// catalog returns what the cloud offers.
+// catalog returns the machine types that the cloud offers.
 func (c *Controller) catalog() fleet.Catalog {
 	return fleet.Catalog{Types: c.types.byName, Names: c.types.names}
 }
 
-// latestDemands returns the newest demand of every shard.
+// latestDemands returns the latest valid demand of each shard; shards without one are missing.
 func (c *Controller) latestDemands() fleet.Demands {
 	demands := fleet.Demands{}
 	for _, label := range c.cfg.Peers {
@@ -44,13 +45,13 @@
 	return demands
 }
 
-// ownedBy reports whether there is such a shard and the controller with the label owns it.
+// ownedBy reports whether the shard exists and is owned by the controller with the label.
 func (o *ownershipState) ownedBy(shard int, label string) bool {
 	return shard >= 0 && shard < len(o.shards) && o.shards[shard].owner.Label == label
 }
 
-// resizeFleet moves idle machines to where tasks wait, rents what is missing, and returns what is
-// not needed.
+// resizeFleet rents missing machines, moves machines to the shards with waiting tasks, and returns
+// machines that are not needed.
 func (c *Controller) resizeFleet(demands fleet.Demands) {
 	allKnown := len(demands) >= len(c.ownership.shards)
 	if !allKnown && c.now < c.fleet.leadingSince+firstPlanDelay {
@@ -66,7 +67,8 @@
 	c.replaceUnhealthy(demands)
 }
 
-// pruneRentals forgets the rented machines that are on record or will not come any more.
+// pruneRentals removes rented machines that are on record, have been returned, or have not appeared
+// within rentalValidity.
 func (c *Controller) pruneRentals() {
 	f := &c.fleet
 	for id, r := range f.rented {
@@ -76,8 +78,8 @@
 	}
 }
 
-// countFleet returns the number of all machines, and the CPUs of those that are not on record
-// yet.
+// countFleet returns the number of all machines, including those that are being rented, and the
+// CPUs of those that are not on record yet.
 func (c *Controller) countFleet() (machines int, bootingCPUs float64) {
 	f := &c.fleet
 	machines = len(c.machines)
@@ -107,15 +109,14 @@
 	return machines, bootingCPUs
 }
 
-// unrecorded reports whether a listed machine is neither on record nor among the rented ones, and
-// may come up.
+// unrecorded reports whether a machine of the cloud's list is neither on record nor among the
+// rented or returned ones, and has not failed.
 func (c *Controller) unrecorded(id string, l wire.ListedMachine) bool {
 	f := &c.fleet
 	return c.machines[id] == nil && f.rented[id] == nil && f.returned[id] == 0 && l.State != wire.MachineFailed
 }
 
-// sumDemands adds up what the shards want and have, beside the CPUs of machines that are not on
-// record yet.
+// sumDemands adds up the demands of all shards and the CPUs of machines that are not on record yet.
 func (c *Controller) sumDemands(demands fleet.Demands, bootingCPUs float64) fleet.Sums {
 	sums := fleet.Sums{Booting: bootingCPUs}
 	for _, id := range demands.Shards() {
--- a/internal/controller/free_capacity_log.go
+++ b/internal/controller/free_capacity_log.go
@@ -1,22 +1,22 @@
 package controller
 
-// unusedReason says why CPUs of a machine are not in use.
+// unusedReason is the reason why CPUs of a machine are not in use.
 type unusedReason int
 
-// The reasons in the order in which they are logged.
+// The reasons, in the order in which they are logged.
 const (
 	unusedFree          unusedReason = iota
-	unusedReserved                   // kept for one job
-	unusedUnreconciled               // what is on the machine is not known yet
-	unusedOverdue                    // the machine cannot be reached
-	unusedReclaimNotice              // the cloud is about to take the machine away
+	unusedReserved                   // reserved for a job
+	unusedUnreconciled               // it is not known yet what runs on the machine
+	unusedOverdue                    // heartbeats or their replies are overdue
+	unusedReclaimNotice              // the cloud is about to reclaim the machine
 	unusedCordoned
-	unusedReleasing // the machine leaves its shard
+	unusedReleasing // the machine is leaving its shard
 	unusedOther
-	unusedReasonCount // their number
+	unusedReasonCount // number of reasons
 )
 
-// String returns the reason as it stands in the log.
+// String returns the attribute key of the reason in the log.
 func (r unusedReason) String() string {
 	switch r {
 	case unusedFree:
@@ -37,8 +37,8 @@
 	return "other"
 }
 
-// logFreeCapacities logs where the unused CPUs of every shard of this controller are. Its caller
-// bounds how often.
+// logFreeCapacities logs the unused CPUs of every active shard of this controller. The caller
+// limits how often it is called.
 func (c *Controller) logFreeCapacities() {
 	for _, s := range c.ownership.shards {
 		if c.ownership.activeShard(s.id) != nil {
@@ -47,7 +47,8 @@
 	}
 }
 
-// logFreeCapacity logs where the unused CPUs of a shard are, and what waits for CPUs.
+// logFreeCapacity logs the unused CPUs of a shard by reason, and the CPUs that its waiting tasks
+// need.
 func (c *Controller) logFreeCapacity(s *shard) {
 	waiting := c.sumWaiting(s)
 	args := []any{"shard", s.id, "wanted", waiting.startable, "blocked", waiting.blocked}
@@ -71,7 +72,7 @@
 	return cpus
 }
 
-// unusedReason returns why unused CPUs of a machine are not in use.
+// unusedReason returns the reason why the unused CPUs of a machine are not in use.
 func (c *Controller) unusedReason(m *machine) unusedReason {
 	v := m.view
 	switch {
@@ -93,14 +94,14 @@
 	return unusedOther
 }
 
-// waitingCPUs is what the waiting tasks of a shard would take, in CPUs.
+// waitingCPUs is how many CPUs the waiting tasks of a shard need.
 type waitingCPUs struct {
 	startable float64
-	blocked   float64 // may not be started yet
+	blocked   float64 // of jobs that may not start tasks yet
 	overQuota float64
 }
 
-// sumWaiting adds up what the waiting tasks of a shard would take.
+// sumWaiting adds up the CPUs that the waiting tasks of a shard need.
 func (c *Controller) sumWaiting(s *shard) waitingCPUs {
 	var sum waitingCPUs
 	for _, j := range c.queue(s) {
--- a/internal/controller/job_queue.go
+++ b/internal/controller/job_queue.go
@@ -11,12 +11,13 @@
 const (
 	// reorderInterval is how long a queue keeps its order while no job is added or removed.
 	reorderInterval = micros.Second
-	// agingFactor bounds the time that a large job waits for later ones: so many times
-	// what its work takes the whole shard.
+	// agingFactor bounds how long a large job waits for jobs that came later, as a multiple of the
+	// time that its work would take the whole shard.
 	agingFactor = 8.0
 )
 
-// queue lists a shard's unfinished jobs that are not blocked, the first to be served first.
+// queue returns the unfinished jobs of a shard that are not blocked, in the order in which they are
+// served. It reorders them if the order is out of date.
 func (c *Controller) queue(s *shard) []*job {
 	if !s.queueStale && c.now < s.nextReorderAt {
 		return s.queue
@@ -34,8 +35,8 @@
 	return s.queue
 }
 
-// fillQueue collects the jobs of a shard's queue. A blocked job takes part in nothing: no
-// limit, no guarantee, no demand.
+// fillQueue collects the jobs of a shard's queue. Blocked jobs are left out: they count towards no
+// limit, guarantee or demand.
 func (t *jobTable) fillQueue(s *shard) {
 	s.queue = s.queue[:0]
 	for _, j := range t.open {
@@ -45,9 +46,9 @@
 	}
 }
 
-// rankQueue updates what the order of a shard's jobs depends on. Among jobs of one priority,
-// within or beyond a guarantee, those with little work left go first: more of them are in
-// time, and more users are served soon. A job ages meanwhile; see agingFactor.
+// rankQueue updates the values by which a shard's jobs are ordered. Among jobs that are equal in
+// priority and guarantee, those with little work left go first: more jobs finish in time, and more
+// users are served soon. Aging keeps large jobs from starving; see agingFactor.
 func (c *Controller) rankQueue(s *shard) {
 	cpus := 1.0
 	for _, m := range s.machines {
@@ -64,13 +65,13 @@
 	}
 }
 
-// guaranteeOverdue reports whether a job within its guarantee has waited for half of what it
-// should at most.
+// guaranteeOverdue reports whether a job within its team's guarantee has waited for more than half
+// of the time within which guaranteed jobs should be served.
 func (sc *stepContext) guaranteeOverdue(j *job) bool {
 	return j.withinGuarantee && sc.cfg.GuaranteeWithin > 0 && sc.waited(j) > sc.cfg.GuaranteeWithin/2
 }
 
-// compareInQueue orders jobs of a shard, the first to be served first.
+// compareInQueue compares jobs of a shard by the order in which they are served.
 func compareInQueue(a, b *job) int {
 	return cmp.Or(
 		compareTrueFirst(a.startOverdue, b.startOverdue),
@@ -81,12 +82,12 @@
 		compareByAge(a, b))
 }
 
-// compareByAge orders jobs by the time from which their waiting counts.
+// compareByAge compares jobs by the time from which their waiting counts.
 func compareByAge(a, b *job) int {
 	return cmp.Or(cmp.Compare(a.since(), b.since()), cmp.Compare(a.id, b.id))
 }
 
-// compareTrueFirst orders true before false.
+// compareTrueFirst compares booleans so that true sorts before false.
 func compareTrueFirst(a, b bool) int {
 	switch {
 	case a == b:
@@ -98,7 +99,7 @@
 	}
 }
 
-// waitingJobs returns the queue from the first job on that has tasks waitingJobs.
+// waitingJobs returns the part of the queue that begins with the first job with waiting tasks.
 func (c *Controller) waitingJobs(s *shard) []*job {
 	queue := c.queue(s)
 	for s.firstWaiting < len(queue) && !hasPendingTasks(queue[s.firstWaiting]) {
@@ -107,11 +108,11 @@
 	return queue[s.firstWaiting:]
 }
 
-// hasPendingTasks reports whether a job is owned here and has tasks that wait.
+// hasPendingTasks reports whether a job is owned here and has waiting tasks.
 func hasPendingTasks(j *job) bool { return j.run != nil && j.pending() > 0 }
 
-// markGuaranteed marks the unfinished jobs that fit into their team's guarantee together
-// with the team's earlier ones. It sorts the jobs by team and age.
+// markGuaranteed marks the jobs that fit into their team's guarantee together with all older jobs
+// of the team. It sorts jobs by team and age.
 func (c *Controller) markGuaranteed(jobs []*job) {
 	slices.SortFunc(jobs, func(a, b *job) int {
 		return cmp.Or(cmp.Compare(a.team, b.team), compareByAge(a, b))
@@ -130,14 +131,14 @@
 	}
 }
 
-// exceedsGuarantee reports whether the work of a team's jobs is more than the team's
-// guarantee.
+// exceedsGuarantee reports whether the resources of a team's jobs exceed the team's guarantee. A
+// team without a guarantee is always exceeded.
 func exceedsGuarantee(sum usage, t Team) bool {
 	noGuarantee := t.CPUs <= 0 && t.GPUs <= 0
 	return noGuarantee || sum.cpus > t.CPUs+scheduling.Tolerance || sum.gpus > t.GPUs+scheduling.Tolerance && sum.gpus > 0
 }
 
-// runnable reports whether a job wants tasks started, and they may be.
+// runnable reports whether a job has waiting tasks and may start them.
 func (c *Controller) runnable(s *shard, j *job) bool {
 	r := j.run
 	if r == nil || !r.checkpointApplied || r.end.requested() || j.pending() <= 0 {
@@ -147,7 +148,7 @@
 		return false
 	}
 	knownInTime := j.knownAt <= c.ownership.lease.RenewedAt()+c.bounds.LeaseValidity
-	// Else a former owner may have started its tasks on a machine that is not reconciled yet.
+	// Otherwise a former owner may have started its tasks on a machine that is not reconciled yet.
 	notStartedElsewhere := r.acceptedUnderClaim || s.jobsViewCurrent && s.reconciled
 	return knownInTime && notStartedElsewhere
 }
--- a/internal/controller/job_queue_test.go
+++ b/internal/controller/job_queue_test.go
@@ -8,13 +8,13 @@
 	"garnethitch/internal/wire"
 )
 
-// TestQueueOrder checks that the waiting jobs of a shard are served in the order of priority, guarantee,
-// work and age.
+// TestQueueOrder checks that the waiting jobs of a shard are served in the order of priority,
+// guarantee, remaining work and age.
 func TestQueueOrder(t *testing.T) {
 	type queuedJob struct {
 		id, priority string
 		tasks        int
-		age          micros.Micros // how long ago it was accepted
+		age          micros.Micros // time since it was accepted
 	}
 	for _, tc := range []struct {
 		name string
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -9,38 +9,40 @@
 	"garnethitch/internal/wire"
 )
 
-// Which tasks are stopped for a job of higher priority that finds no capacity.
+// This file stops tasks of lower priority for jobs that find no free capacity.
 
 const (
-	// maxPreemptionSearches bounds the jobs for which a round looks for tasks to stop: each walks
-	// over all machines of a shard.
+	// maxPreemptionSearches bounds the jobs for which a round searches for tasks to stop or
+	// capacity to reserve. Each search visits all machines of a shard.
 	maxPreemptionSearches = 3
 	// maxPreemptionStops bounds the tasks that a round stops.
 	maxPreemptionStops = 200
-	// preemptionInterval is the time between two searches for one job.
+	// preemptionInterval is the minimum time between two searches for the same job.
 	preemptionInterval = 250 * micros.Millisecond
-	// reservationDuration is how long capacity is kept for the job for which tasks were stopped:
-	// they may have to save first.
+	// reservationDuration is how long capacity is reserved for the job for which tasks were
+	// stopped. The stopped tasks may need time to save a checkpoint.
 	reservationDuration = 8 * micros.Second
-	// missingImageCost is what it counts, in CPU seconds, if the machine lacks the job's image.
+	// missingImageCost is the cost, in CPU seconds, of using a machine that does not have the job's
+	// image.
 	missingImageCost = 3
 )
 
-// preemptionBudget bounds what one round does to stop tasks.
+// preemptionBudget is how many searches and stops a round has left.
 type preemptionBudget struct {
 	searches, stops int
 }
 
-// reset grants the budget of a new round.
+// reset restores the full budget for a new round.
 func (b *preemptionBudget) reset() {
 	b.searches = maxPreemptionSearches
 	b.stops = maxPreemptionStops
 }
 
-// exhausted reports whether no further search is worth while in this round.
+// exhausted reports whether this round has no searches or no stops left.
 func (b *preemptionBudget) exhausted() bool { return b.searches <= 0 || b.stops <= 0 }
 
-// preemptFor stops tasks of lower priority for a job that found no capacity.
+// preemptFor stops tasks of lower priority for a job that found no capacity, once the job has
+// waited for its preemption delay.
 func (c *Controller) preemptFor(s *shard, j *job) {
 	r := j.run
 	if j.priority == wire.PriorityLow || r.nextRetryAt != 0 {
@@ -51,7 +53,7 @@
 		return
 	}
 	if c.scheduling.preemptionBudget.exhausted() {
-		c.schedulingDue = true // in the next round
+		c.schedulingDue = true // the search is repeated in the next round
 		return
 	}
 	c.scheduling.preemptionBudget.searches--
@@ -60,20 +62,20 @@
 	c.executePreemption(j, plan)
 }
 
-// preemptionPlan is where capacity can be made for a job.
+// preemptionPlan lists the ways to free capacity for a job's waiting tasks.
 type preemptionPlan struct {
-	tasks   int            // tasks that capacity is to be made for
-	options preemptionHeap // one for each machine
+	tasks   int            // for which capacity is to be freed
+	options preemptionHeap // at most one for each machine
 }
 
-// preemptionOption is the cheapest way to make capacity for one task on a machine.
+// preemptionOption is the cheapest way to free capacity for one task on a machine.
 type preemptionOption struct {
 	machine *machine
 	victims []*attempt
 	cost    float64 // CPU seconds
 }
 
-// preemptionHeap is a heap.Interface, the cheapest offer first.
+// preemptionHeap implements heap.Interface with the cheapest option first.
 type preemptionHeap []*preemptionOption
 
 func (h preemptionHeap) Len() int { return len(h) }
@@ -93,8 +95,8 @@
 	return last
 }
 
-// planPreemption finds out for how many tasks of a job capacity is to be made, and what each
-// machine of the shard offers.
+// planPreemption determines for how many tasks of a job capacity must be freed, and the cheapest
+// option on each machine of the shard.
 func (c *Controller) planPreemption(s *shard, j *job) *preemptionPlan {
 	plan := &preemptionPlan{tasks: c.tasksToPlace(s, j)}
 	zones := c.zonesOf(j)
@@ -120,13 +122,14 @@
 	return plan
 }
 
-// tasksToPlace returns how many of a job's waiting tasks its team's limit of CPUs lets start.
+// tasksToPlace returns how many of a job's waiting tasks may start within the CPU limit of its
+// team.
 func (c *Controller) tasksToPlace(s *shard, j *job) int {
 	return tasksWithin(c.cfg.Teams[j.team].CPUsMax, s.usage[j.team].cpus, j.sub.CPUs, j.pending())
 }
 
-// executePreemption takes the cheapest offers of a plan until there is capacity for all tasks,
-// the round's budget is spent, or the next one costs too much.
+// executePreemption takes the cheapest options of a plan until there is capacity for all tasks, the
+// round's budget is spent, or the next option costs more than may be lost.
 func (c *Controller) executePreemption(j *job, plan *preemptionPlan) {
 	maxLoss := c.preemptionPolicy.maxLoss(j)
 	options := &plan.options
@@ -147,9 +150,9 @@
 	}
 }
 
-// preemptOnMachine makes capacity on a machine for a job that already waits for others to be
-// stopped: else a job further down the queue would take what has just come free, and be stopped
-// for it in turn.
+// preemptOnMachine frees capacity on a machine for a job that already waits for preemption.
+// Otherwise a job further down the queue would take the capacity that has just become free, and
+// would be stopped for this job later.
 func (c *Controller) preemptOnMachine(j *job, m *machine) {
 	r := j.run
 	waitsForPreemption := r.nextPreemptionAt != 0 && r.arrivedAt+c.preemptionPolicy.delay(j) <= c.now
@@ -161,8 +164,9 @@
 	}
 }
 
-// cheapestPreemption returns how a machine could make capacity for one more task of a job beside
-// what is reserved there for the job, or nil if it cannot.
+// cheapestPreemption returns the cheapest way to free capacity on a machine for one more task of a
+// job, beyond what is reserved there for the job. It returns nil if stopping all possible victims
+// does not free enough.
 func (c *Controller) cheapestPreemption(j *job, m *machine) *preemptionOption {
 	option := &preemptionOption{machine: m}
 	if !m.view.images[j.sub.Image] {
@@ -184,8 +188,8 @@
 	return option
 }
 
-// freeAfterStops returns what a machine will have left once tasks that are being stopped have
-// gone, without what is reserved for the job.
+// freeAfterStops returns the capacity of a machine that is free once the tasks being stopped have
+// exited, without what is reserved for the job.
 func (c *Controller) freeAfterStops(j *job, m *machine) scheduling.Resources {
 	v := m.view
 	free := c.freeCapacity(m).Plus(v.usage.stopping)
@@ -195,8 +199,8 @@
 	return free
 }
 
-// possibleVictims returns the attempts on a machine that may be stopped for a job. The result is
-// valid until the next call.
+// possibleVictims returns the attempts on a machine that may be stopped for a job. The slice is
+// reused: it is valid until the next call.
 func (c *Controller) possibleVictims(j *job, m *machine) []scheduling.Victim {
 	victims := c.scheduling.victimScratch[:0]
 	for i, att := range m.view.list {
@@ -215,8 +219,8 @@
 	return victims
 }
 
-// preemptibleFor reports whether an attempt may be stopped for a job: it has a lower priority, or
-// only fetches an image ahead, and is not being stopped yet.
+// preemptibleFor reports whether an attempt may be stopped for a job: it has a lower priority or
+// only prefetches an image, and it is not being stopped already.
 func (att *attempt) preemptibleFor(j *job) bool {
 	if att.job == nil || att.stopMode != stopNone || att.state == attemptExited {
 		return false
@@ -224,8 +228,9 @@
 	return att.tracked && att.job.priority < j.priority || att.prefetch
 }
 
-// preemptAndReserve stops an offer's tasks and reserves the capacity for the job, or a job further down
-// the queue would take it and be stopped for it in turn.
+// preemptAndReserve stops the victims of an option and reserves the capacity for the job. Without
+// the reservation, a job further down the queue would take the capacity and be stopped for this job
+// later.
 func (c *Controller) preemptAndReserve(j *job, option *preemptionOption) {
 	for _, att := range option.victims {
 		c.scheduling.preemptionBudget.stops--
@@ -244,7 +249,8 @@
 	c.refreshUsage(c.ownership.shards[option.machine.rec.Shard])
 }
 
-// stop has an attempt stopped; one that was never sent is just removed.
+// stop requests that an attempt be stopped. An attempt that was never sent to its machine is
+// removed at once.
 func (c *Controller) stop(att *attempt, mode stopMode) {
 	if att.state == attemptAssigned {
 		c.freeAttempt(att, false)
--- a/internal/controller/preemption_test.go
+++ b/internal/controller/preemption_test.go
@@ -7,9 +7,9 @@
 	"garnethitch/internal/wire"
 )
 
-// TestPreemptedCapacityIsReserved checks that capacity that is being made for one job is not given
-// to another meanwhile, which would only be stopped in its turn (found by the simulation: forty
-// stops a second).
+// TestPreemptedCapacityIsReserved checks that capacity that is being freed for one job is not given
+// to another job. The other job's task would only be stopped in turn: without the reservation the
+// simulation saw forty stops a second.
 func TestPreemptedCapacityIsReserved(t *testing.T) {
 	h := newHarness(t, nil)
 	fencingToken := h.reconcile("vm-1") // four CPUs
@@ -19,7 +19,7 @@
 		h.submit(s)
 	}
 	job("job-000001", "standard", 1, 2)
-	job("job-000002", "best_effort", 2, 2) // the second task waits
+	job("job-000002", "best_effort", 2, 2) // the second task does not fit and waits
 	h.dropCalls()
 	_, body := h.heartbeat(heartbeatFrom("vm-1", 1, 10, fencingToken))
 	running := map[string]wire.TaskStatus{}
@@ -28,12 +28,12 @@
 	}
 	first, second := running["job-000001/0"], running["job-000002/0"]
 	if first.Attempt == 0 || second.Attempt == 0 {
-		t.Fatalf("running %v", running)
+		t.Fatalf("running tasks: %v, want job-000001/0 and job-000002/0", running)
 	}
 	h.heartbeat(heartbeatFrom("vm-1", 1, 11, fencingToken, first, second))
-	job("job-000003", "standard", 1, 3) // may stop job-000002, which is not enough
+	job("job-000003", "standard", 1, 3) // stopping job-000002 would not free enough
 	h.run(2 * sec)
-	// The first ends: what it leaves and what job-000002 holds are enough.
+	// job-000001 ends: what it frees and what job-000002 holds are enough together.
 	first.State, first.ExitReason = wire.TaskExited, wire.ExitDone
 	_, body = h.heartbeat(heartbeatFrom("vm-1", 1, 12, fencingToken, first, second))
 	stops := 0
@@ -42,22 +42,23 @@
 			stops++
 		}
 		if c.Op == wire.OpStart {
-			t.Errorf("%s is started in the capacity that is being made", c.Task)
+			t.Errorf("%s was started in capacity that is being freed for another job", c.Task)
 		}
 	}
 	if stops != 1 {
-		t.Errorf("%d tasks stopped, want 1: %v", stops, body.Commands)
+		t.Errorf("%d tasks were stopped, want 1: %v", stops, body.Commands)
 	}
 }
 
-// TestDeadlineNear checks that a job that can only just be in time has others stopped at once,
-// without time to save; one that has time, or can't be in time any more, has not.
+// TestDeadlineNear checks that a job that can only just meet its deadline preempts others at once
+// and without time to save. A job that has time left, or that cannot meet its deadline any more,
+// does not.
 func TestDeadlineNear(t *testing.T) {
 	deadline := func(s float64) *float64 { return &s }
 	for _, tc := range []struct {
 		name     string
 		deadline *float64
-		within   micros.Micros // of its class
+		within   micros.Micros // objective of the job's class
 		want     bool
 	}{
 		{"no deadline", nil, 0, false},
@@ -87,8 +88,8 @@
 	}
 }
 
-// TestPreemptionLoss checks that the loss of stopping a task for a job of higher priority counts
-// work, priority, length and earlier stops.
+// TestPreemptionLoss checks that the loss of stopping a task grows with its completed work,
+// priority, length and earlier stops.
 func TestPreemptionLoss(t *testing.T) {
 	h := newHarness(t, nil)
 	newAttempt := func(priority string, ran, estimate micros.Micros, stops int) *attempt {
@@ -109,14 +110,14 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if a, b := h.c.preemptionPolicy.loss(tc.less), h.c.preemptionPolicy.loss(tc.more); a >= b {
-				t.Errorf("losses %v and %v", a, b)
+				t.Errorf("loss %v, want less than %v", a, b)
 			}
 		})
 	}
 }
 
-// TestMaxPreemptionLoss checks that little may be lost for a task that waits at first, and all once
-// capacity has not come free by itself for a while.
+// TestMaxPreemptionLoss checks that a waiting task may cause only a small loss at first, and any
+// loss once capacity has not become free by itself for a while.
 func TestMaxPreemptionLoss(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.StartWithin = map[string]micros.Micros{"now": 6 * sec, "soon": 40 * sec} })
 	for _, tc := range []struct {
--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -8,41 +8,45 @@
 )
 
 const (
-	// schedulingInterval is the time between two rounds over whole shards. Capacity that comes
-	// free is used at once, in the reply to the heartbeat that says so; see scheduleOnMachine.
+	// schedulingInterval is the time between two scheduling rounds over whole shards. It does not
+	// delay the use of capacity that a heartbeat reports free: the reply to that heartbeat already
+	// starts tasks there; see scheduleOnMachine.
 	schedulingInterval = 50 * micros.Millisecond
 
-	// A round visits each machine of a shard maxVisitsPerMachine times at most, or
-	// minVisitsPerRound in all where machines are few, and goes on with the rest of the queue in
-	// the next round: a job that is bound to a zone is compared with all machines that have
-	// capacity, whether it fits or not, and other inputs must not wait for hundreds of such jobs.
+	// A round visits at most maxVisitsPerMachine times the number of machines in a shard, but at
+	// least minVisitsPerRound. The next round continues with the rest of the queue. The bound is
+	// needed because a job that is bound to a zone is compared with every machine that has free
+	// capacity, whether it fits or not, and hundreds of such jobs would delay all other inputs.
 	maxVisitsPerMachine = 4
 	minVisitsPerRound   = 4000
 
-	// maxJobsPerReply bounds how many waiting jobs are considered in the reply to one heartbeat.
+	// maxJobsPerReply bounds how many waiting jobs are considered for the reply to one heartbeat.
 	maxJobsPerReply = 100
 
-	// pruneInterval is after how many jobs of the queue a round drops full machines.
+	// pruneInterval is the number of jobs after which a round removes machines that have become
+	// full from its list.
 	pruneInterval = 8
 )
 
-// maxVisitsPerRound returns how much a round may visit in a shard with so many machines.
+// maxVisitsPerRound returns how many machines, jobs and attempts a round may visit in a shard with
+// the given number of machines.
 func maxVisitsPerRound(machines int) uint64 {
 	return uint64(max(maxVisitsPerMachine*machines, minVisitsPerRound))
 }
 
-// schedulingState is what scheduling keeps between rounds and steps.
+// schedulingState is the scheduling state that is kept between steps.
 type schedulingState struct {
-	nextRoundAt       micros.Micros // when the next round may run
-	scheduledLastStep bool          // the step before ran a round
+	nextRoundAt       micros.Micros // earliest time of the next round
+	scheduledLastStep bool          // the previous step ran a round
 
 	preemptionBudget preemptionBudget
-	// candidateScratch and victimScratch are the storage of the lists of candidates and victims.
+	// candidateScratch and victimScratch are reused as storage by candidates and possibleVictims.
 	candidateScratch []candidate
 	victimScratch    []scheduling.Victim
 }
 
-// tryBeginRound reports whether a round is due and may run now, and if so notes that it does.
+// tryBeginRound reports whether a round is due and may run now. If so, it records that the round
+// runs in this step.
 func (c *Controller) tryBeginRound() bool {
 	if !c.schedulingDue || c.now < c.scheduling.nextRoundAt {
 		return false
@@ -53,7 +57,8 @@
 	return true
 }
 
-// postponeNextRound puts the next round off if the step before ran one.
+// postponeNextRound delays the next round until the given time at least if the previous step ran a
+// round.
 func (st *schedulingState) postponeNextRound(until micros.Micros) {
 	if st.scheduledLastStep {
 		st.scheduledLastStep = false
@@ -61,8 +66,7 @@
 	}
 }
 
-// schedule starts waiting tasks where there is capacity, in the shards of this controller, if a
-// round is due.
+// schedule runs a scheduling round over the active shards of this controller if one is due.
 func (c *Controller) schedule() {
 	if c.tryBeginRound() {
 		for _, s := range c.ownership.shards {
@@ -76,18 +80,18 @@
 	c.flushCommands()
 }
 
-// scheduleLater has the next round run within d.
+// scheduleLater requests a scheduling round within d.
 func (c *Controller) scheduleLater(d micros.Micros) {
 	c.wakeIn(d)
 	c.schedulingDue = true
 }
 
-// schedulingRound is a round over one shard.
+// schedulingRound is the state of a scheduling round over one shard.
 type schedulingRound struct {
 	shard *shard
-	// free are the machines that have capacity left.
+	// free are the machines that had free capacity when they were last checked.
 	free []*machine
-	// unplaced are the tasks for which no capacity was found.
+	// unplaced describes the tasks for which the round found no capacity.
 	unplaced []unplacedTask
 }
 
@@ -103,7 +107,8 @@
 	c.prefetch(s, round.free, false)
 }
 
-// machinesWithCapacity returns a shard's machines on which tasks of the queue might be started.
+// machinesWithCapacity returns the usable machines of a shard that have free CPUs, or only free
+// memory if some job of the queue needs no CPU.
 func (c *Controller) machinesWithCapacity(s *shard, queue []*job) []*machine {
 	needsNoCPU := slices.ContainsFunc(queue, func(j *job) bool { return j.sub.CPUs <= scheduling.Tolerance })
 	var free []*machine
@@ -125,7 +130,7 @@
 	return free
 }
 
-// scheduleQueue schedules the jobs of the queue from the one on at which the round before
+// scheduleQueue schedules the jobs of the queue, beginning at the position where the previous round
 // stopped.
 func (c *Controller) scheduleQueue(round *schedulingRound, queue []*job) {
 	s := round.shard
@@ -151,8 +156,8 @@
 	}
 }
 
-// scheduleJob assigns a job's waiting tasks to machines with capacity. Where there is none, it
-// has tasks of lower priority stopped or capacity reserved.
+// scheduleJob assigns a job's waiting tasks to machines with capacity. If tasks are left over, it
+// preempts tasks of lower priority or reserves capacity.
 func (c *Controller) scheduleJob(round *schedulingRound, j *job) {
 	s := round.shard
 	c.endRetryBackoff(j)
@@ -163,7 +168,7 @@
 		if !c.packJob(round, j) {
 			return
 		}
-		if !j.sub.SameZone && !j.sub.Spread { // else there may be capacity for another job's tasks
+		if !j.sub.SameZone && !j.sub.Spread { // otherwise the job's zones are the limit, and others may fit
 			round.unplaced = append(round.unplaced, unplacedTask{resourcesOf(j.sub), j.constraint})
 		}
 	}
@@ -171,8 +176,8 @@
 	c.reserveCapacity(s, j)
 }
 
-// endRetryBackoff ends the delays between a job's attempts if it is no longer suspected to fail
-// everywhere.
+// endRetryBackoff ends the retry backoff of a job that is no longer suspected to fail on every
+// machine.
 func (c *Controller) endRetryBackoff(j *job) {
 	r := j.run
 	if r.nextRetryAt == 0 || c.suspect(j) {
@@ -183,8 +188,8 @@
 	r.nextRetryAt = 0
 }
 
-// retryPending reports whether no task of a job may be started now because it has failed on
-// several machines and succeeded on none: such a job runs one task at a time, at growing
+// retryPending reports whether the retry backoff of a job forbids starting a task now. A job that
+// has failed on several machines and succeeded on none runs one task at a time, at growing
 // intervals, until its user cancels it.
 func (c *Controller) retryPending(j *job) bool {
 	r := j.run
@@ -202,7 +207,7 @@
 }
 
 // packJob assigns a job's waiting tasks to the machines that suit it best, and reports whether
-// tasks are left that found no capacity.
+// tasks are left for which there is no capacity.
 func (c *Controller) packJob(round *schedulingRound, j *job) bool {
 	s := round.shard
 	candidates := c.candidates(j, round.free)
@@ -216,8 +221,8 @@
 	return waiting && !c.quota.overLimit(s, j)
 }
 
-// scheduleOnMachine assigns waiting tasks that fit to a machine that has just sent a heartbeat,
-// in the order of the queue.
+// scheduleOnMachine assigns waiting tasks, in queue order, to a machine that has just sent a
+// heartbeat.
 func (c *Controller) scheduleOnMachine(s *shard, m *machine) {
 	v := m.view
 	if v == nil || c.ownership.activeShard(s.id) == nil {
--- a/internal/controller/scheduling_test.go
+++ b/internal/controller/scheduling_test.go
@@ -8,9 +8,9 @@
 	"garnethitch/internal/wire"
 )
 
-// TestChurn has one-task jobs come four a second, a quarter of them cancelled: ends and
-// cancellations keep up within this node's part of the budget, a job that ends before its first
-// checkpoint never writes one, and nothing grows.
+// TestChurn submits four one-task jobs a second and cancels a quarter of them. Ends and
+// cancellations must keep up within this node's share of the state service's budget, a job that
+// ends before its first checkpoint must write none, and the number of open jobs must stay bounded.
 func TestChurn(t *testing.T) {
 	h := newOwnerHarness(t, func(c *Config) {
 		c.WriteRPS, c.StateRPS = 25, 150
@@ -66,10 +66,10 @@
 		}
 	}
 	if slowest > sec {
-		t.Errorf("a cancellation waited %v s", slowest.Seconds())
+		t.Errorf("a cancellation was unanswered for %v s, want at most 1 s", slowest.Seconds())
 	}
 	if left := len(h.c.jobs.open); left > 12 {
-		t.Errorf("%d jobs are open at the end", left)
+		t.Errorf("%d jobs are open at the end, want at most 12", left)
 	}
 	checkpoints := 0
 	for _, tx := range h.done {
@@ -80,12 +80,12 @@
 		}
 	}
 	if checkpoints > 0 {
-		t.Errorf("%d checkpoints of jobs that ended with their only task", checkpoints)
+		t.Errorf("%d checkpoints were written for jobs that ended with their only task, want none", checkpoints)
 	}
 }
 
-// TestRoundsAreSpaced checks that where steps take long, rounds and walks over everything are
-// spaced, and leases are renewed all the same.
+// TestRoundsAreSpaced checks that rounds and walks over all state are spaced out where steps take
+// long, and that leases are renewed all the same.
 func TestRoundsAreSpaced(t *testing.T) {
 	for _, tc := range []struct {
 		took         micros.Micros
@@ -114,7 +114,7 @@
 				walks++
 			}
 			if h.now-h.c.ownership.lease.RenewedAt() > h.c.cfg.Lease/2 {
-				t.Fatalf("steps of %v s: the lease was not renewed", tc.took.Seconds())
+				t.Fatalf("steps of %v s: the lease was not renewed in time", tc.took.Seconds())
 			}
 		}
 		if rounds < tc.fewest || rounds > tc.most || walks < tc.walksAtLeast {
