--- a/internal/controller/demand.go
+++ b/internal/controller/demand.go
@@ -35,8 +35,8 @@
 	// of its tasks were slow.
 	unhealthySlowness = 0.4
 	minSlowTasks      = 3
-	// movableRunTimeDivisor limits which tasks that cannot save may be moved: those that have run
-	// for at most this fraction of their expected run time.
+	// movableRunTimeDivisor limits which tasks that cannot save may be moved: they must have run
+	// for at most 1/movableRunTimeDivisor of their expected run time.
 	movableRunTimeDivisor = 3
 )
 
@@ -285,9 +285,8 @@
 	return waitingTasksKey{zone: j.sub.Zone, types: types, spot: j.sub.Spot, cpus: j.sub.CPUs, gpus: j.sub.GPUs, priority: j.priority}
 }
 
-// waitingTaskGroups groups a shard's waiting tasks by their needs. Tasks beyond the limit of their
-// team or the quota of their groups are not counted as waiting, as more machines would not let them
-// start.
+// waitingTaskGroups groups a shard's waiting tasks by their needs. Tasks beyond the limit or the
+// quota of their team are not counted as waiting, as more machines would not let them start.
 func (c *Controller) waitingTaskGroups(s *shard) []peer.WaitingTasks {
 	index := map[waitingTasksKey]int{}
 	var groups []peer.WaitingTasks
--- a/internal/controller/demand_test.go
+++ b/internal/controller/demand_test.go
@@ -18,14 +18,14 @@
 		stops       int
 		over, want  bool // over: this node no longer owns its job
 	}{
-		{"it can save", "early", attemptRunning, 10, 90 * sec, 3, false, true},
-		{"late and young", "late", attemptRunning, 0, 20 * sec, 0, false, true},
+		{"can save", "early", attemptRunning, 10, 90 * sec, 3, false, true},
+		{"late, most work left", "late", attemptRunning, 0, 20 * sec, 0, false, true},
 		{"still in time", "early", attemptRunning, 0, 20 * sec, 0, false, false},
-		{"nobody says when", "other", attemptRunning, 0, 20 * sec, 0, false, false},
-		{"late, but much is done", "late", attemptRunning, 0, 50 * sec, 0, false, false},
+		{"no deadline and no objective", "other", attemptRunning, 0, 20 * sec, 0, false, false},
+		{"late, but much work done", "late", attemptRunning, 0, 50 * sec, 0, false, false},
 		{"late, but stopped before", "late", attemptRunning, 0, 20 * sec, 1, false, false},
 		{"fetching", "late", attemptFetching, 0, 0, 0, false, false},
-		{"its job is over", "late", attemptRunning, 10, 20 * sec, 0, true, false},
+		{"job not owned here", "late", attemptRunning, 10, 20 * sec, 0, true, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			sub := jobOf("job-000001", 1)
--- a/internal/controller/job_queue_test.go
+++ b/internal/controller/job_queue_test.go
@@ -23,12 +23,12 @@
 	}{
 		{"priority first", []queuedJob{{"1", "standard", 1, 0}, {"2", "high", 50, 0}, {"3", "best_effort", 1, 0}}, "213"},
 		{"little work first", []queuedJob{{"1", "standard", 40, 0}, {"2", "standard", 2, 0}, {"3", "standard", 20, 0}}, "231"},
-		{"a large one ages", []queuedJob{{"1", "standard", 4, 0}, {"2", "standard", 40, 800 * sec}}, "21"},
-		{"equals by age", []queuedJob{{"1", "standard", 4, 0}, {"2", "standard", 4, sec}}, "21"},
+		{"a large job ages", []queuedJob{{"1", "standard", 4, 0}, {"2", "standard", 40, 800 * sec}}, "21"},
+		{"equal jobs by age", []queuedJob{{"1", "standard", 4, 0}, {"2", "standard", 4, sec}}, "21"},
 		{"within the guarantee first", []queuedJob{{"1", "standard", 30, 2 * sec}, {"2", "standard", 12, sec}}, "12"},
 		{"guaranteed, and half of its time is over", []queuedJob{{"1", "high", 30, 0}, {"2", "best_effort", 12, 60 * sec}}, "21"},
 		{"guaranteed, with time left", []queuedJob{{"1", "high", 30, 0}, {"2", "best_effort", 12, 40 * sec}}, "12"},
-		{"beyond the guarantee, for long", []queuedJob{{"1", "high", 3, 90 * sec}, {"2", "best_effort", 31, 60 * sec}}, "12"},
+		{"beyond the guarantee, long waiting", []queuedJob{{"1", "high", 3, 90 * sec}, {"2", "best_effort", 31, 60 * sec}}, "12"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t, func(c *Config) {
--- a/internal/controller/preemption_test.go
+++ b/internal/controller/preemption_test.go
@@ -62,11 +62,11 @@
 		want     bool
 	}{
 		{"no deadline", nil, 0, false},
-		{"time enough", deadline(100), 0, false},
+		{"enough time", deadline(100), 0, false},
 		{"must start within seconds", deadline(15), 0, true}, // expected to run 10 s
-		{"its class's time is short", nil, 18 * sec, true},
-		{"the shorter of both counts", deadline(100), 18 * sec, true},
-		{"too late already", deadline(5), 0, false},
+		{"objective of the class is near", nil, 18 * sec, true},
+		{"the earlier of both counts", deadline(100), 18 * sec, true},
+		{"already too late", deadline(5), 0, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t, func(c *Config) { c.FinishWithin = map[string]micros.Micros{"c": tc.within} })
--- a/internal/controller/prefetch.go
+++ b/internal/controller/prefetch.go
@@ -7,33 +7,34 @@
 	"garnethitch/internal/wire"
 )
 
-// prefetchImage is an image that every machine should have. Tasks of some classes are to be
-// started sooner than a machine fetches their image. A machine keeps images in its cache,
-// but fetches one only for a task. So once a job of such a class is done, one of its tasks
-// is run again on machines that lack the image: its result is kept, so it exits as soon as
-// the image is there. It gives way to any other task.
+// prefetchImage is an image that every machine should have in its cache. Tasks of some classes must
+// start sooner than a machine can fetch their image, but a machine fetches an image only for a
+// task. So once a job of such a class is done, one of its tasks is run again on machines that lack
+// the image. The result of that task is already recorded, so it exits as soon as the image is
+// fetched. Any other task may preempt it.
 type prefetchImage struct {
-	job        *job // done; its first task brings the image
+	job        *job // a done job whose first task is run again
 	lastDoneAt micros.Micros
 }
 
 const (
 	// maxPrefetchImages bounds how many images are prefetched.
 	maxPrefetchImages = 8
-	// prefetchRetention is how long an image is prefetched after a job with it was last done.
+	// prefetchRetention is how long an image is prefetched after a job that uses it was last done.
 	prefetchRetention = 10 * micros.Minute
-	// prefetchInterval is the least time between two prefetches on a machine.
+	// prefetchInterval is the minimum time between two prefetches on a machine.
 	prefetchInterval = 10 * micros.Second
-	// fetchTimeDivisor is such that an image is prefetched if fetching it takes at least one in so
-	// many parts of the time within which a task is to be started.
+	// fetchTimeDivisor defines a slow fetch: an image is prefetched if fetching it takes at least
+	// 1/fetchTimeDivisor of the time within which a task must start.
 	fetchTimeDivisor = 4
 )
 
 // prefetchImages are the images to prefetch, at most maxPrefetchImages.
 type prefetchImages []prefetchImage
 
-// add remembers the image of a job that is done; of several jobs with an image the one with
-// fewest CPUs is kept, and the image that was longest unused gives way to a new one.
+// add records the image of a job that is done. Of several jobs with the same image, the one whose
+// tasks need the fewest CPUs is kept. A new image replaces the one that has been unused longest if
+// there are too many.
 func (p *prefetchImages) add(j *job, now micros.Micros) {
 	sameImage := func(known prefetchImage) bool { return known.job.sub.Image == j.sub.Image }
 	if i := slices.IndexFunc(*p, sameImage); i >= 0 {
@@ -52,7 +53,7 @@
 	*p.oldest() = added
 }
 
-// oldest returns the image that was longest unused; there must be one.
+// oldest returns the image that has been unused longest. There must be at least one.
 func (p prefetchImages) oldest() *prefetchImage {
 	oldest := &p[0]
 	for i := range p {
@@ -63,18 +64,18 @@
 	return oldest
 }
 
-// notePrefetchImage remembers the image of a job that is done, if its class has a bound on the
-// time until a start.
+// notePrefetchImage records the image of a job that is done, if its class has an objective for the
+// start of tasks.
 func (c *Controller) notePrefetchImage(j *job) {
 	_, urgent := c.cfg.StartWithin[j.sub.Class]
-	dependsOnOtherTasks := j.sub.SameZone || j.sub.Spread // where its other attempts are would matter
+	dependsOnOtherTasks := j.sub.SameZone || j.sub.Spread // its zone constraints depend on its other attempts
 	if urgent && !dependsOnOtherTasks {
 		c.prefetchImages.add(j, c.now)
 	}
 }
 
-// prefetch fetches urgent images on machines that lack them: first on empty
-// ones, before they are filled, later wherever there is free capacity.
+// prefetch starts prefetching attempts on the machines of free that lack an image. If empty is set,
+// only machines without tasks are considered; this is done before they are filled.
 func (c *Controller) prefetch(s *shard, free []*machine, empty bool) {
 	if !c.ownership.leaseValid() || len(c.prefetchImages) == 0 {
 		return
@@ -97,8 +98,8 @@
 	}
 }
 
-// shouldPrefetch reports whether a machine lacks the image of a job, would fetch it too slowly
-// for a start in time, and may fetch it now.
+// shouldPrefetch reports whether a machine lacks a job's image, may fetch it now, and would fetch
+// it too slowly for a task that must start soon.
 func (c *Controller) shouldPrefetch(m *machine, j *job) bool {
 	v := m.view
 	if v.nextPrefetchAt > c.now || v.images[j.sub.Image] || !c.fits(m, j) {
@@ -107,8 +108,8 @@
 	return c.fetchesTooSlowly(m, j) && c.allowed(j, m, nil) && !v.fetches(j.sub.Image)
 }
 
-// fetchesTooSlowly reports whether fetching a job's image takes a machine a good part of the
-// time within which the job's tasks are to be started.
+// fetchesTooSlowly reports whether a machine takes too much of the time within which a job's tasks
+// must start to fetch the job's image; see fetchTimeDivisor.
 func (c *Controller) fetchesTooSlowly(m *machine, j *job) bool {
 	rate := c.types.of(m).FetchGBPerS
 	if rate <= 0 {
@@ -118,7 +119,8 @@
 	return micros.FromSeconds(j.sub.ImageGB/rate) >= within/fetchTimeDivisor
 }
 
-// handlePrefetchExit takes the end of a prefetching attempt.
+// handlePrefetchExit handles the exit of a prefetching attempt. It ignores attempts that have not
+// exited.
 func (c *Controller) handlePrefetchExit(att *attempt) {
 	if att.state != attemptExited {
 		return
--- a/internal/controller/quota.go
+++ b/internal/controller/quota.go
@@ -9,46 +9,46 @@
 	"garnethitch/quota"
 )
 
-// The adapter of package quota: limits of groups above teams. Without the option, here and at
-// every other controller, nothing is sent, written or computed. This file feeds the ledger and
-// carries out what follows; records are in quota_records.go, what is used and wanted in
-// quota_usage.go, what may be started in quota_limits.go, operators' requests in
-// quota_requests.go, and spans in quota_trace.go.
+// This file is the adapter to package quota, which limits groups of teams. It passes inputs to the
+// ledger and carries out its effects. If no controller has the quota option, nothing is sent,
+// written or computed. The other parts of the adapter are quota_records.go (records in the state
+// service), quota_usage.go (usage and demand), quota_limits.go (what may start), quota_requests.go
+// (operators' requests) and quota_trace.go (spans).
 
 const (
 	// quotaUsageInterval is the time between two updates of the usage in the ledger.
 	quotaUsageInterval = 250 * micros.Millisecond
-	// announceInterval is the time after which the leader checks options and schedules again.
+	// announceInterval is the time between two checks of the options and schedules by the leader.
 	announceInterval = micros.Second
-	// quotaTimeout bounds a request to the state service.
+	// quotaTimeout is the timeout of a request to the state service.
 	quotaTimeout = 1500 * micros.Millisecond
 )
 
-// quotas is what the adapter keeps.
+// quotas is the state of the adapter to package quota.
 type quotas struct {
 	*stepContext
-	tree   *quota.Tree   // this controller's options; nil: none
-	ledger *quota.Ledger // nil: there are no groups
+	tree   *quota.Tree   // from this controller's options; nil: it has none
+	ledger *quota.Ledger // nil: quota handling is not enabled
 	watch  statestore.Watch
-	// paths are each team's groups, the innermost first, members each group's teams; both by
-	// the records.
+	// paths holds the groups of each team, the innermost first; members holds the teams of each
+	// group. Both follow from the records.
 	paths   [][]string
 	members map[string][]int
 
-	nextUsageAt    micros.Micros // when the usage in the ledger is next updated
-	nextAnnounceAt micros.Micros // when this controller, if it leads, next checks the options
+	nextUsageAt    micros.Micros // time of the next update of the usage in the ledger
+	nextAnnounceAt micros.Micros // time of the next check of the options, if this controller leads
 
-	staleGroups map[string]bool // groups whose record is to be read again
-	staleShards map[int]bool    // shards for which all records are to be read again
+	staleGroups map[string]bool // groups whose record must be read again
+	staleShards map[int]bool    // shards for which all records must be read again
 
-	setsInFlight map[uint64]func(quota.SetDone) // by token
+	setsInFlight map[uint64]func(quota.SetDone) // callbacks of operators' requests, by token
 	nextSetToken uint64
 
 	tracer quotaTracer
 }
 
-// enableQuota starts keeping groups: by this controller's options, or since another one shows
-// that it does.
+// enableQuota starts quota handling, either because this controller has the option or because
+// another controller reports that it has. It does nothing if quota handling is enabled already.
 func (c *Controller) enableQuota() {
 	q := &c.quota
 	if q.ledger != nil {
@@ -69,7 +69,7 @@
 	}
 }
 
-// stepQuota gives the ledger an input, and carries out what follows.
+// stepQuota passes an input to the ledger and carries out the resulting effects.
 func (c *Controller) stepQuota(in quota.Input) {
 	q := &c.quota
 	if q.ledger == nil {
@@ -91,7 +91,7 @@
 	}
 }
 
-// maintainQuota does what becomes due by time alone.
+// maintainQuota does the periodic work on quotas that is due.
 func (c *Controller) maintainQuota() {
 	q := &c.quota
 	if q.ledger == nil || c.now < q.nextUsageAt || !c.ownership.leaseValid() {
@@ -112,7 +112,8 @@
 	c.stepQuota(quota.Tick{})
 }
 
-// announceQuotas has the ledger announce the limits of this controller's options if it leads.
+// announceQuotas has the ledger announce the limits of this controller's options if this controller
+// leads.
 func (c *Controller) announceQuotas() {
 	q := &c.quota
 	if q.tree == nil || !c.ownership.leading() || c.now < q.nextAnnounceAt {
@@ -122,7 +123,7 @@
 	c.stepQuota(quota.Announce{Definitions: q.tree.Definitions(time.UnixMicro(int64(c.wall)))})
 }
 
-// noteQuotaChange logs what has changed in a group, and makes a span of it.
+// noteQuotaChange logs a change of a group and adds it to the traces.
 func (q *quotas) noteQuotaChange(e quota.Changed) {
 	switch e.Kind {
 	case quota.Announced:
--- a/internal/controller/quota_limits.go
+++ b/internal/controller/quota_limits.go
@@ -7,10 +7,11 @@
 	"garnethitch/quota"
 )
 
-// What may be started within the limits of teams and groups, and what is stopped for them.
+// This file applies the limits of teams and groups: it bounds what may start, and stops tasks when
+// the ledger reclaims a guarantee.
 
-// overLimit reports whether one more of a job's tasks would pass its team's limit, or the
-// allowance of a group that the team is in.
+// overLimit reports whether one more of a job's tasks would exceed the limit of its team, or the
+// shard's allowance of a group that the team is in.
 func (q *quotas) overLimit(s *shard, j *job) bool {
 	if s.usage[j.team].exceeds(q.cfg.Teams[j.team], j.sub) {
 		return true
@@ -19,8 +20,8 @@
 	return exceeded
 }
 
-// exceededGroup returns the group whose allowance one more of a job's tasks would pass; false if
-// there is none.
+// exceededGroup returns the innermost group whose allowance one more of a job's tasks would exceed.
+// It returns false if there is none.
 func (q *quotas) exceededGroup(s *shard, j *job) (group string, exceeded bool) {
 	if q.ledger == nil {
 		return "", false
@@ -34,8 +35,8 @@
 	return "", false
 }
 
-// noteQuotaGrant counts a start in the ledger at once: a record that comes before the next update
-// of the usage must not lead to giving up what has just been granted.
+// noteQuotaGrant counts the start of a task in the ledger at once. Otherwise a record that arrives
+// before the next update of the usage could make the ledger give up what has just been granted.
 func (q *quotas) noteQuotaGrant(s *shard, j *job) {
 	if q.ledger == nil {
 		return
@@ -45,10 +46,12 @@
 	}
 }
 
-// quotaHeadroom is how much more of each group a shard may use, or should come to have.
+// quotaHeadroom is how much more of each group a shard may use now, or should be able to use once
+// other shards have given up their excess.
 type quotaHeadroom map[string]quota.Amount
 
-// takeQuota returns how many of count tasks of a job find quota in a shard, and takes it off h.
+// takeQuota returns how many of count tasks of a job fit into the headroom of all groups of its
+// team, and subtracts them from h.
 func (q *quotas) takeQuota(h quotaHeadroom, s *shard, j *job, count int) int {
 	if q.ledger == nil {
 		return count
@@ -67,8 +70,9 @@
 	return count
 }
 
-// reclaimQuota stops tasks of a group that are beyond their teams' guarantees, for a guarantee
-// whose tasks wait: those of least priority first, of these the latest ones.
+// reclaimQuota stops tasks of a group whose jobs are beyond their team's guarantee, because tasks
+// within another guarantee wait. Tasks of the lowest priority are stopped first and, among these,
+// those that started last.
 func (c *Controller) reclaimQuota(s *shard, e quota.Reclaim) {
 	if c.ownership.activeShard(s.id) == nil {
 		return
@@ -91,8 +95,8 @@
 	c.log(Info, "tasks stopped for a guarantee that was lent", "group", e.Group, "shard", s.id, "tasks", stopped, "cpus", e.Over.CPUs)
 }
 
-// reclaimable returns the attempts of a group that may be stopped for a guarantee, the first to
-// be stopped first.
+// reclaimable returns the attempts of a group that may be stopped for a guarantee, in the order in
+// which they are to be stopped.
 func (q *quotas) reclaimable(s *shard, group string) []*attempt {
 	teams := q.members[group]
 	var attempts []*attempt
@@ -112,8 +116,8 @@
 	return attempts
 }
 
-// beyondGuarantee reports whether the attempt's job is beyond its team's guarantee, and the
-// attempt not being stopped yet.
+// beyondGuarantee reports whether the job of an attempt is beyond its team's guarantee and the
+// attempt is not being stopped already.
 func (att *attempt) beyondGuarantee() bool {
 	if !att.tracked || att.job == nil || att.job.run == nil || att.job.withinGuarantee {
 		return false
--- a/internal/controller/quota_records.go
+++ b/internal/controller/quota_records.go
@@ -8,19 +8,19 @@
 	"garnethitch/quota"
 )
 
-// The records of groups in the state service.
+// This file reads and writes the records of groups in the state service.
 
-// quotaPageSize is the number of records that are read at a time.
+// quotaPageSize is the number of records that are read with one request.
 const quotaPageSize = 200
 
-// followQuota keeps the records of groups watched.
+// followQuota maintains the watch on the records of groups.
 func (c *Controller) followQuota() {
 	if c.quota.ledger != nil {
 		c.follow(&c.quota.watch)
 	}
 }
 
-// learnQuota takes in a group's record from a watch, a listing or a read.
+// learnQuota handles the record of a group that came with a watch event, a listing or a read.
 func (c *Controller) learnQuota(group string, rec quota.Record, modRevision uint64) {
 	if c.quota.ledger == nil {
 		return
@@ -29,7 +29,7 @@
 	c.quota.indexTeamGroups()
 }
 
-// indexTeamGroups notes which groups each team is in, after a record has come.
+// indexTeamGroups rebuilds paths and members from the ledger after a record has changed.
 func (q *quotas) indexTeamGroups() {
 	clear(q.members)
 	for team, t := range q.cfg.Teams {
@@ -41,9 +41,9 @@
 	q.schedulingDue = true
 }
 
-// holdQuota has the ledger hold a shard that this controller has come to own: nothing is granted
-// there from any group before all records were read anew, for the former owner may have given up
-// more than is known here.
+// holdQuota tells the ledger that this controller now owns a shard. The shard is granted nothing
+// from any group until all records have been read again, because the former owner may have given up
+// more than this controller knows.
 func (c *Controller) holdQuota(s *shard) {
 	if c.quota.ledger == nil {
 		return
@@ -52,8 +52,9 @@
 	c.readAllQuotas(s, s.ownerEpoch, "")
 }
 
-// readAllQuotas reads all records anew for a shard that was claimed at ownerEpoch, page by page,
-// from those after a key on.
+// readAllQuotas reads the records of all groups for a shard that was claimed at ownerEpoch. It
+// reads them page by page, beginning after the key after. If a read fails, the shard is marked as
+// stale and read again later.
 func (c *Controller) readAllQuotas(s *shard, ownerEpoch uint64, after string) {
 	request := statestore.ListKeys{Prefix: wire.PrefixQuota, After: after, Limit: quotaPageSize}
 	c.askState(statestore.ClassLease, request, c.cfg.Lease, func(r statestore.Reply) {
@@ -79,10 +80,11 @@
 	})
 }
 
-// dropQuota has the ledger drop a shard that this controller no longer owns.
+// dropQuota tells the ledger that this controller no longer owns a shard.
 func (c *Controller) dropQuota(s *shard) { c.stepQuota(quota.Dropped{Shard: s.id}) }
 
-// rereadQuotas reads the records anew that the ledger has asked for, or that could not be read.
+// rereadQuotas reads the records of stale groups: those that the ledger has asked for, and those
+// whose last read failed.
 func (c *Controller) rereadQuotas() {
 	for _, group := range sortedKeys(c.quota.staleGroups) {
 		delete(c.quota.staleGroups, group)
@@ -90,7 +92,8 @@
 	}
 }
 
-// readQuota reads a group's record anew, and again with the next usage if that fails.
+// readQuota reads the record of a group. If the read fails, the group is marked as stale and read
+// again at the next usage update.
 func (c *Controller) readQuota(group string) {
 	c.askState(statestore.ClassFleet, statestore.GetKey{Key: wire.QuotaKey(group)}, quotaTimeout, func(r statestore.Reply) {
 		switch kv, ok := r.Body.(*wire.KeyValue); {
@@ -103,7 +106,8 @@
 	})
 }
 
-// writeQuota sends a record, under the keys by which this controller may write it.
+// writeQuota writes a record, on the conditions of quotaConditions, and passes the outcome to the
+// ledger.
 func (c *Controller) writeQuota(w quota.Write) {
 	done := func(o quota.Outcome, modRevision uint64) {
 		c.stepQuota(quota.Wrote{ID: w.ID, Outcome: o, ModRevision: modRevision})
@@ -125,8 +129,8 @@
 	})
 }
 
-// quotaConditions returns under which conditions a record may be written: that it is the one
-// known, and that this controller still leads or owns the shards that the write is for.
+// quotaConditions returns the conditions of a write: the record is at the known revision, and this
+// controller still leads or owns the shards that the write is for.
 func (o *ownershipState) quotaConditions(w quota.Write) []wire.Condition {
 	conditions := []wire.Condition{{Key: wire.QuotaKey(w.Group), ModRevision: w.ModRevision}}
 	if w.Leader {
@@ -138,7 +142,7 @@
 	return conditions
 }
 
-// quotaOutcome returns for the ledger what became of a write that was not applied.
+// quotaOutcome converts the outcome of a write that was not applied for the ledger.
 func quotaOutcome(o statestore.Outcome) quota.Outcome {
 	switch o {
 	case statestore.ConditionFailed:
--- a/internal/controller/quota_requests.go
+++ b/internal/controller/quota_requests.go
@@ -7,12 +7,13 @@
 	"garnethitch/quota"
 )
 
-// What operators ask about groups and set, by the command line.
+// This file answers operators' requests from the command line: they show groups and set limits.
 
-// noQuotaOption is what an operator is answered where there are no groups.
+// noQuotaOption is the answer to an operator if quota handling is not enabled.
 const noQuotaOption = "no groups: the controllers have no quota option"
 
-// handleQuotaRequest answers a request of the command line.
+// handleQuotaRequest handles a request of the command line: it shows all groups, or sets or clears
+// a limit.
 func (c *Controller) handleQuotaRequest(reply ReplyID, req peer.QuotaRequest) {
 	switch {
 	case c.quota.ledger == nil:
@@ -24,12 +25,13 @@
 	}
 }
 
-// answerQuota answers a request of the command line.
+// answerQuota sends the response to a request of the command line.
 func (c *Controller) answerQuota(reply ReplyID, resp peer.QuotaResponse) {
 	c.answer(reply, http.StatusOK, &peer.Response{From: c.cfg.Label, Quota: &resp}, 0)
 }
 
-// setQuota has the ledger set or clear an operator's limit, and answers once that is done.
+// setQuota has the ledger set or clear an operator's limit. The request is answered when the ledger
+// reports the result.
 func (c *Controller) setQuota(reply ReplyID, set peer.SetLimit) {
 	if err := quota.CheckLimit("limit", set.Limit); err != nil {
 		c.answerQuota(reply, peer.QuotaResponse{Problem: err.Error()})
@@ -47,7 +49,7 @@
 	c.stepQuota(in)
 }
 
-// finishQuotaSet answers the operator whose limit the ledger has set, or could not set.
+// finishQuotaSet answers the operator's request that the ledger has completed or given up.
 func (q *quotas) finishQuotaSet(e quota.SetDone) {
 	if done := q.setsInFlight[e.Token]; done != nil {
 		delete(q.setsInFlight, e.Token)
@@ -55,7 +57,8 @@
 	}
 }
 
-// setProblem returns what an operator is answered if a limit was not set; empty: it was.
+// setProblem returns the message for an operator whose limit was not set. It is empty if the limit
+// was set.
 func setProblem(status quota.SetStatus) string {
 	switch status {
 	case quota.SetNoGroup:
@@ -68,7 +71,7 @@
 	return ""
 }
 
-// peersWithoutQuota returns the other controllers that do not keep groups.
+// peersWithoutQuota returns the labels of the other controllers that do not handle quotas.
 func (c *Controller) peersWithoutQuota() []string {
 	var without []string
 	for _, label := range c.cfg.Peers {
@@ -79,7 +82,7 @@
 	return without
 }
 
-// quotaStatus returns the state of all groups, with the shards' owners.
+// quotaStatus returns the state of all groups, with the labels of the shards' owners filled in.
 func (c *Controller) quotaStatus() []quota.GroupStatus {
 	groups := c.quota.ledger.Status()
 	for i := range groups {
@@ -94,7 +97,8 @@
 	return groups
 }
 
-// ownerLabel returns the label of a shard's owner; empty if there is no such shard or owner.
+// ownerLabel returns the label of a shard's owner. It is empty if the shard does not exist or has
+// no owner.
 func (o *ownershipState) ownerLabel(shard int) string {
 	if shard >= len(o.shards) {
 		return ""
--- a/internal/controller/quota_trace.go
+++ b/internal/controller/quota_trace.go
@@ -10,59 +10,61 @@
 	"garnethitch/quota"
 )
 
-// Span is one piece of work on a group's quota, for a trace that may span controllers. Its times
-// are times of day.
+// Span is an operation on a group's quota, as part of a trace that may involve several controllers.
+// Its times are times of day.
 type Span struct {
 	Name       string
 	Trace      [16]byte
-	ID, Parent [8]byte // no Parent: the trace begins here
+	ID, Parent [8]byte // zero Parent: root span
 	Start, End micros.Micros
 	Group      string
 	Shard      int
 	From, To   quota.Amount
 	Epoch      uint64
-	Job        string // of a grant
+	Job        string // set for the start of a task only
 }
 
 const (
-	// traceContextLifetime is how long a context counts and is sent to the other controllers.
+	// traceContextLifetime is how long a trace context is valid and is sent to the other
+	// controllers.
 	traceContextLifetime = 15 * micros.Second
-	// maxTraces bounds the contexts of one message.
+	// maxTraces bounds the trace contexts in one message.
 	maxTraces = 64
-	// announcementShard stands in place of a shard where a limit is announced.
+	// announcementShard takes the place of the shard in the key of an announced limit's trace.
 	announcementShard = -1
 )
 
-// quotaTracer makes spans of what happens to groups. A trace begins where a shard asks for more,
-// or where a limit is announced; its context goes to the other controllers with the status
-// messages, and what they give up for it belongs to the same trace.
+// quotaTracer records changes of groups as spans. A trace begins when a shard asks for more quota
+// or a limit is announced. Its context is sent to the other controllers with the status messages,
+// so that the quota that they give up becomes part of the same trace.
 type quotaTracer struct {
-	// own are the contexts of this controller's shards that ask, and of the limits that it has
-	// announced, remote those of the others.
+	// own holds the contexts of traces that this controller began, for its shards and for limits
+	// that it announced; remote holds those received from other controllers.
 	own, remote map[traceKey]openTrace
 }
 
-// traceKey is a shard of a group that asks, or announcementShard.
+// traceKey identifies an open trace by its group and the shard that asks for quota, or
+// announcementShard.
 type traceKey struct {
 	group string
 	shard int
 }
 
-// openTrace is the context of a trace to which spans may be added.
+// openTrace is the context of a trace to which spans may still be added.
 type openTrace struct {
 	trace [16]byte
 	span  [8]byte
 	began micros.Micros // time of day
-	until micros.Micros // when it no longer counts
+	until micros.Micros // time at which the context expires
 }
 
-// newerThan reports whether a trace began after another; of those that began at once, one is
-// taken for the newer everywhere.
+// newerThan reports whether a trace began after another. Between traces that began at the same
+// time, the span ID decides, so that all controllers agree.
 func (o openTrace) newerThan(than openTrace) bool {
 	return cmp.Or(cmp.Compare(o.began, than.began), slices.Compare(o.span[:], than.span[:])) > 0
 }
 
-// traceQuota makes a span of a change.
+// traceQuota emits a span for a change of a group.
 func (q *quotas) traceQuota(e quota.Changed) {
 	if !q.cfg.Trace || e.Kind == quota.InForce {
 		return
@@ -102,13 +104,14 @@
 	q.effects = append(q.effects, span)
 }
 
-// beginTrace begins a trace with a span.
+// beginTrace begins a trace whose first span is span.
 func (q *quotas) beginTrace(key traceKey, span *Span) {
 	span.Trace = q.traceID()
 	q.tracer.own[key] = openTrace{trace: span.Trace, span: span.ID, began: q.wall, until: q.now + traceContextLifetime}
 }
 
-// newestTrace returns the newest context for which a shard of a group may be giving something up.
+// newestTrace returns the newest valid trace of a group, which is taken as the cause when a shard
+// gives up quota. found is false if there is none.
 func (q *quotas) newestTrace(group string) (newest openTrace, found bool) {
 	t := &q.tracer
 	for _, contexts := range []map[traceKey]openTrace{t.own, t.remote} {
@@ -121,7 +124,8 @@
 	return newest, found
 }
 
-// traceGrant makes spans of a start that waited for quota.
+// traceGrant emits spans for the start of a task that waited for quota, one for each group with an
+// open trace.
 func (q *quotas) traceGrant(s *shard, j *job) {
 	if !q.cfg.Trace || j.run.quotaWaitSince == 0 {
 		return
@@ -150,8 +154,8 @@
 	}
 }
 
-// openTraces returns the contexts for the other controllers, and forgets those that no longer
-// count.
+// openTraces returns the trace contexts to send to the other controllers, and drops those that have
+// expired.
 func (q *quotas) openTraces() []peer.TraceContext {
 	if !q.cfg.Trace {
 		return nil
@@ -174,7 +178,7 @@
 	return contexts[:min(len(contexts), maxTraces)]
 }
 
-// dropExpired forgets the contexts that no longer count.
+// dropExpired removes the contexts that have expired.
 func dropExpired(contexts map[traceKey]openTrace, now micros.Micros) {
 	for key, open := range contexts {
 		if now >= open.until {
@@ -183,7 +187,7 @@
 	}
 }
 
-// noteTraces takes in the contexts of another controller.
+// noteTraces records the trace contexts received from another controller.
 func (q *quotas) noteTraces(contexts []peer.TraceContext) {
 	if !q.cfg.Trace || q.ledger == nil || len(contexts) > maxTraces {
 		return
@@ -201,14 +205,14 @@
 	}
 }
 
-// traceID returns a random ID of a trace, which is never zero.
+// traceID returns a random trace ID, which is never zero.
 func (sc *stepContext) traceID() (id [16]byte) {
 	binary.BigEndian.PutUint64(id[:8], sc.rng.Uint64())
 	binary.BigEndian.PutUint64(id[8:], sc.rng.Uint64()|1)
 	return id
 }
 
-// spanID returns a random ID of a span, which is never zero.
+// spanID returns a random span ID, which is never zero.
 func (sc *stepContext) spanID() (id [8]byte) {
 	binary.BigEndian.PutUint64(id[:], sc.rng.Uint64()|1)
 	return id
--- a/internal/controller/quota_usage.go
+++ b/internal/controller/quota_usage.go
@@ -6,21 +6,21 @@
 	"garnethitch/quota"
 )
 
-// What the shards use of groups' quotas, and what waits for them.
+// This file reports to the ledger what the shards use of the quotas, and which tasks wait for quota.
 
 // longQuotaWait is how long a job's tasks wait for quota before that is logged.
 const longQuotaWait = 2 * micros.Second
 
-// quotaAmountOf returns what one task of a submission takes of a group's quota.
+// quotaAmountOf returns the amount of quota that one task of a submission uses.
 func quotaAmountOf(sub *wire.Submission) quota.Amount {
 	return quota.Amount{CPUs: sub.CPUs, GPUs: sub.GPUs}
 }
 
-// amount returns the usage as an amount of a quota.
+// amount converts the usage to an amount of quota.
 func (u usage) amount() quota.Amount { return quota.Amount{CPUs: u.cpus, GPUs: u.gpus} }
 
-// groupUsage returns what a group's tasks could be using of a shard at most. An unreconciled
-// machine counts in full for each of its teams, as it does for the teams' own limits.
+// groupUsage returns an upper bound of what the tasks of a group use in a shard. An unreconciled
+// machine counts in full for each team of the group, as it does for the limits of teams.
 func (q *quotas) groupUsage(s *shard, group string) (sum quota.Amount) {
 	for _, team := range q.members[group] {
 		sum = sum.Plus(s.usage[team].amount())
@@ -28,16 +28,16 @@
 	return sum
 }
 
-// usageAccuracy says how well it is known what a shard uses.
+// usageAccuracy is how accurately the usage of a shard is known.
 type usageAccuracy int
 
 const (
 	usageUnknown    usageAccuracy = iota
-	usageUpperBound               // the most that it could be using is known
+	usageUpperBound               // an upper bound is known
 	usageExact
 )
 
-// String returns the knowledge in words.
+// String returns the accuracy in words.
 func (k usageAccuracy) String() string {
 	switch k {
 	case usageUpperBound:
@@ -48,8 +48,9 @@
 	return "unknown"
 }
 
-// usageAccuracy returns how well it is known what a shard uses. A process that has just begun
-// does not know how large the machines are, and must not count them as empty.
+// usageAccuracy returns how accurately the usage of a shard is known. It is unknown until the sizes
+// of all machines that may run unknown tasks are known: a process that has just started does not
+// know them, and must not count such machines as empty.
 func (c *Controller) usageAccuracy(s *shard) usageAccuracy {
 	if !c.types.known() {
 		return usageUnknown
@@ -70,7 +71,8 @@
 	return knowledge
 }
 
-// updateQuotaUsage gives the ledger what a shard uses, and what waits in it.
+// updateQuotaUsage passes the usage and the waiting tasks of a shard to the ledger, unless the
+// usage is unknown.
 func (c *Controller) updateQuotaUsage(s *shard) {
 	knowledge := c.usageAccuracy(s)
 	if knowledge == usageUnknown {
@@ -103,7 +105,8 @@
 	return teams
 }
 
-// waitingTasks returns a job's tasks that wait, as far as its team's limit allows.
+// waitingTasks returns how many tasks of a job wait, as far as the limit of its team lets them
+// start.
 func (c *Controller) waitingTasks(s *shard, j *job) quota.WaitingTasks {
 	team := c.cfg.Teams[j.team]
 	used := s.usage[j.team]
@@ -120,7 +123,7 @@
 	}
 }
 
-// noteQuotaWait logs that a job's tasks have waited for quota for long.
+// noteQuotaWait records since when a job's tasks have waited for quota, and logs a long wait once.
 func (q *quotas) noteQuotaWait(s *shard, j *job) {
 	r := j.run
 	group, exceeded := q.exceededGroup(s, j)
