--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -11,7 +11,8 @@
 	"garnethitch/quota"
 )
 
-// withGroup gives a controller one group of all teams.
+// withGroup returns a configuration change that limits one group of all teams to a number of CPUs,
+// and enables tracing.
 func withGroup(t *testing.T, cpus float64) func(*Config) {
 	return func(c *Config) {
 		var teams []string
@@ -26,15 +27,17 @@
 	}
 }
 
+// quotaRequest sends an operator's request and returns the response.
 func (h *harness) quotaRequest(req peer.QuotaRequest) *peer.QuotaResponse {
 	a := h.ask(func(r ReplyID) Input { return PeerRequest{Reply: r, Req: peer.Request{Quota: &req}} })
 	resp, ok := a.Body.(*peer.Response)
 	if !ok || resp.Quota == nil {
-		h.t.Fatalf("answered %d %+v", a.Status, a.Body)
+		h.t.Fatalf("answer: status %d, body %+v, want a quota response", a.Status, a.Body)
 	}
 	return resp.Quota
 }
 
+// groupRecord returns the stored record of the group, or a zero record if there is none.
 func (h *harness) groupRecord() quota.Record {
 	var rec quota.Record
 	if kv, ok := h.keys[wire.QuotaKey("all")]; ok {
@@ -45,8 +48,9 @@
 	return rec
 }
 
-// TestGroupLimitBoundsStarts checks that a group's limit bounds what is started, an operator's
-// lower one at once, also where its tasks can't be seen gone; cleared, the options count again.
+// TestGroupLimitBoundsStarts checks that a group's limit bounds how many tasks start. A lower limit
+// set by an operator takes effect at once, also while cancelled tasks may still run on a machine
+// that sends no heartbeats. When the operator clears it, the limit of the options applies again.
 func TestGroupLimitBoundsStarts(t *testing.T) {
 	h := newHarness(t, withGroup(t, 3))
 	fencingToken := h.reconcile("vm-1")
@@ -58,12 +62,12 @@
 		started = append(started, starts(o.Req.(wire.DirectCommand).Commands)...)
 	}
 	if len(started) != 3 {
-		t.Fatalf("%d tasks started, the group's limit is 3", len(started))
+		t.Fatalf("%d tasks started, want 3, the group's limit", len(started))
 	}
 	if rec := h.groupRecord(); rec.Applied == nil || *rec.Applied.CPUs != 3 {
-		t.Errorf("in force is %v", rec.Applied)
+		t.Errorf("limit in force: %v, want 3 CPUs", rec.Applied)
 	}
-	// Rows are written under the shard's owner key, definitions under the leader's.
+	// Writes of rows are conditional on the shard's owner key, those of definitions on the leader's.
 	under := map[string]int{}
 	for _, txn := range h.done {
 		if txn.Changes[0].Put == wire.QuotaKey("all") && len(txn.Conditions) == 2 && txn.Conditions[1].ModRevision != 0 {
@@ -71,34 +75,36 @@
 		}
 	}
 	if under[wire.KeyLeader] != 1 || under[ownerKey(0)] == 0 {
-		t.Errorf("written under %v", under)
+		t.Errorf("writes by the key that they are conditional on: %v", under)
 	}
 	low := quota.CPULimit(1)
 	if resp := h.quotaRequest(peer.QuotaRequest{Set: &peer.SetLimit{WaitingTasks: "all", Limit: low}}); resp.Problem != "" || resp.Epoch != 2 {
-		t.Errorf("lowering it says %+v", resp)
+		t.Errorf("response to the lower limit: %+v", resp)
 	}
 	h.run(sec)
 	st := h.quotaRequest(peer.QuotaRequest{})
 	if g := st.Groups[0]; g.State != quota.StateAnnounced || len(g.HeldUp) != 1 || g.HeldUp[0].Owner != "n-0" || g.HeldUp[0].Reason != quota.StillUsed || g.Source != quota.FromOperator {
-		t.Errorf("shown as %+v", g)
+		t.Errorf("status of the group: %+v", g)
 	}
-	// The job is cancelled, its machine says nothing: what could run there counts.
+	// The job is cancelled, but its machine sends no heartbeat: tasks that may run there still count.
 	h.cancel("job-000001")
 	h.submit(jobOf("job-000002", 2))
 	h.run(2 * sec)
 	if got := h.c.jobs.open["job-000002"].run; len(got.active) != 0 {
-		t.Errorf("%d tasks started beside cancelled ones that may run", len(got.active))
+		t.Errorf("%d tasks started while cancelled ones may still run, want none", len(got.active))
 	}
 	if resp := h.quotaRequest(peer.QuotaRequest{Set: &peer.SetLimit{WaitingTasks: "all", Clear: true}}); resp.Problem != "" {
 		t.Error(resp.Problem)
 	}
 	h.run(3 * sec)
 	if rec := h.groupRecord(); *rec.Limit.CPUs != 3 || rec.Source != quota.FromOptions {
-		t.Errorf("cleared, the limit is %v by %s", rec.Limit, rec.Source)
+		t.Errorf("after clearing, the limit is %v from %s, want 3 CPUs from the options", rec.Limit, rec.Source)
 	}
 }
 
-// TestQuotaRequests checks that a request that can't be met is answered so, and changes nothing.
+// TestQuotaRequests checks that an invalid request is answered with the reason and changes nothing,
+// and that without the option nothing is watched or sent until another controller reports that it
+// handles quotas.
 func TestQuotaRequests(t *testing.T) {
 	h := newHarness(t, withGroup(t, 3))
 	h.run(3 * sec)
@@ -112,40 +118,40 @@
 		{"a negative limit", "limit.cpus = -1", peer.SetLimit{WaitingTasks: "all", Limit: quota.Limit{CPUs: &negative}}},
 	} {
 		if resp := h.quotaRequest(peer.QuotaRequest{Set: &tc.set}); !strings.Contains(resp.Problem, tc.want) {
-			t.Errorf("%s: %q", tc.name, resp.Problem)
+			t.Errorf("%s: answer %q does not hold the reason", tc.name, resp.Problem)
 		}
 	}
 	h.run(sec)
 	if !reflect.DeepEqual(h.groupRecord(), before) {
-		t.Errorf("the record is %+v, was %+v", h.groupRecord(), before)
+		t.Errorf("the record has changed to %+v from %+v", h.groupRecord(), before)
 	}
-	// Without the option there is nothing to show, nothing is sent and nothing written.
+	// Without the option no groups are shown, and nothing is sent or written.
 	off := newHarness(t, withPeer)
 	if resp := off.quotaRequest(peer.QuotaRequest{}); !strings.Contains(resp.Problem, "no groups") {
-		t.Errorf("without the option: %q", resp.Problem)
+		t.Errorf("without the option, the answer is %q", resp.Problem)
 	}
 	for _, w := range off.watches {
 		if w.Req.(statestore.WatchKeys).Prefix == wire.PrefixQuota {
-			t.Error("without the option, groups are watched")
+			t.Error("without the option, the records of groups are watched")
 		}
 	}
 	for _, st := range off.statusesSent {
 		if st.Quota || st.Traces != nil {
-			t.Errorf("without the option, others are sent %+v", st)
+			t.Errorf("without the option, quota fields are sent to other controllers: %+v", st)
 		}
 	}
-	// Another controller shows that it keeps groups: this one follows.
+	// Once another controller reports that it handles quotas, this one handles them too.
 	off.ask(func(r ReplyID) Input {
 		return PeerRequest{Reply: r, Req: peer.Request{From: "n-1", Status: &peer.Status{ControllerState: peer.ControllerState{StateOK: true, Quota: true}}}}
 	})
 	off.run(sec)
 	if resp := off.quotaRequest(peer.QuotaRequest{}); resp.Problem != "" {
-		t.Errorf("beside one that keeps groups: %q", resp.Problem)
+		t.Errorf("after another controller reported quota handling, the answer is %q", resp.Problem)
 	}
 }
 
-// TestQuotaTrace checks that what one controller gives up for another's asking belongs to the trace
-// that the other began, whose context came with a status message.
+// TestQuotaTrace checks that quota that this controller gives up belongs to the trace begun by
+// another controller that asked for it. The context of the trace comes with a status message.
 func TestQuotaTrace(t *testing.T) {
 	h := newHarness(t, func(c *Config) {
 		withPeer(c)
@@ -159,17 +165,17 @@
 	h.c.effects = nil
 	h.c.quota.traceQuota(quota.Changed{Kind: quota.Shrunk, Group: "all", Shard: 0, From: quota.Amount{CPUs: 2}, To: quota.Amount{CPUs: 1}})
 	if s, ok := h.c.effects[0].(Span); !ok || s.Trace != trace || s.Parent != span || s.Name != "quota.shrinking" {
-		t.Errorf("%+v", h.c.effects)
+		t.Errorf("span of the reduction: %+v", h.c.effects)
 	}
 	h.c.quota.traceQuota(quota.Changed{Kind: quota.Asked, Group: "all", Shard: 0})
 	asked := h.c.effects[1].(Span)
 	if contexts := h.c.quota.openTraces(); len(contexts) != 1 || [16]byte(contexts[0].Trace) != asked.Trace || [8]byte(contexts[0].Span) != asked.ID {
-		t.Errorf("others are sent %+v of %+v", contexts, asked)
+		t.Errorf("trace contexts sent to others: %+v, want that of %+v", contexts, asked)
 	}
 }
 
-// TestOlderVersionsReadStatusWithGroups checks that an older version reads the fields of a message
-// that it knows.
+// TestOlderVersionsReadStatusWithGroups checks that an older version can read the fields that it
+// knows from a status message with quota fields.
 func TestOlderVersionsReadStatusWithGroups(t *testing.T) {
 	st := &peer.Status{ControllerState: peer.ControllerState{UptimeUS: 5, StateOK: true, Claims: []peer.ShardClaim{{Shard: 1, OwnerEpoch: 7}}, Quota: true}, ReturnedMachines: []string{"vm-1"},
 		Traces: []peer.TraceContext{{WaitingTasks: "all", Trace: make([]byte, 16), Span: make([]byte, 8)}}}
@@ -191,12 +197,12 @@
 		Status *status `msgpack:"s,omitempty"`
 	}
 	if err := peer.Decode(sent, &got); err != nil || got.Status == nil || got.Status.UptimeUS != 5 || len(got.Status.Owns) != 1 || len(got.Status.Gone) != 1 {
-		t.Errorf("read as %+v, %v", got.Status, err)
+		t.Errorf("an older version reads %+v, error %v", got.Status, err)
 	}
 }
 
-// BenchmarkQuota compares a heartbeat's way with groups and spans, with groups, and without
-// either: without, nothing may be added.
+// BenchmarkQuota compares the cost of a heartbeat with groups and spans, with groups, and with
+// neither. Without groups, quota handling must add nothing.
 func BenchmarkQuota(b *testing.B) {
 	for _, tc := range []struct {
 		name          string
@@ -222,7 +228,7 @@
 	}
 }
 
-// FuzzQuotaRecord checks that a controller survives whatever stands under a group's key.
+// FuzzQuotaRecord checks that a controller keeps answering whatever is stored under a group's key.
 func FuzzQuotaRecord(f *testing.F) {
 	limit := quota.CPULimit(3)
 	for _, rec := range []quota.Record{{}, {Epoch: 3, Definition: quota.Definition{Parent: "all", Teams: []string{"t"}, Members: []string{"t"}, Limit: limit}, Rows: []quota.Row{{Shard: 9}, {Shard: -1}}}} {
@@ -238,7 +244,7 @@
 		h.run(600 * ms)
 		h.quotaRequest(peer.QuotaRequest{})
 		if h.jobStatus("job-000001").Status != 404 {
-			t.Error("no answer to a user")
+			t.Error("a user's request for an unknown job was not answered with status 404")
 		}
 	})
 }
--- a/internal/controller/quota_usage.go
+++ b/internal/controller/quota_usage.go
@@ -38,8 +38,8 @@
 )
 
 // String returns the accuracy in words.
-func (k usageAccuracy) String() string {
-	switch k {
+func (a usageAccuracy) String() string {
+	switch a {
 	case usageUpperBound:
 		return "upper bound"
 	case usageExact:
@@ -55,9 +55,9 @@
 	if !c.types.known() {
 		return usageUnknown
 	}
-	knowledge := usageUpperBound
+	accuracy := usageUpperBound
 	if s.reconciled {
-		knowledge = usageExact
+		accuracy = usageExact
 	}
 	for _, m := range s.machines {
 		if m.view == nil || !m.view.unreconciledFromPredecessor && !m.view.usage.hasUnknownJob {
@@ -66,21 +66,21 @@
 		if _, sizeKnown := c.types.byName[m.rec.Type]; !sizeKnown {
 			return usageUnknown
 		}
-		knowledge = usageUpperBound
+		accuracy = usageUpperBound
 	}
-	return knowledge
+	return accuracy
 }
 
 // updateQuotaUsage passes the usage and the waiting tasks of a shard to the ledger, unless the
 // usage is unknown.
 func (c *Controller) updateQuotaUsage(s *shard) {
-	knowledge := c.usageAccuracy(s)
-	if knowledge == usageUnknown {
+	accuracy := c.usageAccuracy(s)
+	if accuracy == usageUnknown {
 		return
 	}
 	c.refreshUsage(s)
 	teams := c.quotaDemands(s)
-	c.stepQuota(quota.Used{Shard: s.id, Groups: c.quota.ledger.Claims(s.id, knowledge == usageExact, teams)})
+	c.stepQuota(quota.Used{Shard: s.id, Groups: c.quota.ledger.Claims(s.id, accuracy == usageExact, teams)})
 }
 
 // quotaDemands returns what each team uses and wants in a shard.
--- a/internal/controller/quota_usage_test.go
+++ b/internal/controller/quota_usage_test.go
@@ -6,9 +6,9 @@
 	"garnethitch/internal/wire"
 )
 
-// TestUsageAccuracy checks that a process that has just begun, and does not know how large
-// machines are, does not count those with unknown tasks as empty (a successor gave up an allowance
-// that was in use).
+// TestUsageAccuracy checks that a process that has just started and does not know the sizes of
+// machines does not count machines with unknown tasks as empty. Otherwise the successor of an owner
+// would give up an allowance that is in use.
 func TestUsageAccuracy(t *testing.T) {
 	types := map[string]wire.MachineType{"m": {Name: "m", CPUs: 4}}
 	known := &view{}
@@ -28,7 +28,7 @@
 		{"a task of an unknown job", types, true, "m", unknownJob, usageUpperBound},
 		{"an unreconciled machine of unknown size", types, false, "other", unreconciled, usageUnknown},
 		{"a known machine of unknown size", types, true, "other", known, usageExact},
-		{"a machine that is not followed", types, true, "other", nil, usageExact},
+		{"a machine without a view", types, true, "other", nil, usageExact},
 		{"no types yet", nil, true, "m", known, usageUnknown},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -38,7 +38,7 @@
 			s.reconciled = tc.reconciled
 			s.machines = append(s.machines, &machine{id: "vm-1", rec: machineRecord{Type: tc.machineType}, view: tc.view})
 			if got := c.usageAccuracy(s); got != tc.want {
-				t.Errorf("%v, want %v", got, tc.want)
+				t.Errorf("accuracy: %v, want %v", got, tc.want)
 			}
 		})
 	}
--- a/internal/controller/rebalancing.go
+++ b/internal/controller/rebalancing.go
@@ -6,19 +6,20 @@
 	"garnethitch/internal/peer"
 )
 
-// Machines that move between shards.
+// This file moves machines between shards.
 
 // maxMoveDuration is how long a machine may be drained for another shard.
 const maxMoveDuration = 45 * micros.Second
 
-// plannedMove is a machine that is drained for another shard, or to be returned.
+// plannedMove is a machine that is being drained, either for another shard or to be returned to the
+// cloud.
 type plannedMove struct {
 	shard  int
-	retire bool
+	retire bool // the machine is returned to the cloud
 	until  micros.Micros
 }
 
-// rebalance moves machines to the shards whose tasks wait.
+// rebalance moves machines to the shards with waiting tasks.
 func (c *Controller) rebalance(demands fleet.Demands) {
 	choice := fleet.NewRebalancing(c.catalog(), demands)
 	for _, move := range choice.Moves(c.movableMachines(demands, choice)) {
@@ -30,7 +31,8 @@
 	}
 }
 
-// movableMachines returns the machines that may be moved, and goes on with the moves under way.
+// movableMachines returns the machines that may be moved, and continues the moves that are under
+// way.
 func (c *Controller) movableMachines(demands fleet.Demands, choice *fleet.Rebalancing) []fleet.Machine {
 	var movable []fleet.Machine
 	for _, shard := range demands.Shards() {
@@ -51,8 +53,8 @@
 	return movable
 }
 
-// continueDraining repeats the request for a machine that is being drained, unless its shard needs
-// it again.
+// continueDraining repeats the release request for a machine that is being drained, unless the move
+// has expired or its shard needs the machine again.
 func (c *Controller) continueDraining(choice *fleet.Rebalancing, m fleet.Machine) {
 	move, planned := c.fleet.plannedMoves[m.ID]
 	switch {
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -10,32 +10,32 @@
 	"garnethitch/internal/wire"
 )
 
-// Machines that go back to the cloud.
+// This file returns machines to the cloud.
 
 const (
-	// maxScaleInMachines bounds the machines of one request to the cloud, maxLoggedMachines those
+	// maxScaleInMachines bounds the machines in one request to the cloud, maxLoggedMachines those
 	// that are named in the log.
 	maxScaleInMachines = 100
 	maxLoggedMachines  = 20
-	// A machine must come up within bootTimeoutFactor times its boot time, or bootGrace beyond it
-	// if that is more.
+	// A machine must send a heartbeat within bootTimeoutFactor times the boot time of its type or
+	// within the boot time plus bootGrace, whichever is longer.
 	bootTimeoutFactor = 4
 	bootGrace         = 45 * micros.Second
-	// listLagMargin is added to twice the lag of the cloud's list before a machine that is
-	// missing there counts as gone.
+	// listLagMargin is added to twice the lag of the cloud's list to get the time after which a
+	// machine that is missing from the list counts as gone.
 	listLagMargin = micros.Second
-	// maxConsolidationDuration is how long a machine may take to be drained.
+	// maxConsolidationDuration is how long a machine may be drained for its return.
 	maxConsolidationDuration = 30 * micros.Second
 )
 
-// scaleInUnusable returns machines that are of no use any more.
+// scaleInUnusable returns machines to the cloud that can no longer be used.
 func (c *Controller) scaleInUnusable(demands fleet.Demands) {
 	machines := c.unusableOnRecord(silentMachines(demands))
 	machines = append(machines, c.unusableInList()...)
 	c.scaleIn(machines)
 }
 
-// silentMachines returns the machines from which no heartbeat comes.
+// silentMachines returns the IDs of the machines that are reported as silent.
 func silentMachines(demands fleet.Demands) map[string]bool {
 	silent := map[string]bool{}
 	for _, d := range demands {
@@ -48,8 +48,8 @@
 	return silent
 }
 
-// unusableOnRecord returns the machines on record that are cordoned, or that the cloud calls
-// failed or does not list any more.
+// unusableOnRecord returns the machines on record that are cordoned, that the cloud lists as
+// failed, or that are silent and have been missing from the cloud's list for long.
 func (c *Controller) unusableOnRecord(silent map[string]bool) []string {
 	f := &c.fleet
 	var unusable []string
@@ -69,15 +69,15 @@
 	return unusable
 }
 
-// missingForLong reports whether the cloud has not listed a machine for longer than its list may
-// lag behind.
+// missingForLong reports whether a machine has been missing from the cloud's list for longer than
+// the list may lag.
 func (f *fleetState) missingForLong(id string) bool {
 	missingSince := f.missing[id]
 	return f.listedAt != 0 && missingSince != 0 && f.now-missingSince > 2*f.cfg.ListLag+listLagMargin
 }
 
-// unusableInList returns the machines that the cloud lists as failed and that are on no record,
-// and those that do not come up.
+// unusableInList returns the machines that the cloud lists as failed and that have no record, and
+// those that have not come up in time.
 func (c *Controller) unusableInList() []string {
 	f := &c.fleet
 	var unusable []string
@@ -97,22 +97,22 @@
 	return unusable
 }
 
-// bootOverdue reports whether a machine should have come up.
+// bootOverdue reports whether a machine should have come up by now.
 func (c *Controller) bootOverdue(listed wire.ListedMachine) bool {
 	boot := micros.FromSeconds(c.types.byName[listed.Type].BootS)
 	age := micros.FromSeconds(listed.AgeS) + (c.now - c.fleet.listedAt)
 	return age > max(bootTimeoutFactor*boot, boot+bootGrace)
 }
 
-// hasSentHeartbeat reports whether a machine of this controller has sent a heartbeat, so that the
-// list that calls it booting lags behind.
+// hasSentHeartbeat reports whether a machine owned by this controller has sent a heartbeat. If the
+// cloud still lists it as booting, the list lags.
 func (c *Controller) hasSentHeartbeat(id string) bool {
 	m := c.machines[id]
 	return m != nil && m.view != nil && m.view.sequenceKnown
 }
 
-// scaleInIdle has machines returned that are idle, the dearest first, as long as there are more
-// than are needed. fleetFull is whether the fleet may not grow.
+// scaleInIdle returns idle machines to the cloud, the most expensive first, as long as the fleet
+// has more than it needs. fleetFull reports whether the fleet has reached its maximum size.
 func (c *Controller) scaleInIdle(demands fleet.Demands, sums fleet.Sums, fleetFull bool) {
 	choice := fleet.ScaleIn{
 		Sums:         sums,
@@ -127,7 +127,7 @@
 	}
 }
 
-// idleMachines returns the machines that are idle.
+// idleMachines returns the idle machines of all shards.
 func (c *Controller) idleMachines(demands fleet.Demands) []fleet.IdleMachine {
 	catalog := c.catalog()
 	waiting := demands.Waiting()
@@ -151,9 +151,9 @@
 	return idle
 }
 
-// reservedCPUs returns how many CPUs are kept although nothing waits. Where tasks are wanted
-// started sooner than a machine boots, that is what arrives while one would boot; elsewhere
-// nothing.
+// reservedCPUs returns how many CPUs are kept although no task waits. If some class must start
+// tasks sooner than a machine boots, this covers the work that arrives during a boot; otherwise it
+// is 0.
 func (c *Controller) reservedCPUs(sums fleet.Sums) float64 {
 	boot := c.catalog().LongestBoot()
 	for _, within := range c.cfg.StartWithin {
@@ -164,9 +164,9 @@
 	return 0
 }
 
-// consolidate drains machines of a shard where nothing waits, if their tasks may go on in what
-// the shard's other machines have free, and if they would otherwise keep mostly unused machines
-// for long.
+// consolidate drains mostly unused machines of shards without waiting tasks, if the machines would
+// stay mostly unused for long and their tasks can continue in the free capacity of the shard's
+// other machines.
 func (c *Controller) consolidate(demands fleet.Demands, sums fleet.Sums) {
 	choice := fleet.Consolidation{Have: sums.Have, Need: max(sums.Parallel, c.reservedCPUs(sums))}
 	for _, shard := range demands.Shards() {
@@ -183,8 +183,8 @@
 	}
 }
 
-// drainCandidates returns the busy machines of a shard whose tasks may go on elsewhere, and how
-// many machines are being drained.
+// drainCandidates returns the busy machines of a shard whose tasks may continue elsewhere, and the
+// number of machines that are being drained already.
 func (c *Controller) drainCandidates(d *peer.Demand) (candidates []fleet.DrainCandidate, draining int) {
 	for _, m := range d.Machines {
 		if m.State == peer.MachineDraining {
@@ -198,7 +198,7 @@
 	return candidates, draining
 }
 
-// scaleIn returns machines to the cloud, as far as the budget allows it now.
+// scaleIn returns machines to the cloud, as far as the request budget allows it now.
 func (c *Controller) scaleIn(ids []string) {
 	f := &c.fleet
 	var toReturn []string
@@ -214,7 +214,8 @@
 	}
 }
 
-// sendScaleIn asks the cloud to take machines back, and reports whether the budget allowed it.
+// sendScaleIn sends a request to the cloud to take machines back, and reports whether the request
+// budget allowed it.
 func (c *Controller) sendScaleIn(machines []string) bool {
 	f := &c.fleet
 	ownerEpoch := c.ownership.leader.ownerEpoch
--- a/internal/controller/scale_out.go
+++ b/internal/controller/scale_out.go
@@ -11,48 +11,50 @@
 	"garnethitch/internal/wire"
 )
 
-// Machines that are rented.
+// This file rents machines from the cloud.
 
 const (
-	// maxScaleOuts bounds the rentals under way.
+	// maxScaleOuts bounds the rental requests under way.
 	maxScaleOuts = 4
-	// scaleOutRetryInterval is the time after which a rental that was not answered is sent again.
+	// scaleOutRetryInterval is the time after which a rental request without a definite answer is
+	// sent again.
 	scaleOutRetryInterval = 2 * micros.Second
-	// minRefusalBackoff and maxRefusalPause bound the time for which a kind of machine that the
-	// cloud has refused is not asked for; it doubles with each refusal.
+	// minRefusalBackoff and maxRefusalBackoff bound how long a kind of machine is not requested
+	// after the cloud has refused it. The time doubles with each refusal.
 	minRefusalBackoff = 8 * micros.Second
 	maxRefusalBackoff = 40 * micros.Second
 )
 
-// rentals are the machines that this leader rents.
+// rentals are the leader's rental requests and the machines that they have brought.
 type rentals struct {
-	scaleOutSequence uint64             // number of the last rental
-	scaleOuts        []*scaleOutRequest // rentals under way
+	scaleOutSequence uint64             // number of the last rental request
+	scaleOuts        []*scaleOutRequest // requests under way
 	refused          map[fleet.Kind]*refusal
-	rented           map[string]*rented // on no record yet
+	rented           map[string]*rented // machines that are not on record yet, by ID
 }
 
-// reset forgets all rentals.
+// reset discards all rentals.
 func (r *rentals) reset() {
 	r.scaleOuts = nil
 	r.refused = map[fleet.Kind]*refusal{}
 	r.rented = map[string]*rented{}
 }
 
-// scaleOutRequest is a rental under way. It is sent again, under the same name, until the cloud
-// has answered: it may have been carried out.
+// scaleOutRequest is a rental request under way. It is sent again under the same request name until
+// the cloud has answered, because an unanswered request may have been carried out.
 type scaleOutRequest struct {
 	rental     wire.Rental
-	nextSendAt micros.Micros // when it may be sent again
+	nextSendAt micros.Micros // earliest time of the next attempt
 	inFlight   bool
 }
 
-// kind returns the kind of the machines that are rented.
+// kind returns the kind of the requested machines.
 func (r *scaleOutRequest) kind() fleet.Kind {
 	return fleet.Kind{Type: r.rental.Type, Zone: r.rental.Zone, Spot: r.rental.Spot}
 }
 
-// refusal is a kind of machine that the cloud did not have.
+// refusal records that the cloud had no more machines of a kind. They are not requested again
+// before until; backoff is the time without jitter.
 type refusal struct {
 	until, backoff micros.Micros
 }
@@ -62,7 +64,7 @@
 	return fleet.Kind{Type: m.rec.Type, Zone: m.rec.Zone, Spot: m.rec.Spot}
 }
 
-// freeCPUsByKind adds up the CPUs of the machines that are idle or on their way, by kind.
+// freeCPUsByKind adds up the CPUs of machines that are idle, booting or being rented, by kind.
 func (c *Controller) freeCPUsByKind(demands fleet.Demands) map[fleet.Kind]float64 {
 	f := &c.fleet
 	free := map[fleet.Kind]float64{}
@@ -98,8 +100,8 @@
 	return machines
 }
 
-// unavailable returns a function that reports whether machines of a kind cannot be had, or could
-// not be reached, for now.
+// unavailable returns a function that reports whether machines of a kind should not be rented for
+// now: the cloud has refused them recently, or their zone is partitioned.
 func (f *fleetState) unavailable(partitioned map[string]bool) func(fleet.Kind) bool {
 	return func(k fleet.Kind) bool {
 		r := f.refused[k]
@@ -107,8 +109,8 @@
 	}
 }
 
-// scaleOut rents the cheapest machines that the waiting tasks can use, as long as there are fewer
-// than are worth their price, and no more than maxMachines.
+// scaleOut rents the cheapest machines that the waiting tasks can use, as long as further machines
+// are worth their price. It rents at most maxMachines machines.
 func (c *Controller) scaleOut(demands fleet.Demands, sums fleet.Sums, maxMachines int) {
 	f := &c.fleet
 	choice := fleet.ScaleOut{
@@ -135,7 +137,7 @@
 	}
 }
 
-// sendScaleOut sends a rental unless it is in flight, or was sent a short time ago.
+// sendScaleOut sends a rental request unless it is in flight or was sent a short time ago.
 func (c *Controller) sendScaleOut(req *scaleOutRequest) {
 	if req.inFlight || c.now < req.nextSendAt {
 		return
@@ -150,7 +152,7 @@
 	})
 }
 
-// handleScaleOutResult takes in the cloud's answer to a rental.
+// handleScaleOutResult handles the result of a rental request.
 func (f *fleetState) handleScaleOutResult(req *scaleOutRequest, r Result) {
 	names, ok := r.Body.(*wire.MachineNames)
 	switch {
@@ -169,13 +171,15 @@
 	}
 }
 
-// endScaleOut removes a rental that the cloud has answered, and has the fleet planned anew.
+// endScaleOut removes a rental request that the cloud has answered, and makes the next plan due at
+// once.
 func (f *fleetState) endScaleOut(req *scaleOutRequest) {
 	f.scaleOuts = slices.DeleteFunc(f.scaleOuts, func(other *scaleOutRequest) bool { return other == req })
 	f.nextPlanAt = f.now
 }
 
-// addRented takes in the machines that the cloud has rented out.
+// addRented records the machines that a rental request has brought. Fewer than were requested count
+// as a refusal of more.
 func (f *fleetState) addRented(req *scaleOutRequest, machines []string) {
 	k := req.kind()
 	f.log(Info, "scaled out", "type", k.Type, "zone", k.Zone, "spot", k.Spot, "wanted", req.rental.Count, "got", len(machines))
@@ -189,16 +193,20 @@
 	}
 }
 
-// noCapacity is the body by which a runtime tells the cloud's "no capacity" from an outage.
+// noCapacity is the result body that distinguishes the cloud's refusal for lack of capacity from an
+// outage.
 const noCapacity = NoCapacity("no capacity")
 
-// NoCapacity is the Result body of a refused rental.
+// NoCapacity is the type of the Result body for a rental request that the cloud refused for lack of
+// capacity.
 type NoCapacity string
 
-// RefusedRental is the Body to give with a 503 that says "no capacity".
+// RefusedRental is the Result body for a 503 response by which the cloud refuses a rental for lack
+// of capacity.
 const RefusedRental = noCapacity
 
-// noteRefusal has machines of a kind not asked for, for longer with each time.
+// noteRefusal stops requests for machines of a kind for a while; the backoff doubles with each
+// refusal.
 func (f *fleetState) noteRefusal(k fleet.Kind) {
 	r := f.refused[k]
 	if r == nil {
--- a/internal/controller/scale_out_test.go
+++ b/internal/controller/scale_out_test.go
@@ -8,8 +8,7 @@
 	"garnethitch/internal/wire"
 )
 
-// TestNextScaleOut checks that what is rented follows from the tasks that wait and the machines
-// that there are.
+// TestNextScaleOut checks which machines are rented for which waiting tasks and existing machines.
 func TestNextScaleOut(t *testing.T) {
 	waiting := func(tasks int, cpus, seconds float64) peer.WaitingTasks {
 		return peer.WaitingTasks{Any: true, Spot: true, CPUs: cpus, MemGB: 1, Waiting: tasks, WorkUS: int64(float64(tasks) * seconds * 1e6)}
@@ -24,9 +23,9 @@
 		sums        fleet.Sums
 		free        map[fleet.Kind]float64
 		spotRefused bool
-		partitioned string // a zone
+		partitioned string // name of the partitioned zone; empty: none
 		wantSpot    bool
-		wantCount   int // 0: nothing is rented
+		wantCount   int // number of machines; 0: no rental
 	}{
 		{name: "nothing waits", group: waiting(0, 1, 10)},
 		{
@@ -36,12 +35,12 @@
 			wantSpot: true, wantCount: 50,
 		},
 		{
-			name:  "enough is on its way",
+			name:  "enough machines are booting",
 			group: waiting(100, 1, 100),
 			sums:  fleet.Sums{Work: 1e4, Parallel: 100, Have: 400},
 		},
 		{
-			name:     "little work and no machine at all",
+			name:     "little work, no machines",
 			group:    waiting(2, 1, 6),
 			sums:     fleet.Sums{Work: 12, Parallel: 2},
 			wantSpot: true, wantCount: 1,
@@ -79,7 +78,7 @@
 			wantSpot:    true, wantCount: 25,
 		},
 		{
-			name:  "one that can be used is idle",
+			name:  "a usable machine is idle",
 			group: noSpot,
 			sums:  fleet.Sums{Work: 1200, Parallel: 304, Have: 400},
 			free:  map[fleet.Kind]float64{onDemand: 40},
@@ -107,7 +106,7 @@
 			}
 			rental, ok := choice.Next()
 			if ok != (tc.wantCount > 0) || ok && (rental.Count != tc.wantCount || rental.Spot != tc.wantSpot) {
-				t.Errorf("%v %+v, want %d, spot %v", ok, rental, tc.wantCount, tc.wantSpot)
+				t.Errorf("rented: %v, %+v; want %d machines, spot %v", ok, rental, tc.wantCount, tc.wantSpot)
 			}
 		})
 	}
--- a/internal/controller/scale_test.go
+++ b/internal/controller/scale_test.go
@@ -11,8 +11,8 @@
 	"garnethitch/internal/wire"
 )
 
-// newLargeHarness is an owner of one shard with many machines, all of them full, and
-// many open jobs that wait.
+// newLargeHarness returns a harness whose controller owns one shard with many machines, all of them
+// full, and many open jobs with waiting tasks.
 func newLargeHarness(tb testing.TB, machines, jobs, tasks int) *harness {
 	h := &harness{now: sec, keys: map[string]wire.KeyValue{}, answers: map[ReplyID]Answer{}}
 	cfg := Config{
@@ -45,14 +45,17 @@
 	return h
 }
 
+// machineName returns the ID of the machine with an index.
 func machineName(i int) string { return fmt.Sprintf("vm-%06d", i) }
 
-// fill sends a machine's first heartbeat, and the one that lists the tasks started by the answer.
+// fill sends a machine's first heartbeat, and a second one that lists the tasks that the reply to
+// the first one started.
 func (h *harness) fill(i int) {
 	_, body := h.heartbeat(heartbeatFrom(machineName(i), 1, 1, 0))
 	h.heartbeat(heartbeatFrom(machineName(i), 1, 2, body.FencingToken, taskStatuses(starts(body.Commands), wire.TaskRunning)...))
 }
 
+// taskStatuses returns a status in the given state for the task of each command.
 func taskStatuses(commands []wire.Command, state wire.TaskState) (out []wire.TaskStatus) {
 	for _, c := range commands {
 		out = append(out, wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: state})
@@ -60,7 +63,8 @@
 	return out
 }
 
-// finishOneTask sends a heartbeat in which one task of a machine has ended, so that another is started.
+// finishOneTask sends a heartbeat in which one task of a machine has ended, so that another one is
+// started.
 func (h *harness) finishOneTask(i int) {
 	m := h.c.machines[machineName(i)]
 	v := m.view
@@ -77,15 +81,15 @@
 	h.heartbeat(heartbeatFrom(m.id, v.agentEpoch, v.sequence+1, v.fencingToken, tasks...))
 }
 
-// TestWorkPerHeartbeat checks that the work of a heartbeat does not grow with machines or jobs.
-// It counts visits, not time.
+// TestWorkPerHeartbeat checks that the work for a heartbeat does not grow with the number of
+// machines or jobs. It counts visits instead of measuring time.
 func TestWorkPerHeartbeat(t *testing.T) {
 	work := func(machines, jobs, tasks int) float64 {
 		h := newLargeHarness(t, machines, jobs, tasks)
 		before := h.c.visited
 		const turns = 200
 		for i := range turns {
-			h.c.maintenance.lastRunAt = h.now // maintenance is counted below
+			h.c.maintenance.lastRunAt = h.now // keep maintenance out of the count
 			h.finishOneTask(i % machines)
 		}
 		return float64(h.c.visited-before) / turns
@@ -99,19 +103,19 @@
 		{"a fleet, large arrays", 3100, 150, 2000},
 		{"a fleet, many jobs", 1900, 500, 90},
 		{"four thousand machines", 4000, 150, 500},
-		{"half as many again", 6000, 150, 500},
+		{"six thousand machines", 6000, 150, 500},
 		{"many jobs", 200, 300, 200},
 		{"long arrays", 200, 20, 20_000},
 	} {
 		if got := work(tc.machines, tc.jobs, tc.tasks); got > 2*small+10 {
-			t.Errorf("%s: a heartbeat visits %.0f machines, jobs and attempts, at a small size %.0f", tc.name, got, small)
+			t.Errorf("%s: a heartbeat visits %.0f machines, jobs and attempts, compared with %.0f in a small fleet", tc.name, got, small)
 		}
 	}
 }
 
-// TestUnchangedHeartbeat checks that a heartbeat that lists what the last one did costs a
-// comparison, however many tasks it has; one that lists less, or comes after a command was sent, is
-// processed in full.
+// TestUnchangedHeartbeat checks that a heartbeat with the same task list as the previous one costs
+// only a comparison, however many tasks it lists. A heartbeat that lists fewer tasks, or that comes
+// after a command was sent, is processed in full.
 func TestUnchangedHeartbeat(t *testing.T) {
 	h := newLargeHarness(t, 50, 20, 500)
 	m := h.c.machines[machineName(7)]
@@ -127,7 +131,7 @@
 		return h.c.visited - before
 	}
 	send(tasks)
-	if n := send(tasks); n > 1 { // the first job in the queue
+	if n := send(tasks); n > 1 { // one visit: the first job in the queue
 		t.Errorf("an unchanged heartbeat visits %d attempts", n)
 	}
 	if n := testing.AllocsPerRun(50, func() { send(tasks) }); n > 12 {
@@ -137,17 +141,17 @@
 	h.c.dropAttempt(gone)
 	send(tasks)
 	if v.attempts[gone.key] == nil {
-		t.Error("an attempt that was dropped here and is still listed was not adopted")
+		t.Error("an attempt that was dropped here but is still listed by its machine was not adopted")
 	}
 	attempts := len(v.list)
 	send(tasks[1:])
 	if v.attempts[gone.key] != nil || len(v.list) == attempts+1 {
-		t.Error("an attempt that is no longer listed is still kept")
+		t.Error("an attempt that its machine no longer lists was kept")
 	}
 }
 
-// TestWakeUps checks that where nothing happens, maintenance wakes a controller seldom; while a
-// shard is not reconciled, or has no owner, often.
+// TestWakeUps checks that maintenance seldom wakes an idle controller, and wakes it often while a
+// shard is not reconciled or has no owner.
 func TestWakeUps(t *testing.T) {
 	wakes := func(h *harness) int {
 		n := 0
@@ -161,22 +165,22 @@
 	calm.reconcile("vm-1")
 	calm.reconcile("vm-2")
 	if n := wakes(calm); n > 60 {
-		t.Errorf("%d wake-ups in 10 s of calm", n)
+		t.Errorf("%d wake-ups in 10 s without activity, want at most 60", n)
 	}
 	busy := newHarness(t, nil)
 	busy.reconcile("vm-1")
 	busy.c.ownership.shards[0].reconciled = false
 	if interval := busy.c.maintenanceInterval(); interval != busyInterval {
-		t.Errorf("maintenance every %v while a shard is not reconciled", interval)
+		t.Errorf("maintenance runs every %v while a shard is not reconciled", interval)
 	}
 	busy.c.ownership.shards[0].reconciled, busy.c.ownership.shards[0].ownerEpoch = true, 0
 	if interval := busy.c.maintenanceInterval(); interval != busyInterval {
-		t.Errorf("maintenance every %v while a shard has no owner", interval)
+		t.Errorf("maintenance runs every %v while a shard has no owner", interval)
 	}
 }
 
-// TestWorkPerRound checks that a round over all machines visits each of them a few times, however
-// many tasks wait.
+// TestWorkPerRound checks that a round visits each machine only a few times, however many tasks
+// wait.
 func TestWorkPerRound(t *testing.T) {
 	for _, tc := range []struct{ machines, jobs, tasks int }{{200, 20, 500}, {2200, 20, 500}, {2200, 300, 500}, {3100, 150, 2000}, {1900, 500, 90}, {700, 20, 20_000}, {4000, 150, 500}, {6000, 150, 500}} {
 		h := newLargeHarness(t, tc.machines, tc.jobs, tc.tasks)
@@ -191,10 +195,10 @@
 }
 
 // TestWorkPerRoundOfZonedJobs checks that a round does not try every job that is bound to one zone
-// on every machine with free capacity: it is continued by the next, and reaches the job behind them
-// all the same. Seen in the simulation at 4,000 machines (TestLargeFleet): one round visited each
-// machine 9.4 times, in other runs up to 20 times, since a zone-bound job that fits nowhere rules
-// out no other.
+// on every machine with free capacity. The next round must continue where it stopped, and reach the
+// job behind them. A zone-bound job that fits nowhere rules out no other job: in the simulation
+// with 4,000 machines (TestLargeFleet) one round visited each machine 9.4 times, and in other runs
+// up to 20 times.
 func TestWorkPerRoundOfZonedJobs(t *testing.T) {
 	const machines, zoned = 2200, 100
 	h := newLargeHarness(t, machines, 0, 0)
@@ -202,7 +206,7 @@
 	filler.CPUs = 3
 	h.submit(filler)
 	h.open = h.open[:0]
-	for i := range machines { // one CPU of four is left on each
+	for i := range machines { // leave one of four CPUs free on each machine
 		fencingToken := h.c.machines[machineName(i)].view.fencingToken
 		_, body := h.heartbeat(heartbeatFrom(machineName(i), 1, 3, fencingToken))
 		h.heartbeat(heartbeatFrom(machineName(i), 1, 4, fencingToken, taskStatuses(starts(body.Commands), wire.TaskRunning)...))
@@ -219,7 +223,7 @@
 	j := h.c.jobs.open[last.ID]
 	for began := h.now; len(j.run.active) == 0; {
 		if h.now > began+10*sec {
-			t.Fatal("the job behind those that are bound to one zone has not started after 10 s")
+			t.Fatal("the job behind the zone-bound jobs has not started after 10 s")
 		}
 		before := h.c.visited
 		h.now += schedulingInterval
@@ -232,8 +236,8 @@
 }
 
 // TestMessageOfLargeFleet checks that the status that a controller sends to the leader about 6,000
-// idle machines, with names as long as a UUID, fits into one message with every machine; past that
-// bound the others are counted, and named in later messages.
+// idle machines, with names as long as a UUID, lists every machine in one message. Beyond that size
+// only some machines are listed, but all are counted; the others are listed in later messages.
 func TestMessageOfLargeFleet(t *testing.T) {
 	const machines = 6000
 	h := newLargeHarness(t, machines, 1, 1)
@@ -259,25 +263,25 @@
 	}
 	st, size := demandStatus()
 	if d := st.Demand[0]; len(d.Machines) < machines-1 || d.All != machines || len(st.MisdirectedMachines) != machines {
-		t.Errorf("%d machines named, %d misdirected, %d counted, of %d", len(d.Machines), len(st.MisdirectedMachines), d.All, machines)
+		t.Errorf("%d machines listed, %d misdirected, %d counted, of %d", len(d.Machines), len(st.MisdirectedMachines), d.All, machines)
 	}
 	if size > peer.MaxMessage*9/10 {
-		t.Errorf("a message of %d bytes, want at most nine tenths of %d", size, peer.MaxMessage)
+		t.Errorf("the message has %d bytes, want at most nine tenths of %d", size, peer.MaxMessage)
 	}
 	for _, m := range c.machines {
 		m.id += strings.Repeat("x", 200-len(m.id))
 	}
 	st, size = demandStatus()
 	if d := st.Demand[0]; len(d.Machines) == 0 || len(d.Machines) == machines || d.All != machines {
-		t.Errorf("past the bound %d machines are named, %d counted, of %d", len(d.Machines), d.All, machines)
+		t.Errorf("beyond the bound, %d machines are listed and %d counted, of %d", len(d.Machines), d.All, machines)
 	}
 	if size > peer.MaxMessage*9/10 {
-		t.Errorf("past the bound a message of %d bytes, want at most nine tenths of %d", size, peer.MaxMessage)
+		t.Errorf("beyond the bound, the message has %d bytes, want at most nine tenths of %d", size, peer.MaxMessage)
 	}
 }
 
-// BenchmarkHeartbeat shows how a heartbeat's cost grows; read allocations and the
-// ratio between sizes, not the time.
+// BenchmarkHeartbeat shows how the cost of a heartbeat grows. Compare allocations and the ratio
+// between sizes rather than absolute times.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, size := range []struct{ machines, jobs, tasks int }{{50, 20, 2000}, {700, 100, 1000}, {2200, 300, 1000}, {3100, 150, 2000}} {
 		b.Run(fmt.Sprintf("%d machines %d jobs", size.machines, size.jobs), func(b *testing.B) {
@@ -291,7 +295,7 @@
 	}
 }
 
-// BenchmarkRound shows what a whole round costs where all machines are full.
+// BenchmarkRound shows the cost of a scheduling round in which all machines are full.
 func BenchmarkRound(b *testing.B) {
 	for _, machines := range []int{50, 700, 2200, 3100} {
 		b.Run(fmt.Sprintf("%d machines", machines), func(b *testing.B) {
@@ -307,7 +311,7 @@
 	}
 }
 
-// BenchmarkMemory shows the memory taken by each machine, waiting job and final job, in bytes.
+// BenchmarkMemory reports the memory taken by each machine, waiting job and final job, in bytes.
 func BenchmarkMemory(b *testing.B) {
 	held := func(machines, jobs, finished int) float64 {
 		h := newLargeHarness(b, machines, jobs, 500)
@@ -328,8 +332,8 @@
 	}
 }
 
-// TestWorkOfDAGs checks that hundreds of DAGs that wait cost a heartbeat and a walk over everything
-// hardly more than none.
+// TestWorkOfDAGs checks that hundreds of DAGs that wait add hardly any work to a heartbeat or to a
+// walk over the queue: blocked jobs must not be in the queue.
 func TestWorkOfDAGs(t *testing.T) {
 	work := func(dags int) (perHeartbeat, walk float64) {
 		h := newLargeHarness(t, 50, 20, 500)
@@ -353,9 +357,9 @@
 	none, _ := work(0)
 	many, queue := work(300)
 	if many > 2*none+10 {
-		t.Errorf("a heartbeat visits %.0f machines, jobs and attempts, without DAGs %.0f", many, none)
+		t.Errorf("a heartbeat visits %.0f machines, jobs and attempts with DAGs, %.0f without", many, none)
 	}
 	if queue > 20+300 {
-		t.Errorf("%.0f jobs are in the queue, blocked ones among them", queue)
+		t.Errorf("%.0f jobs are in the queue, so blocked jobs are among them", queue)
 	}
 }
