--- a/internal/controller/capacity.go
+++ b/internal/controller/capacity.go
@@ -44,8 +44,8 @@
 	return min(count, int((limit-used)/need+scheduling.Tolerance))
 }
 
-// machineUsage is what the attempts on a machine take. It is recounted only after the machine's
-// attempts have changed.
+// machineUsage is what the attempts on a machine take. It is recounted only after something on the
+// machine has changed.
 type machineUsage struct {
 	total         scheduling.Resources
 	stopping      scheduling.Resources // the part of total that tasks being stopped will free
@@ -103,8 +103,8 @@
 	}
 }
 
-// refreshUsage updates a shard's usage by team, which is an upper bound. Only machines whose
-// attempts have changed are recounted.
+// refreshUsage updates a shard's usage by team, which is an upper bound. Only machines that have
+// changed are recounted.
 func (c *Controller) refreshUsage(s *shard) {
 	if s.recountAll {
 		c.recountShardUsage(s)
--- a/internal/controller/demand_test.go
+++ b/internal/controller/demand_test.go
@@ -11,12 +11,12 @@
 func TestMovable(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.FinishWithin = map[string]micros.Micros{"late": sec, "early": 60 * micros.Minute} })
 	for _, tc := range []struct {
-		name, class string
-		state       attemptState
-		checkpoint  float64
-		ran         micros.Micros
-		stops       int
-		over, want  bool // over: this node no longer owns its job
+		name, class    string
+		state          attemptState
+		checkpoint     float64
+		ran            micros.Micros
+		stops          int
+		notOwned, want bool // notOwned: this node no longer owns its job
 	}{
 		{"can save", "early", attemptRunning, 10, 90 * sec, 3, false, true},
 		{"late, most work left", "late", attemptRunning, 0, 20 * sec, 0, false, true},
@@ -31,7 +31,7 @@
 			sub := jobOf("job-000001", 1)
 			sub.Class, sub.CheckpointS, sub.EstimateS = tc.class, tc.checkpoint, 100
 			j := &job{sub: &sub, deadline: micros.Never, run: &run{stopsByTask: map[int]int{0: tc.stops}}}
-			if tc.over {
+			if tc.notOwned {
 				j.run = nil
 			}
 			h.c.now, h.c.wall = 200*sec, 200*sec
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -68,14 +68,14 @@
 		t.Errorf("limit in force: %v, want 3 CPUs", rec.Applied)
 	}
 	// Writes of rows are conditional on the shard's owner key, those of definitions on the leader's.
-	under := map[string]int{}
+	writesByKey := map[string]int{}
 	for _, txn := range h.done {
 		if txn.Changes[0].Put == wire.QuotaKey("all") && len(txn.Conditions) == 2 && txn.Conditions[1].ModRevision != 0 {
-			under[txn.Conditions[1].Key]++
+			writesByKey[txn.Conditions[1].Key]++
 		}
 	}
-	if under[wire.KeyLeader] != 1 || under[ownerKey(0)] == 0 {
-		t.Errorf("writes by the key that they are conditional on: %v", under)
+	if writesByKey[wire.KeyLeader] != 1 || writesByKey[ownerKey(0)] == 0 {
+		t.Errorf("writes by the key that they are conditional on: %v", writesByKey)
 	}
 	low := quota.CPULimit(1)
 	if resp := h.quotaRequest(peer.QuotaRequest{Set: &peer.SetLimit{WaitingTasks: "all", Limit: low}}); resp.Problem != "" || resp.Epoch != 2 {
@@ -126,26 +126,26 @@
 		t.Errorf("the record has changed to %+v from %+v", h.groupRecord(), before)
 	}
 	// Without the option no groups are shown, and nothing is sent or written.
-	off := newHarness(t, withPeer)
-	if resp := off.quotaRequest(peer.QuotaRequest{}); !strings.Contains(resp.Problem, "no groups") {
+	withoutOption := newHarness(t, withPeer)
+	if resp := withoutOption.quotaRequest(peer.QuotaRequest{}); !strings.Contains(resp.Problem, "no groups") {
 		t.Errorf("without the option, the answer is %q", resp.Problem)
 	}
-	for _, w := range off.watches {
+	for _, w := range withoutOption.watches {
 		if w.Req.(statestore.WatchKeys).Prefix == wire.PrefixQuota {
 			t.Error("without the option, the records of groups are watched")
 		}
 	}
-	for _, st := range off.statusesSent {
+	for _, st := range withoutOption.statusesSent {
 		if st.Quota || st.Traces != nil {
 			t.Errorf("without the option, quota fields are sent to other controllers: %+v", st)
 		}
 	}
 	// Once another controller reports that it handles quotas, this one handles them too.
-	off.ask(func(r ReplyID) Input {
+	withoutOption.ask(func(r ReplyID) Input {
 		return PeerRequest{Reply: r, Req: peer.Request{From: "n-1", Status: &peer.Status{ControllerState: peer.ControllerState{StateOK: true, Quota: true}}}}
 	})
-	off.run(sec)
-	if resp := off.quotaRequest(peer.QuotaRequest{}); resp.Problem != "" {
+	withoutOption.run(sec)
+	if resp := withoutOption.quotaRequest(peer.QuotaRequest{}); resp.Problem != "" {
 		t.Errorf("after another controller reported quota handling, the answer is %q", resp.Problem)
 	}
 }
--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -13,10 +13,11 @@
 	// starts tasks there; see scheduleOnMachine.
 	schedulingInterval = 50 * micros.Millisecond
 
-	// A round visits at most maxVisitsPerMachine times the number of machines in a shard, but at
-	// least minVisitsPerRound. The next round continues with the rest of the queue. The bound is
-	// needed because a job that is bound to a zone is compared with every machine that has free
-	// capacity, whether it fits or not, and hundreds of such jobs would delay all other inputs.
+	// A round visits at most maxVisitsPerMachine times the number of machines in a shard, or
+	// minVisitsPerRound if that is more. The next round continues with the rest of the queue. The
+	// bound is needed because a job that is bound to a zone is compared with every machine that has
+	// free capacity, whether it fits or not, and hundreds of such jobs would delay all other
+	// inputs.
 	maxVisitsPerMachine = 4
 	minVisitsPerRound   = 4000
 
@@ -34,7 +35,7 @@
 	return uint64(max(maxVisitsPerMachine*machines, minVisitsPerRound))
 }
 
-// schedulingState is the scheduling state that is kept between steps.
+// schedulingState is what scheduling keeps between rounds and steps.
 type schedulingState struct {
 	nextRoundAt       micros.Micros // earliest time of the next round
 	scheduledLastStep bool          // the previous step ran a round
@@ -57,7 +58,7 @@
 	return true
 }
 
-// postponeNextRound delays the next round until the given time at least if the previous step ran a
+// postponeNextRound delays the next round until at least the given time if the previous step ran a
 // round.
 func (st *schedulingState) postponeNextRound(until micros.Micros) {
 	if st.scheduledLastStep {
