--- a/internal/controller/prefetch.go
+++ b/internal/controller/prefetch.go
@@ -75,7 +75,8 @@
 }
 
 // prefetch starts prefetching attempts on the machines of free that lack an image. If empty is set,
-// only machines without tasks are considered; this is done before they are filled.
+// only machines without tasks are considered, before a round fills them; a second call after the
+// round considers all machines with free capacity.
 func (c *Controller) prefetch(s *shard, free []*machine, empty bool) {
 	if !c.ownership.leaseValid() || len(c.prefetchImages) == 0 {
 		return
@@ -108,8 +109,8 @@
 	return c.fetchesTooSlowly(m, j) && c.allowed(j, m, nil) && !v.fetches(j.sub.Image)
 }
 
-// fetchesTooSlowly reports whether a machine takes too much of the time within which a job's tasks
-// must start to fetch the job's image; see fetchTimeDivisor.
+// fetchesTooSlowly reports whether fetching a job's image would take a machine too much of the time
+// within which the job's tasks must start; see fetchTimeDivisor.
 func (c *Controller) fetchesTooSlowly(m *machine, j *job) bool {
 	rate := c.types.of(m).FetchGBPerS
 	if rate <= 0 {
--- a/internal/controller/quota_limits.go
+++ b/internal/controller/quota_limits.go
@@ -71,8 +71,8 @@
 }
 
 // reclaimQuota stops tasks of a group whose jobs are beyond their team's guarantee, because tasks
-// within another guarantee wait. Tasks of the lowest priority are stopped first and, among these,
-// those that started last.
+// within a guarantee wait. Tasks of the lowest priority are stopped first and, among these, those
+// that started last.
 func (c *Controller) reclaimQuota(s *shard, e quota.Reclaim) {
 	if c.ownership.activeShard(s.id) == nil {
 		return
--- a/internal/controller/quota_records.go
+++ b/internal/controller/quota_records.go
@@ -53,8 +53,8 @@
 }
 
 // readAllQuotas reads the records of all groups for a shard that was claimed at ownerEpoch. It
-// reads them page by page, beginning after the key after. If a read fails, the shard is marked as
-// stale and read again later.
+// reads them page by page, beginning with the first key that follows after. If a read fails, the
+// shard is marked as stale and read again later.
 func (c *Controller) readAllQuotas(s *shard, ownerEpoch uint64, after string) {
 	request := statestore.ListKeys{Prefix: wire.PrefixQuota, After: after, Limit: quotaPageSize}
 	c.askState(statestore.ClassLease, request, c.cfg.Lease, func(r statestore.Reply) {
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -152,8 +152,8 @@
 }
 
 // reservedCPUs returns how many CPUs are kept although no task waits. If some class must start
-// tasks sooner than a machine boots, this covers the work that arrives during a boot; otherwise it
-// is 0.
+// tasks in less than half the longest boot time, this covers the work that arrives while a machine
+// boots; otherwise it is 0.
 func (c *Controller) reservedCPUs(sums fleet.Sums) float64 {
 	boot := c.catalog().LongestBoot()
 	for _, within := range c.cfg.StartWithin {
--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -169,7 +169,7 @@
 		if !c.packJob(round, j) {
 			return
 		}
-		if !j.sub.SameZone && !j.sub.Spread { // otherwise the job's zones are the limit, and others may fit
+		if !j.sub.SameZone && !j.sub.Spread { // zone constraints of this job say nothing about other jobs
 			round.unplaced = append(round.unplaced, unplacedTask{resourcesOf(j.sub), j.constraint})
 		}
 	}
