--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -218,7 +218,7 @@
 	if !free.withinGuarantee {
 		t.Error("a blocked job takes part of its team's guarantee")
 	}
-	if d, _ := c.demandOf(s, maxRowBytes); fleet.WaitingCPUs(&d)+d.Busy > 3+scheduling.Tolerance {
+	if d, _ := c.demandOf(s, maxTotalRowBytes); fleet.WaitingCPUs(&d)+d.Busy > 3+scheduling.Tolerance {
 		t.Errorf("the demand is %v CPUs: it includes a blocked job", fleet.WaitingCPUs(&d)+d.Busy)
 	}
 	if got := h.state("job-000002"); got != wire.StatePending {
--- a/internal/controller/scheduling_test.go
+++ b/internal/controller/scheduling_test.go
@@ -8,9 +8,9 @@
 	"garnethitch/internal/wire"
 )
 
-// TestChurn has one-task jobs come four a second, a quarter of them cancelled: ends and
-// cancellations keep up within this node's part of the budget, a job that ends before its first
-// checkpoint never writes one, and nothing grows.
+// TestChurn submits four one-task jobs a second and cancels a quarter of them. Ends and
+// cancellations must keep up within this node's share of the state service's budget, a job that
+// ends before its first checkpoint must write none, and the number of open jobs must stay bounded.
 func TestChurn(t *testing.T) {
 	h := newOwnerHarness(t, func(c *Config) {
 		c.WriteRPS, c.StateRPS = 25, 150
@@ -18,58 +18,58 @@
 	})
 	h.reconcile("vm-1")
 	fencingToken := h.c.fencingToken(h.c.ownership.shards[0], h.c.machines["vm-1"])
-	seq, n := uint64(100), 0
-	var list []wire.TaskStatus
+	sequence, n := uint64(100), 0
+	var statuses []wire.TaskStatus
 	slowest := micros.Micros(0)
-	type open struct {
+	type cancellation struct {
 		id    string
 		reply ReplyID
 		at    micros.Micros
 	}
-	var waits []open
+	var cancellations []cancellation
 	for range 240 { // a minute
 		n++
 		id := fmt.Sprintf("job-%06d", n)
 		h.submit(jobOf(id, 1))
 		if n%4 == 0 {
 			h.cancel(id)
-			waits = append(waits, open{id, h.reply, h.now})
+			cancellations = append(cancellations, cancellation{id, h.reply, h.now})
 		}
 		h.dropCalls()
-		seq++
-		_, body := h.heartbeat(heartbeatFrom("vm-1", 1, seq, fencingToken, list...))
-		var keep []wire.TaskStatus
-		for _, tr := range list {
+		sequence++
+		_, body := h.heartbeat(heartbeatFrom("vm-1", 1, sequence, fencingToken, statuses...))
+		var remaining []wire.TaskStatus
+		for _, status := range statuses {
 			gone := false
 			for _, c := range body.Commands {
-				gone = gone || c.Op == wire.OpForget && c.Task == tr.Task
-				if c.Op == wire.OpStop && c.Task == tr.Task {
-					tr.State, tr.ExitReason = wire.TaskExited, wire.ExitStopped
+				gone = gone || c.Op == wire.OpForget && c.Task == status.Task
+				if c.Op == wire.OpStop && c.Task == status.Task {
+					status.State, status.ExitReason = wire.TaskExited, wire.ExitStopped
 				}
 			}
-			if tr.State == wire.TaskRunning {
-				tr.State, tr.ExitReason = wire.TaskExited, wire.ExitDone
+			if status.State == wire.TaskRunning {
+				status.State, status.ExitReason = wire.TaskExited, wire.ExitDone
 			}
 			if !gone {
-				keep = append(keep, tr)
+				remaining = append(remaining, status)
 			}
 		}
-		list = keep
+		statuses = remaining
 		for _, c := range starts(body.Commands) {
-			list = append(list, wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning})
+			statuses = append(statuses, wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning})
 		}
 		h.run(190 * ms)
-		for _, w := range waits {
-			if a := h.answers[w.reply]; a.Status != 200 {
-				slowest = max(slowest, h.now-w.at)
+		for _, request := range cancellations {
+			if a := h.answers[request.reply]; a.Status != 200 {
+				slowest = max(slowest, h.now-request.at)
 			}
 		}
 	}
 	if slowest > sec {
-		t.Errorf("a cancellation waited %v s", slowest.Seconds())
+		t.Errorf("a cancellation was unanswered for %v s, want at most 1 s", slowest.Seconds())
 	}
 	if left := len(h.c.jobs.open); left > 12 {
-		t.Errorf("%d jobs are open at the end", left)
+		t.Errorf("%d jobs are open at the end, want at most 12", left)
 	}
 	checkpoints := 0
 	for _, tx := range h.done {
@@ -80,12 +80,12 @@
 		}
 	}
 	if checkpoints > 0 {
-		t.Errorf("%d checkpoints of jobs that ended with their only task", checkpoints)
+		t.Errorf("%d checkpoints were written for jobs that ended with their only task, want none", checkpoints)
 	}
 }
 
-// TestRoundsAreSpaced checks that where steps take long, rounds and walks over everything are
-// spaced, and leases are renewed all the same.
+// TestRoundsAreSpaced checks that rounds and walks over all state are spaced out where steps take
+// long, and that leases are renewed all the same.
 func TestRoundsAreSpaced(t *testing.T) {
 	for _, tc := range []struct {
 		took         micros.Micros
@@ -114,7 +114,7 @@
 				walks++
 			}
 			if h.now-h.c.ownership.lease.RenewedAt() > h.c.cfg.Lease/2 {
-				t.Fatalf("steps of %v s: the lease was not renewed", tc.took.Seconds())
+				t.Fatalf("steps of %v s: the lease was not renewed in time", tc.took.Seconds())
 			}
 		}
 		if rounds < tc.fewest || rounds > tc.most || walks < tc.walksAtLeast {
