--- a/internal/controller/assignment.go
+++ b/internal/controller/assignment.go
@@ -12,7 +12,7 @@
 		if !waiting || c.quota.overLimit(s, j) {
 			return false
 		}
-		if c.avoids(j, index, m) {
+		if c.avoidsMachine(j, index, m) {
 			return true
 		}
 		firstOfOverdue := c.overdue(j)
@@ -36,7 +36,7 @@
 func (c *Controller) assign(s *shard, j *job, index int, m *machine) {
 	att := c.newAttempt(s, j, index, m)
 	att.tracked = true
-	m.view.idleAt = c.now
+	m.view.lastBusyAt = c.now
 	r := j.run
 	r.active[index] = att
 	r.startedMS = c.wall.Millis()
--- a/internal/controller/attempt_end.go
+++ b/internal/controller/attempt_end.go
@@ -40,7 +40,7 @@
 // were not answered are kept: a machine that hung may yet find them.
 func (c *Controller) freeAll(m *machine, reason string, commandsVoid bool) {
 	c.logFreedTasks(m, reason)
-	for _, att := range m.view.each() {
+	for _, att := range m.view.attemptsCopy() {
 		mayStillStart := att.state == attemptCommanded || att.state == attemptInDoubt
 		switch {
 		case mayStillStart && !commandsVoid:
@@ -55,7 +55,7 @@
 // logFreedTasks logs that the tasks on a machine are gone, if there were any.
 func (c *Controller) logFreedTasks(m *machine, reason string) {
 	tasks := 0
-	for _, att := range m.view.list {
+	for _, att := range m.view.attemptList {
 		if att.state != attemptExited {
 			tasks++
 		}
@@ -76,7 +76,7 @@
 		c.handleCompletion(att)
 		return
 	case wire.ExitError:
-		c.noteFailure(att)
+		c.recordFailure(att)
 	case wire.ExitNoCapacity, wire.ExitInUse, wire.ExitUnknown:
 		// Disagreements about state, not failures: start again a little later.
 		m := att.machine
@@ -109,6 +109,6 @@
 		return
 	}
 	runTime := c.now - att.runAt
-	c.noteSpeed(att.machine, att.job, runTime)
+	c.recordRunTime(att.machine, att.job, runTime)
 	c.estimates.Learn(att.job.sub, runTime)
 }
--- a/internal/controller/attempts.go
+++ b/internal/controller/attempts.go
@@ -140,7 +140,7 @@
 
 // saveAll stops a machine's tasks so that they continue elsewhere, if all of them may.
 func (c *Controller) saveAll(m *machine) {
-	attempts := m.view.each()
+	attempts := m.view.attemptsCopy()
 	for _, att := range attempts {
 		leaving := att.state == attemptExited || att.state == attemptSaving
 		if !leaving && !c.movable(att) {
--- a/internal/controller/authority.go
+++ b/internal/controller/authority.go
@@ -86,7 +86,7 @@
 }
 
 // lastPosition returns the position of the last heartbeat that was accepted.
-func (v *view) lastPosition() authority.Position {
+func (v *machineView) lastPosition() authority.Position {
 	return authority.Position{AgentEpoch: v.agentEpoch, Sequence: v.sequence}
 }
 
@@ -116,7 +116,7 @@
 	if m.view.inDoubtToken == 0 {
 		return false
 	}
-	for _, att := range m.view.list {
+	for _, att := range m.view.attemptList {
 		stoppedInDoubt := att.state == attemptInDoubt && att.stopMode == stopImmediate
 		if stoppedInDoubt && c.now >= att.stopRequestedAt+c.bounds.LateStartGrace {
 			return true
@@ -204,7 +204,7 @@
 	if !m.view.reconciled {
 		return
 	}
-	for _, att := range m.view.list {
+	for _, att := range m.view.attemptList {
 		for _, invariant := range authority.BrokenByRenewal(c.jobs.stopPending(att), c.jobStatusForRenewal(s, att)) {
 			c.reportBrokenInvariant(invariant, "task", wire.TaskName(att.key.job, att.index), "machine", m.id, "epoch", s.ownerEpoch)
 		}
--- a/internal/controller/cancellation_cascade.go
+++ b/internal/controller/cancellation_cascade.go
@@ -131,7 +131,7 @@
 	}
 	jobs := c.dependentsToRecord()
 	if len(jobs) == 0 {
-		cascade.nextTxnAt = c.now + busyInterval
+		cascade.nextTxnAt = c.now + activeMaintenanceInterval
 		return
 	}
 	batch := c.nextDependentBatch(jobs)
--- a/internal/controller/candidates.go
+++ b/internal/controller/candidates.go
@@ -106,7 +106,7 @@
 }
 
 // imageState returns how far the machine has an image.
-func (v *view) imageState(image string) scheduling.ImageState {
+func (v *machineView) imageState(image string) scheduling.ImageState {
 	switch {
 	case v.images[image]:
 		return scheduling.ImageCached
@@ -117,8 +117,8 @@
 }
 
 // fetches reports whether an attempt on the machine waits for an image, or will.
-func (v *view) fetches(image string) bool {
-	for _, att := range v.list {
+func (v *machineView) fetches(image string) bool {
+	for _, att := range v.attemptList {
 		if att.state <= attemptFetching && att.job != nil && att.job.sub.Image == image {
 			return true
 		}
--- a/internal/controller/capacity.go
+++ b/internal/controller/capacity.go
@@ -71,7 +71,7 @@
 	}
 	clear(byTeam)
 	v.usage = machineUsage{byTeam: byTeam}
-	for _, att := range v.list {
+	for _, att := range v.attemptList {
 		c.visited++
 		v.usage.add(att)
 	}
--- a/internal/controller/capacity_test.go
+++ b/internal/controller/capacity_test.go
@@ -34,7 +34,7 @@
 			c := New(Config{Label: "a", Shards: 1, Teams: []Team{{Name: "t"}}, StateRPS: 10, WriteRPS: 10, CloudRPS: 10}, 1)
 			c.now = 10 * sec
 			c.types = newMachineTypes(map[string]wire.MachineType{"m": {Name: "m", CPUs: 8, MemGB: 8}})
-			v := &view{}
+			v := &machineView{}
 			v.usage.total.CPUs = 2
 			v.usage.stopping.CPUs = tc.stopping
 			if tc.reserved != nil {
--- a/internal/controller/command_queue_test.go
+++ b/internal/controller/command_queue_test.go
@@ -5,7 +5,7 @@
 // TestCommandQueue checks that a machine waits once, in turn, and for as long as it is this node's;
 // a full queue keeps it.
 func TestCommandQueue(t *testing.T) {
-	newMachine := func(id string) *machine { return &machine{id: id, view: &view{}} }
+	newMachine := func(id string) *machine { return &machine{id: id, view: &machineView{}} }
 	a, b, gone := newMachine("vm-a"), newMachine("vm-b"), newMachine("vm-gone")
 	q := commandQueue{maxInFlight: 1}
 	for _, m := range []*machine{a, gone, b, a} {
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -35,8 +35,8 @@
 
 // appendStops appends the stops that a machine may not have received yet, and notes that they are
 // sent.
-func (c *Controller) appendStops(out []wire.Command, v *view, carrier commandCarrier) []wire.Command {
-	for _, att := range v.list {
+func (c *Controller) appendStops(out []wire.Command, v *machineView, carrier commandCarrier) []wire.Command {
+	for _, att := range v.attemptList {
 		if len(out) >= maxCommands {
 			break
 		}
@@ -53,8 +53,8 @@
 }
 
 // appendForgets appends the requests to forget attempts that need not stay known.
-func appendForgets(out []wire.Command, v *view) []wire.Command {
-	for _, att := range v.list {
+func appendForgets(out []wire.Command, v *machineView) []wire.Command {
+	for _, att := range v.attemptList {
 		if len(out) >= maxCommands {
 			break
 		}
@@ -67,7 +67,7 @@
 
 // appendStarts appends the starts that have not been sent, and notes that they are.
 func (c *Controller) appendStarts(out []wire.Command, m *machine, carrier commandCarrier) []wire.Command {
-	for _, att := range m.view.list {
+	for _, att := range m.view.attemptList {
 		if len(out) >= maxCommands {
 			break
 		}
--- a/internal/controller/commands_test.go
+++ b/internal/controller/commands_test.go
@@ -207,8 +207,8 @@
 	}
 }
 
-// commandsOut returns the commands of open direct commands.
-func (h *harness) commandsOut() (out []wire.Command) {
+// openCommands returns the commands of open direct commands.
+func (h *harness) openCommands() (out []wire.Command) {
 	for _, c := range h.directCommands() {
 		out = append(out, c.Req.(wire.DirectCommand).Commands...)
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -111,7 +111,7 @@
 	if c.startedAt < 0 {
 		c.start()
 	}
-	c.noteStall()
+	c.detectStall()
 	c.wake = c.nextMaintenance()
 	c.restAfter(at.Took)
 }
--- a/internal/controller/demand.go
+++ b/internal/controller/demand.go
@@ -129,7 +129,7 @@
 		zone.Silent++
 		row.SinceUS = int64(c.silentFor(v))
 	case peer.MachineIdle:
-		row.SinceUS = int64(c.now - v.idleAt)
+		row.SinceUS = int64(c.now - v.lastBusyAt)
 		d.CPUs += cpus
 	case peer.MachineBusy:
 		d.CPUs += cpus
@@ -139,7 +139,7 @@
 }
 
 // addUnreconciled adds an unreconciled machine.
-func (c *Controller) addUnreconciled(s *shard, v *view, d *peer.Demand, zone *peer.Zone, row *peer.Machine) {
+func (c *Controller) addUnreconciled(s *shard, v *machineView, d *peer.Demand, zone *peer.Zone, row *peer.Machine) {
 	sinceClaim := c.now - s.claimedAt
 	if v.unansweredCommands >= minUnansweredCommands {
 		row.SinceUS = int64(sinceClaim)
@@ -152,7 +152,7 @@
 }
 
 // silentFor returns for how long nothing has shown that a machine can be reached both ways.
-func (c *Controller) silentFor(v *view) micros.Micros {
+func (c *Controller) silentFor(v *machineView) micros.Micros {
 	silent := c.sinceLastHeartbeat(v)
 	if c.leaseRunningOut(v) {
 		silent = max(silent, c.sinceLastReply(v))
@@ -165,7 +165,7 @@
 
 // addAttempts adds what a machine's attempts have left to do, and what moving them would lose.
 func (c *Controller) addAttempts(m *machine, d *peer.Demand, row *peer.Machine) {
-	for _, att := range m.view.list {
+	for _, att := range m.view.attemptList {
 		if att.job == nil || att.state == attemptExited {
 			continue
 		}
@@ -228,7 +228,7 @@
 	switch {
 	case v.unreconciledFromPredecessor:
 		return peer.MachineUnreconciled
-	case v.neverCommanded && c.now-v.since < bootTimeout:
+	case v.neverCommanded && c.now-v.observedSince < bootTimeout:
 		return peer.MachineBooting
 	case c.silent(m):
 		return peer.MachineSilent
@@ -257,7 +257,7 @@
 func (c *Controller) toBeReplaced(m *machine) bool {
 	v := m.view
 	fails := v.faulty && c.now < v.cordonedUntil
-	return fails || v.reclaimAt != 0 || c.slowness(m) > unhealthySlowness && v.slowCount > minSlowTasks
+	return fails || v.reclaimAt != 0 || c.slowness(m) > unhealthySlowness && v.runTimeWeight > minSlowTasks
 }
 
 // maxGroups bounds the groups of waiting tasks of a shard.
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -397,7 +397,7 @@
 			if got := h.chainStates(n); got[wire.StateCancelled] != n {
 				t.Errorf("states %v, want all %d cancelled", got, n)
 			}
-			for _, c := range h.commandsOut() {
+			for _, c := range h.openCommands() {
 				if c.Op == wire.OpStart && c.Task != "job-000100/0" {
 					t.Errorf("%s is started", c.Task)
 				}
--- a/internal/controller/direct_commands.go
+++ b/internal/controller/direct_commands.go
@@ -76,7 +76,7 @@
 	if c.mustShowHigherToken(m) {
 		return true
 	}
-	for _, att := range v.list {
+	for _, att := range v.attemptList {
 		if att.state == attemptAssigned && v.inDoubtToken == 0 {
 			return true
 		}
@@ -173,7 +173,7 @@
 // the machine's answer, if the command was executed.
 func (c *Controller) applyCommandOutcome(m *machine, outcome commandOutcome, fencingToken uint64, heartbeat *wire.Heartbeat) {
 	v := m.view
-	for _, att := range v.each() {
+	for _, att := range v.attemptsCopy() {
 		if att.state != attemptCommanded {
 			continue
 		}
--- a/internal/controller/first_start.go
+++ b/internal/controller/first_start.go
@@ -116,7 +116,7 @@
 // taskEnds returns when a machine's tasks will probably end, the first one first.
 func (c *Controller) taskEnds(m *machine) []taskEnd {
 	var ends []taskEnd
-	for _, att := range m.view.list {
+	for _, att := range m.view.attemptList {
 		if att.job != nil && att.state != attemptExited {
 			ends = append(ends, taskEnd{att.index, c.remaining(att), resourcesOf(att.job.sub)})
 		}
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -46,7 +46,7 @@
 // init prepares the state of a controller that does not lead.
 func (f *fleetState) init(cfg Config) {
 	f.budget = ratelimit.NewBucket(cfg.CloudRPS * cloudRateFraction)
-	f.typesAt = -micros.Never
+	f.typesReadAt = -micros.Never
 	f.reset()
 }
 
--- a/internal/controller/fleet_plan.go
+++ b/internal/controller/fleet_plan.go
@@ -93,7 +93,7 @@
 			add(f.rented[id].kind.Type, 1)
 		}
 	}
-	for _, id := range f.order {
+	for _, id := range f.listedIDs {
 		if l := f.listed[id]; c.unrecorded(id, l) && !f.assigning[id] {
 			add(l.Type, 1)
 		}
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -316,7 +316,7 @@
 // list has the cloud list a machine, and the leader read the list.
 func (h *harness) list(id string) {
 	h.listed = append(h.listed, wire.ListedMachine{ID: id, Addr: id, Type: "m", Zone: "a", State: wire.MachineRunning, AgeS: 1})
-	h.c.fleet.listNext, h.c.fleet.planNext = h.now, h.now+400*ms
+	h.c.fleet.nextListAt, h.c.fleet.planNext = h.now, h.now+400*ms
 	h.run(sec)
 }
 
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -53,10 +53,10 @@
 
 // refuseHeartbeat sends a worker to the controller that its heartbeats belong to, or refuses
 // this one only.
-func (c *Controller) refuseHeartbeat(in Heartbeat, m *machine, d authority.Decision) {
-	c.decisionLog.refusedHeartbeats[d.Reason]++
-	c.logHeartbeat(m, &in.Heartbeat, d, nil)
-	if d.Reason.RefusesShard() {
+func (c *Controller) refuseHeartbeat(in Heartbeat, m *machine, decision authority.Decision) {
+	c.decisionLog.refusedHeartbeats[decision.Reason]++
+	c.logHeartbeat(m, &in.Heartbeat, decision, nil)
+	if decision.Reason.RefusesShard() {
 		c.misdirectedHeartbeats[m.id] = c.now // bounded: it is on record
 		c.redirect(in.Reply, &c.ownership.shards[m.rec.Shard].lock)
 		return
@@ -105,7 +105,7 @@
 		c.adoptTasks(m)
 	}
 	if v.busy() {
-		v.idleAt = c.now
+		v.lastBusyAt = c.now
 	}
 }
 
@@ -118,7 +118,7 @@
 	v.lastHeartbeatAt = c.now
 	v.fencingToken = max(v.fencingToken, heartbeat.FencingToken)
 	m.agentEpoch = heartbeat.AgentEpoch
-	c.noteNotice(m, heartbeat)
+	c.recordReclaimNotice(m, heartbeat)
 	if heartbeat.Addr != "" {
 		m.rec.Addr = heartbeat.Addr
 	}
@@ -137,8 +137,8 @@
 
 // listsUntrackedTask reports whether the last task list shows an attempt that is neither
 // tracked nor needs nothing more.
-func (v *view) listsUntrackedTask() bool {
-	for _, att := range v.list {
+func (v *machineView) listsUntrackedTask() bool {
+	for _, att := range v.attemptList {
 		if att.lastSeenRound == v.lastSeenRound && !att.tracked && !att.outcomeHandled {
 			return true
 		}
--- a/internal/controller/heartbeats_test.go
+++ b/internal/controller/heartbeats_test.go
@@ -122,9 +122,9 @@
 	}
 }
 
-// TestLateCopies checks that late copies of heartbeats change nothing: no state, no lease
+// TestLateHeartbeatCopies checks that late copies of heartbeats change nothing: no state, no lease
 // arithmetic, no time of the last heartbeat, no reconciliation, no assignment.
-func TestLateCopies(t *testing.T) {
+func TestLateHeartbeatCopies(t *testing.T) {
 	h := newHarness(t, nil)
 	fencingToken := h.reconcile("vm-1")
 	a := h.startOne(fencingToken)
@@ -144,7 +144,7 @@
 		if status, _ := h.heartbeat(tc.heartbeat); status != 503 {
 			t.Errorf("%s: answered %d, want 503", tc.name, status)
 		}
-		if v.lastHeartbeatAt != lastHeartbeatAt || v.lastReplyAt != lastReplyAt || v.list[0].state != attemptRunning {
+		if v.lastHeartbeatAt != lastHeartbeatAt || v.lastReplyAt != lastReplyAt || v.attemptList[0].state != attemptRunning {
 			t.Errorf("%s: changed something", tc.name)
 		}
 	}
@@ -154,15 +154,15 @@
 	h.open = nil
 	h.heartbeat(heartbeatFrom("vm-1", 1, 40, fencingToken, running, wire.TaskStatus{Task: "job-000002/0", Attempt: command.Req.(wire.DirectCommand).Commands[0].Attempt, State: wire.TaskRunning}))
 	overtaken := heartbeatFrom("vm-1", 1, 39, fencingToken)
-	if h.step(Result{ID: command.ID, Status: 200, Body: &overtaken}); len(v.list) != 2 || v.list[0].key.attempt != a || v.list[0].state != attemptRunning {
-		t.Errorf("an overtaken answer changed what runs: %d tasks", len(v.list))
+	if h.step(Result{ID: command.ID, Status: 200, Body: &overtaken}); len(v.attemptList) != 2 || v.attemptList[0].key.attempt != a || v.attemptList[0].state != attemptRunning {
+		t.Errorf("an overtaken answer changed what runs: %d tasks", len(v.attemptList))
 	}
 	// A new owner has no view. A copy from before its claim reconciles nothing.
 	h.putMachines("m-1-1", "vm-3")
 	h.run(sec)
 	old := h.c.fencingToken(h.c.ownership.shards[0], h.c.machines["vm-3"]) - 1
 	h.heartbeat(heartbeatFrom("vm-3", 1, 50, old, wire.TaskStatus{Task: "job-000009/0", Attempt: 3, State: wire.TaskRunning}))
-	if v := h.c.machines["vm-3"].view; v.reconciled || len(v.list) != 0 {
+	if v := h.c.machines["vm-3"].view; v.reconciled || len(v.attemptList) != 0 {
 		t.Error("reconciled by a heartbeat from before the claim")
 	}
 	// A machine that was returned does not come back to the record by a copy,
@@ -268,7 +268,7 @@
 		t.Fatal("a copy from before the claim has reconciled the machine")
 	}
 	j := h.c.jobs.open["job-000001"]
-	if len(j.run.active) > 0 || len(starts(h.commandsOut())) > 0 {
+	if len(j.run.active) > 0 || len(starts(h.openCommands())) > 0 {
 		t.Errorf("active %v: taken from a copy", j.run.active)
 	}
 	// The machine itself, an agent epoch later: nothing of the copy is there any more.
--- a/internal/controller/idempotency_test.go
+++ b/internal/controller/idempotency_test.go
@@ -211,7 +211,7 @@
 			}
 			tasks, rev := 0, h.rev
 			if m := h.c.machines["vm-1"]; m.view != nil {
-				tasks = len(m.view.list)
+				tasks = len(m.view.attemptList)
 			}
 			a := h.ask(tc.repeat)
 			state := wire.JobState("")
@@ -221,7 +221,7 @@
 			if got := fmt.Sprintf("%d %s", a.Status, state); got != tc.want {
 				t.Errorf("got %q, want %q", got, tc.want)
 			}
-			if h.rev != rev || len(h.c.machines["vm-1"].view.list) != tasks {
+			if h.rev != rev || len(h.c.machines["vm-1"].view.attemptList) != tasks {
 				t.Error("the repeat has changed something")
 			}
 		})
@@ -262,7 +262,7 @@
 		switch {
 		case h.c.ownership.activeShard(0) == nil:
 			t.Errorf("%s: the shard was given up", tc.name)
-		case h.c.machines["vm-1"] == nil || h.c.machines["vm-1"].rec.Cordoned || len(h.c.machines["vm-1"].view.list) == 0:
+		case h.c.machines["vm-1"] == nil || h.c.machines["vm-1"].rec.Cordoned || len(h.c.machines["vm-1"].view.attemptList) == 0:
 			t.Errorf("%s: a machine in use was released", tc.name)
 		case h.c.jobs.open["job-000001"] != nil || h.state("job-000001") != wire.StateDone:
 			t.Errorf("%s: a job that is over came back", tc.name)
--- a/internal/controller/inventory.go
+++ b/internal/controller/inventory.go
@@ -30,44 +30,44 @@
 	minListInterval   = 2 * micros.Second
 	listBudgetDivisor = 4
 
-	// returnedMemory is how long a returned machine that is on no record is remembered,
+	// returnedRetention is how long a returned machine that is on no record is remembered,
 	// releaseMemory a request to release a machine.
-	returnedMemory = 10 * micros.Minute
-	releaseMemory  = micros.Minute
+	returnedRetention       = 10 * micros.Minute
+	releaseRequestRetention = micros.Minute
 )
 
 // cloudTypes is when and how the machine types were last read and stored.
 type cloudTypes struct {
-	typesAt          micros.Micros // when they were last read
-	typesBusy        bool          // they are being read
-	typesRaw         []byte        // as last stored
-	typesModRevision uint64        // of the record's key, as the watch has it
+	typesReadAt       micros.Micros // when they were last read
+	typesReadInFlight bool          // they are being read
+	storedTypes       []byte        // as last stored
+	typesModRevision  uint64        // of the record's key, as the watch has it
 }
 
 // cloudList is the cloud's list of machines.
 type cloudList struct {
-	listed   map[string]wire.ListedMachine
-	order    []string      // their IDs, in the order of the list
-	listedAt micros.Micros // when the last complete reading began; 0: none yet
-	// missing says since when machines on record have not been listed.
-	missing map[string]micros.Micros
+	listed    map[string]wire.ListedMachine
+	listedIDs []string      // their IDs, in the order of the list
+	listedAt  micros.Micros // when the last complete reading began; 0: none yet
+	// unlistedSince says since when machines on record have not been listed.
+	unlistedSince map[string]micros.Micros
 
-	listNext micros.Micros // when it is next read
-	listBusy bool          // a page is being read
-	listFrom micros.Micros // when the reading under way began
-	pages    []wire.ListedMachine
-	after    string // the last machine of the pages read; empty: none
+	nextListAt        micros.Micros // when it is next read
+	listReadInFlight  bool          // a page is being read
+	listReadStartedAt micros.Micros // when the reading under way began
+	pages             []wire.ListedMachine
+	lastReadID        string // the last machine of the pages read; empty: none
 }
 
 // reset forgets the list.
 func (l *cloudList) reset() {
 	l.listed = nil
-	l.order = nil
+	l.listedIDs = nil
 	l.listedAt = 0
-	l.missing = map[string]micros.Micros{}
-	l.listBusy = false
+	l.unlistedSince = map[string]micros.Micros{}
+	l.listReadInFlight = false
 	l.pages = nil
-	l.after = ""
+	l.lastReadID = ""
 }
 
 // refreshTypes keeps the machine types known: the leader asks the cloud and leaves them in the
@@ -75,14 +75,14 @@
 // knows them too.
 func (c *Controller) refreshTypes() {
 	f := &c.fleet
-	if f.typesBusy || !c.typesDue() {
+	if f.typesReadInFlight || !c.typesDue() {
 		return
 	}
-	f.typesBusy = c.fleet.askCloud(GetTypes{}, cloudTimeout, func(r Result) {
-		f.typesBusy = false
-		f.typesAt = c.now
+	f.typesReadInFlight = c.fleet.askCloud(GetTypes{}, cloudTimeout, func(r Result) {
+		f.typesReadInFlight = false
+		f.typesReadAt = c.now
 		if body, ok := r.Body.(*wire.MachineTypes); ok && r.Status == http.StatusOK {
-			c.learnTypes(*body, true)
+			c.applyTypes(*body, true)
 		}
 	})
 }
@@ -90,14 +90,14 @@
 // typesDue reports whether this controller is to ask the cloud for the machine types.
 func (c *Controller) typesDue() bool {
 	if !c.types.known() {
-		return c.ownership.controlWatch.Ready() && c.now >= c.fleet.typesAt+firstTypesInterval
+		return c.ownership.controlWatch.Ready() && c.now >= c.fleet.typesReadAt+firstTypesInterval
 	}
-	return c.ownership.leading() && c.now >= c.fleet.typesAt+typesInterval
+	return c.ownership.leading() && c.now >= c.fleet.typesReadAt+typesInterval
 }
 
-// learnTypes takes in machine types from the cloud, or else from the state service. A leader takes
+// applyTypes takes in machine types from the cloud, or else from the state service. A leader takes
 // them from the cloud, and stores them.
-func (c *Controller) learnTypes(mt wire.MachineTypes, fromCloud bool) {
+func (c *Controller) applyTypes(mt wire.MachineTypes, fromCloud bool) {
 	types := usableTypes(mt)
 	if len(types) == 0 || !fromCloud && c.types.known() && c.ownership.leading() {
 		return
@@ -140,7 +140,7 @@
 // storeTypes leaves the machine types in the state service if they have changed.
 func (c *Controller) storeTypes(mt wire.MachineTypes) {
 	value, err := wire.Encode(mt)
-	if err != nil || string(value) == string(c.fleet.typesRaw) || !c.storable(value) {
+	if err != nil || string(value) == string(c.fleet.storedTypes) || !c.storable(value) {
 		return
 	}
 	txn := wire.Txn{
@@ -152,7 +152,7 @@
 	}
 	c.askState(statestore.ClassFleet, txn, typesTimeout, func(r statestore.Reply) {
 		if r.Status == http.StatusOK {
-			c.fleet.typesRaw = value
+			c.fleet.storedTypes = value
 		}
 	})
 }
@@ -160,19 +160,19 @@
 // refreshList keeps the cloud's list of machines, which is read page by page.
 func (c *Controller) refreshList() {
 	f := &c.fleet
-	if f.listBusy || c.now < f.listNext {
+	if f.listReadInFlight || c.now < f.nextListAt {
 		return
 	}
-	if f.after == "" {
+	if f.lastReadID == "" {
 		f.pages = f.pages[:0]
-		f.listFrom = c.now
+		f.listReadStartedAt = c.now
 	}
 	ownerEpoch := c.ownership.leader.ownerEpoch
-	f.listBusy = c.fleet.askCloud(ListMachines{After: f.after, Limit: listPageSize}, cloudTimeout, func(r Result) {
+	f.listReadInFlight = c.fleet.askCloud(ListMachines{After: f.lastReadID, Limit: listPageSize}, cloudTimeout, func(r Result) {
 		if c.ownership.leader.ownerEpoch != ownerEpoch {
 			return
 		}
-		f.listBusy = false
+		f.listReadInFlight = false
 		c.handleListPage(r)
 	})
 }
@@ -182,32 +182,32 @@
 	f := &c.fleet
 	body, ok := r.Body.(*wire.MachineList)
 	if !ok || r.Status != http.StatusOK {
-		f.after = ""
-		f.listNext = c.now + listRetryInterval
+		f.lastReadID = ""
+		f.nextListAt = c.now + listRetryInterval
 		return
 	}
 	f.pages = append(f.pages, body.Machines...)
 	if body.More && len(body.Machines) > 0 {
-		f.after = body.Machines[len(body.Machines)-1].ID
+		f.lastReadID = body.Machines[len(body.Machines)-1].ID
 		return
 	}
 	f.cloudList.complete()
-	f.listNext = c.now + c.fleet.listInterval(len(f.pages))
+	f.nextListAt = c.now + c.fleet.listInterval(len(f.pages))
 	c.compareList()
 }
 
 // complete makes the pages that were read the list.
 func (l *cloudList) complete() {
 	l.listed = make(map[string]wire.ListedMachine, len(l.pages))
-	l.order = l.order[:0]
+	l.listedIDs = l.listedIDs[:0]
 	for _, m := range l.pages {
 		if _, twice := l.listed[m.ID]; !twice {
-			l.order = append(l.order, m.ID)
+			l.listedIDs = append(l.listedIDs, m.ID)
 		}
 		l.listed[m.ID] = m
 	}
-	l.listedAt = l.listFrom
-	l.after = ""
+	l.listedAt = l.listReadStartedAt
+	l.lastReadID = ""
 }
 
 // listInterval returns the time after which a list of so many machines is read again.
@@ -226,18 +226,18 @@
 		}
 	}
 	f := &c.fleet
-	for id := range f.missing {
+	for id := range f.unlistedSince {
 		if c.machines[id] == nil {
-			delete(f.missing, id)
+			delete(f.unlistedSince, id)
 		}
 	}
 	for id, at := range f.returned {
-		if c.now-at > returnedMemory && c.machines[id] == nil {
+		if c.now-at > returnedRetention && c.machines[id] == nil {
 			delete(f.returned, id)
 		}
 	}
 	for id, at := range f.releaseRequestedAt {
-		if c.now-at > releaseMemory {
+		if c.now-at > releaseRequestRetention {
 			delete(f.releaseRequestedAt, id)
 		}
 	}
@@ -248,12 +248,12 @@
 func (f *fleetState) compareWithList(m *machine) {
 	l, listed := f.listed[m.id]
 	if !listed {
-		if f.missing[m.id] == 0 {
-			f.missing[m.id] = f.now
+		if f.unlistedSince[m.id] == 0 {
+			f.unlistedSince[m.id] = f.now
 		}
 		return
 	}
-	delete(f.missing, m.id)
+	delete(f.unlistedSince, m.id)
 	if m.rec.Addr == "" {
 		m.rec.Addr = l.Addr
 	}
--- a/internal/controller/inventory_test.go
+++ b/internal/controller/inventory_test.go
@@ -58,18 +58,18 @@
 		}
 		return Result{Status: 200, Body: list}
 	}
-	f.listFrom = h.now
+	f.listReadStartedAt = h.now
 	h.c.handleListPage(page(true, "vm-1", "vm-2"))
-	if f.listedAt != 0 || f.after != "vm-2" {
-		t.Errorf("after the first page: listed at %v, next after %q", f.listedAt, f.after)
+	if f.listedAt != 0 || f.lastReadID != "vm-2" {
+		t.Errorf("after the first page: listed at %v, next after %q", f.listedAt, f.lastReadID)
 	}
 	h.c.handleListPage(page(false, "vm-2", "vm-3"))
-	if f.listedAt != h.now || f.after != "" || !slices.Equal(f.order, []string{"vm-1", "vm-2", "vm-3"}) {
-		t.Errorf("after the last page: listed at %v, next after %q, %v", f.listedAt, f.after, f.order)
+	if f.listedAt != h.now || f.lastReadID != "" || !slices.Equal(f.listedIDs, []string{"vm-1", "vm-2", "vm-3"}) {
+		t.Errorf("after the last page: listed at %v, next after %q, %v", f.listedAt, f.lastReadID, f.listedIDs)
 	}
-	f.after = "vm-2"
+	f.lastReadID = "vm-2"
 	h.c.handleListPage(Result{Status: 503})
-	if f.after != "" || len(f.listed) != 3 {
-		t.Errorf("after a failed read: next after %q, %d listed", f.after, len(f.listed))
+	if f.lastReadID != "" || len(f.listed) != 3 {
+		t.Errorf("after a failed read: next after %q, %d listed", f.lastReadID, len(f.listed))
 	}
 }
--- a/internal/controller/job_end.go
+++ b/internal/controller/job_end.go
@@ -92,7 +92,7 @@
 // list does not matter to them, since no attempt number is used twice.
 func (c *Controller) stopsForCancelledTasks(s *shard, m *machine, heartbeat *wire.Heartbeat) (stops []wire.Command) {
 	if m.view.reconciled {
-		for _, att := range m.view.list {
+		for _, att := range m.view.attemptList {
 			if c.jobs.stopPending(att) {
 				c.stop(att, stopImmediate)
 			}
--- a/internal/controller/job_reads_test.go
+++ b/internal/controller/job_reads_test.go
@@ -72,7 +72,7 @@
 		}, func(h *harness) bool { return h.keys[wire.JobKey("job-000002")].ModRevision > 0 }},
 		{"a machine is recorded", func(h *harness) {
 			h.listed = append(h.listed, wire.ListedMachine{ID: "vm-9", Addr: "vm-9", Type: "m", Zone: "a", State: wire.MachineRunning, AgeS: 1})
-			h.c.fleet.listNext, h.c.fleet.planNext = h.now, h.now+400*ms
+			h.c.fleet.nextListAt, h.c.fleet.planNext = h.now, h.now+400*ms
 		}, func(h *harness) bool { return h.c.machines["vm-9"] != nil }},
 		{"a checkpoint is recorded", func(h *harness) {
 			h.c.jobs.open["job-000001"].run.checkpoint.dirty = true
--- a/internal/controller/machine_assignment.go
+++ b/internal/controller/machine_assignment.go
@@ -24,7 +24,7 @@
 
 // assignMachines records machines, each with the shard that lacks most of its part
 // of the fleet.
-func (c *Controller) assignMachines(origin string, list []unassigned, demand map[int]*peer.Demand, registrations []registration) {
+func (c *Controller) assignMachines(origin string, list []unassignedMachine, demand map[int]*peer.Demand, registrations []registration) {
 	if len(list) == 0 {
 		return
 	}
@@ -45,7 +45,7 @@
 
 // countCapacity returns the CPUs of each shard, those of records under way among them, and
 // the sum of these and of machines to be assigned.
-func (c *Controller) countCapacity(list []unassigned) (capacity map[int]float64, total float64) {
+func (c *Controller) countCapacity(list []unassignedMachine) (capacity map[int]float64, total float64) {
 	capacity = map[int]float64{}
 	for _, m := range list {
 		total += c.types.byName[m.kind.Type].CPUs
@@ -74,8 +74,8 @@
 // chooseShards distributes machines over the shards by target and present CPUs, and adds them
 // to capacity. Machines that come up together stay together as long as their shard lacks
 // some: a record set for each shard would take as many writes.
-func (c *Controller) chooseShards(list []unassigned, target, capacity map[int]float64) map[int][]unassigned {
-	byShard := map[int][]unassigned{}
+func (c *Controller) chooseShards(list []unassignedMachine, target, capacity map[int]float64) map[int][]unassignedMachine {
+	byShard := map[int][]unassignedMachine{}
 	chosen := -1
 	for _, m := range list {
 		cpus := max(c.types.byName[m.kind.Type].CPUs, 1)
@@ -104,12 +104,12 @@
 }
 
 // createRecordSet records machines of one shard, and takes over their registrations.
-func (c *Controller) createRecordSet(origin string, s *shard, machines []unassigned, registrations []registration) {
+func (c *Controller) createRecordSet(origin string, s *shard, machines []unassignedMachine, registrations []registration) {
 	f := &c.fleet
 	creation := &recordSetCreation{key: wire.MachineRecordSetKey(s.id, c.machineRecords.newName(origin, c.ownership.leader.ownerEpoch))}
 	f.pendingCreations[creation.key] = creation
 	for _, m := range machines {
-		m.Kind = kindIn(&creation.rec, m.kind)
+		m.Kind = kindIndex(&creation.rec, m.kind)
 		creation.rec.Machines = append(creation.rec.Machines, m.MachineRecord)
 		f.assigning[m.ID] = true
 		isOfMachine := func(reg registration) bool { return reg.in.Heartbeat.Machine == m.ID }
--- a/internal/controller/machine_attempts.go
+++ b/internal/controller/machine_attempts.go
@@ -10,7 +10,7 @@
 // usage holds unless usageStale is set.
 type attemptView struct {
 	attempts      map[attemptKey]*attempt
-	list          []*attempt        // the same, in the order in which they were added
+	attemptList   []*attempt        // the same, in the order in which they were added
 	lastTaskList  []wire.TaskStatus // the list last applied in whole,
 	lastSeenRound uint64            // in this round of applyTaskList
 	usage         machineUsage
@@ -19,8 +19,8 @@
 }
 
 // empty reports whether no attempt on the machine matters any more.
-func (v *view) empty() bool {
-	for _, att := range v.list {
+func (v *machineView) empty() bool {
+	for _, att := range v.attemptList {
 		if att.state != attemptExited || !att.outcomeHandled {
 			return false
 		}
@@ -29,8 +29,8 @@
 }
 
 // busy reports whether something on the machine still runs or may.
-func (v *view) busy() bool {
-	for _, att := range v.list {
+func (v *machineView) busy() bool {
+	for _, att := range v.attemptList {
 		if att.state != attemptExited {
 			return true
 		}
@@ -38,20 +38,20 @@
 	return false
 }
 
-// each returns a machine's attempts; they may be dropped meanwhile.
-func (v *view) each() []*attempt { return slices.Clone(v.list) }
+// attemptsCopy returns a machine's attempts; they may be dropped meanwhile.
+func (v *machineView) attemptsCopy() []*attempt { return slices.Clone(v.attemptList) }
 
 // put adds an attempt to the machine.
-func (v *view) put(att *attempt) {
+func (v *machineView) put(att *attempt) {
 	v.attempts[att.key] = att
-	v.list = append(v.list, att)
+	v.attemptList = append(v.attemptList, att)
 }
 
 // remove removes an attempt from the machine.
-func (v *view) remove(att *attempt) {
+func (v *machineView) remove(att *attempt) {
 	delete(v.attempts, att.key)
-	if i := slices.Index(v.list, att); i >= 0 {
-		v.list = slices.Delete(v.list, i, i+1)
+	if i := slices.Index(v.attemptList, att); i >= 0 {
+		v.attemptList = slices.Delete(v.attemptList, i, i+1)
 	}
 }
 
--- a/internal/controller/machine_health.go
+++ b/internal/controller/machine_health.go
@@ -13,22 +13,22 @@
 	failuresByJob map[string]int // since a task was last completed
 	cordonedUntil micros.Micros
 	faulty        bool // cordoned for failures
-	// slowSum and slowCount: how much longer than expected its tasks ran, and how many; both
+	// logRunTimeRatioSum and runTimeWeight: how much longer than expected its tasks ran, and how many; both
 	// decay.
-	slowSum, slowCount float64
-	backoffUntil       micros.Micros // nothing is started before, after a refused start
+	logRunTimeRatioSum, runTimeWeight float64
+	backoffUntil                      micros.Micros // nothing is started before, after a refused start
 }
 
 // Bounds from which on failures count as the fault of a machine or a job.
 const (
-	// faultyAfterJobs is how many jobs must fail on a machine.
-	faultyAfterJobs = 2
-	// faultyAfterFailuresOfProvenJob is how many tasks must fail that run well elsewhere.
-	faultyAfterFailuresOfProvenJob = 2
-	// faultyAfterFailures is how many tasks must fail, whatever their jobs.
-	faultyAfterFailures = 3
-	// suspectAfterMachines is on how many machines a job must fail.
-	suspectAfterMachines = 3
+	// faultyMachineAfterJobs is how many jobs must fail on a machine.
+	faultyMachineAfterJobs = 2
+	// faultyMachineAfterFailuresOfProvenJob is how many tasks must fail that run well elsewhere.
+	faultyMachineAfterFailuresOfProvenJob = 2
+	// faultyMachineAfterFailures is how many tasks must fail, whatever their jobs.
+	faultyMachineAfterFailures = 3
+	// faultyJobAfterMachines is on how many machines a job must fail.
+	faultyJobAfterMachines = 3
 	// runsWellFactor is how many tasks of a job must run well for each machine where one failed,
 	// for the job not to be at fault.
 	runsWellFactor = 2
@@ -41,8 +41,8 @@
 	maxRetryBackoff = micros.Minute
 )
 
-// noteFailure records a failed task, and decides whether the machine or the job is at fault.
-func (c *Controller) noteFailure(att *attempt) {
+// recordFailure records a failed task, and decides whether the machine or the job is at fault.
+func (c *Controller) recordFailure(att *attempt) {
 	j, m := att.job, att.machine
 	m.view.failuresByJob[j.id]++
 	c.log(Debug, "task failed", "task", wire.TaskName(j.id, att.index), "machine", m.id)
@@ -53,12 +53,12 @@
 	r.failuresByMachine[m.id]++
 	r.failuresByTask[att.index]++
 	r.failAfter = max(r.failAfter, att.ran(c.now))
-	if c.suspect(j) {
+	if c.jobAtFault(j) {
 		c.throttleFailingJob(j)
 		c.clearFailuresOf(j)
 		return
 	}
-	if c.failsTasks(m, j) {
+	if c.machineAtFault(m, j) {
 		c.cordonFaulty(m)
 	}
 }
@@ -91,21 +91,21 @@
 	}
 }
 
-// failsTasks reports whether a machine on which a task of a job has just failed is at fault.
-func (c *Controller) failsTasks(m *machine, j *job) bool {
+// machineAtFault reports whether a machine on which a task of a job has just failed is at fault.
+func (c *Controller) machineAtFault(m *machine, j *job) bool {
 	v := m.view
-	if len(v.failuresByJob) >= faultyAfterJobs {
+	if len(v.failuresByJob) >= faultyMachineAfterJobs {
 		return true
 	}
 	failures := v.failures()
-	if failures >= faultyAfterFailuresOfProvenJob && c.provenElsewhere(j, m) {
+	if failures >= faultyMachineAfterFailuresOfProvenJob && c.provenElsewhere(j, m) {
 		return true
 	}
-	return failures >= faultyAfterFailures
+	return failures >= faultyMachineAfterFailures
 }
 
 // failures returns how many tasks have failed on the machine since one was last completed there.
-func (v *view) failures() int {
+func (v *machineView) failures() int {
 	failures := 0
 	for _, n := range v.failuresByJob {
 		failures += n
@@ -121,20 +121,20 @@
 	}
 	v.faulty = true
 	v.cordonedUntil = c.now + c.cfg.CordonFor
-	for _, att := range v.each() {
+	for _, att := range v.attemptsCopy() {
 		if att.tracked && att.state == attemptAssigned {
 			c.freeAttempt(att, false)
 		}
 	}
 }
 
-// suspect reports whether a job has failed on several machines and never completed a task.
+// jobAtFault reports whether a job has failed on several machines and never completed a task.
 // A large array runs on hundreds of machines, some of which may be faulty: where
 // more of its tasks have run for longer than it took the others to fail, the job
 // is not at fault.
-func (c *Controller) suspect(j *job) bool {
+func (c *Controller) jobAtFault(j *job) bool {
 	r := j.run
-	if len(r.failuresByMachine) < suspectAfterMachines || r.doneCount > 0 {
+	if len(r.failuresByMachine) < faultyJobAfterMachines || r.doneCount > 0 {
 		return false
 	}
 	runningWell := 0
@@ -159,9 +159,9 @@
 	return false
 }
 
-// avoids reports whether a task must not run on a machine: one that failed again goes to
+// avoidsMachine reports whether a task must not run on a machine: one that failed again goes to
 // another machine than those where its job failed; a first failure may use the same one.
-func (c *Controller) avoids(j *job, idx int, m *machine) bool {
+func (c *Controller) avoidsMachine(j *job, idx int, m *machine) bool {
 	failuresHere := j.run.failuresByMachine[m.id]
 	if failuresHere == 0 {
 		return false
@@ -172,8 +172,8 @@
 	return failuresHere >= 2 || j.run.failuresByTask[idx] >= 2
 }
 
-// noteNotice takes the notice that the cloud will reclaim a spot machine.
-func (c *Controller) noteNotice(m *machine, heartbeat *wire.Heartbeat) {
+// recordReclaimNotice takes the notice that the cloud will reclaim a spot machine.
+func (c *Controller) recordReclaimNotice(m *machine, heartbeat *wire.Heartbeat) {
 	if heartbeat.NoticeS == nil {
 		return
 	}
@@ -193,7 +193,7 @@
 // time, those that won't be done by then start again elsewhere at once.
 func (c *Controller) drain(m *machine) {
 	left := m.view.reclaimAt - c.now
-	for _, att := range m.view.each() {
+	for _, att := range m.view.attemptsCopy() {
 		if !att.tracked || att.job == nil || att.stopMode != stopNone || att.state == attemptExited {
 			continue
 		}
@@ -220,39 +220,39 @@
 }
 
 const (
-	// slowDecay is by how much earlier run times lose weight with each further one.
-	slowDecay = 0.9
-	// maxSlowRatio bounds the logarithm of one run time's ratio to the expected one.
-	maxSlowRatio = 1.5
-	// minSlowCount is how many run times it takes to call a machine slow.
-	minSlowCount = 2
-	// slowPrior is how many run times as expected are added to those seen.
-	slowPrior = 2
+	// runTimeDecay is by how much earlier run times lose weight with each further one.
+	runTimeDecay = 0.9
+	// maxLogRunTimeRatio bounds the logarithm of one run time's ratio to the expected one.
+	maxLogRunTimeRatio = 1.5
+	// minRunTimeWeight is how many run times it takes to call a machine slow.
+	minRunTimeWeight = 2
+	// priorRunTimeWeight is how many run times as expected are added to those seen.
+	priorRunTimeWeight = 2
 	// minSlowness is the slowness up to which a machine counts as ordinary.
 	minSlowness = 0.3
 )
 
-// noteSpeed compares a run time with what the job's class led to expect.
-func (c *Controller) noteSpeed(m *machine, j *job, runTime micros.Micros) {
+// recordRunTime compares a run time with what the job's class led to expect.
+func (c *Controller) recordRunTime(m *machine, j *job, runTime micros.Micros) {
 	expected := c.estimates.Expect(j.sub)
 	if expected <= 0 || runTime <= 0 {
 		return
 	}
 	ratio := math.Log(runTime.Seconds() / expected.Seconds())
-	ratio = max(-maxSlowRatio, min(maxSlowRatio, ratio))
+	ratio = max(-maxLogRunTimeRatio, min(maxLogRunTimeRatio, ratio))
 	v := m.view
-	v.slowSum = v.slowSum*slowDecay + ratio
-	v.slowCount = v.slowCount*slowDecay + 1
+	v.logRunTimeRatioSum = v.logRunTimeRatioSum*runTimeDecay + ratio
+	v.runTimeWeight = v.runTimeWeight*runTimeDecay + 1
 }
 
 // slowness is 0 for an ordinary machine and grows with how much longer its
 // tasks take: the mean logarithm of run time to expected run time.
 func (c *Controller) slowness(m *machine) float64 {
 	v := m.view
-	if v.slowCount < minSlowCount {
+	if v.runTimeWeight < minRunTimeWeight {
 		return 0
 	}
-	mean := v.slowSum / (v.slowCount + slowPrior)
+	mean := v.logRunTimeRatioSum / (v.runTimeWeight + priorRunTimeWeight)
 	if mean < minSlowness {
 		return 0
 	}
--- a/internal/controller/machine_health_test.go
+++ b/internal/controller/machine_health_test.go
@@ -7,8 +7,8 @@
 	"garnethitch/internal/wire"
 )
 
-// TestFailures checks that a faulty machine is distinguished from a bad job.
-func TestFailures(t *testing.T) {
+// TestFaultyMachineOrJob checks that a faulty machine is distinguished from a bad job.
+func TestFaultyMachineOrJob(t *testing.T) {
 	for _, tc := range []struct {
 		name      string
 		failures  [][2]string // job, machine
@@ -36,7 +36,7 @@
 			}
 			for _, f := range tc.failures {
 				j, m := h.c.jobs.open[f[0]], h.c.machines[f[1]]
-				h.c.noteFailure(&attempt{job: j, machine: m, index: 0})
+				h.c.recordFailure(&attempt{job: j, machine: m, index: 0})
 			}
 			for _, id := range []string{"vm-1", "vm-2", "vm-3"} {
 				want := false
@@ -99,7 +99,7 @@
 				}
 			}
 			pass(5 * sec)
-			for _, att := range v.each() {
+			for _, att := range v.attemptsCopy() {
 				if att.tracked && att.state == attemptRunning {
 					att.state, att.exitReason = attemptExited, wire.ExitDone
 					h.c.handleExit(att)
--- a/internal/controller/machine_maintenance.go
+++ b/internal/controller/machine_maintenance.go
@@ -98,13 +98,13 @@
 	if v.inDoubtToken != 0 && fencingToken <= v.inDoubtToken {
 		return true
 	}
-	return len(v.list) > maxUnclearedAttempts && v.unclearedAttempts(fencingToken) > maxUnclearedAttempts
+	return len(v.attemptList) > maxUnclearedAttempts && v.unclearedAttempts(fencingToken) > maxUnclearedAttempts
 }
 
 // unclearedAttempts counts the attempts that wait for a fencing token above the current one.
-func (v *view) unclearedAttempts(fencingToken uint64) int {
+func (v *machineView) unclearedAttempts(fencingToken uint64) int {
 	n := 0
-	for _, att := range v.list {
+	for _, att := range v.attemptList {
 		handled := att.state == attemptExited && att.outcomeHandled
 		if handled && !att.clearable() && att.startToken >= fencingToken {
 			n++
--- a/internal/controller/machine_record_sets.go
+++ b/internal/controller/machine_record_sets.go
@@ -117,25 +117,25 @@
 
 // recordSetOf returns the record of some machines without those to skip, and with those to
 // retire cordoned; nil selects none.
-func recordSetOf(list []*machine, skip, retire func(*machine) bool) wire.MachineRecordSet {
+func recordSetOf(list []*machine, omit, cordon func(*machine) bool) wire.MachineRecordSet {
 	rec := wire.MachineRecordSet{}
 	for _, m := range list {
-		if skip != nil && skip(m) {
+		if omit != nil && omit(m) {
 			continue
 		}
 		rec.Machines = append(rec.Machines, wire.MachineRecord{
 			ID:       m.id,
 			Addr:     m.rec.Addr,
-			Kind:     kindIn(&rec, m.kind()),
-			Cordoned: m.rec.Cordoned || retire != nil && retire(m),
+			Kind:     kindIndex(&rec, m.kind()),
+			Cordoned: m.rec.Cordoned || cordon != nil && cordon(m),
 		})
 	}
 	return rec
 }
 
-// kindIn returns the index of a kind in a record, to which it is added if need be.
-func kindIn(rec *wire.MachineRecordSet, k fleet.Kind) int {
-	wanted := wire.MachineKind{Type: k.Type, Zone: k.Zone, Spot: k.Spot}
+// kindIndex returns the index of a kind in a record, to which it is added if need be.
+func kindIndex(rec *wire.MachineRecordSet, kind fleet.Kind) int {
+	wanted := wire.MachineKind{Type: kind.Type, Zone: kind.Zone, Spot: kind.Spot}
 	i := slices.Index(rec.Kinds, wanted)
 	if i < 0 {
 		i = len(rec.Kinds)
--- a/internal/controller/machine_record_writes.go
+++ b/internal/controller/machine_record_writes.go
@@ -67,7 +67,7 @@
 
 // writeRecordSets writes several record sets in one transaction, on condition that a key of
 // this node still has the revision under which this node holds it. done is called with the outcome.
-func (c *Controller) writeRecordSets(under string, ownerEpoch uint64, writes []recordSetWrite, done func(writeOutcome)) {
+func (c *Controller) writeRecordSets(lockKey string, ownerEpoch uint64, writes []recordSetWrite, done func(writeOutcome)) {
 	setWriteInFlight(writes, true)
 	txn, ok := c.recordSetTxn(writes)
 	if !ok {
@@ -75,7 +75,7 @@
 		done(writeNotApplied)
 		return
 	}
-	txn.Conditions = slices.Insert(txn.Conditions, 0, wire.Condition{Key: under, ModRevision: ownerEpoch})
+	txn.Conditions = slices.Insert(txn.Conditions, 0, wire.Condition{Key: lockKey, ModRevision: ownerEpoch})
 	c.askState(statestore.ClassFleet, txn, recordSetWriteTimeout, func(r statestore.Reply) {
 		for _, w := range writes {
 			if w.recordSet != nil {
--- a/internal/controller/machine_records.go
+++ b/internal/controller/machine_records.go
@@ -51,10 +51,10 @@
 	case m == nil:
 		m = &machine{id: entry.ID, recordSet: set}
 		c.machines[entry.ID] = m
-		m.fill(set.shard, kind, entry)
-		c.ownership.attach(m)
+		m.updateFromRecord(set.shard, kind, entry)
+		c.ownership.addToShard(m)
 	case m.recordSet == set:
-		m.fill(set.shard, kind, entry)
+		m.updateFromRecord(set.shard, kind, entry)
 		if m.view != nil {
 			// A move of it under the former revision can't be applied any more, whoever
 			// has rewritten the record set.
@@ -77,14 +77,14 @@
 	changesShard := m.rec.Shard != set.shard
 	if changesShard {
 		if m.view != nil && !m.view.empty() {
-			c.log(Error, "machine moved with tasks on it", "machine", m.id, "attempts", len(m.view.list))
+			c.log(Error, "machine moved with tasks on it", "machine", m.id, "attempts", len(m.view.attemptList))
 		}
-		c.detach(m)
+		c.removeFromShard(m)
 	}
 	m.recordSet = set
-	m.fill(set.shard, kind, entry)
+	m.updateFromRecord(set.shard, kind, entry)
 	if changesShard {
-		c.ownership.attach(m)
+		c.ownership.addToShard(m)
 	}
 }
 
@@ -100,7 +100,7 @@
 	if !s.owned() || m.view != nil {
 		return
 	}
-	c.ownership.setView(m, c.newView())
+	c.ownership.setView(m, c.newMachineView())
 	if neverCommanded {
 		m.view.reconciled = true
 		m.view.neverCommanded = true
@@ -120,8 +120,8 @@
 	}
 }
 
-// fill takes what a record says of a machine.
-func (m *machine) fill(shard int, kind wire.MachineKind, entry wire.MachineRecord) {
+// updateFromRecord takes what a record says of a machine.
+func (m *machine) updateFromRecord(shard int, kind wire.MachineKind, entry wire.MachineRecord) {
 	m.rec.Shard = shard
 	m.rec.Cordoned = entry.Cordoned
 	m.rec.Type = kind.Type
@@ -132,31 +132,31 @@
 	}
 }
 
-// attach puts a machine into its shard's list, which is in order of name.
-func (o *ownershipState) attach(m *machine) {
+// addToShard puts a machine into its shard's list, which is in order of name.
+func (o *ownershipState) addToShard(m *machine) {
 	s := o.shards[m.rec.Shard]
-	i, _ := slices.BinarySearchFunc(s.machines, m.id, byName)
+	i, _ := slices.BinarySearchFunc(s.machines, m.id, compareMachineID)
 	s.machines = slices.Insert(s.machines, i, m)
 }
 
-// detach takes a machine out of its shard, and drops what is known of it there.
-func (c *Controller) detach(m *machine) {
+// removeFromShard takes a machine out of its shard, and drops what is known of it there.
+func (c *Controller) removeFromShard(m *machine) {
 	c.ownership.setView(m, nil)
 	s := c.ownership.shards[m.rec.Shard]
-	if i, ok := slices.BinarySearchFunc(s.machines, m.id, byName); ok {
+	if i, ok := slices.BinarySearchFunc(s.machines, m.id, compareMachineID); ok {
 		s.machines = slices.Delete(s.machines, i, i+1)
 	}
 }
 
-// byName compares a machine with a name, for a binary search.
-func byName(m *machine, id string) int { return cmp.Compare(m.id, id) }
+// compareMachineID compares a machine with a name, for a binary search.
+func compareMachineID(m *machine, id string) int { return cmp.Compare(m.id, id) }
 
 // dropMachine removes a machine that is gone, and all on it.
 func (c *Controller) dropMachine(m *machine) {
 	if m.view != nil {
 		c.freeAll(m, "machine gone", true)
 	}
-	c.detach(m)
+	c.removeFromShard(m)
 	delete(c.machines, m.id)
 	c.schedulingDue = true
 }
--- a/internal/controller/machine_records_test.go
+++ b/internal/controller/machine_records_test.go
@@ -72,7 +72,7 @@
 	h.lose = wire.PrefixFleet
 	before := h.rev
 	for _, id := range ids {
-		h.c.fleet.rented[id] = &rented{kind: fleet.Kind{Type: "m", Zone: "a", Spot: false}, at: h.now}
+		h.c.fleet.rented[id] = &rentedMachine{kind: fleet.Kind{Type: "m", Zone: "a", Spot: false}, at: h.now}
 	}
 	if h.run(sec); h.rev != before {
 		t.Error("machines are on record before they come up")
@@ -147,9 +147,9 @@
 	}
 }
 
-// TestVoidMoveEnds leaves a machine's move unanswered; before the owner raises its fencing token,
+// TestMoveVoidedByRewrite leaves a machine's move unanswered; before the owner raises its fencing token,
 // the leader rewrites the record set. The move is void then, and the machine is to be used again.
-func TestVoidMoveEnds(t *testing.T) {
+func TestMoveVoidedByRewrite(t *testing.T) {
 	h := newOwnerHarness(t, func(c *Config) {
 		withPeer(c)
 		c.Shards = 2
--- a/internal/controller/machine_release.go
+++ b/internal/controller/machine_release.go
@@ -105,7 +105,7 @@
 			continue
 		}
 		seen[set] = true
-		released := chosenOf(set, chosen)
+		released := chosenMachines(set, chosen)
 		full := len(txn.writes) >= maxRecordSets || len(txn.machines)+len(released) > c.recordSetLimit()
 		if full && len(txn.machines) > 0 {
 			txns = append(txns, txn)
@@ -120,8 +120,8 @@
 	return txns
 }
 
-// chosenOf returns the machines of a record set that are chosen.
-func chosenOf(set *machineRecordSet, chosen map[*machine]bool) []*machine {
+// chosenMachines returns the machines of a record set that are chosen.
+func chosenMachines(set *machineRecordSet, chosen map[*machine]bool) []*machine {
 	var out []*machine
 	for _, m := range set.machines {
 		if chosen[m] {
@@ -154,7 +154,7 @@
 			record: recordSetOf(txn.machines, nil, nil),
 		})
 	}
-	views := make([]*view, len(txn.machines))
+	views := make([]*machineView, len(txn.machines))
 	for i, m := range txn.machines {
 		views[i] = m.view
 		m.view.releasing = true
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -12,7 +12,7 @@
 	agentEpoch uint64
 	// returned is set if the cloud has confirmed its return, so it never comes back.
 	returned bool
-	view     *view // nil unless this node owns its shard
+	view     *machineView // nil unless this node owns its shard
 }
 
 // machineRecord is what the records say of a machine.
@@ -23,8 +23,8 @@
 	Spot             bool
 }
 
-// view is what the owner of a machine's shard knows of it.
-type view struct {
+// machineView is what the owner of a machine's shard knows of it.
+type machineView struct {
 	reconciliationView
 	contactView
 	healthView
@@ -34,24 +34,24 @@
 
 	images         map[string]bool
 	nextPrefetchAt micros.Micros // no image is prefetched before
-	idleAt         micros.Micros // when it last had something on it
+	lastBusyAt     micros.Micros // when it last had something on it
 	reclaimAt      micros.Micros // when the cloud takes the machine away; 0: no notice
 }
 
-// newView returns the view of a machine of which no heartbeat has come yet.
-func (sc *stepContext) newView() *view {
-	return &view{
-		contactView:        contactView{lastHeartbeatAt: -micros.Never, lastReplyAt: -micros.Never, since: sc.now},
+// newMachineView returns the view of a machine of which no heartbeat has come yet.
+func (sc *stepContext) newMachineView() *machineView {
+	return &machineView{
+		contactView:        contactView{lastHeartbeatAt: -micros.Never, lastReplyAt: -micros.Never, observedSince: sc.now},
 		reconciliationView: reconciliationView{reconciledAt: -micros.Never},
 		attemptView:        attemptView{attempts: map[attemptKey]*attempt{}, usageStale: true},
 		healthView:         healthView{failuresByJob: map[string]int{}},
 		images:             map[string]bool{},
-		idleAt:             sc.now,
+		lastBusyAt:         sc.now,
 	}
 }
 
 // setView sets what this node knows of a machine; nil ends its ownership.
-func (o *ownershipState) setView(m *machine, v *view) {
+func (o *ownershipState) setView(m *machine, v *machineView) {
 	if m.view != nil {
 		m.view.usageStale = true // so that it is not put on the list of changes again
 	}
--- a/internal/controller/maintenance.go
+++ b/internal/controller/maintenance.go
@@ -5,8 +5,8 @@
 // The time between two runs of maintain: the longer one if every shard has an owner and is
 // reconciled. Each run wakes the process, even if nothing is due.
 const (
-	busyInterval = 100 * micros.Millisecond
-	calmInterval = 300 * micros.Millisecond
+	activeMaintenanceInterval = 100 * micros.Millisecond
+	idleMaintenanceInterval   = 300 * micros.Millisecond
 )
 
 // A scheduling round, or a walk over all machines and jobs, is followed by restFactor times
@@ -54,7 +54,7 @@
 func (c *Controller) nextMaintenance() micros.Micros {
 	at := c.maintenance.lastRunAt + c.maintenanceInterval()
 	if f := &c.fleet; len(f.registrations) > 0 {
-		at = min(at, max(f.registrationsDueAt, c.maintenance.lastRunAt+busyInterval))
+		at = min(at, max(f.registrationsDueAt, c.maintenance.lastRunAt+activeMaintenanceInterval))
 	}
 	return at
 }
@@ -62,14 +62,14 @@
 // maintenanceInterval returns the time between two runs of maintain.
 func (c *Controller) maintenanceInterval() micros.Micros {
 	if !c.ownership.viewComplete() || !c.types.known() {
-		return busyInterval
+		return activeMaintenanceInterval
 	}
 	for _, s := range c.ownership.shards {
 		if s.ownerEpoch == 0 || s.owned() && !s.recovered() {
-			return busyInterval
+			return activeMaintenanceInterval
 		}
 	}
-	return calmInterval
+	return idleMaintenanceInterval
 }
 
 // viewComplete reports whether this controller has a lease, has listed all keys that it watches,
@@ -81,8 +81,8 @@
 // recovered reports whether a new owner of the shard has all that it needs of its predecessor.
 func (s *shard) recovered() bool { return s.reconciled && s.jobsViewCurrent && s.checkpointsLoaded }
 
-// noteStall notes that the process was stalled before this step.
-func (c *Controller) noteStall() {
+// detectStall notes that the process was stalled before this step.
+func (c *Controller) detectStall() {
 	if c.now-c.maintenance.lastRunAt > stallThreshold {
 		c.lastStalledAt = c.now
 	}
@@ -112,11 +112,11 @@
 		c.maintain()
 		return
 	}
-	c.followAll()
+	c.followWatches()
 }
 
-// followAll makes the next request of each watch whose time has come.
-func (c *Controller) followAll() {
+// followWatches makes the next request of each watch whose time has come.
+func (c *Controller) followWatches() {
 	c.follow(&c.ownership.controlWatch)
 	c.follow(&c.ownership.jobWatch)
 	c.followQuota()
--- a/internal/controller/ownership.go
+++ b/internal/controller/ownership.go
@@ -131,7 +131,7 @@
 func (c *Controller) maintainOwnership() {
 	o := &c.ownership
 	c.maintainLease()
-	c.followAll()
+	c.followWatches()
 	c.ownership.releaseLocks()
 	if !o.controlWatch.Ready() || !c.ownership.leaseValid() {
 		return
--- a/internal/controller/ownership_test.go
+++ b/internal/controller/ownership_test.go
@@ -148,14 +148,14 @@
 	for _, tc := range []struct {
 		name   string
 		uptime micros.Micros // of the preferred owner
-		change func(*view)
+		change func(*machineView)
 		want   bool
 	}{
-		{"nothing in flight", 20 * sec, func(*view) {}, true},
-		{"a command in flight", 20 * sec, func(v *view) { v.commandInFlight = true }, true},
-		{"a command in doubt", 20 * sec, func(v *view) { v.inDoubtToken = 1 << 40 }, true},
-		{"a machine not reconciled", 20 * sec, func(v *view) { v.unreconciledFromPredecessor = true }, false},
-		{"its preferred owner has just started", sec, func(*view) {}, false},
+		{"nothing in flight", 20 * sec, func(*machineView) {}, true},
+		{"a command in flight", 20 * sec, func(v *machineView) { v.commandInFlight = true }, true},
+		{"a command in doubt", 20 * sec, func(v *machineView) { v.inDoubtToken = 1 << 40 }, true},
+		{"a machine not reconciled", 20 * sec, func(v *machineView) { v.unreconciledFromPredecessor = true }, false},
+		{"its preferred owner has just started", sec, func(*machineView) {}, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t, func(c *Config) { c.Label, c.Peers = "n-1", []string{"n-0"} })
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -179,7 +179,7 @@
 	}
 	o.cost = cost
 	for i := range chosen {
-		o.victims = append(o.victims, m.view.list[chosen[i].Attempt])
+		o.victims = append(o.victims, m.view.attemptList[chosen[i].Attempt])
 	}
 	return o
 }
@@ -199,7 +199,7 @@
 // valid until the next call.
 func (c *Controller) possibleVictims(j *job, m *machine) []scheduling.Victim {
 	victims := c.scheduling.victimScratch[:0]
-	for i, att := range m.view.list {
+	for i, att := range m.view.attemptList {
 		if !att.preemptibleFor(j) {
 			continue
 		}
--- a/internal/controller/quota_limits.go
+++ b/internal/controller/quota_limits.go
@@ -100,7 +100,7 @@
 		if m.view == nil {
 			continue
 		}
-		for _, att := range m.view.list {
+		for _, att := range m.view.attemptList {
 			if att.beyondGuarantee() && slices.Contains(teams, att.job.team) {
 				attempts = append(attempts, att)
 			}
--- a/internal/controller/quota_usage_test.go
+++ b/internal/controller/quota_usage_test.go
@@ -11,15 +11,15 @@
 // that was in use).
 func TestUsageKnowledge(t *testing.T) {
 	types := map[string]wire.MachineType{"m": {Name: "m", CPUs: 4}}
-	known := &view{}
-	unreconciled := &view{reconciliationView: reconciliationView{unreconciledFromPredecessor: true}}
-	unknownJob := &view{attemptView: attemptView{usage: machineUsage{unknown: true}}}
+	known := &machineView{}
+	unreconciled := &machineView{reconciliationView: reconciliationView{unreconciledFromPredecessor: true}}
+	unknownJob := &machineView{attemptView: attemptView{usage: machineUsage{unknown: true}}}
 	for _, tc := range []struct {
 		name        string
 		types       map[string]wire.MachineType
 		reconciled  bool
 		machineType string
-		view        *view
+		view        *machineView
 		want        usageKnowledge
 	}{
 		{"all is known", types, true, "m", known, usageExact},
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -13,7 +13,7 @@
 type contactView struct {
 	lastHeartbeatAt micros.Micros
 	lastReplyAt     micros.Micros
-	since           micros.Micros // when this node began to follow it
+	observedSince   micros.Micros // when this node began to follow it
 	reachability    reachability.Tracker
 }
 
@@ -54,19 +54,19 @@
 // long that its lease is running out; what it answers to direct requests does not renew
 // the lease. It gets no more tasks: they would end with the lease. Those it has may be
 // completed in time.
-func (c *Controller) leaseRunningOut(v *view) bool {
+func (c *Controller) leaseRunningOut(v *machineView) bool {
 	return v.sequenceKnown && c.sinceLastReply(v) > c.heartbeatDeadlines.Timeout
 }
 
 // sinceLastReply returns how long ago a heartbeat of a machine was last answered.
-func (sc *stepContext) sinceLastReply(v *view) micros.Micros {
-	return sc.now - max(v.lastReplyAt, v.since, sc.lastStalledAt)
+func (sc *stepContext) sinceLastReply(v *machineView) micros.Micros {
+	return sc.now - max(v.lastReplyAt, v.observedSince, sc.lastStalledAt)
 }
 
 // sinceLastHeartbeat returns how long ago a machine's last heartbeat came, to a node that had the
 // time to read it: what arrived while this node was stalled may still be unread.
-func (sc *stepContext) sinceLastHeartbeat(v *view) micros.Micros {
-	return sc.now - max(v.lastHeartbeatAt, v.since, sc.lastStalledAt)
+func (sc *stepContext) sinceLastHeartbeat(v *machineView) micros.Micros {
+	return sc.now - max(v.lastHeartbeatAt, v.observedSince, sc.lastStalledAt)
 }
 
 // probeRetryDelay is how long after a probe the same machine may be probed again.
--- a/internal/controller/reconciliation.go
+++ b/internal/controller/reconciliation.go
@@ -36,7 +36,7 @@
 }
 
 // newerThan reports whether a heartbeat was sent after the last one that a view holds.
-func newerThan(heartbeat *wire.Heartbeat, v *view) bool {
+func newerThan(heartbeat *wire.Heartbeat, v *machineView) bool {
 	return positionOf(heartbeat).After(v.lastPosition())
 }
 
@@ -79,12 +79,12 @@
 
 // voidInDoubtCommands notes that a heartbeat shows a fencing token above that of unanswered
 // commands: what they did is in this heartbeat, and they can do nothing more.
-func (c *Controller) voidInDoubtCommands(v *view, heartbeat *wire.Heartbeat) {
+func (c *Controller) voidInDoubtCommands(v *machineView, heartbeat *wire.Heartbeat) {
 	if v.inDoubtToken == 0 || heartbeat.FencingToken <= v.inDoubtToken {
 		return
 	}
 	v.inDoubtToken = 0
-	for _, att := range v.list {
+	for _, att := range v.attemptList {
 		if att.state == attemptInDoubt {
 			att.state = attemptSent
 			att.sentSequence = 0
--- a/internal/controller/record_limits_test.go
+++ b/internal/controller/record_limits_test.go
@@ -78,7 +78,7 @@
 			}
 			for id, times := range in {
 				m := h.c.machines[id]
-				if times != 1 || m == nil || m.view == nil || len(m.view.list) != 4 {
+				if times != 1 || m == nil || m.view == nil || len(m.view.attemptList) != 4 {
 					t.Fatalf("%s stands in %d record sets, or its tasks are gone", id, times)
 				}
 				if h.c.fencingToken(s, m) <= fencingToken {
--- a/internal/controller/registration.go
+++ b/internal/controller/registration.go
@@ -9,10 +9,10 @@
 	"garnethitch/internal/wire"
 )
 
-// rented is a machine that this leader has rented. It is recorded at its first heartbeat, not
+// rentedMachine is a machine that this leader has rentedMachine. It is recorded at its first heartbeat, not
 // before: a new owner has to reconcile each machine on record before it starts what a former owner
 // may have started there, and a machine that boots can't be reconciled.
-type rented struct {
+type rentedMachine struct {
 	kind fleet.Kind
 	at   micros.Micros
 }
@@ -24,8 +24,8 @@
 	kind fleet.Kind
 }
 
-// unassigned is a machine that has no record yet.
-type unassigned struct {
+// unassignedMachine is a machine that has no record yet.
+type unassignedMachine struct {
 	wire.MachineRecord
 	kind fleet.Kind
 }
@@ -125,10 +125,10 @@
 	}
 	registrations := f.registrations
 	f.registrations = nil
-	var list []unassigned
+	var list []unassignedMachine
 	for _, reg := range registrations {
 		record := wire.MachineRecord{ID: reg.in.Heartbeat.Machine, Addr: reg.in.Heartbeat.Addr}
-		list = append(list, unassigned{record, reg.kind})
+		list = append(list, unassignedMachine{record, reg.kind})
 	}
 	c.assignMachines(recordSetRegistered, list, c.allDemand(), registrations)
 }
@@ -142,15 +142,15 @@
 	if !f.first && c.now-f.ledAt <= 2*c.cfg.ListLag+listedAssignmentMargin {
 		return
 	}
-	var list []unassigned
-	for _, id := range f.order {
+	var list []unassignedMachine
+	for _, id := range f.listedIDs {
 		listed := f.listed[id]
 		known := c.machines[id] != nil || f.assigning[id]
 		gone := f.returning[id] || f.returned[id] != 0
 		if listed.State != wire.MachineRunning || known || gone || !wire.ValidKey(id) {
 			continue
 		}
-		list = append(list, unassigned{wire.MachineRecord{ID: id, Addr: listed.Addr}, fleet.Kind{Type: listed.Type, Zone: listed.Zone, Spot: listed.Spot}})
+		list = append(list, unassignedMachine{wire.MachineRecord{ID: id, Addr: listed.Addr}, fleet.Kind{Type: listed.Type, Zone: listed.Zone, Spot: listed.Spot}})
 	}
 	c.assignMachines(recordSetListed, list, demand, nil)
 }
--- a/internal/controller/registration_test.go
+++ b/internal/controller/registration_test.go
@@ -11,7 +11,7 @@
 // over. The leader leads again under the same key, and must assign the machine then.
 func TestRegistrationAcrossOutage(t *testing.T) {
 	h := newOwnerHarness(t, withPeer)
-	h.c.fleet.rented["vm-7"] = &rented{kind: fleet.Kind{Type: "m", Zone: "a", Spot: false}, at: h.now}
+	h.c.fleet.rented["vm-7"] = &rentedMachine{kind: fleet.Kind{Type: "m", Zone: "a", Spot: false}, at: h.now}
 	h.stateDown, h.refused = true, true
 	for h.now < h.c.ownership.lease.RenewedAt()+h.c.bounds.LeaseValidity-200*ms {
 		h.run(20 * ms)
@@ -32,11 +32,11 @@
 	}
 }
 
-// TestLateRecord checks that a machine whose record was not answered is recorded under no other key
+// TestLateRecordSetWrite checks that a machine whose record was not answered is recorded under no other key
 // meanwhile: the record may be applied at any time.
-func TestLateRecord(t *testing.T) {
+func TestLateRecordSetWrite(t *testing.T) {
 	h := newHarness(t, nil)
-	h.c.fleet.rented["vm-1"] = &rented{kind: fleet.Kind{Type: "m", Zone: "a", Spot: true}, at: h.now}
+	h.c.fleet.rented["vm-1"] = &rentedMachine{kind: fleet.Kind{Type: "m", Zone: "a", Spot: true}, at: h.now}
 	call := func(seq uint64) {
 		h.ask(func(r ReplyID) Input { return Heartbeat{Reply: r, Heartbeat: heartbeatFrom("vm-1", 1, seq, 0)} })
 		h.run(500 * ms)
--- a/internal/controller/release_requests.go
+++ b/internal/controller/release_requests.go
@@ -53,7 +53,7 @@
 // releaseKey is what the requests of one message have in common.
 type releaseKey struct {
 	from, to            int // shards
-	retire, drain, save bool
+	cordon, drain, save bool
 }
 
 // sendReleases asks the owners, in one message for requests that are alike.
--- a/internal/controller/returned_machines.go
+++ b/internal/controller/returned_machines.go
@@ -10,10 +10,10 @@
 // What follows once the cloud has confirmed that a machine was returned.
 
 const (
-	// A record set is rewritten without its returned machines once one in rewriteFraction of its
+	// A record set is rewritten without its returned machines once one in rewriteDivisor of its
 	// machines was, or one was rewriteDelay ago.
-	rewriteFraction = 4
-	rewriteDelay    = 20 * micros.Second
+	rewriteDivisor = 4
+	rewriteDelay   = 20 * micros.Second
 )
 
 // machineReturns are the machines that go back to the cloud.
@@ -129,5 +129,5 @@
 	case returned == machines:
 		return true
 	}
-	return rewriteFraction*returned >= machines || c.now-oldest >= rewriteDelay
+	return rewriteDivisor*returned >= machines || c.now-oldest >= rewriteDelay
 }
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -72,7 +72,7 @@
 // missingForLong reports whether the cloud has not listed a machine for longer than its list may
 // lag behind.
 func (f *fleetState) missingForLong(id string) bool {
-	missingSince := f.missing[id]
+	missingSince := f.unlistedSince[id]
 	return f.listedAt != 0 && missingSince != 0 && f.now-missingSince > 2*f.cfg.ListLag+listLagMargin
 }
 
@@ -81,7 +81,7 @@
 func (c *Controller) unusableInList() []string {
 	f := &c.fleet
 	var unusable []string
-	for _, id := range f.order {
+	for _, id := range f.listedIDs {
 		listed := f.listed[id]
 		if f.returned[id] != 0 {
 			continue
--- a/internal/controller/scale_out.go
+++ b/internal/controller/scale_out.go
@@ -29,14 +29,14 @@
 	scaleOutSequence uint64             // number of the last rental
 	scaleOuts        []*scaleOutRequest // rentals under way
 	refused          map[fleet.Kind]*refusal
-	rented           map[string]*rented // on no record yet
+	rented           map[string]*rentedMachine // on no record yet
 }
 
 // reset forgets all rentals.
 func (r *rentals) reset() {
 	r.scaleOuts = nil
 	r.refused = map[fleet.Kind]*refusal{}
-	r.rented = map[string]*rented{}
+	r.rented = map[string]*rentedMachine{}
 }
 
 // scaleOutRequest is a rental under way. It is sent again, under the same name, until the cloud
@@ -185,7 +185,7 @@
 		delete(f.refused, k)
 	}
 	for _, id := range machines {
-		f.rented[id] = &rented{kind: k, at: f.now}
+		f.rented[id] = &rentedMachine{kind: k, at: f.now}
 	}
 }
 
--- a/internal/controller/scale_test.go
+++ b/internal/controller/scale_test.go
@@ -27,12 +27,12 @@
 	for i := range machines {
 		h.listed = append(h.listed, wire.ListedMachine{ID: machineName(i), Addr: machineName(i), Type: "m", Zone: "a", State: wire.MachineRunning, AgeS: 1})
 	}
-	h.c.fleet.listNext, h.c.fleet.planNext = h.now, h.now+400*ms
+	h.c.fleet.nextListAt, h.c.fleet.planNext = h.now, h.now+400*ms
 	h.run(sec)
 	if len(h.c.machines) != machines {
 		tb.Fatalf("%d machines on record, want %d", len(h.c.machines), machines)
 	}
-	h.c.fleet.planNext, h.c.fleet.listNext = micros.Never, micros.Never
+	h.c.fleet.planNext, h.c.fleet.nextListAt = micros.Never, micros.Never
 	for i := range jobs {
 		h.submit(jobOf(fmt.Sprintf("job-%06d", i), tasks))
 		if len(h.open) > 0 {
@@ -65,7 +65,7 @@
 	m := h.c.machines[machineName(i)]
 	v := m.view
 	var tasks []wire.TaskStatus
-	for _, att := range v.list {
+	for _, att := range v.attemptList {
 		t := wire.TaskStatus{Task: wire.TaskName(att.key.job, att.index), Attempt: att.key.attempt, State: wire.TaskRunning}
 		if len(tasks) == 0 && att.state != attemptExited {
 			t.State, t.ExitReason = wire.TaskExited, wire.ExitDone
@@ -117,7 +117,7 @@
 	m := h.c.machines[machineName(7)]
 	v := m.view
 	var tasks []wire.TaskStatus
-	for _, att := range v.list {
+	for _, att := range v.attemptList {
 		tasks = append(tasks, wire.TaskStatus{Task: wire.TaskName(att.key.job, att.index), Attempt: att.key.attempt, State: wire.TaskRunning})
 	}
 	send := func(tasks []wire.TaskStatus) uint64 {
@@ -133,15 +133,15 @@
 	if n := testing.AllocsPerRun(50, func() { send(tasks) }); n > 12 {
 		t.Errorf("an unchanged heartbeat takes %.0f allocations", n)
 	}
-	gone := v.list[0]
+	gone := v.attemptList[0]
 	h.c.dropAttempt(gone)
 	send(tasks)
 	if v.attempts[gone.key] == nil {
 		t.Error("an attempt that was dropped here and is still listed was not adopted")
 	}
-	attempts := len(v.list)
+	attempts := len(v.attemptList)
 	send(tasks[1:])
-	if v.attempts[gone.key] != nil || len(v.list) == attempts+1 {
+	if v.attempts[gone.key] != nil || len(v.attemptList) == attempts+1 {
 		t.Error("an attempt that is no longer listed is still kept")
 	}
 }
@@ -166,11 +166,11 @@
 	busy := newHarness(t, nil)
 	busy.reconcile("vm-1")
 	busy.c.ownership.shards[0].reconciled = false
-	if interval := busy.c.maintenanceInterval(); interval != busyInterval {
+	if interval := busy.c.maintenanceInterval(); interval != activeMaintenanceInterval {
 		t.Errorf("maintenance every %v while a shard is not reconciled", interval)
 	}
 	busy.c.ownership.shards[0].reconciled, busy.c.ownership.shards[0].ownerEpoch = true, 0
-	if interval := busy.c.maintenanceInterval(); interval != busyInterval {
+	if interval := busy.c.maintenanceInterval(); interval != activeMaintenanceInterval {
 		t.Errorf("maintenance every %v while a shard has no owner", interval)
 	}
 }
--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -175,7 +175,7 @@
 // everywhere.
 func (c *Controller) endRetryBackoff(j *job) {
 	r := j.run
-	if r.nextRetryAt == 0 || c.suspect(j) {
+	if r.nextRetryAt == 0 || c.jobAtFault(j) {
 		return
 	}
 	c.log(Info, "job runs elsewhere after all", "job", j.id)
--- a/internal/controller/shard_recovery.go
+++ b/internal/controller/shard_recovery.go
@@ -86,7 +86,7 @@
 		if m.rec.Cordoned {
 			continue
 		}
-		v := c.newView()
+		v := c.newMachineView()
 		v.unreconciledFromPredecessor = !m.returned
 		v.leaseExpired = m.returned
 		c.ownership.setView(m, v)
--- a/internal/controller/state_records.go
+++ b/internal/controller/state_records.go
@@ -98,7 +98,7 @@
 		return err
 	}
 	c.fleet.typesModRevision = max(c.fleet.typesModRevision, modRevision)
-	c.learnTypes(rec, false)
+	c.applyTypes(rec, false)
 	return nil
 }
 
--- a/internal/controller/task_adoption.go
+++ b/internal/controller/task_adoption.go
@@ -5,7 +5,7 @@
 // adoptTasks matches the tasks found on a machine with their jobs, or stops what should not
 // be there.
 func (c *Controller) adoptTasks(m *machine) {
-	for _, att := range m.view.each() {
+	for _, att := range m.view.attemptsCopy() {
 		switch {
 		case att.tracked || att.state < attemptFetching:
 		case att.prefetch:
--- a/internal/controller/task_lists.go
+++ b/internal/controller/task_lists.go
@@ -30,7 +30,7 @@
 	for i := range heartbeat.Tasks {
 		c.applyTaskStatus(m, &heartbeat.Tasks[i])
 	}
-	for _, att := range v.each() {
+	for _, att := range v.attemptsCopy() {
 		c.visited++
 		if att.lastSeenRound != c.listRound {
 			c.handleMissingAttempt(att, heartbeat, source)
@@ -48,7 +48,7 @@
 	key := attemptKey{job: id, index: index, attempt: status.Attempt}
 	att := v.attempts[key]
 	if att == nil {
-		if len(v.list) > maxListedAttempts {
+		if len(v.attemptList) > maxListedAttempts {
 			return
 		}
 		att = &attempt{key: key, index: index, machine: m, since: c.now, stopSentAt: -micros.Never}
@@ -123,15 +123,15 @@
 // was sent to the machine or forgotten here meanwhile, so that there is nothing to take
 // from it. Most heartbeats are like that. Lists are compared by where they are held, see
 // wire.HeartbeatReader.
-func (v *view) taskListUnchanged(heartbeat *wire.Heartbeat) bool {
+func (v *machineView) taskListUnchanged(heartbeat *wire.Heartbeat) bool {
 	n := len(heartbeat.Tasks)
-	if n != len(v.list) || n != len(v.lastTaskList) {
+	if n != len(v.attemptList) || n != len(v.lastTaskList) {
 		return false
 	}
 	if n > 0 && &heartbeat.Tasks[0] != &v.lastTaskList[0] {
 		return false
 	}
-	for _, att := range v.list {
+	for _, att := range v.attemptList {
 		if att.lastSeenRound != v.lastSeenRound {
 			return false
 		}
--- a/internal/controller/unknown_jobs.go
+++ b/internal/controller/unknown_jobs.go
@@ -66,7 +66,7 @@
 // holdsTaskOfUnknownJob reports whether a reconciled machine holds a task of a job that may have
 // ended at any time.
 func (c *Controller) holdsTaskOfUnknownJob(s *shard, m *machine) bool {
-	return slices.ContainsFunc(m.view.list, func(att *attempt) bool {
+	return slices.ContainsFunc(m.view.attemptList, func(att *attempt) bool {
 		return c.jobStatusForRenewal(s, att) == authority.JobStatusUnknown
 	})
 }
--- a/internal/controller/unknown_jobs_test.go
+++ b/internal/controller/unknown_jobs_test.go
@@ -53,7 +53,7 @@
 		for i := range machines {
 			h.listed = append(h.listed, wire.ListedMachine{ID: machineName(i), Addr: machineName(i), Type: "m", Zone: "a", State: wire.MachineRunning, AgeS: 1})
 		}
-		h.c.fleet.listNext, h.c.fleet.planNext = h.now, h.now+400*ms
+		h.c.fleet.nextListAt, h.c.fleet.planNext = h.now, h.now+400*ms
 		h.run(2 * sec)
 		old := h.c.ownership.shards[0].ownerEpoch
 		for i := range machines {
