--- a/internal/controller/command_queue.go
+++ b/internal/controller/command_queue.go
@@ -1,29 +1,28 @@
 package controller
 
-// commandQueue holds machines to which something should be sent directly, first come first
-// served. How many requests to workers are under way is bounded, so that a failover of
-// hundreds of machines or a burst of starts leaves sockets and time for heartbeats,
-// replies and the lease.
+// commandQueue is a FIFO queue of the machines that wait for a direct command. It also bounds the
+// number of requests to workers in flight, so that a failover of hundreds of machines or a burst
+// of starts leaves sockets and time for heartbeats, replies and the renewal of the lease.
 type commandQueue struct {
 	waiting     []*machine
-	inFlight    int
+	inFlight    int // all requests to workers, probes and reconciliations included
 	maxInFlight int
 	probesLeft  int // probes and reconciliations that may still begin before the next maintenance
 }
 
 const (
-	// probeDivisor is such that one in so many of the requests under way may be probes and
-	// reconciliations that begin between two maintenances.
+	// probeDivisor bounds the probes and reconciliations that may begin between two runs of
+	// maintenance: maxInFlight/probeDivisor.
 	probeDivisor = 4
-	// minProbes is how many they may begin at least.
+	// minProbes is the least value of that bound.
 	minProbes = 4
 )
 
-// resetProbes allows probes anew, at each maintenance.
+// resetProbes restores the number of probes that may begin. Each run of maintenance calls it.
 func (q *commandQueue) resetProbes() { q.probesLeft = max(q.maxInFlight/probeDivisor, minProbes) }
 
-// takeProbe takes one of the requests allowed for machines that are not needed for a start, and
-// reports whether there was one.
+// takeProbe takes one of the allowed probes and reconciliations, and reports whether one was left
+// and a further request may begin.
 func (q *commandQueue) takeProbe() bool {
 	if q.probesLeft <= 0 || q.full() {
 		return false
@@ -35,7 +34,7 @@
 // full reports whether no further request may begin.
 func (q *commandQueue) full() bool { return q.inFlight >= q.maxInFlight }
 
-// push adds a machine that does not wait yet.
+// push adds a machine to the queue, unless it waits already or this node does not own its shard.
 func (q *commandQueue) push(m *machine) {
 	if m.view == nil || m.view.commandQueued {
 		return
@@ -44,12 +43,12 @@
 	q.waiting = append(q.waiting, m)
 }
 
-// next removes and returns the first machine that still waits; nil if there is none, or no
+// next removes and returns the first machine that still waits. It returns nil if none waits or no
 // further request may begin.
 func (q *commandQueue) next() *machine {
 	for i, m := range q.waiting {
 		if m.view == nil || !m.view.commandQueued {
-			continue // this node's ownership of it has ended since
+			continue // this node has lost the machine's shard, or the machine, since push
 		}
 		if q.full() {
 			q.waiting = q.waiting[i:]
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -2,22 +2,24 @@
 
 import "garnethitch/internal/wire"
 
-// maxCommands bounds how many commands one message to a worker carries.
+// maxCommands is the largest number of commands in one message to a worker, apart from the stops
+// of an unreconciled machine.
 const maxCommands = 200
 
 // commandCarrier is the message that carries commands to a worker.
 type commandCarrier int
 
 const (
-	// inReply is the reply to a heartbeat. The next heartbeat shows whether it arrived.
+	// inReply is the reply to a heartbeat. The next heartbeat shows whether the reply arrived.
 	inReply commandCarrier = iota
-	// inDirectCommand is a request of its own, the answer to which may be lost.
+	// inDirectCommand is a request to the worker. Its answer may be lost, so that it is unknown
+	// whether the commands were executed.
 	inDirectCommand
 )
 
-// commands returns what a machine is to do: stops first, which never wait behind the others,
-// then tasks to forget, then starts. Starts go into a direct command only while none is in
-// doubt.
+// commands returns the commands for a machine: stops first, so that the bound never delays them,
+// then attempts to forget, then starts. A direct command carries starts only while no earlier
+// direct command is in doubt. A machine that is not reconciled gets no commands.
 func (c *Controller) commands(m *machine, carrier commandCarrier) []wire.Command {
 	v := m.view
 	out := []wire.Command{}
@@ -33,8 +35,8 @@
 	return c.appendStarts(out, m, carrier)
 }
 
-// appendStops appends the stops that a machine may not have received yet, and notes that they are
-// sent.
+// appendStops appends the stops that a machine may not have received yet, and records when they
+// were sent.
 func (c *Controller) appendStops(out []wire.Command, v *machineView, carrier commandCarrier) []wire.Command {
 	for _, att := range v.attemptList {
 		if len(out) >= maxCommands {
@@ -52,7 +54,7 @@
 	return out
 }
 
-// appendForgets appends the requests to forget attempts that need not stay known.
+// appendForgets appends commands to forget the attempts that the worker need not list any more.
 func appendForgets(out []wire.Command, v *machineView) []wire.Command {
 	for _, att := range v.attemptList {
 		if len(out) >= maxCommands {
@@ -65,7 +67,7 @@
 	return out
 }
 
-// appendStarts appends the starts that have not been sent, and notes that they are.
+// appendStarts appends the starts that have not been sent, and records that they are sent.
 func (c *Controller) appendStarts(out []wire.Command, m *machine, carrier commandCarrier) []wire.Command {
 	for _, att := range m.view.attemptList {
 		if len(out) >= maxCommands {
@@ -81,7 +83,7 @@
 	return out
 }
 
-// recordStartSent notes by which message an attempt's start is sent.
+// recordStartSent updates an attempt whose start is sent by the given kind of message.
 func (c *Controller) recordStartSent(m *machine, att *attempt, carrier commandCarrier) {
 	switch carrier {
 	case inReply:
@@ -100,7 +102,8 @@
 	return wire.Command{Op: op, Task: wire.TaskName(att.key.job, att.index), Attempt: att.key.attempt}
 }
 
-// awaitsStop reports whether an attempt is to be stopped and its machine may not know that yet.
+// awaitsStop reports whether an attempt is to be stopped and its machine may not have received
+// the stop yet.
 func (att *attempt) awaitsStop() bool {
 	if att.stopMode == stopNone || att.state < attemptSent || att.state == attemptExited {
 		return false
@@ -108,10 +111,10 @@
 	return att.state != attemptSaving || att.stopMode != stopGraceful
 }
 
-// saveSlackS is added to the time that a task takes to save, in seconds.
+// saveSlackS is the time in seconds that a task may take to save beyond its declared save time.
 const saveSlackS = 1
 
-// stopGrace is how long a worker lets a task save before it kills it, in seconds.
+// stopGrace returns how long the worker lets the task save before it kills the task, in seconds.
 func (att *attempt) stopGrace() *float64 {
 	grace := 0.0
 	if att.stopMode == stopGraceful && att.job != nil {
--- a/internal/controller/direct_commands.go
+++ b/internal/controller/direct_commands.go
@@ -8,37 +8,39 @@
 	"garnethitch/internal/wire"
 )
 
-// commandView is what is under way to a machine beside the replies to its heartbeats: one
-// direct command and one probe at a time.
+// commandView is the state of the requests to a machine, as opposed to the replies to its
+// heartbeats. At most one direct command and one probe are in flight at a time.
 type commandView struct {
 	commandInFlight    bool
-	commandQueued      bool
-	nextCommandAt      micros.Micros
-	inDoubtToken       uint64 // commands up to this fencing token may still act; 0: none
+	commandQueued      bool          // the machine waits in the command queue
+	nextCommandAt      micros.Micros // no direct command is sent before this time
+	inDoubtToken       uint64        // commands up to this fencing token may still act; 0: none
 	probeInFlight      bool
-	nextProbeAt        micros.Micros
-	unansweredCommands int // direct commands to it that were not answered
+	nextProbeAt        micros.Micros // no probe or reconciliation begins before this time
+	unansweredCommands int           // number of direct commands that were not answered
 }
 
 const (
-	// commandTimeout bounds a request to a worker.
+	// commandTimeout is how long a worker has to answer a request.
 	commandTimeout = 1500 * micros.Millisecond
-	// commandRetryDelay is how long after a direct command that was not executed the next one
-	// may follow.
+	// commandRetryDelay is the least time between a direct command that was not executed and
+	// the next one to the same machine.
 	commandRetryDelay = 2 * micros.Second
-	// stopRepeatDelay is how long after a stop was sent it is sent again.
+	// stopRepeatDelay is the time after which a stop is sent again.
 	stopRepeatDelay = micros.Second
 )
 
-// commandOutcome is what became of a direct command.
+// commandOutcome is the outcome of a direct command.
 type commandOutcome int
 
 const (
-	// commandsExecuted means that the worker has carried it out.
+	// commandsExecuted means that the worker has executed the command.
 	commandsExecuted commandOutcome = iota
-	// commandsRefused means that it was not sent, or the worker refused it; it can't act any more.
+	// commandsRefused means that the command was not sent, or that the worker refused it. It
+	// can't act any more.
 	commandsRefused
-	// commandsInDoubt means that it was sent and not answered; it may still act, however late.
+	// commandsInDoubt means that the command was sent and the machine did not confirm or refuse
+	// it. It may still act at any later time.
 	commandsInDoubt
 )
 
@@ -55,8 +57,8 @@
 	return fmt.Sprintf("commandOutcome(%d)", int(o))
 }
 
-// commandOutcomeOf returns what became of a direct command; answered says that the result holds
-// a heartbeat of the machine.
+// commandOutcomeOf returns the outcome of a direct command from its result. answered is whether
+// the result holds a heartbeat of the machine.
 func commandOutcomeOf(r Result, answered bool) commandOutcome {
 	switch {
 	case answered && r.Status == http.StatusOK:
@@ -67,10 +69,10 @@
 	return commandsInDoubt
 }
 
-// needsDirectCommand reports whether there is something that should not wait for the next
-// heartbeat. While a command is in doubt, no start may follow it, but stops may, and the
-// raised fencing token that voids the command in doubt: a machine whose heartbeats are not
-// answered is reached in no other way.
+// needsDirectCommand reports whether a machine should be sent something before its next heartbeat.
+// While a command is in doubt, no start may follow it. Stops may, and so may the raised fencing
+// token that voids the command in doubt: a machine whose heartbeats are not answered can't be
+// reached in any other way.
 func (c *Controller) needsDirectCommand(m *machine) bool {
 	v := m.view
 	if c.mustShowHigherToken(m) {
@@ -87,8 +89,9 @@
 	return false
 }
 
-// mustShowHigherToken reports whether the fencing token has risen above the commands in doubt,
-// and the machine, whose heartbeats come, does not know it yet.
+// mustShowHigherToken reports whether a machine that sends heartbeats must be sent a fencing token
+// that has risen above the commands in doubt. The machine's next heartbeat with that token shows
+// that these commands are void.
 func (c *Controller) mustShowHigherToken(m *machine) bool {
 	v := m.view
 	if v.inDoubtToken == 0 {
@@ -98,10 +101,11 @@
 	return raised && c.sinceLastHeartbeat(v) <= c.heartbeatDeadlines.Overdue
 }
 
-// queueCommand has something sent to a machine before its next heartbeat.
+// queueCommand queues a machine for a direct command.
 func (c *Controller) queueCommand(m *machine) { c.commandQueue.push(m) }
 
-// flushCommands sends direct commands to the machines that wait for them.
+// flushCommands sends direct commands to the queued machines, as far as the bound on requests in
+// flight allows.
 func (c *Controller) flushCommands() {
 	for m := c.commandQueue.next(); m != nil; m = c.commandQueue.next() {
 		if !c.acceptsDirectCommand(m) {
@@ -120,7 +124,7 @@
 	return usable && !v.commandInFlight && !c.unreachable(m) && c.now >= v.nextCommandAt
 }
 
-// askWorker sends a request to a worker and counts it while it is under way.
+// askWorker sends a request to a worker, and counts it as in flight until done is called.
 func (c *Controller) askWorker(addr string, req any, done func(Result)) {
 	c.commandQueue.inFlight++
 	c.call(Call{To: ToWorker, Addr: addr, Req: req, Timeout: commandTimeout}, func(r Result) {
@@ -129,8 +133,9 @@
 	})
 }
 
-// sendCommands sends commands directly. An unanswered command may still act late,
-// so its starts stay in doubt until the fencing token has been raised and seen.
+// sendCommands sends commands to a machine in a direct command. If it is not answered, it may
+// still act later. Its starts then stay in doubt until the machine has shown a higher fencing
+// token.
 func (c *Controller) sendCommands(s *shard, m *machine, commands []wire.Command) {
 	v := m.view
 	v.commandInFlight = true
@@ -144,8 +149,8 @@
 	})
 }
 
-// handleCommandResult deals with the result of a direct command that was sent under a fencing
-// token.
+// handleCommandResult processes the result of a direct command that was sent under the given
+// fencing token.
 func (c *Controller) handleCommandResult(s *shard, m *machine, fencingToken uint64, r Result) {
 	v := m.view
 	heartbeat, answered := r.Body.(*wire.Heartbeat)
@@ -153,7 +158,7 @@
 	outcome := commandOutcomeOf(r, answered)
 	c.applyCommandOutcome(m, outcome, fencingToken, heartbeat)
 	if answered {
-		v.reachability.Reset() // it was reached, whatever it says
+		v.reachability.Reset() // any answer shows that the machine can be reached
 	} else {
 		v.unansweredCommands++
 	}
@@ -169,8 +174,8 @@
 	}
 }
 
-// applyCommandOutcome updates the attempts whose starts a direct command carried. heartbeat is
-// the machine's answer, if the command was executed.
+// applyCommandOutcome updates the attempts whose starts the direct command carried. heartbeat is
+// the machine's answer. It is used only if the command was executed.
 func (c *Controller) applyCommandOutcome(m *machine, outcome commandOutcome, fencingToken uint64, heartbeat *wire.Heartbeat) {
 	v := m.view
 	for _, att := range v.attemptsCopy() {
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -7,7 +7,8 @@
 	"garnethitch/internal/wire"
 )
 
-// handleHeartbeat answers a worker's heartbeat.
+// handleHeartbeat processes and answers a worker's heartbeat. Accepting it and renewing the
+// machine's lease are two decisions: an accepted heartbeat may still be refused a renewal.
 func (c *Controller) handleHeartbeat(in Heartbeat) {
 	heartbeat := &in.Heartbeat
 	m := c.machines[heartbeat.Machine]
@@ -34,12 +35,12 @@
 	v := m.view
 	v.lastReplyAt = c.now
 	if v.reconciled {
-		c.scheduleOnMachine(s, m) // its starts go into the reply, not into a direct command
+		c.scheduleOnMachine(s, m) // before commands, so that the reply carries the new starts
 	}
 	stops := c.stopsForCancelledTasks(s, m, &in.Heartbeat)
 	commands := c.commands(m, inReply)
 	if len(stops) > 0 {
-		commands = append(commands, stops...) // these are all: the machine is not reconciled yet
+		commands = append(commands, stops...) // the only commands: the machine is not reconciled yet
 	}
 	c.checkRenewal(s, m)
 	fencingToken := c.fencingToken(s, m)
@@ -47,25 +48,25 @@
 	c.logHeartbeat(m, &in.Heartbeat, authority.Allow(authority.ReasonHeartbeatAccepted), commands)
 	c.answer(in.Reply, http.StatusOK, wire.HeartbeatReply{FencingToken: fencingToken, Commands: commands}, 0)
 	if !v.reconciled {
-		c.reconcileMachine(s, m) // shows this node's fencing token at once
+		c.reconcileMachine(s, m) // makes the machine show this node's fencing token at once
 	}
 }
 
-// refuseHeartbeat sends a worker to the controller that its heartbeats belong to, or refuses
-// this one only.
+// refuseHeartbeat redirects a worker to the owner of its machine's shard if the decision refuses
+// the shard as a whole. Otherwise it refuses only this heartbeat, with status 503.
 func (c *Controller) refuseHeartbeat(in Heartbeat, m *machine, decision authority.Decision) {
 	c.decisionLog.refusedHeartbeats[decision.Reason]++
 	c.logHeartbeat(m, &in.Heartbeat, decision, nil)
 	if decision.Reason.RefusesShard() {
-		c.misdirectedHeartbeats[m.id] = c.now // bounded: it is on record
+		c.misdirectedHeartbeats[m.id] = c.now // bounded, since m is on record
 		c.redirect(in.Reply, &c.ownership.shards[m.rec.Shard].lock)
 		return
 	}
 	c.answer(in.Reply, http.StatusServiceUnavailable, nil, 0)
 }
 
-// redirect sends a worker to the holder of a lock, if that is another controller and this
-// node's knowledge is fresh.
+// redirect sends a worker to the holder of a lock. It answers with status 503 instead if that is
+// not a known other controller, or if the last answer of the state service is older than a lease.
 func (c *Controller) redirect(r ReplyID, holder *lock) {
 	label := holder.owner.Label
 	knownPeer := holder.ownerEpoch != 0 && label != c.cfg.Label && c.peers[label] != nil
@@ -77,12 +78,12 @@
 	c.answer(r, http.StatusMisdirectedRequest, wire.Redirect{Controller: label}, 0)
 }
 
-// applyHeartbeat updates what is known of a machine from a heartbeat. Only the owner of the
-// machine's shard may call it.
+// applyHeartbeat updates a machine's view from a heartbeat that is newer than the last one. Only
+// the owner of the machine's shard may call it.
 func (c *Controller) applyHeartbeat(s *shard, m *machine, heartbeat *wire.Heartbeat, source heartbeatSource) {
 	v := m.view
 	if m.returned || v.sequenceKnown && !newerThan(heartbeat, v) {
-		return // its task list is older than what is known
+		return // the view is at least as new as this task list
 	}
 	if v.sequenceKnown && heartbeat.AgentEpoch > v.agentEpoch {
 		c.beginAgentEpoch(m)
@@ -109,7 +110,7 @@
 	}
 }
 
-// recordHeartbeat takes what a heartbeat says of the machine itself.
+// recordHeartbeat updates a machine's view from all of a heartbeat except its task list.
 func (c *Controller) recordHeartbeat(m *machine, heartbeat *wire.Heartbeat) {
 	v := m.view
 	v.sequenceKnown = true
@@ -124,8 +125,8 @@
 	}
 }
 
-// beginAgentEpoch records that a worker has started anew: all earlier tasks there are gone, and
-// commands to the former epoch are void.
+// beginAgentEpoch updates a machine's view after its worker has started a new agent epoch. All
+// earlier tasks on the machine are gone, and commands that name the former epoch are void.
 func (c *Controller) beginAgentEpoch(m *machine) {
 	v := m.view
 	c.freeAll(m, "worker began a new session", true)
@@ -135,8 +136,8 @@
 	v.reconciled = false
 }
 
-// listsUntrackedTask reports whether the last task list shows an attempt that is neither
-// tracked nor needs nothing more.
+// listsUntrackedTask reports whether the last task list shows an attempt that is not tracked and
+// whose outcome has not been handled.
 func (v *machineView) listsUntrackedTask() bool {
 	for _, att := range v.attemptList {
 		if att.lastSeenRound == v.lastSeenRound && !att.tracked && !att.outcomeHandled {
--- a/internal/controller/machine_record_sets.go
+++ b/internal/controller/machine_record_sets.go
@@ -10,26 +10,26 @@
 	"garnethitch/internal/wire"
 )
 
-// machineRecordSet is one record of several machines: a write for each machine would use up the
-// write limit of the state service at the start of a large deployment. A machine stands in one
-// record set at a time. Moving it drops it from one and adds it to another in one transaction.
-// Rewriting a record set raises the fencing token of all in it, which is harmless: workers take a
-// higher one at any time.
+// machineRecordSet is one record that holds several machines: a write for each machine would use
+// up the write limit of the state service at the start of a large deployment. A machine stands in
+// one record set at a time. A transaction that moves it removes it from one record set and adds it
+// to another. Rewriting a record set raises the fencing token of all machines in it, which is
+// harmless: workers accept a higher token at any time.
 type machineRecordSet struct {
 	key           string
 	shard         int
 	modRevision   uint64
 	machines      []*machine
-	writeInFlight bool // a write by this node is under way or in doubt
+	writeInFlight bool // a write by this node is not answered yet
 	nextWriteAt   micros.Micros
 }
 
-// machineRecords are the record sets of all shards.
+// machineRecords holds the record sets of all shards.
 type machineRecords struct {
 	sets         map[string]*machineRecordSet // by key
-	nameSequence uint64                       // of the names that this node has given
-	// removed are machines that have left a record set, and may be in another; see
-	// dropMachinesWithoutRecordSet.
+	nameSequence uint64                       // number of the last name that newName returned
+	// removed holds the machines that have left a record set and may be in another by now;
+	// see dropMachinesWithoutRecordSet.
 	removed     []*machine
 	nextSplitAt micros.Micros // when the next record set may be split
 }
@@ -41,7 +41,8 @@
 	set.machines = nil
 }
 
-// collectRemoved notes which machines a record set held before and does not hold any more.
+// collectRemoved adds to removed the machines that a record set held before and does not hold any
+// more.
 func (r *machineRecords) collectRemoved(set *machineRecordSet, before []*machine) {
 	for _, m := range before {
 		if m.recordSet == set && !slices.Contains(set.machines, m) {
@@ -50,7 +51,7 @@
 	}
 }
 
-// takeRemoved returns the machines that were removed since it was last called.
+// takeRemoved returns and clears the machines that have left a record set since the last call.
 func (r *machineRecords) takeRemoved() []*machine {
 	removed := r.removed
 	r.removed = nil
@@ -59,53 +60,55 @@
 
 // Bounds on the size of a record set.
 const (
-	// maxRecordSetMachines bounds how many fencing tokens one write raises: each such machine
-	// sends one more heartbeat.
+	// maxRecordSetMachines is the largest number of machines in a record set. One write raises
+	// the fencing token of all of them, and each then sends an additional heartbeat.
 	maxRecordSetMachines = 50
-	// recordSetOverheadBytes is kept for what is not a machine's entry.
+	// recordSetOverheadBytes is the space reserved in a record set for everything but the
+	// machines' entries.
 	recordSetOverheadBytes = 600
-	// machineRecordBytes is what a machine's entry takes at most.
+	// machineRecordBytes is the largest size of a machine's entry.
 	machineRecordBytes = 60
 )
 
-// recordSetLimit is how many machines fit into one record.
+// recordSetLimit returns how many machines a record set may hold: at least one.
 func (sc *stepContext) recordSetLimit() int {
 	fitting := (sc.cfg.ValueBytes - recordSetOverheadBytes) / machineRecordBytes
 	return max(1, min(maxRecordSetMachines, fitting))
 }
 
-// overRecordLimit reports whether a record set was written under larger limits. It is read as
-// it stands; to be rewritten it must be split.
+// overRecordLimit reports whether a record set holds more machines than the limit, because it was
+// written under larger limits. Such a record set can be read, but must be split to be rewritten.
 func (sc *stepContext) overRecordLimit(set *machineRecordSet) bool {
 	return len(set.machines) > sc.recordSetLimit()
 }
 
-// Names of record sets say how they were created; each holds the modification revision of the
-// key that entitled its writer, and a counter, so that none recurs.
+// The prefix of a record set's name says how the record set was created. The name also holds the
+// modification revision of the lock under which it was written, and a counter, so that no name is
+// used twice.
 const (
-	recordSetRegistered = "h" // a heartbeat came, and the machine was on no record
-	recordSetListed     = "l" // found in the cloud's list
-	recordSetMoved      = "m" // from another record set
+	recordSetRegistered = "h" // the machines were on no record and sent a heartbeat
+	recordSetListed     = "l" // the machines were on no record and were in the cloud's list
+	recordSetMoved      = "m" // the machines came from another record set
 )
 
-// isCreation reports whether a record set of this name held machines that were on no record
-// before.
+// isCreation reports whether a record set with this name was created for machines that were on no
+// record before.
 func isCreation(name string) bool {
 	return strings.HasPrefix(name, recordSetRegistered) || strings.HasPrefix(name, recordSetListed)
 }
 
-// newName returns a name that no record set has had.
+// newName returns a name that no record set has had. origin is one of the prefixes above.
 func (r *machineRecords) newName(origin string, ownerEpoch uint64) string {
 	r.nameSequence++
 	return fmt.Sprintf("%s-%d-%d", origin, ownerEpoch, r.nameSequence)
 }
 
-// deletable reports whether a repeat of the write that created the record set, however late,
-// can't be applied any more: the leader's key under which it was sent is gone. Until then
-// a record set that holds nothing stays, or a repeat would bring machines back to the
-// record that are gone, or that are in use by another shard (TestRepeatedWrites).
-// A record set of moved machines was created in one write with changes of others, and
-// so never again.
+// deletable reports whether an empty record set may be deleted: a late copy of the write that
+// created it must not be applicable any more. That holds once the leader's key under which the
+// write was sent has changed. Until then the empty record set stays, because a late copy would
+// record machines again that are gone or that another shard uses (TestRepeatedWrites).
+// The write that created a record set of moved machines also changed other record sets, on
+// condition of their revisions, so that it can't be applied twice.
 func (c *Controller) deletable(set *machineRecordSet) bool {
 	_, name, ok := wire.ParseMachineRecordSetKey(set.key)
 	if !ok {
@@ -115,8 +118,8 @@
 	return !createdByThisLeader
 }
 
-// recordSetOf returns the record of some machines without those to skip, and with those to
-// retire cordoned; nil selects none.
+// recordSetOf returns the record of the machines in list. Those that omit selects are left out,
+// and those that cordon selects are marked as cordoned. A nil function selects none.
 func recordSetOf(list []*machine, omit, cordon func(*machine) bool) wire.MachineRecordSet {
 	rec := wire.MachineRecordSet{}
 	for _, m := range list {
@@ -133,7 +136,7 @@
 	return rec
 }
 
-// kindIndex returns the index of a kind in a record, to which it is added if need be.
+// kindIndex returns the index of a kind in a record. It adds the kind if the record lacks it.
 func kindIndex(rec *wire.MachineRecordSet, kind fleet.Kind) int {
 	wanted := wire.MachineKind{Type: kind.Type, Zone: kind.Zone, Spot: kind.Spot}
 	i := slices.Index(rec.Kinds, wanted)
--- a/internal/controller/machine_record_writes.go
+++ b/internal/controller/machine_record_writes.go
@@ -10,28 +10,28 @@
 )
 
 const (
-	// recordSetWriteTimeout bounds a write of record sets.
+	// recordSetWriteTimeout is how long a write of record sets may take.
 	recordSetWriteTimeout = 1500 * micros.Millisecond
-	// recordSetWriteInterval is about how long after a write the same record set may be
-	// written again.
+	// recordSetWriteInterval is the least time between two writes of the same record set,
+	// before jitter.
 	recordSetWriteInterval = micros.Second
-	// splitRetryDelay is how long after an attempt to split a record set it is tried again.
+	// splitRetryDelay is the time after which a failed split of a record set is tried again.
 	splitRetryDelay = 5 * micros.Second
-	// splitInterval is how long after one record set the next of this node is split: all in
-	// it send one more heartbeat.
+	// splitInterval is the least time between two splits by this node. All machines of a record
+	// set that is split send an additional heartbeat.
 	splitInterval = 2 * micros.Second
 )
 
-// writeOutcome is what became of a write of record sets.
+// writeOutcome is the outcome of a write of record sets.
 type writeOutcome int
 
 const (
-	// writeApplied means that the records stand.
+	// writeApplied means that the write was applied.
 	writeApplied writeOutcome = iota
-	// writeNotApplied means that they do not, and the write can't be applied any more.
+	// writeNotApplied means that the write was not applied and can't be applied any more.
 	writeNotApplied
-	// writeInDoubt means that the write may have been applied or may yet be; the watch shows it
-	// then.
+	// writeInDoubt means that the write may have been applied or may be applied later. The watch
+	// shows it if it is.
 	writeInDoubt
 )
 
@@ -48,7 +48,8 @@
 	return fmt.Sprintf("writeOutcome(%d)", int(o))
 }
 
-// failedWriteOutcome is the outcome of a write whose result does not say that it was applied.
+// failedWriteOutcome returns the outcome of a write whose reply does not confirm that it was
+// applied.
 func failedWriteOutcome(r statestore.Reply) writeOutcome {
 	switch r.Outcome() {
 	case statestore.NotExecuted, statestore.ConditionFailed:
@@ -57,16 +58,17 @@
 	return writeInDoubt
 }
 
-// recordSetWrite is one record set's part of a transaction.
+// recordSetWrite is the part of a transaction that writes or deletes one record set.
 type recordSetWrite struct {
 	key       string
-	recordSet *machineRecordSet // nil: a new one
+	recordSet *machineRecordSet // nil: the write creates the record set
 	record    wire.MachineRecordSet
-	deleteKey bool // no machine is left
+	deleteKey bool // deletes the key, since no machine is left
 }
 
-// writeRecordSets writes several record sets in one transaction, on condition that a key of
-// this node still has the revision under which this node holds it. done is called with the outcome.
+// writeRecordSets writes several record sets in one transaction, on condition that lockKey still
+// has the revision ownerEpoch, under which this node holds that lock. done is called with the
+// outcome.
 func (c *Controller) writeRecordSets(lockKey string, ownerEpoch uint64, writes []recordSetWrite, done func(writeOutcome)) {
 	setWriteInFlight(writes, true)
 	txn, ok := c.recordSetTxn(writes)
@@ -93,7 +95,7 @@
 	})
 }
 
-// setWriteInFlight notes whether a write of the record sets is under way or in doubt.
+// setWriteInFlight sets on each of the record sets whether a write of it is under way.
 func setWriteInFlight(writes []recordSetWrite, inFlight bool) {
 	for _, w := range writes {
 		if w.recordSet != nil {
@@ -102,8 +104,8 @@
 	}
 }
 
-// recordSetTxn returns the transaction of some writes, each on condition that its record set
-// has not changed; ok is false if one of them can't be stored.
+// recordSetTxn returns the transaction that makes the writes, each on condition that its record
+// set has not changed. ok is false if a record can't be encoded or is too large to be stored.
 func (c *Controller) recordSetTxn(writes []recordSetWrite) (txn wire.Txn, ok bool) {
 	for _, w := range writes {
 		condition := wire.Condition{Key: w.key}
@@ -125,7 +127,8 @@
 	return txn, true
 }
 
-// applyRecordSetWrites takes what a transaction has written, ahead of the watch.
+// applyRecordSetWrites updates the machines with the writes of an applied transaction, without
+// waiting for the watch.
 func (c *Controller) applyRecordSetWrites(writes []recordSetWrite, revision uint64) {
 	for _, w := range writes {
 		if !w.deleteKey {
@@ -139,15 +142,16 @@
 	c.dropMachinesWithoutRecordSet()
 }
 
-// raiseFencingToken rewrites a machine's record set, so that the fencing token of all in it
-// rises above unanswered commands, and unanswered releases of them can't be applied any more.
+// raiseFencingToken rewrites a machine's record set. The fencing tokens of all machines in it rise
+// above those of unanswered commands, and unanswered releases of these machines can't be applied
+// any more.
 func (c *Controller) raiseFencingToken(s *shard, m *machine) {
 	set := m.recordSet
 	if set.writeInFlight || c.now < set.nextWriteAt {
 		return
 	}
 	if c.overRecordLimit(set) {
-		c.splitRecordSet(s, set) // which raises as well
+		c.splitRecordSet(s, set) // raises the fencing tokens too
 		return
 	}
 	write := recordSetWrite{key: set.key, recordSet: set, record: recordSetOf(set.machines, nil, nil)}
@@ -163,17 +167,17 @@
 	})
 }
 
-// splitRecordSet splits a record set of a shard of this node, of which no write is under way,
-// into several, in one transaction.
+// splitRecordSet splits a record set of a shard of this node into several in one transaction. No
+// write of the record set may be under way.
 func (c *Controller) splitRecordSet(s *shard, set *machineRecordSet) {
-	set.nextWriteAt = c.now + splitRetryDelay // also where it can't be done
+	set.nextWriteAt = c.now + splitRetryDelay // also if the transaction would be too large
 	writes := c.splitWrites(s, set)
 	if len(writes) > c.cfg.TxnOps {
 		c.log(Error, "machine record set can't be split in one transaction, it stays as it is", "batch", set.key, "machines", len(set.machines), "parts", len(writes))
 		return
 	}
 	c.log(Info, "machine record set split for smaller limits", "batch", set.key, "machines", len(set.machines), "parts", len(writes))
-	c.writeRecordSets(ownerKey(s.id), s.ownerEpoch, writes, func(writeOutcome) {}) // the watch shows it if it was applied
+	c.writeRecordSets(ownerKey(s.id), s.ownerEpoch, writes, func(writeOutcome) {}) // the watch shows whether it was applied
 }
 
 // splitWrites returns the writes that keep the first machines of a record set in it and move
@@ -193,7 +197,8 @@
 	return writes
 }
 
-// splitOneRecordSet splits one record set of a shard that is too large, if there is one.
+// splitOneRecordSet splits one record set of a shard if one is over the limit, the last split was
+// long enough ago, and this node's lease is valid.
 func (c *Controller) splitOneRecordSet(s *shard) {
 	if c.now < c.machineRecords.nextSplitAt || !c.ownership.leaseValid() {
 		return
--- a/internal/controller/machine_records.go
+++ b/internal/controller/machine_records.go
@@ -7,7 +7,8 @@
 	"garnethitch/internal/wire"
 )
 
-// applyMachineRecordSet takes a record set as it stands at a revision.
+// applyMachineRecordSet updates the machines of a record set from its value at a revision. It
+// ignores a value that is not newer than the one that this node has.
 func (c *Controller) applyMachineRecordSet(key string, rec wire.MachineRecordSet, modRevision uint64) {
 	shardID, name, ok := wire.ParseMachineRecordSetKey(key)
 	if !ok || shardID >= len(c.ownership.shards) {
@@ -23,8 +24,8 @@
 	}
 	set.modRevision = modRevision
 	s := c.ownership.shards[shardID]
-	// A machine that came to the record after this node's claim, and not from another shard,
-	// can't have been commanded by another node: a record is needed for that.
+	// A node commands only machines on record. So nobody else can have commanded a machine that
+	// was first recorded after this node's claim and did not come from another shard.
 	neverCommanded := created && isCreation(name) && modRevision > s.ownerEpoch
 	before := set.machines
 	set.machines = make([]*machine, 0, len(rec.Machines))
@@ -43,8 +44,8 @@
 	c.schedulingDue = true
 }
 
-// applyMachineRecord takes one machine of a record set. It returns nil if the machine has
-// moved to another record set since.
+// applyMachineRecord updates one machine from its entry in a record set, and returns it. It
+// returns nil if the machine has since moved to another record set.
 func (c *Controller) applyMachineRecord(set *machineRecordSet, kind wire.MachineKind, entry wire.MachineRecord) *machine {
 	m := c.machines[entry.ID]
 	switch {
@@ -56,8 +57,8 @@
 	case m.recordSet == set:
 		m.updateFromRecord(set.shard, kind, entry)
 		if m.view != nil {
-			// A move of it under the former revision can't be applied any more, whoever
-			// has rewritten the record set.
+			// The record set was rewritten, by this node or another. A move of the machine
+			// that is conditional on the former revision can't be applied any more.
 			m.view.releasing = false
 		}
 	case m.recordSet.modRevision > set.modRevision:
@@ -68,9 +69,9 @@
 	return m
 }
 
-// moveToRecordSet takes a machine that comes from another record set: one of its own shard
-// that was split, so that it stays where it is, with what is on it, under a higher fencing
-// token; or of another shard. Then it was idle, or it would not have moved.
+// moveToRecordSet moves a machine from its present record set to another. If both belong to the
+// same shard, the former was split: the machine keeps its view and its attempts, under a higher
+// fencing token. If the shards differ, the view ends; only idle machines move between shards.
 func (c *Controller) moveToRecordSet(m *machine, set *machineRecordSet, kind wire.MachineKind, entry wire.MachineRecord) {
 	from := m.recordSet
 	from.machines = slices.DeleteFunc(from.machines, func(other *machine) bool { return other == m })
@@ -88,7 +89,7 @@
 	}
 }
 
-// updateView ends what is known of a machine that is cordoned, and begins it for one that has
+// updateView drops the view of a machine that is cordoned, and creates one for a machine that has
 // come to a shard of this node.
 func (c *Controller) updateView(s *shard, m *machine, neverCommanded bool) {
 	if m.rec.Cordoned {
@@ -109,9 +110,9 @@
 	c.reconcileMachine(s, m)
 }
 
-// dropMachinesWithoutRecordSet drops the machines that stand in no record set any more, once
-// all that one transaction changed is known: what left one record set may have come into
-// another, in whatever order the changes arrive.
+// dropMachinesWithoutRecordSet drops the machines that stand in no record set any more. It is
+// called once all changes of a transaction have been applied: a machine that left one record set
+// may have been added to another, and the two changes arrive in any order.
 func (c *Controller) dropMachinesWithoutRecordSet() {
 	for _, m := range c.machineRecords.takeRemoved() {
 		if c.machines[m.id] == m && !slices.Contains(m.recordSet.machines, m) {
@@ -120,7 +121,8 @@
 	}
 }
 
-// updateFromRecord takes what a record says of a machine.
+// updateFromRecord sets the attributes of a machine from its entry in a record set. A known
+// address stays if the entry has none.
 func (m *machine) updateFromRecord(shard int, kind wire.MachineKind, entry wire.MachineRecord) {
 	m.rec.Shard = shard
 	m.rec.Cordoned = entry.Cordoned
@@ -132,14 +134,14 @@
 	}
 }
 
-// addToShard puts a machine into its shard's list, which is in order of name.
+// addToShard adds a machine to its shard's list, which is sorted by ID.
 func (o *ownershipState) addToShard(m *machine) {
 	s := o.shards[m.rec.Shard]
 	i, _ := slices.BinarySearchFunc(s.machines, m.id, compareMachineID)
 	s.machines = slices.Insert(s.machines, i, m)
 }
 
-// removeFromShard takes a machine out of its shard, and drops what is known of it there.
+// removeFromShard removes a machine from its shard's list and drops its view.
 func (c *Controller) removeFromShard(m *machine) {
 	c.ownership.setView(m, nil)
 	s := c.ownership.shards[m.rec.Shard]
@@ -148,10 +150,10 @@
 	}
 }
 
-// compareMachineID compares a machine with a name, for a binary search.
+// compareMachineID compares a machine's ID with id, for a binary search.
 func compareMachineID(m *machine, id string) int { return cmp.Compare(m.id, id) }
 
-// dropMachine removes a machine that is gone, and all on it.
+// dropMachine removes a machine that is off the record, with all attempts on it.
 func (c *Controller) dropMachine(m *machine) {
 	if m.view != nil {
 		c.freeAll(m, "machine gone", true)
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -2,20 +2,22 @@
 
 import "garnethitch/internal/micros"
 
-// machine is a machine on record.
+// machine is a machine that stands in a record set of the state service.
 type machine struct {
 	id        string
 	rec       machineRecord
 	recordSet *machineRecordSet
-	// agentEpoch is the last one that the machine showed to this node, under any lock: the
-	// first command to it names it, though it may be out of date.
+	// agentEpoch is the last agent epoch that the machine showed to this node, whether or not
+	// this node owned its shard then. The first command to the machine names it, even if it is
+	// out of date.
 	agentEpoch uint64
-	// returned is set if the cloud has confirmed its return, so it never comes back.
+	// returned is set once the cloud has confirmed the machine's return: it never comes back.
 	returned bool
 	view     *machineView // nil unless this node owns its shard
 }
 
-// machineRecord is what the records say of a machine.
+// machineRecord holds the attributes of a machine as its record set has them. The address may
+// come from a heartbeat or from the cloud's list.
 type machineRecord struct {
 	Shard            int
 	Cordoned         bool
@@ -23,7 +25,7 @@
 	Spot             bool
 }
 
-// machineView is what the owner of a machine's shard knows of it.
+// machineView is what the owner of a machine's shard knows of the machine beyond its record.
 type machineView struct {
 	reconciliationView
 	contactView
@@ -32,13 +34,13 @@
 	releaseView
 	attemptView
 
-	images         map[string]bool
-	nextPrefetchAt micros.Micros // no image is prefetched before
-	lastBusyAt     micros.Micros // when it last had something on it
-	reclaimAt      micros.Micros // when the cloud takes the machine away; 0: no notice
+	images         map[string]bool // the images in the machine's cache
+	nextPrefetchAt micros.Micros   // no image is prefetched before this time
+	lastBusyAt     micros.Micros   // when an attempt was last on the machine
+	reclaimAt      micros.Micros   // when the cloud reclaims the machine; 0: no notice
 }
 
-// newMachineView returns the view of a machine of which no heartbeat has come yet.
+// newMachineView returns the view of a machine that has not sent a heartbeat to this owner yet.
 func (sc *stepContext) newMachineView() *machineView {
 	return &machineView{
 		contactView:        contactView{lastHeartbeatAt: -micros.Never, lastReplyAt: -micros.Never, observedSince: sc.now},
@@ -50,17 +52,19 @@
 	}
 }
 
-// setView sets what this node knows of a machine; nil ends its ownership.
+// setView sets the view of a machine. A nil view means that this node does not own the machine's
+// shard any more, or that the machine is cordoned or gone.
 func (o *ownershipState) setView(m *machine, v *machineView) {
 	if m.view != nil {
-		m.view.usageStale = true // so that it is not put on the list of changes again
+		m.view.usageStale = true // keeps markDirty from listing the machine again
 	}
 	m.view = v
 	s := o.shards[m.rec.Shard]
 	s.recountAll = true
 }
 
-// fencingToken returns the token under which this node commands a machine of its shard.
+// fencingToken returns the fencing token under which this node, the owner of shard s, commands
+// machine m. It rises with each claim of the shard and each write of the machine's record set.
 func (c *Controller) fencingToken(s *shard, m *machine) uint64 {
 	return max(s.ownerEpoch, m.recordSet.modRevision)
 }
