--- a/internal/controller/inventory.go
+++ b/internal/controller/inventory.go
@@ -9,57 +9,60 @@
 	"garnethitch/internal/wire"
 )
 
-// What the cloud has: types of machines and the list of those that are rented.
+// What the leader reads from the cloud: the machine types and the list of the rented machines.
 
 const (
-	// typesInterval is the time between two reads of the machine types, firstTypesInterval that
-	// until they are known.
+	// typesInterval is the time between two reads of the machine types; firstTypesInterval
+	// applies until they are known.
 	typesInterval      = 30 * micros.Second
 	firstTypesInterval = micros.Second
-	// typesTimeout bounds the write of the machine types to the state service.
+	// typesTimeout is how long a write of the machine types to the state service may take.
 	typesTimeout = 2 * micros.Second
-	// maxTypes bounds the machine types.
+	// maxTypes is the largest number of machine types; further ones are ignored.
 	maxTypes = 1000
 
-	// listPageSize is the largest page that the cloud gives.
+	// listPageSize is the number of machines in the largest page that the cloud returns.
 	listPageSize = 500
-	// listRetryInterval is the time after which the list is read again if that has failed.
+	// listRetryInterval is the time after which a failed read of the list is repeated.
 	listRetryInterval = micros.Second
-	// minListInterval is the least time between two readings of the list. They also take one
-	// request in listBudgetDivisor of the budget at most, or they would crowd out rentals.
+	// minListInterval is the least time between two reads of the list. The reads also take at
+	// most one in listBudgetDivisor of the requests that the rate limit allows: more would
+	// crowd out rentals.
 	minListInterval   = 2 * micros.Second
 	listBudgetDivisor = 4
 
-	// returnedRetention is how long a returned machine that is on no record is remembered,
-	// releaseMemory a request to release a machine.
+	// returnedRetention is how long a returned machine that is on no record is remembered, and
+	// releaseRequestRetention how long a request to release a machine is.
 	returnedRetention       = 10 * micros.Minute
 	releaseRequestRetention = micros.Minute
 )
 
-// cloudTypes is when and how the machine types were last read and stored.
+// cloudTypes is the state of reading the machine types from the cloud and storing them in the
+// state service.
 type cloudTypes struct {
-	typesReadAt       micros.Micros // when they were last read
-	typesReadInFlight bool          // they are being read
-	storedTypes       []byte        // as last stored
-	typesModRevision  uint64        // of the record's key, as the watch has it
+	typesReadAt       micros.Micros // when the machine types were last read
+	typesReadInFlight bool          // a read is under way
+	storedTypes       []byte        // the encoded machine types as last stored
+	typesModRevision  uint64        // the modification revision of their key, as the watch has it
 }
 
-// cloudList is the cloud's list of machines.
+// cloudList is the cloud's list of machines and the state of reading it.
 type cloudList struct {
 	listed    map[string]wire.ListedMachine
-	listedIDs []string      // their IDs, in the order of the list
-	listedAt  micros.Micros // when the last complete reading began; 0: none yet
-	// unlistedSince says since when machines on record have not been listed.
+	listedIDs []string      // the machines' IDs, in the order of the list
+	listedAt  micros.Micros // when the last complete read of the list began; 0: none yet
+	// unlistedSince holds, for each machine on record that is not listed, when that was first
+	// seen.
 	unlistedSince map[string]micros.Micros
 
-	nextListAt        micros.Micros // when it is next read
-	listReadInFlight  bool          // a page is being read
-	listReadStartedAt micros.Micros // when the reading under way began
-	pages             []wire.ListedMachine
-	lastReadID        string // the last machine of the pages read; empty: none
+	nextListAt        micros.Micros        // when the next page may be requested
+	listReadInFlight  bool                 // a page is being read
+	listReadStartedAt micros.Micros        // when the present read of the list began
+	pages             []wire.ListedMachine // the machines of the pages read so far
+	lastReadID        string               // the last machine of these pages; empty: none
 }
 
-// reset forgets the list.
+// reset clears the list, and abandons a read that is under way.
 func (l *cloudList) reset() {
 	l.listed = nil
 	l.listedIDs = nil
@@ -70,9 +73,9 @@
 	l.lastReadID = ""
 }
 
-// refreshTypes keeps the machine types known: the leader asks the cloud and leaves them in the
-// state service for the others, so that a controller that starts during an outage of the cloud
-// knows them too.
+// refreshTypes reads the machine types from the cloud when a read is due. The leader stores them in
+// the state service for the other controllers, so that one that starts during an outage of the
+// cloud knows them too.
 func (c *Controller) refreshTypes() {
 	f := &c.fleet
 	if f.typesReadInFlight || !c.typesDue() {
@@ -87,7 +90,8 @@
 	})
 }
 
-// typesDue reports whether this controller is to ask the cloud for the machine types.
+// typesDue reports whether this controller is to read the machine types from the cloud: the leader
+// at each interval, and any controller that does not know them.
 func (c *Controller) typesDue() bool {
 	if !c.types.known() {
 		return c.ownership.controlWatch.Ready() && c.now >= c.fleet.typesReadAt+firstTypesInterval
@@ -95,8 +99,8 @@
 	return c.ownership.leading() && c.now >= c.fleet.typesReadAt+typesInterval
 }
 
-// applyTypes takes in machine types from the cloud, or else from the state service. A leader takes
-// them from the cloud, and stores them.
+// applyTypes uses machine types read from the cloud or the state service. A leader stores those
+// from the cloud, and ignores those from the state service once it knows the types.
 func (c *Controller) applyTypes(mt wire.MachineTypes, fromCloud bool) {
 	types := usableTypes(mt)
 	if len(types) == 0 || !fromCloud && c.types.known() && c.ownership.leading() {
@@ -112,7 +116,7 @@
 	}
 }
 
-// usableTypes returns the machine types that make sense, by name. Their zones are sorted.
+// usableTypes returns the valid machine types, at most maxTypes, by name. Their zones are sorted.
 func usableTypes(mt wire.MachineTypes) map[string]wire.MachineType {
 	types := map[string]wire.MachineType{}
 	for _, t := range mt.Types {
@@ -126,8 +130,7 @@
 	return types
 }
 
-// usableType reports whether a machine type has a name and no figure that is negative or not a
-// number.
+// usableType reports whether a machine type has a name, and no number in it is negative or NaN.
 func usableType(t wire.MachineType) bool {
 	for _, figure := range []float64{t.CPUs, t.GPUs, t.MemGB, t.Price, t.SpotPrice} {
 		if !(figure >= 0) {
@@ -137,7 +140,7 @@
 	return t.Name != ""
 }
 
-// storeTypes leaves the machine types in the state service if they have changed.
+// storeTypes writes the machine types to the state service if they have changed.
 func (c *Controller) storeTypes(mt wire.MachineTypes) {
 	value, err := wire.Encode(mt)
 	if err != nil || string(value) == string(c.fleet.storedTypes) || !c.storable(value) {
@@ -157,7 +160,7 @@
 	})
 }
 
-// refreshList keeps the cloud's list of machines, which is read page by page.
+// refreshList reads the next page of the cloud's list of machines when a read is due.
 func (c *Controller) refreshList() {
 	f := &c.fleet
 	if f.listReadInFlight || c.now < f.nextListAt {
@@ -177,7 +180,8 @@
 	})
 }
 
-// handleListPage takes in a page of the cloud's list.
+// handleListPage processes a page of the cloud's list. A failed read starts again with the first
+// page.
 func (c *Controller) handleListPage(r Result) {
 	f := &c.fleet
 	body, ok := r.Body.(*wire.MachineList)
@@ -196,7 +200,7 @@
 	c.compareList()
 }
 
-// complete makes the pages that were read the list.
+// complete replaces the list with the pages that were read. Each machine counts once.
 func (l *cloudList) complete() {
 	l.listed = make(map[string]wire.ListedMachine, len(l.pages))
 	l.listedIDs = l.listedIDs[:0]
@@ -210,15 +214,15 @@
 	l.lastReadID = ""
 }
 
-// listInterval returns the time after which a list of so many machines is read again.
+// listInterval returns the time between two reads of a list of the given number of machines.
 func (f *fleetState) listInterval(machines int) micros.Micros {
 	pages := float64(machines/listPageSize + 1)
 	withinBudget := micros.FromSeconds(listBudgetDivisor * pages / f.budget.Rate())
 	return max(f.cfg.ListLag/2, minListInterval, withinBudget)
 }
 
-// compareList compares the cloud's list with the machines on record, and forgets what has become
-// too old to matter.
+// compareList compares the cloud's list with the machines on record, and removes outdated entries
+// of the maps that hold returned and unlisted machines and release requests.
 func (c *Controller) compareList() {
 	for _, s := range c.ownership.shards {
 		for _, m := range s.machines {
@@ -243,8 +247,8 @@
 	}
 }
 
-// compareWithList notes since when the cloud has not listed a machine on record, and learns the
-// address of one that it lists.
+// compareWithList records since when a machine on record has not been listed. If it is listed and
+// has no address yet, it gets that of the list.
 func (f *fleetState) compareWithList(m *machine) {
 	l, listed := f.listed[m.id]
 	if !listed {
--- a/internal/controller/machine_assignment.go
+++ b/internal/controller/machine_assignment.go
@@ -11,19 +11,20 @@
 	"garnethitch/internal/wire"
 )
 
-// recordSetCreation is a record set that the leader is recording. It is sent again, under the
-// same key, until it is clear that it stands or never can: a late copy could
-// record its machines at any time, so they are assigned nowhere else meanwhile.
+// recordSetCreation is the creation of a record set by the leader. The write is repeated under the
+// same key until the record set is known to stand, or the leadership ends. The machines are
+// assigned to no other record set meanwhile, since a late copy of the write could still record
+// them.
 type recordSetCreation struct {
 	key           string
 	rec           wire.MachineRecordSet
 	inFlight      bool
 	nextSendAt    micros.Micros
-	registrations []registration // of its machines, answered with the first result
+	registrations []registration // of the machines in rec; answered after the first reply
 }
 
-// assignMachines records machines, each with the shard that lacks most of its part
-// of the fleet.
+// assignMachines assigns machines to the shards that are furthest below their targets, and creates
+// record sets for them. origin is the prefix of the record sets' names.
 func (c *Controller) assignMachines(origin string, list []unassignedMachine, demand map[int]*peer.Demand, registrations []registration) {
 	if len(list) == 0 {
 		return
@@ -43,8 +44,8 @@
 	}
 }
 
-// countCapacity returns the CPUs of each shard, those of records under way among them, and
-// the sum of these and of machines to be assigned.
+// countCapacity returns the CPUs of each shard, including those of pending record sets, and the
+// sum of these and of the machines to be assigned.
 func (c *Controller) countCapacity(list []unassignedMachine) (capacity map[int]float64, total float64) {
 	capacity = map[int]float64{}
 	for _, m := range list {
@@ -71,9 +72,9 @@
 	return capacity, total
 }
 
-// chooseShards distributes machines over the shards by target and present CPUs, and adds them
-// to capacity. Machines that come up together stay together as long as their shard lacks
-// some: a record set for each shard would take as many writes.
+// chooseShards distributes machines over the shards by target and present CPUs, and adds their CPUs
+// to capacity. Consecutive machines go to the same shard as long as it is below its target: to
+// spread them over all shards would take a write for each shard.
 func (c *Controller) chooseShards(list []unassignedMachine, target, capacity map[int]float64) map[int][]unassignedMachine {
 	byShard := map[int][]unassignedMachine{}
 	chosen := -1
@@ -88,8 +89,8 @@
 	return byShard
 }
 
-// shardLackingMost returns the shard that is furthest below its target; where nothing waits,
-// the one with the least capacity. otherwise is returned if there is none.
+// shardLackingMost returns the shard that is furthest below its target. If no tasks wait, that is
+// the one with the least capacity. It returns otherwise if there is no shard.
 func (c *Controller) shardLackingMost(target, capacity map[int]float64, otherwise int) int {
 	most := otherwise
 	largestGap := math.Inf(-1)
@@ -103,7 +104,8 @@
 	return most
 }
 
-// createRecordSet records machines of one shard, and takes over their registrations.
+// createRecordSet begins to create a record set of machines of one shard, and takes over their
+// registrations.
 func (c *Controller) createRecordSet(origin string, s *shard, machines []unassignedMachine, registrations []registration) {
 	f := &c.fleet
 	creation := &recordSetCreation{key: wire.MachineRecordSetKey(s.id, c.machineRecords.newName(origin, c.ownership.leader.ownerEpoch))}
@@ -121,14 +123,14 @@
 	c.sendCreation(creation)
 }
 
-// maintainCreations sends record sets again that are not known to stand.
+// maintainCreations repeats the writes of the record sets that are not known to stand.
 func (c *Controller) maintainCreations() {
 	for _, key := range sortedKeys(c.fleet.pendingCreations) {
 		c.sendCreation(c.fleet.pendingCreations[key])
 	}
 }
 
-// sendCreation writes a record set, unless it is in flight or was sent a short time ago.
+// sendCreation writes a record set, unless a write of it is in flight or was sent a short time ago.
 func (c *Controller) sendCreation(creation *recordSetCreation) {
 	if creation.inFlight || c.now < creation.nextSendAt {
 		return
@@ -146,25 +148,26 @@
 		if outcome == writeApplied || c.machineRecords.sets[creation.key] != nil {
 			c.fleet.endCreation(creation)
 		}
-		// Else it is sent again. If it stands already, the watch shows it.
+		// Otherwise maintainCreations repeats it. If it stands already, the watch shows it.
 	})
 }
 
-// answerRegistrations answers the heartbeats that wait for a record set.
+// answerRegistrations answers the heartbeats of the machines that registered, after the first
+// outcome of writing their record set.
 func (c *Controller) answerRegistrations(creation *recordSetCreation, outcome writeOutcome) {
 	registrations := creation.registrations
 	creation.registrations = nil
 	for _, reg := range registrations {
 		if outcome == writeApplied {
-			c.handleHeartbeat(reg.in) // which redirects it to its owner
+			c.handleHeartbeat(reg.in) // now on record: answered here, or redirected to the owner
 		} else {
 			c.refuseRegistration(reg.in)
 		}
 	}
 }
 
-// endCreation ends the work on a record set that stands, so that its machines may be assigned
-// again.
+// endCreation removes the pending creation of a record set that stands. Its machines may be
+// assigned again once they are off the record.
 func (f *fleetState) endCreation(creation *recordSetCreation) {
 	delete(f.pendingCreations, creation.key)
 	for _, m := range creation.rec.Machines {
--- a/internal/controller/machine_attempts.go
+++ b/internal/controller/machine_attempts.go
@@ -6,19 +6,19 @@
 	"garnethitch/internal/wire"
 )
 
-// attemptView is what is on a machine. Each attempt stands in the map and in the list;
-// usage holds unless usageStale is set.
+// attemptView is the set of attempts on a machine, and the capacity that they use. Each attempt is
+// both in the map and in the list. usage is valid unless usageStale is set.
 type attemptView struct {
 	attempts      map[attemptKey]*attempt
-	attemptList   []*attempt        // the same, in the order in which they were added
-	lastTaskList  []wire.TaskStatus // the list last applied in whole,
-	lastSeenRound uint64            // in this round of applyTaskList
+	attemptList   []*attempt        // the attempts in the order in which they were added
+	lastTaskList  []wire.TaskStatus // the task list that applyTaskList last applied completely
+	lastSeenRound uint64            // the round of applyTaskList that applied lastTaskList
 	usage         machineUsage
-	usageStale    bool // usage is to be counted again
+	usageStale    bool // usage must be counted again
 	reservation   reservation
 }
 
-// empty reports whether no attempt on the machine matters any more.
+// empty reports whether each attempt on the machine has exited and its outcome has been handled.
 func (v *machineView) empty() bool {
 	for _, att := range v.attemptList {
 		if att.state != attemptExited || !att.outcomeHandled {
@@ -28,7 +28,7 @@
 	return true
 }
 
-// busy reports whether something on the machine still runs or may.
+// busy reports whether an attempt on the machine has not exited: it runs or may still run.
 func (v *machineView) busy() bool {
 	for _, att := range v.attemptList {
 		if att.state != attemptExited {
@@ -38,7 +38,7 @@
 	return false
 }
 
-// attemptsCopy returns a machine's attempts; they may be dropped meanwhile.
+// attemptsCopy returns a copy of attemptList, so that a loop over it may drop attempts.
 func (v *machineView) attemptsCopy() []*attempt { return slices.Clone(v.attemptList) }
 
 // put adds an attempt to the machine.
@@ -55,13 +55,13 @@
 	}
 }
 
-// addAttempt puts an attempt on a machine's list.
+// addAttempt adds an attempt to its machine's view.
 func (c *Controller) addAttempt(att *attempt) {
 	att.machine.view.put(att)
 	c.ownership.markDirty(att.machine)
 }
 
-// dropAttempt removes an attempt from its machine's list.
+// dropAttempt removes an attempt from its machine's view, if the view still holds it.
 func (c *Controller) dropAttempt(att *attempt) {
 	v := att.machine.view
 	if v == nil || v.attempts[att.key] != att {
@@ -71,7 +71,8 @@
 	c.ownership.markDirty(att.machine)
 }
 
-// markDirty notes that something about a machine's attempts has changed.
+// markDirty marks a machine's usage as stale and lists the machine for the next count of its
+// shard's usage.
 func (o *ownershipState) markDirty(m *machine) {
 	if v := m.view; v != nil && !v.usageStale {
 		v.usageStale = true
--- a/internal/controller/machine_health.go
+++ b/internal/controller/machine_health.go
@@ -7,41 +7,50 @@
 	"garnethitch/internal/wire"
 )
 
-// healthView is the evidence that a machine is unhealthy: the jobs whose tasks failed there,
-// slowness, refused starts. A cordoned machine takes no tasks until cordonedUntil.
+// healthView is the evidence that a machine is unhealthy: failed tasks by job, long run times and
+// refused starts. The machine is given no tasks until cordonedUntil.
 type healthView struct {
-	failuresByJob map[string]int // since a task was last completed
+	failuresByJob map[string]int // number of failed tasks since a task was last completed there
 	cordonedUntil micros.Micros
-	faulty        bool // cordoned for failures
-	// logRunTimeRatioSum and runTimeWeight: how much longer than expected its tasks ran, and how many; both
-	// decay.
+	faulty        bool // cordoned because tasks failed
+	// logRunTimeRatioSum is the sum of the logarithms of the tasks' run times divided by the
+	// expected ones, and runTimeWeight the number of these tasks. With each further run time
+	// the earlier ones lose weight in both.
 	logRunTimeRatioSum, runTimeWeight float64
-	backoffUntil                      micros.Micros // nothing is started before, after a refused start
+	backoffUntil                      micros.Micros // no start is sent before this time, after a refused one
 }
 
-// Bounds from which on failures count as the fault of a machine or a job.
+// Thresholds from which on failures count as the fault of a machine or of a job.
 const (
-	// faultyMachineAfterJobs is how many jobs must fail on a machine.
+	// faultyMachineAfterJobs is how many jobs must have failed tasks on a machine for it to be at
+	// fault.
 	faultyMachineAfterJobs = 2
-	// faultyMachineAfterFailuresOfProvenJob is how many tasks must fail that run well elsewhere.
+	// faultyMachineAfterFailuresOfProvenJob is how many tasks must fail on a machine for it to be
+	// at fault if the job of the last one completes or runs tasks elsewhere.
 	faultyMachineAfterFailuresOfProvenJob = 2
-	// faultyMachineAfterFailures is how many tasks must fail, whatever their jobs.
+	// faultyMachineAfterFailures is how many tasks must fail on a machine for it to be at fault,
+	// whatever their jobs.
 	faultyMachineAfterFailures = 3
-	// faultyJobAfterMachines is on how many machines a job must fail.
+	// faultyJobAfterMachines is on how many machines a job must fail to be at fault.
 	faultyJobAfterMachines = 3
-	// runsWellFactor is how many tasks of a job must run well for each machine where one failed,
-	// for the job not to be at fault.
+	// runsWellFactor is how many tasks of a job must run well for each machine on which one
+	// failed, for the job not to be at fault.
 	runsWellFactor = 2
-	// runsWellMargin is added to the longest time that a failed task had run.
+	// runsWellMargin is by how much longer a task must have run than any failed task of its job
+	// to count as running well.
 	runsWellMargin = micros.Second
-	// provenRunTime is how long a task must have run elsewhere to show that its job can.
+	// provenRunTime is how long a task must have run on another machine to show that the job's
+	// tasks can run.
 	provenRunTime = 5 * micros.Second
 
-	minRetryBackoff = 4 * micros.Second // of a job that fails everywhere
+	// minRetryBackoff and maxRetryBackoff bound the time between two tries of a job that fails
+	// on every machine.
+	minRetryBackoff = 4 * micros.Second
 	maxRetryBackoff = micros.Minute
 )
 
-// recordFailure records a failed task, and decides whether the machine or the job is at fault.
+// recordFailure records a failed task. It throttles the job or cordons the machine if one of them
+// is at fault.
 func (c *Controller) recordFailure(att *attempt) {
 	j, m := att.job, att.machine
 	m.view.failuresByJob[j.id]++
@@ -63,8 +72,9 @@
 	}
 }
 
-// throttleFailingJob has the tasks of a job that fails everywhere tried one at a time, ever
-// less often, until its user cancels it. The protocol has no answer that says "failed".
+// throttleFailingJob has the tasks of a job that fails on every machine tried one at a time, with
+// exponential backoff, until its user cancels it. The job stays open, since the protocol has no
+// state for a failed job.
 func (c *Controller) throttleFailingJob(j *job) {
 	r := j.run
 	if r.retryBackoff == 0 {
@@ -74,8 +84,8 @@
 	r.nextRetryAt = c.now + r.retryBackoff
 }
 
-// clearFailuresOf removes the failures of a job from the records of machines, and uncordons those
-// that were cordoned for them alone: the job is at fault.
+// clearFailuresOf removes the failures of a job that is at fault from the views of machines. It
+// uncordons the machines that were cordoned for these failures alone.
 func (c *Controller) clearFailuresOf(j *job) {
 	for id := range j.run.failuresByMachine {
 		m := c.machines[id]
@@ -91,7 +101,7 @@
 	}
 }
 
-// machineAtFault reports whether a machine on which a task of a job has just failed is at fault.
+// machineAtFault reports whether machine m, on which a task of job j has just failed, is at fault.
 func (c *Controller) machineAtFault(m *machine, j *job) bool {
 	v := m.view
 	if len(v.failuresByJob) >= faultyMachineAfterJobs {
@@ -113,7 +123,8 @@
 	return failures
 }
 
-// cordonFaulty cordons a machine on which tasks fail, and frees what has not been sent to it.
+// cordonFaulty cordons a machine on which tasks fail, and frees the attempts whose starts have not
+// been sent to it.
 func (c *Controller) cordonFaulty(m *machine) {
 	v := m.view
 	if !v.faulty {
@@ -128,10 +139,10 @@
 	}
 }
 
-// jobAtFault reports whether a job has failed on several machines and never completed a task.
-// A large array runs on hundreds of machines, some of which may be faulty: where
-// more of its tasks have run for longer than it took the others to fail, the job
-// is not at fault.
+// jobAtFault reports whether a job has failed on several machines, has never completed a task, and
+// has few tasks that run well. The last condition is for large arrays: such a job runs on hundreds
+// of machines, some of which may be faulty. A task runs well if it has run for longer than any
+// failed task of its job had.
 func (c *Controller) jobAtFault(j *job) bool {
 	r := j.run
 	if len(r.failuresByMachine) < faultyJobAfterMachines || r.doneCount > 0 {
@@ -146,7 +157,8 @@
 	return runningWell < runsWellFactor*len(r.failuresByMachine)
 }
 
-// provenElsewhere reports whether the job's tasks complete or run on other machines.
+// provenElsewhere reports whether the job has completed a task or runs one on another machine than
+// m for long enough.
 func (c *Controller) provenElsewhere(j *job, m *machine) bool {
 	if j.run.doneCount > 0 {
 		return true
@@ -159,20 +171,22 @@
 	return false
 }
 
-// avoidsMachine reports whether a task must not run on a machine: one that failed again goes to
-// another machine than those where its job failed; a first failure may use the same one.
+// avoidsMachine reports whether a task must not run on a machine on which its job has failed. After
+// one failure the same machine may be used again; after a second failure of the task, or of the job
+// on that machine, another one is used.
 func (c *Controller) avoidsMachine(j *job, idx int, m *machine) bool {
 	failuresHere := j.run.failuresByMachine[m.id]
 	if failuresHere == 0 {
 		return false
 	}
 	if j.run.retryBackoff != 0 {
-		return false // it fails everywhere, no machine is better
+		return false // the job fails on every machine, so no other one is better
 	}
 	return failuresHere >= 2 || j.run.failuresByTask[idx] >= 2
 }
 
-// recordReclaimNotice takes the notice that the cloud will reclaim a spot machine.
+// recordReclaimNotice records the notice that the cloud will reclaim a spot machine, if the
+// heartbeat carries one, and drains the machine.
 func (c *Controller) recordReclaimNotice(m *machine, heartbeat *wire.Heartbeat) {
 	if heartbeat.NoticeS == nil {
 		return
@@ -185,12 +199,13 @@
 	c.drain(m)
 }
 
-// drainSaveMargin is what must remain before a reclaim beside the time that a task takes to
-// save.
+// drainSaveMargin is the least time that must remain between the end of a save and the reclaim of
+// the machine.
 const drainSaveMargin = micros.Second / 2
 
-// drain empties a machine that will be reclaimed: tasks that can save do so in
-// time, those that won't be done by then start again elsewhere at once.
+// drain stops the tasks on a machine that will be reclaimed. Tasks that can save in time do so.
+// Those that do not run yet, and others that won't be done by then, are stopped at once and start
+// again elsewhere.
 func (c *Controller) drain(m *machine) {
 	left := m.view.reclaimAt - c.now
 	for _, att := range m.view.attemptsCopy() {
@@ -203,8 +218,8 @@
 	}
 }
 
-// drainMode says how an attempt is to be stopped, if at all, with some time left until its
-// machine is reclaimed.
+// drainMode returns how an attempt is to be stopped, if at all, when its machine is reclaimed after
+// the time left.
 func (c *Controller) drainMode(att *attempt, left micros.Micros) stopMode {
 	if att.state < attemptRunning {
 		return stopImmediate
@@ -220,19 +235,21 @@
 }
 
 const (
-	// runTimeDecay is by how much earlier run times lose weight with each further one.
+	// runTimeDecay is the factor by which the weight of earlier run times decreases with each
+	// further one.
 	runTimeDecay = 0.9
-	// maxLogRunTimeRatio bounds the logarithm of one run time's ratio to the expected one.
+	// maxLogRunTimeRatio bounds the absolute logarithm of one run time's ratio to the expected one.
 	maxLogRunTimeRatio = 1.5
-	// minRunTimeWeight is how many run times it takes to call a machine slow.
+	// minRunTimeWeight is the weight of run times below which no machine counts as slow.
 	minRunTimeWeight = 2
-	// priorRunTimeWeight is how many run times as expected are added to those seen.
+	// priorRunTimeWeight is the weight of the run times, equal to the expected ones, that are
+	// added to those observed.
 	priorRunTimeWeight = 2
-	// minSlowness is the slowness up to which a machine counts as ordinary.
+	// minSlowness is the slowness below which a machine counts as ordinary.
 	minSlowness = 0.3
 )
 
-// recordRunTime compares a run time with what the job's class led to expect.
+// recordRunTime records a task's run time on a machine, relative to the estimate for its job.
 func (c *Controller) recordRunTime(m *machine, j *job, runTime micros.Micros) {
 	expected := c.estimates.Expect(j.sub)
 	if expected <= 0 || runTime <= 0 {
@@ -245,8 +262,8 @@
 	v.runTimeWeight = v.runTimeWeight*runTimeDecay + 1
 }
 
-// slowness is 0 for an ordinary machine and grows with how much longer its
-// tasks take: the mean logarithm of run time to expected run time.
+// slowness returns the mean logarithm of the ratio of run time to expected run time on a machine,
+// or 0 for an ordinary machine.
 func (c *Controller) slowness(m *machine) float64 {
 	v := m.view
 	if v.runTimeWeight < minRunTimeWeight {
--- a/internal/controller/machine_maintenance.go
+++ b/internal/controller/machine_maintenance.go
@@ -4,7 +4,7 @@
 	"garnethitch/internal/peer"
 )
 
-// maintainMachines does what time alone brings to the machines of this node's shards.
+// maintainMachines runs the periodic work on the shards that this node owns and on their machines.
 func (c *Controller) maintainMachines() {
 	c.commandQueue.resetProbes()
 	for _, s := range c.ownership.shards {
@@ -34,7 +34,8 @@
 	return ready
 }
 
-// releaseByPlan releases machines by their plans; those with the same plan go together.
+// releaseByPlan releases machines by their planned releases. Machines with the same destination are
+// released together.
 func (c *Controller) releaseByPlan(ready []*machine) {
 	for len(ready) > 0 {
 		plan := ready[0].view.plannedRelease
@@ -51,7 +52,7 @@
 	}
 }
 
-// sameDestination reports whether two releases can be recorded together.
+// sameDestination reports whether machines of the two releases can be released by one transaction.
 func sameDestination(a, b peer.Release) bool {
 	return a.Cordon == b.Cordon && a.Shard == b.Shard
 }
@@ -87,8 +88,8 @@
 // before its fencing token is raised so that they can be cleared.
 const maxUnclearedAttempts = 24
 
-// needsHigherToken reports whether a machine's fencing token is to be raised: above commands
-// that are in doubt, or so that attempts can be cleared.
+// needsHigherToken reports whether a machine's fencing token is to be raised: to void commands that
+// are in doubt, or so that exited attempts can be cleared.
 func (c *Controller) needsHigherToken(s *shard, m *machine) bool {
 	if !c.ownership.leaseValid() {
 		return false
@@ -101,7 +102,8 @@
 	return len(v.attemptList) > maxUnclearedAttempts && v.unclearedAttempts(fencingToken) > maxUnclearedAttempts
 }
 
-// unclearedAttempts counts the attempts that wait for a fencing token above the current one.
+// unclearedAttempts counts the attempts with handled outcomes that can be cleared only under a
+// higher fencing token than the given one.
 func (v *machineView) unclearedAttempts(fencingToken uint64) int {
 	n := 0
 	for _, att := range v.attemptList {
--- a/internal/controller/machine_release.go
+++ b/internal/controller/machine_release.go
@@ -8,19 +8,20 @@
 	"garnethitch/internal/wire"
 )
 
-// releaseView is how a machine leaves its shard: releasing while a transaction that
-// takes it out may be carried out, planned while it is emptied for that.
+// releaseView is the state of a machine's release: its move to another shard, or its retirement. A
+// planned release waits until the machine is empty.
 type releaseView struct {
-	releasing      bool
+	releasing      bool // a transaction that releases the machine may still be applied
 	plannedRelease peer.Release
-	plannedUntil   micros.Micros // the plan is void then, unless it is requested again
+	plannedUntil   micros.Micros // when the plan expires, unless the leader requests it again
 }
 
-// releasePlanSpan is how long a plan to release a machine holds after the leader's request.
+// releasePlanSpan is how long a planned release is valid after the leader's request.
 const releasePlanSpan = 4 * micros.Second
 
-// release releases machines at the leader's request: at once those that are idle, others when
-// they are empty, if they may be drained. It reports whether it has begun with any.
+// release releases machines at the leader's request. Those that may be released now are released
+// at once. Others are released when they are empty, if the request allows to drain them. It reports
+// whether it has sent a transaction.
 func (c *Controller) release(r peer.Release) bool {
 	if r.Shard < 0 || r.Shard >= len(c.ownership.shards) {
 		return false
@@ -50,11 +51,12 @@
 	return s != nil && (r.Cordon || r.Shard != s.id)
 }
 
-// planRelease has a machine emptied and released then.
+// planRelease plans to release a machine once it is empty, and has its tasks saved if the request
+// says so.
 func (c *Controller) planRelease(m *machine, r peer.Release) {
 	plan := r
 	plan.Machines = nil
-	plan.Drain = false // or it would prolong itself
+	plan.Drain = false // a plan that drains would extend itself
 	m.view.plannedRelease = plan
 	m.view.plannedUntil = c.now + releasePlanSpan
 	if r.Save {
@@ -62,14 +64,14 @@
 	}
 }
 
-// releaseTxn is what one transaction releases.
+// releaseTxn holds the machines that one transaction releases.
 type releaseTxn struct {
 	writes   []recordSetWrite // of the record sets that the machines leave
 	machines []*machine
 }
 
-// releaseMachines writes the records by which machines move or retire, as many in
-// one transaction as fit. It reports whether it has sent any.
+// releaseMachines sends the transactions that move machines to another shard or cordon them, with
+// as many machines in each as fit. It reports whether it has sent one.
 func (c *Controller) releaseMachines(machines []*machine, r peer.Release) bool {
 	if !c.ownership.leaseValid() {
 		return false
@@ -88,10 +90,10 @@
 	return sent
 }
 
-// releaseTxns distributes machines of one shard over transactions; those of one record set go
-// together.
+// releaseTxns distributes machines of one shard over transactions. Machines of one record set are
+// released by the same transaction.
 func (c *Controller) releaseTxns(machines []*machine, r peer.Release) []releaseTxn {
-	maxRecordSets := max(c.cfg.TxnOps-1, 1) // one change adds them elsewhere
+	maxRecordSets := max(c.cfg.TxnOps-1, 1) // one change creates the record set of the moved machines
 	chosen := map[*machine]bool{}
 	for _, m := range machines {
 		chosen[m] = true
@@ -131,8 +133,8 @@
 	return out
 }
 
-// releaseWrite returns the write of a record set some machines of which are released: they are
-// cordoned in it if they retire, and leave it otherwise.
+// releaseWrite returns the write of a record set from which machines are released. They are marked
+// as cordoned if they retire, and removed from the record set if they move.
 func (c *Controller) releaseWrite(set *machineRecordSet, released []*machine, r peer.Release) recordSetWrite {
 	isReleased := func(m *machine) bool { return slices.Contains(released, m) }
 	write := recordSetWrite{key: set.key, recordSet: set}
@@ -168,15 +170,16 @@
 	})
 }
 
-// applyReleaseOutcome deals with a machine whose release was sent and that is still here.
+// applyReleaseOutcome updates a machine that this node still owns after its release was sent.
 func (c *Controller) applyReleaseOutcome(s *shard, m *machine, outcome writeOutcome) {
 	switch outcome {
 	case writeApplied:
 	case writeNotApplied:
 		m.view.releasing = false
 	case writeInDoubt:
-		// The watch shows it if it was applied. A late copy may still come, so
-		// nothing is placed here until the record has been rewritten.
+		// The watch shows the release if it was applied. Since the write may still be applied,
+		// releasing stays set and the machine is given no tasks until its record set has been
+		// rewritten.
 		m.view.inDoubtToken = max(m.view.inDoubtToken, c.fencingToken(s, m))
 	}
 }
--- a/internal/controller/maintenance.go
+++ b/internal/controller/maintenance.go
@@ -2,33 +2,34 @@
 
 import "garnethitch/internal/micros"
 
-// The time between two runs of maintain: the longer one if every shard has an owner and is
-// reconciled. Each run wakes the process, even if nothing is due.
+// The time between two runs of maintain. idleMaintenanceInterval applies if this controller's view
+// is complete, each shard has an owner, and each shard that it owns is recovered. It is longer
+// because each run wakes the process, even if nothing is due.
 const (
 	activeMaintenanceInterval = 100 * micros.Millisecond
 	idleMaintenanceInterval   = 300 * micros.Millisecond
 )
 
-// A scheduling round, or a walk over all machines and jobs, is followed by restFactor times
-// what it took, at most maxRest, without another: on a processor that does not suffice, lease
-// renewals, heartbeats and answers must still be served in time.
+// After a scheduling round, or a walk over all machines and jobs, the next one is put off for
+// restFactor times as long as it took, but at most for maxRest: on a processor that is too slow,
+// lease renewals, heartbeats and answers must still be served in time.
 const (
 	restFactor = 4
 	maxRest    = 2 * micros.Second
 )
 
-// stallThreshold is the time since maintenance last ran from which on the process is taken to
-// have been stalled: it had no processor time, or was frozen.
+// stallThreshold is the time since maintenance last ran above which the process is taken to have
+// been stalled, because it got no processor time or was suspended.
 const stallThreshold = micros.Second
 
-// maintenanceState is what maintenance keeps between steps.
+// maintenanceState is the state of maintenance between steps.
 type maintenanceState struct {
 	lastRunAt      micros.Micros // when maintain last ran
 	nextWalkAt     micros.Micros // when maintain may next walk over all machines and jobs
-	walkedLastStep bool          // the step before walked over all machines and jobs
+	walkedLastStep bool          // the last step walked over all machines and jobs
 }
 
-// Work is what one step cost, by a measure that does not depend on the machine it runs on.
+// Work is the cost of one step, in a measure that does not depend on the speed of the computer.
 type Work struct {
 	// Visited counts the machines, jobs and attempts that were visited.
 	Visited uint64
@@ -37,20 +38,20 @@
 	Round bool
 }
 
-// LastWork returns what the last step cost.
+// LastWork returns the cost of the last step.
 func (c *Controller) LastWork() Work {
 	return Work{Visited: c.visited - c.visitedBefore, Round: c.scheduling.scheduledLastStep || c.maintenance.walkedLastStep}
 }
 
-// Wake returns the steady time at which Step is to be called at the latest.
+// Wake returns the latest steady time (see Instant) at which Step must be called next.
 func (sc *stepContext) Wake() micros.Micros { return sc.wake }
 
-// wakeIn has Step called after d at the latest, at least a millisecond from now.
+// wakeIn makes Wake at most d from now, but not less than a millisecond from now.
 func (sc *stepContext) wakeIn(d micros.Micros) {
 	sc.wake = min(sc.wake, sc.now+max(d, micros.Millisecond))
 }
 
-// nextMaintenance returns when maintain runs next.
+// nextMaintenance returns when maintain is due. Registrations that are due make it run earlier.
 func (c *Controller) nextMaintenance() micros.Micros {
 	at := c.maintenance.lastRunAt + c.maintenanceInterval()
 	if f := &c.fleet; len(f.registrations) > 0 {
@@ -78,25 +79,26 @@
 	return o.lease.Held() && o.controlWatch.Ready() && o.jobWatch.Ready() && o.leader.ownerEpoch != 0
 }
 
-// recovered reports whether a new owner of the shard has all that it needs of its predecessor.
+// recovered reports whether a new owner of the shard has reconciled its machines, has a current
+// view of its jobs, and has loaded its checkpoints.
 func (s *shard) recovered() bool { return s.reconciled && s.jobsViewCurrent && s.checkpointsLoaded }
 
-// detectStall notes that the process was stalled before this step.
+// detectStall records the time of this step if the process was stalled before it.
 func (c *Controller) detectStall() {
 	if c.now-c.maintenance.lastRunAt > stallThreshold {
 		c.lastStalledAt = c.now
 	}
 }
 
-// restAfter puts off the next round and the next walk if the step before ran one and took so
-// long.
+// restAfter puts off the next scheduling round or walk if the last step, which took the given time,
+// ran one.
 func (c *Controller) restAfter(took micros.Micros) {
 	until := c.now + min(restFactor*took, maxRest)
 	c.scheduling.restAfterRound(until)
 	c.maintenance.restAfterWalk(until)
 }
 
-// restAfterWalk puts the next walk off if the step before made one.
+// restAfterWalk puts off the next walk until the given time if the last step ran one.
 func (st *maintenanceState) restAfterWalk(until micros.Micros) {
 	if st.walkedLastStep {
 		st.walkedLastStep = false
@@ -104,7 +106,7 @@
 	}
 }
 
-// runTimers runs maintenance if it is due, else follows the watches.
+// runTimers runs maintenance if it is due. Otherwise it only sends the due requests of the watches.
 func (c *Controller) runTimers() {
 	if c.now >= c.nextMaintenance() {
 		c.maintenance.lastRunAt = c.now
@@ -115,14 +117,15 @@
 	c.followWatches()
 }
 
-// followWatches makes the next request of each watch whose time has come.
+// followWatches sends the next request of each watch that is due.
 func (c *Controller) followWatches() {
 	c.follow(&c.ownership.controlWatch)
 	c.follow(&c.ownership.jobWatch)
 	c.followQuota()
 }
 
-// maintain does what becomes due by time alone.
+// maintain runs the periodic work. Work that visits all machines and jobs is skipped while
+// restAfterWalk has put it off.
 func (c *Controller) maintain() {
 	c.maintainOwnership()
 	c.maintainPeers()
@@ -138,7 +141,7 @@
 	c.maintainFleet()
 }
 
-// jitter returns d, more or less by up to a quarter.
+// jitter returns a random duration within a quarter of d.
 func (sc *stepContext) jitter(d micros.Micros) micros.Micros {
 	return d*3/4 + micros.Micros(sc.rng.Int64N(int64(d/2)+1))
 }
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -8,16 +8,17 @@
 	"garnethitch/internal/wire"
 )
 
-// contactView is when a machine's last heartbeat came and when one was last answered, each by
-// this node's clock, and whether replies arrive.
+// contactView is when a machine's last heartbeat came and when one was last answered, by this
+// node's clock, and whether the machine receives the replies.
 type contactView struct {
 	lastHeartbeatAt micros.Micros
 	lastReplyAt     micros.Micros
-	observedSince   micros.Micros // when this node began to follow it
+	observedSince   micros.Micros // when this node created its view of the machine
 	reachability    reachability.Tracker
 }
 
-// recordReachability compares a newer heartbeat with the reply that went before it.
+// recordReachability checks whether a newer heartbeat shows that the machine received the reply to
+// the one before.
 func (c *Controller) recordReachability(m *machine, heartbeat *wire.Heartbeat) {
 	v := m.view
 	if v.sequenceKnown && heartbeat.AgentEpoch > v.agentEpoch {
@@ -31,8 +32,8 @@
 	}
 }
 
-// cordonIfRepliesWereLost cordons a machine with a new agent epoch if its lease ran out
-// although its heartbeats were answered recently.
+// cordonIfRepliesWereLost cordons a machine that has begun a new agent epoch although its
+// heartbeats were answered recently: its lease ran out because it did not receive the replies.
 func (c *Controller) cordonIfRepliesWereLost(m *machine) {
 	v := m.view
 	recentlyAnswered := c.now-v.lastReplyAt < c.cfg.WorkerLease-2*c.cfg.HeartbeatInterval
@@ -43,36 +44,38 @@
 	v.cordonedUntil = c.now + c.cfg.CordonFor
 }
 
-// unreachable reports whether a machine sends heartbeats and does not receive the replies. It
-// gets no more tasks. Those it has count until its lease has provably ended: a higher
-// agent epoch in a heartbeat, the cloud's return, or the bound since the last reply.
+// unreachable reports whether a machine sends heartbeats but does not receive the replies. Such a
+// machine gets no more tasks. Its tasks count until its lease has provably ended: it shows a higher
+// agent epoch, the cloud confirms its return, or the bound since the last reply has passed.
 func (c *Controller) unreachable(m *machine) bool {
 	return m.view.reachability.Unreachable()
 }
 
-// leaseRunningOut reports whether no heartbeat of a machine has come and been answered for so
-// long that its lease is running out; what it answers to direct requests does not renew
-// the lease. It gets no more tasks: they would end with the lease. Those it has may be
-// completed in time.
+// leaseRunningOut reports whether a machine's lease is running out because none of its heartbeats
+// has been answered for long. Its answers to direct requests do not renew the lease. Such a machine
+// gets no more tasks, since they would end with the lease. The tasks on it may be completed in
+// time.
 func (c *Controller) leaseRunningOut(v *machineView) bool {
 	return v.sequenceKnown && c.sinceLastReply(v) > c.heartbeatDeadlines.Timeout
 }
 
-// sinceLastReply returns how long ago a heartbeat of a machine was last answered.
+// sinceLastReply returns how long ago a heartbeat of a machine was last answered, counted at the
+// earliest from when this node created the view, or was last stalled.
 func (sc *stepContext) sinceLastReply(v *machineView) micros.Micros {
 	return sc.now - max(v.lastReplyAt, v.observedSince, sc.lastStalledAt)
 }
 
-// sinceLastHeartbeat returns how long ago a machine's last heartbeat came, to a node that had the
-// time to read it: what arrived while this node was stalled may still be unread.
+// sinceLastHeartbeat returns how long ago a machine's last heartbeat came, counted at the earliest
+// from when this node created the view, or was last stalled: heartbeats that arrived during a stall
+// may still be unread.
 func (sc *stepContext) sinceLastHeartbeat(v *machineView) micros.Micros {
 	return sc.now - max(v.lastHeartbeatAt, v.observedSince, sc.lastStalledAt)
 }
 
-// probeRetryDelay is how long after a probe the same machine may be probed again.
+// probeRetryDelay is the least time between two probes of the same machine.
 const probeRetryDelay = 2 * micros.Second
 
-// probeOverdueMachine requests a heartbeat from a machine whose own is overdue, or that does
+// probeOverdueMachine requests a heartbeat from a machine whose heartbeat is overdue, or that does
 // not seem to receive replies.
 func (c *Controller) probeOverdueMachine(s *shard, m *machine) {
 	v := m.view
@@ -100,8 +103,8 @@
 	return !v.probeInFlight && c.now >= v.nextProbeAt && m.rec.Addr != ""
 }
 
-// applyProbeResult takes the answer to a probe, unless it is not the machine's, or the machine
-// has shown a fencing token above this node's.
+// applyProbeResult applies the heartbeat that answers a probe. It ignores an answer that another
+// machine gave or whose fencing token is above this node's.
 func (c *Controller) applyProbeResult(s *shard, m *machine, r Result) {
 	heartbeat, ok := r.Body.(*wire.Heartbeat)
 	if !ok || r.Status != http.StatusOK || heartbeat.Machine != m.id {
--- a/internal/controller/readiness.go
+++ b/internal/controller/readiness.go
@@ -7,15 +7,16 @@
 )
 
 const (
-	// startupGrace is how long a controller without the state service waits for it
-	// before it is ready for users without it.
+	// startupGrace is how long after its start a controller waits for the state service before
+	// it can report ready without it.
 	startupGrace = 2 * micros.Second
-	// maxStateSilence is how long the state service may be silent before other
-	// controllers are better for users.
+	// maxStateSilence is the time without an answer of the state service after which requests
+	// of users should go to other controllers.
 	maxStateSilence = 3 * micros.Second
 )
 
-// handleReadiness answers a load balancer whether to send users here.
+// handleReadiness answers a load balancer's readiness check: 200 if it is to send users' requests
+// to this controller, else 503.
 func (c *Controller) handleReadiness(in ReadinessRequest) {
 	status := http.StatusServiceUnavailable
 	if c.readyForUsers() {
@@ -24,18 +25,18 @@
 	c.answer(in.Reply, status, nil, 0)
 }
 
-// readyForUsers reports whether users' requests are to come here.
+// readyForUsers reports whether users' requests are to be sent to this controller.
 func (c *Controller) readyForUsers() bool {
 	if c.ownership.jobWatch.Ready() && c.ownership.controlWatch.Ready() && c.types.known() {
 		return c.servesUsers()
 	}
-	// Started while no controller has the state service: users are better off with a 503
-	// and a time to come back than with no controller at all, which the balancer would
-	// also remember for a while afterwards.
+	// This controller was started while no controller has the state service. Users are better off
+	// with a 503 and a Retry-After than with no controller at all, and the load balancer would
+	// treat the controllers as down for a while after the outage.
 	return c.now-c.startedAt > startupGrace && !c.ownership.stateFresh() && !c.peerHasState()
 }
 
-// peerHasState reports whether another controller is up and has the state service.
+// peerHasState reports whether another controller is alive and reaches the state service.
 func (c *Controller) peerHasState() bool {
 	for _, p := range c.peers {
 		if c.alive(p) && p.stateOK {
@@ -45,8 +46,8 @@
 	return false
 }
 
-// servesUsers reports whether this node can serve users as well as any other: not if it has lost
-// the state service while another has not, but if all have lost it.
+// servesUsers reports whether this node can serve users as well as any other controller. It can't
+// if it has lost the state service while another has not. It can if all have lost it.
 func (c *Controller) servesUsers() bool {
 	if c.now-c.ownership.lastStateReplyAt < maxStateSilence {
 		return true
@@ -54,12 +55,12 @@
 	if c.peerHasState() {
 		return false
 	}
-	// No controller can be asked: one that is alone without the state service does not
-	// serve users once its lease has expired, unless there are no others.
+	// If no other controller is alive, this one serves users without the state service only while
+	// its lease is valid, unless no other controllers are configured.
 	return len(c.cfg.Peers) == 0 || c.anyPeerAlive() || c.ownership.leaseValid()
 }
 
-// anyPeerAlive reports whether another controller is up.
+// anyPeerAlive reports whether another controller is alive.
 func (c *Controller) anyPeerAlive() bool {
 	for _, p := range c.peers {
 		if c.alive(p) {
--- a/internal/controller/reconciliation.go
+++ b/internal/controller/reconciliation.go
@@ -5,44 +5,46 @@
 	"garnethitch/internal/wire"
 )
 
-// reconciliationView is the position of a machine's last heartbeat, and what a former owner may
-// have left on it. A heartbeat that is older than (agentEpoch, sequence) changes nothing.
+// reconciliationView is the position of a machine's last heartbeat, and whether commands or tasks of
+// a former owner may still be on the machine. A heartbeat that is not newer than (agentEpoch,
+// sequence) changes nothing.
 //
 // The booleans occur in these combinations:
 //
 //   - neverCommanded with reconciled, before the first heartbeat (sequenceKnown is false) of a
-//     machine that came to the record under this owner. The first heartbeat ends it;
+//     machine that was first recorded under this owner. The first heartbeat clears
+//     neverCommanded;
 //   - reconciled alone, once a heartbeat has shown a fencing token of this owner;
 //   - none of the others, while such a heartbeat is awaited, with
 //     unreconciledFromPredecessor if the machine was on record when the shard was claimed;
 //   - leaseExpired alone, once the machine's lease has provably run out or the cloud has
-//     taken it back, until it is reconciled again or begins a new agent epoch. A machine
-//     that was returned before its first heartbeat keeps neverCommanded with it.
+//     confirmed its return, until it is reconciled again or begins a new agent epoch. On a
+//     machine that was returned before its first heartbeat, neverCommanded stays set too.
 //
 // sequenceKnown is set by the first heartbeat and stays set; only without it can
 // neverCommanded hold.
 type reconciliationView struct {
-	reconciled     bool // its task list is complete, and no older command can still act
-	neverCommanded bool // nobody but this owner can have commanded it
+	reconciled     bool // the task list is complete, and no command of a former owner can still act
+	neverCommanded bool // nobody but this owner can have commanded the machine
 	reconciledAt   micros.Micros
-	// unreconciledFromPredecessor is set if it has neither been reconciled nor gone since the
-	// claim: a former owner's tasks may be on it.
+	// unreconciledFromPredecessor is set if the machine was on record at the claim and has since
+	// neither been reconciled nor lost its lease: tasks of a former owner may be on it.
 	unreconciledFromPredecessor bool
-	leaseExpired                bool // it can hold no task any more
+	leaseExpired                bool // the machine can hold no task any more
 	sequenceKnown               bool // agentEpoch and sequence are set
 	agentEpoch                  uint64
 	sequence                    uint64
-	fencingToken                uint64 // highest that the worker showed
+	fencingToken                uint64 // the highest fencing token that the worker has shown
 }
 
-// newerThan reports whether a heartbeat was sent after the last one that a view holds.
+// newerThan reports whether a heartbeat was sent after the last one that the view reflects.
 func newerThan(heartbeat *wire.Heartbeat, v *machineView) bool {
 	return positionOf(heartbeat).After(v.lastPosition())
 }
 
-// confirmNeverCommanded checks by its first heartbeat that a machine is as new as its record
-// says: a fencing token below this node's would be another
-// owner's.
+// confirmNeverCommanded checks by its first heartbeat that nobody but this owner has commanded a
+// machine: a fencing token below this node's would be that of another owner, and the machine then
+// has to be reconciled.
 func (c *Controller) confirmNeverCommanded(s *shard, m *machine, heartbeat *wire.Heartbeat) {
 	v := m.view
 	foreignToken := heartbeat.FencingToken != 0 && heartbeat.FencingToken < c.fencingToken(s, m)
@@ -52,8 +54,8 @@
 	c.schedulingDue = true
 }
 
-// markReconciled notes that a worker has shown a fencing token of this owner: no older command
-// can act any more.
+// markReconciled marks a machine as reconciled after its worker has shown a fencing token of this
+// owner: no older command can act any more.
 func (c *Controller) markReconciled(m *machine, heartbeat *wire.Heartbeat) {
 	v := m.view
 	v.reconciled = true
@@ -65,7 +67,7 @@
 	c.log(Debug, "machine reconciled", "machine", m.id, "fencing_token", heartbeat.FencingToken, "tasks", len(heartbeat.Tasks))
 }
 
-// expireLease notes that a machine's lease has run out: it holds no task any more.
+// expireLease updates the view of a machine whose lease has run out: it holds no task any more.
 func (c *Controller) expireLease(m *machine) {
 	v := m.view
 	c.freeAll(m, "its lease has run out", false)
@@ -77,8 +79,8 @@
 	c.schedulingDue = true
 }
 
-// voidInDoubtCommands notes that a heartbeat shows a fencing token above that of unanswered
-// commands: what they did is in this heartbeat, and they can do nothing more.
+// voidInDoubtCommands ends the doubt about unanswered commands if a heartbeat shows a fencing token
+// above theirs: its task list has what they started, and they can't act any more.
 func (c *Controller) voidInDoubtCommands(v *machineView, heartbeat *wire.Heartbeat) {
 	if v.inDoubtToken == 0 || heartbeat.FencingToken <= v.inDoubtToken {
 		return
@@ -94,15 +96,15 @@
 }
 
 const (
-	// reconcileRetryDelay is added to the time before the next attempt to reconcile a machine
-	// for each command that was not answered, so that other machines are tried first.
+	// reconcileRetryDelay is the time before the next attempt to reconcile a machine. Each
+	// command to it that was not answered adds as much, so that other machines are tried first.
 	reconcileRetryDelay = micros.Second
-	// maxReconcileBackoff bounds how many unanswered commands count.
+	// maxReconcileBackoff is the largest number of unanswered commands that add to the delay.
 	maxReconcileBackoff = 3
 )
 
-// reconcileMachine makes an unreconciled machine show its tasks under this node's fencing token,
-// by an empty direct command: its answer carries the fencing token, or the agent epoch
+// reconcileMachine sends an empty direct command to an unreconciled machine, so that it shows its
+// tasks under this node's fencing token. The answer carries either that token, or the agent epoch
 // that the command should have named.
 func (c *Controller) reconcileMachine(s *shard, m *machine) {
 	v := m.view
@@ -118,8 +120,8 @@
 	c.sendCommands(s, m, []wire.Command{})
 }
 
-// allReconciled reports whether no machine of a shard may still hold unknown tasks of a former
-// owner.
+// allReconciled reports whether each machine of a shard has been reconciled or has lost its lease,
+// so that none may hold unknown tasks of a former owner.
 func (o *ownershipState) allReconciled(s *shard) bool {
 	for _, m := range s.machines {
 		if m.view != nil && m.view.unreconciledFromPredecessor {
--- a/internal/controller/registration.go
+++ b/internal/controller/registration.go
@@ -9,16 +9,17 @@
 	"garnethitch/internal/wire"
 )
 
-// rentedMachine is a machine that this leader has rentedMachine. It is recorded at its first heartbeat, not
-// before: a new owner has to reconcile each machine on record before it starts what a former owner
-// may have started there, and a machine that boots can't be reconciled.
+// rentedMachine is a machine that this leader has rented and that is not on record yet. It is
+// recorded at its first heartbeat, not before: a new owner has to reconcile each machine on record
+// before it starts tasks that a former owner may have started there, and a machine that still boots
+// can't be reconciled.
 type rentedMachine struct {
 	kind fleet.Kind
 	at   micros.Micros
 }
 
-// registration is a machine without a record that has sent a heartbeat. The heartbeat is
-// answered once the machine is assigned.
+// registration is the heartbeat of a machine without a record. It is answered once the machine is
+// assigned to a shard.
 type registration struct {
 	in   Heartbeat
 	kind fleet.Kind
@@ -31,18 +32,18 @@
 }
 
 const (
-	// registrationInterval is how long machines are gathered, so that those that come up
-	// together take one write.
+	// registrationInterval is how long registrations are collected, so that machines that come
+	// up together take one write.
 	registrationInterval = 300 * micros.Millisecond
-	// listedAssignmentMargin is added to twice the lag of the cloud's list before a new leader
-	// relies on it.
+	// listedAssignmentMargin is the time beyond twice the lag of the cloud's list for which a new
+	// leader does not rely on the list.
 	listedAssignmentMargin = 2 * micros.Second
 )
 
-// registerMachine deals with the heartbeat of a machine without a record: the
-// leader assigns it first. A heartbeat alone does not suffice, for it may be a late copy of one
-// that a machine sent before it was returned: this leader must have rented the machine, or the
-// machine must answer a direct request.
+// registerMachine handles the heartbeat of a machine without a record. Only the leader registers
+// such machines; other nodes redirect to it. A heartbeat alone does not suffice, since it may be a
+// late copy of one that the machine sent before it was returned: this leader must have rented the
+// machine, or the machine must answer a direct request.
 func (c *Controller) registerMachine(in Heartbeat) {
 	if !c.ownership.leading() {
 		c.redirect(in.Reply, &c.ownership.leader)
@@ -64,7 +65,7 @@
 	c.probeUnknownMachine(in)
 }
 
-// mayRegister reports whether a machine without a record may be assigned a shard now.
+// mayRegister reports whether a machine without a record may be registered now.
 func (c *Controller) mayRegister(heartbeat *wire.Heartbeat) bool {
 	f := &c.fleet
 	id := heartbeat.Machine
@@ -77,7 +78,7 @@
 	return c.types.known() && len(f.registrations) < c.cfg.MaxRegistrations
 }
 
-// refuseRegistration has a machine send its heartbeat again later.
+// refuseRegistration answers a heartbeat with 503, so that the machine sends another one later.
 func (c *Controller) refuseRegistration(in Heartbeat) {
 	c.answer(in.Reply, http.StatusServiceUnavailable, nil, 0)
 }
@@ -106,7 +107,7 @@
 	})
 }
 
-// addRegistration adds a machine to those that are recorded together at registrationsDueAt.
+// addRegistration adds a machine to those that are assigned together at registrationsDueAt.
 func (f *fleetState) addRegistration(in Heartbeat) {
 	if len(f.registrations) == 0 {
 		f.registrationsDueAt = f.now + registrationInterval
@@ -117,7 +118,7 @@
 	f.wakeIn(f.registrationsDueAt - f.now)
 }
 
-// recordRegistrations records the machines that have registered recently.
+// recordRegistrations assigns the registered machines to shards, once the collection is due.
 func (c *Controller) recordRegistrations() {
 	f := &c.fleet
 	if len(f.registrations) == 0 || c.now < f.registrationsDueAt {
@@ -133,10 +134,10 @@
 	c.assignMachines(recordSetRegistered, list, c.allDemand(), registrations)
 }
 
-// assignListed assigns machines to shards that the cloud lists as running and that are
-// on no record: those of the first start of the fleet, and any whose heartbeats do not arrive.
-// A list lags: a machine that a former leader has just returned must not come back to the
-// record.
+// assignListed assigns machines that the cloud lists as running and that are on no record: those of
+// the first start of the fleet, and any whose heartbeats do not arrive. The list lags, so that a new
+// leader waits before it relies on it: a machine that a former leader has just returned must not
+// come back to the record.
 func (c *Controller) assignListed(demand map[int]*peer.Demand) {
 	f := &c.fleet
 	if !f.first && c.now-f.ledAt <= 2*c.cfg.ListLag+listedAssignmentMargin {
--- a/internal/controller/release_requests.go
+++ b/internal/controller/release_requests.go
@@ -10,32 +10,33 @@
 const (
 	// releaseRepeatInterval is the time between two requests for one machine.
 	releaseRepeatInterval = 2 * micros.Second
-	// releaseTimeout bounds a request to an owner.
+	// releaseTimeout is how long an owner has to answer a request.
 	releaseTimeout = micros.Second
 )
 
-// machineMoves are the machines that their owners are asked to release.
+// machineMoves holds the releases of machines that the leader requests from the owners of their
+// shards.
 type machineMoves struct {
-	releaseRequestedAt map[string]micros.Micros // when the owner was last asked
-	releaseRequests    []releaseRequest         // to be sent
+	releaseRequestedAt map[string]micros.Micros // when the release of a machine was last requested
+	releaseRequests    []releaseRequest         // not sent yet
 	plannedMoves       map[string]plannedMove
 }
 
-// reset forgets all moves.
+// reset clears all requests and planned moves.
 func (m *machineMoves) reset() {
 	m.releaseRequestedAt = map[string]micros.Micros{}
 	m.releaseRequests = nil
 	m.plannedMoves = map[string]plannedMove{}
 }
 
-// releaseRequest is one machine that its owner is asked to release.
+// releaseRequest is a request to the owner of one machine's shard to release the machine.
 type releaseRequest struct {
 	machine string
 	peer.Release
 }
 
-// requestMachineRelease notes that a machine's owner is to be asked to release it, unless it was
-// asked a short time ago.
+// requestMachineRelease queues a request to release a machine, unless one was made less than
+// releaseRepeatInterval ago.
 func (c *Controller) requestMachineRelease(id string, r peer.Release) {
 	f := &c.fleet
 	m := c.machines[id]
@@ -50,13 +51,13 @@
 	f.releaseRequests = append(f.releaseRequests, releaseRequest{id, r})
 }
 
-// releaseKey is what the requests of one message have in common.
+// releaseKey holds what the requests in one message have in common.
 type releaseKey struct {
 	from, to            int // shards
 	cordon, drain, save bool
 }
 
-// sendReleases asks the owners, in one message for requests that are alike.
+// sendReleases sends the queued requests. Requests with the same releaseKey go in one message.
 func (c *Controller) sendReleases() {
 	byKey := map[releaseKey]*peer.Release{}
 	var keys []releaseKey
@@ -80,7 +81,8 @@
 	}
 }
 
-// sendReleaseRequest asks the owner of a shard to release machines.
+// sendReleaseRequest sends a request to the owner of a shard, or carries it out if that is this
+// node.
 func (c *Controller) sendReleaseRequest(s *shard, r *peer.Release) {
 	if c.ownership.activeShard(s.id) != nil {
 		c.release(*r)
--- a/internal/controller/replacement.go
+++ b/internal/controller/replacement.go
@@ -6,21 +6,23 @@
 	"garnethitch/internal/peer"
 )
 
-// Machines that are replaced because they fail, are slow, or cannot be reached.
+// The leader replaces machines that fail tasks, are slow, or cannot be reached.
 
 const (
-	// unreconciledReturnAfter is how long after a claim a machine may stay unreconciled. Those
-	// that can be reached are reconciled within a few seconds.
+	// unreconciledReturnAfter is how long after a claim a machine may stay unreconciled before it
+	// is returned. Machines that can be reached are reconciled within a few seconds.
 	unreconciledReturnAfter = 5 * micros.Second
-	// rentalOverheadS is what renting a machine takes beside its boot time, in seconds.
+	// rentalOverheadS is the time in seconds that renting a machine takes in addition to its
+	// boot time.
 	rentalOverheadS = 10
-	// partitionedReturnLeases is for how many worker leases the machines of a partitioned zone
-	// are kept before they are returned after all.
+	// partitionedReturnLeases is for how many times the worker lease the silent machines of a
+	// partitioned zone are kept before they are returned.
 	partitionedReturnLeases = 3
 )
 
-// replaceUnhealthy retires machines that fail or slow tasks once they are empty, returns silent
-// ones if the operators want that, and those that block a failover.
+// replaceUnhealthy retires machines that fail tasks or slow them down, once they are empty. Unless
+// the operators have disabled SilentReturn, it also returns silent machines and those that block a
+// failover.
 func (c *Controller) replaceUnhealthy(demands fleet.Demands) {
 	c.retireUnhealthy(demands)
 	if c.cfg.SilentReturn == 0 {
@@ -40,7 +42,8 @@
 	c.scaleIn(toReturn)
 }
 
-// retireUnhealthy asks for machines that fail or slow tasks, once they are empty.
+// retireUnhealthy requests the release of unhealthy machines, so that they are cordoned once they
+// are empty.
 func (c *Controller) retireUnhealthy(demands fleet.Demands) {
 	for _, shard := range demands.Shards() {
 		for _, m := range demands[shard].Machines {
@@ -51,8 +54,8 @@
 	}
 }
 
-// repeatReturnNotices notifies the owner of a shard of the returned machines that it still names:
-// it may be another owner than was notified.
+// repeatReturnNotices notifies the owner of a shard of the returned machines that its demand still
+// names: another owner may have been notified before.
 func (c *Controller) repeatReturnNotices(d *peer.Demand) {
 	for _, m := range d.Machines {
 		named := m.State == peer.MachineUnreconciled || m.State == peer.MachineSilent
@@ -62,18 +65,19 @@
 	}
 }
 
-// unreachableMachines are the machines of a shard that cannot be reached for long.
+// unreachableMachines holds the IDs of the machines of a shard that have been unreachable for long.
 type unreachableMachines struct {
 	silent []string
-	// unreconciled block all older jobs of their shard. The cloud's answer to their return
-	// reconciles them.
+	// unreconciled machines block all older jobs of their shard. The cloud's confirmation of their
+	// return ends that.
 	unreconciled []string
 }
 
-// unreachableMachines returns the machines of a shard that cannot be reached for long.
+// unreachableMachines returns the machines of a shard that have been unreachable for long enough to
+// be returned.
 func (c *Controller) unreachableMachines(d *peer.Demand, partitioned map[string]bool) unreachableMachines {
 	var lost unreachableMachines
-	// If most are unreachable, the fault is rather in the owner's network.
+	// If most machines are unreachable, the fault is more likely in the owner's network.
 	mostSilent := 2*d.Silent > d.All
 	mostUnreconciled := 2*d.Unreconciled > d.All
 	for _, m := range d.Machines {
@@ -97,9 +101,9 @@
 	return lost
 }
 
-// silenceLimit returns how long a machine may be silent before it is returned. Each machine of a
-// partitioned zone is silent as a failed one is: returning them saves the rest of their leases, and
-// costs the fleet of a whole zone once the partition is over.
+// silenceLimit returns how long a machine may be silent before it is returned. The machines of a
+// partitioned zone can't be distinguished from failed ones. Returning them would only save the rest
+// of their leases, and would cost the fleet of a whole zone once the partition is over.
 func (c *Controller) silenceLimit(inPartition bool) micros.Micros {
 	limit := c.heartbeatDeadlines.Return
 	if inPartition {
@@ -108,8 +112,8 @@
 	return limit
 }
 
-// worthReplacing reports whether the work that unreconciled machines block is worth more than
-// what replacing them takes.
+// worthReplacing reports whether the work that unreconciled machines block exceeds the cost of
+// replacing them, both in CPU seconds.
 func (c *Controller) worthReplacing(shard int, d *peer.Demand, unreconciled []string) bool {
 	if len(unreconciled) == 0 {
 		return false
--- a/internal/controller/returned_machines.go
+++ b/internal/controller/returned_machines.go
@@ -7,29 +7,29 @@
 	"garnethitch/internal/wire"
 )
 
-// What follows once the cloud has confirmed that a machine was returned.
+// Handling of machines whose return the cloud has confirmed.
 
 const (
-	// A record set is rewritten without its returned machines once one in rewriteDivisor of its
-	// machines was, or one was rewriteDelay ago.
+	// A record set is rewritten without its returned machines once at least one in rewriteDivisor
+	// of its machines was returned, or once rewriteDelay has passed since the first return.
 	rewriteDivisor = 4
 	rewriteDelay   = 20 * micros.Second
 )
 
-// machineReturns are the machines that go back to the cloud.
+// machineReturns holds the machines that are returned to the cloud, by ID.
 type machineReturns struct {
-	returning map[string]bool          // the cloud is asked to take them
-	returned  map[string]micros.Micros // when the cloud confirmed it
+	returning map[string]bool          // the return is requested
+	returned  map[string]micros.Micros // when the cloud confirmed the return
 }
 
-// reset forgets all returns.
+// reset clears all returns.
 func (r *machineReturns) reset() {
 	r.returning = map[string]bool{}
 	r.returned = map[string]micros.Micros{}
 }
 
-// notifyReturned lets the owner of a returned machine know at once: its tasks need not wait for
-// the record, or for the end of a lease.
+// notifyReturned notifies the owner of a returned machine's shard: the machine's tasks can start
+// elsewhere without waiting for the change of the record or for the end of the lease.
 func (c *Controller) notifyReturned(id string) {
 	m := c.machines[id]
 	if m == nil {
@@ -40,14 +40,15 @@
 	if p == nil || slices.Contains(p.returnedMachines, id) {
 		return
 	}
-	// Past the bound it is notified later: its owner goes on naming the machine as silent.
+	// Beyond this bound the owner is notified later by repeatReturnNotices, since its demand still
+	// names the machine as silent.
 	if len(p.returnedMachines) < c.cfg.MaxMachines {
 		p.returnedMachines = append(p.returnedMachines, id)
 	}
 }
 
-// machineReturned records that the cloud has confirmed a machine's return: everything on it
-// is gone, and it never comes back.
+// machineReturned marks a machine as returned after the cloud has confirmed it: all tasks on it are
+// gone, and it never comes back.
 func (c *Controller) machineReturned(id string) {
 	m := c.machines[id]
 	if m == nil || m.returned {
@@ -67,8 +68,8 @@
 	c.schedulingDue = true
 }
 
-// dropReturned takes returned machines off the record, a record set at a time and not for each of
-// them: all others in it send another heartbeat when it is rewritten.
+// dropReturned rewrites record sets without their returned machines. It does not rewrite a record
+// set for each machine, since all others in it then send an additional heartbeat.
 func (c *Controller) dropReturned() {
 	var writes []recordSetWrite
 	for _, key := range sortedKeys(c.machineRecords.sets) {
@@ -78,7 +79,7 @@
 		}
 		writes = append(writes, write)
 		if len(writes) >= max(c.cfg.TxnOps, 1) {
-			break // the rest with the next plan
+			break // the next run of the fleet plan writes the rest
 		}
 	}
 	if len(writes) > 0 {
@@ -86,7 +87,7 @@
 	}
 }
 
-// dropFromRecordSet returns the write that takes the returned machines off a record set, and
+// dropFromRecordSet returns the write that removes the returned machines from a record set, and
 // whether it is due.
 func (c *Controller) dropFromRecordSet(key string, set *machineRecordSet) (recordSetWrite, bool) {
 	if set.writeInFlight || c.now < set.nextWriteAt {
@@ -98,14 +99,14 @@
 	}
 	rec := recordSetOf(set.machines, func(m *machine) bool { return c.fleet.returned[m.id] != 0 }, nil)
 	if len(rec.Machines) > c.recordSetLimit() {
-		return recordSetWrite{}, false // its owner splits it first
+		return recordSetWrite{}, false // the owner of the shard splits it first
 	}
 	deleteKey := returned == len(set.machines) && c.deletable(set)
 	return recordSetWrite{key: key, recordSet: set, record: rec, deleteKey: deleteKey}, true
 }
 
-// countReturned returns how many machines of a record set were returned, and when the first one
-// was.
+// countReturned returns how many machines of a record set were returned, and when the first of them
+// was returned.
 func (f *fleetState) countReturned(set *machineRecordSet) (returned int, oldest micros.Micros) {
 	oldest = f.now
 	for _, m := range set.machines {
--- a/internal/controller/worker_contact.go
+++ b/internal/controller/worker_contact.go
@@ -6,24 +6,25 @@
 	"garnethitch/internal/micros"
 )
 
-// A controller that has lost the workers, but not the state service, would keep its shards for
-// as long as that lasts while the leases of their machines run out. It can distinguish this from
-// machines that have failed: the machines try the other controllers. It then releases its locks,
-// and claims none before it reaches machines again.
+// A controller that has lost contact with the workers, but not with the state service, would keep
+// its shards while the leases of their machines run out. It can distinguish this from a failure of
+// the machines, because these then try the other controllers. In this case it releases its locks,
+// and claims none until it reaches machines again.
 
 const (
 	// workerContactInterval is how often contact with the workers is checked.
 	workerContactInterval = micros.Second / 2
-	// workerProbeTimeout is how long one machine has to answer a probe.
+	// workerProbeTimeout is how long a machine has to answer a probe.
 	workerProbeTimeout = micros.Second
 	// workerProbesNeeded is how many probes in a row must be answered before contact counts
 	// as restored.
 	workerProbesNeeded = 3
-	// minSilentMachines is how many machines must be silent: a single one has failed itself.
+	// minSilentMachines is how many machines must be silent for contact to count as lost: if only
+	// one is, that machine has failed.
 	minSilentMachines = 2
 )
 
-// contactState is whether a node has contact with the workers.
+// contactState is whether this node has contact with the workers.
 type contactState int
 
 const (
@@ -41,19 +42,19 @@
 	return "held"
 }
 
-// workerContact is what a node knows of its contact with the workers.
+// workerContact is the state of this node's contact with the workers.
 type workerContact struct {
 	state          contactState
 	nextCheckAt    micros.Micros
 	probeInFlight  bool
-	answeredProbes int // in a row
-	probeIndex     int // of the machine probed last, in order of name
+	answeredProbes int // number of consecutive probes that were answered
+	probeIndex     int // index of the machine probed last, in the order of the IDs
 }
 
 // lost reports whether contact with the workers is lost.
 func (w *workerContact) lost() bool { return w.state == contactLost }
 
-// recordProbe takes the outcome of a probe, and reports whether it restores contact.
+// recordProbe records the outcome of a probe, and reports whether it restores contact.
 func (w *workerContact) recordProbe(answered bool) (restored bool) {
 	w.probeInFlight = false
 	if !answered {
@@ -68,15 +69,16 @@
 	return true
 }
 
-// heartbeatSilence counts the machines that this node commands, and those of them whose
-// heartbeats are missing.
+// heartbeatSilence counts the machines in the shards that this node commands, and those of them
+// whose heartbeats are missing.
 type heartbeatSilence struct {
-	machines  int // all that have been commanded
-	silent    int // without a heartbeat for longer than the timeout
-	elsewhere int // silent ones that tried another controller recently
+	machines  int // machines that have been or may have been commanded
+	silent    int // machines without a heartbeat for longer than the timeout
+	elsewhere int // silent machines that tried another controller recently
 }
 
-// mostSilent reports whether so many machines are silent that the cause may be this node.
+// mostSilent reports whether most machines are silent, and at least minSilentMachines: the cause
+// may then be this node.
 func (h heartbeatSilence) mostSilent() bool {
 	return h.silent >= minSilentMachines && 2*h.silent > h.machines
 }
@@ -104,7 +106,7 @@
 	}
 }
 
-// countSilence counts over the shards that this node commands.
+// countSilence counts the machines of the shards that this node commands.
 func (c *Controller) countSilence() (h heartbeatSilence) {
 	for _, s := range c.ownership.shards {
 		if c.ownership.activeShard(s.id) == nil {
@@ -127,8 +129,8 @@
 	return h
 }
 
-// triesAnotherController reports whether a controller with workers has had heartbeats of a
-// machine recently.
+// triesAnotherController reports whether another controller in contact with the workers has received
+// heartbeats of a machine recently.
 func (c *Controller) triesAnotherController(m *machine) bool {
 	for _, label := range c.cfg.Peers {
 		p := c.peers[label]
@@ -142,8 +144,8 @@
 // hasWorkers reports whether another controller is alive and in contact with the workers.
 func (c *Controller) hasWorkers(p *peerView) bool { return c.alive(p) && !p.withoutWorkers }
 
-// workersLost reports whether silence shows that this node does not reach the workers, rather
-// than that the machines have failed.
+// workersLost reports whether the silence shows that this node has lost contact with the workers,
+// rather than that the machines have failed.
 func (c *Controller) workersLost(silence heartbeatSilence) bool {
 	if !silence.mostSilent() {
 		return false
@@ -151,14 +153,15 @@
 	if c.anyPeerAlive() {
 		return silence.mostTryElsewhere()
 	}
-	// No peer can be asked. That nearly all machines have fallen silent while the state service
-	// answers is rather a fault of this node's network than of all of theirs; and if it is not,
-	// nothing is lost by releasing the locks.
+	// No peer is alive that could have received their heartbeats. If nearly all machines are silent
+	// while the state service answers, a fault of this node's network is more likely than one of
+	// all machines. If it is not the cause, nothing is lost by releasing the locks.
 	hasPeers := len(c.cfg.Peers) > 0
 	return hasPeers && silence.nearlyAllSilent() && c.ownership.stateFresh()
 }
 
-// loseWorkerContact releases all locks to the other controllers.
+// loseWorkerContact sets contact to lost, and releases all locks so that other controllers can claim
+// them.
 func (c *Controller) loseWorkerContact(silence heartbeatSilence) {
 	c.log(Info, "workers are unreachable from here, releasing locks", "silent", silence.silent, "machines", silence.machines, "elsewhere", silence.elsewhere)
 	c.contact.state = contactLost
@@ -171,8 +174,8 @@
 	c.ownership.stepDown()
 }
 
-// probeWorkers asks one machine after the other whether it can be reached again. Without
-// machines there is no contact that could be lost.
+// probeWorkers probes the next machine in turn, to find out whether the workers can be reached
+// again. If there are no machines, contact counts as held.
 func (c *Controller) probeWorkers() {
 	w := &c.contact
 	if w.probeInFlight {
