--- a/internal/controller/command_queue_test.go
+++ b/internal/controller/command_queue_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// TestCommandQueue checks that a machine waits once, in turn, and for as long as it is this node's;
-// a full queue keeps it.
+// TestCommandQueue checks that a machine waits only once and in FIFO order, that the queue drops a
+// machine whose shard this node does not own any more, and that a machine keeps waiting while the
+// bound on requests in flight is reached.
 func TestCommandQueue(t *testing.T) {
 	newMachine := func(id string) *machine { return &machine{id: id, view: &machineView{}} }
 	a, b, gone := newMachine("vm-a"), newMachine("vm-b"), newMachine("vm-gone")
@@ -13,30 +14,30 @@
 	}
 	gone.view = nil
 	if m := q.next(); m != a {
-		t.Fatalf("first %v, want vm-a", m)
+		t.Fatalf("first machine %v, want vm-a", m)
 	}
 	q.inFlight = 1
 	if m := q.next(); m != nil {
-		t.Fatalf("%v while all requests are in flight", m.id)
+		t.Fatalf("next returned %v although the requests in flight are at their bound", m.id)
 	}
 	if n := len(q.waiting); n != 1 {
 		t.Errorf("%d machines wait, want 1", n)
 	}
 	q.inFlight = 0
 	if m := q.next(); m != b {
-		t.Fatalf("second %v, want vm-b", m)
+		t.Fatalf("second machine %v, want vm-b", m)
 	}
 	if m := q.next(); m != nil {
-		t.Errorf("%v, it has had its turn", m.id)
+		t.Errorf("next returned %v again, want no machine", m.id)
 	}
 	q.push(a)
 	if m := q.next(); m != a {
-		t.Errorf("%v, want vm-a again", m)
+		t.Errorf("after another push: %v, want vm-a", m)
 	}
 }
 
-// TestCommandQueueProbes checks that probes take a part of the requests in flight, and none when
-// all are in flight.
+// TestCommandQueueProbes checks that only a part of the requests in flight may be probes, and that
+// no probe begins when the requests in flight are at their bound.
 func TestCommandQueueProbes(t *testing.T) {
 	for _, tc := range []struct {
 		name                  string
--- a/internal/controller/commands_test.go
+++ b/internal/controller/commands_test.go
@@ -7,8 +7,8 @@
 	"garnethitch/internal/wire"
 )
 
-// TestStartInDroppedReply checks that a start in a reply that was dropped is recognized by the next
-// heartbeat, and repeated with a new attempt.
+// TestStartInDroppedReply checks that a start in a lost reply is detected by the next heartbeat,
+// which does not list the task, and that the task is started again with a new attempt number.
 func TestStartInDroppedReply(t *testing.T) {
 	h := newHarness(t, nil)
 	fencingToken := h.reconcile("vm-1")
@@ -20,12 +20,13 @@
 	}
 	_, body = h.heartbeat(heartbeatFrom("vm-1", 1, 12, fencingToken, wire.TaskStatus{Task: "job-000001/0", Attempt: again[0].Attempt, State: wire.TaskRunning}))
 	if len(starts(body.Commands)) != 0 {
-		t.Errorf("started again while it runs: %v", body.Commands)
+		t.Errorf("task started again while it runs: %v", body.Commands)
 	}
 }
 
-// TestUnansweredCommand checks that the task of a command that was not answered, and may act
-// minutes later, starts nowhere else before a raised fencing token was seen.
+// TestUnansweredCommand checks that the task in an unanswered direct command is started nowhere else
+// before the machine has shown a raised fencing token. Until then the command may still act, even
+// minutes later, and the task would run twice.
 func TestUnansweredCommand(t *testing.T) {
 	h := newHarness(t, nil)
 	fencingToken := h.reconcile("vm-1")
@@ -52,7 +53,7 @@
 		return len(starts(body.Commands)) > 0 || len(h.directCommands()) > 0
 	}
 	if startedElsewhere() {
-		t.Fatal("started elsewhere while the command may still act")
+		t.Fatal("task started elsewhere while the command may still act")
 	}
 	h.run(3 * sec) // the fencing token is raised by rewriting the record
 	status, body := h.heartbeat(heartbeatFrom(at, 1, 30, fencingToken))
@@ -60,15 +61,16 @@
 		t.Fatalf("answered %d with token %d, want one above %d", status, body.FencingToken, fencingToken)
 	}
 	if startedElsewhere() {
-		t.Fatal("started elsewhere before the raised token was seen")
+		t.Fatal("task started elsewhere before the machine has shown the raised token")
 	}
 	_, seen := h.heartbeat(heartbeatFrom(at, 1, 31, body.FencingToken))
 	if len(starts(seen.Commands)) == 0 && !startedElsewhere() {
-		t.Error("not started again after the raised token was seen")
+		t.Error("task not started again after the machine has shown the raised token")
 	}
 }
 
-// TestCancelDuringStart checks that a cancellation stops what a start still under way brings up.
+// TestCancelDuringStart checks that tasks whose starts were sent before a cancellation are stopped
+// when the machine lists them.
 func TestCancelDuringStart(t *testing.T) {
 	h := newHarness(t, nil)
 	fencingToken := h.reconcile("vm-1")
@@ -87,7 +89,7 @@
 		wire.TaskStatus{Task: "job-000001/0", Attempt: cmds[0].Attempt, State: wire.TaskFetching},
 		wire.TaskStatus{Task: "job-000001/1", Attempt: cmds[1].Attempt, State: wire.TaskRunning}))
 	if again := starts(body.Commands); len(again) > 0 {
-		t.Errorf("a cancelled job's tasks are started: %v", again)
+		t.Errorf("tasks of a cancelled job are started: %v", again)
 	}
 	if n := stops(body.Commands); n != 2 {
 		t.Errorf("%d stops without grace, want 2: %v", n, body.Commands)
@@ -97,17 +99,17 @@
 	}
 }
 
-// TestCommandedAttemptStaysKnown checks when a worker may forget an attempt. A repeat of a direct
-// command can follow the end of the process that sent it. It must find the attempt still known,
-// unless a higher fencing token has been seen since (found by the simulation: the repeat ran a task
-// that had moved on).
+// TestCommandedAttemptStaysKnown checks when a worker is told to forget an attempt. A late copy of a
+// direct command can arrive even after the process that sent it has ended. The worker must still
+// know the attempt then, unless a higher fencing token has been seen since: otherwise the copy runs
+// a task that runs elsewhere by now. The simulation found this.
 func TestCommandedAttemptStaysKnown(t *testing.T) {
 	for _, tc := range []struct {
 		name       string
 		exitReason wire.ExitReason
-		commanded  bool // by a direct command
-		raised     bool
-		clear      bool
+		commanded  bool // started by a direct command, not in a reply
+		raised     bool // the fencing token was raised since
+		clear      bool // the worker is told to forget the attempt
 	}{
 		{"stopped, started by a direct command", wire.ExitStopped, true, false, false},
 		{"failed, started by a direct command", wire.ExitError, true, false, false},
@@ -132,7 +134,7 @@
 			}
 			shown := fencingToken
 			if tc.raised {
-				shown++ // as after a rewrite of the machine's record
+				shown++ // as after a rewrite of the machine's record set
 				h.c.machines["vm-1"].recordSet.modRevision = shown
 			}
 			_, body := h.heartbeat(heartbeatFrom("vm-1", 1, 20, shown, wire.TaskStatus{Task: "job-000001/0", Attempt: attempt, State: wire.TaskExited, ExitReason: tc.exitReason}))
@@ -141,26 +143,26 @@
 				cleared = cleared || c.Op == wire.OpForget && c.Attempt == attempt
 			}
 			if cleared != tc.clear {
-				t.Errorf("cleared: %v, want %v", cleared, tc.clear)
+				t.Errorf("told to forget the attempt: %v, want %v", cleared, tc.clear)
 			}
 		})
 	}
 }
 
-// TestDelayedCommand checks that while a direct command is delayed and no heartbeat of its machine
-// arrives, stops are still sent, starts are not, and the raised fencing token that voids the one in
-// doubt is sent at once.
+// TestDelayedCommand checks what is sent to a machine whose heartbeats do not arrive while a direct
+// command to it is in doubt: stops are, starts are not, and a raised fencing token, which voids the
+// command in doubt, is sent at once.
 func TestDelayedCommand(t *testing.T) {
 	h := newOwnerHarness(t, withPeer)
 	fencingToken, a := h.runOne()
-	h.run(2 * sec) // direct commands have a least interval
+	h.run(2 * sec) // in case commandRetryDelay applies
 	h.submit(jobOf("job-000002", 1))
 	delayed := h.directCommands()
 	if len(delayed) != 1 {
-		t.Fatalf("%d direct commands, want the start", len(delayed))
+		t.Fatalf("%d direct commands, want 1 with the start", len(delayed))
 	}
 	h.open = nil
-	h.late = wire.PrefixFleet // the record that raises the fencing token is slow
+	h.late = wire.PrefixFleet // delays the write that raises the fencing token
 	h.step(Result{ID: delayed[0].ID})
 	h.cancel("job-000001")
 	h.submit(jobOf("job-000003", 1))
@@ -170,13 +172,13 @@
 		o := c.Req.(wire.DirectCommand)
 		stopped += stops(o.Commands)
 		if len(starts(o.Commands)) > 0 {
-			t.Errorf("a start follows a command in doubt: %v", o.Commands)
+			t.Errorf("a start was sent while a command is in doubt: %v", o.Commands)
 		}
 	}
 	if stopped == 0 {
-		t.Fatal("the task is not stopped while a command is in doubt")
+		t.Fatal("no stop was sent while a command is in doubt")
 	}
-	// The command that stops is answered; the one in doubt may still be executed.
+	// The command with the stop is answered. The one in doubt may still be executed.
 	for _, c := range h.open {
 		h.step(Result{ID: c.ID, Status: 200, Body: new(heartbeatFrom("vm-1", 1, 20, fencingToken, wire.TaskStatus{Task: "job-000001/0", Attempt: a, State: wire.TaskExited, ExitReason: wire.ExitStopped}))})
 	}
@@ -194,7 +196,7 @@
 		}
 	}
 	if raised <= fencingToken {
-		t.Fatalf("token %d never raised beyond %d", raised, fencingToken)
+		t.Fatalf("highest token sent is %d, want one above %d", raised, fencingToken)
 	}
 	for _, c := range h.open {
 		if _, ok := c.Req.(wire.DirectCommand); ok {
@@ -203,11 +205,11 @@
 		}
 	}
 	if v := h.c.machines["vm-1"].view; v.inDoubtToken != 0 {
-		t.Error("still in doubt after the machine has shown the raised token")
+		t.Error("command still in doubt after the machine has shown the raised token")
 	}
 }
 
-// openCommands returns the commands of open direct commands.
+// openCommands returns the commands in the direct commands that are not answered yet.
 func (h *harness) openCommands() (out []wire.Command) {
 	for _, c := range h.directCommands() {
 		out = append(out, c.Req.(wire.DirectCommand).Commands...)
@@ -215,14 +217,14 @@
 	return out
 }
 
-// TestStartsBeyondTheLease checks that beyond its lease an owner starts tasks only while every
-// other controller says that it has lost the state service too: else a successor may have confirmed
-// a cancellation to a user.
+// TestStartsBeyondTheLease checks that an owner whose lease has expired starts tasks only while every
+// other controller reports that it has lost the state service too. Otherwise a successor may have
+// confirmed a job's cancellation to a user, and this owner would start its tasks nevertheless.
 func TestStartsBeyondTheLease(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
-		stateOK bool // by the status of the other
-		silent  bool // no status of the other comes
+		stateOK bool // the status of the other controller says that it has the state service
+		silent  bool // the other controller sends no status
 		want    int
 	}{
 		{"the outage is common", false, false, 1},
@@ -232,7 +234,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			h := newOwnerHarness(t, withPeer)
 			fencingToken := h.reconcile("vm-1")
-			h.submit(jobOf("job-000001", 8)) // four fit
+			h.submit(jobOf("job-000001", 8)) // four tasks fit on the machine
 			h.dropCalls()
 			_, body := h.heartbeat(heartbeatFrom("vm-1", 1, 10, fencingToken))
 			first := starts(body.Commands)
--- a/internal/controller/direct_commands_test.go
+++ b/internal/controller/direct_commands_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestCommandOutcome checks that only a command that was not sent, or that the machine itself
-// refused, can't act any more.
+// TestCommandOutcome checks that a direct command that was not executed counts as refused only if it
+// was not sent or the machine itself refused it. In all other cases it may still act.
 func TestCommandOutcome(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
@@ -24,7 +24,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if got := commandOutcomeOf(tc.result, tc.answered); got != tc.want {
-				t.Errorf("%v, want %v", got, tc.want)
+				t.Errorf("outcome %v, want %v", got, tc.want)
 			}
 		})
 	}
--- a/internal/controller/heartbeats_test.go
+++ b/internal/controller/heartbeats_test.go
@@ -8,8 +8,8 @@
 	"garnethitch/internal/wire"
 )
 
-// TestHeartbeatOrder checks that a heartbeat is accepted if it is newer than the last, and no
-// successor has commanded its machine.
+// TestHeartbeatOrder checks that a heartbeat is accepted only if it is newer than the last one and
+// does not show the fencing token of a successor.
 func TestHeartbeatOrder(t *testing.T) {
 	h := newHarness(t, nil)
 	fencingToken := h.reconcile("vm-1")
@@ -26,13 +26,13 @@
 		{"older agent epoch, larger sequence", 1, 99, fencingToken, 503},
 	} {
 		if status, _ := h.heartbeat(heartbeatFrom("vm-1", tc.agentEpoch, tc.sequence, tc.fencingToken)); status != tc.want {
-			t.Errorf("%s: %d, want %d", tc.name, status, tc.want)
+			t.Errorf("%s: status %d, want %d", tc.name, status, tc.want)
 		}
 	}
 }
 
-// TestSilentMachine checks that a task on a silent machine restarts once that machine's lease must
-// be over, and not before.
+// TestSilentMachine checks that a task on a silent machine is started elsewhere once that machine's
+// lease must have run out, and not before.
 func TestSilentMachine(t *testing.T) {
 	h := newHarness(t, nil)
 	fencingToken := h.reconcile("vm-1")
@@ -47,16 +47,16 @@
 		early := h.now < last+10*sec
 		if started := len(starts(body.Commands)) > 0 || len(h.directCommands()) > 0; started {
 			if early {
-				t.Fatalf("started elsewhere %v s after the last reply", (h.now - last).Seconds())
+				t.Fatalf("task started elsewhere only %v s after the last reply", (h.now - last).Seconds())
 			}
 			return
 		}
 	}
-	t.Error("never started elsewhere")
+	t.Error("task never started elsewhere")
 }
 
-// TestLimitCountsUnreconciledMachines checks that a limit counts what may be on machines whose
-// heartbeats have not come yet.
+// TestLimitCountsUnreconciledMachines checks that a team's limit counts the tasks that may be on
+// machines that have not been reconciled since the claim.
 func TestLimitCountsUnreconciledMachines(t *testing.T) {
 	for _, tc := range []struct {
 		name         string
@@ -70,7 +70,7 @@
 			h := newHarness(t, func(c *Config) { c.Teams = []Team{{Name: "t", CPUsMax: 4}, {Name: "u"}}; c.Shards = 1 })
 			fencingToken := h.reconcile("vm-1")
 			if tc.unreconciled {
-				// It stood on record when the shard was claimed.
+				// As if the machine was on record when the shard was claimed.
 				h.putMachines("m-1-1", "vm-9")
 				h.c.machines["vm-9"].view.unreconciledFromPredecessor = true
 				h.c.ownership.markDirty(h.c.machines["vm-9"])
@@ -85,14 +85,14 @@
 	}
 }
 
-// TestSilentMachineWithinSuccessorWait has a controller lose the state service and the other
-// controllers, but not its workers: a machine that is silent here may send its heartbeats to a
-// successor, which renews its lease, so its tasks are not started elsewhere (found by the enlarged
-// simulation: ran_twice).
+// TestSilentMachineWithinSuccessorWait checks that a controller that has lost the state service and
+// the other controllers, but not its workers, does not start the tasks of a silent machine
+// elsewhere. The machine may send its heartbeats to a successor, which renews its lease, and the
+// tasks would run twice. The enlarged simulation found this (ran_twice).
 func TestSilentMachineWithinSuccessorWait(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
-		alone bool // it has lost the state service
+		alone bool // it has lost the state service and the other controllers
 	}{
 		{"with the state service: restarted once the lease has run out", false},
 		{"without it: a successor may have renewed the machine's lease", true},
@@ -111,19 +111,20 @@
 				h.run(sec / 2)
 				status, body := h.heartbeat(heartbeatFrom("vm-2", 1, seq, other))
 				if status != 200 {
-					t.Fatalf("heartbeat answered %d: the time for commands is over too early", status)
+					t.Fatalf("heartbeat answered %d: the controller stopped commanding machines too early", status)
 				}
 				started = started || len(starts(body.Commands)) > 0 || len(h.directCommands()) > 0
 			}
 			if started == tc.alone {
-				t.Errorf("started elsewhere: %v", started)
+				t.Errorf("task started elsewhere: %v", started)
 			}
 		})
 	}
 }
 
-// TestLateHeartbeatCopies checks that late copies of heartbeats change nothing: no state, no lease
-// arithmetic, no time of the last heartbeat, no reconciliation, no assignment.
+// TestLateHeartbeatCopies checks that late copies of heartbeats change nothing: neither the state of
+// attempts, nor the times of the last heartbeat and reply from which leases are computed. They also
+// reconcile no machine and register none.
 func TestLateHeartbeatCopies(t *testing.T) {
 	h := newHarness(t, nil)
 	fencingToken := h.reconcile("vm-1")
@@ -145,28 +146,28 @@
 			t.Errorf("%s: answered %d, want 503", tc.name, status)
 		}
 		if v.lastHeartbeatAt != lastHeartbeatAt || v.lastReplyAt != lastReplyAt || v.attemptList[0].state != attemptRunning {
-			t.Errorf("%s: changed something", tc.name)
+			t.Errorf("%s: changed the view of the machine", tc.name)
 		}
 	}
-	// The answer to a direct command that is overtaken by a newer heartbeat.
+	// A newer heartbeat overtakes the answer to a direct command.
 	h.submit(jobOf("job-000002", 1))
 	command := h.directCommands()[0]
 	h.open = nil
 	h.heartbeat(heartbeatFrom("vm-1", 1, 40, fencingToken, running, wire.TaskStatus{Task: "job-000002/0", Attempt: command.Req.(wire.DirectCommand).Commands[0].Attempt, State: wire.TaskRunning}))
 	overtaken := heartbeatFrom("vm-1", 1, 39, fencingToken)
 	if h.step(Result{ID: command.ID, Status: 200, Body: &overtaken}); len(v.attemptList) != 2 || v.attemptList[0].key.attempt != a || v.attemptList[0].state != attemptRunning {
-		t.Errorf("an overtaken answer changed what runs: %d tasks", len(v.attemptList))
+		t.Errorf("an overtaken answer changed the attempts: %d listed", len(v.attemptList))
 	}
-	// A new owner has no view. A copy from before its claim reconciles nothing.
+	// A new owner has no view of the machine. A copy from before its claim reconciles nothing.
 	h.putMachines("m-1-1", "vm-3")
 	h.run(sec)
 	old := h.c.fencingToken(h.c.ownership.shards[0], h.c.machines["vm-3"]) - 1
 	h.heartbeat(heartbeatFrom("vm-3", 1, 50, old, wire.TaskStatus{Task: "job-000009/0", Attempt: 3, State: wire.TaskRunning}))
 	if v := h.c.machines["vm-3"].view; v.reconciled || len(v.attemptList) != 0 {
-		t.Error("reconciled by a heartbeat from before the claim")
+		t.Error("machine reconciled by a heartbeat from before the claim")
 	}
-	// A machine that was returned does not come back to the record by a copy,
-	// neither at the leader that returned it nor at one that never knew it.
+	// A copy does not bring a returned machine back to the record, neither at the leader that
+	// returned it nor at one that never knew it.
 	for _, known := range []bool{true, false} {
 		if known {
 			h.c.fleet.returned["vm-8"] = h.now
@@ -175,14 +176,14 @@
 		h.heartbeat(heartbeatFrom("vm-8", 1, 4, 3))
 		for range 4 {
 			h.run(sec)
-			h.dropCalls() // nobody answers at its address
+			h.dropCalls() // the probes of the machine are not answered
 		}
 		if h.c.machines["vm-8"] != nil {
 			t.Error("a copy brought a returned machine back to the record")
 		}
 		delete(h.c.fleet.returned, "vm-8")
 	}
-	// An unlisted machine that answers for itself is assigned.
+	// A machine that the cloud does not list and that answers a probe is assigned.
 	h.heartbeat(heartbeatFrom("vm-8", 1, 5, 0))
 	for _, call := range h.open {
 		if _, ok := call.Req.(GetHeartbeat); ok && call.Addr == "vm-8" {
@@ -192,13 +193,13 @@
 	}
 	h.run(2 * sec)
 	if h.c.machines["vm-8"] == nil {
-		t.Error("a machine that answers for itself was not assigned")
+		t.Error("a machine that answered a probe was not assigned")
 	}
 }
 
-// TestHeartbeatsUnanswered checks that a machine that reaches no controller while direct commands
-// reach it gets no more tasks, since they would end with its lease; its done tasks count, and it is
-// not lost as long as it has work that may be completed.
+// TestHeartbeatsUnanswered has a machine whose heartbeats reach no controller while direct commands
+// reach it. It must get no more tasks, since they would end with its lease. The tasks that it
+// completes count, and it must not count as silent as long as a task on it may be completed.
 func TestHeartbeatsUnanswered(t *testing.T) {
 	h := newOwnerHarness(t, func(c *Config) {
 		withPeer(c)
@@ -229,25 +230,26 @@
 	}
 	m := h.c.machines["vm-1"]
 	if st := h.c.stateOf(m); st == peer.MachineSilent {
-		t.Error("taken for silent with a task on it that may be completed")
+		t.Error("machine counts as silent although a task on it may be completed")
 	}
 	for range 12 {
 		h.run(sec / 2)
 		answer(wire.TaskStatus{Task: "job-000001/0", Attempt: a, State: wire.TaskExited, ExitReason: wire.ExitDone})
 	}
 	if s := h.state("job-000001"); s != wire.StateDone {
-		t.Errorf("called %q, its task is done", s)
+		t.Errorf("job state %q, want done: its task is done", s)
 	}
 	if st := h.c.stateOf(m); st != peer.MachineSilent {
-		t.Errorf("state %d: an empty machine whose heartbeats are not answered is of no use", st)
+		t.Errorf("state %d of an empty machine whose heartbeats are not answered, want silent", st)
 	}
 	if status, body := h.heartbeat(heartbeatFrom("vm-1", 1, 2000, fencingToken)); status != 200 || len(starts(body.Commands)) != 1 {
-		t.Errorf("heartbeat answered again: %d %v, want a start", status, body.Commands)
+		t.Errorf("next answered heartbeat: %d %v, want a start", status, body.Commands)
 	}
 }
 
-// TestOldHeartbeatsAtNewOwner checks that old heartbeats at a controller that has just claimed a
-// shard reconcile nothing, and nothing of what they list is taken for the machine's present state.
+// TestOldHeartbeatsAtNewOwner checks that late copies of heartbeats do not reconcile a machine at a
+// controller that has just claimed its shard, and that the tasks they list do not count as the
+// machine's present state.
 func TestOldHeartbeatsAtNewOwner(t *testing.T) {
 	h := newOwnerHarness(t, withPeer)
 	sub := jobOf("job-000001", 3)
@@ -262,21 +264,21 @@
 	task := func(i string, attempt uint64, state wire.TaskState, exitReason wire.ExitReason) wire.TaskStatus {
 		return wire.TaskStatus{Task: "job-000001/" + i, Attempt: attempt, State: state, ExitReason: exitReason}
 	}
-	// A copy from under the former owner, kept for this one.
+	// A late copy of a heartbeat to the former owner.
 	h.heartbeat(heartbeatFrom("vm-1", 1, 5, fencingToken-1, task("0", 7, wire.TaskExited, wire.ExitDone), task("1", 7, wire.TaskRunning, ""), task("2", 7, wire.TaskExited, wire.ExitStopped)))
 	if m.view.reconciled || !m.view.unreconciledFromPredecessor {
-		t.Fatal("a copy from before the claim has reconciled the machine")
+		t.Fatal("machine reconciled by a copy from before the claim")
 	}
 	j := h.c.jobs.open["job-000001"]
 	if len(j.run.active) > 0 || len(starts(h.openCommands())) > 0 {
-		t.Errorf("active %v: taken from a copy", j.run.active)
+		t.Errorf("active attempts %v, want none from the copy", j.run.active)
 	}
-	// The machine itself, an agent epoch later: nothing of the copy is there any more.
+	// A heartbeat of the machine in a later agent epoch: the tasks in the copy are gone.
 	h.heartbeat(heartbeatFrom("vm-1", 2, 1, fencingToken))
 	if !m.view.reconciled || len(j.run.active) > 0 && j.run.active[1] != nil && j.run.active[1].key.attempt == 7 {
 		t.Errorf("reconciled %v, active %v", m.view.reconciled, j.run.active)
 	}
-	// An older one again changes nothing.
+	// Another heartbeat of the earlier agent epoch changes nothing.
 	h.heartbeat(heartbeatFrom("vm-1", 1, 6, fencingToken, task("1", 7, wire.TaskExited, wire.ExitDone)))
 	if j.run.done.Has(1) {
 		t.Error("a heartbeat of an earlier agent epoch changed the view")
--- a/internal/controller/inventory_test.go
+++ b/internal/controller/inventory_test.go
@@ -8,8 +8,8 @@
 	"garnethitch/internal/wire"
 )
 
-// TestUsableTypes checks that machine types that make no sense are left out, whatever else the
-// cloud lists.
+// TestUsableTypes checks that invalid machine types are left out, and that zones are sorted without
+// duplicates.
 func TestUsableTypes(t *testing.T) {
 	good := wire.MachineType{Name: "m", CPUs: 4, MemGB: 8, Price: 1, SpotPrice: 0.5, Zones: []string{"b", "a", "b"}}
 	with := func(change func(*wire.MachineType)) wire.MachineType {
@@ -39,14 +39,14 @@
 				t.Fatalf("usable: %v, want %v", usable, tc.want)
 			}
 			if usable && !slices.Equal(got.Zones, []string{"a", "b"}) {
-				t.Errorf("zones %v", got.Zones)
+				t.Errorf("zones %v, want a and b", got.Zones)
 			}
 		})
 	}
 }
 
-// TestListIsReadByPages checks that later pages of a list count once for each machine, and replace
-// the list before only when the last page is there.
+// TestListIsReadByPages checks that a machine on two pages of a list counts once, that the pages
+// replace the former list only when the last one is read, and that a failed read keeps it.
 func TestListIsReadByPages(t *testing.T) {
 	h := newHarness(t, nil)
 	h.c.fleet.reset()
@@ -61,15 +61,15 @@
 	f.listReadStartedAt = h.now
 	h.c.handleListPage(page(true, "vm-1", "vm-2"))
 	if f.listedAt != 0 || f.lastReadID != "vm-2" {
-		t.Errorf("after the first page: listed at %v, next after %q", f.listedAt, f.lastReadID)
+		t.Errorf("after the first page: listed at %v, last ID read %q", f.listedAt, f.lastReadID)
 	}
 	h.c.handleListPage(page(false, "vm-2", "vm-3"))
 	if f.listedAt != h.now || f.lastReadID != "" || !slices.Equal(f.listedIDs, []string{"vm-1", "vm-2", "vm-3"}) {
-		t.Errorf("after the last page: listed at %v, next after %q, %v", f.listedAt, f.lastReadID, f.listedIDs)
+		t.Errorf("after the last page: listed at %v, last ID read %q, IDs %v", f.listedAt, f.lastReadID, f.listedIDs)
 	}
 	f.lastReadID = "vm-2"
 	h.c.handleListPage(Result{Status: 503})
 	if f.lastReadID != "" || len(f.listed) != 3 {
-		t.Errorf("after a failed read: next after %q, %d listed", f.lastReadID, len(f.listed))
+		t.Errorf("after a failed read: last ID read %q, %d machines listed", f.lastReadID, len(f.listed))
 	}
 }
--- a/internal/controller/machine_health_test.go
+++ b/internal/controller/machine_health_test.go
@@ -7,14 +7,15 @@
 	"garnethitch/internal/wire"
 )
 
-// TestFaultyMachineOrJob checks that a faulty machine is distinguished from a bad job.
+// TestFaultyMachineOrJob checks that failures of tasks are attributed to the machine or to the job:
+// a faulty machine is cordoned, and a faulty job is throttled.
 func TestFaultyMachineOrJob(t *testing.T) {
 	for _, tc := range []struct {
 		name      string
 		failures  [][2]string // job, machine
 		faulty    []string
 		throttled []string
-		well      int // tasks of job-000001 that have run on elsewhere for a while
+		well      int // number of tasks of job-000001 that have run on other machines for a while
 	}{
 		{"one failure", [][2]string{{"job-000001", "vm-1"}}, nil, nil, 0},
 		{"two jobs fail on one machine", [][2]string{{"job-000001", "vm-1"}, {"job-000002", "vm-1"}}, []string{"vm-1"}, nil, 0},
@@ -60,15 +61,16 @@
 	}
 }
 
-// TestStalledNode checks that a node that has stalled concludes nothing from heartbeats that it has
-// not read, nor from ends of tasks that it saw late; one that has not stalled does.
+// TestStalledNode checks that a node that was stalled does not take a machine or a peer for dead
+// because of messages that it has not read, and does not learn run times from ends of tasks that it
+// saw late. A node that was not stalled does both.
 func TestStalledNode(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
-		gap    micros.Micros // between its steps
-		silent bool
-		alive  bool
-		learns bool
+		gap    micros.Micros // time between two steps
+		silent bool          // the machine counts as silent
+		alive  bool          // the peer counts as alive
+		learns bool          // the run time is learned
 	}{
 		{"in time", 20 * ms, true, false, true},
 		{"ten times too slow", 2 * sec, false, true, false},
--- a/internal/controller/machine_records_test.go
+++ b/internal/controller/machine_records_test.go
@@ -9,8 +9,9 @@
 	"garnethitch/internal/wire"
 )
 
-// TestMachineRecordSetMove checks that machines move in one transaction that drops them from one
-// record set and adds them to another, and an unanswered one is resolved before anything starts.
+// TestMachineRecordSetMove checks that one transaction removes a machine from one record set and
+// adds it to another, and that a machine is given no tasks while the outcome of an unanswered
+// transaction is in doubt.
 func TestMachineRecordSetMove(t *testing.T) {
 	for _, tc := range []struct {
 		name string
@@ -34,17 +35,17 @@
 			h.step(Tick{})
 			if tc.lose {
 				if v := m.view; !v.releasing {
-					t.Error("may be given tasks while its move is open")
+					t.Error("machine may be given tasks while its move is not answered")
 				}
 				h.giveUp()
 				if v := m.view; v == nil || v.inDoubtToken == 0 {
-					t.Error("taken for not applied although the move may stand")
+					t.Error("move counts as not applied although it may have been")
 				}
 				h.lose, h.watchBlocked = "", ""
 				h.run(sec)
 			}
 			if got := h.c.machines["vm-1"]; got == nil || got.rec.Shard != 1-from {
-				t.Fatalf("not moved: %+v", got)
+				t.Fatalf("machine not moved: %+v", got)
 			}
 			in := 0
 			for _, b := range h.c.machineRecords.sets {
@@ -55,14 +56,15 @@
 				}
 			}
 			if in != 1 {
-				t.Errorf("stands in %d record sets", in)
+				t.Errorf("machine stands in %d record sets, want 1", in)
 			}
 		})
 	}
 }
 
-// TestMachineRecordSetCreation checks that machines are recorded once they have come up, in as few
-// writes as possible, and that an unanswered record is sent again under its own key only.
+// TestMachineRecordSetCreation checks that machines are recorded after their first heartbeats and
+// not before, in as few writes as possible, and that an unanswered write is repeated under the same
+// key only.
 func TestMachineRecordSetCreation(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.MaxMachines = 1000; c.Shards = 1 })
 	var ids []string
@@ -75,12 +77,12 @@
 		h.c.fleet.rented[id] = &rentedMachine{kind: fleet.Kind{Type: "m", Zone: "a", Spot: false}, at: h.now}
 	}
 	if h.run(sec); h.rev != before {
-		t.Error("machines are on record before they come up")
+		t.Error("machines are recorded before they send a heartbeat")
 	}
 	var waiting []ReplyID
 	for _, id := range ids {
 		if a := h.ask(func(r ReplyID) Input { return Heartbeat{Reply: r, Heartbeat: heartbeatFrom(id, 1, 1, 0)} }); a.Status != 0 {
-			t.Fatalf("heartbeat of a machine without a record answered %d", a.Status)
+			t.Fatalf("heartbeat of a machine without a record answered %d, want no answer yet", a.Status)
 		}
 		waiting = append(waiting, h.reply)
 	}
@@ -92,7 +94,7 @@
 	h.giveUp()
 	h.run(4 * sec)
 	if len(h.c.fleet.pendingCreations) != 0 || len(h.c.machines) != 120 {
-		t.Errorf("%d records open, %d machines", len(h.c.fleet.pendingCreations), len(h.c.machines))
+		t.Errorf("%d creations pending, %d machines; want 0 and 120", len(h.c.fleet.pendingCreations), len(h.c.machines))
 	}
 	if len(h.c.machineRecords.sets) != 3 {
 		t.Errorf("%d record sets, want 3", len(h.c.machineRecords.sets))
@@ -102,25 +104,25 @@
 			t.Fatalf("heartbeat of %s was never answered", ids[i])
 		}
 	}
-	// Commanded by nobody else: its first heartbeat to its owner is answered with
-	// tasks at once.
+	// Nobody else can have commanded the machine, so that its first heartbeat to its owner is
+	// answered with starts.
 	h.submit(jobOf("job-000001", 2))
 	_, body := h.heartbeat(heartbeatFrom(ids[0], 1, 1, 0))
 	if len(starts(body.Commands)) != 2 {
-		t.Errorf("first heartbeat answered with %v", body.Commands)
+		t.Errorf("first heartbeat answered with %v, want 2 starts", body.Commands)
 	}
-	// Unless it shows that somebody has commanded it.
+	// A heartbeat that shows a fencing token of somebody else is not answered with starts.
 	h.submit(jobOf("job-000002", 2))
 	h.dropCalls()
 	_, body = h.heartbeat(heartbeatFrom(ids[1], 1, 1, 1))
 	if len(starts(body.Commands)) != 0 {
-		t.Errorf("a machine that shows a foreign token is given %v", body.Commands)
+		t.Errorf("machine that shows a foreign token is sent %v, want no starts", body.Commands)
 	}
 }
 
-// TestOldMachineRecordSetAfterClaim checks that the machines of a record set older than the claim
-// do not count as never commanded, also when it becomes known only after the claim: the former
-// owner may have used them.
+// TestOldMachineRecordSetAfterClaim checks that the machines of a record set that is older than the
+// claim do not count as never commanded, even if this node learns of it only after the claim: the
+// former owner may have commanded them.
 func TestOldMachineRecordSetAfterClaim(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
@@ -141,14 +143,15 @@
 			}
 			h.c.applyPut(key, value, modRevision)
 			if m := h.c.machines["vm-1"]; m.view.reconciled != tc.after {
-				t.Errorf("reconciled %v, want %v", m.view.reconciled, tc.after)
+				t.Errorf("reconciled: %v, want %v", m.view.reconciled, tc.after)
 			}
 		})
 	}
 }
 
-// TestMoveVoidedByRewrite leaves a machine's move unanswered; before the owner raises its fencing token,
-// the leader rewrites the record set. The move is void then, and the machine is to be used again.
+// TestMoveVoidedByRewrite checks that a machine is used again after the leader has rewritten its
+// record set while the machine's move was unanswered and the owner had not raised its fencing token
+// yet. The rewrite voids the move, which must not keep the machine from getting tasks.
 func TestMoveVoidedByRewrite(t *testing.T) {
 	h := newOwnerHarness(t, func(c *Config) {
 		withPeer(c)
@@ -163,7 +166,7 @@
 	h.c.fleet.planNext = micros.Never
 	h.late = wire.PrefixFleet
 	if h.c.release(peer.Release{Machines: []string{"vm-1"}, Shard: 1 - m.rec.Shard}); !m.view.releasing {
-		t.Fatal("not releasing: the case is not what it should be")
+		t.Fatal("setup failed: the machine is not being released")
 	}
 	h.step(Tick{})
 	sent := h.lateOut
@@ -179,10 +182,10 @@
 		h.dropCalls()
 	}
 	if m.view == nil || m.view.releasing || m.view.inDoubtToken != 0 {
-		t.Errorf("%+v: still releasing, though the move can't be applied any more", m.view)
+		t.Errorf("%+v: still releasing although the move can't be applied any more", m.view)
 	}
 	h.lateOut = sent
 	if n := h.carryOut(); n != 0 {
-		t.Errorf("%d moves were applied late", n)
+		t.Errorf("%d moves were applied after the rewrite, want 0", n)
 	}
 }
--- a/internal/controller/reachability_test.go
+++ b/internal/controller/reachability_test.go
@@ -9,8 +9,8 @@
 )
 
 // TestHeartbeatsFromUnreachableMachine checks that a machine whose heartbeats arrive while replies
-// and commands don't reach it gets no more tasks and no more replies. What it holds counts until
-// its lease has provably ended.
+// and commands don't reach it gets no more tasks and no more replies. Its tasks are started
+// elsewhere only once its lease has provably ended: otherwise they would run twice.
 func TestHeartbeatsFromUnreachableMachine(t *testing.T) {
 	for _, tc := range []struct {
 		name          string
@@ -25,7 +25,7 @@
 			a := h.startOne(fencingToken)
 			running := wire.TaskStatus{Task: "job-000001/0", Attempt: a, State: wire.TaskRunning}
 			h.heartbeat(heartbeatFrom("vm-1", 1, 11, fencingToken, running))
-			h.submit(jobOf("job-000002", 8)) // three fit beside the first
+			h.submit(jobOf("job-000002", 8)) // three tasks fit in addition to the first
 			h.dropCalls()
 			seq, last := uint64(11), h.now
 			statuses := map[int]int{}
@@ -33,7 +33,7 @@
 				h.run(sec / 2)
 				h.dropCalls()
 				seq++
-				status, body := h.heartbeat(heartbeatFrom("vm-1", 1, seq, fencingToken, running)) // never shows the starts
+				status, body := h.heartbeat(heartbeatFrom("vm-1", 1, seq, fencingToken, running)) // never lists the started tasks
 				statuses[status]++
 				if status == 200 {
 					last = h.now
@@ -42,16 +42,16 @@
 				}
 			}
 			if statuses[200] != reachability.MaxUnconfirmedReplies || statuses[503] != 8-reachability.MaxUnconfirmedReplies {
-				t.Fatalf("answers %v, want %d of 200 and then 503 only", statuses, reachability.MaxUnconfirmedReplies)
+				t.Fatalf("answers by status %v, want %d of 200 and then 503 only", statuses, reachability.MaxUnconfirmedReplies)
 			}
 			other := h.reconcile("vm-2")
-			h.submit(jobOf("job-000003", 8)) // vm-2 is never empty
+			h.submit(jobOf("job-000003", 8)) // keeps vm-2 busy, so that it is not returned
 			bound := last + h.c.bounds.WorkerExpiry
 			if tc.newAgentEpoch {
 				bound = h.now
 				h.heartbeat(heartbeatFrom("vm-1", 2, seq+1, fencingToken))
 				if h.c.unreachable(h.c.machines["vm-1"]) {
-					t.Error("still unreachable in a new agent epoch")
+					t.Error("machine still unreachable in a new agent epoch")
 				}
 			}
 			for s := uint64(20); h.now < bound+5*sec; s++ {
@@ -63,18 +63,18 @@
 						continue
 					}
 					if h.now < bound {
-						t.Fatalf("restarted %v s after the last 200", (h.now - last).Seconds())
+						t.Fatalf("task restarted only %v s after the last 200", (h.now - last).Seconds())
 					}
 					return
 				}
 			}
-			t.Error("never restarted")
+			t.Error("task never restarted")
 		})
 	}
 }
 
-// TestHeartbeatTimeout checks that heartbeat deadlines follow from the settings: where heartbeats
-// come 10 s apart, no machine is returned because one was lost.
+// TestHeartbeatTimeout checks that the heartbeat deadlines are derived from the settings, so that no
+// machine is returned because of one lost heartbeat, not even where heartbeats come 10 s apart.
 func TestHeartbeatTimeout(t *testing.T) {
 	for _, tc := range []struct {
 		name            string
@@ -93,14 +93,14 @@
 		}
 		longest := tc.interval * 5 / 4
 		if c.heartbeatDeadlines.Overdue <= longest {
-			t.Errorf("%s: overdue after %v s, a heartbeat may take %v s", tc.name, c.heartbeatDeadlines.Overdue.Seconds(), longest.Seconds())
+			t.Errorf("%s: overdue after %v s, but heartbeats may come %v s apart", tc.name, c.heartbeatDeadlines.Overdue.Seconds(), longest.Seconds())
 		}
-		// The next controller is tried 1 s after a reply was missed for 4 s.
+		// A machine waits 4 s for a reply and tries the next controller 1 s later.
 		if lost := longest + 5*sec; c.heartbeatDeadlines.Return <= lost {
-			t.Errorf("%s: returned for one lost heartbeat", tc.name)
+			t.Errorf("%s: returned because of one lost heartbeat", tc.name)
 		}
 		if c.heartbeatDeadlines.Return >= tc.lease {
-			t.Errorf("%s: a lease runs out first", tc.name)
+			t.Errorf("%s: the lease runs out before the machine is returned", tc.name)
 		}
 	}
 }
--- a/internal/controller/readiness_test.go
+++ b/internal/controller/readiness_test.go
@@ -3,12 +3,12 @@
 import "testing"
 
 // TestReadiness checks that a controller is not ready for users if it alone has lost the state
-// service, and ready if all have, also when they were started in the outage.
+// service, and is ready if all controllers have, even if it was started during the outage.
 func TestReadiness(t *testing.T) {
 	ready := func(h *harness) int { return h.ask(func(r ReplyID) Input { return ReadinessRequest{Reply: r} }).Status }
 	for _, tc := range []struct {
 		name              string
-		before, peerState bool // it had the state service before; a peer has it now
+		before, peerState bool // this controller had the state service before; a peer has it now
 		want              int
 	}{
 		{"lost by all", true, false, 200},
@@ -32,7 +32,7 @@
 				p.lastContactAt, p.stateOK = h.now, tc.peerState
 			}
 			if got := ready(h); got != tc.want {
-				t.Errorf("readiness: %d, want %d", got, tc.want)
+				t.Errorf("readiness answered %d, want %d", got, tc.want)
 			}
 		})
 	}
--- a/internal/controller/registration_test.go
+++ b/internal/controller/registration_test.go
@@ -7,8 +7,9 @@
 	"garnethitch/internal/wire"
 )
 
-// TestRegistrationAcrossOutage has a machine send its first heartbeat just as the leader's lease is
-// over. The leader leads again under the same key, and must assign the machine then.
+// TestRegistrationAcrossOutage checks that a machine is assigned after an outage if it sent its first
+// heartbeat just before the leader's lease ran out. The leader leads again under the same key, and
+// must assign the machine then.
 func TestRegistrationAcrossOutage(t *testing.T) {
 	h := newOwnerHarness(t, withPeer)
 	h.c.fleet.rented["vm-7"] = &rentedMachine{kind: fleet.Kind{Type: "m", Zone: "a", Spot: false}, at: h.now}
@@ -19,7 +20,7 @@
 	h.ask(func(r ReplyID) Input { return Heartbeat{Reply: r, Heartbeat: heartbeatFrom("vm-7", 1, 1, 0)} })
 	h.run(2 * sec)
 	if c := h.c; c.ownership.leading() || len(c.fleet.registrations) > 0 {
-		t.Fatalf("leading %v, %d registrations: the case is not what it should be", c.ownership.leading(), len(c.fleet.registrations))
+		t.Fatalf("setup failed: leading %v, %d registrations; want false and 0", c.ownership.leading(), len(c.fleet.registrations))
 	}
 	h.stateDown, h.refused = false, false
 	h.run(2 * sec)
@@ -28,12 +29,13 @@
 		h.run(sec)
 	}
 	if h.c.machines["vm-7"] == nil {
-		t.Error("never assigned")
+		t.Error("machine never assigned")
 	}
 }
 
-// TestLateRecordSetWrite checks that a machine whose record was not answered is recorded under no other key
-// meanwhile: the record may be applied at any time.
+// TestLateRecordSetWrite checks that a machine is recorded under no other key while the write of its
+// record set is unanswered: that write may still be applied, and the machine would stand in two
+// record sets.
 func TestLateRecordSetWrite(t *testing.T) {
 	h := newHarness(t, nil)
 	h.c.fleet.rented["vm-1"] = &rentedMachine{kind: fleet.Kind{Type: "m", Zone: "a", Spot: true}, at: h.now}
@@ -52,14 +54,14 @@
 		h.step(Result{ID: c.ID}) // no answer
 	}
 	if len(first.Changes) != 1 {
-		t.Fatalf("recorded by %v", first)
+		t.Fatalf("machine recorded by %v, want one change", first)
 	}
 	call(2)
 	h.run(2 * sec)
 	if h.c.machines["vm-1"] == nil {
-		t.Fatal("never recorded")
+		t.Fatal("machine never recorded")
 	}
 	if status, _ := h.txn(first); status != 409 {
-		t.Errorf("the late record was applied beside another: %d", status)
+		t.Errorf("late write answered %d, want 409: the machine is on record already", status)
 	}
 }
--- a/internal/controller/replacement_test.go
+++ b/internal/controller/replacement_test.go
@@ -9,9 +9,9 @@
 	"garnethitch/internal/wire"
 )
 
-// TestUnreconciledReturn checks that machines that can't be reached, and block a failover, are
-// returned if the work that waits meanwhile is worth more than they are, and not if it is rather
-// the owner that can't reach them.
+// TestUnreconciledReturn checks that unreachable machines that block a failover are returned if the
+// work that they block costs more than replacing them, but not if the owner's network is the likely
+// cause.
 func TestUnreconciledReturn(t *testing.T) {
 	for _, tc := range []struct {
 		name         string
@@ -19,7 +19,7 @@
 		blocked      micros.Micros
 		busy         float64
 		wait         int
-		since        micros.Micros // for those asked twice
+		since        micros.Micros // how long the machines have been unreconciled
 		partitioned  bool
 		want         bool
 	}{
@@ -49,14 +49,14 @@
 			c.fleet.budget = ratelimit.NewBucket(10)
 			c.replaceUnhealthy(map[int]*peer.Demand{0: d})
 			if got := len(c.fleet.returning) == tc.unreconciled; got != tc.want || !tc.want && len(c.fleet.returning) > 0 {
-				t.Errorf("%d returned, want it: %v", len(c.fleet.returning), tc.want)
+				t.Errorf("%d machines returned, want a return: %v", len(c.fleet.returning), tc.want)
 			}
 		})
 	}
 }
 
-// TestSilentReturn checks that machines of a partitioned zone are not returned as if they had died
-// one by one; dead ones beside them are. In the end they are returned after all.
+// TestSilentReturn checks that silent machines of a partitioned zone are not returned like failed
+// ones, but only after a longer time. Failed machines of other zones are returned meanwhile.
 func TestSilentReturn(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
@@ -78,15 +78,15 @@
 			c.fleet.budget = ratelimit.NewBucket(10)
 			c.replaceUnhealthy(map[int]*peer.Demand{0: d})
 			if got := c.fleet.returning["vm-1"]; got != tc.want {
-				t.Errorf("returned %v, want %v", got, tc.want)
+				t.Errorf("returned: %v, want %v", got, tc.want)
 			}
 		})
 	}
 }
 
-// TestReturnNoticeIsRepeated checks that a new owner, which does not know what was returned before
-// its claim, is notified as long as it names the machine as silent or unreconciled. (A shard was
-// blocked for 12 s by three machines that had long been returned.)
+// TestReturnNoticeIsRepeated checks that the owner of a shard is notified of a returned machine as
+// long as its demand names the machine as silent or unreconciled. A new owner does not know what was
+// returned before its claim: three machines that had long been returned blocked a shard for 12 s.
 func TestReturnNoticeIsRepeated(t *testing.T) {
 	h := newHarness(t, func(c *Config) {
 		c.Shards = 2
@@ -99,7 +99,7 @@
 	h.put(ownerKey(1), wire.OwnerRecord{Label: "n-1", Incarnation: 77})
 	h.put(wire.MachineRecordSetKey(1, "l-1-1"), wire.MachineRecordSet{Kinds: []wire.MachineKind{{Type: "m", Zone: "a"}}, Machines: []wire.MachineRecord{{ID: "vm-1", Addr: "vm-1"}}})
 	if !h.c.ownership.leading() {
-		t.Fatal("does not lead")
+		t.Fatal("setup failed: this node is not the leader")
 	}
 	h.c.fleet.returned["vm-1"] = h.now
 	for _, state := range []peer.MachineState{peer.MachineUnreconciled, peer.MachineSilent} {
@@ -109,7 +109,7 @@
 		h.c.replaceUnhealthy(map[int]*peer.Demand{1: d})
 		h.c.replaceUnhealthy(map[int]*peer.Demand{1: d})
 		if len(p.returnedMachines) != 1 || p.returnedMachines[0] != "vm-1" {
-			t.Errorf("state %d: the new owner is notified of %v", state, p.returnedMachines)
+			t.Errorf("state %d: the new owner is notified of %v, want vm-1", state, p.returnedMachines)
 		}
 	}
 }
--- a/internal/controller/returned_machines_test.go
+++ b/internal/controller/returned_machines_test.go
@@ -7,14 +7,14 @@
 	"garnethitch/internal/wire"
 )
 
-// TestRewriteDue checks when a record set is rewritten without its returned machines: all others in
-// it send another heartbeat for that.
+// TestRewriteDue checks when a record set is rewritten without its returned machines. Rewriting it
+// for each of them would cost additional heartbeats, since all others in it then send one.
 func TestRewriteDue(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
 		machines int
 		returned int
-		oldest   micros.Micros // how long ago
+		oldest   micros.Micros // time since the machines were returned
 		want     bool
 	}{
 		{"none was returned", 8, 0, 0, false},
--- a/internal/controller/worker_contact_test.go
+++ b/internal/controller/worker_contact_test.go
@@ -2,16 +2,16 @@
 
 import "testing"
 
-// TestWorkersUnreachable checks that a controller that has lost the workers releases its locks,
-// and that one that is stalled, or in a fleet that has lost some machines, does not.
+// TestWorkersUnreachable checks when a controller takes contact with the workers for lost, and so
+// releases its locks: not if it is stalled, and not if only some machines of the fleet have failed.
 func TestWorkersUnreachable(t *testing.T) {
 	const machines = 10
 	for _, tc := range []struct {
 		name      string
-		silent    int // of machines
+		silent    int // how many of the machines are silent
 		peersDown bool
 		stateDown bool
-		stalled   bool // its steps come seconds apart
+		stalled   bool // the controller's steps come seconds apart
 		want      bool
 	}{
 		{"all send heartbeats", 0, true, false, false, false},
@@ -23,8 +23,8 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t, func(c *Config) { c.Peers = []string{"n-1"}; c.MaxMachines = 100 })
-			h.submit(jobOf("job-000001", 4000)) // or idle machines would be returned
-			h.run(8 * sec)                      // it becomes the leader as well, and lists lag
+			h.submit(jobOf("job-000001", 4000)) // keeps the machines busy, so that none is returned
+			h.run(8 * sec)                      // becomes the leader and waits out the lag of the list
 			tokens := map[string]uint64{}
 			for i := range machines {
 				tokens[machineName(i)] = h.reconcile(machineName(i))
@@ -49,6 +49,8 @@
 	}
 }
 
+// TestHeartbeatSilence checks the thresholds at which silent machines count as most or nearly all of
+// them, and as trying another controller.
 func TestHeartbeatSilence(t *testing.T) {
 	for _, tc := range []struct {
 		name                                   string
@@ -75,6 +77,7 @@
 	}
 }
 
+// TestRecordProbe checks that contact is restored by three answered probes in a row and no fewer.
 func TestRecordProbe(t *testing.T) {
 	w := workerContact{state: contactLost}
 	for i, tc := range []struct{ answered, wantRestored bool }{
