--- a/internal/controller/replacement.go
+++ b/internal/controller/replacement.go
@@ -31,12 +31,12 @@
 	partitioned := fleet.PartitionedZones(demands)
 	var toReturn []string
 	for _, shard := range demands.Shards() {
-		d := demands[shard]
-		c.repeatReturnNotices(d)
-		lost := c.unreachableMachines(d, partitioned)
-		toReturn = append(toReturn, lost.silent...)
-		if c.worthReplacing(shard, d, lost.unreconciled) {
-			toReturn = append(toReturn, lost.unreconciled...)
+		demand := demands[shard]
+		c.repeatReturnNotices(demand)
+		unreachable := c.unreachableMachines(demand, partitioned)
+		toReturn = append(toReturn, unreachable.silent...)
+		if c.worthReplacing(shard, demand, unreachable.unreconciled) {
+			toReturn = append(toReturn, unreachable.unreconciled...)
 		}
 	}
 	c.scaleIn(toReturn)
@@ -56,8 +56,8 @@
 
 // repeatReturnNotices notifies the owner of a shard of the returned machines that its demand still
 // names: another owner may have been notified before.
-func (c *Controller) repeatReturnNotices(d *peer.Demand) {
-	for _, m := range d.Machines {
+func (c *Controller) repeatReturnNotices(demand *peer.Demand) {
+	for _, m := range demand.Machines {
 		named := m.State == peer.MachineUnreconciled || m.State == peer.MachineSilent
 		if named && c.fleet.returned[m.ID] != 0 {
 			c.notifyReturned(m.ID)
@@ -75,30 +75,30 @@
 
 // unreachableMachines returns the machines of a shard that have been unreachable for long enough to
 // be returned.
-func (c *Controller) unreachableMachines(d *peer.Demand, partitioned map[string]bool) unreachableMachines {
-	var lost unreachableMachines
+func (c *Controller) unreachableMachines(demand *peer.Demand, partitioned map[string]bool) unreachableMachines {
+	var unreachable unreachableMachines
 	// If most machines are unreachable, the fault is more likely in the owner's network.
-	mostSilent := 2*d.Silent > d.All
-	mostUnreconciled := 2*d.Unreconciled > d.All
-	for _, m := range d.Machines {
-		rec := c.machines[m.ID]
-		if rec == nil || c.fleet.returned[m.ID] != 0 || c.fleet.returning[m.ID] {
+	mostSilent := 2*demand.Silent > demand.All
+	mostUnreconciled := 2*demand.Unreconciled > demand.All
+	for _, m := range demand.Machines {
+		onRecord := c.machines[m.ID]
+		if onRecord == nil || c.fleet.returned[m.ID] != 0 || c.fleet.returning[m.ID] {
 			continue
 		}
-		inPartition := partitioned[rec.rec.Zone]
+		inPartition := partitioned[onRecord.rec.Zone]
 		since := micros.Micros(m.SinceUS)
 		switch m.State {
 		case peer.MachineSilent:
 			if since > c.silenceLimit(inPartition) && !mostSilent {
-				lost.silent = append(lost.silent, m.ID)
+				unreachable.silent = append(unreachable.silent, m.ID)
 			}
 		case peer.MachineUnreconciled:
 			if since > unreconciledReturnAfter && (!mostUnreconciled || inPartition) {
-				lost.unreconciled = append(lost.unreconciled, m.ID)
+				unreachable.unreconciled = append(unreachable.unreconciled, m.ID)
 			}
 		}
 	}
-	return lost
+	return unreachable
 }
 
 // silenceLimit returns how long a machine may be silent before it is returned. The machines of a
@@ -114,7 +114,7 @@
 
 // worthReplacing reports whether the work that unreconciled machines block exceeds the cost of
 // replacing them, both in CPU seconds.
-func (c *Controller) worthReplacing(shard int, d *peer.Demand, unreconciled []string) bool {
+func (c *Controller) worthReplacing(shard int, demand *peer.Demand, unreconciled []string) bool {
 	if len(unreconciled) == 0 {
 		return false
 	}
@@ -123,7 +123,7 @@
 		mt := c.types.of(c.machines[id])
 		cost += mt.CPUs * (mt.BootS + rentalOverheadS)
 	}
-	blocked := fleet.BlockedWork(d)
+	blocked := fleet.BlockedWork(demand)
 	if blocked <= cost {
 		return false
 	}
