--- a/internal/controller/attempt_end.go
+++ b/internal/controller/attempt_end.go
@@ -42,7 +42,7 @@
 // still execute them.
 func (c *Controller) freeAllAttempts(m *machine, reason string, commandsVoid bool) {
 	c.logFreedTasks(m, reason)
-	for _, att := range m.view.each() {
+	for _, att := range m.view.attemptsCopy() {
 		mayStillStart := att.state == attemptCommanded || att.state == attemptInDoubt
 		switch {
 		case mayStillStart && !commandsVoid:
@@ -57,7 +57,7 @@
 // logFreedTasks logs that the tasks on a machine are gone, unless there were none.
 func (c *Controller) logFreedTasks(m *machine, reason string) {
 	tasks := 0
-	for _, att := range m.view.list {
+	for _, att := range m.view.attemptList {
 		if att.state != attemptExited {
 			tasks++
 		}
@@ -79,7 +79,7 @@
 		c.handleCompletion(att)
 		return
 	case wire.ExitError:
-		c.noteFailure(att)
+		c.recordFailure(att)
 	case wire.ExitNoCapacity, wire.ExitInUse, wire.ExitUnknown:
 		// The machine's state differs from this node's view of it. That is not a failure of the
 		// task: it is retried after the backoff.
@@ -114,6 +114,6 @@
 		return
 	}
 	runTime := c.now - att.runAt
-	c.noteSpeed(att.machine, att.job, runTime)
+	c.recordRunTime(att.machine, att.job, runTime)
 	c.estimates.Learn(att.job.sub, runTime)
 }
--- a/internal/controller/attempts.go
+++ b/internal/controller/attempts.go
@@ -144,7 +144,7 @@
 // evictAllTasks stops all running tasks of a machine so that they continue on other machines. Tasks
 // of jobs with checkpoints are given time to save. It stops none if any task may not be moved.
 func (c *Controller) evictAllTasks(m *machine) {
-	attempts := m.view.each()
+	attempts := m.view.attemptsCopy()
 	for _, att := range attempts {
 		leaving := att.state == attemptExited || att.state == attemptSaving
 		if !leaving && !c.movable(att) {
--- a/internal/controller/demand.go
+++ b/internal/controller/demand.go
@@ -133,7 +133,7 @@
 		zone.Silent++
 		row.SinceUS = int64(c.silentFor(v))
 	case peer.MachineIdle:
-		row.SinceUS = int64(c.now - v.idleAt)
+		row.SinceUS = int64(c.now - v.lastBusyAt)
 		d.CPUs += cpus
 	case peer.MachineBusy:
 		d.CPUs += cpus
@@ -143,7 +143,7 @@
 }
 
 // addUnreconciled adds an unreconciled machine to the sums of its shard and its zone.
-func (c *Controller) addUnreconciled(s *shard, v *view, d *peer.Demand, zone *peer.Zone, row *peer.Machine) {
+func (c *Controller) addUnreconciled(s *shard, v *machineView, d *peer.Demand, zone *peer.Zone, row *peer.Machine) {
 	sinceClaim := c.now - s.claimedAt
 	if v.unansweredCommands >= minUnansweredCommands {
 		row.SinceUS = int64(sinceClaim)
@@ -157,7 +157,7 @@
 
 // silentFor returns how long there has been no evidence that messages pass in both directions
 // between a machine and this controller.
-func (c *Controller) silentFor(v *view) micros.Micros {
+func (c *Controller) silentFor(v *machineView) micros.Micros {
 	silent := c.sinceLastHeartbeat(v)
 	if c.leaseRunningOut(v) {
 		silent = max(silent, c.sinceLastReply(v))
@@ -171,7 +171,7 @@
 // addAttempts adds the remaining run time of a machine's attempts, and the work that would be lost
 // by moving them.
 func (c *Controller) addAttempts(m *machine, d *peer.Demand, row *peer.Machine) {
-	for _, att := range m.view.list {
+	for _, att := range m.view.attemptList {
 		if att.job == nil || att.state == attemptExited {
 			continue
 		}
@@ -235,7 +235,7 @@
 	switch {
 	case v.unreconciledFromPredecessor:
 		return peer.MachineUnreconciled
-	case v.neverCommanded && c.now-v.since < bootTimeout:
+	case v.neverCommanded && c.now-v.observedSince < bootTimeout:
 		return peer.MachineBooting
 	case c.silent(m):
 		return peer.MachineSilent
@@ -265,7 +265,7 @@
 func (c *Controller) needsReplacement(m *machine) bool {
 	v := m.view
 	fails := v.faulty && c.now < v.cordonedUntil
-	return fails || v.reclaimAt != 0 || c.slowness(m) > unhealthySlowness && v.slowCount > minSlowTasks
+	return fails || v.reclaimAt != 0 || c.slowness(m) > unhealthySlowness && v.runTimeWeight > minSlowTasks
 }
 
 // maxWaitingTaskGroups bounds the groups of waiting tasks in the demand of a shard.
--- a/internal/controller/job_end.go
+++ b/internal/controller/job_end.go
@@ -94,7 +94,7 @@
 // the function returns them. An old task list does no harm, since no attempt number is used twice.
 func (c *Controller) stopsForCancelledTasks(s *shard, m *machine, heartbeat *wire.Heartbeat) (stops []wire.Command) {
 	if m.view.reconciled {
-		for _, att := range m.view.list {
+		for _, att := range m.view.attemptList {
 			if c.jobs.needsImmediateStop(att) {
 				c.stop(att, stopImmediate)
 			}
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -183,7 +183,7 @@
 	}
 	option.cost = cost
 	for i := range chosen {
-		option.victims = append(option.victims, m.view.list[chosen[i].Attempt])
+		option.victims = append(option.victims, m.view.attemptList[chosen[i].Attempt])
 	}
 	return option
 }
@@ -203,7 +203,7 @@
 // reused: it is valid until the next call.
 func (c *Controller) possibleVictims(j *job, m *machine) []scheduling.Victim {
 	victims := c.scheduling.victimScratch[:0]
-	for i, att := range m.view.list {
+	for i, att := range m.view.attemptList {
 		if !att.preemptibleFor(j) {
 			continue
 		}
--- a/internal/controller/quota_usage_test.go
+++ b/internal/controller/quota_usage_test.go
@@ -11,15 +11,15 @@
 // would give up an allowance that is in use.
 func TestUsageAccuracy(t *testing.T) {
 	types := map[string]wire.MachineType{"m": {Name: "m", CPUs: 4}}
-	known := &view{}
-	unreconciled := &view{reconciliationView: reconciliationView{unreconciledFromPredecessor: true}}
-	unknownJob := &view{attemptView: attemptView{usage: machineUsage{hasUnknownJob: true}}}
+	known := &machineView{}
+	unreconciled := &machineView{reconciliationView: reconciliationView{unreconciledFromPredecessor: true}}
+	unknownJob := &machineView{attemptView: attemptView{usage: machineUsage{hasUnknownJob: true}}}
 	for _, tc := range []struct {
 		name        string
 		types       map[string]wire.MachineType
 		reconciled  bool
 		machineType string
-		view        *view
+		view        *machineView
 		want        usageAccuracy
 	}{
 		{"all is known", types, true, "m", known, usageExact},
--- a/internal/controller/scale_out.go
+++ b/internal/controller/scale_out.go
@@ -30,14 +30,14 @@
 	scaleOutSequence uint64             // number of the last rental request
 	scaleOuts        []*scaleOutRequest // requests under way
 	refused          map[fleet.Kind]*refusal
-	rented           map[string]*rented // machines that are not on record yet, by ID
+	rented           map[string]*rentedMachine // machines that are not on record yet, by ID
 }
 
 // reset discards all rentals.
 func (r *rentals) reset() {
 	r.scaleOuts = nil
 	r.refused = map[fleet.Kind]*refusal{}
-	r.rented = map[string]*rented{}
+	r.rented = map[string]*rentedMachine{}
 }
 
 // scaleOutRequest is a rental request under way. It is sent again under the same request name until
@@ -189,7 +189,7 @@
 		delete(f.refused, k)
 	}
 	for _, id := range machines {
-		f.rented[id] = &rented{kind: k, at: f.now}
+		f.rented[id] = &rentedMachine{kind: k, at: f.now}
 	}
 }
 
--- a/internal/controller/scale_test.go
+++ b/internal/controller/scale_test.go
@@ -27,12 +27,12 @@
 	for i := range machines {
 		h.listed = append(h.listed, wire.ListedMachine{ID: machineName(i), Addr: machineName(i), Type: "m", Zone: "a", State: wire.MachineRunning, AgeS: 1})
 	}
-	h.c.fleet.listNext, h.c.fleet.nextPlanAt = h.now, h.now+400*ms
+	h.c.fleet.nextListAt, h.c.fleet.nextPlanAt = h.now, h.now+400*ms
 	h.run(sec)
 	if len(h.c.machines) != machines {
 		tb.Fatalf("%d machines on record, want %d", len(h.c.machines), machines)
 	}
-	h.c.fleet.nextPlanAt, h.c.fleet.listNext = micros.Never, micros.Never
+	h.c.fleet.nextPlanAt, h.c.fleet.nextListAt = micros.Never, micros.Never
 	for i := range jobs {
 		h.submit(jobOf(fmt.Sprintf("job-%06d", i), tasks))
 		if len(h.open) > 0 {
@@ -69,7 +69,7 @@
 	m := h.c.machines[machineName(i)]
 	v := m.view
 	var tasks []wire.TaskStatus
-	for _, att := range v.list {
+	for _, att := range v.attemptList {
 		status := wire.TaskStatus{Task: wire.TaskName(att.key.job, att.index), Attempt: att.key.attempt, State: wire.TaskRunning}
 		if len(tasks) == 0 && att.state != attemptExited {
 			status.State, status.ExitReason = wire.TaskExited, wire.ExitDone
@@ -121,7 +121,7 @@
 	m := h.c.machines[machineName(7)]
 	v := m.view
 	var tasks []wire.TaskStatus
-	for _, att := range v.list {
+	for _, att := range v.attemptList {
 		tasks = append(tasks, wire.TaskStatus{Task: wire.TaskName(att.key.job, att.index), Attempt: att.key.attempt, State: wire.TaskRunning})
 	}
 	send := func(tasks []wire.TaskStatus) uint64 {
@@ -137,15 +137,15 @@
 	if n := testing.AllocsPerRun(50, func() { send(tasks) }); n > 12 {
 		t.Errorf("an unchanged heartbeat takes %.0f allocations", n)
 	}
-	gone := v.list[0]
+	gone := v.attemptList[0]
 	h.c.dropAttempt(gone)
 	send(tasks)
 	if v.attempts[gone.key] == nil {
 		t.Error("an attempt that was dropped here but is still listed by its machine was not adopted")
 	}
-	attempts := len(v.list)
+	attempts := len(v.attemptList)
 	send(tasks[1:])
-	if v.attempts[gone.key] != nil || len(v.list) == attempts+1 {
+	if v.attempts[gone.key] != nil || len(v.attemptList) == attempts+1 {
 		t.Error("an attempt that its machine no longer lists was kept")
 	}
 }
@@ -170,11 +170,11 @@
 	busy := newHarness(t, nil)
 	busy.reconcile("vm-1")
 	busy.c.ownership.shards[0].reconciled = false
-	if interval := busy.c.maintenanceInterval(); interval != busyInterval {
+	if interval := busy.c.maintenanceInterval(); interval != activeMaintenanceInterval {
 		t.Errorf("maintenance runs every %v while a shard is not reconciled", interval)
 	}
 	busy.c.ownership.shards[0].reconciled, busy.c.ownership.shards[0].ownerEpoch = true, 0
-	if interval := busy.c.maintenanceInterval(); interval != busyInterval {
+	if interval := busy.c.maintenanceInterval(); interval != activeMaintenanceInterval {
 		t.Errorf("maintenance runs every %v while a shard has no owner", interval)
 	}
 }
--- a/internal/controller/unknown_jobs.go
+++ b/internal/controller/unknown_jobs.go
@@ -66,7 +66,7 @@
 // holdsTaskOfUnknownJob reports whether a reconciled machine holds a task whose job may have ended
 // at any time without this node knowing it.
 func (c *Controller) holdsTaskOfUnknownJob(s *shard, m *machine) bool {
-	return slices.ContainsFunc(m.view.list, func(att *attempt) bool {
+	return slices.ContainsFunc(m.view.attemptList, func(att *attempt) bool {
 		return c.jobStatusForRenewal(s, att) == authority.JobStatusUnknown
 	})
 }
