--- a/internal/controller/authority.go
+++ b/internal/controller/authority.go
@@ -18,19 +18,19 @@
 	return authority.LeaseValid(o.leaseKnowledge(), o.bounds)
 }
 
-// mayStart reports whether tasks may be started: no other node can have notified a user of a
+// mayStartTasks reports whether tasks may be started: no other node can have notified a user of a
 // cancellation that this one does not know of. Beyond the lease that is so only while every
 // other controller says that it has lost the state service too: a successor may have notified
 // users, and its own notification of this node may be under way.
-func (c *Controller) mayStart() bool {
-	return c.ownership.leaseValid() || c.allPeersWithoutState()
+func (c *Controller) mayStartTasks() bool {
+	return c.ownership.leaseValid() || c.allPeersLostState()
 }
 
-// allPeersWithoutState reports whether every other controller is alive and says that it does
+// allPeersLostState reports whether every other controller is alive and says that it does
 // not reach the state service.
-func (c *Controller) allPeersWithoutState() bool {
+func (c *Controller) allPeersLostState() bool {
 	for _, p := range c.peers {
-		if !c.alive(p) || p.stateOK {
+		if !c.alive(p) || p.stateReachable {
 			return false
 		}
 	}
@@ -95,7 +95,7 @@
 func (c *Controller) mayRenewMachineLease(s *shard, m *machine, heartbeat *wire.Heartbeat) authority.Decision {
 	return authority.MayRenewMachineLease(authority.RenewalKnowledge{
 		UnknownJob:  c.hasTaskOfUnknownJob(s, m, heartbeat),
-		LateStart:   c.holdsLateStart(m),
+		LateStart:   c.mayReceiveLateStart(m),
 		Unreachable: c.unreachable(m),
 	})
 }
@@ -109,10 +109,10 @@
 	return c.listsTaskOfUnknownJob(s, heartbeat)
 }
 
-// holdsLateStart reports whether a command in doubt may yet start a task on the machine that
+// mayReceiveLateStart reports whether a command in doubt may yet start a task on the machine that
 // was to be stopped so long ago that the machine's agent epoch, which the command names, must
 // end.
-func (c *Controller) holdsLateStart(m *machine) bool {
+func (c *Controller) mayReceiveLateStart(m *machine) bool {
 	if m.view.inDoubtToken == 0 {
 		return false
 	}
@@ -140,8 +140,8 @@
 	}, o.bounds)
 }
 
-// leading reports whether this node may rent, return and assign machines for all shards.
-func (o *ownershipState) leading() bool {
+// mayLead reports whether this node may rent, return and assign machines for all shards.
+func (o *ownershipState) mayLead() bool {
 	leader := &o.leader
 	return authority.MayLead(authority.LeaderKnowledge{
 		Lease:        o.leaseKnowledge(),
@@ -199,8 +199,8 @@
 	c.log(Error, InvariantBroken, append(args, evidence...)...)
 }
 
-// checkRenewal checks the invariants of a reply that renews a machine's lease.
-func (c *Controller) checkRenewal(s *shard, m *machine) {
+// checkRenewalInvariants checks the invariants of a reply that renews a machine's lease.
+func (c *Controller) checkRenewalInvariants(s *shard, m *machine) {
 	if !m.view.reconciled {
 		return
 	}
@@ -211,8 +211,8 @@
 	}
 }
 
-// checkStart checks the invariants of a task's start.
-func (c *Controller) checkStart(att *attempt) {
+// checkStartInvariants checks the invariants of a task's start.
+func (c *Controller) checkStartInvariants(att *attempt) {
 	if att.prefetch {
 		return // for its image only, of a job that has ended
 	}
--- a/internal/controller/authority_test.go
+++ b/internal/controller/authority_test.go
@@ -15,13 +15,13 @@
 func TestDecisionLog(t *testing.T) {
 	h := newOwnerHarness(t, func(c *Config) {
 		withPeer(c)
-		c.Cancel, c.LogHeartbeats = 40*sec, true
+		c.CancelWithin, c.LogHeartbeats = 40*sec, true
 	})
-	fencingToken, attempt := h.runOne()
+	fencingToken, attempt := h.runOneTask()
 	h.cancel("job-000001")
-	h.heartbeat(h.running(20, fencingToken, attempt))
-	h.heartbeat(h.running(20, fencingToken, attempt)) // a copy
-	h.watchBlocked = wire.PrefixJob
+	h.heartbeat(h.runningHeartbeat(20, fencingToken, attempt))
+	h.heartbeat(h.runningHeartbeat(20, fencingToken, attempt)) // a copy
+	h.blockedWatchPrefix = wire.PrefixJob
 	h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}})
 	h.run(2 * sec)
 	h.run(h.c.bounds.StaleViewGrace)
@@ -48,8 +48,8 @@
 	}
 }
 
-// renewedAt has the lease of a controller last renewed at a time.
-func renewedAt(c *Controller, at micros.Micros) {
+// setLeaseRenewedAt has the lease of a controller last renewed at a time.
+func setLeaseRenewedAt(c *Controller, at micros.Micros) {
 	lease := &c.ownership.lease
 	lease.Grant(lease.ID(), at, c.now)
 }
@@ -59,15 +59,15 @@
 func TestMayCommandShard(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
-		knows func(c *Controller, s *shard)
+		setUp func(c *Controller, s *shard)
 		want  authority.Decision
 	}{
 		{"an owner with a current view", func(*Controller, *shard) {}, authority.Allow(authority.ReasonCurrentView)},
 		{"not the owner", func(_ *Controller, s *shard) { s.ownership = shardNotOwned }, authority.Refuse(authority.ReasonNotOwner)},
 		{"releasing", func(_ *Controller, s *shard) { s.ownership = shardReleasing }, authority.Refuse(authority.ReasonReleasing)},
 		{"a newer claim is known", func(_ *Controller, s *shard) { s.highestSeenEpoch = s.ownerEpoch + 1 }, authority.Refuse(authority.ReasonNewerClaim)},
-		{"the last renewal as old as it may be", func(c *Controller, _ *shard) { renewedAt(c, c.now-c.bounds.CommandValidity+1) }, authority.Allow(authority.ReasonCurrentView)},
-		{"the last renewal too old", func(c *Controller, _ *shard) { renewedAt(c, c.now-c.bounds.CommandValidity) }, authority.Refuse(authority.ReasonLeaseTooOld)},
+		{"the last renewal as old as it may be", func(c *Controller, _ *shard) { setLeaseRenewedAt(c, c.now-c.bounds.CommandValidity+1) }, authority.Allow(authority.ReasonCurrentView)},
+		{"the last renewal too old", func(c *Controller, _ *shard) { setLeaseRenewedAt(c, c.now-c.bounds.CommandValidity) }, authority.Refuse(authority.ReasonLeaseTooOld)},
 		{"no lease", func(c *Controller, _ *shard) { c.ownership.lease.Lose() }, authority.Refuse(authority.ReasonLeaseTooOld)},
 		{"a view as old as it may be", func(c *Controller, s *shard) {
 			s.jobsViewCurrent, c.ownership.jobWatch.CompleteAsOf = false, c.now-c.bounds.StaleViewGrace+1
@@ -83,7 +83,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			h := newOwnerHarness(t, withPeer)
 			s := h.c.ownership.shards[0]
-			tc.knows(h.c, s)
+			tc.setUp(h.c, s)
 			if got := h.c.ownership.mayCommandShard(s); got != tc.want {
 				t.Errorf("%v %s, want %v %s", got.Allowed, got.Reason, tc.want.Allowed, tc.want.Reason)
 			}
@@ -96,7 +96,7 @@
 func TestMayAcceptHeartbeat(t *testing.T) {
 	for _, tc := range []struct {
 		name         string
-		knows        func(m *machine)
+		setUp        func(m *machine)
 		seq          uint64
 		fencingToken uint64 // added to the machine's
 		want         authority.Decision
@@ -110,9 +110,9 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newOwnerHarness(t, withPeer)
-			fencingToken := h.reconcile("vm-1")
+			fencingToken := h.reconcileMachine("vm-1")
 			m := h.c.machines["vm-1"]
-			tc.knows(m)
+			tc.setUp(m)
 			heartbeat := heartbeatFrom("vm-1", 1, tc.seq, fencingToken+tc.fencingToken)
 			if got := h.c.mayAcceptHeartbeat(m, &heartbeat); got != tc.want {
 				t.Errorf("%v %s, want %v %s", got.Allowed, got.Reason, tc.want.Allowed, tc.want.Reason)
--- a/internal/controller/cancellation_cascade.go
+++ b/internal/controller/cancellation_cascade.go
@@ -102,7 +102,7 @@
 // go first and take from that.
 func CancellableDependents(cfg Config, away int, outage micros.Micros) int {
 	nodes := len(cfg.Peers) + 1
-	available := cfg.Cancel - outage - helpDelay
+	available := cfg.CancelWithin - outage - helpDelay
 	if away > 0 {
 		available -= failoverLeases * cfg.Lease
 	}
@@ -143,7 +143,7 @@
 
 // recordingEpoch returns the epoch of the claim under which this node records a dependent.
 func (c *Controller) recordingEpoch(j *job) uint64 {
-	if c.Owns(j.id) {
+	if c.OwnsJob(j.id) {
 		return c.ownership.shards[j.shard].ownerEpoch
 	}
 	return c.cascade.requested[j.id]
@@ -159,7 +159,7 @@
 		j := cascade.jobs[id]
 		switch {
 		case cascade.recording[id]:
-		case !c.Owns(id):
+		case !c.OwnsJob(id):
 			if _, ok := cascade.requested[id]; ok && j.run == nil {
 				requested = append(requested, j)
 			}
@@ -239,7 +239,7 @@
 			j.run.end.sent(j.run.end.state)
 		}
 	}
-	c.askState(statestore.ClassDependents, txn, cascadeTimeout, func(res statestore.Reply) {
+	c.queueStateRequest(statestore.ClassDependents, txn, cascadeTimeout, func(res statestore.Reply) {
 		c.handleDependentBatch(b, txn, res)
 		c.recordDependents()
 	})
@@ -315,7 +315,7 @@
 	}
 	own := 0
 	for _, id := range sortedKeys(c.cascade.jobs) {
-		if !c.Owns(id) {
+		if !c.OwnsJob(id) {
 			continue
 		}
 		own++
--- a/internal/controller/cancellation_cascade_test.go
+++ b/internal/controller/cancellation_cascade_test.go
@@ -19,7 +19,7 @@
 		c.Peers = []string{"n-1", "n-2"}
 		c.WriteRPS = writeRPS
 	})
-	root := jobOf("job-000100", 1)
+	root := newSubmission("job-000100", 1)
 	h.record(root)
 	for i := range n {
 		sub := after(dependentID(i), 1, root.ID)
@@ -48,7 +48,7 @@
 func TestDependentsAreRecorded(t *testing.T) {
 	const n = 90
 	h := cascade(t, n, 30) // some 10 a second of its own
-	h.statusesSent, h.done = nil, nil
+	h.statusesSent, h.appliedTxns = nil, nil
 	h.recordEnd("job-000100", wire.StateCancelled, 0)
 	h.run(2 * sec)
 	asked := map[string]bool{}
@@ -65,7 +65,7 @@
 		t.Errorf("%d of %d recorded: nobody helped, and the owner did not go on", got, n)
 	}
 	most := 0
-	for _, txn := range h.done {
+	for _, txn := range h.appliedTxns {
 		most = max(most, txn.Writes())
 	}
 	if most < 2 || most > h.c.cfg.TxnOps {
@@ -73,7 +73,7 @@
 	}
 	h.run(sec)
 	for _, id := range []string{dependentID(0), dependentID(n - 1)} {
-		if got := h.state(id); got != wire.StateCancelled {
+		if got := h.jobState(id); got != wire.StateCancelled {
 			t.Errorf("%s is called %q", id, got)
 		}
 	}
@@ -138,7 +138,7 @@
 		}, 0},
 		{"one was recorded meanwhile", func(h *harness, ask func(uint64)) {
 			h.recordEnd("job-000100", wire.StateCancelled, 0)
-			h.watchBlocked = wire.PrefixJob
+			h.blockedWatchPrefix = wire.PrefixJob
 			h.put(wire.JobKey(dependentID(2)), wire.JobRecord{State: wire.StateCancelled, Tasks: 1})
 			ask(h.keys[ownerKey(0)].ModRevision)
 			h.run(2 * sec)
@@ -146,31 +146,31 @@
 		}, n},
 		{"answers are lost", func(h *harness, ask func(uint64)) {
 			h.recordEnd("job-000100", wire.StateCancelled, 0)
-			h.lose = wire.PrefixJob
+			h.loseAnswersPrefix = wire.PrefixJob
 			ask(h.keys[ownerKey(0)].ModRevision)
 			h.run(sec)
-			h.lose = ""
-			h.giveUp()
+			h.loseAnswersPrefix = ""
+			h.timeOutLostAnswers()
 		}, n},
 		{"the state service refuses for a while", func(h *harness, ask func(uint64)) {
 			h.recordEnd("job-000100", wire.StateCancelled, 0)
-			h.stateDown, h.refused = true, true
+			h.stateDown, h.stateRefuses = true, true
 			ask(h.keys[ownerKey(0)].ModRevision)
 			h.run(sec)
-			h.stateDown, h.refused = false, false
+			h.stateDown, h.stateRefuses = false, false
 		}, n},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := cascade(t, n, 1000)
 			// Another controller owns the shard.
 			h.put(ownerKey(0), wire.OwnerRecord{Label: "n-1", Incarnation: 99})
-			h.done = nil
+			h.appliedTxns = nil
 			tc.play(h, func(modRevision uint64) {
 				st := &peer.Status{ControllerState: peer.ControllerState{StateOK: true}, JobsToCancel: append(all(), "job-000777", "no id")}
 				if modRevision != 0 {
 					st.Claims = []peer.ShardClaim{{Shard: 0, OwnerEpoch: modRevision}}
 				}
-				h.ask(func(r ReplyID) Input { return PeerRequest{Reply: r, Req: peer.Request{From: "n-1", Status: st}} })
+				h.request(func(r ReplyID) Input { return PeerRequest{Reply: r, Req: peer.Request{From: "n-1", Status: st}} })
 				h.run(sec)
 			})
 			h.run(4 * sec)
@@ -186,7 +186,7 @@
 // checkEndsWrittenOnce checks that no job's end is recorded a second time.
 func (h *harness) checkEndsWrittenOnce() {
 	ends := map[string]int{}
-	for _, e := range h.log {
+	for _, e := range h.events {
 		var rec wire.JobRecord
 		if strings.HasPrefix(e.Put, wire.PrefixJob) && wire.Decode(e.Value, &rec) == nil && rec.Final() {
 			ends[e.Put]++
@@ -201,7 +201,7 @@
 
 // checkRecordedUnderAClaim checks that every end of a job is conditional on an owner's claim.
 func (h *harness) checkRecordedUnderAClaim() {
-	for _, txn := range h.done {
+	for _, txn := range h.appliedTxns {
 		if len(txn.Changes) > 0 && strings.HasPrefix(txn.Changes[0].Put, wire.PrefixJob) &&
 			!slices.ContainsFunc(txn.Conditions, func(c wire.Condition) bool { return c.Key == ownerKey(0) && c.ModRevision != 0 }) {
 			h.t.Errorf("recorded without the owner's claim: %v", txn.Conditions)
@@ -218,14 +218,14 @@
 	h.run(sec)
 	for i := range 5 {
 		id := fmt.Sprintf("job-%06d", 500+i)
-		h.ask(func(r ReplyID) Input { return SubmitRequest{Reply: r, Job: jobOf(id, 1)} })
-		reply := h.reply
+		h.request(func(r ReplyID) Input { return SubmitRequest{Reply: r, Job: newSubmission(id, 1)} })
+		reply := h.lastReply
 		h.run(sec)
 		if a := h.answers[reply]; a.Status != 201 {
 			t.Fatalf("submission beside the list: %d", a.Status)
 		}
 		h.cancel(id)
-		reply = h.reply
+		reply = h.lastReply
 		h.run(sec)
 		if a := h.answers[reply]; stateOf(a) != wire.StateCancelled {
 			t.Fatalf("cancellation beside the list: %d %s", a.Status, stateOf(a))
@@ -242,7 +242,7 @@
 // TestCancellableDependents checks that CancellableDependents counts the dependents that fit into
 // the time of a cancellation.
 func TestCancellableDependents(t *testing.T) {
-	inkingi := Config{Peers: make([]string, 2), WriteRPS: 18, Cancel: 70 * sec, Lease: 4 * sec}
+	inkingi := Config{Peers: make([]string, 2), WriteRPS: 18, CancelWithin: 70 * sec, Lease: 4 * sec}
 	for _, tc := range []struct {
 		name   string
 		cfg    Config
@@ -256,7 +256,7 @@
 		{"all away", inkingi, 3, 0, 0},
 		{"an outage of 30 s", inkingi, 0, 30 * sec, 474},
 		{"an outage as long as the time", inkingi, 0, 70 * sec, 0},
-		{"a controller alone", Config{WriteRPS: 40, Cancel: 49 * sec, Lease: 4 * sec}, 0, 0, 1311},
+		{"a controller alone", Config{WriteRPS: 40, CancelWithin: 49 * sec, Lease: 4 * sec}, 0, 0, 1311},
 	} {
 		if got := CancellableDependents(tc.cfg, tc.away, tc.outage); got != tc.want {
 			t.Errorf("%s: %d, want %d", tc.name, got, tc.want)
@@ -281,26 +281,26 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newOwnerHarness(t, withPeer)
-			fencingToken := h.reconcile("vm-1")
-			h.submit(jobOf("job-000001", 3))
+			fencingToken := h.reconcileMachine("vm-1")
+			h.submit(newSubmission("job-000001", 3))
 			h.submit(after("job-000002", 1, "job-000001"))
-			h.dropCalls()
-			h.tooLarge = tc.key
+			h.dropWorkerCalls()
+			h.tooLargePrefix = tc.key
 			tc.play(h, fencingToken)
 			h.run(20 * sec)
-			if h.refusals == 0 || h.refusals > 3 {
-				t.Errorf("sent %d times in 20 s, want once to three times", h.refusals)
+			if h.tooLargeRefusals == 0 || h.tooLargeRefusals > 3 {
+				t.Errorf("sent %d times in 20 s, want once to three times", h.tooLargeRefusals)
 			}
-			if a := h.submit(jobOf("job-000003", 1)); a.Status != 201 {
+			if a := h.submit(newSubmission("job-000003", 1)); a.Status != 201 {
 				t.Errorf("another job is answered %d meanwhile", a.Status)
 			}
 			if a := h.cancel("job-000003"); stateOf(a) != wire.StateCancelled {
 				t.Errorf("its cancellation is answered %d %q", a.Status, stateOf(a))
 			}
-			h.tooLarge = ""
+			h.tooLargePrefix = ""
 			h.run(20 * sec)
 			for _, id := range []string{"job-000001", "job-000002"} {
-				if s := h.state(id); tc.key != wire.PrefixCheckpoint && s != wire.StateCancelled {
+				if s := h.jobState(id); tc.key != wire.PrefixCheckpoint && s != wire.StateCancelled {
 					t.Errorf("%s is called %q once the state service takes it", id, s)
 				}
 			}
@@ -318,9 +318,9 @@
 	h := cascade(t, 3, 1000)
 	h.put(ownerKey(0), wire.OwnerRecord{Label: "n-1", Incarnation: 99}) // which records nothing
 	h.recordEnd("job-000100", wire.StateCancelled, 0)
-	h.watchBlocked = wire.PrefixJob
+	h.blockedWatchPrefix = wire.PrefixJob
 	h.put(wire.JobKey(dependentID(0)), wire.JobRecord{State: wire.StateCancelled, Tasks: 1})
-	if got := h.state(dependentID(0)); got != wire.StateCancelled {
+	if got := h.jobState(dependentID(0)); got != wire.StateCancelled {
 		t.Errorf("called %q, want what the record says", got)
 	}
 	if a := h.jobStatus(dependentID(1)); a.Status != 503 {
@@ -328,13 +328,13 @@
 	}
 	for h.c.hasSpareRequests() {
 		for range 50 {
-			h.c.askState(statestore.ClassFleet, statestore.GetKey{Key: "x"}, sec, func(statestore.Reply) {})
+			h.c.queueStateRequest(statestore.ClassFleet, statestore.GetKey{Key: "x"}, sec, func(statestore.Reply) {})
 		}
 		h.step(Tick{})
 	}
-	before := h.reads
-	if a := h.jobStatus(dependentID(2)); a.Status != 503 || h.reads != before {
-		t.Errorf("without requests to spare: %d after %d reads", a.Status, h.reads-before)
+	before := h.keyReads
+	if a := h.jobStatus(dependentID(2)); a.Status != 503 || h.keyReads != before {
+		t.Errorf("without requests to spare: %d after %d reads", a.Status, h.keyReads-before)
 	}
 }
 
@@ -354,7 +354,7 @@
 			for range 100 {
 				for h.c.stateQueue.Waiting(statestore.ClassFleet) < 20 {
 					txn := wire.Txn{Changes: []wire.Change{{Put: wire.MachineRecordSetKey(0, "x"), Value: encoded(t, wire.MachineRecordSet{})}}}
-					h.c.askState(statestore.ClassFleet, txn, sec, func(r statestore.Reply) {
+					h.c.queueStateRequest(statestore.ClassFleet, txn, sec, func(r statestore.Reply) {
 						if r.Status == 200 {
 							machines++
 						}
--- a/internal/controller/cancellation_test.go
+++ b/internal/controller/cancellation_test.go
@@ -18,7 +18,7 @@
 // all that it receives is rid of the task in time.
 func TestCancelledTaskAcrossFailovers(t *testing.T) {
 	h := newOwnerHarness(t, withPeer)
-	fencingToken, attempt := h.runOne()
+	fencingToken, attempt := h.runOneTask()
 	w := newSlowWorker(h, fencingToken, attempt)
 	if a := h.cancel("job-000001"); a.Status != 200 {
 		t.Fatalf("cancellation answered %d", a.Status)
@@ -53,7 +53,7 @@
 // counted from when its user was notified.
 func (w *slowWorker) checkDeadline(notifiedAt micros.Micros) {
 	w.h.t.Helper()
-	if now := w.h.now; now > notifiedAt+w.h.c.cfg.Cancel {
+	if now := w.h.now; now > notifiedAt+w.h.c.cfg.CancelWithin {
 		w.h.t.Fatalf("the task is still on its machine %v s after its user was notified, and its lease ends in %v s", (now - notifiedAt).Seconds(), (w.leaseEnds - now).Seconds())
 	}
 }
@@ -61,13 +61,13 @@
 // sendHeartbeat sends a heartbeat, and does what the reply says.
 func (w *slowWorker) sendHeartbeat() {
 	w.sequence++
-	status, body := w.h.heartbeat(w.h.running(w.sequence, w.fencingToken, w.attempt))
+	status, body := w.h.heartbeat(w.h.runningHeartbeat(w.sequence, w.fencingToken, w.attempt))
 	if status != 200 || body.FencingToken < w.fencingToken {
 		return
 	}
 	w.fencingToken = body.FencingToken
 	w.leaseEnds = w.h.now + w.h.c.cfg.WorkerLease
-	w.stopped = w.stopped || stops(body.Commands) > 0
+	w.stopped = w.stopped || countImmediateStops(body.Commands) > 0
 }
 
 // TestOwnersWithStaleViewsInSeries reproduces a fault found beside the incident, by the simulation:
@@ -79,11 +79,11 @@
 func TestOwnersWithStaleViewsInSeries(t *testing.T) {
 	h := newOwnerHarness(t, func(c *Config) {
 		withPeer(c)
-		c.Cancel = 40 * sec
+		c.CancelWithin = 40 * sec
 	})
-	fencingToken, attempt := h.runOne()
+	fencingToken, attempt := h.runOneTask()
 	w := newSlowWorker(h, fencingToken, attempt)
-	h.watchBlocked = wire.PrefixJob
+	h.blockedWatchPrefix = wire.PrefixJob
 	h.unlistablePrefix = wire.PrefixJob
 	h.put(ownerKey(0), wire.OwnerRecord{Label: "n-1", Incarnation: 99})
 	h.put(wire.JobKey("job-000001"), wire.JobRecord{State: wire.StateCancelled, Tasks: 1})
@@ -109,9 +109,9 @@
 func TestUnknownJobUnreadable(t *testing.T) {
 	h := newOwnerHarness(t, func(c *Config) {
 		withPeer(c)
-		c.MaxFinalJobs, c.Cancel = 1, 40*sec
+		c.MaxFinalJobs, c.CancelWithin = 1, 40*sec
 	})
-	fencingToken, attempt := h.runOne()
+	fencingToken, attempt := h.runOneTask()
 	w := newSlowWorker(h, fencingToken, attempt)
 	h.cancel("job-000001")
 	notifiedAt := h.now
@@ -130,18 +130,18 @@
 // may be applied, and users notified by others, without this node's knowing.
 func TestCancelledTaskBeforeCheckpoints(t *testing.T) {
 	h := newOwnerHarness(t, withPeer)
-	fencingToken, attempt := h.runOne()
+	fencingToken, attempt := h.runOneTask()
 	h.unlistablePrefix = wire.PrefixCheckpoint
 	h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}})
 	h.run(2 * sec)
-	_, body := h.heartbeat(h.running(20, fencingToken, attempt))
+	_, body := h.heartbeat(h.runningHeartbeat(20, fencingToken, attempt))
 	fencingToken = body.FencingToken
-	if status, body := h.heartbeat(h.running(21, fencingToken, attempt)); status != 200 || stops(body.Commands) != 0 || !h.c.machines["vm-1"].view.reconciled {
+	if status, body := h.heartbeat(h.runningHeartbeat(21, fencingToken, attempt)); status != 200 || countImmediateStops(body.Commands) != 0 || !h.c.machines["vm-1"].view.reconciled {
 		t.Fatalf("answered %d %v: the case is not what it should be", status, body.Commands)
 	}
-	h.lose, h.watchBlocked = wire.JobKey("job-000001"), wire.PrefixJob
+	h.loseAnswersPrefix, h.blockedWatchPrefix = wire.JobKey("job-000001"), wire.PrefixJob
 	h.cancel("job-000001")
-	if _, body := h.heartbeat(h.running(22, fencingToken, attempt)); stops(body.Commands) != 1 {
+	if _, body := h.heartbeat(h.runningHeartbeat(22, fencingToken, attempt)); countImmediateStops(body.Commands) != 1 {
 		t.Errorf("commands %v, want the task stopped", body.Commands)
 	}
 }
@@ -150,7 +150,7 @@
 // there are none.
 func TestReplyHasCommandList(t *testing.T) {
 	h := newOwnerHarness(t, withPeer)
-	fencingToken := h.reconcile("vm-1")
+	fencingToken := h.reconcileMachine("vm-1")
 	for _, reconciled := range []bool{true, false} {
 		if !reconciled {
 			h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}})
@@ -172,20 +172,20 @@
 // that the command names.
 func TestLateStartIsBounded(t *testing.T) {
 	h := newOwnerHarness(t, withPeer)
-	fencingToken := h.reconcile("vm-1")
-	h.submit(jobOf("job-000001", 1))
-	commands := h.directCommands()
+	fencingToken := h.reconcileMachine("vm-1")
+	h.submit(newSubmission("job-000001", 1))
+	commands := h.directStarts()
 	if len(commands) != 1 {
 		t.Fatalf("%d commands, want the start", len(commands))
 	}
-	h.open = nil
-	h.late = wire.PrefixFleet // the raised fencing token is never recorded
+	h.workerCalls = nil
+	h.delayPrefix = wire.PrefixFleet // the raised fencing token is never recorded
 	h.step(Result{ID: commands[0].ID})
 	if a := h.cancel("job-000001"); a.Status != 200 {
 		t.Fatalf("cancellation answered %d", a.Status)
 	}
 	notifiedAt, leaseEnds, answered := h.now, h.now+h.c.cfg.WorkerLease, 0
-	for seq := uint64(20); h.now < notifiedAt+3*h.c.cfg.Cancel && h.now < leaseEnds; seq++ {
+	for seq := uint64(20); h.now < notifiedAt+3*h.c.cfg.CancelWithin && h.now < leaseEnds; seq++ {
 		if status, _ := h.heartbeat(heartbeatFrom("vm-1", 1, seq, fencingToken)); status == 200 {
 			leaseEnds = h.now + h.c.cfg.WorkerLease
 			answered++
@@ -195,7 +195,7 @@
 	if answered == 0 {
 		t.Error("no heartbeat was answered")
 	}
-	if leaseEnds > notifiedAt+h.c.cfg.Cancel {
-		t.Errorf("the command may start the task until %v s after its user was notified, want at most %v s", (leaseEnds - notifiedAt).Seconds(), h.c.cfg.Cancel.Seconds())
+	if leaseEnds > notifiedAt+h.c.cfg.CancelWithin {
+		t.Errorf("the command may start the task until %v s after its user was notified, want at most %v s", (leaseEnds - notifiedAt).Seconds(), h.c.cfg.CancelWithin.Seconds())
 	}
 }
--- a/internal/controller/checkpoint_recovery.go
+++ b/internal/controller/checkpoint_recovery.go
@@ -36,7 +36,7 @@
 	ownerEpoch := s.ownerEpoch
 	s.loadingCheckpoints = true
 	list := statestore.ListKeys{Prefix: wire.PrefixCheckpoint, After: listing.after, Limit: checkpointsPerPage}
-	c.askState(statestore.ClassEnd, list, checkpointListTimeout, func(r statestore.Reply) {
+	c.queueStateRequest(statestore.ClassEnd, list, checkpointListTimeout, func(r statestore.Reply) {
 		if !s.owned() || s.ownerEpoch != ownerEpoch {
 			return
 		}
--- a/internal/controller/checkpoints.go
+++ b/internal/controller/checkpoints.go
@@ -14,9 +14,9 @@
 	// a machine counts as empty, to be moved or returned, only once the ends of its tasks are
 	// on record.
 	checkpointInterval = 2 * micros.Second
-	// checkpointWritesFraction is the part of this node's writes that the checkpoints of
+	// checkpointWriteFraction is the part of this node's writes that the checkpoints of
 	// a shard's jobs together take at most.
-	checkpointWritesFraction = 1.0 / 2
+	checkpointWriteFraction = 1.0 / 2
 
 	checkpointWriteTimeout = 2 * micros.Second
 	checkpointReadTimeout  = micros.Second
@@ -56,8 +56,8 @@
 	}
 }
 
-// await keeps an exited attempt until its end is in a recorded checkpoint.
-func (p *jobCheckpoint) await(att *attempt) {
+// awaitRecorded keeps an exited attempt until its end is in a recorded checkpoint.
+func (p *jobCheckpoint) awaitRecorded(att *attempt) {
 	if p.recorded.Has(att.index) {
 		att.outcomeHandled = true
 		return
@@ -95,11 +95,11 @@
 	return checkpoint.NewRecord(progress, c.cfg.ValueBytes)
 }
 
-// checkpointPace is the time between a job's checkpoints with which all of a shard's jobs
+// checkpointIntervalFor is the time between a job's checkpoints with which all of a shard's jobs
 // together leave most of the writes to what users wait for.
-func (c *Controller) checkpointPace(s *shard) micros.Micros {
+func (c *Controller) checkpointIntervalFor(s *shard) micros.Micros {
 	jobs := len(c.queue(s))
-	writesPerSecond := c.stateQueue.WriteRate() * checkpointWritesFraction
+	writesPerSecond := c.stateQueue.WriteRate() * checkpointWriteFraction
 	return max(checkpointInterval, micros.FromSeconds(float64(jobs)/writesPerSecond))
 }
 
@@ -116,8 +116,8 @@
 	s := c.ownership.shards[j.shard]
 	r.checkpoint.inFlight = true
 	r.checkpoint.dirty = false
-	r.checkpoint.nextWriteAt = c.now + c.checkpointPace(s)
-	c.askState(statestore.ClassCheckpoint, checkpointTxn(s, j, value), checkpointWriteTimeout, func(res statestore.Reply) {
+	r.checkpoint.nextWriteAt = c.now + c.checkpointIntervalFor(s)
+	c.queueStateRequest(statestore.ClassCheckpoint, checkpointTxn(s, j, value), checkpointWriteTimeout, func(res statestore.Reply) {
 		if j.run != r {
 			return
 		}
@@ -158,14 +158,14 @@
 		p.nextWriteAt = c.now + c.jitter(refusedPause)
 	default:
 		// In doubt, or a condition failed: read the key's revision before writing again.
-		c.readCheckpointRevision(j, r)
+		c.refreshCheckpointRevision(j, r)
 	}
 }
 
-// readCheckpointRevision reads the revision at which a job's checkpoint stands.
-func (c *Controller) readCheckpointRevision(j *job, r *run) {
+// refreshCheckpointRevision reads the revision at which a job's checkpoint stands.
+func (c *Controller) refreshCheckpointRevision(j *job, r *run) {
 	get := statestore.GetKey{Key: wire.CheckpointKey(j.id)}
-	c.askState(statestore.ClassCheckpoint, get, checkpointReadTimeout, func(res statestore.Reply) {
+	c.queueStateRequest(statestore.ClassCheckpoint, get, checkpointReadTimeout, func(res statestore.Reply) {
 		if j.run != r {
 			return
 		}
--- a/internal/controller/checkpoints_test.go
+++ b/internal/controller/checkpoints_test.go
@@ -13,17 +13,17 @@
 // from a network partition with an old view (Inkingi faults, seed 182635972162).
 func TestLateJobIsAdopted(t *testing.T) {
 	h := newHarness(t, nil)
-	fencingToken := h.reconcile("vm-1")
-	other := h.reconcile("vm-2")
+	fencingToken := h.reconcileMachine("vm-1")
+	other := h.reconcileMachine("vm-2")
 	h.heartbeat(heartbeatFrom("vm-1", 1, 10, fencingToken, wire.TaskStatus{Task: "job-000001/0", Attempt: 7, State: wire.TaskRunning}))
-	sub := jobOf("job-000001", 1)
+	sub := newSubmission("job-000001", 1)
 	// As if accepted before this node's claim: its record has a lower revision.
 	h.c.learnJob("job-000001", wire.JobRecord{Submission: &sub, State: wire.StatePending, Tasks: 1}, 1)
 	h.c.schedulingDue = true
 	h.run(sec)
 	_, body := h.heartbeat(heartbeatFrom("vm-2", 1, 10, other))
-	if len(starts(body.Commands)) != 0 || len(h.directCommands()) != 0 {
-		t.Errorf("started again: %v %v", body.Commands, h.directCommands())
+	if len(startCommands(body.Commands)) != 0 || len(h.directStarts()) != 0 {
+		t.Errorf("started again: %v %v", body.Commands, h.directStarts())
 	}
 }
 
@@ -32,7 +32,7 @@
 func TestApplyCheckpointRestoresDoneTasks(t *testing.T) {
 	const tasks, done = 2000, 1000
 	c := New(Config{Shards: 1, Teams: []Team{{Name: "t"}}, ValueBytes: 8 << 10, StateRPS: 1, WriteRPS: 1, CloudRPS: 1}, 1)
-	sub := jobOf("job-000001", tasks)
+	sub := newSubmission("job-000001", tasks)
 	newJob := func() *job {
 		r := &run{
 			done:               checkpoint.NewTaskSet(tasks),
@@ -64,19 +64,19 @@
 // behind.
 func TestLateCheckpoint(t *testing.T) {
 	h := newOwnerHarness(t, withPeer)
-	fencingToken := h.reconcile("vm-1")
-	h.submit(jobOf("job-000001", 2))
-	h.dropCalls()
+	fencingToken := h.reconcileMachine("vm-1")
+	h.submit(newSubmission("job-000001", 2))
+	h.dropWorkerCalls()
 	_, body := h.heartbeat(heartbeatFrom("vm-1", 1, 10, fencingToken))
-	cmds := starts(body.Commands)
-	h.late = wire.PrefixCheckpoint
+	cmds := startCommands(body.Commands)
+	h.delayPrefix = wire.PrefixCheckpoint
 	h.heartbeat(heartbeatFrom("vm-1", 1, 11, fencingToken, wire.TaskStatus{Task: cmds[0].Task, Attempt: cmds[0].Attempt, State: wire.TaskExited, ExitReason: wire.ExitDone}))
 	h.run(3 * sec)
-	if len(h.lateOut) == 0 {
+	if len(h.delayedTxns) == 0 {
 		t.Fatal("no checkpoint was sent")
 	}
-	late := h.lateOut
-	h.late, h.lateOut = "", nil
+	late := h.delayedTxns
+	h.delayPrefix, h.delayedTxns = "", nil
 	for _, c := range late {
 		h.step(Result{ID: c.ID}) // given up
 	}
@@ -84,8 +84,8 @@
 	if a := h.cancel("job-000001"); a.Status != 200 {
 		t.Fatalf("cancellation got %d", a.Status)
 	}
-	h.lateOut = late
-	if n := h.carryOut(); n != 0 {
+	h.delayedTxns = late
+	if n := h.applyDelayedTxns(); n != 0 {
 		t.Errorf("%d checkpoints of a job that is over were written", n)
 	}
 }
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -27,7 +27,7 @@
 	out = c.appendStops(out, v, carrier)
 	out = appendForgets(out, v)
 	startsBlocked := carrier == inDirectCommand && v.inDoubtToken != 0
-	if startsBlocked || !c.mayStart() {
+	if startsBlocked || !c.mayStartTasks() {
 		return out
 	}
 	return c.appendStarts(out, m, carrier)
@@ -43,7 +43,7 @@
 		if !att.awaitsStop() {
 			continue
 		}
-		c.logStop(att, carrier == inReply)
+		c.logFirstStop(att, carrier == inReply)
 		att.stopSentAt = c.now
 		command := att.command(wire.OpStop)
 		command.GraceS = att.stopGrace()
@@ -75,7 +75,7 @@
 			continue
 		}
 		c.recordStartSent(m, att, carrier)
-		c.checkStart(att)
+		c.checkStartInvariants(att)
 		out = append(out, att.command(wire.OpStart))
 	}
 	return out
--- a/internal/controller/commands_test.go
+++ b/internal/controller/commands_test.go
@@ -11,15 +11,15 @@
 // heartbeat, and repeated with a new attempt.
 func TestStartInDroppedReply(t *testing.T) {
 	h := newHarness(t, nil)
-	fencingToken := h.reconcile("vm-1")
-	first := h.startOne(fencingToken)
+	fencingToken := h.reconcileMachine("vm-1")
+	first := h.startOneTask(fencingToken)
 	_, body := h.heartbeat(heartbeatFrom("vm-1", 1, 11, fencingToken))
-	again := starts(body.Commands)
+	again := startCommands(body.Commands)
 	if len(again) != 1 || again[0].Attempt <= first {
 		t.Errorf("after a heartbeat without the task: %v, want a start with an attempt above %d", body.Commands, first)
 	}
 	_, body = h.heartbeat(heartbeatFrom("vm-1", 1, 12, fencingToken, wire.TaskStatus{Task: "job-000001/0", Attempt: again[0].Attempt, State: wire.TaskRunning}))
-	if len(starts(body.Commands)) != 0 {
+	if len(startCommands(body.Commands)) != 0 {
 		t.Errorf("started again while it runs: %v", body.Commands)
 	}
 }
@@ -28,10 +28,10 @@
 // minutes later, starts nowhere else before a raised fencing token was seen.
 func TestUnansweredCommand(t *testing.T) {
 	h := newHarness(t, nil)
-	fencingToken := h.reconcile("vm-1")
-	other := h.reconcile("vm-2")
-	h.submit(jobOf("job-000001", 1))
-	commands := h.directCommands()
+	fencingToken := h.reconcileMachine("vm-1")
+	other := h.reconcileMachine("vm-2")
+	h.submit(newSubmission("job-000001", 1))
+	commands := h.directStarts()
 	if len(commands) != 1 {
 		t.Fatalf("%d direct commands, want 1", len(commands))
 	}
@@ -40,7 +40,7 @@
 		fencingToken, other = other, fencingToken
 	}
 	h.step(Result{ID: commands[0].ID}) // no answer
-	h.open = nil
+	h.workerCalls = nil
 	elsewhere := "vm-1"
 	if at == "vm-1" {
 		elsewhere = "vm-2"
@@ -49,7 +49,7 @@
 	startedElsewhere := func() bool {
 		seq++
 		_, body := h.heartbeat(heartbeatFrom(elsewhere, 1, seq, other))
-		return len(starts(body.Commands)) > 0 || len(h.directCommands()) > 0
+		return len(startCommands(body.Commands)) > 0 || len(h.directStarts()) > 0
 	}
 	if startedElsewhere() {
 		t.Fatal("started elsewhere while the command may still act")
@@ -63,7 +63,7 @@
 		t.Fatal("started elsewhere before the raised token was seen")
 	}
 	_, seen := h.heartbeat(heartbeatFrom(at, 1, 31, body.FencingToken))
-	if len(starts(seen.Commands)) == 0 && !startedElsewhere() {
+	if len(startCommands(seen.Commands)) == 0 && !startedElsewhere() {
 		t.Error("not started again after the raised token was seen")
 	}
 }
@@ -71,28 +71,28 @@
 // TestCancelDuringStart checks that a cancellation stops what a start still under way brings up.
 func TestCancelDuringStart(t *testing.T) {
 	h := newHarness(t, nil)
-	fencingToken := h.reconcile("vm-1")
-	h.submit(jobOf("job-000001", 2))
-	h.dropCalls()
+	fencingToken := h.reconcileMachine("vm-1")
+	h.submit(newSubmission("job-000001", 2))
+	h.dropWorkerCalls()
 	_, body := h.heartbeat(heartbeatFrom("vm-1", 1, 10, fencingToken))
-	cmds := starts(body.Commands)
+	cmds := startCommands(body.Commands)
 	if len(cmds) != 2 {
 		t.Fatalf("%d starts, want 2", len(cmds))
 	}
-	if a := h.ask(func(r ReplyID) Input { return CancelRequest{Reply: r, ID: "job-000001"} }); a.Status != 200 {
+	if a := h.request(func(r ReplyID) Input { return CancelRequest{Reply: r, ID: "job-000001"} }); a.Status != 200 {
 		t.Fatalf("cancellation answered %d", a.Status)
 	}
-	h.open = nil
+	h.workerCalls = nil
 	_, body = h.heartbeat(heartbeatFrom("vm-1", 1, 11, fencingToken,
 		wire.TaskStatus{Task: "job-000001/0", Attempt: cmds[0].Attempt, State: wire.TaskFetching},
 		wire.TaskStatus{Task: "job-000001/1", Attempt: cmds[1].Attempt, State: wire.TaskRunning}))
-	if again := starts(body.Commands); len(again) > 0 {
+	if again := startCommands(body.Commands); len(again) > 0 {
 		t.Errorf("a cancelled job's tasks are started: %v", again)
 	}
-	if n := stops(body.Commands); n != 2 {
+	if n := countImmediateStops(body.Commands); n != 2 {
 		t.Errorf("%d stops without grace, want 2: %v", n, body.Commands)
 	}
-	if s := h.state("job-000001"); s != wire.StateCancelled {
+	if s := h.jobState("job-000001"); s != wire.StateCancelled {
 		t.Errorf("state %q, want cancelled", s)
 	}
 }
@@ -116,19 +116,19 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t, nil)
-			fencingToken := h.reconcile("vm-1")
-			h.submit(jobOf("job-000001", 1))
+			fencingToken := h.reconcileMachine("vm-1")
+			h.submit(newSubmission("job-000001", 1))
 			var attempt uint64
 			if tc.commanded {
-				o := h.directCommands()[0]
-				attempt = starts(o.Req.(wire.DirectCommand).Commands)[0].Attempt
-				h.open = nil
+				o := h.directStarts()[0]
+				attempt = startCommands(o.Req.(wire.DirectCommand).Commands)[0].Attempt
+				h.workerCalls = nil
 				r := heartbeatFrom("vm-1", 1, 10, fencingToken, wire.TaskStatus{Task: "job-000001/0", Attempt: attempt, State: wire.TaskRunning})
 				h.step(Result{ID: o.ID, Status: 200, Body: &r})
 			} else {
-				h.dropCalls()
+				h.dropWorkerCalls()
 				_, body := h.heartbeat(heartbeatFrom("vm-1", 1, 10, fencingToken))
-				attempt = starts(body.Commands)[0].Attempt
+				attempt = startCommands(body.Commands)[0].Attempt
 			}
 			shown := fencingToken
 			if tc.raised {
@@ -152,24 +152,24 @@
 // doubt is sent at once.
 func TestDelayedCommand(t *testing.T) {
 	h := newOwnerHarness(t, withPeer)
-	fencingToken, a := h.runOne()
+	fencingToken, a := h.runOneTask()
 	h.run(2 * sec) // direct commands have a least interval
-	h.submit(jobOf("job-000002", 1))
-	delayed := h.directCommands()
+	h.submit(newSubmission("job-000002", 1))
+	delayed := h.directStarts()
 	if len(delayed) != 1 {
 		t.Fatalf("%d direct commands, want the start", len(delayed))
 	}
-	h.open = nil
-	h.late = wire.PrefixFleet // the record that raises the fencing token is slow
+	h.workerCalls = nil
+	h.delayPrefix = wire.PrefixFleet // the record that raises the fencing token is slow
 	h.step(Result{ID: delayed[0].ID})
 	h.cancel("job-000001")
-	h.submit(jobOf("job-000003", 1))
+	h.submit(newSubmission("job-000003", 1))
 	h.run(3 * sec)
 	stopped := 0
-	for _, c := range h.directCommands() {
+	for _, c := range h.directStarts() {
 		o := c.Req.(wire.DirectCommand)
-		stopped += stops(o.Commands)
-		if len(starts(o.Commands)) > 0 {
+		stopped += countImmediateStops(o.Commands)
+		if len(startCommands(o.Commands)) > 0 {
 			t.Errorf("a start follows a command in doubt: %v", o.Commands)
 		}
 	}
@@ -177,18 +177,18 @@
 		t.Fatal("the task is not stopped while a command is in doubt")
 	}
 	// The command that stops is answered; the one in doubt may still be executed.
-	for _, c := range h.open {
+	for _, c := range h.workerCalls {
 		h.step(Result{ID: c.ID, Status: 200, Body: new(heartbeatFrom("vm-1", 1, 20, fencingToken, wire.TaskStatus{Task: "job-000001/0", Attempt: a, State: wire.TaskExited, ExitReason: wire.ExitStopped}))})
 	}
-	h.open = nil
-	h.late = ""
-	for _, c := range h.lateOut {
+	h.workerCalls = nil
+	h.delayPrefix = ""
+	for _, c := range h.delayedTxns {
 		h.step(Result{ID: c.ID})
 	}
-	h.lateOut = nil
+	h.delayedTxns = nil
 	h.run(4 * sec)
 	var raised uint64
-	for _, c := range h.open {
+	for _, c := range h.workerCalls {
 		if o, ok := c.Req.(wire.DirectCommand); ok {
 			raised = max(raised, o.FencingToken)
 		}
@@ -196,7 +196,7 @@
 	if raised <= fencingToken {
 		t.Fatalf("token %d never raised beyond %d", raised, fencingToken)
 	}
-	for _, c := range h.open {
+	for _, c := range h.workerCalls {
 		if _, ok := c.Req.(wire.DirectCommand); ok {
 			h.step(Result{ID: c.ID, Status: 200, Body: new(heartbeatFrom("vm-1", 1, 21, raised))})
 			break
@@ -209,7 +209,7 @@
 
 // commandsOut returns the commands of open direct commands.
 func (h *harness) commandsOut() (out []wire.Command) {
-	for _, c := range h.directCommands() {
+	for _, c := range h.directStarts() {
 		out = append(out, c.Req.(wire.DirectCommand).Commands...)
 	}
 	return out
@@ -231,11 +231,11 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newOwnerHarness(t, withPeer)
-			fencingToken := h.reconcile("vm-1")
-			h.submit(jobOf("job-000001", 8)) // four fit
-			h.dropCalls()
+			fencingToken := h.reconcileMachine("vm-1")
+			h.submit(newSubmission("job-000001", 8)) // four fit
+			h.dropWorkerCalls()
 			_, body := h.heartbeat(heartbeatFrom("vm-1", 1, 10, fencingToken))
-			first := starts(body.Commands)
+			first := startCommands(body.Commands)
 			h.stateDown, h.peersDown = true, true
 			var list []wire.TaskStatus
 			for i, c := range first {
@@ -251,7 +251,7 @@
 				h.heartbeat(heartbeatFrom("vm-1", 1, seq, fencingToken, append([]wire.TaskStatus{{Task: first[0].Task, Attempt: first[0].Attempt, State: wire.TaskRunning}}, list...)...))
 			}
 			_, body = h.heartbeat(heartbeatFrom("vm-1", 1, 1000, fencingToken, append([]wire.TaskStatus{{Task: first[0].Task, Attempt: first[0].Attempt, State: wire.TaskExited, ExitReason: wire.ExitDone}}, list...)...))
-			if n := len(starts(body.Commands)); n != tc.want {
+			if n := len(startCommands(body.Commands)); n != tc.want {
 				t.Errorf("%d starts beyond the lease, want %d", n, tc.want)
 			}
 		})
--- a/internal/controller/compat_test.go
+++ b/internal/controller/compat_test.go
@@ -16,11 +16,11 @@
 // reverse. The samples were written by those versions; see testdata.
 
 const (
-	production = "025d571"
-	lastLanded = "040d356"
+	productionVersion = "025d571"
+	lastLandedVersion = "040d356"
 )
 
-func samplesOf(t *testing.T, version string) map[string]map[string][]byte {
+func readSamples(t *testing.T, version string) map[string]map[string][]byte {
 	text, err := os.ReadFile("testdata/" + version + "/samples.json")
 	if err != nil {
 		t.Fatal(err)
@@ -88,14 +88,14 @@
 // TestOlderVersionsAreRead checks that every record and message of older versions is read whole:
 // written again by this version it is the same, byte for byte.
 func TestOlderVersionsAreRead(t *testing.T) {
-	for _, version := range []string{production, lastLanded} {
-		t.Run(version, func(t *testing.T) { readAll(t, version) })
+	for _, version := range []string{productionVersion, lastLandedVersion} {
+		t.Run(version, func(t *testing.T) { testReadSamples(t, version) })
 	}
 }
 
-func readAll(t *testing.T, version string) {
-	samples := samplesOf(t, version)
-	if version == lastLanded {
+func testReadSamples(t *testing.T, version string) {
+	samples := readSamples(t, version)
+	if version == lastLandedVersion {
 		var rec wire.JobRecord
 		if err := wire.Decode(samples["records"]["job chained"], &rec); err != nil || rec.WithDependencies == nil || len(rec.WithDependencies.DependsOn) != 2 {
 			t.Errorf("a chained job is read as %+v, %v", rec, err)
@@ -145,13 +145,13 @@
 // what an older one left: its jobs, checkpoints and machines, the ends of its jobs as dependencies
 // among them.
 func TestFailoverFromOlderVersions(t *testing.T) {
-	for _, version := range []string{production, lastLanded} {
-		t.Run(version, func(t *testing.T) { failoverFrom(t, version) })
+	for _, version := range []string{productionVersion, lastLandedVersion} {
+		t.Run(version, func(t *testing.T) { testFailoverFrom(t, version) })
 	}
 }
 
-func failoverFrom(t *testing.T, version string) {
-	samples := samplesOf(t, version)
+func testFailoverFrom(t *testing.T, version string) {
+	samples := readSamples(t, version)
 	h := newOwnerHarness(t, func(c *Config) {
 		withPeer(c)
 		c.Teams = []Team{{Name: "t"}, {Name: "vision"}}
@@ -166,13 +166,13 @@
 	store(wire.JobKey("job-000001"), samples["records"]["job done"])
 	store(wire.JobKey("job-000002"), samples["records"]["job cancelled"])
 	store(wire.MachineRecordSetKey(0, "h-1-1"), samples["records"]["batch"])
-	if version == lastLanded {
+	if version == lastLandedVersion {
 		store(wire.JobKey("job-000414"), samples["records"]["job chained"])
 	}
 	h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}}) // claimed anew
 	h.run(3 * sec)
 	c := h.c
-	if j := c.jobs.open["job-000414"]; version == lastLanded && (j == nil || !j.blocked() || len(j.needs) != 2) {
+	if j := c.jobs.open["job-000414"]; version == lastLandedVersion && (j == nil || !j.blocked() || len(j.needs) != 2) {
 		t.Errorf("its chained job is taken as %+v", j)
 	}
 	j := c.jobs.open["job-000412"]
@@ -193,10 +193,10 @@
 	}
 	h.cancel("job-000413")
 	h.run(2 * sec)
-	if s := h.state("job-000414"); version == lastLanded && s != wire.StateCancelled {
+	if s := h.jobState("job-000414"); version == lastLandedVersion && s != wire.StateCancelled {
 		t.Errorf("its chained job is called %q after the job before it was cancelled", s)
 	}
-	if s := h.state("job-000500"); s != wire.StateCancelled {
+	if s := h.jobState("job-000500"); s != wire.StateCancelled {
 		t.Errorf("called %q after the job before it was cancelled", s)
 	}
 	// Its messages are answered.
@@ -206,7 +206,7 @@
 			continue
 		}
 		req.From = "n-1"
-		if a := h.ask(func(r ReplyID) Input { return PeerRequest{Reply: r, Req: req} }); a.Status != 200 {
+		if a := h.request(func(r ReplyID) Input { return PeerRequest{Reply: r, Req: req} }); a.Status != 200 {
 			t.Errorf("%s is answered %d", name, a.Status)
 		}
 	}
@@ -234,15 +234,15 @@
 func TestProductionVersionReadsRecords(t *testing.T) {
 	due := 900.0
 	sub := wire.Submission{ID: "job-000412", Class: "c", Team: "t", Kind: "sweep", Priority: "high", Tasks: 16, CPUs: 8, Image: "i", Types: []string{"m"}, DeadlineS: &due}
-	chained := sub
-	chained.DependsOn = []string{"job-000001"}
+	withDependencies := sub
+	withDependencies.DependsOn = []string{"job-000001"}
 	for _, tc := range []struct {
 		name string
 		rec  wire.JobRecord
 		sub  bool
 	}{
 		{"a plain job", wire.NewJobRecord(&sub, 5), true},
-		{"a job with dependencies", wire.NewJobRecord(&chained, 5), false},
+		{"a job with dependencies", wire.NewJobRecord(&withDependencies, 5), false},
 		{"a job that ended", wire.JobRecord{AcceptedMS: 5, State: wire.StateDone, Tasks: 16, EndMS: 77}, false},
 	} {
 		var old oldJobRecord
--- a/internal/controller/config.go
+++ b/internal/controller/config.go
@@ -7,8 +7,8 @@
 	"garnethitch/quota"
 )
 
-// defaultJobs is how many jobs are kept, unfinished and final each, where Config says nothing.
-const defaultJobs = 20_000
+// defaultMaxJobs is how many jobs are kept, unfinished and final each, where Config says nothing.
+const defaultMaxJobs = 20_000
 
 // Team is a team's guarantee and limit.
 type Team struct {
@@ -30,8 +30,8 @@
 	HeartbeatInterval micros.Micros
 	// WorkerLease is how long a worker keeps its tasks after the last answered heartbeat.
 	WorkerLease micros.Micros
-	// Cancel is the time within which all tasks of a cancelled job must be gone.
-	Cancel micros.Micros
+	// CancelWithin is the time within which all tasks of a cancelled job must be gone.
+	CancelWithin micros.Micros
 
 	// StateRPS is what the state service takes of all controllers together, in requests a
 	// second; WriteRPS in changes a second.
@@ -74,8 +74,8 @@
 	DrainHorizon micros.Micros
 	// IdleReturn is how long a machine may be idle before it is returned.
 	IdleReturn micros.Micros
-	// CordonFor is how long a machine on which tasks fail gets no new ones.
-	CordonFor micros.Micros
+	// CordonPeriod is how long a machine on which tasks fail gets no new ones.
+	CordonPeriod micros.Micros
 	// MaxMachines bounds the machines of the fleet.
 	MaxMachines int
 
@@ -99,8 +99,8 @@
 
 // withDefaults returns the configuration with defaults in place of zero bounds.
 func (cfg Config) withDefaults() Config {
-	cfg.MaxOpenJobs = cmp.Or(cfg.MaxOpenJobs, defaultJobs)
-	cfg.MaxFinalJobs = cmp.Or(cfg.MaxFinalJobs, defaultJobs)
+	cfg.MaxOpenJobs = cmp.Or(cfg.MaxOpenJobs, defaultMaxJobs)
+	cfg.MaxFinalJobs = cmp.Or(cfg.MaxFinalJobs, defaultMaxJobs)
 	cfg.MaxRegistrations = cmp.Or(cfg.MaxRegistrations, cfg.MaxMachines)
 	return cfg
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -16,24 +16,24 @@
 type Controller struct {
 	stepContext
 
-	reads        *statestore.Reads // of job records, for users
-	unsentLogged uint64            // requests given up unsent when that was last logged
+	userReads            *statestore.Reads // of job records, for users
+	unsentRequestsLogged uint64            // requests given up unsent when that was last logged
 
-	ownership             ownershipState
-	jobSharding           jobSharding
-	contact               workerContact
-	jobs                  jobTable
-	cascade               cancellationCascade
-	fleet                 fleetState
-	quota                 quotas
-	peers                 map[string]*peerView
-	peerQuestionsInFlight int      // users' questions to other controllers
-	nodes                 []string // labels of all controllers, sorted
+	ownership            ownershipState
+	jobSharding          jobSharding
+	workerContact        workerContact
+	jobs                 jobTable
+	cascade              cancellationCascade
+	fleet                fleetState
+	quota                quotas
+	peers                map[string]*peerView
+	peerRequestsInFlight int      // users' questions to other controllers
+	nodes                []string // labels of all controllers, sorted
 
 	machines              map[string]*machine
 	machineRecords        machineRecords
 	commandQueue          commandQueue
-	listRound             uint64                   // of applyTaskList
+	taskListRound         uint64                   // of applyTaskList
 	misdirectedHeartbeats map[string]micros.Micros // machines that sent one here and belong to another shard, and when
 
 	types          machineTypes
@@ -50,8 +50,8 @@
 	visited, visitedBefore uint64
 }
 
-// minWorkerRequests is the least bound of the requests to workers in flight.
-const minWorkerRequests = 8
+// minWorkerRequestsInFlight is the least bound of the requests to workers in flight.
+const minWorkerRequestsInFlight = 8
 
 // New returns a controller. Equal seeds and inputs give equal effects.
 func New(cfg Config, seed uint64) *Controller {
@@ -68,8 +68,8 @@
 	c.ownership.stepContext = &c.stepContext
 	c.fleet.stepContext = &c.stepContext
 	c.quota.stepContext = &c.stepContext
-	c.reads = c.newStateReads()
-	c.commandQueue.maxInFlight = max(cfg.MaxWorkerRequests, minWorkerRequests)
+	c.userReads = c.newStateReads()
+	c.commandQueue.maxInFlight = max(cfg.MaxWorkerRequests, minWorkerRequestsInFlight)
 	c.ownership.init(cfg.Shards, cfg.Lease)
 	c.ownership.controlWatch.Interval = c.watchInterval(controlWatchInterval, controlWatchFraction)
 	c.jobs.init(cfg.MaxFinalJobs)
@@ -82,7 +82,7 @@
 		c.enableQuota()
 	}
 	for _, label := range cfg.Peers {
-		c.peers[label] = &peerView{label: label, lastContactAt: -micros.Never, statusAt: -micros.Never}
+		c.peers[label] = &peerView{label: label, lastContactAt: -micros.Never, lastStatusAt: -micros.Never}
 	}
 	return c
 }
@@ -93,11 +93,11 @@
 	c.dispatch(in)
 	c.runTimers()
 	c.recordDependents()
-	c.wake = min(c.wake, c.nextMaintenance())
+	c.wakeAt = min(c.wakeAt, c.nextMaintenance())
 	c.runDeferred()
 	c.schedule()
 	c.runDeferred()
-	c.drainState()
+	c.sendQueuedStateRequests()
 	c.runDeferred()
 	return c.takeEffects()
 }
@@ -112,8 +112,8 @@
 		c.start()
 	}
 	c.noteStall()
-	c.wake = c.nextMaintenance()
-	c.restAfter(at.Took)
+	c.wakeAt = c.nextMaintenance()
+	c.restAfter(at.PreviousStepDuration)
 }
 
 // start counts the limits from the first step on. Maintenance is due in it, but not so late that
--- a/internal/controller/decision_log.go
+++ b/internal/controller/decision_log.go
@@ -117,8 +117,8 @@
 		"tasks", tasks)
 }
 
-// logStop logs that a task's stop is sent for the first time.
-func (c *Controller) logStop(att *attempt, inReply bool) {
+// logFirstStop logs that a task's stop is sent for the first time.
+func (c *Controller) logFirstStop(att *attempt, inReply bool) {
 	if !c.cfg.LogHeartbeats || att.stopSentAt > -micros.Never {
 		return
 	}
--- a/internal/controller/demand.go
+++ b/internal/controller/demand.go
@@ -175,7 +175,7 @@
 		} else if att.job.sub.CheckpointS <= 0 {
 			row.LostUS += int64(float64(c.now-att.runAt) * cpus)
 		}
-		remaining := c.remaining(att)
+		remaining := c.remainingRunTime(att)
 		row.LeftUS = max(row.LeftUS, int64(remaining))
 		d.RunLeftUS += int64(float64(remaining) * cpus)
 	}
--- a/internal/controller/demand_test.go
+++ b/internal/controller/demand_test.go
@@ -28,7 +28,7 @@
 		{"its job is over", "late", attemptRunning, 10, 20 * sec, 0, true, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			sub := jobOf("job-000001", 1)
+			sub := newSubmission("job-000001", 1)
 			sub.Class, sub.CheckpointS, sub.EstimateS = tc.class, tc.checkpoint, 100
 			j := &job{sub: &sub, deadline: micros.Never, run: &run{stopsByTask: map[int]int{0: tc.stops}}}
 			if tc.over {
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -187,7 +187,7 @@
 		return true
 	}
 	watch := &c.ownership.jobWatch
-	maxAge := min(maxBlockedViewAge, c.cfg.Cancel/2)
+	maxAge := min(maxBlockedViewAge, c.cfg.CancelWithin/2)
 	if !watch.Ready() || c.now-watch.CompleteAsOf > maxAge {
 		return false
 	}
@@ -296,7 +296,7 @@
 	}
 	remaining, all := len(unknown), statestore.LookupFound
 	for _, id := range unknown {
-		c.readForUser(id, func(found statestore.Lookup) {
+		c.readJobForUser(id, func(found statestore.Lookup) {
 			if found == statestore.LookupMissing || found == statestore.LookupFailed && all == statestore.LookupFound {
 				all = found
 			}
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -16,7 +16,7 @@
 
 // after returns a plain submission that depends on others.
 func after(id string, tasks int, dependencies ...string) wire.Submission {
-	s := jobOf(id, tasks)
+	s := newSubmission(id, tasks)
 	s.DependsOn = dependencies
 	return s
 }
@@ -42,7 +42,7 @@
 // read only.
 func TestDependenciesAccepted(t *testing.T) {
 	blockWatch := func(h *harness) {
-		h.watchBlocked = wire.PrefixJob
+		h.blockedWatchPrefix = wire.PrefixJob
 		h.run(sec)
 	}
 	for _, tc := range []struct {
@@ -51,18 +51,18 @@
 		deps []string
 		want int
 	}{
-		{"open and known", func(h *harness) { h.submit(jobOf("job-000001", 1)) }, []string{"job-000001"}, 201},
-		{"accepted elsewhere, not known here", func(h *harness) { blockWatch(h); h.record(jobOf("job-000001", 1)) }, []string{"job-000001"}, 201},
+		{"open and known", func(h *harness) { h.submit(newSubmission("job-000001", 1)) }, []string{"job-000001"}, 201},
+		{"accepted elsewhere, not known here", func(h *harness) { blockWatch(h); h.record(newSubmission("job-000001", 1)) }, []string{"job-000001"}, 201},
 		{"done and out of memory", func(h *harness) { blockWatch(h); h.recordEnd("job-000001", wire.StateDone, 0) }, []string{"job-000001"}, 201},
 		{"cancelled", func(h *harness) { h.recordEnd("job-000001", wire.StateCancelled, 0) }, []string{"job-000001"}, 201},
 		{"two, one blocked itself", func(h *harness) {
-			h.submit(jobOf("job-000001", 1))
+			h.submit(newSubmission("job-000001", 1))
 			h.submit(after("job-000002", 1, "job-000001"))
 		}, []string{"job-000001", "job-000002"}, 201},
 		{"never accepted", nil, []string{"job-000001"}, 422},
-		{"one of two never accepted", func(h *harness) { h.submit(jobOf("job-000001", 1)) }, []string{"job-000001", "job-000002"}, 422},
+		{"one of two never accepted", func(h *harness) { h.submit(newSubmission("job-000001", 1)) }, []string{"job-000001", "job-000002"}, 422},
 		{"itself", nil, []string{"job-000009"}, 422},
-		{"no read possible", func(h *harness) { h.stateDown, h.refused = true, true }, []string{"job-000001"}, 503},
+		{"no read possible", func(h *harness) { h.stateDown, h.stateRefuses = true, true }, []string{"job-000001"}, 503},
 		{"too many for a record", func(h *harness) {
 			for _, id := range names(100, 150) {
 				h.recordEnd(id, wire.StateDone, 0)
@@ -104,15 +104,15 @@
 				h.put(wire.JobKey(id), wire.JobRecord{State: wire.StateDone, Tasks: 1})
 			}
 		}
-		before := h.reads
+		before := h.keyReads
 		if a := h.submit(after("job-000009", 1, names(100, 5000)...)); a.Status != 400 {
 			t.Errorf("known %v: answered %d, want 400", known, a.Status)
 		}
-		if n := h.reads - before; n > 1 {
+		if n := h.keyReads - before; n > 1 {
 			t.Errorf("known %v: %d reads, want one, of the job itself", known, n)
 		}
 		// An accepted job's repeat gets its state all the same.
-		h.submit(jobOf("job-000010", 1))
+		h.submit(newSubmission("job-000010", 1))
 		if a := h.submit(after("job-000010", 1, names(100, 5000)...)); a.Status != 200 {
 			t.Errorf("a repeat that names too many: %d", a.Status)
 		}
@@ -132,21 +132,21 @@
 func diamond(t *testing.T) (h *harness, fencingToken uint64) {
 	t.Helper()
 	h = newOwnerHarness(t, withPeer)
-	fencingToken = h.reconcile("vm-1")
-	h.submit(jobOf("job-000001", 1))
+	fencingToken = h.reconcileMachine("vm-1")
+	h.submit(newSubmission("job-000001", 1))
 	h.submit(after("job-000002", 1, "job-000001"))
 	h.submit(after("job-000003", 1, "job-000001"))
 	h.submit(after("job-000004", 1, "job-000002", "job-000003"))
-	h.dropCalls()
+	h.dropWorkerCalls()
 	return h, fencingToken
 }
 
 // finishAndStart sends a heartbeat in which the tasks started before are done, and returns
 // the starts in its answer.
 func (h *harness) finishAndStart(seq uint64, fencingToken uint64, before []wire.Command) []wire.Command {
-	h.dropCalls()
+	h.dropWorkerCalls()
 	_, body := h.heartbeat(heartbeatFrom("vm-1", 1, seq, fencingToken, shownDone(before)...))
-	return starts(body.Commands)
+	return startCommands(body.Commands)
 }
 
 func shownDone(cmds []wire.Command) (out []wire.TaskStatus) {
@@ -190,7 +190,7 @@
 		h.run(sec)
 	}
 	for _, id := range []string{"job-000001", "job-000004"} {
-		if s := h.state(id); s != wire.StateDone {
+		if s := h.jobState(id); s != wire.StateDone {
 			t.Errorf("%s is called %q", id, s)
 		}
 	}
@@ -200,11 +200,11 @@
 // guarantee or demand, and nothing but a record unblocks it.
 func TestBlockedJob(t *testing.T) {
 	h := newOwnerHarness(t, func(c *Config) { withPeer(c); c.Teams = []Team{{Name: "t", CPUs: 3, CPUsMax: 4}} })
-	fencingToken := h.reconcile("vm-1")
-	other := jobOf("job-000001", 1)
+	fencingToken := h.reconcileMachine("vm-1")
+	other := newSubmission("job-000001", 1)
 	h.record(other)
 	h.submit(after("job-000002", 2, "job-000001"))
-	h.submit(jobOf("job-000003", 2))
+	h.submit(newSubmission("job-000003", 2))
 	c := h.c
 	s := c.ownership.shards[0]
 	blockedJob, free := c.jobs.open["job-000002"], c.jobs.open["job-000003"]
@@ -217,14 +217,14 @@
 	if d, _ := c.demandOf(s, maxRowBytes); fleet.WaitingCPUs(&d)+d.Busy > 3+scheduling.Tolerance {
 		t.Errorf("%v CPUs are wanted: a blocked job is among them", fleet.WaitingCPUs(&d)+d.Busy)
 	}
-	if got := h.state("job-000002"); got != wire.StatePending {
+	if got := h.jobState("job-000002"); got != wire.StatePending {
 		t.Errorf("called %q", got)
 	}
 	noStart := func(when string) {
 		t.Helper()
-		h.dropCalls()
+		h.dropWorkerCalls()
 		_, body := h.heartbeat(heartbeatFrom("vm-1", 1, h.c.machines["vm-1"].view.sequence+1, fencingToken))
-		for _, cmd := range starts(body.Commands) {
+		for _, cmd := range startCommands(body.Commands) {
 			if strings.HasPrefix(cmd.Task, "job-000002/") {
 				t.Fatalf("started %s", when)
 			}
@@ -254,8 +254,8 @@
 		turn func(h *harness, sub wire.Submission)
 	}{
 		{"at the owner", func(h *harness, sub wire.Submission) {
-			h.record(jobOf("job-000001", 1))
-			h.record(jobOf("job-000002", 1))
+			h.record(newSubmission("job-000001", 1))
+			h.record(newSubmission("job-000002", 1))
 			h.record(sub)
 			h.recordEnd("job-000001", wire.StateDone, 9_000_000)
 			h.recordEnd("job-000002", wire.StateDone, 8_000_000)
@@ -271,7 +271,7 @@
 			h.record(sub)
 		}},
 		{"out of memory", func(h *harness, sub wire.Submission) {
-			h.watchBlocked = wire.PrefixJob
+			h.blockedWatchPrefix = wire.PrefixJob
 			h.run(sec)
 			h.c.jobs.finals.limit = 1
 			h.recordEnd("job-000001", wire.StateDone, 9_000_000)
@@ -303,7 +303,7 @@
 // recordChain stores n jobs as another controller would, each of which needs the one before.
 func (h *harness) recordChain(n int) {
 	h.t.Helper()
-	h.record(jobOf(chainID(0), 1))
+	h.record(newSubmission(chainID(0), 1))
 	for i := 1; i < n; i++ {
 		h.record(after(chainID(i), 1, chainID(i-1)))
 	}
@@ -314,7 +314,7 @@
 	h.t.Helper()
 	states = map[wire.JobState]int{}
 	for i := range n {
-		states[h.state(chainID(i))]++
+		states[h.jobState(chainID(i))]++
 	}
 	return states
 }
@@ -350,7 +350,7 @@
 			}
 		}},
 		{"wide", func(h *harness) {
-			h.record(jobOf("job-000100", 1))
+			h.record(newSubmission("job-000100", 1))
 			for i := 1; i < n; i++ {
 				h.record(after(chainID(i), 1, "job-000100"))
 			}
@@ -366,32 +366,32 @@
 		{"the state service fails at that moment", func(h *harness) {
 			h.recordChain(n)
 			h.recordEnd("job-000100", wire.StateCancelled, 0)
-			h.stateDown, h.refused = true, true
+			h.stateDown, h.stateRefuses = true, true
 			h.run(sec)
 			for i := 1; i < n; i++ {
-				if s := h.state(chainID(i)); s != "" && s != wire.StateCancelled {
+				if s := h.jobState(chainID(i)); s != "" && s != wire.StateCancelled {
 					t.Errorf("called %q with a cancelled job before it", s)
 				}
 			}
 			h.run(8 * sec)
-			h.stateDown, h.refused = false, false
+			h.stateDown, h.stateRefuses = false, false
 		}},
 		{"the owner changes", func(h *harness) {
 			h.recordChain(n)
-			h.late = wire.PrefixJob
+			h.delayPrefix = wire.PrefixJob
 			h.txn(wire.Txn{Changes: []wire.Change{{Put: wire.JobKey("job-000100"), Value: encoded(t, wire.JobRecord{State: wire.StateCancelled, Tasks: 1})}}})
 			h.run(sec)
-			h.late = ""
+			h.delayPrefix = ""
 			h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}})
 			h.run(2 * sec)
-			if applied := h.carryOut(); applied != 0 {
+			if applied := h.applyDelayedTxns(); applied != 0 {
 				t.Errorf("%d writes of the former owner were applied", applied)
 			}
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newOwnerHarness(t, withPeer)
-			h.reconcile("vm-1")
+			h.reconcileMachine("vm-1")
 			tc.play(h)
 			h.run(6 * sec)
 			if got := h.chainStates(n); got[wire.StateCancelled] != n {
@@ -497,7 +497,7 @@
 			})
 			var acceptedMS int64
 			for _, i := range tc.order {
-				sub := jobOf(fmt.Sprintf("job-%06d", i), 1)
+				sub := newSubmission(fmt.Sprintf("job-%06d", i), 1)
 				sub.Priority = "best_effort"
 				if i > 1 {
 					sub.DependsOn = []string{fmt.Sprintf("job-%06d", i-1)}
@@ -541,23 +541,23 @@
 		lose func(h *harness)
 	}{
 		{"its watch brings nothing", func(h *harness) {
-			h.watchBlocked = wire.PrefixJob
+			h.blockedWatchPrefix = wire.PrefixJob
 			h.run(11 * sec)
 		}},
 		{"what its watch brought was long on its way", func(h *harness) {
-			h.watchBlocked = wire.PrefixJob
+			h.blockedWatchPrefix = wire.PrefixJob
 			h.run(7 * sec)
 			for i, w := range h.watches {
 				if w.Req.(statestore.WatchKeys).Prefix == wire.PrefixJob {
 					h.watches = slices.Delete(h.watches, i, i+1)
-					h.step(Result{ID: w.ID, Status: 200, Body: &wire.Events{Revision: h.rev}})
+					h.step(Result{ID: w.ID, Status: 200, Body: &wire.Events{Revision: h.revision}})
 					break
 				}
 			}
 			h.run(4 * sec) // 11 s since it was asked for
 		}},
 		{"it is listing anew", func(h *harness) {
-			h.watchBlocked = wire.PrefixJob
+			h.blockedWatchPrefix = wire.PrefixJob
 			h.c.ownership.jobWatch.ListAgain()
 			h.c.ownership.jobWatch.InFlight = true
 		}},
@@ -570,12 +570,12 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newOwnerHarness(t, withPeer)
-			h.record(jobOf("job-000000", 1))
+			h.record(newSubmission("job-000000", 1))
 			h.record(after("job-000001", 1, "job-000000"))
 			h.record(after("job-000002", 1, "job-000001"))
-			h.record(jobOf("job-000003", 1))
+			h.record(newSubmission("job-000003", 1))
 			h.run(sec)
-			if s := h.state("job-000002"); s != wire.StatePending {
+			if s := h.jobState("job-000002"); s != wire.StatePending {
 				t.Fatalf("called %q without faults", s)
 			}
 			tc.lose(h)
@@ -585,7 +585,7 @@
 			if b := h.askAs("n-1", "job-000002"); b.Status != 503 {
 				t.Errorf("another controller is answered %d %q with an old view", b.Status, b.State)
 			}
-			if s := h.state("job-000003"); s != wire.StatePending {
+			if s := h.jobState("job-000003"); s != wire.StatePending {
 				t.Errorf("a job without dependencies is called %q", s)
 			}
 		})
@@ -594,7 +594,7 @@
 
 // askAs asks for the state of a job as another controller.
 func (h *harness) askAs(label, id string) peer.JobResponse {
-	a := h.ask(func(r ReplyID) Input {
+	a := h.request(func(r ReplyID) Input {
 		return PeerRequest{Reply: r, Req: peer.Request{From: label, JobRequest: &peer.JobRequest{ID: id}}}
 	})
 	return *a.Body.(*peer.Response).JobResponse
--- a/internal/controller/direct_commands.go
+++ b/internal/controller/direct_commands.go
@@ -123,7 +123,7 @@
 // askWorker sends a request to a worker and counts it while it is under way.
 func (c *Controller) askWorker(addr string, req any, done func(Result)) {
 	c.commandQueue.inFlight++
-	c.call(Call{To: ToWorker, Addr: addr, Req: req, Timeout: commandTimeout}, func(r Result) {
+	c.sendCall(Call{To: ToWorker, Addr: addr, Req: req, Timeout: commandTimeout}, func(r Result) {
 		c.commandQueue.inFlight--
 		done(r)
 	})
--- a/internal/controller/effects.go
+++ b/internal/controller/effects.go
@@ -7,8 +7,8 @@
 	return effects
 }
 
-// call sends a request; done is called with its Result.
-func (sc *stepContext) call(call Call, done func(Result)) {
+// sendCall sends a request; done is called with its Result.
+func (sc *stepContext) sendCall(call Call, done func(Result)) {
 	sc.nextCall++
 	call.ID = sc.nextCall
 	sc.calls[call.ID] = done
@@ -35,9 +35,9 @@
 	sc.effects = append(sc.effects, Log{Level: l, Text: text, Args: args})
 }
 
-// later runs f at the end of the step, so that whoever queues a request is not called back
+// deferToStepEnd runs f at the end of the step, so that whoever queues a request is not called back
 // before it has returned.
-func (sc *stepContext) later(f func()) { sc.deferred = append(sc.deferred, f) }
+func (sc *stepContext) deferToStepEnd(f func()) { sc.deferred = append(sc.deferred, f) }
 
 // runDeferred runs what later has put off, and what that puts off in turn.
 func (sc *stepContext) runDeferred() {
--- a/internal/controller/first_start.go
+++ b/internal/controller/first_start.go
@@ -16,31 +16,31 @@
 	// firstStartReservation is how long a machine's capacity is kept for an overdue job before
 	// another machine is tried.
 	firstStartReservation = 45 * micros.Second
-	// minRemainingDivisor divides the expected run time of a task into what it is expected to take
+	// minRemainingRunTimeDivisor divides the expected run time of a task into what it is expected to take
 	// yet at least, however long it has run.
-	minRemainingDivisor = 10
+	minRemainingRunTimeDivisor = 10
 )
 
 // overdue reports whether a job should have begun. One whose only start was stopped for others is
 // overdue again; one that fails everywhere has its own pace.
 func (sc *stepContext) overdue(j *job) bool {
-	return sc.waitsLong(j) && j.run.nextRetryAt == 0 && len(j.run.active) == 0
+	return sc.waitedTooLong(j) && j.run.nextRetryAt == 0 && len(j.run.active) == 0
 }
 
-// waitsLong reports whether none of a job's tasks is done by when the job should have begun.
-func (sc *stepContext) waitsLong(j *job) bool {
-	return sc.cfg.BeginWithin > 0 && j.run != nil && j.run.doneCount == 0 && sc.waited(j) > sc.cfg.BeginWithin
+// waitedTooLong reports whether none of a job's tasks is done by when the job should have begun.
+func (sc *stepContext) waitedTooLong(j *job) bool {
+	return sc.cfg.BeginWithin > 0 && j.run != nil && j.run.doneCount == 0 && sc.waitingTime(j) > sc.cfg.BeginWithin
 }
 
-// waited returns for how long a job could have run.
-func (sc *stepContext) waited(j *job) micros.Micros {
+// waitingTime returns for how long a job could have run.
+func (sc *stepContext) waitingTime(j *job) micros.Micros {
 	return sc.wall - micros.Micros(j.since())*micros.Millisecond
 }
 
-// onlyStart reports whether the attempt is all that an overdue job has got, and is not to be
+// isOnlyStart reports whether the attempt is all that an overdue job has got, and is not to be
 // stopped for another if that can be helped.
-func (sc *stepContext) onlyStart(att *attempt) bool {
-	return att.tracked && sc.waitsLong(att.job) && len(att.job.run.active) == 1
+func (sc *stepContext) isOnlyStart(att *attempt) bool {
+	return att.tracked && sc.waitedTooLong(att.job) && len(att.job.run.active) == 1
 }
 
 // reserveCapacity keeps what comes free on one machine for an overdue job that found no capacity:
@@ -71,7 +71,7 @@
 		if !c.reservable(j, m, zones) {
 			continue
 		}
-		if in := c.capacityAvailableIn(j, m); in < availableIn {
+		if in := c.timeUntilCapacity(j, m); in < availableIn {
 			best, availableIn = m, in
 		}
 	}
@@ -94,9 +94,9 @@
 	resources scheduling.Resources
 }
 
-// capacityAvailableIn returns in how much time a machine's tasks will probably have left enough
+// timeUntilCapacity returns in how much time a machine's tasks will probably have left enough
 // capacity for a task of a job; Never if they cannot.
-func (c *Controller) capacityAvailableIn(j *job, m *machine) micros.Micros {
+func (c *Controller) timeUntilCapacity(j *job, m *machine) micros.Micros {
 	need := resourcesOf(j.sub)
 	free := c.freeCapacity(m)
 	after := micros.Micros(0)
@@ -118,7 +118,7 @@
 	var ends []taskEnd
 	for _, att := range m.view.list {
 		if att.job != nil && att.state != attemptExited {
-			ends = append(ends, taskEnd{att.index, c.remaining(att), resourcesOf(att.job.sub)})
+			ends = append(ends, taskEnd{att.index, c.remainingRunTime(att), resourcesOf(att.job.sub)})
 		}
 	}
 	slices.SortFunc(ends, func(a, b taskEnd) int {
@@ -127,11 +127,11 @@
 	return ends
 }
 
-// remaining returns how long an attempt will probably take yet.
-func (c *Controller) remaining(att *attempt) micros.Micros {
+// remainingRunTime returns how long an attempt will probably take yet.
+func (c *Controller) remainingRunTime(att *attempt) micros.Micros {
 	expected := c.estimates.Expect(att.job.sub)
 	if att.runAt <= 0 {
 		return expected
 	}
-	return max(expected-(c.now-att.runAt), expected/minRemainingDivisor)
+	return max(expected-(c.now-att.runAt), expected/minRemainingRunTimeDivisor)
 }
--- a/internal/controller/first_start_test.go
+++ b/internal/controller/first_start_test.go
@@ -26,18 +26,18 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t, func(c *Config) { c.BeginWithin = tc.within })
-			fencingToken := h.reconcile("vm-1")
-			h.submit(jobOf("job-000001", 4000)) // and more of the same to come
-			big := jobOf("job-000002", 50)
+			fencingToken := h.reconcileMachine("vm-1")
+			h.submit(newSubmission("job-000001", 4000)) // and more of the same to come
+			big := newSubmission("job-000002", 50)
 			big.CPUs, big.MemGB, big.Priority = tc.cpus, 4, "best_effort"
 			h.submit(big)
-			h.dropCalls()
+			h.dropWorkerCalls()
 			seq := uint64(10)
 			var running []wire.TaskStatus
 			begun := 0
 			for range 120 { // each half second some tasks end
 				h.run(sec / 2)
-				h.dropCalls()
+				h.dropWorkerCalls()
 				seq++
 				ends := min(tc.ends, len(running))
 				for i := range ends {
@@ -45,7 +45,7 @@
 				}
 				_, body := h.heartbeat(heartbeatFrom("vm-1", 1, seq, fencingToken, running...))
 				running = running[ends:]
-				for _, cmd := range starts(body.Commands) {
+				for _, cmd := range startCommands(body.Commands) {
 					running = append(running, wire.TaskStatus{Task: cmd.Task, Attempt: cmd.Attempt, State: wire.TaskRunning})
 					if id, _, _ := wire.ParseTask(cmd.Task); id == big.ID {
 						begun++
@@ -67,7 +67,7 @@
 func TestOnlyStartIsStoppedLast(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.BeginWithin = 30 * sec })
 	newAttempt := func(waited micros.Micros, others int) *attempt {
-		sub := jobOf("job-000001", 10)
+		sub := newSubmission("job-000001", 10)
 		j := &job{sub: &sub, rec: wire.JobRecord{AcceptedMS: (h.now - waited).Millis()}, run: &run{stopsByTask: map[int]int{}, active: map[int]*attempt{}}}
 		att := &attempt{job: j, runAt: h.now - sec, tracked: true}
 		for i := range 1 + others {
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -75,7 +75,7 @@
 	f.planNext = c.now
 	f.first = len(c.machineRecords.sets) == 0
 	for _, label := range c.cfg.Peers {
-		c.peers[label].returnedMachines = nil
+		c.peers[label].pendingReturnedMachines = nil
 	}
 	c.log(Info, "leader lock acquired", "epoch", c.ownership.leader.ownerEpoch, "machines", len(c.machines))
 }
@@ -98,14 +98,14 @@
 		return false
 	}
 	b.Take(1)
-	f.call(Call{To: ToCloud, Req: req, Timeout: timeout}, done)
+	f.sendCall(Call{To: ToCloud, Req: req, Timeout: timeout}, done)
 	return true
 }
 
 // maintainFleet does what becomes due of the leader's work.
 func (c *Controller) maintainFleet() {
 	c.refreshTypes()
-	if !c.ownership.leading() {
+	if !c.ownership.mayLead() {
 		c.fleet.refuseRegistrations()
 		return
 	}
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -43,37 +43,37 @@
 	typ   reflect.Type
 }
 
-func sample[T any](label string, c codec) goldenSample {
+func goldenSampleOf[T any](label string, c codec) goldenSample {
 	return goldenSample{label, c, reflect.TypeFor[T]()}
 }
 
 // goldenSamples are all types that are stored, or sent as a whole body.
 func goldenSamples() []goldenSample {
 	return []goldenSample{
-		sample[wire.OwnerRecord]("owner record", cborCodec),
-		sample[wire.MachineRecordSet]("machine batch record", cborCodec),
-		sample[wire.JobRecord]("job record", cborCodec),
-		sample[wire.CheckpointRecord]("job version record", cborCodec),
-		sample[quota.Record]("quota record", cborCodec),
-		sample[wire.Submission]("submission", cborCodec),
-		sample[wire.JobAnswer]("job answer", cborCodec),
-		sample[wire.Heartbeat]("report", cborCodec),
-		sample[wire.HeartbeatReply]("report answer", cborCodec),
-		sample[wire.Redirect]("report redirect", cborCodec),
-		sample[wire.DirectCommand]("worker commands", cborCodec),
-		sample[wire.MachineTypes]("machine types", cborCodec),
-		sample[wire.Rental]("machine request", cborCodec),
-		sample[wire.MachineNames]("machine names", cborCodec),
-		sample[wire.MachineList]("machine list", cborCodec),
-		sample[wire.KeyValue]("key and value", cborCodec),
-		sample[wire.KeyList]("key list", cborCodec),
-		sample[wire.Txn]("transaction", cborCodec),
-		sample[wire.Revision]("revision", cborCodec),
-		sample[wire.NewLease]("new lease", cborCodec),
-		sample[wire.Lease]("lease", cborCodec),
-		sample[wire.Events]("watch events", cborCodec),
-		sample[peer.Request]("peer request", msgpackCodec),
-		sample[peer.Response]("peer response", msgpackCodec),
+		goldenSampleOf[wire.OwnerRecord]("owner record", cborCodec),
+		goldenSampleOf[wire.MachineRecordSet]("machine batch record", cborCodec),
+		goldenSampleOf[wire.JobRecord]("job record", cborCodec),
+		goldenSampleOf[wire.CheckpointRecord]("job version record", cborCodec),
+		goldenSampleOf[quota.Record]("quota record", cborCodec),
+		goldenSampleOf[wire.Submission]("submission", cborCodec),
+		goldenSampleOf[wire.JobAnswer]("job answer", cborCodec),
+		goldenSampleOf[wire.Heartbeat]("report", cborCodec),
+		goldenSampleOf[wire.HeartbeatReply]("report answer", cborCodec),
+		goldenSampleOf[wire.Redirect]("report redirect", cborCodec),
+		goldenSampleOf[wire.DirectCommand]("worker commands", cborCodec),
+		goldenSampleOf[wire.MachineTypes]("machine types", cborCodec),
+		goldenSampleOf[wire.Rental]("machine request", cborCodec),
+		goldenSampleOf[wire.MachineNames]("machine names", cborCodec),
+		goldenSampleOf[wire.MachineList]("machine list", cborCodec),
+		goldenSampleOf[wire.KeyValue]("key and value", cborCodec),
+		goldenSampleOf[wire.KeyList]("key list", cborCodec),
+		goldenSampleOf[wire.Txn]("transaction", cborCodec),
+		goldenSampleOf[wire.Revision]("revision", cborCodec),
+		goldenSampleOf[wire.NewLease]("new lease", cborCodec),
+		goldenSampleOf[wire.Lease]("lease", cborCodec),
+		goldenSampleOf[wire.Events]("watch events", cborCodec),
+		goldenSampleOf[peer.Request]("peer request", msgpackCodec),
+		goldenSampleOf[peer.Response]("peer response", msgpackCodec),
 	}
 }
 
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -41,7 +41,7 @@
 	if len(stops) > 0 {
 		commands = append(commands, stops...) // these are all: the machine is not reconciled yet
 	}
-	c.checkRenewal(s, m)
+	c.checkRenewalInvariants(s, m)
 	fencingToken := c.fencingToken(s, m)
 	v.reachability.ReplySent(fencingToken, v.fencingToken, commands)
 	c.logHeartbeat(m, &in.Heartbeat, authority.Allow(authority.ReasonHeartbeatAccepted), commands)
--- a/internal/controller/heartbeats_test.go
+++ b/internal/controller/heartbeats_test.go
@@ -12,7 +12,7 @@
 // successor has commanded its machine.
 func TestHeartbeatOrder(t *testing.T) {
 	h := newHarness(t, nil)
-	fencingToken := h.reconcile("vm-1")
+	fencingToken := h.reconcileMachine("vm-1")
 	for _, tc := range []struct {
 		name                               string
 		agentEpoch, sequence, fencingToken uint64
@@ -35,17 +35,17 @@
 // be over, and not before.
 func TestSilentMachine(t *testing.T) {
 	h := newHarness(t, nil)
-	fencingToken := h.reconcile("vm-1")
-	a := h.startOne(fencingToken)
+	fencingToken := h.reconcileMachine("vm-1")
+	a := h.startOneTask(fencingToken)
 	h.heartbeat(heartbeatFrom("vm-1", 1, 11, fencingToken, wire.TaskStatus{Task: "job-000001/0", Attempt: a, State: wire.TaskRunning}))
 	last := h.now
-	other := h.reconcile("vm-2")
+	other := h.reconcileMachine("vm-2")
 	h.c.fleet.planNext = micros.Never // keep the idle machine
 	for seq := uint64(20); h.now < last+14*sec; seq++ {
 		h.run(sec / 2)
 		_, body := h.heartbeat(heartbeatFrom("vm-2", 1, seq, other))
 		early := h.now < last+10*sec
-		if started := len(starts(body.Commands)) > 0 || len(h.directCommands()) > 0; started {
+		if started := len(startCommands(body.Commands)) > 0 || len(h.directStarts()) > 0; started {
 			if early {
 				t.Fatalf("started elsewhere %v s after the last reply", (h.now - last).Seconds())
 			}
@@ -68,17 +68,17 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t, func(c *Config) { c.Teams = []Team{{Name: "t", CPUsMax: 4}, {Name: "u"}}; c.Shards = 1 })
-			fencingToken := h.reconcile("vm-1")
+			fencingToken := h.reconcileMachine("vm-1")
 			if tc.unreconciled {
 				// It stood on record when the shard was claimed.
 				h.putMachines("m-1-1", "vm-9")
 				h.c.machines["vm-9"].view.unreconciledFromPredecessor = true
 				h.c.ownership.markDirty(h.c.machines["vm-9"])
 			}
-			h.submit(jobOf("job-000001", 6))
-			h.dropCalls()
+			h.submit(newSubmission("job-000001", 6))
+			h.dropWorkerCalls()
 			_, body := h.heartbeat(heartbeatFrom("vm-1", 1, 10, fencingToken))
-			if n := len(starts(body.Commands)); n != tc.want {
+			if n := len(startCommands(body.Commands)); n != tc.want {
 				t.Errorf("%d tasks started, want %d", n, tc.want)
 			}
 		})
@@ -98,12 +98,12 @@
 		{"without it: a successor may have renewed the machine's lease", true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			h := newHarness(t, func(c *Config) { c.Cancel = 40 * sec; c.SilentReturn = 0; c.Peers = []string{"n-1"} })
+			h := newHarness(t, func(c *Config) { c.CancelWithin = 40 * sec; c.SilentReturn = 0; c.Peers = []string{"n-1"} })
 			h.run(2 * sec)
-			fencingToken := h.reconcile("vm-1")
-			a := h.startOne(fencingToken)
+			fencingToken := h.reconcileMachine("vm-1")
+			a := h.startOneTask(fencingToken)
 			h.heartbeat(heartbeatFrom("vm-1", 1, 11, fencingToken, wire.TaskStatus{Task: "job-000001/0", Attempt: a, State: wire.TaskRunning}))
-			other := h.reconcile("vm-2")
+			other := h.reconcileMachine("vm-2")
 			h.c.fleet.planNext = micros.Never // keep the idle machine
 			h.stateDown, h.peersDown = tc.alone, tc.alone
 			started := false
@@ -113,7 +113,7 @@
 				if status != 200 {
 					t.Fatalf("heartbeat answered %d: the time for commands is over too early", status)
 				}
-				started = started || len(starts(body.Commands)) > 0 || len(h.directCommands()) > 0
+				started = started || len(startCommands(body.Commands)) > 0 || len(h.directStarts()) > 0
 			}
 			if started == tc.alone {
 				t.Errorf("started elsewhere: %v", started)
@@ -126,8 +126,8 @@
 // arithmetic, no time of the last heartbeat, no reconciliation, no assignment.
 func TestLateCopies(t *testing.T) {
 	h := newHarness(t, nil)
-	fencingToken := h.reconcile("vm-1")
-	a := h.startOne(fencingToken)
+	fencingToken := h.reconcileMachine("vm-1")
+	a := h.startOneTask(fencingToken)
 	running := wire.TaskStatus{Task: "job-000001/0", Attempt: a, State: wire.TaskRunning}
 	h.heartbeat(heartbeatFrom("vm-1", 1, 11, fencingToken, running))
 	v := h.c.machines["vm-1"].view
@@ -149,9 +149,9 @@
 		}
 	}
 	// The answer to a direct command that is overtaken by a newer heartbeat.
-	h.submit(jobOf("job-000002", 1))
-	command := h.directCommands()[0]
-	h.open = nil
+	h.submit(newSubmission("job-000002", 1))
+	command := h.directStarts()[0]
+	h.workerCalls = nil
 	h.heartbeat(heartbeatFrom("vm-1", 1, 40, fencingToken, running, wire.TaskStatus{Task: "job-000002/0", Attempt: command.Req.(wire.DirectCommand).Commands[0].Attempt, State: wire.TaskRunning}))
 	overtaken := heartbeatFrom("vm-1", 1, 39, fencingToken)
 	if h.step(Result{ID: command.ID, Status: 200, Body: &overtaken}); len(v.list) != 2 || v.list[0].key.attempt != a || v.list[0].state != attemptRunning {
@@ -171,11 +171,11 @@
 		if known {
 			h.c.fleet.returned["vm-8"] = h.now
 		}
-		h.dropCalls()
+		h.dropWorkerCalls()
 		h.heartbeat(heartbeatFrom("vm-8", 1, 4, 3))
 		for range 4 {
 			h.run(sec)
-			h.dropCalls() // nobody answers at its address
+			h.dropWorkerCalls() // nobody answers at its address
 		}
 		if h.c.machines["vm-8"] != nil {
 			t.Error("a copy brought a returned machine back to the record")
@@ -184,7 +184,7 @@
 	}
 	// An unlisted machine that answers for itself is assigned.
 	h.heartbeat(heartbeatFrom("vm-8", 1, 5, 0))
-	for _, call := range h.open {
+	for _, call := range h.workerCalls {
 		if _, ok := call.Req.(GetHeartbeat); ok && call.Addr == "vm-8" {
 			heartbeat := heartbeatFrom("vm-8", 1, 6, 0)
 			h.step(Result{ID: call.ID, Status: 200, Body: &heartbeat})
@@ -203,19 +203,19 @@
 	h := newOwnerHarness(t, func(c *Config) {
 		withPeer(c)
 		c.WorkerLease = 30 * sec
-		c.Cancel = 60 * sec
+		c.CancelWithin = 60 * sec
 	})
-	fencingToken, a := h.runOne()
+	fencingToken, a := h.runOneTask()
 	seq := uint64(20)
 	answer := func(tasks ...wire.TaskStatus) {
-		open := h.open
-		h.open = nil
+		open := h.workerCalls
+		h.workerCalls = nil
 		for _, c := range open {
 			if _, ok := c.Req.(GetHeartbeat); ok || len(c.Req.(wire.DirectCommand).Commands) == 0 {
 				seq++
 				h.step(Result{ID: c.ID, Status: 200, Body: new(heartbeatFrom("vm-1", 1, seq, fencingToken, tasks...))})
 			} else {
-				h.open = append(h.open, c)
+				h.workerCalls = append(h.workerCalls, c)
 			}
 		}
 	}
@@ -223,8 +223,8 @@
 		h.run(sec / 2)
 		answer(wire.TaskStatus{Task: "job-000001/0", Attempt: a, State: wire.TaskRunning})
 	}
-	h.submit(jobOf("job-000002", 1))
-	if n := len(h.directCommands()); n != 0 {
+	h.submit(newSubmission("job-000002", 1))
+	if n := len(h.directStarts()); n != 0 {
 		t.Errorf("%d direct commands with a start to a machine whose lease is running out", n)
 	}
 	m := h.c.machines["vm-1"]
@@ -235,13 +235,13 @@
 		h.run(sec / 2)
 		answer(wire.TaskStatus{Task: "job-000001/0", Attempt: a, State: wire.TaskExited, ExitReason: wire.ExitDone})
 	}
-	if s := h.state("job-000001"); s != wire.StateDone {
+	if s := h.jobState("job-000001"); s != wire.StateDone {
 		t.Errorf("called %q, its task is done", s)
 	}
 	if st := h.c.stateOf(m); st != peer.MachineSilent {
 		t.Errorf("state %d: an empty machine whose heartbeats are not answered is of no use", st)
 	}
-	if status, body := h.heartbeat(heartbeatFrom("vm-1", 1, 2000, fencingToken)); status != 200 || len(starts(body.Commands)) != 1 {
+	if status, body := h.heartbeat(heartbeatFrom("vm-1", 1, 2000, fencingToken)); status != 200 || len(startCommands(body.Commands)) != 1 {
 		t.Errorf("heartbeat answered again: %d %v, want a start", status, body.Commands)
 	}
 }
@@ -250,12 +250,12 @@
 // shard reconcile nothing, and nothing of what they list is taken for the machine's present state.
 func TestOldHeartbeatsAtNewOwner(t *testing.T) {
 	h := newOwnerHarness(t, withPeer)
-	sub := jobOf("job-000001", 3)
+	sub := newSubmission("job-000001", 3)
 	h.put(wire.JobKey("job-000001"), wire.JobRecord{Submission: &sub, State: wire.StatePending, Tasks: 3})
 	h.putMachines("h-1-1", "vm-1")
 	h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}})
 	h.run(sec)
-	h.open = nil
+	h.workerCalls = nil
 	m := h.c.machines["vm-1"]
 	s := h.c.ownership.shards[0]
 	fencingToken := h.c.fencingToken(s, m)
@@ -268,7 +268,7 @@
 		t.Fatal("a copy from before the claim has reconciled the machine")
 	}
 	j := h.c.jobs.open["job-000001"]
-	if len(j.run.active) > 0 || len(starts(h.commandsOut())) > 0 {
+	if len(j.run.active) > 0 || len(startCommands(h.commandsOut())) > 0 {
 		t.Errorf("active %v: taken from a copy", j.run.active)
 	}
 	// The machine itself, an agent epoch later: nothing of the copy is there any more.
--- a/internal/controller/idempotency_test.go
+++ b/internal/controller/idempotency_test.go
@@ -26,7 +26,7 @@
 func (h *harness) checkRepeatsDoNothing(after string) {
 	h.t.Helper()
 	before := h.modRevisionsOf()
-	for _, txn := range slices.Clone(h.done) {
+	for _, txn := range slices.Clone(h.appliedTxns) {
 		if status, _ := h.txn(txn); status != 200 {
 			continue
 		}
@@ -46,17 +46,17 @@
 // ends.
 func (h *harness) runOnMachines(n int, tokens map[string]uint64) {
 	h.t.Helper()
-	h.dropCalls()
+	h.dropWorkerCalls()
 	for i := range n {
 		id := machineName(i)
 		_, body := h.heartbeat(heartbeatFrom(id, 1, 10, tokens[id]))
-		cmds := starts(body.Commands)
+		cmds := startCommands(body.Commands)
 		h.heartbeat(heartbeatFrom(id, 1, 11, tokens[id], shown(cmds, wire.TaskRunning)...))
 		h.run(sec)
-		h.dropCalls()
+		h.dropWorkerCalls()
 		h.heartbeat(heartbeatFrom(id, 1, 12, tokens[id], shownDone(cmds)...))
 		h.run(3 * sec) // checkpoints
-		h.dropCalls()
+		h.dropWorkerCalls()
 	}
 }
 
@@ -80,7 +80,7 @@
 	for i := range 3 { // empty again
 		h.heartbeat(heartbeatFrom(machineName(i), 1, 30, tokens[machineName(i)]))
 	}
-	h.dropCalls()
+	h.dropWorkerCalls()
 	from := moved.rec.Shard
 	h.c.release(peer.Release{Machines: []string{moved.id}, Shard: 1 - from})
 	h.run(2 * sec)
@@ -100,7 +100,7 @@
 	h.c.fleet.planNext = h.now
 	for seq := uint64(40); seq < 80; seq++ {
 		h.run(sec)
-		h.dropCalls()
+		h.dropWorkerCalls()
 		for _, id := range sortedKeys(h.c.machines) {
 			m := h.c.machines[id]
 			h.heartbeat(heartbeatFrom(id, 1, seq, h.c.fencingToken(h.c.ownership.shards[m.rec.Shard], m)))
@@ -123,22 +123,22 @@
 	h.checkRepeatsDoNothing("the claims")
 	tokens := map[string]uint64{}
 	for i := range 3 {
-		tokens[machineName(i)] = h.reconcile(machineName(i))
+		tokens[machineName(i)] = h.reconcileMachine(machineName(i))
 	}
 	h.checkRepeatsDoNothing("assignment")
 	h.c.fleet.planNext = micros.Never // idle machines stay for now
-	h.submit(jobOf("job-000001", 2))
-	h.submit(jobOf("job-000002", 400))
+	h.submit(newSubmission("job-000001", 2))
+	h.submit(newSubmission("job-000002", 400))
 	h.checkRepeatsDoNothing("accepting")
 	h.runOnMachines(3, tokens)
-	if h.state("job-000001") != wire.StateDone {
-		t.Fatalf("the first job is %q", h.state("job-000001"))
+	if h.jobState("job-000001") != wire.StateDone {
+		t.Fatalf("the first job is %q", h.jobState("job-000001"))
 	}
 	if h.checkpointsStored() == 0 {
 		t.Fatal("no checkpoint was recorded")
 	}
 	h.checkRepeatsDoNothing("an end and checkpoints")
-	if a := h.ask(func(r ReplyID) Input { return CancelRequest{Reply: r, ID: "job-000002"} }); a.Status != 200 {
+	if a := h.request(func(r ReplyID) Input { return CancelRequest{Reply: r, ID: "job-000002"} }); a.Status != 200 {
 		t.Fatalf("cancelled: %d", a.Status)
 	}
 	h.checkRepeatsDoNothing("a cancellation")
@@ -147,27 +147,27 @@
 	h.returnIdleMachines()
 	h.checkRepeatsDoNothing("the end of all machines")
 	kinds := map[string]bool{}
-	for _, txn := range h.done {
+	for _, txn := range h.appliedTxns {
 		for _, c := range txn.Changes {
 			key := c.Put + c.Delete
 			kinds[key[:3]] = true
 		}
 	}
-	if len(h.done) < 12 || len(kinds) < 3 {
-		t.Errorf("only %d transactions of kinds %v were repeated", len(h.done), kinds)
+	if len(h.appliedTxns) < 12 || len(kinds) < 3 {
+		t.Errorf("only %d transactions of kinds %v were repeated", len(h.appliedTxns), kinds)
 	}
 }
 
 // TestRepeatedRequests checks that requests to the controller that were executed and come again,
 // late, get the state that they find and change nothing.
 func TestRepeatedRequests(t *testing.T) {
-	submit := func(r ReplyID) Input { return SubmitRequest{Reply: r, Job: jobOf("job-000001", 1)} }
+	submit := func(r ReplyID) Input { return SubmitRequest{Reply: r, Job: newSubmission("job-000001", 1)} }
 	cancel := func(r ReplyID) Input { return CancelRequest{Reply: r, ID: "job-000001"} }
 	broken := func(r ReplyID) Input {
 		return SubmitRequest{Reply: r, Err: &wire.SubmissionError{ID: "job-000001"}}
 	}
 	misfit := func(r ReplyID) Input {
-		s := jobOf("job-000001", 1)
+		s := newSubmission("job-000001", 1)
 		s.CPUs = 1000
 		return SubmitRequest{Reply: r, Job: s}
 	}
@@ -190,30 +190,30 @@
 	} {
 		t.Run(fmt.Sprintf("%s, %T", tc.since, tc.repeat(0)), func(t *testing.T) {
 			h := newHarness(t, nil)
-			fencingToken := h.reconcile("vm-1")
+			fencingToken := h.reconcileMachine("vm-1")
 			if tc.since != "nothing" {
-				h.submit(jobOf("job-000001", 1))
+				h.submit(newSubmission("job-000001", 1))
 			}
 			switch tc.since {
 			case "running", "done":
-				h.dropCalls()
+				h.dropWorkerCalls()
 				_, body := h.heartbeat(heartbeatFrom("vm-1", 1, 10, fencingToken))
-				h.heartbeat(heartbeatFrom("vm-1", 1, 11, fencingToken, shown(starts(body.Commands), wire.TaskRunning)...))
+				h.heartbeat(heartbeatFrom("vm-1", 1, 11, fencingToken, shown(startCommands(body.Commands), wire.TaskRunning)...))
 				if tc.since == "done" {
-					end := shown(starts(body.Commands), wire.TaskExited)
+					end := shown(startCommands(body.Commands), wire.TaskExited)
 					end[0].ExitReason = wire.ExitDone
 					h.heartbeat(heartbeatFrom("vm-1", 1, 12, fencingToken, end...))
 					h.run(sec)
 				}
 			case "cancelled":
-				h.ask(cancel)
+				h.request(cancel)
 				h.run(sec)
 			}
-			tasks, rev := 0, h.rev
+			tasks, rev := 0, h.revision
 			if m := h.c.machines["vm-1"]; m.view != nil {
 				tasks = len(m.view.list)
 			}
-			a := h.ask(tc.repeat)
+			a := h.request(tc.repeat)
 			state := wire.JobState("")
 			if b, ok := a.Body.(wire.JobAnswer); ok {
 				state = b.State
@@ -221,7 +221,7 @@
 			if got := fmt.Sprintf("%d %s", a.Status, state); got != tc.want {
 				t.Errorf("got %q, want %q", got, tc.want)
 			}
-			if h.rev != rev || len(h.c.machines["vm-1"].view.list) != tasks {
+			if h.revision != rev || len(h.c.machines["vm-1"].view.list) != tasks {
 				t.Error("the repeat has changed something")
 			}
 		})
@@ -233,15 +233,15 @@
 // release finds the machine gone or busy, and a hint of a job that is over does not bring it back.
 func TestRepeatedPeerMessages(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.Peers = []string{"n-1"}; c.MaxMachines = 100 })
-	h.submit(jobOf("job-000009", 4000))
+	h.submit(newSubmission("job-000009", 4000))
 	h.run(8 * sec)
-	fencingToken := h.reconcile("vm-1")
-	h.reconcile("vm-2")
+	fencingToken := h.reconcileMachine("vm-1")
+	h.reconcileMachine("vm-2")
 	h.startOneOf("vm-1", fencingToken)
 	s := h.c.ownership.shards[0]
 	done := wire.JobRecord{State: wire.StateDone, Tasks: 1}
 	h.put(wire.JobKey("job-000001"), done)
-	sub := jobOf("job-000001", 1)
+	sub := newSubmission("job-000001", 1)
 	record, err := wire.Encode(wire.JobRecord{Submission: &sub, State: wire.StatePending, Tasks: 1})
 	if err != nil {
 		t.Fatal(err)
@@ -257,14 +257,14 @@
 		{"the return of a machine that is gone", peer.Request{Status: &peer.Status{ReturnedMachines: []string{"vm-8"}}}},
 	} {
 		tc.req.From = "n-1"
-		h.ask(func(r ReplyID) Input { return PeerRequest{Reply: r, Req: tc.req} })
+		h.request(func(r ReplyID) Input { return PeerRequest{Reply: r, Req: tc.req} })
 		h.run(sec)
 		switch {
 		case h.c.ownership.activeShard(0) == nil:
 			t.Errorf("%s: the shard was given up", tc.name)
 		case h.c.machines["vm-1"] == nil || h.c.machines["vm-1"].rec.Cordoned || len(h.c.machines["vm-1"].view.list) == 0:
 			t.Errorf("%s: a machine in use was released", tc.name)
-		case h.c.jobs.open["job-000001"] != nil || h.state("job-000001") != wire.StateDone:
+		case h.c.jobs.open["job-000001"] != nil || h.jobState("job-000001") != wire.StateDone:
 			t.Errorf("%s: a job that is over came back", tc.name)
 		}
 	}
@@ -273,9 +273,9 @@
 // startOneOf has a waiting task started by the answer to a machine's heartbeat.
 func (h *harness) startOneOf(id string, fencingToken uint64) {
 	h.t.Helper()
-	h.dropCalls()
+	h.dropWorkerCalls()
 	_, body := h.heartbeat(heartbeatFrom(id, 1, 10, fencingToken))
-	cmds := starts(body.Commands)
+	cmds := startCommands(body.Commands)
 	if len(cmds) == 0 {
 		h.t.Fatal("nothing was started")
 	}
--- a/internal/controller/inventory.go
+++ b/internal/controller/inventory.go
@@ -92,14 +92,14 @@
 	if !c.types.known() {
 		return c.ownership.controlWatch.Ready() && c.now >= c.fleet.typesAt+firstTypesInterval
 	}
-	return c.ownership.leading() && c.now >= c.fleet.typesAt+typesInterval
+	return c.ownership.mayLead() && c.now >= c.fleet.typesAt+typesInterval
 }
 
 // learnTypes takes in machine types from the cloud, or else from the state service. A leader takes
 // them from the cloud, and stores them.
 func (c *Controller) learnTypes(mt wire.MachineTypes, fromCloud bool) {
 	types := usableTypes(mt)
-	if len(types) == 0 || !fromCloud && c.types.known() && c.ownership.leading() {
+	if len(types) == 0 || !fromCloud && c.types.known() && c.ownership.mayLead() {
 		return
 	}
 	c.types = newMachineTypes(types)
@@ -107,7 +107,7 @@
 	for _, s := range c.ownership.shards {
 		s.recountAll = true
 	}
-	if fromCloud && c.ownership.leading() {
+	if fromCloud && c.ownership.mayLead() {
 		c.storeTypes(mt)
 	}
 }
@@ -150,7 +150,7 @@
 		},
 		Changes: []wire.Change{{Put: wire.KeyTypes, Value: value}},
 	}
-	c.askState(statestore.ClassFleet, txn, typesTimeout, func(r statestore.Reply) {
+	c.queueStateRequest(statestore.ClassFleet, txn, typesTimeout, func(r statestore.Reply) {
 		if r.Status == http.StatusOK {
 			c.fleet.typesRaw = value
 		}
--- a/internal/controller/job_end.go
+++ b/internal/controller/job_end.go
@@ -142,7 +142,7 @@
 	}
 	r.end.sent(state)
 	txn := c.endTxn(j, value)
-	c.askState(statestore.ClassEnd, txn, endTimeout, func(res statestore.Reply) {
+	c.queueStateRequest(statestore.ClassEnd, txn, endTimeout, func(res statestore.Reply) {
 		if j.run != r {
 			return
 		}
@@ -216,7 +216,7 @@
 // answerWaiters answers those who wait for a job's end.
 func (c *Controller) answerWaiters(r *run, answer peer.JobResponse) {
 	for _, waiter := range r.end.takeWaiters() {
-		c.later(func() { waiter(answer) })
+		c.deferToStepEnd(func() { waiter(answer) })
 	}
 }
 
--- a/internal/controller/job_end_test.go
+++ b/internal/controller/job_end_test.go
@@ -10,12 +10,12 @@
 // until then the job's status is not answered from memory.
 func TestUnansweredEnd(t *testing.T) {
 	h := newHarness(t, nil)
-	fencingToken := h.reconcile("vm-1")
-	a := h.startOne(fencingToken)
-	h.lose, h.watchBlocked = wire.JobKey("job-000001"), wire.PrefixJob
+	fencingToken := h.reconcileMachine("vm-1")
+	a := h.startOneTask(fencingToken)
+	h.loseAnswersPrefix, h.blockedWatchPrefix = wire.JobKey("job-000001"), wire.PrefixJob
 	h.heartbeat(heartbeatFrom("vm-1", 1, 11, fencingToken, wire.TaskStatus{Task: "job-000001/0", Attempt: a, State: wire.TaskExited, ExitReason: wire.ExitDone}))
 	// Applied, not answered: the store holds done, and so must every answer.
-	if s := h.state("job-000001"); s != wire.StateDone {
+	if s := h.jobState("job-000001"); s != wire.StateDone {
 		t.Errorf("called %q while its end stands on record", s)
 	}
 }
@@ -31,13 +31,13 @@
 		fault func(h *harness)
 		later func(h *harness)
 	}{
-		{"refused before the record", func(h *harness) { h.stateDown, h.refused = true, true }, nil},
+		{"refused before the record", func(h *harness) { h.stateDown, h.stateRefuses = true, true }, nil},
 		{"no answer at all", func(h *harness) { h.stateDown = true }, nil},
 		{"executed, answer lost, then refused", func(h *harness) {
-			h.lose, h.watchBlocked = wire.JobKey("job-000001"), wire.PrefixJob
-		}, func(h *harness) { h.stateDown, h.refused = true, true }},
-		{"delayed, then refused", func(h *harness) { h.late = wire.JobKey("job-000001") },
-			func(h *harness) { h.stateDown, h.refused = true, true }},
+			h.loseAnswersPrefix, h.blockedWatchPrefix = wire.JobKey("job-000001"), wire.PrefixJob
+		}, func(h *harness) { h.stateDown, h.stateRefuses = true, true }},
+		{"delayed, then refused", func(h *harness) { h.delayPrefix = wire.JobKey("job-000001") },
+			func(h *harness) { h.stateDown, h.stateRefuses = true, true }},
 		{"cancelled once the lease is over", func(h *harness) {
 			h.stateDown = true
 			for seq := uint64(100); h.now < h.c.ownership.lease.RenewedAt()+h.c.bounds.LeaseValidity+sec/2; seq++ {
@@ -47,9 +47,9 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newOwnerHarness(t, withPeer)
-			fencingToken, a := h.runOne()
-			h.submit(jobOf("job-000002", 1))
-			h.dropCalls()
+			fencingToken, a := h.runOneTask()
+			h.submit(newSubmission("job-000002", 1))
+			h.dropWorkerCalls()
 			tc.fault(h)
 			if got := h.cancel("job-000001"); got.Status == 200 {
 				t.Fatalf("called cancelled without a record")
@@ -57,19 +57,19 @@
 			if tc.later != nil {
 				tc.later(h)
 			}
-			h.open = nil
+			h.workerCalls = nil
 			h.step(Tick{})
-			status, body := h.heartbeat(h.running(1000, fencingToken, a))
-			if status != 200 || stops(body.Commands) != 1 {
+			status, body := h.heartbeat(h.runningHeartbeat(1000, fencingToken, a))
+			if status != 200 || countImmediateStops(body.Commands) != 1 {
 				t.Errorf("heartbeat answered %d, %v; want the task stopped", status, body.Commands)
 			}
-			for _, c := range starts(body.Commands) {
+			for _, c := range startCommands(body.Commands) {
 				if c.Task == "job-000001/0" {
 					t.Errorf("started after its user asked to cancel it")
 				}
 			}
 			// A 503 says that nothing was recorded, so nobody can have answered anything newer.
-			if s := h.state("job-000001"); s != "" && (s != wire.StateRunning || tc.name != "refused before the record") {
+			if s := h.jobState("job-000001"); s != "" && (s != wire.StateRunning || tc.name != "refused before the record") {
 				t.Errorf("called %q while nobody can know", s)
 			}
 			// What has exited is not tried again, and counts until it is seen gone.
@@ -77,27 +77,27 @@
 				t.Errorf("a task that is not seen gone counts %v CPUs", n)
 			}
 			_, body = h.heartbeat(heartbeatFrom("vm-1", 1, 1001, fencingToken, wire.TaskStatus{Task: "job-000001/0", Attempt: a, State: wire.TaskExited, ExitReason: wire.ExitStopped}))
-			for _, c := range starts(body.Commands) {
+			for _, c := range startCommands(body.Commands) {
 				if c.Task == "job-000001/0" {
 					t.Errorf("started again")
 				}
 			}
 			// The owner records by itself once it can.
-			h.stateDown, h.refused, h.watchBlocked, h.lose, h.late = false, false, "", "", ""
+			h.stateDown, h.stateRefuses, h.blockedWatchPrefix, h.loseAnswersPrefix, h.delayPrefix = false, false, "", "", ""
 			for range 8 {
-				h.giveUp()
-				held := h.held
-				h.held = nil
+				h.timeOutLostAnswers()
+				held := h.unansweredStateCalls
+				h.unansweredStateCalls = nil
 				for _, c := range held {
 					h.step(Result{ID: c.ID})
 				}
-				for _, c := range h.lateOut {
+				for _, c := range h.delayedTxns {
 					h.step(Result{ID: c.ID})
 				}
-				h.lateOut = nil
+				h.delayedTxns = nil
 				h.run(sec)
 			}
-			if s := h.state("job-000001"); s != wire.StateCancelled {
+			if s := h.jobState("job-000001"); s != wire.StateCancelled {
 				t.Errorf("called %q at the end, want cancelled without another request", s)
 			}
 		})
@@ -110,28 +110,28 @@
 // cancelled from then on.
 func TestInDoubtEnd(t *testing.T) {
 	h := newOwnerHarness(t, withPeer)
-	h.runOne()
-	h.late = wire.JobKey("job-000001")
+	h.runOneTask()
+	h.delayPrefix = wire.JobKey("job-000001")
 	h.cancel("job-000001")
 	for range 4 { // unanswered, read as pending, sent again: again unanswered
 		h.run(sec)
-		for _, c := range h.lateOut {
+		for _, c := range h.delayedTxns {
 			h.step(Result{ID: c.ID})
 		}
 	}
-	if len(h.lateOut) < 2 {
-		t.Fatalf("%d transactions delayed, want some", len(h.lateOut))
+	if len(h.delayedTxns) < 2 {
+		t.Fatalf("%d transactions delayed, want some", len(h.delayedTxns))
 	}
-	h.watchBlocked, h.stateDown, h.refused = wire.PrefixJob, true, true
+	h.blockedWatchPrefix, h.stateDown, h.stateRefuses = wire.PrefixJob, true, true
 	h.run(sec / 2)
-	if n := h.carryOut(); n != 1 {
+	if n := h.applyDelayedTxns(); n != 1 {
 		t.Fatalf("%d of the copies were executed, want 1", n)
 	}
-	if s := h.state("job-000001"); s == wire.StateRunning || s == wire.StatePending {
+	if s := h.jobState("job-000001"); s == wire.StateRunning || s == wire.StatePending {
 		t.Errorf("called %q, cancelled on record", s)
 	}
 	h.stateDown = false
-	if s := h.state("job-000001"); s != wire.StateCancelled {
+	if s := h.jobState("job-000001"); s != wire.StateCancelled {
 		t.Errorf("called %q, cancelled on record", s)
 	}
 }
@@ -153,26 +153,26 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newOwnerHarness(t, withPeer)
-			fencingToken, a := h.runOne()
+			fencingToken, a := h.runOneTask()
 			if tc.lose {
-				h.lose, h.watchBlocked = wire.JobKey("job-000001"), wire.PrefixJob
+				h.loseAnswersPrefix, h.blockedWatchPrefix = wire.JobKey("job-000001"), wire.PrefixJob
 			}
 			var first Answer
 			var asked ReplyID
 			if tc.cancelFirst {
-				first, asked = h.cancel("job-000001"), h.reply
+				first, asked = h.cancel("job-000001"), h.lastReply
 			}
 			h.heartbeat(heartbeatFrom("vm-1", 1, 12, fencingToken, wire.TaskStatus{Task: "job-000001/0", Attempt: a, State: wire.TaskExited, ExitReason: wire.ExitDone}))
 			if !tc.cancelFirst {
-				first, asked = h.cancel("job-000001"), h.reply
+				first, asked = h.cancel("job-000001"), h.lastReply
 			}
-			if s := h.state("job-000001"); s != tc.want {
+			if s := h.jobState("job-000001"); s != tc.want {
 				t.Errorf("a status request in between: %q, want %s", s, tc.want)
 			}
-			if b, _ := h.submit(jobOf("job-000001", 1)).Body.(wire.JobAnswer); b.State != tc.want {
+			if b, _ := h.submit(newSubmission("job-000001", 1)).Body.(wire.JobAnswer); b.State != tc.want {
 				t.Errorf("a repeated submission in between: %q, want %s", b.State, tc.want)
 			}
-			h.giveUp()
+			h.timeOutLostAnswers()
 			h.run(2 * sec)
 			if first.Status == 0 {
 				first = h.answers[asked]
@@ -197,21 +197,21 @@
 	}
 	t.Run("same owner", func(t *testing.T) {
 		h := newOwnerHarness(t, limit)
-		fencingToken := h.reconcile("vm-1")
-		h.reconcile("vm-2")
-		h.submit(jobOf("job-000001", 2))
-		h.dropCalls()
+		fencingToken := h.reconcileMachine("vm-1")
+		h.reconcileMachine("vm-2")
+		h.submit(newSubmission("job-000001", 2))
+		h.dropWorkerCalls()
 		_, body := h.heartbeat(heartbeatFrom("vm-1", 1, 10, fencingToken))
-		cmds := starts(body.Commands)
+		cmds := startCommands(body.Commands)
 		if len(cmds) != 2 {
 			t.Fatalf("%d starts, want 2", len(cmds))
 		}
 		if a := h.cancel("job-000001"); a.Status != 200 {
 			t.Fatalf("cancellation got %d", a.Status)
 		}
-		h.submit(jobOf("job-000002", 2))
-		h.open = nil
-		if _, body := h.heartbeat(heartbeatFrom("vm-2", 1, 11, fencingToken)); len(starts(body.Commands)) != 0 {
+		h.submit(newSubmission("job-000002", 2))
+		h.workerCalls = nil
+		if _, body := h.heartbeat(heartbeatFrom("vm-2", 1, 11, fencingToken)); len(startCommands(body.Commands)) != 0 {
 			t.Errorf("%v: started beyond the limit", body.Commands)
 		}
 	})
@@ -219,29 +219,29 @@
 		h := newOwnerHarness(t, func(c *Config) {
 			limit(c)
 			c.WorkerLease = 20 * sec
-			c.Cancel = 40 * sec
+			c.CancelWithin = 40 * sec
 		})
-		sub := jobOf("job-000002", 2)
+		sub := newSubmission("job-000002", 2)
 		h.put(wire.JobKey("job-000001"), wire.JobRecord{State: wire.StateCancelled, Tasks: 2})
 		h.putMachines("h-1-1", "vm-1", "vm-2")
 		h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}}) // claimed anew: they are older
 		h.run(sec)
 		h.put(wire.JobKey("job-000002"), wire.JobRecord{Submission: &sub, State: wire.StatePending, Tasks: 2})
-		h.open = nil
+		h.workerCalls = nil
 		s := h.c.ownership.shards[0]
 		fencingToken := h.c.fencingToken(s, h.c.machines["vm-2"])
 		seq := uint64(20)
 		for h.now < s.machinesFreeAt+2*sec {
 			seq++
 			_, body := h.heartbeat(heartbeatFrom("vm-2", 1, seq, fencingToken))
-			if n := len(starts(body.Commands)); n > 0 {
+			if n := len(startCommands(body.Commands)); n > 0 {
 				if h.now < s.machinesFreeAt {
 					t.Errorf("%d started %v s after the claim, vm-1 may hold cancelled tasks until %v s", n, (h.now - s.claimedAt).Seconds(), (s.machinesFreeAt - s.claimedAt).Seconds())
 				}
 				return
 			}
 			h.run(sec / 2)
-			h.dropCalls()
+			h.dropWorkerCalls()
 		}
 		t.Error("never started")
 	})
@@ -251,11 +251,11 @@
 // with its owner: the next owner runs the job.
 func TestCancellationRequestEndsWithItsOwner(t *testing.T) {
 	h := newOwnerHarness(t, withPeer)
-	fencingToken, a := h.runOne()
+	fencingToken, a := h.runOneTask()
 	h.stateDown = true
 	h.cancel("job-000001")
 	h.heartbeat(heartbeatFrom("vm-1", 1, 20, fencingToken, wire.TaskStatus{Task: "job-000001/0", Attempt: a, State: wire.TaskExited, ExitReason: wire.ExitStopped}))
-	h.held = nil
+	h.unansweredStateCalls = nil
 	h.stateDown = false
 	h.c.loseLease() // as after a 404
 	h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}, {Delete: wire.KeyLeader}}})
@@ -264,18 +264,18 @@
 		t.Fatalf("the job is stuck: %+v", j)
 	}
 	fencingToken = h.c.fencingToken(h.c.ownership.shards[0], h.c.machines["vm-1"])
-	h.dropCalls()
+	h.dropWorkerCalls()
 	started := false
 	for seq := uint64(30); seq < 40 && !started; seq++ {
 		_, body := h.heartbeat(heartbeatFrom("vm-1", 1, seq, fencingToken))
-		started = len(starts(body.Commands)) > 0
+		started = len(startCommands(body.Commands)) > 0
 		h.run(sec / 2)
-		h.dropCalls()
+		h.dropWorkerCalls()
 	}
 	if !started {
 		t.Error("not started again at its next owner")
 	}
-	if s := h.state("job-000001"); s != wire.StatePending && s != wire.StateRunning {
+	if s := h.jobState("job-000001"); s != wire.StatePending && s != wire.StateRunning {
 		t.Errorf("called %q", s)
 	}
 }
--- a/internal/controller/job_queue.go
+++ b/internal/controller/job_queue.go
@@ -67,7 +67,7 @@
 // guaranteeOverdue reports whether a job within its guarantee has waited for half of what it
 // should at most.
 func (sc *stepContext) guaranteeOverdue(j *job) bool {
-	return j.withinGuarantee && sc.cfg.GuaranteeWithin > 0 && sc.waited(j) > sc.cfg.GuaranteeWithin/2
+	return j.withinGuarantee && sc.cfg.GuaranteeWithin > 0 && sc.waitingTime(j) > sc.cfg.GuaranteeWithin/2
 }
 
 // compareInQueue orders jobs of a shard, the first to be served first.
@@ -143,7 +143,7 @@
 	if r == nil || !r.checkpointApplied || r.end.requested() || j.pending() <= 0 {
 		return false
 	}
-	if j.blocked() || j.dependencyCancelled || !c.mayStart() {
+	if j.blocked() || j.dependencyCancelled || !c.mayStartTasks() {
 		return false
 	}
 	knownInTime := j.knownAt <= c.ownership.lease.RenewedAt()+c.bounds.LeaseValidity
--- a/internal/controller/job_queue_test.go
+++ b/internal/controller/job_queue_test.go
@@ -36,12 +36,12 @@
 					c.Teams[0].CPUs, c.GuaranteeWithin = 30, 100*sec
 				}
 			})
-			h.reconcile("vm-1")
+			h.reconcileMachine("vm-1")
 			for _, j := range tc.jobs {
-				sub := jobOf("job-00000"+j.id, j.tasks)
+				sub := newSubmission("job-00000"+j.id, j.tasks)
 				sub.Priority = j.priority
 				rec := wire.JobRecord{Submission: &sub, State: wire.StatePending, Tasks: j.tasks, AcceptedMS: (1000*sec - j.age).Millis()}
-				h.c.learnJob(sub.ID, rec, h.rev+100)
+				h.c.learnJob(sub.ID, rec, h.revision+100)
 			}
 			got := ""
 			h.c.wall = 1000 * sec
--- a/internal/controller/job_reads_test.go
+++ b/internal/controller/job_reads_test.go
@@ -68,10 +68,10 @@
 			h.cancel("job-000001")
 		}, func(h *harness) bool { return h.stored("job-000001").State == wire.StateCancelled }},
 		{"a job is accepted", func(h *harness) {
-			h.submit(jobOf("job-000002", 1))
+			h.submit(newSubmission("job-000002", 1))
 		}, func(h *harness) bool { return h.keys[wire.JobKey("job-000002")].ModRevision > 0 }},
 		{"a machine is recorded", func(h *harness) {
-			h.listed = append(h.listed, wire.ListedMachine{ID: "vm-9", Addr: "vm-9", Type: "m", Zone: "a", State: wire.MachineRunning, AgeS: 1})
+			h.cloudMachines = append(h.cloudMachines, wire.ListedMachine{ID: "vm-9", Addr: "vm-9", Type: "m", Zone: "a", State: wire.MachineRunning, AgeS: 1})
 			h.c.fleet.listNext, h.c.fleet.planNext = h.now, h.now+400*ms
 		}, func(h *harness) bool { return h.c.machines["vm-9"] != nil }},
 		{"a checkpoint is recorded", func(h *harness) {
@@ -84,7 +84,7 @@
 		for _, ids := range []int{1, 5000} {
 			t.Run(fmt.Sprintf("%s, questions about %d", tc.name, ids), func(t *testing.T) {
 				h := newOwnerHarness(t, fewRequests)
-				h.runOne()
+				h.runOneTask()
 				q := &questions{h: h, ids: ids}
 				q.runBeside(3 * sec)
 				began := h.now
@@ -106,7 +106,7 @@
 	h := newOwnerHarness(t, fewRequests)
 	for class := statestore.ClassAccept; class < statestore.ClassCount; class++ {
 		for range 100 {
-			h.c.askState(class, statestore.GetKey{Key: "x"}, 5*sec, func(statestore.Reply) {})
+			h.c.queueStateRequest(class, statestore.GetKey{Key: "x"}, 5*sec, func(statestore.Reply) {})
 		}
 	}
 	s := h.c.ownership.shards[0]
@@ -145,7 +145,7 @@
 		step := int((h.now - began) / (20 * ms))
 		for i := step % 100; i < jobs; i += 100 {
 			h.jobStatus(questionID(i))
-			asked[h.reply] = i
+			asked[h.lastReply] = i
 		}
 		h.run(20 * ms)
 		for reply, i := range asked {
@@ -173,10 +173,10 @@
 	if first.Status != 0 || second.Status != 0 {
 		t.Fatalf("answered %d and %d at once", first.Status, second.Status)
 	}
-	firstReply, secondReply := h.reply-1, h.reply
+	firstReply, secondReply := h.lastReply-1, h.lastReply
 	h.stateDown = false
-	held := h.held
-	h.held = nil
+	held := h.unansweredStateCalls
+	h.unansweredStateCalls = nil
 	found := false
 	for _, c := range held {
 		if _, ok := c.Req.(statestore.GetKey); !ok || found {
@@ -184,7 +184,7 @@
 			continue
 		}
 		found = true
-		h.put(wire.JobKey("job-000777"), wire.NewJobRecord(new(jobOf("job-000777", 1)), 1)) // after the read, before its answer
+		h.put(wire.JobKey("job-000777"), wire.NewJobRecord(new(newSubmission("job-000777", 1)), 1)) // after the read, before its answer
 		h.result(c, 404, nil)
 	}
 	h.run(200 * ms)
@@ -221,7 +221,7 @@
 		}
 		h.run(sec)
 		reads, renewals := 0, 0
-		for _, c := range h.held {
+		for _, c := range h.unansweredStateCalls {
 			switch c.Req.(type) {
 			case statestore.GetKey:
 				reads++
@@ -235,13 +235,13 @@
 	})
 	t.Run("other controller", func(t *testing.T) {
 		h := newOwnerHarness(t, limits)
-		h.submit(jobOf("job-000001", 1))
+		h.submit(newSubmission("job-000001", 1))
 		h.put(ownerKey(0), wire.OwnerRecord{Label: "n-1", Incarnation: 99})
 		h.step(PeerRequest{Reply: 900, Req: peer.Request{From: "n-1", Status: &peer.Status{ControllerState: peer.ControllerState{StateOK: true}}}})
 		h.peersDown = true
-		before := len(h.asked)
+		before := len(h.jobRequests)
 		ask(h, "job-000001", sec/5)
-		if n := len(h.asked) - before; n == 0 || n > peerQuestions {
+		if n := len(h.jobRequests) - before; n == 0 || n > peerQuestions {
 			t.Errorf("%d questions to the other controller are in flight, want some and at most %d", n, peerQuestions)
 		}
 	})
@@ -266,13 +266,13 @@
 				h.jobStatus(questionID(i))
 			}
 			h.jobStatus(questionID(tc.waiting))
-			reply := h.reply
+			reply := h.lastReply
 			h.run(statestore.ReadTimeout + 300*ms)
 			if a := h.answers[reply]; tc.waiting > 100 && (a.Status != 503 || a.RetryAfterS < tc.least || a.RetryAfterS > tc.most) {
 				t.Errorf("answered %d, to try again after %d s, want 503 and %d s", a.Status, a.RetryAfterS, tc.least)
 			}
 			if got := h.c.retryAfter(); got < tc.least || got > tc.most {
-				t.Errorf("%d s with %d jobs waiting, want %d to %d s", got, h.c.reads.Records(), tc.least, tc.most)
+				t.Errorf("%d s with %d jobs waiting, want %d to %d s", got, h.c.userReads.Records(), tc.least, tc.most)
 			}
 		})
 	}
@@ -283,13 +283,13 @@
 // counts. Found by review: with 300 jobs asked about in vain it was to try again after 10 s, not 1.
 func TestSubmissionRetriesSoon(t *testing.T) {
 	h := newOwnerHarness(t, fewRequests)
-	h.stateDown, h.refused = true, true
+	h.stateDown, h.stateRefuses = true, true
 	for i := range 300 {
 		h.jobStatus(questionID(i))
 		h.run(20 * ms)
 	}
-	a := h.ask(func(r ReplyID) Input { return SubmitRequest{Reply: r, Job: jobOf("job-000002", 1)} })
-	reply := h.reply
+	a := h.request(func(r ReplyID) Input { return SubmitRequest{Reply: r, Job: newSubmission("job-000002", 1)} })
+	reply := h.lastReply
 	h.run(2 * sec)
 	if a = h.answers[reply]; a.Status != 503 || a.RetryAfterS != 1 {
 		t.Errorf("answered %d, to try again after %d s, want 503 and 1 s", a.Status, a.RetryAfterS)
@@ -300,14 +300,14 @@
 // can't be recorded, at the job's owner.
 func TestCancelRequestRetriesSoon(t *testing.T) {
 	h := newOwnerHarness(t, fewRequests)
-	h.submit(jobOf("job-000002", 1))
-	h.stateDown, h.refused = true, true
+	h.submit(newSubmission("job-000002", 1))
+	h.stateDown, h.stateRefuses = true, true
 	for i := range 100 { // not for so long that the lease is over
 		h.jobStatus(questionID(i))
 		h.run(20 * ms)
 	}
 	h.cancel("job-000002")
-	reply := h.reply
+	reply := h.lastReply
 	h.run(sec)
 	if a := h.answers[reply]; a.Status != 503 || a.RetryAfterS != 1 {
 		t.Errorf("answered %d, to try again after %d s, want 503 and 1 s", a.Status, a.RetryAfterS)
--- a/internal/controller/job_status.go
+++ b/internal/controller/job_status.go
@@ -87,14 +87,14 @@
 
 // askPeer asks the owner of a job on behalf of a user.
 func (c *Controller) askPeer(p *peerView, ask peer.JobRequest, timeout micros.Micros, done func(peer.JobResponse)) {
-	if c.cfg.MaxPeerQuestions > 0 && c.peerQuestionsInFlight >= c.cfg.MaxPeerQuestions {
+	if c.cfg.MaxPeerQuestions > 0 && c.peerRequestsInFlight >= c.cfg.MaxPeerQuestions {
 		done(unavailable())
 		return
 	}
-	c.peerQuestionsInFlight++
+	c.peerRequestsInFlight++
 	req := peer.Request{From: c.cfg.Label, JobRequest: &ask}
-	c.call(Call{To: ToPeer, Addr: p.label, Req: req, Timeout: timeout}, func(r Result) {
-		c.peerQuestionsInFlight--
+	c.sendCall(Call{To: ToPeer, Addr: p.label, Req: req, Timeout: timeout}, func(r Result) {
+		c.peerRequestsInFlight--
 		resp, ok := r.Body.(*peer.Response)
 		if !ok || r.Status != http.StatusOK || resp.JobResponse == nil {
 			done(unavailable())
@@ -110,7 +110,7 @@
 
 // readJob reads a job's record on behalf of other work. For users there is readForUser.
 func (c *Controller) readJob(class statestore.Class, id string, done func(statestore.Lookup)) {
-	c.askState(class, statestore.GetKey{Key: wire.JobKey(id)}, statestore.ReadTimeout, func(r statestore.Reply) { done(c.learnRead(r)) })
+	c.queueStateRequest(class, statestore.GetKey{Key: wire.JobKey(id)}, statestore.ReadTimeout, func(r statestore.Reply) { done(c.learnRead(r)) })
 }
 
 // learnRead takes what the read of a job's record brought.
@@ -136,7 +136,7 @@
 
 // readJobState finds the state of a job by a read of its record.
 func (c *Controller) readJobState(id string, done func(peer.JobResponse)) {
-	c.readForUser(id, func(found statestore.Lookup) {
+	c.readJobForUser(id, func(found statestore.Lookup) {
 		if f, ok := c.jobs.final(id); ok {
 			done(f.answer())
 			return
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -157,7 +157,7 @@
 		att.outcomeHandled = true
 		return
 	}
-	j.run.checkpoint.await(att)
+	j.run.checkpoint.awaitRecorded(att)
 }
 
 // openJobsSurvey is what one pass over the open jobs found.
--- a/internal/controller/lease.go
+++ b/internal/controller/lease.go
@@ -34,7 +34,7 @@
 	lease := &o.lease
 	lease.Request()
 	sentAt := o.now
-	o.askState(statestore.ClassLease, wire.NewLease{TTLMS: lease.Duration().Millis()}, leaseRequestTimeout, func(r statestore.Reply) {
+	o.queueStateRequest(statestore.ClassLease, wire.NewLease{TTLMS: lease.Duration().Millis()}, leaseRequestTimeout, func(r statestore.Reply) {
 		granted, ok := r.Body.(*wire.Lease)
 		if !ok || r.Status != http.StatusOK || granted.ID == 0 {
 			lease.RequestFailed()
@@ -52,13 +52,13 @@
 	id := lease.ID()
 	sentAt := c.now
 	lease.SendRenewal(c.now)
-	c.askState(statestore.ClassLease, statestore.RenewLease{Lease: id}, lease.Duration(), func(r statestore.Reply) {
+	c.queueStateRequest(statestore.ClassLease, statestore.RenewLease{Lease: id}, lease.Duration(), func(r statestore.Reply) {
 		if !lease.EndRenewal(id) {
 			return
 		}
 		switch r.Status {
 		case http.StatusOK:
-			c.ownership.leaseRenewed(sentAt)
+			c.ownership.handleLeaseRenewed(sentAt)
 		case http.StatusNotFound:
 			c.log(Info, "lease lost, giving up all locks", "lease", id)
 			c.ownership.lastStateReplyAt = c.now
@@ -69,8 +69,8 @@
 	})
 }
 
-// leaseRenewed takes the success of a renewal that was sent at a time.
-func (o *ownershipState) leaseRenewed(sentAt micros.Micros) {
+// handleLeaseRenewed takes the success of a renewal that was sent at a time.
+func (o *ownershipState) handleLeaseRenewed(sentAt micros.Micros) {
 	lease := &o.lease
 	if o.now >= lease.RenewedAt()+o.bounds.LeaseValidity {
 		o.log(Info, "lease renewed after a gap", "gap_ms", (o.now - lease.RenewedAt()).Millis())
@@ -85,7 +85,7 @@
 	c.ownership.lease.Lose()
 	for _, s := range c.ownership.shards {
 		if s.owned() {
-			c.deactivate(s)
+			c.deactivateShard(s)
 		}
 	}
 }
--- a/internal/controller/lock.go
+++ b/internal/controller/lock.go
@@ -20,9 +20,9 @@
 	owner wire.OwnerRecord
 	// ownerEpoch is the revision of the owner's claim; 0: nobody holds the lock.
 	ownerEpoch uint64
-	// absentSince is since when nobody holds it, or when this node's last claim ended.
-	absentSince micros.Micros
-	claiming    bool // a claim of this node is in flight
+	// freeSince is since when nobody holds it, or when this node's last claim ended.
+	freeSince micros.Micros
+	claiming  bool // a claim of this node is in flight
 	// releasingEpoch is the epoch of this node's claim whose release is in flight or done; 0:
 	// none.
 	releasingEpoch uint64
@@ -73,23 +73,23 @@
 // isMine reports whether this process holds a lock.
 func (o *ownershipState) isMine(l *lock) bool { return l.ownedBy(o.ownerRecord()) }
 
-// claimIfDue claims a lock that nobody holds, or that a former process of this node held. index
+// claimLockIfDue claims a lock that nobody holds, or that a former process of this node held. index
 // is that of the shard; the leader lock counts as one more.
-func (c *Controller) claimIfDue(l *lock, index int) {
+func (c *Controller) claimLockIfDue(l *lock, index int) {
 	switch {
 	case l.claiming:
 		return
-	case l.free() && c.now < l.absentSince+c.claimDelay(index):
+	case l.free() && c.now < l.freeSince+c.claimDelay(index):
 		return
 	case !l.free() && !l.ownedByFormerProcess(c.ownership.ownerRecord()):
 		return
 	}
-	c.claim(l)
+	c.claimLock(l)
 }
 
-// claim claims a lock. Whether that took effect is for the watch to show, which also shows late
+// claimLock claims a lock. Whether that took effect is for the watch to show, which also shows late
 // copies and, with it, all machines recorded before.
-func (c *Controller) claim(l *lock) {
+func (c *Controller) claimLock(l *lock) {
 	owner := c.ownership.ownerRecord()
 	value, err := wire.Encode(owner)
 	if err != nil {
@@ -97,24 +97,24 @@
 		return
 	}
 	l.claiming = true
-	c.askState(statestore.ClassLease, l.claimTxn(value, owner.Incarnation), lockRequestTimeout, func(r statestore.Reply) {
-		c.claimEnded(l, owner.Incarnation, r.Outcome())
+	c.queueStateRequest(statestore.ClassLease, l.claimTxn(value, owner.Incarnation), lockRequestTimeout, func(r statestore.Reply) {
+		c.handleClaimOutcome(l, owner.Incarnation, r.Outcome())
 	})
 }
 
-// claimEnded takes the outcome of a claim that was sent under a lease.
-func (c *Controller) claimEnded(l *lock, lease uint64, outcome statestore.Outcome) {
+// handleClaimOutcome takes the outcome of a claim that was sent under a lease.
+func (c *Controller) handleClaimOutcome(l *lock, lease uint64, outcome statestore.Outcome) {
 	switch {
 	case outcome == statestore.Rejected && c.ownership.lease.ID() == lease:
 		c.loseLease()
 		l.claiming = false
 	case outcome == statestore.Applied || outcome == statestore.ConditionFailed:
 		c.ownership.lastStateReplyAt = c.now
-		c.later(func() { l.claiming = false })
-		l.absentSince = c.now // gives the watch time before another claim
+		c.deferToStepEnd(func() { l.claiming = false })
+		l.freeSince = c.now // gives the watch time before another claim
 	default:
 		l.claiming = false
-		l.absentSince = c.now
+		l.freeSince = c.now
 	}
 }
 
@@ -127,7 +127,7 @@
 	}
 	ownerEpoch := l.ownerEpoch
 	l.releasingEpoch = ownerEpoch
-	o.askState(statestore.ClassLease, l.releaseTxn(), lockRequestTimeout, func(r statestore.Reply) {
+	o.queueStateRequest(statestore.ClassLease, l.releaseTxn(), lockRequestTimeout, func(r statestore.Reply) {
 		if l.ownerEpoch != ownerEpoch || r.Outcome() == statestore.Applied {
 			return // the watch shows the rest
 		}
--- a/internal/controller/machine_health.go
+++ b/internal/controller/machine_health.go
@@ -120,7 +120,7 @@
 		c.log(Info, "machine cordoned, its tasks fail", "machine", m.id, "failures", v.failures(), "jobs", len(v.failuresByJob))
 	}
 	v.faulty = true
-	v.cordonedUntil = c.now + c.cfg.CordonFor
+	v.cordonedUntil = c.now + c.cfg.CordonPeriod
 	for _, att := range v.each() {
 		if att.tracked && att.state == attemptAssigned {
 			c.freeAttempt(att, false)
--- a/internal/controller/machine_health_test.go
+++ b/internal/controller/machine_health_test.go
@@ -25,10 +25,10 @@
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t, nil)
 			for _, id := range []string{"vm-1", "vm-2", "vm-3"} {
-				h.reconcile(id)
+				h.reconcileMachine(id)
 			}
 			for _, id := range []string{"job-000001", "job-000002"} {
-				h.submit(jobOf(id, 5))
+				h.submit(newSubmission(id, 5))
 			}
 			h.run(10 * sec)
 			for i := range tc.well {
@@ -77,14 +77,14 @@
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t, func(c *Config) { c.Peers = []string{"n-1"} })
 			h.run(5 * sec)
-			fencingToken := h.reconcile("vm-1")
-			h.submit(jobOf("job-000001", 1))
+			fencingToken := h.reconcileMachine("vm-1")
+			h.submit(newSubmission("job-000001", 1))
 			_, body := h.heartbeat(heartbeatFrom("vm-1", 1, 4, fencingToken))
-			h.dropCalls()
-			run := shown(starts(body.Commands), wire.TaskRunning)
+			h.dropWorkerCalls()
+			run := shown(startCommands(body.Commands), wire.TaskRunning)
 			if len(run) == 0 {
 				_, body = h.heartbeat(heartbeatFrom("vm-1", 1, 5, fencingToken))
-				run = shown(starts(body.Commands), wire.TaskRunning)
+				run = shown(startCommands(body.Commands), wire.TaskRunning)
 			}
 			h.heartbeat(heartbeatFrom("vm-1", 1, 6, fencingToken, run...))
 			h.peersDown = true
--- a/internal/controller/machine_record_writes.go
+++ b/internal/controller/machine_record_writes.go
@@ -76,7 +76,7 @@
 		return
 	}
 	txn.Conditions = slices.Insert(txn.Conditions, 0, wire.Condition{Key: under, ModRevision: ownerEpoch})
-	c.askState(statestore.ClassFleet, txn, recordSetWriteTimeout, func(r statestore.Reply) {
+	c.queueStateRequest(statestore.ClassFleet, txn, recordSetWriteTimeout, func(r statestore.Reply) {
 		for _, w := range writes {
 			if w.recordSet != nil {
 				w.recordSet.writeInFlight = false
--- a/internal/controller/machine_records_test.go
+++ b/internal/controller/machine_records_test.go
@@ -19,15 +19,15 @@
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t, func(c *Config) { c.Shards = 2; c.Teams = []Team{{Name: "t", CPUs: 8}, {Name: "u", CPUs: 4}} })
 			for _, id := range []string{"vm-1", "vm-2", "vm-3"} {
-				h.list(id)
+				h.listMachine(id)
 				h.heartbeat(heartbeatFrom(id, 1, 1, 0))
 			}
 			m := h.c.machines["vm-1"]
 			from := m.rec.Shard
 			m.recordSet.nextWriteAt = 0
 			if tc.lose {
-				h.lose = wire.PrefixFleet
-				h.watchBlocked = wire.PrefixControl
+				h.loseAnswersPrefix = wire.PrefixFleet
+				h.blockedWatchPrefix = wire.PrefixControl
 			}
 			h.c.fleet.planNext = micros.Never
 			h.c.release(peer.Release{Machines: []string{"vm-1"}, Shard: 1 - from})
@@ -36,11 +36,11 @@
 				if v := m.view; !v.releasing {
 					t.Error("may be given tasks while its move is open")
 				}
-				h.giveUp()
+				h.timeOutLostAnswers()
 				if v := m.view; v == nil || v.inDoubtToken == 0 {
 					t.Error("taken for not applied although the move may stand")
 				}
-				h.lose, h.watchBlocked = "", ""
+				h.loseAnswersPrefix, h.blockedWatchPrefix = "", ""
 				h.run(sec)
 			}
 			if got := h.c.machines["vm-1"]; got == nil || got.rec.Shard != 1-from {
@@ -69,27 +69,27 @@
 	for i := range 120 {
 		ids = append(ids, "vm-x"+string(rune('a'+i/26))+string(rune('a'+i%26)))
 	}
-	h.lose = wire.PrefixFleet
-	before := h.rev
+	h.loseAnswersPrefix = wire.PrefixFleet
+	before := h.revision
 	for _, id := range ids {
 		h.c.fleet.rented[id] = &rented{kind: fleet.Kind{Type: "m", Zone: "a", Spot: false}, at: h.now}
 	}
-	if h.run(sec); h.rev != before {
+	if h.run(sec); h.revision != before {
 		t.Error("machines are on record before they come up")
 	}
 	var waiting []ReplyID
 	for _, id := range ids {
-		if a := h.ask(func(r ReplyID) Input { return Heartbeat{Reply: r, Heartbeat: heartbeatFrom(id, 1, 1, 0)} }); a.Status != 0 {
+		if a := h.request(func(r ReplyID) Input { return Heartbeat{Reply: r, Heartbeat: heartbeatFrom(id, 1, 1, 0)} }); a.Status != 0 {
 			t.Fatalf("heartbeat of a machine without a record answered %d", a.Status)
 		}
-		waiting = append(waiting, h.reply)
+		waiting = append(waiting, h.lastReply)
 	}
 	h.run(500 * ms)
-	if n := h.rev - before; n != 3 {
+	if n := h.revision - before; n != 3 {
 		t.Errorf("%d transactions for 120 machines, want 3", n)
 	}
-	h.lose = ""
-	h.giveUp()
+	h.loseAnswersPrefix = ""
+	h.timeOutLostAnswers()
 	h.run(4 * sec)
 	if len(h.c.fleet.pendingCreations) != 0 || len(h.c.machines) != 120 {
 		t.Errorf("%d records open, %d machines", len(h.c.fleet.pendingCreations), len(h.c.machines))
@@ -104,16 +104,16 @@
 	}
 	// Commanded by nobody else: its first heartbeat to its owner is answered with
 	// tasks at once.
-	h.submit(jobOf("job-000001", 2))
+	h.submit(newSubmission("job-000001", 2))
 	_, body := h.heartbeat(heartbeatFrom(ids[0], 1, 1, 0))
-	if len(starts(body.Commands)) != 2 {
+	if len(startCommands(body.Commands)) != 2 {
 		t.Errorf("first heartbeat answered with %v", body.Commands)
 	}
 	// Unless it shows that somebody has commanded it.
-	h.submit(jobOf("job-000002", 2))
-	h.dropCalls()
+	h.submit(newSubmission("job-000002", 2))
+	h.dropWorkerCalls()
 	_, body = h.heartbeat(heartbeatFrom(ids[1], 1, 1, 1))
-	if len(starts(body.Commands)) != 0 {
+	if len(startCommands(body.Commands)) != 0 {
 		t.Errorf("a machine that shows a foreign token is given %v", body.Commands)
 	}
 }
@@ -156,33 +156,33 @@
 		c.Teams = []Team{{Name: "t", CPUs: 8}, {Name: "u", CPUs: 4}}
 	})
 	h.run(4 * sec)
-	h.list("vm-1")
+	h.listMachine("vm-1")
 	h.heartbeat(heartbeatFrom("vm-1", 1, 1, 0))
 	m := h.c.machines["vm-1"]
 	m.recordSet.nextWriteAt = 0
 	h.c.fleet.planNext = micros.Never
-	h.late = wire.PrefixFleet
+	h.delayPrefix = wire.PrefixFleet
 	if h.c.release(peer.Release{Machines: []string{"vm-1"}, Shard: 1 - m.rec.Shard}); !m.view.releasing {
 		t.Fatal("not releasing: the case is not what it should be")
 	}
 	h.step(Tick{})
-	sent := h.lateOut
-	h.late, h.lateOut = "", nil
+	sent := h.delayedTxns
+	h.delayPrefix, h.delayedTxns = "", nil
 	for _, c := range sent {
 		h.step(Result{ID: c.ID})
 	}
 	h.put(m.recordSet.key, recordSetOf(m.recordSet.machines, nil, nil)) // as the leader does
-	h.dropCalls()
+	h.dropWorkerCalls()
 	for seq := uint64(10); seq < 14; seq++ {
 		h.heartbeat(heartbeatFrom("vm-1", 1, seq, h.c.fencingToken(h.c.ownership.shards[m.rec.Shard], m)))
 		h.run(2 * sec)
-		h.dropCalls()
+		h.dropWorkerCalls()
 	}
 	if m.view == nil || m.view.releasing || m.view.inDoubtToken != 0 {
 		t.Errorf("%+v: still releasing, though the move can't be applied any more", m.view)
 	}
-	h.lateOut = sent
-	if n := h.carryOut(); n != 0 {
+	h.delayedTxns = sent
+	if n := h.applyDelayedTxns(); n != 0 {
 		t.Errorf("%d moves were applied late", n)
 	}
 }
--- a/internal/controller/maintenance.go
+++ b/internal/controller/maintenance.go
@@ -43,11 +43,11 @@
 }
 
 // Wake returns the steady time at which Step is to be called at the latest.
-func (sc *stepContext) Wake() micros.Micros { return sc.wake }
+func (sc *stepContext) Wake() micros.Micros { return sc.wakeAt }
 
 // wakeIn has Step called after d at the latest, at least a millisecond from now.
 func (sc *stepContext) wakeIn(d micros.Micros) {
-	sc.wake = min(sc.wake, sc.now+max(d, micros.Millisecond))
+	sc.wakeAt = min(sc.wakeAt, sc.now+max(d, micros.Millisecond))
 }
 
 // nextMaintenance returns when maintain runs next.
@@ -108,7 +108,7 @@
 func (c *Controller) runTimers() {
 	if c.now >= c.nextMaintenance() {
 		c.maintenance.lastRunAt = c.now
-		c.wake = c.now + c.maintenanceInterval()
+		c.wakeAt = c.now + c.maintenanceInterval()
 		c.maintain()
 		return
 	}
@@ -117,15 +117,15 @@
 
 // followAll makes the next request of each watch whose time has come.
 func (c *Controller) followAll() {
-	c.follow(&c.ownership.controlWatch)
-	c.follow(&c.ownership.jobWatch)
+	c.continueWatch(&c.ownership.controlWatch)
+	c.continueWatch(&c.ownership.jobWatch)
 	c.followQuota()
 }
 
 // maintain does what becomes due by time alone.
 func (c *Controller) maintain() {
 	c.maintainOwnership()
-	c.maintainPeers()
+	c.sendDueStatuses()
 	c.maintainQuota()
 	c.logShardDecisions()
 	if c.now < c.maintenance.nextWalkAt {
--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -16,8 +16,8 @@
 	Steady micros.Micros
 	// Wall is the time of day.
 	Wall micros.Micros
-	// Took is how long the step before took, with carrying out its effects.
-	Took micros.Micros
+	// PreviousStepDuration is how long the step before took, with carrying out its effects.
+	PreviousStepDuration micros.Micros
 }
 
 // ReplyID names a request that waits for its Answer. The caller of Step chooses it.
--- a/internal/controller/ownership.go
+++ b/internal/controller/ownership.go
@@ -13,11 +13,11 @@
 const (
 	// startingPeriod is how long after its start a controller lets others claim first.
 	startingPeriod = 3 * micros.Second
-	// stablePeriod is how long the preferred owner must have been up, and the shard owned,
+	// stableOwnerPeriod is how long the preferred owner must have been up, and the shard owned,
 	// before the shard is released to it.
-	stablePeriod = 8 * micros.Second
-	// releaseInterval is the least time between two such releases.
-	releaseInterval = 5 * micros.Second
+	stableOwnerPeriod = 8 * micros.Second
+	// shardReleaseInterval is the least time between two such releases.
+	shardReleaseInterval = 5 * micros.Second
 )
 
 // shardOwnership is how far this node owns a shard.
@@ -84,7 +84,7 @@
 	steppedDownEpoch uint64 // epoch of this node's leader key that is being released
 	controlWatch     statestore.Watch
 	jobWatch         statestore.Watch
-	releasedAt       micros.Micros // when a shard was last released to its preferred owner
+	lastReleaseAt    micros.Micros // when a shard was last released to its preferred owner
 }
 
 // init prepares the state of a node that holds no lease and no lock.
@@ -102,17 +102,17 @@
 // ownerKey returns the key of a shard's lock.
 func ownerKey(id int) string { return wire.PrefixOwner + strconv.Itoa(id) }
 
-// Owns reports whether this node owns an unfinished job and may command its machines.
-func (c *Controller) Owns(id string) bool {
+// OwnsJob reports whether this node owns an unfinished job and may command its machines.
+func (c *Controller) OwnsJob(id string) bool {
 	j := c.jobs.open[id]
 	return j != nil && j.run != nil && c.ownership.activeShard(j.shard) != nil
 }
 
-// Leads reports whether this node rents and returns machines for all shards.
-func (c *Controller) Leads() bool { return c.ownership.leading() }
+// IsLeader reports whether this node rents and returns machines for all shards.
+func (c *Controller) IsLeader() bool { return c.ownership.mayLead() }
 
-// Commanded returns the number of machines of this node's shards that it may give tasks.
-func (c *Controller) Commanded() int {
+// CommandedMachines returns the number of machines of this node's shards that it may give tasks.
+func (c *Controller) CommandedMachines() int {
 	n := 0
 	for _, s := range c.ownership.shards {
 		if c.ownership.activeShard(s.id) == nil {
@@ -137,9 +137,9 @@
 		return
 	}
 	for _, s := range o.shards {
-		c.claimIfDue(&s.lock, s.id)
+		c.claimLockIfDue(&s.lock, s.id)
 	}
-	c.claimIfDue(&o.leader, len(o.shards))
+	c.claimLockIfDue(&o.leader, len(o.shards))
 	c.releaseToPreferredOwner()
 }
 
@@ -148,20 +148,20 @@
 
 // claimDelay returns how long after a lock became free this node claims it.
 func (c *Controller) claimDelay(index int) micros.Micros {
-	shardsOf := map[string]int{}
+	shardsByOwner := map[string]int{}
 	for _, s := range c.ownership.shards {
-		shardsOf[s.owner.Label]++
+		shardsByOwner[s.owner.Label]++
 	}
 	known := ownership.ClaimKnowledge{
 		Label:          c.cfg.Label,
-		Shards:         shardsOf[c.cfg.Label],
+		Shards:         shardsByOwner[c.cfg.Label],
 		PreferredOwner: c.preferredOwner(index),
 		Starting:       c.now < c.startedAt+startingPeriod,
-		WithoutWorkers: c.contact.lost(),
+		WithoutWorkers: c.workerContact.lost(),
 	}
 	for _, label := range c.nodes {
 		if p := c.peers[label]; p != nil && c.hasWorkers(p) {
-			known.Candidates = append(known.Candidates, ownership.Candidate{Label: label, Shards: shardsOf[label]})
+			known.Candidates = append(known.Candidates, ownership.Candidate{Label: label, Shards: shardsByOwner[label]})
 		}
 	}
 	return ownership.ClaimDelay(known)
@@ -171,30 +171,30 @@
 // Commands in flight do not delay it: to the next owner they are what they are to the successor
 // of a node that has ended.
 func (c *Controller) releaseToPreferredOwner() {
-	if c.now < c.ownership.releasedAt+releaseInterval {
+	if c.now < c.ownership.lastReleaseAt+shardReleaseInterval {
 		return
 	}
 	for _, s := range c.ownership.shards {
 		preferred := c.peers[c.preferredOwner(s.id)]
-		if preferred == nil || !c.readyForShard(preferred) || !c.ownership.mayReleaseShard(s) {
+		if preferred == nil || !c.readyToOwnShard(preferred) || !c.ownership.mayReleaseShard(s) {
 			continue
 		}
-		c.ownership.releasedAt = c.now
+		c.ownership.lastReleaseAt = c.now
 		c.log(Info, "releasing shard to its preferred owner", "shard", s.id, "to", preferred.label)
 		c.releaseShard(s)
 		return
 	}
 }
 
-// readyForShard reports whether another controller can own a shard, and has been up for a while.
-func (c *Controller) readyForShard(p *peerView) bool {
-	return c.hasWorkers(p) && p.stateOK && p.uptime >= stablePeriod
+// readyToOwnShard reports whether another controller can own a shard, and has been up for a while.
+func (c *Controller) readyToOwnShard(p *peerView) bool {
+	return c.hasWorkers(p) && p.stateReachable && p.uptime >= stableOwnerPeriod
 }
 
 // mayReleaseShard reports whether this node owns a shard, has done so for a while, and has no
 // machine left whose reconciliation the next owner would have to begin anew.
 func (o *ownershipState) mayReleaseShard(s *shard) bool {
-	return s.ownership == shardOwned && o.now >= s.claimedAt+stablePeriod && o.allReconciled(s)
+	return s.ownership == shardOwned && o.now >= s.claimedAt+stableOwnerPeriod && o.allReconciled(s)
 }
 
 // releaseShard ends all actions for a shard and deletes its owner key. No node owns the shard until
@@ -205,8 +205,8 @@
 	c.ownership.releaseLocks()
 }
 
-// stepDown releases the leader lock, if this node holds it.
-func (o *ownershipState) stepDown() {
+// stepDownAsLeader releases the leader lock, if this node holds it.
+func (o *ownershipState) stepDownAsLeader() {
 	leader := &o.leader
 	if !o.isMine(leader) {
 		return
--- a/internal/controller/ownership_test.go
+++ b/internal/controller/ownership_test.go
@@ -15,7 +15,7 @@
 func TestFailover(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.Peers = []string{"n-1"}; c.Shards = 1 })
 	// n-1 owned the shard; its job and machines are on record.
-	old := jobOf("job-000001", 1)
+	old := newSubmission("job-000001", 1)
 	h.putMachines("l-1-1", "vm-1", "vm-2")
 	h.put(wire.JobKey("job-000001"), wire.JobRecord{Submission: &old, State: wire.StatePending, Tasks: 1})
 	h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}})
@@ -24,29 +24,29 @@
 	if !s.owned() {
 		t.Fatal("the shard was not claimed")
 	}
-	h.dropCalls()
+	h.dropWorkerCalls()
 	fencingToken := h.c.fencingToken(s, h.c.machines["vm-1"])
 	_, body := h.heartbeat(heartbeatFrom("vm-1", 1, 5, fencingToken))
-	if n := len(starts(body.Commands)); n != 0 {
+	if n := len(startCommands(body.Commands)); n != 0 {
 		t.Fatalf("%d old tasks started while vm-2 may hold them", n)
 	}
-	h.submit(jobOf("job-000002", 1))
-	h.dropCalls()
+	h.submit(newSubmission("job-000002", 1))
+	h.dropWorkerCalls()
 	_, body = h.heartbeat(heartbeatFrom("vm-1", 1, 6, fencingToken))
-	if got := starts(body.Commands); len(got) != 1 || got[0].Task != "job-000002/0" {
+	if got := startCommands(body.Commands); len(got) != 1 || got[0].Task != "job-000002/0" {
 		t.Errorf("starts %v, want the new job's only", got)
 	}
-	started := starts(body.Commands)[0]
+	started := startCommands(body.Commands)[0]
 	// vm-2 lists the old task: it is adopted, not started again.
 	_, body = h.heartbeat(heartbeatFrom("vm-2", 1, 5, fencingToken, wire.TaskStatus{Task: "job-000001/0", Attempt: 7, State: wire.TaskRunning}))
 	for _, c := range body.Commands {
 		t.Errorf("unexpected command %v", c)
 	}
 	_, body = h.heartbeat(heartbeatFrom("vm-1", 1, 7, fencingToken, wire.TaskStatus{Task: started.Task, Attempt: started.Attempt, State: wire.TaskRunning}))
-	if n := len(starts(body.Commands)); n != 0 {
+	if n := len(startCommands(body.Commands)); n != 0 {
 		t.Errorf("the old task was started again")
 	}
-	if s := h.state("job-000001"); s != wire.StateRunning {
+	if s := h.jobState("job-000001"); s != wire.StateRunning {
 		t.Errorf("the old job is %q, want running", s)
 	}
 }
@@ -55,8 +55,8 @@
 // from memory at the end of its lease, and commanding at the end of CommandValidity.
 func TestLosingTheStateService(t *testing.T) {
 	h := newHarness(t, nil)
-	fencingToken := h.reconcile("vm-1")
-	h.submit(jobOf("job-000001", 1))
+	fencingToken := h.reconcileMachine("vm-1")
+	h.submit(newSubmission("job-000001", 1))
 	h.stateDown = true
 	last := h.c.ownership.lease.RenewedAt()
 	seq := uint64(10)
@@ -83,10 +83,10 @@
 func TestIsolatedWithItsWorkers(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.Peers = []string{"n-1"} })
 	h.run(2 * sec)
-	fencingToken := h.reconcile("vm-1")
-	h.submit(jobOf("job-000001", 1))
-	h.submit(jobOf("job-000002", 1))
-	h.ask(func(r ReplyID) Input { return CancelRequest{Reply: r, ID: "job-000002"} })
+	fencingToken := h.reconcileMachine("vm-1")
+	h.submit(newSubmission("job-000001", 1))
+	h.submit(newSubmission("job-000002", 1))
+	h.request(func(r ReplyID) Input { return CancelRequest{Reply: r, ID: "job-000002"} })
 	h.stateDown, h.peersDown = true, true
 	last := h.now
 	b := h.c.bounds
@@ -99,13 +99,13 @@
 			t.Fatalf("heartbeat answered 200 %v s after the last renewal, bound %v s", (h.now - last).Seconds(), b.CommandValidity.Seconds())
 		}
 	}
-	if a := h.ask(func(r ReplyID) Input { return ReadinessRequest{Reply: r} }); a.Status != 503 {
+	if a := h.request(func(r ReplyID) Input { return ReadinessRequest{Reply: r} }); a.Status != 503 {
 		t.Errorf("ready: %d, want 503: users must find the others", a.Status)
 	}
 	if a := h.jobStatus("job-000001"); a.Status == 200 {
 		t.Errorf("answers about an open job from memory: %v", a.Body)
 	}
-	if s := h.state("job-000002"); s != wire.StateCancelled {
+	if s := h.jobState("job-000002"); s != wire.StateCancelled {
 		t.Errorf("a cancelled job is %q", s)
 	}
 }
@@ -160,13 +160,13 @@
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t, func(c *Config) { c.Label, c.Peers = "n-1", []string{"n-0"} })
 			h.run(14 * sec)
-			h.reconcile("vm-1")
+			h.reconcileMachine("vm-1")
 			s := h.c.ownership.shards[0]
 			if !s.owned() {
 				t.Fatal("the shard is not owned")
 			}
 			tc.change(h.c.machines["vm-1"].view)
-			h.ask(func(r ReplyID) Input {
+			h.request(func(r ReplyID) Input {
 				return PeerRequest{Reply: r, Req: peer.Request{From: "n-0", Status: &peer.Status{ControllerState: peer.ControllerState{StateOK: true, UptimeUS: int64(tc.uptime)}}}}
 			})
 			h.c.releaseToPreferredOwner()
--- a/internal/controller/peer_requests.go
+++ b/internal/controller/peer_requests.go
@@ -25,7 +25,7 @@
 	case req.Status != nil:
 		resp.Status = c.handleStatus(p, req.Status)
 	case req.JobRequest != nil:
-		c.handleAsk(*req.JobRequest, func(a peer.JobResponse) {
+		c.handleJobRequest(*req.JobRequest, func(a peer.JobResponse) {
 			resp.JobResponse = &a
 			c.answer(in.Reply, http.StatusOK, resp, 0)
 		})
@@ -40,9 +40,9 @@
 
 // handleStatus takes another controller's status and returns the answer.
 func (c *Controller) handleStatus(p *peerView, status *peer.Status) *peer.StatusAck {
-	p.statusAt = c.now
-	quiesced := c.applyAbout(p, &status.ControllerState)
-	if status.Demand != nil || c.ownership.leading() {
+	p.lastStatusAt = c.now
+	quiesced := c.applyControllerState(p, &status.ControllerState)
+	if status.Demand != nil || c.ownership.mayLead() {
 		p.demand = status.Demand
 		p.demandAt = c.now
 	}
@@ -52,7 +52,7 @@
 	c.applyBroadcastCancellations(p, status.Cancelled)
 	c.quota.noteTraces(status.Traces)
 	c.takeRecordRequests(status.JobsToCancel, status.Claims)
-	return &peer.StatusAck{ControllerState: c.about(p), QuiescedShards: quiesced}
+	return &peer.StatusAck{ControllerState: c.controllerStateFor(p), QuiescedShards: quiesced}
 }
 
 // handleJobRecordHint takes the record of a new job, and reports whether it is readable.
@@ -65,24 +65,24 @@
 	return true
 }
 
-// handleAsk answers as the owner of a job, or with 503 if this node is not.
-func (c *Controller) handleAsk(ask peer.JobRequest, done func(peer.JobResponse)) {
-	if f, ok := c.jobs.final(ask.ID); ok {
+// handleJobRequest answers as the owner of a job, or with 503 if this node is not.
+func (c *Controller) handleJobRequest(req peer.JobRequest, done func(peer.JobResponse)) {
+	if f, ok := c.jobs.final(req.ID); ok {
 		done(f.answer())
 		return
 	}
-	j := c.jobs.open[ask.ID]
+	j := c.jobs.open[req.ID]
 	switch {
-	case j == nil && ask.Cancel && wire.ValidID(ask.ID):
-		c.readBeforeCancel(ask, done)
+	case j == nil && req.Cancel && wire.ValidID(req.ID):
+		c.readBeforeCancel(req, done)
 	case j == nil:
 		done(unavailable())
 	case !c.ownership.mayAnswerFromMemory(j):
-		if ask.Cancel {
+		if req.Cancel {
 			c.stopCancelledTasks(j)
 		}
 		done(unavailable())
-	case ask.Cancel:
+	case req.Cancel:
 		c.cancelJob(j, done)
 	case j.run.end.unresolved() || !c.mayWait(j):
 		done(unavailable())
@@ -93,13 +93,13 @@
 
 // readBeforeCancel reads the record of a job that another controller wants cancelled here:
 // the watch may not have brought it yet.
-func (c *Controller) readBeforeCancel(ask peer.JobRequest, done func(peer.JobResponse)) {
-	c.readForUser(ask.ID, func(found statestore.Lookup) {
-		_, over := c.jobs.final(ask.ID)
-		j := c.jobs.open[ask.ID]
+func (c *Controller) readBeforeCancel(req peer.JobRequest, done func(peer.JobResponse)) {
+	c.readJobForUser(req.ID, func(found statestore.Lookup) {
+		_, ended := c.jobs.final(req.ID)
+		j := c.jobs.open[req.ID]
 		owned := j != nil && j.run != nil
-		if found == statestore.LookupFound && (over || owned) {
-			c.handleAsk(ask, done)
+		if found == statestore.LookupFound && (ended || owned) {
+			c.handleJobRequest(req, done)
 			return
 		}
 		done(unavailable())
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -17,18 +17,18 @@
 	// peerStatusOverdue is how far another controller's own statuses may be apart for it to
 	// count as the one that sends them; see peerAsks.
 	peerStatusOverdue = 6 * statusInterval / 5
-	// stateFreshFor is how long the state service counts as up after its last answer.
-	stateFreshFor = 5 * micros.Second / 2
-	// misdirectedFor is how long a heartbeat that belongs elsewhere is reported to the
+	// stateReachablePeriod is how long the state service counts as up after its last answer.
+	stateReachablePeriod = 5 * micros.Second / 2
+	// misdirectedHeartbeatTTL is how long a heartbeat that belongs elsewhere is reported to the
 	// owner of its machine.
-	misdirectedFor = 10 * micros.Second
-	// maxNamed bounds how many returned machines, and how many cancelled jobs, one message
+	misdirectedHeartbeatTTL = 10 * micros.Second
+	// maxNamesPerStatus bounds how many returned machines, and how many cancelled jobs, one message
 	// names; the rest is named in the next.
-	maxNamed = 500
-	// maxMisdirectedBytes bounds the names of machines in a message that sent their
+	maxNamesPerStatus = 500
+	// maxMisdirectedNameBytes bounds the names of machines in a message that sent their
 	// heartbeats here. They show their owner that it does not receive them; as many as fit
 	// show that as well as all.
-	maxMisdirectedBytes = 192 << 10
+	maxMisdirectedNameBytes = 192 << 10
 	// nameOverheadBytes is what a name in a message takes beside its letters.
 	nameOverheadBytes = 3
 )
@@ -37,12 +37,12 @@
 type peerView struct {
 	label         string
 	lastContactAt micros.Micros // when its last message came
-	// statusAt is when its last own status came, answers to this node's excepted.
-	statusAt       micros.Micros
+	// lastStatusAt is when its last own status came, answers to this node's excepted.
+	lastStatusAt   micros.Micros
 	uptime         micros.Micros
-	stateOK        bool // it has the state service
+	stateReachable bool // it has the state service
 	withoutWorkers bool
-	quota          bool // it has quota groups
+	hasQuota       bool // it has quota groups
 	// statusInFlight is set while a status to it is not answered.
 	statusInFlight bool
 	nextStatusAt   micros.Micros
@@ -50,18 +50,18 @@
 	demandAt       micros.Micros
 	// misdirectedHeartbeats are machines that sent it heartbeats recently.
 	misdirectedHeartbeats map[string]bool
-	// returnedMachines and cancelled are returned machines and cancelled jobs of which it
+	// pendingReturnedMachines and cancelled are returned machines and cancelled jobs of which it
 	// is yet to be notified.
-	returnedMachines []string
-	cancelled        []string
+	pendingReturnedMachines []string
+	pendingCancellations    []string
 }
 
-// maxCancelled bounds the cancellations of which a controller that can't be reached is yet to
+// maxPendingCancellations bounds the cancellations of which a controller that can't be reached is yet to
 // be notified: as many as the state service records within the time that a cancellation has.
 // Past it the oldest are dropped: their tasks are gone by then.
-func (sc *stepContext) maxCancelled() int {
-	recorded := int(sc.cfg.WriteRPS * sc.cfg.Cancel.Seconds())
-	return max(10*maxNamed, recorded+maxNamed)
+func (sc *stepContext) maxPendingCancellations() int {
+	recorded := int(sc.cfg.WriteRPS * sc.cfg.CancelWithin.Seconds())
+	return max(10*maxNamesPerStatus, recorded+maxNamesPerStatus)
 }
 
 // broadcastCancellation notifies the other controllers of a cancellation, until each has
@@ -73,9 +73,9 @@
 	}
 	for _, label := range c.cfg.Peers {
 		p := c.peers[label]
-		p.cancelled = append(p.cancelled, id)
-		if excess := len(p.cancelled) - c.maxCancelled(); excess > 0 {
-			p.cancelled = slices.Delete(p.cancelled, 0, excess)
+		p.pendingCancellations = append(p.pendingCancellations, id)
+		if excess := len(p.pendingCancellations) - c.maxPendingCancellations(); excess > 0 {
+			p.pendingCancellations = slices.Delete(p.pendingCancellations, 0, excess)
 		}
 	}
 }
@@ -92,8 +92,8 @@
 			f.tasks = j.sub.Tasks
 		}
 		c.finishJob(id, f)
-		if i := slices.Index(p.cancelled, id); i >= 0 {
-			p.cancelled = slices.Delete(p.cancelled, i, i+1) // it has recorded that itself
+		if i := slices.Index(p.pendingCancellations, id); i >= 0 {
+			p.pendingCancellations = slices.Delete(p.pendingCancellations, i, i+1) // it has recorded that itself
 		}
 	}
 }
@@ -105,18 +105,20 @@
 	return contacted && sc.now-max(p.lastContactAt, sc.lastStalledAt) < peerTimeout
 }
 
-// stateFresh reports whether the state service answered this node recently.
-func (o *ownershipState) stateFresh() bool { return o.now-o.lastStateReplyAt < stateFreshFor }
+// stateReachable reports whether the state service answered this node recently.
+func (o *ownershipState) stateReachable() bool {
+	return o.now-o.lastStateReplyAt < stateReachablePeriod
+}
 
-// maintainPeers sends the statuses that are due.
-func (c *Controller) maintainPeers() {
+// sendDueStatuses sends the statuses that are due.
+func (c *Controller) sendDueStatuses() {
 	for _, label := range c.cfg.Peers {
 		if p := c.peers[label]; c.now >= p.nextStatusAt && !c.peerUpToDate(p) {
 			c.sendStatus(p)
 		}
 	}
 	for id, at := range c.misdirectedHeartbeats {
-		if c.now-at > misdirectedFor || c.machines[id] == nil {
+		if c.now-at > misdirectedHeartbeatTTL || c.machines[id] == nil {
 			delete(c.misdirectedHeartbeats, id)
 		}
 	}
@@ -125,14 +127,14 @@
 // peerUpToDate reports whether another controller needs no status: its own keep coming, and
 // the answers to them say all that a status of this node would.
 func (c *Controller) peerUpToDate(p *peerView) bool {
-	return c.peerAsks(p) && !c.hasNotificationsFor(p) && c.ownership.quiescedByPeer(p)
+	return c.peerSendsStatus(p) && !c.hasPendingNotifications(p) && c.ownership.quiescedByPeer(p)
 }
 
-// peerAsks reports whether, of this node and another controller, the other is the one that
+// peerSendsStatus reports whether, of this node and another controller, the other is the one that
 // sends statuses, and does so: the one that is not the leader, since it has its demand to
 // send, else the first by name.
-func (c *Controller) peerAsks(p *peerView) bool {
-	if c.now-p.statusAt > peerStatusOverdue {
+func (c *Controller) peerSendsStatus(p *peerView) bool {
+	if c.now-p.lastStatusAt > peerStatusOverdue {
 		return false
 	}
 	switch c.ownership.leader.owner.Label {
@@ -145,10 +147,10 @@
 	}
 }
 
-// hasNotificationsFor reports whether a status would say what no answer to another
+// hasPendingNotifications reports whether a status would say what no answer to another
 // controller's status does.
-func (c *Controller) hasNotificationsFor(p *peerView) bool {
-	return len(p.returnedMachines) > 0 || len(p.cancelled) > 0 || len(c.recordRequestsFor(p)) > 0
+func (c *Controller) hasPendingNotifications(p *peerView) bool {
+	return len(p.pendingReturnedMachines) > 0 || len(p.pendingCancellations) > 0 || len(c.recordRequestsFor(p)) > 0
 }
 
 // quiescedByPeer reports whether another controller has said of all shards of this node that
@@ -162,13 +164,13 @@
 	return true
 }
 
-// about returns what this node says of itself to another controller: among the rest the shards
+// controllerStateFor returns what this node says of itself to another controller: among the rest the shards
 // for which it acts, and the machines of the other's shards that sent heartbeats here.
-func (c *Controller) about(p *peerView) peer.ControllerState {
+func (c *Controller) controllerStateFor(p *peerView) peer.ControllerState {
 	return peer.ControllerState{
 		UptimeUS:            int64(c.now - c.startedAt),
-		StateOK:             c.ownership.stateFresh(),
-		WithoutWorkers:      c.contact.lost(),
+		StateOK:             c.ownership.stateReachable(),
+		WithoutWorkers:      c.workerContact.lost(),
 		Quota:               c.quota.ledger != nil,
 		Claims:              c.ownership.shardClaims(),
 		MisdirectedMachines: c.misdirectedMachinesOf(p),
@@ -188,7 +190,7 @@
 // misdirectedMachinesOf lists the machines of another controller's shards that sent their
 // heartbeats here, as many as fit into a message.
 func (c *Controller) misdirectedMachinesOf(p *peerView) (ids []string) {
-	remainingBytes := maxMisdirectedBytes
+	remainingBytes := maxMisdirectedNameBytes
 	for _, id := range sortedKeys(c.misdirectedHeartbeats) {
 		m := c.machines[id]
 		if m == nil || c.ownership.shards[m.rec.Shard].owner.Label != p.label {
@@ -202,22 +204,22 @@
 	return ids
 }
 
-// applyAbout takes what another controller says of itself, and returns the shards of its for
+// applyControllerState takes what another controller says of itself, and returns the shards of its for
 // which this node issues no commands.
-func (c *Controller) applyAbout(p *peerView, a *peer.ControllerState) (quiesced []int) {
+func (c *Controller) applyControllerState(p *peerView, state *peer.ControllerState) (quiesced []int) {
 	p.lastContactAt = c.now
-	p.uptime = micros.Micros(a.UptimeUS)
-	p.stateOK = a.StateOK
-	p.withoutWorkers = a.WithoutWorkers
-	p.quota = a.Quota
-	if a.Quota {
+	p.uptime = micros.Micros(state.UptimeUS)
+	p.stateReachable = state.StateOK
+	p.withoutWorkers = state.WithoutWorkers
+	p.hasQuota = state.Quota
+	if state.Quota {
 		c.enableQuota()
 	}
 	p.misdirectedHeartbeats = map[string]bool{}
-	for _, id := range a.MisdirectedMachines {
+	for _, id := range state.MisdirectedMachines {
 		p.misdirectedHeartbeats[id] = true
 	}
-	return c.recordPeerClaims(a.Claims)
+	return c.recordPeerClaims(state.Claims)
 }
 
 // sendStatus sends another controller a status, unless one is in flight.
@@ -230,7 +232,7 @@
 	p.nextStatusAt = c.now + statusInterval
 	status := c.statusFor(p)
 	req := peer.Request{From: c.cfg.Label, Status: status}
-	c.call(Call{To: ToPeer, Addr: p.label, Req: req, Timeout: statusInterval}, func(r Result) {
+	c.sendCall(Call{To: ToPeer, Addr: p.label, Req: req, Timeout: statusInterval}, func(r Result) {
 		p.statusInFlight = false
 		resp, ok := r.Body.(*peer.Response)
 		if ok && r.Status == http.StatusOK && resp.Status != nil {
@@ -241,15 +243,15 @@
 
 // statusFor returns the status for another controller.
 func (c *Controller) statusFor(p *peerView) *peer.Status {
-	status := &peer.Status{ControllerState: c.about(p)}
+	status := &peer.Status{ControllerState: c.controllerStateFor(p)}
 	if c.ownership.leader.owner.Label == p.label {
 		status.Demand = c.demands()
 		c.logFreeCapacities()
 	}
-	status.ReturnedMachines = p.returnedMachines[:min(len(p.returnedMachines), maxNamed)]
+	status.ReturnedMachines = p.pendingReturnedMachines[:min(len(p.pendingReturnedMachines), maxNamesPerStatus)]
 	status.JobsToCancel = c.recordRequestsFor(p)
-	status.Cancelled = slices.Clone(p.cancelled[:min(len(p.cancelled), maxNamed)])
-	if p.quota {
+	status.Cancelled = slices.Clone(p.pendingCancellations[:min(len(p.pendingCancellations), maxNamesPerStatus)])
+	if p.hasQuota {
 		status.Traces = c.quota.openTraces()
 	}
 	return status
@@ -257,13 +259,13 @@
 
 // handleStatusAck takes another controller's answer to a status.
 func (c *Controller) handleStatusAck(p *peerView, sent *peer.Status, ack *peer.StatusAck) {
-	p.returnedMachines = p.returnedMachines[min(len(sent.ReturnedMachines), len(p.returnedMachines)):]
+	p.pendingReturnedMachines = p.pendingReturnedMachines[min(len(sent.ReturnedMachines), len(p.pendingReturnedMachines)):]
 	acknowledged := make(map[string]bool, len(sent.Cancelled))
 	for _, id := range sent.Cancelled {
 		acknowledged[id] = true
 	}
-	p.cancelled = slices.DeleteFunc(p.cancelled, func(id string) bool { return acknowledged[id] })
-	c.applyAbout(p, &ack.ControllerState)
+	p.pendingCancellations = slices.DeleteFunc(p.pendingCancellations, func(id string) bool { return acknowledged[id] })
+	c.applyControllerState(p, &ack.ControllerState)
 	for _, id := range ack.QuiescedShards {
 		for _, claim := range sent.Claims {
 			if claim.Shard == id && c.ownership.shards[id].ownerEpoch == claim.OwnerEpoch {
--- a/internal/controller/peers_test.go
+++ b/internal/controller/peers_test.go
@@ -22,7 +22,7 @@
 		t.Run(fmt.Sprint(limits), func(t *testing.T) {
 			h := newOwnerHarness(t, func(c *Config) {
 				withPeer(c)
-				c.WriteRPS, c.Cancel = limits.writeRPS, limits.cancel
+				c.WriteRPS, c.CancelWithin = limits.writeRPS, limits.cancel
 				c.MaxFinalJobs = 40_000
 			})
 			h.peersDown = true
@@ -32,20 +32,20 @@
 				h.c.finishJob(id, finalJob{state: wire.StateCancelled, recorded: true})
 				h.c.broadcastCancellation(id)
 			}
-			informed := map[string]bool{}
-			for range 2*all/maxNamed + 4 { // one message a second, about
+			notified := map[string]bool{}
+			for range 2*all/maxNamesPerStatus + 4 { // one message a second, about
 				h.step(PeerRequest{Reply: 900, Req: peer.Request{From: "n-1", Status: &peer.Status{ControllerState: peer.ControllerState{StateOK: true}}}})
 				h.peersDown = false
 				before := len(h.statusesSent)
 				h.run(statusInterval + 100*ms)
 				for _, st := range h.statusesSent[before:] {
 					for _, id := range st.Cancelled {
-						informed[id] = true
+						notified[id] = true
 					}
 				}
 			}
-			if len(informed) != all {
-				t.Errorf("notified of %d of %d cancellations", len(informed), all)
+			if len(notified) != all {
+				t.Errorf("notified of %d of %d cancellations", len(notified), all)
 			}
 		})
 	}
@@ -56,14 +56,14 @@
 // own.
 func TestOnePeerSendsStatus(t *testing.T) {
 	for _, tc := range []struct {
-		name   string
-		asked  bool
-		change func(*harness)
-		sends  bool
+		name           string
+		receivesStatus bool
+		change         func(*harness)
+		sends          bool
 	}{
 		{"asked, leading", true, func(*harness) {}, false},
 		{"not asked", false, func(*harness) {}, true},
-		{"asked, with returned machines to name", true, func(h *harness) { h.c.peers["n-1"].returnedMachines = []string{"vm-9"} }, true},
+		{"asked, with returned machines to name", true, func(h *harness) { h.c.peers["n-1"].pendingReturnedMachines = []string{"vm-9"} }, true},
 		{"asked, but it has not said that it is quiesced", true, func(h *harness) { clear(h.c.ownership.shards[0].quiescedPeers) }, true},
 		{"asked by the leader", true, func(h *harness) { h.c.ownership.leader.owner.Label = "n-1" }, true},
 		{"asked by one that is later by name, a third leads", true, func(h *harness) { h.c.ownership.leader.owner.Label = "n-2" }, true},
@@ -71,8 +71,8 @@
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t, func(c *Config) { c.Peers = []string{"n-1"} })
 			h.run(5 * sec)
-			if tc.asked {
-				h.ask(func(r ReplyID) Input {
+			if tc.receivesStatus {
+				h.request(func(r ReplyID) Input {
 					return PeerRequest{Reply: r, Req: peer.Request{From: "n-1", Status: &peer.Status{ControllerState: peer.ControllerState{StateOK: true}}}}
 				})
 			}
@@ -90,15 +90,15 @@
 func TestCancellationIsBroadcast(t *testing.T) {
 	t.Run("received", func(t *testing.T) {
 		h := newOwnerHarness(t, withPeer)
-		fencingToken, a := h.runOne()
-		h.stateDown, h.refused = true, true
+		fencingToken, attempt := h.runOneTask()
+		h.stateDown, h.stateRefuses = true, true
 		h.run(sec / 2)
 		h.step(PeerRequest{Reply: 900, Req: peer.Request{From: "n-1", Status: &peer.Status{
 			ControllerState: peer.ControllerState{StateOK: true}, Cancelled: []string{"job-000001", "nonsense", "job-000777"}}}})
-		if _, body := h.heartbeat(h.running(12, fencingToken, a)); stops(body.Commands) != 1 {
+		if _, body := h.heartbeat(h.runningHeartbeat(12, fencingToken, attempt)); countImmediateStops(body.Commands) != 1 {
 			t.Errorf("commands %v, want the task stopped", body.Commands)
 		}
-		if s := h.state("job-000001"); s != wire.StateCancelled {
+		if s := h.jobState("job-000001"); s != wire.StateCancelled {
 			t.Errorf("called %q after another controller answered its user \"cancelled\"", s)
 		}
 	})
@@ -111,14 +111,14 @@
 			h.put(wire.JobKey("job-000001"), wire.JobRecord{State: wire.StateCancelled, Tasks: 1})
 		}},
 		{"read for a status request, the job never known here", func(h *harness) {
-			h.watchBlocked = wire.PrefixJob
+			h.blockedWatchPrefix = wire.PrefixJob
 			h.put(wire.JobKey("job-000003"), wire.JobRecord{State: wire.StateCancelled, Tasks: 1})
-			h.state("job-000003")
+			h.jobState("job-000003")
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newOwnerHarness(t, withPeer)
-			h.runOne()
+			h.runOneTask()
 			h.peersDown = true
 			tc.learn(h)
 			h.run(4 * sec)
@@ -148,8 +148,8 @@
 		withPeer(c)
 		c.MaxFinalJobs = 1
 	})
-	h.reconcile("vm-1")
-	sub := jobOf("job-000001", 1)
+	h.reconcileMachine("vm-1")
+	sub := newSubmission("job-000001", 1)
 	rec := wire.JobRecord{Submission: &sub, State: wire.StatePending, Tasks: 1}
 	modRevision := h.put(wire.JobKey("job-000001"), rec)
 	value, err := wire.Encode(rec)
@@ -157,7 +157,7 @@
 		t.Fatal(err)
 	}
 	h.cancel("job-000001")
-	h.submit(jobOf("job-000002", 1))
+	h.submit(newSubmission("job-000002", 1))
 	h.cancel("job-000002") // takes its place in memory
 	h.run(sec)
 	hint := peer.Request{From: "n-1", JobRecordHint: &peer.JobRecordHint{ID: "job-000001", ModRevision: modRevision, Record: value}}
@@ -166,7 +166,7 @@
 	if h.c.jobs.open["job-000001"] != nil {
 		t.Error("a cancelled job is open again")
 	}
-	if s := h.state("job-000001"); s != wire.StateCancelled {
+	if s := h.jobState("job-000001"); s != wire.StateCancelled {
 		t.Errorf("called %q", s)
 	}
 }
@@ -190,13 +190,13 @@
 		}
 		h.put(wire.MachineRecordSetKey(1, fmt.Sprintf("m-1-%d", i)), rec)
 	}
-	h.reconcile("vm-mine")
+	h.reconcileMachine("vm-mine")
 	for i := range machines {
 		if status, _ := h.heartbeat(heartbeatFrom(machineName(i), 1, 1, 0)); status != 421 {
 			t.Fatalf("heartbeat of another's machine answered %d", status)
 		}
 	}
-	a := h.ask(func(r ReplyID) Input {
+	a := h.request(func(r ReplyID) Input {
 		return PeerRequest{Reply: r, Req: peer.Request{From: "n-1", Status: &peer.Status{}}}
 	})
 	if got := len(a.Body.(*peer.Response).Status.MisdirectedMachines); got != machines {
--- a/internal/controller/preemption_policy.go
+++ b/internal/controller/preemption_policy.go
@@ -88,7 +88,7 @@
 		CheckpointInterval: sub.CheckpointS,
 		CPUs:               sub.CPUs,
 		Priority:           att.job.priority,
-		OnlyStart:          p.onlyStart(att),
+		OnlyStart:          p.isOnlyStart(att),
 	}
 	if att.runAt != 0 {
 		loss.Ran = p.now - att.runAt
--- a/internal/controller/preemption_test.go
+++ b/internal/controller/preemption_test.go
@@ -12,18 +12,18 @@
 // stops a second).
 func TestPreemptedCapacityIsReserved(t *testing.T) {
 	h := newHarness(t, nil)
-	fencingToken := h.reconcile("vm-1") // four CPUs
+	fencingToken := h.reconcileMachine("vm-1") // four CPUs
 	job := func(id, priority string, tasks int, cpus float64) {
-		s := jobOf(id, tasks)
+		s := newSubmission(id, tasks)
 		s.Priority, s.CPUs = priority, cpus
 		h.submit(s)
 	}
 	job("job-000001", "standard", 1, 2)
 	job("job-000002", "best_effort", 2, 2) // the second task waits
-	h.dropCalls()
+	h.dropWorkerCalls()
 	_, body := h.heartbeat(heartbeatFrom("vm-1", 1, 10, fencingToken))
 	running := map[string]wire.TaskStatus{}
-	for _, c := range starts(body.Commands) {
+	for _, c := range startCommands(body.Commands) {
 		running[c.Task] = wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning}
 	}
 	first, second := running["job-000001/0"], running["job-000002/0"]
@@ -69,14 +69,14 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t, func(c *Config) { c.FinishWithin = map[string]micros.Micros{"c": tc.within} })
-			s := jobOf("job-000001", 1)
+			s := newSubmission("job-000001", 1)
 			s.DeadlineS = tc.deadline
 			h.submit(s)
 			j := h.c.jobs.open["job-000001"]
 			if got := h.c.preemptionPolicy.deadlineNear(j); got != tc.want {
 				t.Errorf("deadline near: %v, want %v", got, tc.want)
 			}
-			low := jobOf("job-000002", 1)
+			low := newSubmission("job-000002", 1)
 			low.Priority, low.CheckpointS, low.SaveS = "best_effort", 5, 2
 			h.submit(low)
 			victim := &attempt{job: h.c.jobs.open["job-000002"], state: attemptRunning}
@@ -92,7 +92,7 @@
 func TestPreemptionLoss(t *testing.T) {
 	h := newHarness(t, nil)
 	newAttempt := func(priority string, ran, estimate micros.Micros, stops int) *attempt {
-		sub := jobOf("job-000001", 1)
+		sub := newSubmission("job-000001", 1)
 		sub.Priority, sub.EstimateS = priority, estimate.Seconds()
 		prio, _ := wire.PriorityOf(priority)
 		return &attempt{job: &job{sub: &sub, priority: prio, run: &run{stopsByTask: map[int]int{0: stops}}}, runAt: h.now - ran}
@@ -134,7 +134,7 @@
 		{"no objective, later", "other", 7 * sec, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			sub := jobOf("job-000001", 1)
+			sub := newSubmission("job-000001", 1)
 			sub.Class = tc.class
 			h.c.now = h.now
 			j := &job{sub: &sub, deadline: micros.Never, run: &run{arrivedAt: h.now - tc.waited}}
--- a/internal/controller/quota.go
+++ b/internal/controller/quota.go
@@ -115,7 +115,7 @@
 // announceQuotas has the ledger announce the limits of this controller's options if it leads.
 func (c *Controller) announceQuotas() {
 	q := &c.quota
-	if q.tree == nil || !c.ownership.leading() || c.now < q.nextAnnounceAt {
+	if q.tree == nil || !c.ownership.mayLead() || c.now < q.nextAnnounceAt {
 		return
 	}
 	q.nextAnnounceAt = c.now + announceInterval
--- a/internal/controller/quota_records.go
+++ b/internal/controller/quota_records.go
@@ -16,7 +16,7 @@
 // followQuota keeps the records of groups watched.
 func (c *Controller) followQuota() {
 	if c.quota.ledger != nil {
-		c.follow(&c.quota.watch)
+		c.continueWatch(&c.quota.watch)
 	}
 }
 
@@ -56,7 +56,7 @@
 // from those after a key on.
 func (c *Controller) refreshQuota(s *shard, ownerEpoch uint64, after string) {
 	request := statestore.ListKeys{Prefix: wire.PrefixQuota, After: after, Limit: quotaPageSize}
-	c.askState(statestore.ClassLease, request, c.cfg.Lease, func(r statestore.Reply) {
+	c.queueStateRequest(statestore.ClassLease, request, c.cfg.Lease, func(r statestore.Reply) {
 		if !s.owned() || s.ownerEpoch != ownerEpoch {
 			return
 		}
@@ -92,7 +92,7 @@
 
 // readQuota reads a group's record anew, and again with the next usage if that fails.
 func (c *Controller) readQuota(group string) {
-	c.askState(statestore.ClassFleet, statestore.GetKey{Key: wire.QuotaKey(group)}, quotaTimeout, func(r statestore.Reply) {
+	c.queueStateRequest(statestore.ClassFleet, statestore.GetKey{Key: wire.QuotaKey(group)}, quotaTimeout, func(r statestore.Reply) {
 		switch kv, ok := r.Body.(*wire.KeyValue); {
 		case r.Status == http.StatusNotFound:
 		case ok && r.Status == http.StatusOK:
@@ -111,11 +111,11 @@
 	value, err := wire.Encode(w.Record)
 	if err != nil || !c.storable(value) {
 		c.log(Error, "record of a group not stored", "group", w.Group, "bytes", len(value), "error", err)
-		c.later(func() { done(quota.NotSent, 0) })
+		c.deferToStepEnd(func() { done(quota.NotSent, 0) })
 		return
 	}
 	txn := wire.Txn{Conditions: c.ownership.quotaConditions(w), Changes: []wire.Change{{Put: wire.QuotaKey(w.Group), Value: value}}}
-	c.askState(statestore.ClassFleet, txn, quotaTimeout, func(r statestore.Reply) {
+	c.queueStateRequest(statestore.ClassFleet, txn, quotaTimeout, func(r statestore.Reply) {
 		if revision, ok := r.Revision(); ok {
 			done(quota.Applied, revision)
 			c.quota.indexQuota()
--- a/internal/controller/quota_requests.go
+++ b/internal/controller/quota_requests.go
@@ -72,7 +72,7 @@
 func (c *Controller) peersWithoutQuota() []string {
 	var without []string
 	for _, label := range c.cfg.Peers {
-		if !c.peers[label].quota {
+		if !c.peers[label].hasQuota {
 			without = append(without, label)
 		}
 	}
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -27,7 +27,7 @@
 }
 
 func (h *harness) quotaAsk(req peer.QuotaRequest) *peer.QuotaResponse {
-	a := h.ask(func(r ReplyID) Input { return PeerRequest{Reply: r, Req: peer.Request{Quota: &req}} })
+	a := h.request(func(r ReplyID) Input { return PeerRequest{Reply: r, Req: peer.Request{Quota: &req}} })
 	resp, ok := a.Body.(*peer.Response)
 	if !ok || resp.Quota == nil {
 		h.t.Fatalf("answered %d %+v", a.Status, a.Body)
@@ -49,13 +49,13 @@
 // lower one at once, also where its tasks can't be seen gone; cleared, the options count again.
 func TestGroupLimitBoundsStarts(t *testing.T) {
 	h := newHarness(t, withGroup(t, 3))
-	fencingToken := h.reconcile("vm-1")
-	h.submit(jobOf("job-000001", 10))
+	fencingToken := h.reconcileMachine("vm-1")
+	h.submit(newSubmission("job-000001", 10))
 	h.run(3 * sec)
 	_, body := h.heartbeat(heartbeatFrom("vm-1", 1, 4, fencingToken))
-	started := starts(body.Commands)
-	for _, o := range h.directCommands() {
-		started = append(started, starts(o.Req.(wire.DirectCommand).Commands)...)
+	started := startCommands(body.Commands)
+	for _, o := range h.directStarts() {
+		started = append(started, startCommands(o.Req.(wire.DirectCommand).Commands)...)
 	}
 	if len(started) != 3 {
 		t.Fatalf("%d tasks started, the group's limit is 3", len(started))
@@ -65,7 +65,7 @@
 	}
 	// Rows are written under the shard's owner key, definitions under the leader's.
 	under := map[string]int{}
-	for _, txn := range h.done {
+	for _, txn := range h.appliedTxns {
 		if txn.Changes[0].Put == wire.QuotaKey("all") && len(txn.Conditions) == 2 && txn.Conditions[1].ModRevision != 0 {
 			under[txn.Conditions[1].Key]++
 		}
@@ -84,7 +84,7 @@
 	}
 	// The job is cancelled, its machine says nothing: what could run there counts.
 	h.cancel("job-000001")
-	h.submit(jobOf("job-000002", 2))
+	h.submit(newSubmission("job-000002", 2))
 	h.run(2 * sec)
 	if got := h.c.jobs.open["job-000002"].run; len(got.active) != 0 {
 		t.Errorf("%d tasks started beside cancelled ones that may run", len(got.active))
@@ -135,7 +135,7 @@
 		}
 	}
 	// Another controller shows that it keeps groups: this one follows.
-	off.ask(func(r ReplyID) Input {
+	off.request(func(r ReplyID) Input {
 		return PeerRequest{Reply: r, Req: peer.Request{From: "n-1", Status: &peer.Status{ControllerState: peer.ControllerState{StateOK: true, Quota: true}}}}
 	})
 	off.run(sec)
@@ -152,7 +152,7 @@
 		withGroup(t, 3)(c)
 	})
 	trace, span := [16]byte{1, 2}, [8]byte{3}
-	h.ask(func(r ReplyID) Input {
+	h.request(func(r ReplyID) Input {
 		return PeerRequest{Reply: r, Req: peer.Request{From: "n-1", Status: &peer.Status{ControllerState: peer.ControllerState{StateOK: true, Quota: true},
 			Traces: []peer.TraceContext{{WaitingTasks: "all", Shard: 1, Trace: trace[:], Span: span[:], BeganUS: 1}, {WaitingTasks: "all", Shard: 2, Trace: []byte("short")}}}}}
 	})
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -40,7 +40,7 @@
 		return
 	}
 	c.log(Info, "machine sends heartbeats but receives no replies, cordoned", "machine", m.id)
-	v.cordonedUntil = c.now + c.cfg.CordonFor
+	v.cordonedUntil = c.now + c.cfg.CordonPeriod
 }
 
 // unreachable reports whether a machine sends heartbeats and does not receive the replies. It
--- a/internal/controller/reachability_test.go
+++ b/internal/controller/reachability_test.go
@@ -21,17 +21,17 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t, func(c *Config) { c.SilentReturn = 0 })
-			fencingToken := h.reconcile("vm-1")
-			a := h.startOne(fencingToken)
+			fencingToken := h.reconcileMachine("vm-1")
+			a := h.startOneTask(fencingToken)
 			running := wire.TaskStatus{Task: "job-000001/0", Attempt: a, State: wire.TaskRunning}
 			h.heartbeat(heartbeatFrom("vm-1", 1, 11, fencingToken, running))
-			h.submit(jobOf("job-000002", 8)) // three fit beside the first
-			h.dropCalls()
+			h.submit(newSubmission("job-000002", 8)) // three fit beside the first
+			h.dropWorkerCalls()
 			seq, last := uint64(11), h.now
 			statuses := map[int]int{}
 			for range 8 {
 				h.run(sec / 2)
-				h.dropCalls()
+				h.dropWorkerCalls()
 				seq++
 				status, body := h.heartbeat(heartbeatFrom("vm-1", 1, seq, fencingToken, running)) // never shows the starts
 				statuses[status]++
@@ -44,8 +44,8 @@
 			if statuses[200] != reachability.MaxUnconfirmedReplies || statuses[503] != 8-reachability.MaxUnconfirmedReplies {
 				t.Fatalf("answers %v, want %d of 200 and then 503 only", statuses, reachability.MaxUnconfirmedReplies)
 			}
-			other := h.reconcile("vm-2")
-			h.submit(jobOf("job-000003", 8)) // vm-2 is never empty
+			other := h.reconcileMachine("vm-2")
+			h.submit(newSubmission("job-000003", 8)) // vm-2 is never empty
 			bound := last + h.c.bounds.WorkerExpiry
 			if tc.newAgentEpoch {
 				bound = h.now
@@ -56,9 +56,9 @@
 			}
 			for s := uint64(20); h.now < bound+5*sec; s++ {
 				h.run(sec / 4)
-				h.dropCalls()
+				h.dropWorkerCalls()
 				_, body := h.heartbeat(heartbeatFrom("vm-2", 1, s, other))
-				for _, c := range starts(body.Commands) {
+				for _, c := range startCommands(body.Commands) {
 					if c.Task != running.Task {
 						continue
 					}
--- a/internal/controller/readiness.go
+++ b/internal/controller/readiness.go
@@ -32,13 +32,13 @@
 	// Started while no controller has the state service: users are better off with a 503
 	// and a time to come back than with no controller at all, which the balancer would
 	// also remember for a while afterwards.
-	return c.now-c.startedAt > startupGrace && !c.ownership.stateFresh() && !c.peerHasState()
+	return c.now-c.startedAt > startupGrace && !c.ownership.stateReachable() && !c.peerHasState()
 }
 
 // peerHasState reports whether another controller is up and has the state service.
 func (c *Controller) peerHasState() bool {
 	for _, p := range c.peers {
-		if c.alive(p) && p.stateOK {
+		if c.alive(p) && p.stateReachable {
 			return true
 		}
 	}
--- a/internal/controller/readiness_test.go
+++ b/internal/controller/readiness_test.go
@@ -5,7 +5,9 @@
 // TestReadiness checks that a controller is not ready for users if it alone has lost the state
 // service, and ready if all have, also when they were started in the outage.
 func TestReadiness(t *testing.T) {
-	ready := func(h *harness) int { return h.ask(func(r ReplyID) Input { return ReadinessRequest{Reply: r} }).Status }
+	ready := func(h *harness) int {
+		return h.request(func(r ReplyID) Input { return ReadinessRequest{Reply: r} }).Status
+	}
 	for _, tc := range []struct {
 		name              string
 		before, peerState bool // it had the state service before; a peer has it now
@@ -29,7 +31,7 @@
 			for range 12 {
 				h.run(sec / 2)
 				p := h.c.peers["n-1"]
-				p.lastContactAt, p.stateOK = h.now, tc.peerState
+				p.lastContactAt, p.stateReachable = h.now, tc.peerState
 			}
 			if got := ready(h); got != tc.want {
 				t.Errorf("readiness: %d, want %d", got, tc.want)
--- a/internal/controller/record_limits_test.go
+++ b/internal/controller/record_limits_test.go
@@ -35,13 +35,13 @@
 			for _, id := range ids {
 				h.heartbeat(heartbeatFrom(id, 1, 2, fencingToken))
 			}
-			h.submit(jobOf("job-000001", 200))
-			h.dropCalls()
+			h.submit(newSubmission("job-000001", 200))
+			h.dropWorkerCalls()
 			running := map[string][]wire.TaskStatus{}
 			n := 0
 			for _, id := range ids {
 				_, body := h.heartbeat(heartbeatFrom(id, 1, 3, fencingToken))
-				running[id] = shown(starts(body.Commands), wire.TaskRunning)
+				running[id] = shown(startCommands(body.Commands), wire.TaskRunning)
 				h.heartbeat(heartbeatFrom(id, 1, 4, fencingToken, running[id]...))
 				n += len(running[id])
 			}
@@ -49,19 +49,19 @@
 				t.Fatalf("%d tasks run, want 200", n)
 			}
 			if tc.lose {
-				h.lose = wire.PrefixFleet
+				h.loseAnswersPrefix = wire.PrefixFleet
 			}
 			if tc.reverse {
-				h.watchBlocked = wire.PrefixControl
+				h.blockedWatchPrefix = wire.PrefixControl
 			}
-			from := len(h.log)
+			from := len(h.events)
 			h.c.machineRecords.nextSplitAt = 0
 			h.run(sec)
 			if tc.reverse {
-				slices.Reverse(h.log[from:])
-				h.watchBlocked = ""
+				slices.Reverse(h.events[from:])
+				h.blockedWatchPrefix = ""
 			}
-			h.giveUp()
+			h.timeOutLostAnswers()
 			h.run(sec)
 			in := map[string]int{}
 			for key, o := range h.c.machineRecords.sets {
@@ -103,10 +103,10 @@
 // tasks nevertheless.
 func TestCheckpointsFitLimit(t *testing.T) {
 	h := newOwnerHarness(t, withSmallLimits)
-	h.reconcile("vm-1")
+	h.reconcileMachine("vm-1")
 	for name, tasks := range map[string]int{"job-000001": 2000, "job-000002": 100_000, "job-000003": 1} {
 		for pattern, every := range map[string]int{"alternating": 2, "in threes": 3, "all but the last": 1} {
-			h.submit(jobOf(name, tasks))
+			h.submit(newSubmission(name, tasks))
 			j := h.c.jobs.open[name]
 			j.run.done, j.run.doneCount = checkpoint.NewTaskSet(tasks), 0
 			for i := 0; i < tasks-1; i += every {
@@ -136,7 +136,7 @@
 // form.
 func TestRecordSetsFitLimit(t *testing.T) {
 	h := newOwnerHarness(t, withSmallLimits)
-	h.reconcile("vm-1")
+	h.reconcileMachine("vm-1")
 	var list []*machine
 	for i := range h.c.recordSetLimit() {
 		m := &machine{id: fmt.Sprintf("vm-%06d", 123456+i)}
--- a/internal/controller/registration.go
+++ b/internal/controller/registration.go
@@ -44,7 +44,7 @@
 // that a machine sent before it was returned: this leader must have rented the machine, or the
 // machine must answer a direct request.
 func (c *Controller) registerMachine(in Heartbeat) {
-	if !c.ownership.leading() {
+	if !c.ownership.mayLead() {
 		c.redirect(in.Reply, &c.ownership.leader)
 		return
 	}
--- a/internal/controller/registration_test.go
+++ b/internal/controller/registration_test.go
@@ -12,19 +12,19 @@
 func TestRegistrationAcrossOutage(t *testing.T) {
 	h := newOwnerHarness(t, withPeer)
 	h.c.fleet.rented["vm-7"] = &rented{kind: fleet.Kind{Type: "m", Zone: "a", Spot: false}, at: h.now}
-	h.stateDown, h.refused = true, true
+	h.stateDown, h.stateRefuses = true, true
 	for h.now < h.c.ownership.lease.RenewedAt()+h.c.bounds.LeaseValidity-200*ms {
 		h.run(20 * ms)
 	}
-	h.ask(func(r ReplyID) Input { return Heartbeat{Reply: r, Heartbeat: heartbeatFrom("vm-7", 1, 1, 0)} })
+	h.request(func(r ReplyID) Input { return Heartbeat{Reply: r, Heartbeat: heartbeatFrom("vm-7", 1, 1, 0)} })
 	h.run(2 * sec)
-	if c := h.c; c.ownership.leading() || len(c.fleet.registrations) > 0 {
-		t.Fatalf("leading %v, %d registrations: the case is not what it should be", c.ownership.leading(), len(c.fleet.registrations))
+	if c := h.c; c.ownership.mayLead() || len(c.fleet.registrations) > 0 {
+		t.Fatalf("leading %v, %d registrations: the case is not what it should be", c.ownership.mayLead(), len(c.fleet.registrations))
 	}
-	h.stateDown, h.refused = false, false
+	h.stateDown, h.stateRefuses = false, false
 	h.run(2 * sec)
 	for seq := uint64(2); seq < 6; seq++ {
-		h.ask(func(r ReplyID) Input { return Heartbeat{Reply: r, Heartbeat: heartbeatFrom("vm-7", 1, seq, 0)} })
+		h.request(func(r ReplyID) Input { return Heartbeat{Reply: r, Heartbeat: heartbeatFrom("vm-7", 1, seq, 0)} })
 		h.run(sec)
 	}
 	if h.c.machines["vm-7"] == nil {
@@ -38,14 +38,14 @@
 	h := newHarness(t, nil)
 	h.c.fleet.rented["vm-1"] = &rented{kind: fleet.Kind{Type: "m", Zone: "a", Spot: true}, at: h.now}
 	call := func(seq uint64) {
-		h.ask(func(r ReplyID) Input { return Heartbeat{Reply: r, Heartbeat: heartbeatFrom("vm-1", 1, seq, 0)} })
+		h.request(func(r ReplyID) Input { return Heartbeat{Reply: r, Heartbeat: heartbeatFrom("vm-1", 1, seq, 0)} })
 		h.run(500 * ms)
 	}
 	h.stateDown = true
 	call(1)
 	h.stateDown = false
 	var first wire.Txn
-	for _, c := range h.held {
+	for _, c := range h.unansweredStateCalls {
 		if txn, ok := c.Req.(wire.Txn); ok && len(first.Changes) == 0 {
 			first = txn
 		}
--- a/internal/controller/release_requests.go
+++ b/internal/controller/release_requests.go
@@ -88,6 +88,6 @@
 	}
 	if p := c.peers[s.owner.Label]; p != nil {
 		request := peer.Request{From: c.cfg.Label, Release: r}
-		c.call(Call{To: ToPeer, Addr: p.label, Req: request, Timeout: releaseTimeout}, func(Result) {})
+		c.sendCall(Call{To: ToPeer, Addr: p.label, Req: request, Timeout: releaseTimeout}, func(Result) {})
 	}
 }
--- a/internal/controller/replacement_test.go
+++ b/internal/controller/replacement_test.go
@@ -98,18 +98,18 @@
 	h.run(8 * sec)
 	h.put(ownerKey(1), wire.OwnerRecord{Label: "n-1", Incarnation: 77})
 	h.put(wire.MachineRecordSetKey(1, "l-1-1"), wire.MachineRecordSet{Kinds: []wire.MachineKind{{Type: "m", Zone: "a"}}, Machines: []wire.MachineRecord{{ID: "vm-1", Addr: "vm-1"}}})
-	if !h.c.ownership.leading() {
+	if !h.c.ownership.mayLead() {
 		t.Fatal("does not lead")
 	}
 	h.c.fleet.returned["vm-1"] = h.now
 	for _, state := range []peer.MachineState{peer.MachineUnreconciled, peer.MachineSilent} {
 		p := h.c.peers["n-1"]
-		p.returnedMachines = nil
+		p.pendingReturnedMachines = nil
 		d := &peer.Demand{Shard: 1, All: 1, Machines: []peer.Machine{{ID: "vm-1", State: state}}}
 		h.c.replaceUnhealthy(map[int]*peer.Demand{1: d})
 		h.c.replaceUnhealthy(map[int]*peer.Demand{1: d})
-		if len(p.returnedMachines) != 1 || p.returnedMachines[0] != "vm-1" {
-			t.Errorf("state %d: the new owner is notified of %v", state, p.returnedMachines)
+		if len(p.pendingReturnedMachines) != 1 || p.pendingReturnedMachines[0] != "vm-1" {
+			t.Errorf("state %d: the new owner is notified of %v", state, p.pendingReturnedMachines)
 		}
 	}
 }
--- a/internal/controller/returned_machines.go
+++ b/internal/controller/returned_machines.go
@@ -37,12 +37,12 @@
 	}
 	c.machineReturned(id)
 	p := c.peers[c.ownership.shards[m.rec.Shard].owner.Label]
-	if p == nil || slices.Contains(p.returnedMachines, id) {
+	if p == nil || slices.Contains(p.pendingReturnedMachines, id) {
 		return
 	}
 	// Past the bound it is notified later: its owner goes on naming the machine as silent.
-	if len(p.returnedMachines) < c.cfg.MaxMachines {
-		p.returnedMachines = append(p.returnedMachines, id)
+	if len(p.pendingReturnedMachines) < c.cfg.MaxMachines {
+		p.pendingReturnedMachines = append(p.pendingReturnedMachines, id)
 	}
 }
 
--- a/internal/controller/scale_test.go
+++ b/internal/controller/scale_test.go
@@ -17,15 +17,15 @@
 	h := &harness{now: sec, keys: map[string]wire.KeyValue{}, answers: map[ReplyID]Answer{}}
 	cfg := Config{
 		Label: "n-0", Shards: 1, Teams: []Team{{Name: "t"}, {Name: "u"}},
-		Lease: 4 * sec, HeartbeatInterval: 10 * sec, WorkerLease: 45 * sec, Cancel: 70 * sec,
+		Lease: 4 * sec, HeartbeatInterval: 10 * sec, WorkerLease: 45 * sec, CancelWithin: 70 * sec,
 		StateRPS: 10_000, WriteRPS: 10_000, ValueBytes: 32 << 10, TxnOps: 24, MaxWorkerRequests: 64, CloudRPS: 100, ListLag: sec,
-		DrainHorizon: 30 * sec, IdleReturn: micros.Minute, CordonFor: 30 * sec, MaxMachines: machines,
+		DrainHorizon: 30 * sec, IdleReturn: micros.Minute, CordonPeriod: 30 * sec, MaxMachines: machines,
 		StartWithin: map[string]micros.Micros{},
 	}
 	h.c = New(cfg, 1)
 	h.run(sec)
 	for i := range machines {
-		h.listed = append(h.listed, wire.ListedMachine{ID: machineName(i), Addr: machineName(i), Type: "m", Zone: "a", State: wire.MachineRunning, AgeS: 1})
+		h.cloudMachines = append(h.cloudMachines, wire.ListedMachine{ID: machineName(i), Addr: machineName(i), Type: "m", Zone: "a", State: wire.MachineRunning, AgeS: 1})
 	}
 	h.c.fleet.listNext, h.c.fleet.planNext = h.now, h.now+400*ms
 	h.run(sec)
@@ -34,9 +34,9 @@
 	}
 	h.c.fleet.planNext, h.c.fleet.listNext = micros.Never, micros.Never
 	for i := range jobs {
-		h.submit(jobOf(fmt.Sprintf("job-%06d", i), tasks))
-		if len(h.open) > 0 {
-			h.open = h.open[:0]
+		h.submit(newSubmission(fmt.Sprintf("job-%06d", i), tasks))
+		if len(h.workerCalls) > 0 {
+			h.workerCalls = h.workerCalls[:0]
 		}
 	}
 	for i := range machines {
@@ -50,7 +50,7 @@
 // fill sends a machine's first heartbeat, and the one that lists the tasks started by the answer.
 func (h *harness) fill(i int) {
 	_, body := h.heartbeat(heartbeatFrom(machineName(i), 1, 1, 0))
-	h.heartbeat(heartbeatFrom(machineName(i), 1, 2, body.FencingToken, shown(starts(body.Commands), wire.TaskRunning)...))
+	h.heartbeat(heartbeatFrom(machineName(i), 1, 2, body.FencingToken, shown(startCommands(body.Commands), wire.TaskRunning)...))
 }
 
 func shown(cmds []wire.Command, state wire.TaskState) (out []wire.TaskStatus) {
@@ -158,13 +158,13 @@
 		return n
 	}
 	calm := newHarness(t, nil)
-	calm.reconcile("vm-1")
-	calm.reconcile("vm-2")
+	calm.reconcileMachine("vm-1")
+	calm.reconcileMachine("vm-2")
 	if n := wakes(calm); n > 60 {
 		t.Errorf("%d wake-ups in 10 s of calm", n)
 	}
 	busy := newHarness(t, nil)
-	busy.reconcile("vm-1")
+	busy.reconcileMachine("vm-1")
 	busy.c.ownership.shards[0].reconciled = false
 	if interval := busy.c.maintenanceInterval(); interval != busyInterval {
 		t.Errorf("maintenance every %v while a shard is not reconciled", interval)
@@ -198,23 +198,23 @@
 func TestWorkPerRoundOfZonedJobs(t *testing.T) {
 	const machines, zoned = 2200, 100
 	h := bigHarness(t, machines, 0, 0)
-	filler := jobOf("job-000900", machines)
+	filler := newSubmission("job-000900", machines)
 	filler.CPUs = 3
 	h.submit(filler)
-	h.open = h.open[:0]
+	h.workerCalls = h.workerCalls[:0]
 	for i := range machines { // one CPU of four is left on each
 		fencingToken := h.c.machines[machineName(i)].view.fencingToken
 		_, body := h.heartbeat(heartbeatFrom(machineName(i), 1, 3, fencingToken))
-		h.heartbeat(heartbeatFrom(machineName(i), 1, 4, fencingToken, shown(starts(body.Commands), wire.TaskRunning)...))
+		h.heartbeat(heartbeatFrom(machineName(i), 1, 4, fencingToken, shown(startCommands(body.Commands), wire.TaskRunning)...))
 	}
 	for i := range zoned {
-		sub := jobOf(fmt.Sprintf("job-%06d", 1000+i), 2)
+		sub := newSubmission(fmt.Sprintf("job-%06d", 1000+i), 2)
 		sub.SameZone, sub.CPUs, sub.Priority = true, 2, "high"
-		h.ask(func(r ReplyID) Input { return SubmitRequest{Reply: r, Job: sub} })
+		h.request(func(r ReplyID) Input { return SubmitRequest{Reply: r, Job: sub} })
 	}
-	last := jobOf("job-002000", 1)
+	last := newSubmission("job-002000", 1)
 	last.Priority = "best_effort"
-	h.ask(func(r ReplyID) Input { return SubmitRequest{Reply: r, Job: last} })
+	h.request(func(r ReplyID) Input { return SubmitRequest{Reply: r, Job: last} })
 	most := uint64(0)
 	j := h.c.jobs.open[last.ID]
 	for began := h.now; len(j.run.active) == 0; {
@@ -246,8 +246,8 @@
 	}
 	c.ownership.leader.owner.Label = "n-1"
 	demandStatus := func() (*peer.Status, int) {
-		st := &peer.Status{ControllerState: c.about(&peerView{label: "n-0"}), Demand: c.demands()}
-		for i := range maxNamed {
+		st := &peer.Status{ControllerState: c.controllerStateFor(&peerView{label: "n-0"}), Demand: c.demands()}
+		for i := range maxNamesPerStatus {
 			st.ReturnedMachines = append(st.ReturnedMachines, machineName(i))
 			st.Cancelled = append(st.Cancelled, machineName(i))
 		}
@@ -334,14 +334,14 @@
 	work := func(dags int) (perHeartbeat, walk float64) {
 		h := bigHarness(t, 50, 20, 500)
 		for p := range dags {
-			first := jobOf(fmt.Sprintf("job-%06d", 500_000+10*p), 100)
+			first := newSubmission(fmt.Sprintf("job-%06d", 500_000+10*p), 100)
 			h.submit(first)
 			for stage := 1; stage < 5; stage++ {
-				s := jobOf(fmt.Sprintf("job-%06d", 500_000+10*p+stage), 50)
+				s := newSubmission(fmt.Sprintf("job-%06d", 500_000+10*p+stage), 50)
 				s.DependsOn = []string{fmt.Sprintf("job-%06d", 500_000+10*p+stage-1)}
 				h.submit(s)
 			}
-			h.open = h.open[:0]
+			h.workerCalls = h.workerCalls[:0]
 		}
 		before := h.c.visited
 		for i := range 100 {
--- a/internal/controller/scheduling_test.go
+++ b/internal/controller/scheduling_test.go
@@ -16,7 +16,7 @@
 		c.WriteRPS, c.StateRPS = 25, 150
 		c.Peers = nil
 	})
-	h.reconcile("vm-1")
+	h.reconcileMachine("vm-1")
 	fencingToken := h.c.fencingToken(h.c.ownership.shards[0], h.c.machines["vm-1"])
 	seq, n := uint64(100), 0
 	var list []wire.TaskStatus
@@ -30,12 +30,12 @@
 	for range 240 { // a minute
 		n++
 		id := fmt.Sprintf("job-%06d", n)
-		h.submit(jobOf(id, 1))
+		h.submit(newSubmission(id, 1))
 		if n%4 == 0 {
 			h.cancel(id)
-			waits = append(waits, open{id, h.reply, h.now})
+			waits = append(waits, open{id, h.lastReply, h.now})
 		}
-		h.dropCalls()
+		h.dropWorkerCalls()
 		seq++
 		_, body := h.heartbeat(heartbeatFrom("vm-1", 1, seq, fencingToken, list...))
 		var keep []wire.TaskStatus
@@ -55,7 +55,7 @@
 			}
 		}
 		list = keep
-		for _, c := range starts(body.Commands) {
+		for _, c := range startCommands(body.Commands) {
 			list = append(list, wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning})
 		}
 		h.run(190 * ms)
@@ -72,7 +72,7 @@
 		t.Errorf("%d jobs are open at the end", left)
 	}
 	checkpoints := 0
-	for _, tx := range h.done {
+	for _, tx := range h.appliedTxns {
 		for _, ch := range tx.Changes {
 			if len(ch.Put) > 8 && ch.Put[:8] == wire.PrefixCheckpoint {
 				checkpoints++
@@ -102,7 +102,7 @@
 		for end := h.now + 20*sec; h.now < end; {
 			h.now += 20 * ms
 			h.c.schedulingDue = true
-			for _, e := range h.c.Step(Instant{Steady: h.now, Wall: h.now, Took: tc.took}, Tick{}) {
+			for _, e := range h.c.Step(Instant{Steady: h.now, Wall: h.now, PreviousStepDuration: tc.took}, Tick{}) {
 				if call, ok := e.(Call); ok {
 					h.call(call)
 				}
--- a/internal/controller/shard_recovery.go
+++ b/internal/controller/shard_recovery.go
@@ -31,33 +31,33 @@
 	checkpointModRevisions map[string]uint64
 }
 
-// setOwner takes a claim of a shard that the records show.
-func (c *Controller) setOwner(s *shard, rec wire.OwnerRecord, modRevision uint64) {
+// setShardOwner takes a claim of a shard that the records show.
+func (c *Controller) setShardOwner(s *shard, rec wire.OwnerRecord, modRevision uint64) {
 	s.owner = rec
 	s.ownerEpoch = modRevision
 	s.claiming = false
 	if s.owned() {
-		c.deactivate(s)
+		c.deactivateShard(s)
 	}
 	if c.ownership.isMine(&s.lock) {
-		c.activate(s)
+		c.activateShard(s)
 	} else {
 		c.log(Debug, "shard has an owner", "shard", s.id, "owner", rec.Label, "epoch", modRevision)
 	}
 }
 
-// activate starts recovery of a shard that this node has just come to own.
-func (c *Controller) activate(s *shard) {
+// activateShard starts recovery of a shard that this node has just come to own.
+func (c *Controller) activateShard(s *shard) {
 	s.ownership = shardOwned
 	s.shardRecovery = shardRecovery{
 		claimedAt:      c.now,
-		machinesFreeAt: c.now + c.successorWait(),
+		machinesFreeAt: c.now + c.machineFreeDelay(),
 		quiescedPeers:  map[string]micros.Micros{},
 	}
 	s.recountAll = true
 	s.queueStale = true
-	machines := c.beginViews(s)
-	jobs := c.startRuns(s)
+	machines := c.startMachineViews(s)
+	jobs := c.startShardRuns(s)
 	c.log(Info, "shard acquired", "shard", s.id, "epoch", s.ownerEpoch, "machines", machines, "jobs", jobs)
 	for _, label := range c.cfg.Peers {
 		c.sendStatus(c.peers[label])
@@ -69,18 +69,18 @@
 	c.schedulingDue = true
 }
 
-// successorWait returns how long after a claim a machine without a heartbeat may hold tasks. A
+// machineFreeDelay returns how long after a claim a machine without a heartbeat may hold tasks. A
 // node without peers has no predecessor that could have answered the machine since.
-func (sc *stepContext) successorWait() micros.Micros {
+func (sc *stepContext) machineFreeDelay() micros.Micros {
 	if len(sc.cfg.Peers) == 0 {
 		return sc.bounds.WorkerExpiry
 	}
 	return sc.bounds.SuccessorWait
 }
 
-// beginViews begins a view of each machine of a shard that is not cordoned, and returns their
+// startMachineViews begins a view of each machine of a shard that is not cordoned, and returns their
 // number.
-func (c *Controller) beginViews(s *shard) int {
+func (c *Controller) startMachineViews(s *shard) int {
 	machines := 0
 	for _, m := range s.machines {
 		if m.rec.Cordoned {
@@ -95,8 +95,8 @@
 	return machines
 }
 
-// startRuns begins to run the open jobs of a shard, and returns their number.
-func (c *Controller) startRuns(s *shard) int {
+// startShardRuns begins to run the open jobs of a shard, and returns their number.
+func (c *Controller) startShardRuns(s *shard) int {
 	jobs := 0
 	for _, j := range c.jobs.open {
 		if j.shard == s.id {
@@ -118,7 +118,7 @@
 	ownerEpoch := s.ownerEpoch
 	sentAt := c.now
 	// Where the state service is slow, what lets renewals through lets this through.
-	c.askState(statestore.ClassLease, statestore.WatchKeys{Prefix: w.Prefix, Since: w.Since}, c.cfg.Lease, func(r statestore.Reply) {
+	c.queueStateRequest(statestore.ClassLease, statestore.WatchKeys{Prefix: w.Prefix, Since: w.Since}, c.cfg.Lease, func(r statestore.Reply) {
 		if s.owned() && s.ownerEpoch == ownerEpoch {
 			c.applyJobsRefresh(s, r, sentAt)
 		}
@@ -143,9 +143,9 @@
 	c.schedulingDue = true
 }
 
-// deactivate ends this node's work for a shard: nothing is kept that a later claim could mistake
+// deactivateShard ends this node's work for a shard: nothing is kept that a later claim could mistake
 // for knowledge.
-func (c *Controller) deactivate(s *shard) {
+func (c *Controller) deactivateShard(s *shard) {
 	c.log(Info, "shard given up", "shard", s.id)
 	s.ownership = shardNotOwned
 	s.checkpoints = nil
@@ -188,7 +188,7 @@
 		s := c.ownership.shards[claim.Shard]
 		s.highestSeenEpoch = max(s.highestSeenEpoch, claim.OwnerEpoch)
 		if s.owned() && s.ownerEpoch < claim.OwnerEpoch {
-			c.deactivate(s)
+			c.deactivateShard(s)
 		}
 		if !s.owned() {
 			quiesced = append(quiesced, claim.Shard)
--- a/internal/controller/state_records.go
+++ b/internal/controller/state_records.go
@@ -69,7 +69,7 @@
 	if err := wire.Decode(value, &rec); err != nil {
 		return err
 	}
-	c.setOwner(s, rec, modRevision)
+	c.setShardOwner(s, rec, modRevision)
 	return nil
 }
 
@@ -155,7 +155,7 @@
 		return
 	}
 	if c.ownership.clearOwner(&s.lock, modRevision) && s.owned() {
-		c.deactivate(s)
+		c.deactivateShard(s)
 	}
 }
 
@@ -166,16 +166,16 @@
 	}
 	l.ownerEpoch = 0
 	l.owner = wire.OwnerRecord{}
-	l.absentSince = o.now
+	l.freeSince = o.now
 	return true
 }
 
-// dropKeysNotListed applies the deletions that a complete listing of the control keys shows.
-func (c *Controller) dropKeysNotListed(listed map[string]bool, revision uint64) {
+// dropUnlistedKeys applies the deletions that a complete listing of the control keys shows.
+func (c *Controller) dropUnlistedKeys(listed map[string]bool, revision uint64) {
 	for _, s := range c.ownership.shards {
-		c.dropLockNotListed(&s.lock, ownerKey(s.id), listed, revision)
+		c.dropUnlistedLock(&s.lock, ownerKey(s.id), listed, revision)
 	}
-	c.dropLockNotListed(&c.ownership.leader, wire.KeyLeader, listed, revision)
+	c.dropUnlistedLock(&c.ownership.leader, wire.KeyLeader, listed, revision)
 	for _, key := range sortedKeys(c.machineRecords.sets) {
 		if set := c.machineRecords.sets[key]; set.modRevision <= revision && !listed[key] {
 			c.machineRecords.drop(set)
@@ -183,13 +183,13 @@
 	}
 }
 
-// dropLockNotListed applies the deletion of a lock's key if the listing shows it, and notes since
+// dropUnlistedLock applies the deletion of a lock's key if the listing shows it, and notes since
 // when there is none if none was ever seen.
-func (c *Controller) dropLockNotListed(l *lock, key string, listed map[string]bool, revision uint64) {
+func (c *Controller) dropUnlistedLock(l *lock, key string, listed map[string]bool, revision uint64) {
 	switch {
 	case l.ownerEpoch == 0:
-		if l.absentSince == 0 {
-			l.absentSince = c.now
+		if l.freeSince == 0 {
+			l.freeSince = c.now
 		}
 	case l.ownerEpoch <= revision && !listed[key]:
 		c.applyDelete(key, revision)
