--- a/internal/controller/state_requests.go
+++ b/internal/controller/state_requests.go
@@ -13,12 +13,12 @@
 		MaxRecords: c.cfg.MaxOpenJobs,
 		NewRequest: func(id string) any { return statestore.GetKey{Key: wire.JobKey(id)} },
 		Learn:      c.learnRead,
-		Defer:      c.later,
+		Defer:      c.deferToStepEnd,
 	})
 }
 
-// askState queues a request to the state service. done is called exactly once.
-func (sc *stepContext) askState(class statestore.Class, body any, timeout micros.Micros, done func(statestore.Reply)) {
+// queueStateRequest queues a request to the state service. done is called exactly once.
+func (sc *stepContext) queueStateRequest(class statestore.Class, body any, timeout micros.Micros, done func(statestore.Reply)) {
 	request := statestore.Request{
 		Body:      body,
 		Timeout:   timeout,
@@ -30,16 +30,16 @@
 		request.Writes = float64(txn.Writes())
 	}
 	if !sc.stateQueue.Push(class, request) {
-		sc.later(func() { done(statestore.Reply{NotSent: true}) })
+		sc.deferToStepEnd(func() { done(statestore.Reply{NotSent: true}) })
 	}
 }
 
-// drainState sends the requests to the state service that the limits allow.
-func (c *Controller) drainState() {
+// sendQueuedStateRequests sends the requests to the state service that the limits allow.
+func (c *Controller) sendQueuedStateRequests() {
 	for {
-		c.reads.Offer(c.now)
+		c.userReads.Offer(c.now)
 		if expired, ok := c.stateQueue.Expire(c.now); ok {
-			c.later(func() { expired.Done(statestore.Reply{NotSent: true}) })
+			c.deferToStepEnd(func() { expired.Done(statestore.Reply{NotSent: true}) })
 			continue
 		}
 		request, ok, wait := c.stateQueue.Next(c.now)
@@ -49,16 +49,16 @@
 			}
 			return
 		}
-		c.callState(request)
+		c.sendStateRequest(request)
 	}
 }
 
-// callState sends a request to the state service.
-func (sc *stepContext) callState(request statestore.Request) {
+// sendStateRequest sends a request to the state service.
+func (sc *stepContext) sendStateRequest(request statestore.Request) {
 	if request.Sent != nil {
 		request.Sent()
 	}
-	sc.call(Call{To: ToState, Req: request.Body, Timeout: request.Timeout}, func(r Result) {
+	sc.sendCall(Call{To: ToState, Req: request.Body, Timeout: request.Timeout}, func(r Result) {
 		sc.stateQueue.Answered(request)
 		request.Done(statestore.Reply{Status: r.Status, Body: r.Body, NotSent: r.NotSent})
 	})
@@ -67,22 +67,22 @@
 // hasSpareRequests reports whether half of a second's requests to the state service are left,
 // and nothing waits for its turn.
 func (c *Controller) hasSpareRequests() bool {
-	return c.reads.Waiting() == 0 && c.stateQueue.HasSpareRequests(c.now)
+	return c.userReads.Waiting() == 0 && c.stateQueue.HasSpareRequests(c.now)
 }
 
-// readForUser reads a job's record for a user.
-func (c *Controller) readForUser(id string, done func(statestore.Lookup)) {
-	c.reads.Ask(c.now, id, done)
+// readJobForUser reads a job's record for a user.
+func (c *Controller) readJobForUser(id string, done func(statestore.Lookup)) {
+	c.userReads.Ask(c.now, id, done)
 }
 
 // retryAfter returns after how many seconds a user who is refused now is to try again.
-func (c *Controller) retryAfter() int { return c.reads.RetryAfter() }
+func (c *Controller) retryAfter() int { return c.userReads.RetryAfter() }
 
 // StateRequests returns the metrics of the requests to the state service, the most urgent
 // class first.
 func (c *Controller) StateRequests() []statestore.ClassMetrics {
 	metrics := c.stateQueue.Metrics(c.now)
-	metrics[statestore.ClassQuestion].Depth = c.reads.Waiting() // of which one is queued
+	metrics[statestore.ClassQuestion].Depth = c.userReads.Waiting() // of which one is queued
 	return metrics
 }
 
@@ -100,8 +100,8 @@
 		args = append(args, class+"_sent", m.Sent, class+"_waiting", m.Depth, class+"_oldest_ms", m.Oldest.Millis(),
 			class+"_longest_ms", m.LongestWait.Millis(), class+"_expired", m.Expired, class+"_rejected", m.Rejected)
 	}
-	if unsent > c.unsentLogged {
-		c.unsentLogged = unsent
+	if unsent > c.unsentRequestsLogged {
+		c.unsentRequestsLogged = unsent
 		level = Info
 	}
 	c.log(level, "state requests", args...)
--- a/internal/controller/step_context.go
+++ b/internal/controller/step_context.go
@@ -21,7 +21,7 @@
 	// now is the steady time of the step, wall its time of day.
 	now, wall micros.Micros
 	startedAt micros.Micros // time of the first step; below 0: none yet
-	wake      micros.Micros // see Wake
+	wakeAt    micros.Micros // see Wake
 	// lastStalledAt is when the process was last found stalled. That nothing was received
 	// before says nothing about others.
 	lastStalledAt micros.Micros
@@ -43,7 +43,7 @@
 func newStepContext(cfg Config, seed uint64) stepContext {
 	return stepContext{
 		cfg:                cfg,
-		bounds:             authority.NewBounds(cfg.Lease, cfg.WorkerLease, cfg.Cancel),
+		bounds:             authority.NewBounds(cfg.Lease, cfg.WorkerLease, cfg.CancelWithin),
 		heartbeatDeadlines: reachability.NewDeadlines(cfg.HeartbeatInterval, cfg.SilentReturn),
 		rng:                rand.New(rand.NewPCG(seed, rngStream)),
 		startedAt:          -1,
--- a/internal/controller/submission.go
+++ b/internal/controller/submission.go
@@ -173,7 +173,7 @@
 		return
 	}
 	c.jobs.pendingCreations[id] = &jobCreation{waiters: []func(peer.JobResponse){done}}
-	c.askState(statestore.ClassAccept, creationTxn(id, value), creationTimeout, func(r statestore.Reply) {
+	c.queueStateRequest(statestore.ClassAccept, creationTxn(id, value), creationTimeout, func(r statestore.Reply) {
 		c.handleCreation(id, rec, value, r)
 	})
 }
@@ -246,5 +246,5 @@
 	}
 	hint := &peer.JobRecordHint{ID: id, ModRevision: modRevision, Record: record}
 	req := peer.Request{From: c.cfg.Label, JobRecordHint: hint}
-	c.call(Call{To: ToPeer, Addr: p.label, Req: req, Timeout: hintTimeout}, func(Result) {})
+	c.sendCall(Call{To: ToPeer, Addr: p.label, Req: req, Timeout: hintTimeout}, func(Result) {})
 }
--- a/internal/controller/task_lists.go
+++ b/internal/controller/task_lists.go
@@ -24,15 +24,15 @@
 // applyTaskList updates a machine's attempts from the task list of a heartbeat.
 func (c *Controller) applyTaskList(m *machine, heartbeat *wire.Heartbeat, source heartbeatSource) {
 	v := m.view
-	c.listRound++
+	c.taskListRound++
 	v.lastTaskList = heartbeat.Tasks
-	v.lastSeenRound = c.listRound
+	v.lastSeenRound = c.taskListRound
 	for i := range heartbeat.Tasks {
 		c.applyTaskStatus(m, &heartbeat.Tasks[i])
 	}
 	for _, att := range v.each() {
 		c.visited++
-		if att.lastSeenRound != c.listRound {
+		if att.lastSeenRound != c.taskListRound {
 			c.handleMissingAttempt(att, heartbeat, source)
 		}
 	}
@@ -54,7 +54,7 @@
 		att = &attempt{key: key, index: index, machine: m, since: c.now, stopSentAt: -micros.Never}
 		c.addAttempt(att)
 	}
-	att.lastSeenRound = c.listRound
+	att.lastSeenRound = c.taskListRound
 	c.updateAttempt(att, status)
 }
 
--- a/internal/controller/unknown_jobs_test.go
+++ b/internal/controller/unknown_jobs_test.go
@@ -22,7 +22,7 @@
 func TestEndedTaskIsStoppedWithoutRead(t *testing.T) {
 	fewEndsInMemory := func(c *Config) {
 		withPeer(c)
-		c.MaxFinalJobs, c.Cancel, c.MaxMachines = 1, 40*sec, 400
+		c.MaxFinalJobs, c.CancelWithin, c.MaxMachines = 1, 40*sec, 400
 	}
 	end := func(h *harness, id string) {
 		h.put(wire.JobKey(id), wire.JobRecord{State: wire.StateCancelled, Tasks: 1})
@@ -37,12 +37,12 @@
 
 	t.Run("with the first reply after the claim", func(t *testing.T) {
 		h := newOwnerHarness(t, fewEndsInMemory)
-		fencingToken, attempt := h.runOne()
+		fencingToken, attempt := h.runOneTask()
 		end(h, "job-000001")
 		end(h, "job-000002")
 		h.unreadablePrefix = wire.PrefixJob
 		reclaim(h)
-		if status, body := h.heartbeat(h.running(20, fencingToken, attempt)); status == 200 && stops(body.Commands) != 1 {
+		if status, body := h.heartbeat(h.runningHeartbeat(20, fencingToken, attempt)); status == 200 && countImmediateStops(body.Commands) != 1 {
 			t.Errorf("answered 200 with %v, want the task stopped", body.Commands)
 		}
 	})
@@ -51,7 +51,7 @@
 		const machines = 300
 		h := newOwnerHarness(t, fewEndsInMemory)
 		for i := range machines {
-			h.listed = append(h.listed, wire.ListedMachine{ID: machineName(i), Addr: machineName(i), Type: "m", Zone: "a", State: wire.MachineRunning, AgeS: 1})
+			h.cloudMachines = append(h.cloudMachines, wire.ListedMachine{ID: machineName(i), Addr: machineName(i), Type: "m", Zone: "a", State: wire.MachineRunning, AgeS: 1})
 		}
 		h.c.fleet.listNext, h.c.fleet.planNext = h.now, h.now+400*ms
 		h.run(2 * sec)
@@ -63,7 +63,7 @@
 		reclaim(h)
 		fencingToken := h.c.ownership.shards[0].ownerEpoch
 		for i := range machines {
-			if status, body := h.heartbeat(lists(machineName(i), 5, fencingToken, fmt.Sprintf("job-%06d", i), old<<32|uint64(i))); status != 200 || stops(body.Commands) != 1 {
+			if status, body := h.heartbeat(lists(machineName(i), 5, fencingToken, fmt.Sprintf("job-%06d", i), old<<32|uint64(i))); status != 200 || countImmediateStops(body.Commands) != 1 {
 				t.Fatalf("machine %d of %d: answered %d with %v, want the task stopped", i, machines, status, body.Commands)
 			}
 		}
@@ -71,7 +71,7 @@
 
 	t.Run("started by another shard's owner, under a later claim", func(t *testing.T) {
 		h := newOwnerHarness(t, fewEndsInMemory)
-		fencingToken, _ := h.runOne()
+		fencingToken, _ := h.runOneTask()
 		end(h, "job-000007")
 		end(h, "job-000008")
 		h.unreadablePrefix = wire.PrefixJob
@@ -79,7 +79,7 @@
 		h.heartbeat(lists("vm-1", 20, fencingToken, "job-000007", later<<32|1))
 		h.put(wire.JobKey("job-000009"), wire.JobRecord{State: wire.StateDone, Tasks: 1}) // the view goes on
 		h.run(sec)
-		if status, body := h.heartbeat(lists("vm-1", 21, fencingToken, "job-000007", later<<32|1)); status == 200 && stops(body.Commands) != 1 {
+		if status, body := h.heartbeat(lists("vm-1", 21, fencingToken, "job-000007", later<<32|1)); status == 200 && countImmediateStops(body.Commands) != 1 {
 			t.Errorf("answered 200 with %v, want the task stopped", body.Commands)
 		}
 	})
@@ -100,11 +100,11 @@
 		t.Run(tc.name, func(t *testing.T) {
 			h := newOwnerHarness(t, func(c *Config) {
 				withPeer(c)
-				c.MaxFinalJobs, c.Cancel = 1, 40*sec
+				c.MaxFinalJobs, c.CancelWithin = 1, 40*sec
 			})
-			fencingToken, _ := h.runOne()
+			fencingToken, _ := h.runOneTask()
 			before := h.c.ownership.shards[0].ownerEpoch
-			h.watchBlocked, h.unlistablePrefix, h.unreadablePrefix = wire.PrefixJob, wire.PrefixJob, wire.PrefixJob
+			h.blockedWatchPrefix, h.unlistablePrefix, h.unreadablePrefix = wire.PrefixJob, wire.PrefixJob, wire.PrefixJob
 			claim := h.put(ownerKey(0), wire.OwnerRecord{Label: "n-1", Incarnation: 99})
 			if !tc.later {
 				claim = before
@@ -117,7 +117,7 @@
 			}
 			for seq := uint64(20); seq < 23; seq++ {
 				status, body := h.heartbeat(heartbeatFrom("vm-1", 1, seq, fencingToken, wire.TaskStatus{Task: "job-000007/0", Attempt: claim<<32 | 1, State: wire.TaskRunning}))
-				if (status == 200) != tc.answered || stops(body.Commands) > 0 {
+				if (status == 200) != tc.answered || countImmediateStops(body.Commands) > 0 {
 					t.Errorf("heartbeat %d: answered %d with %v, want it answered: %v, and nothing stopped", seq, status, body.Commands, tc.answered)
 				}
 				fencingToken = max(fencingToken, body.FencingToken)
@@ -136,11 +136,11 @@
 		record func(h *harness)
 	}{
 		{"accepted while the watch hangs", true, func(h *harness) {
-			h.watchBlocked = wire.PrefixJob
-			h.put(wire.JobKey("job-000007"), wire.NewJobRecord(new(jobOf("job-000007", 1)), 1))
+			h.blockedWatchPrefix = wire.PrefixJob
+			h.put(wire.JobKey("job-000007"), wire.NewJobRecord(new(newSubmission("job-000007", 1)), 1))
 		}},
 		{"of a team that the settings do not know", false, func(h *harness) {
-			sub := jobOf("job-000007", 1)
+			sub := newSubmission("job-000007", 1)
 			sub.Team = "another"
 			h.put(wire.JobKey("job-000007"), wire.NewJobRecord(&sub, 1))
 		}},
@@ -148,14 +148,14 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newOwnerHarness(t, withPeer)
-			fencingToken := h.reconcile("vm-1")
+			fencingToken := h.reconcileMachine("vm-1")
 			tc.record(h)
 			attempt := h.c.ownership.shards[0].ownerEpoch<<32 | 1
 			if tc.later {
-				attempt = (h.rev+1)<<32 | 1
+				attempt = (h.revision+1)<<32 | 1
 			}
 			for seq := uint64(20); seq < 24; seq++ {
-				if _, body := h.heartbeat(heartbeatFrom("vm-1", 1, seq, fencingToken, wire.TaskStatus{Task: "job-000007/0", Attempt: attempt, State: wire.TaskRunning})); stops(body.Commands) > 0 {
+				if _, body := h.heartbeat(heartbeatFrom("vm-1", 1, seq, fencingToken, wire.TaskStatus{Task: "job-000007/0", Attempt: attempt, State: wire.TaskRunning})); countImmediateStops(body.Commands) > 0 {
 					t.Errorf("heartbeat %d: stopped by %v", seq, body.Commands)
 				}
 				h.run(sec)
@@ -169,10 +169,10 @@
 // is so old that its user may have been notified in the meantime.
 func TestUnknownJobIsRenewedForBoundedTime(t *testing.T) {
 	h := newOwnerHarness(t, withPeer)
-	fencingToken := h.reconcile("vm-1")
-	h.watchBlocked = wire.PrefixJob
+	fencingToken := h.reconcileMachine("vm-1")
+	h.blockedWatchPrefix = wire.PrefixJob
 	heartbeat := func(seq uint64) int {
-		status, _ := h.heartbeat(heartbeatFrom("vm-1", 1, seq, fencingToken, wire.TaskStatus{Task: "job-000007/0", Attempt: (h.rev+1)<<32 | 1, State: wire.TaskRunning}))
+		status, _ := h.heartbeat(heartbeatFrom("vm-1", 1, seq, fencingToken, wire.TaskStatus{Task: "job-000007/0", Attempt: (h.revision+1)<<32 | 1, State: wire.TaskRunning}))
 		return status
 	}
 	if got := heartbeat(20); got != 200 {
@@ -196,13 +196,13 @@
 		withPeer(c)
 		c.MaxFinalJobs = 1
 	})
-	h.put(wire.JobKey("job-000001"), wire.NewJobRecord(new(jobOf("job-000001", 1)), 1))
+	h.put(wire.JobKey("job-000001"), wire.NewJobRecord(new(newSubmission("job-000001", 1)), 1))
 	recorded := h.keys[wire.JobKey("job-000001")]
 	h.c.jobs.open["job-000001"].run.end.inDoubt = true // so that a request is answered by a read
 	h.stateDown = true
 	h.jobStatus("job-000001")
-	held := h.held
-	h.held, h.stateDown = nil, false
+	held := h.unansweredStateCalls
+	h.unansweredStateCalls, h.stateDown = nil, false
 	h.put(wire.JobKey("job-000001"), wire.JobRecord{State: wire.StateCancelled, Tasks: 1})
 	h.put(wire.JobKey("job-000002"), wire.JobRecord{State: wire.StateDone, Tasks: 1})
 	if h.c.jobs.knows("job-000001") {
@@ -220,7 +220,7 @@
 	if reads != 1 || h.c.jobs.open["job-000001"] != nil {
 		t.Errorf("%d reads were answered, and the job is open: %v", reads, h.c.jobs.open["job-000001"] != nil)
 	}
-	if got := h.answers[h.reply].Status; got != 503 {
+	if got := h.answers[h.lastReply].Status; got != 503 {
 		t.Errorf("answered %d, want 503: what was read is no longer so", got)
 	}
 }
@@ -237,15 +237,15 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newOwnerHarness(t, withPeer)
-			fencingToken := h.reconcile("vm-1")
-			h.watchBlocked = wire.PrefixJob
+			fencingToken := h.reconcileMachine("vm-1")
+			h.blockedWatchPrefix = wire.PrefixJob
 			if tc.rec != nil {
 				h.put(wire.JobKey("job-000009"), tc.rec)
 			}
 			stopped := 0
 			for seq := uint64(20); seq < 28; seq++ {
 				_, body := h.heartbeat(heartbeatFrom("vm-1", 1, seq, fencingToken, wire.TaskStatus{Task: "job-000009/0", Attempt: 5, State: wire.TaskRunning}))
-				stopped += stops(body.Commands)
+				stopped += countImmediateStops(body.Commands)
 				h.run(sec)
 			}
 			if stopped == 0 {
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -51,7 +51,7 @@
 		c.cancelKnownJob(in.ID, done)
 		return
 	}
-	c.readForUser(in.ID, func(found statestore.Lookup) {
+	c.readJobForUser(in.ID, func(found statestore.Lookup) {
 		if found == statestore.LookupFound {
 			c.cancelKnownJob(in.ID, done)
 			return
--- a/internal/controller/user_requests_test.go
+++ b/internal/controller/user_requests_test.go
@@ -11,7 +11,7 @@
 func TestSubmissionsAndStatusRequests(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.Teams = []Team{{Name: "t", CPUsMax: 3}, {Name: "u"}} })
 	change := func(f func(*wire.Submission)) wire.Submission {
-		s := jobOf("job-000001", 2)
+		s := newSubmission("job-000001", 2)
 		f(&s)
 		return s
 	}
@@ -33,12 +33,12 @@
 			t.Errorf("%s: %d, want %d", tc.name, a.Status, tc.want)
 		}
 	}
-	if a := h.ask(func(r ReplyID) Input {
+	if a := h.request(func(r ReplyID) Input {
 		return SubmitRequest{Reply: r, Err: &wire.SubmissionError{ID: "job-000001", Reason: "x"}}
 	}); a.Status != 200 {
 		t.Errorf("malformed repeat of an accepted job: %d, want 200", a.Status)
 	}
-	if a := h.ask(func(r ReplyID) Input { return SubmitRequest{Reply: r, Err: &wire.SubmissionError{Reason: "x"}} }); a.Status != 400 {
+	if a := h.request(func(r ReplyID) Input { return SubmitRequest{Reply: r, Err: &wire.SubmissionError{Reason: "x"}} }); a.Status != 400 {
 		t.Errorf("malformed: %d, want 400", a.Status)
 	}
 	for id, want := range map[string]int{"job-000001": 200, "job-000002": 404, "nonsense": 404} {
@@ -47,18 +47,18 @@
 		}
 	}
 	h.stateDown = true
-	if a := h.submit(jobOf("job-000003", 1)); a.Status != 0 {
+	if a := h.submit(newSubmission("job-000003", 1)); a.Status != 0 {
 		t.Errorf("answered %d while the outcome is open", a.Status)
 	}
 	h.run(2 * sec) // no answer comes, and a read can't resolve it either
-	for _, c := range h.held {
+	for _, c := range h.unansweredStateCalls {
 		h.step(Result{ID: c.ID})
 	}
 	h.run(2 * sec)
-	for _, c := range h.held {
+	for _, c := range h.unansweredStateCalls {
 		h.step(Result{ID: c.ID})
 	}
-	if a := h.answers[h.reply]; a.Status != 503 || a.RetryAfterS < 1 {
+	if a := h.answers[h.lastReply]; a.Status != 503 || a.RetryAfterS < 1 {
 		t.Errorf("outcome unknown: %d, come back after %d s; want 503 and a time", a.Status, a.RetryAfterS)
 	}
 }
@@ -69,7 +69,7 @@
 	h := newHarness(t, func(c *Config) { c.MaxOpenJobs, c.MaxFinalJobs = 3, 2 })
 	ids := []string{"job-000001", "job-000002", "job-000003", "job-000004"}
 	for i, id := range ids {
-		a := h.submit(jobOf(id, 1))
+		a := h.submit(newSubmission(id, 1))
 		if want := 201; i < 3 && a.Status != want {
 			t.Errorf("%s answered %d, want %d", id, a.Status, want)
 		}
@@ -77,11 +77,11 @@
 			t.Errorf("past the bound: %d, come back after %d s", a.Status, a.RetryAfterS)
 		}
 	}
-	if a := h.submit(jobOf(ids[0], 1)); a.Status != 200 {
+	if a := h.submit(newSubmission(ids[0], 1)); a.Status != 200 {
 		t.Errorf("a known job's submission past the bound: %d, want 200", a.Status)
 	}
 	for _, id := range ids[:3] {
-		if a := h.ask(func(r ReplyID) Input { return CancelRequest{Reply: r, ID: id} }); a.Status != 200 {
+		if a := h.request(func(r ReplyID) Input { return CancelRequest{Reply: r, ID: id} }); a.Status != 200 {
 			t.Errorf("cancelling %s: %d", id, a.Status)
 		}
 	}
@@ -89,11 +89,11 @@
 		t.Errorf("%d final states kept, want 2", n)
 	}
 	for _, id := range ids[:3] {
-		if state := h.state(id); state != wire.StateCancelled {
+		if state := h.jobState(id); state != wire.StateCancelled {
 			t.Errorf("%s is %q", id, state)
 		}
 	}
-	if a := h.submit(jobOf(ids[3], 1)); a.Status != 201 {
+	if a := h.submit(newSubmission(ids[3], 1)); a.Status != 201 {
 		t.Errorf("with space again: %d, want 201", a.Status)
 	}
 }
@@ -106,12 +106,12 @@
 		return SubmitRequest{Reply: r, Err: &wire.SubmissionError{ID: "job-000001", Reason: "x"}}
 	}
 	unfit := func(r ReplyID) Input {
-		s := jobOf("job-000001", 1)
+		s := newSubmission("job-000001", 1)
 		s.CPUs = 1000
 		return SubmitRequest{Reply: r, Job: s}
 	}
 	noTeam := func(r ReplyID) Input {
-		s := jobOf("job-000001", 1)
+		s := newSubmission("job-000001", 1)
 		s.Team = "x"
 		return SubmitRequest{Reply: r, Job: s}
 	}
@@ -129,19 +129,19 @@
 		{"fits nothing, accepted elsewhere", accepted, unfit, 200, wire.StatePending},
 		{"malformed, done and out of memory", over, bad, 200, wire.StateDone},
 		{"fits nothing, done and out of memory", over, unfit, 200, wire.StateDone},
-		{"malformed, no state service", func(h *harness) { h.stateDown, h.refused = true, true }, bad, 503, ""},
-		{"fits nothing, no state service", func(h *harness) { h.stateDown, h.refused = true, true }, unfit, 503, ""},
+		{"malformed, no state service", func(h *harness) { h.stateDown, h.stateRefuses = true, true }, bad, 503, ""},
+		{"fits nothing, no state service", func(h *harness) { h.stateDown, h.stateRefuses = true, true }, unfit, 503, ""},
 		{"fits nothing, types not known", func(h *harness) { h.c.types = machineTypes{} }, unfit, 503, ""},
 		{"cancelled though done", over, func(r ReplyID) Input { return CancelRequest{Reply: r, ID: "job-000001"} }, 200, wire.StateDone},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newOwnerHarness(t, withPeer)
-			h.watchBlocked = wire.PrefixJob // it learns of no job by itself
+			h.blockedWatchPrefix = wire.PrefixJob // it learns of no job by itself
 			h.run(sec)
 			if tc.set != nil {
 				tc.set(h)
 			}
-			a := h.ask(tc.ask)
+			a := h.request(tc.ask)
 			b, _ := a.Body.(wire.JobAnswer)
 			if a.Status != tc.want || b.State != tc.state {
 				t.Errorf("answered %d %q, want %d %q", a.Status, b.State, tc.want, tc.state)
@@ -154,7 +154,7 @@
 }
 
 func accepted(h *harness) {
-	sub := jobOf("job-000001", 1)
+	sub := newSubmission("job-000001", 1)
 	h.put(wire.JobKey("job-000001"), wire.JobRecord{Submission: &sub, State: wire.StatePending, Tasks: 1})
 }
 
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -31,12 +31,12 @@
 
 // watchInterval returns the least time between two watches of a prefix: as given, or more where
 // the controller may send so few requests that they took more than the given part.
-func (sc *stepContext) watchInterval(least micros.Micros, fraction float64) micros.Micros {
-	return max(least, micros.FromSeconds(1/(fraction*sc.stateQueue.RequestRate())))
+func (sc *stepContext) watchInterval(minInterval micros.Micros, fraction float64) micros.Micros {
+	return max(minInterval, micros.FromSeconds(1/(fraction*sc.stateQueue.RequestRate())))
 }
 
-// follow makes the next request of a watch if it is time.
-func (c *Controller) follow(w *statestore.Watch) {
+// continueWatch makes the next request of a watch if it is time.
+func (c *Controller) continueWatch(w *statestore.Watch) {
 	if w.InFlight {
 		return
 	}
@@ -44,19 +44,19 @@
 		c.wakeIn(wait)
 		return
 	}
-	take := c.takeListing
+	handle := c.handleListingReply
 	if w.Ready() {
-		take = c.takeWatch
+		handle = c.handleWatchReply
 	}
 	body, timeout := w.NextRequest(c.now)
-	c.askState(statestore.ClassLease, body, timeout, func(r statestore.Reply) {
+	c.queueStateRequest(statestore.ClassLease, body, timeout, func(r statestore.Reply) {
 		w.InFlight = false
-		take(w, r)
+		handle(w, r)
 	})
 }
 
-// takeWatch takes in the reply to a long poll.
-func (c *Controller) takeWatch(w *statestore.Watch, r statestore.Reply) {
+// handleWatchReply takes in the reply to a long poll.
+func (c *Controller) handleWatchReply(w *statestore.Watch, r statestore.Reply) {
 	changes, ok := r.Body.(*wire.Events)
 	switch {
 	case !ok:
@@ -66,11 +66,11 @@
 		c.applyEvents(changes.Events)
 		w.TakeChanges(changes.Revision)
 	}
-	c.follow(w)
+	c.continueWatch(w)
 }
 
-// takeListing takes in the reply to a page of a listing.
-func (c *Controller) takeListing(w *statestore.Watch, r statestore.Reply) {
+// handleListingReply takes in the reply to a page of a listing.
+func (c *Controller) handleListingReply(w *statestore.Watch, r statestore.Reply) {
 	page, ok := r.Body.(*wire.KeyList)
 	if !ok || r.Status != http.StatusOK {
 		return
@@ -84,9 +84,9 @@
 		return
 	}
 	if w.Prefix == wire.PrefixControl {
-		c.dropKeysNotListed(w.Listed())
+		c.dropUnlistedKeys(w.Listed())
 		c.dropMachinesWithoutRecordSet()
 	}
 	w.FinishListing()
-	c.follow(w)
+	c.continueWatch(w)
 }
--- a/internal/controller/watch_test.go
+++ b/internal/controller/watch_test.go
@@ -12,9 +12,9 @@
 // called pending).
 func TestStaleViewOfJobs(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.Peers = []string{"n-1"}; c.Shards = 1 })
-	sub := jobOf("job-000001", 1)
+	sub := newSubmission("job-000001", 1)
 	h.put(wire.JobKey("job-000001"), wire.JobRecord{Submission: &sub, State: wire.StatePending, Tasks: 1})
-	h.watchBlocked = wire.PrefixJob // from here on it learns of no job
+	h.blockedWatchPrefix = wire.PrefixJob // from here on it learns of no job
 	h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}})
 	value, err := wire.Encode(wire.JobRecord{State: wire.StateDone, Tasks: 1})
 	if err != nil {
@@ -25,7 +25,7 @@
 	if s := h.c.ownership.shards[0]; !s.owned() || s.jobsViewCurrent || h.c.jobs.open["job-000001"] == nil {
 		t.Fatalf("%v, current %v: the case is not what it should be", s.ownership, s.jobsViewCurrent)
 	}
-	if s := h.state("job-000001"); s != wire.StateDone {
+	if s := h.jobState("job-000001"); s != wire.StateDone {
 		t.Errorf("answered %q, but the record says done", s)
 	}
 }
@@ -36,11 +36,11 @@
 func TestOwnerWithStaleView(t *testing.T) {
 	h := newOwnerHarness(t, func(c *Config) {
 		withPeer(c)
-		c.Cancel = 40 * sec
+		c.CancelWithin = 40 * sec
 	})
-	fencingToken := h.reconcile("vm-1")
-	h.submit(jobOf("job-000001", 1))
-	h.watchBlocked = wire.PrefixJob
+	fencingToken := h.reconcileMachine("vm-1")
+	h.submit(newSubmission("job-000001", 1))
+	h.blockedWatchPrefix = wire.PrefixJob
 	h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}})
 	h.run(2 * sec)
 	s := h.c.ownership.shards[0]
@@ -56,7 +56,7 @@
 			t.Fatalf("%v s after its view of jobs was complete a heartbeat was answered %d", (h.now - complete).Seconds(), status)
 		}
 	}
-	h.watchBlocked = ""
+	h.blockedWatchPrefix = ""
 	h.run(2 * sec)
 	if status, _ := h.heartbeat(heartbeatFrom("vm-1", 1, 100, fencingToken)); status != 200 {
 		t.Errorf("a heartbeat was answered %d once the view of jobs was current", status)
@@ -68,9 +68,9 @@
 func TestWatchMustListAgain(t *testing.T) {
 	for _, status := range []int{410, TooLarge} {
 		h := newHarness(t, nil)
-		h.watchBlocked = wire.PrefixJob
-		h.submit(jobOf("job-000001", 1))
-		h.put(wire.JobKey("job-000002"), wire.JobRecord{Submission: ptr(jobOf("job-000002", 1)), State: wire.StatePending, Tasks: 1})
+		h.blockedWatchPrefix = wire.PrefixJob
+		h.submit(newSubmission("job-000001", 1))
+		h.put(wire.JobKey("job-000002"), wire.JobRecord{Submission: ptr(newSubmission("job-000002", 1)), State: wire.StatePending, Tasks: 1})
 		if h.c.jobs.open["job-000002"] != nil {
 			t.Fatal("known without the watch")
 		}
--- a/internal/controller/worker_contact.go
+++ b/internal/controller/worker_contact.go
@@ -90,7 +90,7 @@
 // checkWorkerContact checks from time to time whether this node has lost the workers, or
 // reaches them again.
 func (c *Controller) checkWorkerContact() {
-	w := &c.contact
+	w := &c.workerContact
 	if c.now < w.nextCheckAt {
 		return
 	}
@@ -155,26 +155,26 @@
 	// answers is rather a fault of this node's network than of all of theirs; and if it is not,
 	// nothing is lost by releasing the locks.
 	hasPeers := len(c.cfg.Peers) > 0
-	return hasPeers && silence.nearlyAllSilent() && c.ownership.stateFresh()
+	return hasPeers && silence.nearlyAllSilent() && c.ownership.stateReachable()
 }
 
 // loseWorkerContact releases all locks to the other controllers.
 func (c *Controller) loseWorkerContact(silence heartbeatSilence) {
 	c.log(Info, "workers are unreachable from here, releasing locks", "silent", silence.silent, "machines", silence.machines, "elsewhere", silence.elsewhere)
-	c.contact.state = contactLost
-	c.contact.answeredProbes = 0
+	c.workerContact.state = contactLost
+	c.workerContact.answeredProbes = 0
 	for _, s := range c.ownership.shards {
 		if s.ownership == shardOwned && c.ownership.isMine(&s.lock) {
 			c.releaseShard(s)
 		}
 	}
-	c.ownership.stepDown()
+	c.ownership.stepDownAsLeader()
 }
 
 // probeWorkers asks one machine after the other whether it can be reached again. Without
 // machines there is no contact that could be lost.
 func (c *Controller) probeWorkers() {
-	w := &c.contact
+	w := &c.workerContact
 	if w.probeInFlight {
 		return
 	}
@@ -186,7 +186,7 @@
 	w.probeIndex = (w.probeIndex + 1) % len(ids)
 	w.probeInFlight = true
 	addr := c.machines[ids[w.probeIndex]].rec.Addr
-	c.call(Call{To: ToWorker, Addr: addr, Req: GetHeartbeat{}, Timeout: workerProbeTimeout}, func(r Result) {
+	c.sendCall(Call{To: ToWorker, Addr: addr, Req: GetHeartbeat{}, Timeout: workerProbeTimeout}, func(r Result) {
 		if w.recordProbe(r.Status == http.StatusOK) {
 			c.log(Info, "workers are reachable again")
 		}
--- a/internal/controller/worker_contact_test.go
+++ b/internal/controller/worker_contact_test.go
@@ -23,11 +23,11 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t, func(c *Config) { c.Peers = []string{"n-1"}; c.MaxMachines = 100 })
-			h.submit(jobOf("job-000001", 4000)) // or idle machines would be returned
-			h.run(8 * sec)                      // it becomes the leader as well, and lists lag
+			h.submit(newSubmission("job-000001", 4000)) // or idle machines would be returned
+			h.run(8 * sec)                              // it becomes the leader as well, and lists lag
 			tokens := map[string]uint64{}
 			for i := range machines {
-				tokens[machineName(i)] = h.reconcile(machineName(i))
+				tokens[machineName(i)] = h.reconcileMachine(machineName(i))
 			}
 			h.peersDown, h.stateDown = tc.peersDown, tc.stateDown
 			sequence := uint64(10)
@@ -36,14 +36,14 @@
 					h.now += 3 * sec / 2
 				}
 				h.run(sec / 2)
-				h.dropCalls()
+				h.dropWorkerCalls()
 				sequence++
 				for i := range machines - tc.silent {
 					h.heartbeat(heartbeatFrom(machineName(i), 1, sequence, tokens[machineName(i)]))
 				}
 			}
-			if h.c.contact.lost() != tc.want {
-				t.Errorf("contact lost: %v, want %v", h.c.contact.lost(), tc.want)
+			if h.c.workerContact.lost() != tc.want {
+				t.Errorf("contact lost: %v, want %v", h.c.workerContact.lost(), tc.want)
 			}
 		})
 	}
--- a/internal/runtime/runtime.go
+++ b/internal/runtime/runtime.go
@@ -182,7 +182,7 @@
 
 func (rt *Runtime) stepLocked(in controller.Input) {
 	at := rt.instant()
-	at.Took = rt.lastStepDuration
+	at.PreviousStepDuration = rt.lastStepDuration
 	for _, effect := range rt.controller.Step(at, in) {
 		rt.carryOut(effect)
 	}
--- a/internal/simulation/cascade.go
+++ b/internal/simulation/cascade.go
@@ -185,7 +185,7 @@
 // ownerOf returns the controller that owns a job's shard, by its own word.
 func (s *Simulation) ownerOf(u *user) *node {
 	for _, n := range s.nodes {
-		if n.controller != nil && n.controller.Owns(u.Submission.ID) {
+		if n.controller != nil && n.controller.OwnsJob(u.Submission.ID) {
 			return n
 		}
 	}
@@ -220,7 +220,7 @@
 		}
 	}
 	if late > 0 {
-		s.violated("orphaned: %d of %d jobs are not cancelled %v s after the one that they need", late, len(c.members), s.cfg.Cancel.Seconds())
+		s.violated("orphaned: %d of %d jobs are not cancelled %v s after the one that they need", late, len(c.members), s.cfg.CancelWithin.Seconds())
 	}
 	c.members[0].requestCancel() // what is left would take hours to run in order
 }
--- a/internal/simulation/check_answers.go
+++ b/internal/simulation/check_answers.go
@@ -64,7 +64,7 @@
 // cancelTime returns until when a job's tasks may run that was reported as cancelled; ok is
 // false if it was not.
 func (u *user) cancelTime() (until micros.Micros, ok bool) {
-	return u.cancelConfirmed + u.sim.cfg.Cancel, u.cancelConfirmed != 0
+	return u.cancelConfirmed + u.sim.cfg.CancelWithin, u.cancelConfirmed != 0
 }
 
 // pastCancelTime reports whether the time of the job's cancellation is over.
--- a/internal/simulation/check_service.go
+++ b/internal/simulation/check_service.go
@@ -52,7 +52,7 @@
 // checkServed checks that at least half of each class, of each team and of each class's
 // largest jobs was done in time.
 func (s *Simulation) checkServed() {
-	within := s.plan.serviceTime(s.cfg.Cancel)
+	within := s.plan.serviceTime(s.cfg.CancelWithin)
 	groups := map[string]*served{}
 	for _, u := range s.users {
 		dependenciesDoneAt, ok := u.dependenciesDoneAt()
--- a/internal/simulation/concurrent_faults.go
+++ b/internal/simulation/concurrent_faults.go
@@ -194,7 +194,7 @@
 	s.owner().stateRefusedUntil = s.now + s.between(2*sec, 8*sec)
 	s.cancelRunning(3, 0)
 	s.after(s.between(sec, 5*sec), func() {
-		s.state.SetOutage(s.now + s.cfg.Cancel + 5*sec)
+		s.state.SetOutage(s.now + s.cfg.CancelWithin + 5*sec)
 		s.cancelRunning(2, 0)
 	})
 }
--- a/internal/simulation/concurrent_users.go
+++ b/internal/simulation/concurrent_users.go
@@ -27,7 +27,7 @@
 func (s *Simulation) cancelRunning(count int, hang micros.Micros) {
 	minRemaining := 3 * sec
 	if s.plan.LongOutage {
-		minRemaining = s.cfg.Cancel + 2*sec
+		minRemaining = s.cfg.CancelWithin + 2*sec
 	}
 	var machines []string
 	for _, u := range s.users {
--- a/internal/simulation/jobs.go
+++ b/internal/simulation/jobs.go
@@ -119,13 +119,13 @@
 	}
 	if s.plan.LongOutage && s.rng.IntN(2) == 0 {
 		// A task that is left running has to outlast its cancellation.
-		shortest = s.cfg.Cancel + 15*sec
-		longest = s.cfg.Cancel + 40*sec
+		shortest = s.cfg.CancelWithin + 15*sec
+		longest = s.cfg.CancelWithin + 40*sec
 		u.Fails = false
 		u.willCancel = false
 		u.Submission.Tasks = min(u.Submission.Tasks, 2)
 		u.Submission.CPUs = 1
-		u.Submission.EstimateS = s.cfg.Cancel.Seconds()
+		u.Submission.EstimateS = s.cfg.CancelWithin.Seconds()
 	}
 	return shortest, longest
 }
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -116,7 +116,7 @@
 
 // process has the controller take an input, and carries out the effects.
 func (n *node) process(in controller.Input, took micros.Micros) {
-	at := controller.Instant{Steady: n.steadyClock(), Wall: n.wallClock(), Took: took}
+	at := controller.Instant{Steady: n.steadyClock(), Wall: n.wallClock(), PreviousStepDuration: took}
 	effects := n.controller.Step(at, in)
 	n.sim.countWork(in, n.controller.LastWork())
 	for _, effect := range effects {
--- a/internal/simulation/outages.go
+++ b/internal/simulation/outages.go
@@ -31,10 +31,10 @@
 	n.watchesLostUntil = s.now + 10*sec
 	s.after(lostAnswersTime, func() { n.stateRefusedUntil = s.now + s.between(3*sec, 8*sec) })
 	s.cancelRunning(6, 0)
-	s.after(s.between(1500*ms, 2500*ms), func() { s.state.SetOutage(s.now + s.cfg.Cancel + 6*sec) })
+	s.after(s.between(1500*ms, 2500*ms), func() { s.state.SetOutage(s.now + s.cfg.CancelWithin + 6*sec) })
 	if s.chance(0.4) { // and the others can't reach it either
 		links := n.peerLinks()
-		s.after(lostAnswersTime, func() { s.cut(links, cutReset, s.cfg.Cancel) })
+		s.after(lostAnswersTime, func() { s.cut(links, cutReset, s.cfg.CancelWithin) })
 	}
 }
 
@@ -68,7 +68,7 @@
 	s.StaleEpisodes++
 	s.cancelRunning(4, s.between(0, s.cfg.WorkerLease))
 	s.after(s.between(100*ms, 600*ms), func() {
-		s.jobsRefusedUntil = s.now + s.between(s.cfg.Cancel/2, 2*s.cfg.Cancel)
+		s.jobsRefusedUntil = s.now + s.between(s.cfg.CancelWithin/2, 2*s.cfg.CancelWithin)
 		s.crashOwner(2 * sec)
 	})
 	at := micros.Micros(0)
--- a/internal/simulation/reconnection_waves.go
+++ b/internal/simulation/reconnection_waves.go
@@ -26,7 +26,7 @@
 	})
 	s.after(singleControllerFrom+singleControllerFor-sec, func() {
 		if single.controller != nil {
-			s.CommandedBySingle = single.controller.Commanded()
+			s.CommandedBySingle = single.controller.CommandedMachines()
 			s.UpWithSingle = s.machinesUp()
 		}
 	})
@@ -34,7 +34,7 @@
 
 func (s *Simulation) crashLeader() {
 	for _, n := range s.nodes {
-		if n.controller != nil && n.controller.Leads() {
+		if n.controller != nil && n.controller.IsLeader() {
 			n.crash(leaderAwayFor)
 			return
 		}
