--- a/internal/controller/authority.go
+++ b/internal/controller/authority.go
@@ -5,29 +5,30 @@
 	"garnethitch/internal/wire"
 )
 
-// What this node is entitled to: the methods here gather what it knows, and package authority
-// decides.
+// This file decides what this node may do. Its methods gather the node's current knowledge and pass
+// it to package authority, which holds the rules.
 
-// leaseKnowledge returns what this node knows of its lease.
+// leaseKnowledge returns the state of this node's lease.
 func (o *ownershipState) leaseKnowledge() authority.LeaseKnowledge {
 	return authority.LeaseKnowledge{Held: o.lease.Held(), RenewedAt: o.lease.RenewedAt(), Now: o.now}
 }
 
-// leaseValid reports whether this node may answer for its shards from memory, and write records.
+// leaseValid reports whether this node may answer for its shards from memory and write records.
 func (o *ownershipState) leaseValid() bool {
 	return authority.LeaseValid(o.leaseKnowledge(), o.bounds)
 }
 
-// mayStartTasks reports whether tasks may be started: no other node can have notified a user of a
-// cancellation that this one does not know of. Beyond the lease that is so only while every
-// other controller says that it has lost the state service too: a successor may have notified
-// users, and its own notification of this node may be under way.
+// mayStartTasks reports whether tasks may be started. That requires that no other node can have
+// confirmed a cancellation to a user that this node does not know of. A valid lease ensures it.
+// Without one it holds only while every other controller reports that it has lost the state service
+// too: otherwise a successor may have confirmed a cancellation, and its broadcast to this node may
+// still be in flight.
 func (c *Controller) mayStartTasks() bool {
 	return c.ownership.leaseValid() || c.allPeersLostState()
 }
 
-// allPeersLostState reports whether every other controller is alive and says that it does
-// not reach the state service.
+// allPeersLostState reports whether every other controller is alive and reports that it cannot
+// reach the state service.
 func (c *Controller) allPeersLostState() bool {
 	for _, p := range c.peers {
 		if !c.alive(p) || p.stateReachable {
@@ -37,8 +38,8 @@
 	return true
 }
 
-// mayCommandShard decides whether this node may answer the heartbeats of a shard's machines and
-// send them commands.
+// mayCommandShard decides whether this node may answer heartbeats of a shard's machines and send
+// them commands.
 func (o *ownershipState) mayCommandShard(s *shard) authority.Decision {
 	return authority.MayCommandShard(authority.ShardKnowledge{
 		Lease:            o.leaseKnowledge(),
@@ -51,7 +52,8 @@
 	}, o.bounds)
 }
 
-// activeShard returns the shard if this node owns it and may command its machines, or nil.
+// activeShard returns the shard with an ID if this node owns it and may command its machines, else
+// nil.
 func (o *ownershipState) activeShard(id int) *shard {
 	if s := o.shards[id]; o.mayCommandShard(s).Allowed {
 		return s
@@ -59,8 +61,8 @@
 	return nil
 }
 
-// mayAcceptHeartbeat decides whether this node may use what a heartbeat says of a machine on
-// record.
+// mayAcceptHeartbeat decides whether this node may use the contents of a heartbeat of a machine
+// that has a record.
 func (c *Controller) mayAcceptHeartbeat(m *machine, heartbeat *wire.Heartbeat) authority.Decision {
 	s := c.ownership.shards[m.rec.Shard]
 	known := authority.MachineKnowledge{
@@ -80,17 +82,17 @@
 	})
 }
 
-// positionOf returns the position of a heartbeat among those of its machine.
+// positionOf returns the position of a heartbeat in the sequence of its machine's heartbeats.
 func positionOf(heartbeat *wire.Heartbeat) authority.Position {
 	return authority.Position{AgentEpoch: heartbeat.AgentEpoch, Sequence: heartbeat.Sequence}
 }
 
-// lastPosition returns the position of the last heartbeat that was accepted.
+// lastPosition returns the position of the last accepted heartbeat.
 func (v *view) lastPosition() authority.Position {
 	return authority.Position{AgentEpoch: v.agentEpoch, Sequence: v.sequence}
 }
 
-// mayRenewMachineLease decides whether an accepted heartbeat may be answered, which renews the
+// mayRenewMachineLease decides whether an accepted heartbeat may be answered. The answer renews the
 // machine's lease.
 func (c *Controller) mayRenewMachineLease(s *shard, m *machine, heartbeat *wire.Heartbeat) authority.Decision {
 	return authority.MayRenewMachineLease(authority.RenewalKnowledge{
@@ -100,8 +102,9 @@
 	})
 }
 
-// hasTaskOfUnknownJob reports whether a machine holds a task of a job that may have ended at any
-// time: by its reconciled task list, or by the heartbeat while there is none.
+// hasTaskOfUnknownJob reports whether a machine holds a task of an unknown job, which may have
+// ended at any time. It checks the reconciled task list of the machine, or the heartbeat while
+// there is no such list.
 func (c *Controller) hasTaskOfUnknownJob(s *shard, m *machine, heartbeat *wire.Heartbeat) bool {
 	if m.view.reconciled {
 		return c.holdsTaskOfUnknownJob(s, m)
@@ -109,9 +112,9 @@
 	return c.listsTaskOfUnknownJob(s, heartbeat)
 }
 
-// mayReceiveLateStart reports whether a command in doubt may yet start a task on the machine that
-// was to be stopped so long ago that the machine's agent epoch, which the command names, must
-// end.
+// mayReceiveLateStart reports whether a command whose delivery is in doubt could still start a task
+// whose stop was requested at least LateStartGrace ago. The command is valid only in the machine's
+// current agent epoch, so that epoch must be ended: the machine's lease must not be renewed.
 func (c *Controller) mayReceiveLateStart(m *machine) bool {
 	if m.view.inDoubtToken == 0 {
 		return false
@@ -126,7 +129,7 @@
 }
 
 // mayAnswerFromMemory reports whether this node may answer users' requests about an open job
-// without a read.
+// without reading the job's record.
 func (o *ownershipState) mayAnswerFromMemory(j *job) bool {
 	if j.run == nil {
 		return false
@@ -140,7 +143,8 @@
 	}, o.bounds)
 }
 
-// mayLead reports whether this node may rent, return and assign machines for all shards.
+// mayLead reports whether this node may act as the leader, which rents, returns and assigns
+// machines for all shards.
 func (o *ownershipState) mayLead() bool {
 	leader := &o.leader
 	return authority.MayLead(authority.LeaderKnowledge{
@@ -150,8 +154,8 @@
 	}, o.bounds)
 }
 
-// mayFreeMachine reports whether a machine has provably no task any more, because its lease has
-// run out.
+// mayFreeMachine reports whether a machine certainly has no tasks any more because its lease has
+// expired.
 func (o *ownershipState) mayFreeMachine(s *shard, m *machine) bool {
 	v := m.view
 	return authority.MayFreeMachine(authority.ContentsKnowledge{
@@ -167,9 +171,8 @@
 	}, o.bounds)
 }
 
-// mayReleaseMachine reports whether a machine may leave its shard now: authority.MayReleaseMachine
-// allows it, and its record set can be written. retire is whether it is to be returned to the
-// cloud.
+// mayReleaseMachine reports whether a machine may leave its shard now: the rules allow it, and its
+// record set can be written. retire is set if the machine is to be returned to the cloud.
 func (c *Controller) mayReleaseMachine(m *machine, retire bool) bool {
 	v := m.view
 	return authority.MayReleaseMachine(authority.ReleaseKnowledge{
@@ -188,7 +191,7 @@
 	return !c.overRecordLimit(set) && !set.writeInFlight && c.now >= set.nextWriteAt
 }
 
-// InvariantBroken is the text of the log line of a broken invariant.
+// InvariantBroken is the text of the log line that reports a broken invariant.
 const InvariantBroken = "invariant broken"
 
 // reportBrokenInvariant counts and logs a broken invariant with its evidence. The controller
@@ -214,7 +217,7 @@
 // checkStartInvariants checks the invariants of a task's start.
 func (c *Controller) checkStartInvariants(att *attempt) {
 	if att.prefetch {
-		return // for its image only, of a job that has ended
+		return // prefetches only an image; the job it names has ended
 	}
 	_, ended := c.jobs.final(att.key.job)
 	for _, invariant := range authority.BrokenByStart(ended, c.jobs.cancelled(att.key.job)) {
--- a/internal/controller/authority_test.go
+++ b/internal/controller/authority_test.go
@@ -10,7 +10,7 @@
 	"garnethitch/internal/wire"
 )
 
-// TestDecisionLog checks that the log has each change of what a node may do for a shard, who
+// TestDecisionLog checks that the log shows each change of whether a node may command a shard, who
 // cancelled a job, and why heartbeats were refused.
 func TestDecisionLog(t *testing.T) {
 	h := newOwnerHarness(t, func(c *Config) {
@@ -20,7 +20,7 @@
 	fencingToken, attempt := h.runOneTask()
 	h.cancel("job-000001")
 	h.heartbeat(h.runningHeartbeat(20, fencingToken, attempt))
-	h.heartbeat(h.runningHeartbeat(20, fencingToken, attempt)) // a copy
+	h.heartbeat(h.runningHeartbeat(20, fencingToken, attempt)) // a duplicate
 	h.blockedWatchPrefix = wire.PrefixJob
 	h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}})
 	h.run(2 * sec)
@@ -44,18 +44,18 @@
 		}
 	}
 	if got := h.logged("heartbeat", "reason"); !slices.Contains(got, "accepted") || !slices.Contains(got, "stale_heartbeat") {
-		t.Errorf("heartbeats: %v", got)
+		t.Errorf("logged reasons of heartbeats: %v, want accepted and stale_heartbeat among them", got)
 	}
 }
 
-// setLeaseRenewedAt has the lease of a controller last renewed at a time.
+// setLeaseRenewedAt sets the time of the last renewal of a controller's lease.
 func setLeaseRenewedAt(c *Controller, at micros.Micros) {
 	lease := &c.ownership.lease
 	lease.Grant(lease.ID(), at, c.now)
 }
 
-// TestMayCommandShard checks what the controller knows of a shard, and what it decides from that;
-// the decision alone is tested in package authority.
+// TestMayCommandShard checks that the controller passes its knowledge of a shard correctly to the
+// decision. The decision itself is tested in package authority.
 func TestMayCommandShard(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
@@ -66,33 +66,33 @@
 		{"not the owner", func(_ *Controller, s *shard) { s.ownership = shardNotOwned }, authority.Refuse(authority.ReasonNotOwner)},
 		{"releasing", func(_ *Controller, s *shard) { s.ownership = shardReleasing }, authority.Refuse(authority.ReasonReleasing)},
 		{"a newer claim is known", func(_ *Controller, s *shard) { s.highestSeenEpoch = s.ownerEpoch + 1 }, authority.Refuse(authority.ReasonNewerClaim)},
-		{"the last renewal as old as it may be", func(c *Controller, _ *shard) { setLeaseRenewedAt(c, c.now-c.bounds.CommandValidity+1) }, authority.Allow(authority.ReasonCurrentView)},
+		{"the last renewal just recent enough", func(c *Controller, _ *shard) { setLeaseRenewedAt(c, c.now-c.bounds.CommandValidity+1) }, authority.Allow(authority.ReasonCurrentView)},
 		{"the last renewal too old", func(c *Controller, _ *shard) { setLeaseRenewedAt(c, c.now-c.bounds.CommandValidity) }, authority.Refuse(authority.ReasonLeaseTooOld)},
 		{"no lease", func(c *Controller, _ *shard) { c.ownership.lease.Lose() }, authority.Refuse(authority.ReasonLeaseTooOld)},
-		{"a view as old as it may be", func(c *Controller, s *shard) {
+		{"a view just recent enough", func(c *Controller, s *shard) {
 			s.jobsViewCurrent, c.ownership.jobWatch.CompleteAsOf = false, c.now-c.bounds.StaleViewGrace+1
 		}, authority.Allow(authority.ReasonStaleViewWithinGrace)},
-		{"a view too old, claimed just now", func(c *Controller, s *shard) {
+		{"a view too old after a new claim", func(c *Controller, s *shard) {
 			s.jobsViewCurrent, s.claimedAt, c.ownership.jobWatch.CompleteAsOf = false, c.now, c.now-c.bounds.StaleViewGrace
 		}, authority.Refuse(authority.ReasonStaleViewBeyondGrace)},
-		{"no view, claimed just now", func(c *Controller, s *shard) {
+		{"no view after a new claim", func(c *Controller, s *shard) {
 			s.jobsViewCurrent, s.claimedAt, c.ownership.jobWatch.CompleteAsOf = false, c.now, -micros.Never
 		}, authority.Refuse(authority.ReasonStaleViewBeyondGrace)},
-		{"an old view that was brought up to the claim", func(c *Controller, _ *shard) { c.ownership.jobWatch.CompleteAsOf = -micros.Never }, authority.Allow(authority.ReasonCurrentView)},
+		{"an old view, refreshed after the claim", func(c *Controller, _ *shard) { c.ownership.jobWatch.CompleteAsOf = -micros.Never }, authority.Allow(authority.ReasonCurrentView)},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newOwnerHarness(t, withPeer)
 			s := h.c.ownership.shards[0]
 			tc.setUp(h.c, s)
 			if got := h.c.ownership.mayCommandShard(s); got != tc.want {
-				t.Errorf("%v %s, want %v %s", got.Allowed, got.Reason, tc.want.Allowed, tc.want.Reason)
+				t.Errorf("allowed: %v, reason %s; want %v, %s", got.Allowed, got.Reason, tc.want.Allowed, tc.want.Reason)
 			}
 		})
 	}
 }
 
-// TestMayAcceptHeartbeat checks what the controller knows of a machine, and whether it accepts a
-// heartbeat; the decision alone is tested in package authority.
+// TestMayAcceptHeartbeat checks that the controller passes its knowledge of a machine correctly to
+// the decision whether to accept a heartbeat. The decision itself is tested in package authority.
 func TestMayAcceptHeartbeat(t *testing.T) {
 	for _, tc := range []struct {
 		name         string
@@ -102,11 +102,11 @@
 		want         authority.Decision
 	}{
 		{"a new heartbeat", func(*machine) {}, 50, 0, authority.Allow(authority.ReasonCurrentView)},
-		{"a copy", func(*machine) {}, 3, 0, authority.Refuse(authority.ReasonStaleHeartbeat)},
+		{"a duplicate", func(*machine) {}, 3, 0, authority.Refuse(authority.ReasonStaleHeartbeat)},
 		{"another owner's fencing token", func(*machine) {}, 50, 1, authority.Refuse(authority.ReasonHigherFencingToken)},
 		{"cordoned", func(m *machine) { m.rec.Cordoned = true }, 50, 0, authority.Refuse(authority.ReasonCordoned)},
 		{"returned to the cloud", func(m *machine) { m.returned = true }, 50, 0, authority.Refuse(authority.ReasonReturned)},
-		{"no view of it yet", func(m *machine) { m.view = nil }, 50, 0, authority.Refuse(authority.ReasonNotOwner)},
+		{"no view of the machine yet", func(m *machine) { m.view = nil }, 50, 0, authority.Refuse(authority.ReasonNotOwner)},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newOwnerHarness(t, withPeer)
@@ -115,7 +115,7 @@
 			tc.setUp(m)
 			heartbeat := heartbeatFrom("vm-1", 1, tc.seq, fencingToken+tc.fencingToken)
 			if got := h.c.mayAcceptHeartbeat(m, &heartbeat); got != tc.want {
-				t.Errorf("%v %s, want %v %s", got.Allowed, got.Reason, tc.want.Allowed, tc.want.Reason)
+				t.Errorf("allowed: %v, reason %s; want %v, %s", got.Allowed, got.Reason, tc.want.Allowed, tc.want.Reason)
 			}
 		})
 	}
--- a/internal/controller/checkpoint_recovery.go
+++ b/internal/controller/checkpoint_recovery.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	// checkpointsPerPage is how many checkpoints one listing asks for.
+	// checkpointsPerPage is the number of checkpoints requested per page of a listing.
 	checkpointsPerPage    = 200
 	checkpointListTimeout = 3 * micros.Second
 )
 
-// checkpointListing collects the checkpoints of all jobs, page by page.
+// checkpointListing collects the checkpoints of all jobs page by page.
 type checkpointListing struct {
-	after        string // the last key of the pages so far
+	after        string // last key of the pages received
 	records      map[string]wire.CheckpointRecord
 	modRevisions map[string]uint64
 }
 
-// loadCheckpoints reads all checkpoints after a claim: from then on only this owner
-// writes those of its jobs.
+// loadCheckpoints reads all checkpoints after a claim. After the claim only this owner writes the
+// checkpoints of its jobs.
 func (c *Controller) loadCheckpoints(s *shard) {
 	c.listCheckpoints(s, &checkpointListing{
 		records:      map[string]wire.CheckpointRecord{},
@@ -31,7 +31,8 @@
 	})
 }
 
-// listCheckpoints asks for the next page of checkpoints, and applies them after the last.
+// listCheckpoints requests the next page of checkpoints, and applies all checkpoints after the last
+// page.
 func (c *Controller) listCheckpoints(s *shard, listing *checkpointListing) {
 	ownerEpoch := s.ownerEpoch
 	s.loadingCheckpoints = true
@@ -68,7 +69,7 @@
 	}
 }
 
-// applyCheckpoints has a shard's recovered jobs continue from a complete listing.
+// applyCheckpoints restores a shard's recovered jobs from a complete listing of checkpoints.
 func (c *Controller) applyCheckpoints(s *shard, listing *checkpointListing) {
 	s.loadingCheckpoints = false
 	s.checkpointsLoaded = true
@@ -80,12 +81,13 @@
 			c.applyCheckpoint(s, j)
 		}
 	}
-	// The tasks of machines reconciled before this were only noted.
+	// Tasks of machines that were reconciled before the checkpoints were loaded have only been
+	// noted.
 	c.reconcileAfterCheckpointLoad(s)
 	c.schedulingDue = true
 }
 
-// applyCheckpoint has a recovered job continue from its newest checkpoint.
+// applyCheckpoint restores a recovered job from its newest checkpoint.
 func (c *Controller) applyCheckpoint(s *shard, j *job) {
 	r := j.run
 	r.checkpointApplied = true
@@ -101,7 +103,8 @@
 	}
 }
 
-// restore adds what a checkpoint record of a job with so many tasks says.
+// restore adds the progress in a checkpoint record to the run of a job with the given number of
+// tasks.
 func (r *run) restore(rec wire.CheckpointRecord, tasks int) {
 	for task := range checkpoint.DoneTasks(rec, tasks).All() {
 		if r.done.Add(task) {
--- a/internal/controller/checkpoints.go
+++ b/internal/controller/checkpoints.go
@@ -10,37 +10,37 @@
 )
 
 const (
-	// checkpointInterval is the least time between two checkpoints of a job. It is short since
-	// a machine counts as empty, to be moved or returned, only once the ends of its tasks are
-	// on record.
+	// checkpointInterval is the minimum time between two checkpoints of a job. It is short because
+	// a machine counts as empty, and so can be moved or returned, only once the ends of its tasks
+	// are on record.
 	checkpointInterval = 2 * micros.Second
-	// checkpointWriteFraction is the part of this node's writes that the checkpoints of
-	// a shard's jobs together take at most.
+	// checkpointWriteFraction is the maximum fraction of this node's writes that the checkpoints of
+	// a shard's jobs use together.
 	checkpointWriteFraction = 1.0 / 2
 
 	checkpointWriteTimeout = 2 * micros.Second
 	checkpointReadTimeout  = micros.Second
 )
 
-// jobCheckpoint is what the owner of a job knows of the job's checkpoint (the paper's
-// "Version") in the state service.
+// jobCheckpoint is what the owner of a job knows of the job's checkpoint in the state service. The
+// paper calls a checkpoint a "Version".
 type jobCheckpoint struct {
-	// modRevision is the revision of the checkpoint's key; 0: none stands.
+	// modRevision is the revision of the checkpoint's key; 0 means that there is no checkpoint.
 	modRevision uint64
-	// dirty is set if the job has progress that no checkpoint was written for.
+	// dirty is set if the job has progress that is not in a checkpoint and not being written.
 	dirty bool
-	// inFlight is set while a write, or the read that resolves one, is under way.
+	// inFlight is set while a write, or the read that resolves a write in doubt, is in flight.
 	inFlight    bool
 	nextWriteAt micros.Micros
 	// recorded are the tasks whose end is in a recorded checkpoint.
 	recorded checkpoint.TaskSet
-	// awaiting are exited attempts whose end is in none yet.
+	// awaiting are the exited attempts whose end is not in a recorded checkpoint yet.
 	awaiting []*attempt
-	// recoveries are the times of day, in milliseconds, of the latest recoveries.
+	// recoveries are the times of the latest recoveries of the job, in Unix milliseconds.
 	recoveries []int64
 }
 
-// due reports whether a checkpoint is to be written now.
+// due reports whether a checkpoint should be written now.
 func (p *jobCheckpoint) due(now micros.Micros) bool {
 	return p.dirty && !p.inFlight && now >= p.nextWriteAt
 }
@@ -48,7 +48,7 @@
 // mayExist reports whether the state service may hold a checkpoint of the job.
 func (p *jobCheckpoint) mayExist() bool { return p.modRevision != 0 || p.inFlight }
 
-// addRecovery adds a recovery of the job to the next checkpoint.
+// addRecovery adds a recovery of the job at a time of day to the next checkpoint.
 func (p *jobCheckpoint) addRecovery(wall micros.Micros) {
 	p.recoveries = append(p.recoveries, wall.Millis())
 	if excess := len(p.recoveries) - checkpoint.MaxRecoveries; excess > 0 {
@@ -65,8 +65,8 @@
 	p.awaiting = append(p.awaiting, att)
 }
 
-// setRecorded takes the tasks of a checkpoint that stands at a revision, and releases the
-// attempts that awaited it.
+// setRecorded records that a checkpoint exists at a revision and covers some tasks. It releases the
+// attempts that were waiting for it.
 func (p *jobCheckpoint) setRecorded(modRevision uint64, covered checkpoint.TaskSet) {
 	p.inFlight = false
 	p.modRevision = modRevision
@@ -83,7 +83,7 @@
 	p.awaiting = waiting
 }
 
-// buildCheckpoint returns a job's checkpoint record, and the done tasks that it names.
+// buildCheckpoint returns a job's checkpoint record and the set of done tasks that it contains.
 func (c *Controller) buildCheckpoint(j *job) (wire.CheckpointRecord, checkpoint.TaskSet) {
 	progress := checkpoint.Progress{
 		Tasks:      j.sub.Tasks,
@@ -95,15 +95,15 @@
 	return checkpoint.NewRecord(progress, c.cfg.ValueBytes)
 }
 
-// checkpointIntervalFor is the time between a job's checkpoints with which all of a shard's jobs
-// together leave most of the writes to what users wait for.
+// checkpointIntervalFor returns the time between two checkpoints of a job of a shard. It grows with
+// the number of jobs, so that checkpoints leave enough writes for the requests that users wait for.
 func (c *Controller) checkpointIntervalFor(s *shard) micros.Micros {
 	jobs := len(c.queue(s))
 	writesPerSecond := c.stateQueue.WriteRate() * checkpointWriteFraction
 	return max(checkpointInterval, micros.FromSeconds(float64(jobs)/writesPerSecond))
 }
 
-// recordCheckpoint writes a job's newest checkpoint.
+// recordCheckpoint writes a checkpoint of a job's current progress.
 func (c *Controller) recordCheckpoint(j *job) {
 	r := j.run
 	rec, covered := c.buildCheckpoint(j)
@@ -129,9 +129,8 @@
 	})
 }
 
-// checkpointTxn is the transaction that writes a checkpoint. The job's own key is among
-// its conditions, so that a copy that is executed after the job's end leaves nothing
-// behind.
+// checkpointTxn returns the transaction that writes a checkpoint. The job's own key is one of its
+// conditions, so that a copy executed after the job's end writes nothing.
 func checkpointTxn(s *shard, j *job, value wire.Raw) wire.Txn {
 	key := wire.CheckpointKey(j.id)
 	return wire.Txn{
@@ -144,7 +143,7 @@
 	}
 }
 
-// checkpointNotRecorded handles a checkpoint whose write did not succeed, or may not have.
+// checkpointNotRecorded handles a checkpoint whose write failed or is in doubt.
 func (c *Controller) checkpointNotRecorded(j *job, r *run, outcome statestore.Outcome, valueBytes int) {
 	p := &r.checkpoint
 	p.dirty = true
@@ -162,7 +161,7 @@
 	}
 }
 
-// refreshCheckpointRevision reads the revision at which a job's checkpoint stands.
+// refreshCheckpointRevision reads the current revision of a job's checkpoint.
 func (c *Controller) refreshCheckpointRevision(j *job, r *run) {
 	get := statestore.GetKey{Key: wire.CheckpointKey(j.id)}
 	c.queueStateRequest(statestore.ClassCheckpoint, get, checkpointReadTimeout, func(res statestore.Reply) {
--- a/internal/controller/checkpoints_test.go
+++ b/internal/controller/checkpoints_test.go
@@ -8,27 +8,29 @@
 	"garnethitch/internal/wire"
 )
 
-// TestLateJobIsAdopted checks that a job that becomes known only after its machines are reconciled
-// gets its running tasks before anything is scheduled: a task ran twice when a controller came back
-// from a network partition with an old view (Inkingi faults, seed 182635972162).
+// TestLateJobIsAdopted checks that the running tasks of a job that becomes known only after its
+// machines were reconciled are adopted before anything is scheduled. Otherwise a task ran twice
+// when a controller came back from a network partition with a stale view (Inkingi faults, seed
+// 182635972162).
 func TestLateJobIsAdopted(t *testing.T) {
 	h := newHarness(t, nil)
 	fencingToken := h.reconcileMachine("vm-1")
 	other := h.reconcileMachine("vm-2")
 	h.heartbeat(heartbeatFrom("vm-1", 1, 10, fencingToken, wire.TaskStatus{Task: "job-000001/0", Attempt: 7, State: wire.TaskRunning}))
 	sub := newSubmission("job-000001", 1)
-	// As if accepted before this node's claim: its record has a lower revision.
+	// The record's revision is lower than that of this node's claim, as if the job had been
+	// accepted before the claim.
 	h.c.learnJob("job-000001", wire.JobRecord{Submission: &sub, State: wire.StatePending, Tasks: 1}, 1)
 	h.c.schedulingDue = true
 	h.run(sec)
 	_, body := h.heartbeat(heartbeatFrom("vm-2", 1, 10, other))
 	if len(startCommands(body.Commands)) != 0 || len(h.directStarts()) != 0 {
-		t.Errorf("started again: %v %v", body.Commands, h.directStarts())
+		t.Errorf("the task was started again: commands in the answer %v, direct commands %v", body.Commands, h.directStarts())
 	}
 }
 
-// TestApplyCheckpointRestoresDoneTasks checks that a new owner restores from a checkpoint the tasks
-// that it names.
+// TestApplyCheckpointRestoresDoneTasks checks that a new owner restores the done tasks of a job
+// from its checkpoint.
 func TestApplyCheckpointRestoresDoneTasks(t *testing.T) {
 	const tasks, done = 2000, 1000
 	c := New(Config{Shards: 1, Teams: []Team{{Name: "t"}}, ValueBytes: 8 << 10, StateRPS: 1, WriteRPS: 1, CloudRPS: 1}, 1)
@@ -48,20 +50,19 @@
 	}
 	rec, _ := c.buildCheckpoint(former)
 	if rec.Count != done || len(rec.Ranges) != 0 {
-		t.Fatalf("%d done in %d ranges, want %d in a set", rec.Count, len(rec.Ranges)/2, done)
+		t.Fatalf("the checkpoint has %d done tasks in %d ranges, want %d in a set", rec.Count, len(rec.Ranges)/2, done)
 	}
 	recovered := newJob()
 	c.applyCheckpoint(&shard{shardRecovery: shardRecovery{checkpoints: map[string]wire.CheckpointRecord{sub.ID: rec}}}, recovered)
 	if recovered.run.doneCount != done || !slices.Equal(recovered.run.done, former.run.done) {
-		t.Errorf("read as %d done, want %d", recovered.run.doneCount, done)
+		t.Errorf("restored %d done tasks, want %d", recovered.run.doneCount, done)
 	}
 	if !slices.Equal(recovered.run.checkpoint.recorded, former.run.done) {
 		t.Error("the restored tasks do not count as recorded")
 	}
 }
 
-// TestLateCheckpoint checks that a checkpoint that is executed after its job's end leaves nothing
-// behind.
+// TestLateCheckpoint checks that a checkpoint write executed after its job's end writes nothing.
 func TestLateCheckpoint(t *testing.T) {
 	h := newOwnerHarness(t, withPeer)
 	fencingToken := h.reconcileMachine("vm-1")
@@ -78,14 +79,14 @@
 	late := h.delayedTxns
 	h.delayPrefix, h.delayedTxns = "", nil
 	for _, c := range late {
-		h.step(Result{ID: c.ID}) // given up
+		h.step(Result{ID: c.ID}) // the request times out
 	}
-	h.run(sec / 2) // read: nothing stands there
+	h.run(sec / 2) // the controller reads the revision: there is no checkpoint
 	if a := h.cancel("job-000001"); a.Status != 200 {
-		t.Fatalf("cancellation got %d", a.Status)
+		t.Fatalf("cancellation was answered %d", a.Status)
 	}
 	h.delayedTxns = late
 	if n := h.applyDelayedTxns(); n != 0 {
-		t.Errorf("%d checkpoints of a job that is over were written", n)
+		t.Errorf("%d checkpoints of a job that has ended were written", n)
 	}
 }
--- a/internal/controller/compat_test.go
+++ b/internal/controller/compat_test.go
@@ -12,14 +12,15 @@
 	"garnethitch/internal/wire"
 )
 
-// What older versions that may run beside this one write, read by this one, and the
-// reverse. The samples were written by those versions; see testdata.
+// These tests check that this version reads what older versions that may run beside it write, and
+// the reverse. The samples were written by those versions; see testdata.
 
 const (
 	productionVersion = "025d571"
 	lastLandedVersion = "040d356"
 )
 
+// readSamples returns the samples written by a version, by kind and name.
 func readSamples(t *testing.T, version string) map[string]map[string][]byte {
 	text, err := os.ReadFile("testdata/" + version + "/samples.json")
 	if err != nil {
@@ -43,7 +44,8 @@
 	return out
 }
 
-// The version in production's own types of what has changed since.
+// The types of the version in production that have changed since. An older version decodes with
+// these.
 type (
 	oldSubmission struct {
 		ID          string   `cbor:"nameId"`
@@ -85,8 +87,8 @@
 	}
 )
 
-// TestOlderVersionsAreRead checks that every record and message of older versions is read whole:
-// written again by this version it is the same, byte for byte.
+// TestOlderVersionsAreRead checks that this version reads every record and message of older
+// versions completely: encoded again, each is the same byte for byte.
 func TestOlderVersionsAreRead(t *testing.T) {
 	for _, version := range []string{productionVersion, lastLandedVersion} {
 		t.Run(version, func(t *testing.T) { testReadSamples(t, version) })
@@ -98,10 +100,10 @@
 	if version == lastLandedVersion {
 		var rec wire.JobRecord
 		if err := wire.Decode(samples["records"]["job chained"], &rec); err != nil || rec.WithDependencies == nil || len(rec.WithDependencies.DependsOn) != 2 {
-			t.Errorf("a chained job is read as %+v, %v", rec, err)
+			t.Errorf("a job with dependencies is read as %+v, %v", rec, err)
 		}
 		if again := encoded(t, rec); string(again) != string(samples["records"]["job chained"]) {
-			t.Errorf("a chained job is written again as %x", again)
+			t.Errorf("a job with dependencies is encoded again as %x", again)
 		}
 		delete(samples["records"], "job chained")
 	}
@@ -116,7 +118,7 @@
 			continue
 		}
 		if again, err := wire.Encode(into); err != nil || string(again) != string(b) {
-			t.Errorf("%s: written again as %x, %v; was %x", name, again, err, b)
+			t.Errorf("%s: encoded again as %x, %v; was %x", name, again, err, b)
 		}
 		delete(samples["records"], name)
 	}
@@ -130,20 +132,20 @@
 			continue
 		}
 		if again, err := peer.Encode(into); err != nil || string(again) != string(b) {
-			t.Errorf("%s: written again as %x, %v; was %x", name, again, err, b)
+			t.Errorf("%s: encoded again as %x, %v; was %x", name, again, err, b)
 		}
 		delete(samples["messages"], name)
 	}
 	for kind, rest := range samples {
 		for name := range rest {
-			t.Errorf("%s of the %s is looked at by nothing", name, kind)
+			t.Errorf("%s of the %s is not checked by this test", name, kind)
 		}
 	}
 }
 
-// TestFailoverFromOlderVersions checks that a node of this version continues after a failover with
-// what an older one left: its jobs, checkpoints and machines, the ends of its jobs as dependencies
-// among them.
+// TestFailoverFromOlderVersions checks that after a failover a node of this version continues with
+// the jobs, checkpoints and machines of an older version. Jobs that the older version ended also
+// count as dependencies.
 func TestFailoverFromOlderVersions(t *testing.T) {
 	for _, version := range []string{productionVersion, lastLandedVersion} {
 		t.Run(version, func(t *testing.T) { testFailoverFrom(t, version) })
@@ -169,37 +171,37 @@
 	if version == lastLandedVersion {
 		store(wire.JobKey("job-000414"), samples["records"]["job chained"])
 	}
-	h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}}) // claimed anew
+	h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}}) // the shard is claimed again
 	h.run(3 * sec)
 	c := h.c
 	if j := c.jobs.open["job-000414"]; version == lastLandedVersion && (j == nil || !j.blocked() || len(j.needs) != 2) {
-		t.Errorf("its chained job is taken as %+v", j)
+		t.Errorf("the job with dependencies is known as %+v, want it blocked by two jobs", j)
 	}
 	j := c.jobs.open["job-000412"]
 	if j == nil || j.run == nil || j.run.doneCount != 6 || !j.run.done.Has(9) {
-		t.Fatalf("its job or Version was not taken over: %+v", j)
+		t.Fatalf("the job or its checkpoint was not taken over: %+v", j)
 	}
 	if len(c.machines) != 50 || !c.machines["vm-000103"].rec.Cordoned {
-		t.Errorf("%d machines, want 50", len(c.machines))
+		t.Errorf("%d machines, want 50, vm-000103 cordoned", len(c.machines))
 	}
 	if a := h.submit(after("job-000500", 1, "job-000001", "job-000413")); a.Status != 201 {
-		t.Errorf("depends on its jobs: %d", a.Status)
+		t.Errorf("a submission that depends on jobs of the older version is answered %d", a.Status)
 	}
 	if a := h.submit(after("job-000501", 1, "job-000002")); a.Status != 201 || stateOf(a) != wire.StateCancelled {
-		t.Errorf("depends on one that it cancelled: %d %s", a.Status, stateOf(a))
+		t.Errorf("a submission that depends on a job cancelled by the older version is answered %d, state %s", a.Status, stateOf(a))
 	}
 	if j := c.jobs.open["job-000500"]; j == nil || !j.blocked() || j.needs["job-000001"] {
-		t.Errorf("%+v: want held by job-000413 alone", j)
+		t.Errorf("%+v: want it blocked by job-000413 alone", j)
 	}
 	h.cancel("job-000413")
 	h.run(2 * sec)
 	if s := h.jobState("job-000414"); version == lastLandedVersion && s != wire.StateCancelled {
-		t.Errorf("its chained job is called %q after the job before it was cancelled", s)
+		t.Errorf("the job with dependencies is reported as %q after a dependency was cancelled", s)
 	}
 	if s := h.jobState("job-000500"); s != wire.StateCancelled {
-		t.Errorf("called %q after the job before it was cancelled", s)
+		t.Errorf("job-000500 is reported as %q after its dependency was cancelled", s)
 	}
-	// Its messages are answered.
+	// Requests of the older version are answered.
 	for name, b := range samples["messages"] {
 		var req peer.Request
 		if peer.Decode(b, &req) != nil || req.Status == nil && req.JobRequest == nil && req.JobRecordHint == nil && req.Release == nil {
@@ -207,13 +209,13 @@
 		}
 		req.From = "n-1"
 		if a := h.request(func(r ReplyID) Input { return PeerRequest{Reply: r, Req: req} }); a.Status != 200 {
-			t.Errorf("%s is answered %d", name, a.Status)
+			t.Errorf("message %s is answered %d", name, a.Status)
 		}
 	}
 }
 
-// TestOlderVersionsReadRequestsToRecord checks that a request to record dependents is lost on an
-// older version, and nothing else of the message is.
+// TestOlderVersionsReadRequestsToRecord checks that an older version ignores a request to record
+// dependents but reads the rest of the message.
 func TestOlderVersionsReadRequestsToRecord(t *testing.T) {
 	about := peer.ControllerState{UptimeUS: 5, StateOK: true, Claims: []peer.ShardClaim{{Shard: 1, OwnerEpoch: 77}}}
 	sent, err := peer.Encode(peer.Request{From: "n-1", Status: &peer.Status{ControllerState: about, Cancelled: []string{"job-000412"}, JobsToCancel: []string{"job-000413"}}})
@@ -229,8 +231,9 @@
 	}
 }
 
-// TestProductionVersionReadsRecords checks that what this version writes, the version in production
-// reads as it did its own; a job with dependencies it takes for pending, and starts nothing of it.
+// TestProductionVersionReadsRecords checks that the version in production reads the records of this
+// version like its own. It takes a job with dependencies as pending, without a submission, and so
+// starts none of its tasks.
 func TestProductionVersionReadsRecords(t *testing.T) {
 	due := 900.0
 	sub := wire.Submission{ID: "job-000412", Class: "c", Team: "t", Kind: "sweep", Priority: "high", Tasks: 16, CPUs: 8, Image: "i", Types: []string{"m"}, DeadlineS: &due}
@@ -256,13 +259,13 @@
 			t.Errorf("%s: read as %+v", tc.name, old.Submission)
 		}
 	}
-	// Written again by the version in production, a plain job's record loses nothing.
+	// Encoded again by the version in production, a plain job's record is unchanged.
 	var old oldJobRecord
 	plain := encoded(t, wire.NewJobRecord(&sub, 5))
 	if err := wire.Decode(plain, &old); err != nil || string(encoded(t, old)) != string(plain) {
-		t.Errorf("written again as %x, %v", encoded(t, old), err)
+		t.Errorf("encoded again as %x, %v", encoded(t, old), err)
 	}
-	// Splits of record sets are record sets like any other.
+	// The parts of a split record set are ordinary record sets.
 	var list []*machine
 	for i := range 24 {
 		list = append(list, &machine{id: fmt.Sprintf("vm-%06d", i)})
--- a/internal/controller/config.go
+++ b/internal/controller/config.go
@@ -7,19 +7,20 @@
 	"garnethitch/quota"
 )
 
-// defaultMaxJobs is how many jobs are kept, unfinished and final each, where Config says nothing.
+// defaultMaxJobs is the default of Config.MaxOpenJobs and Config.MaxFinalJobs.
 const defaultMaxJobs = 20_000
 
-// Team is a team's guarantee and limit.
+// Team is the quota of a team: its guarantee and its limits.
 type Team struct {
 	Name string
-	// CPUs and GPUs are guaranteed to the team. CPUsMax and GPUsMax are its limits; 0: none.
+	// CPUs and GPUs are guaranteed to the team. CPUsMax and GPUsMax are its limits; 0 means no
+	// limit.
 	CPUs, CPUsMax, GPUs, GPUsMax float64
 }
 
-// Config is all that a controller knows from the settings.
+// Config holds the settings of a controller.
 type Config struct {
-	Label  string   // of this controller
+	Label  string   // label of this controller
 	Peers  []string // labels of the other controllers
 	Shards int      // number of shards
 	Teams  []Team
@@ -28,72 +29,75 @@
 	Lease micros.Micros
 	// HeartbeatInterval is the time between two heartbeats of a worker.
 	HeartbeatInterval micros.Micros
-	// WorkerLease is how long a worker keeps its tasks after the last answered heartbeat.
+	// WorkerLease is how long a worker keeps its tasks after its last answered heartbeat.
 	WorkerLease micros.Micros
 	// CancelWithin is the time within which all tasks of a cancelled job must be gone.
 	CancelWithin micros.Micros
 
-	// StateRPS is what the state service takes of all controllers together, in requests a
-	// second; WriteRPS in changes a second.
+	// StateRPS and WriteRPS are the limits of the state service for all controllers together, in
+	// requests and in writes a second.
 	StateRPS, WriteRPS float64
 	// ValueBytes bounds the size of a value in the state service, in bytes.
 	ValueBytes int
-	// TxnOps bounds the changes in one transaction.
+	// TxnOps bounds the number of changes in one transaction.
 	TxnOps int
 
-	// CloudRPS is what the cloud takes, in requests a second.
+	// CloudRPS is the request limit of the cloud API, in requests a second.
 	CloudRPS float64
-	// ListLag is how long the cloud's list may lag behind.
+	// ListLag is how far the cloud's machine list may lag behind.
 	ListLag micros.Micros
 
-	// MaxWorkerRequests bounds the requests to workers in flight; below minWorkerRequests:
-	// minWorkerRequests.
+	// MaxWorkerRequests bounds the requests to workers in flight. Values below
+	// minWorkerRequestsInFlight are raised to it.
 	MaxWorkerRequests int
-	// MaxOpenJobs bounds the unfinished jobs: past it submissions are refused, with a time
-	// to try again. 0: defaultJobs.
+	// MaxOpenJobs bounds the unfinished jobs. Submissions beyond it are refused with a Retry-After
+	// time. 0 means defaultMaxJobs.
 	MaxOpenJobs int
-	// MaxFinalJobs bounds the final jobs kept in memory; older ones are read again. 0:
-	// defaultJobs.
+	// MaxFinalJobs bounds the final jobs kept in memory. Older ones are read from the state service
+	// when a user asks for them. 0 means defaultMaxJobs.
 	MaxFinalJobs int
-	// MaxStateRequests bounds the requests to the state service in flight, leases excepted:
-	// what the process takes above it is left to renewals and watches. 0: no bound.
+	// MaxStateRequests bounds the requests to the state service in flight, those of the lease class
+	// excepted: the remaining connections of the process are reserved for lease renewals and
+	// watches. 0 means no bound.
 	MaxStateRequests int
-	// MaxPeerQuestions bounds the users' questions to other controllers in flight: what the
-	// process takes above it is left to the controllers' own messages. 0: no bound.
+	// MaxPeerQuestions bounds the user requests forwarded to other controllers in flight: the
+	// remaining connections of the process are reserved for messages between controllers. 0 means
+	// no bound.
 	MaxPeerQuestions int
-	// MaxRegistrations bounds the machines without a record whose heartbeats wait for one:
-	// each holds a connection. Past it a heartbeat is answered 503, and its machine sends the
-	// next one to another controller a second later. 0: MaxMachines.
+	// MaxRegistrations bounds the machines without a record whose heartbeats wait for one to be
+	// written: each holds a connection. A heartbeat beyond it is answered with 503, and its machine
+	// sends the next one to another controller a second later. 0 means MaxMachines.
 	MaxRegistrations int
 
-	// SilentReturn is how long a machine may be silent before it is returned to the cloud. 0:
-	// it never is; below 0: derived from HeartbeatInterval.
+	// SilentReturn is how long a machine may send no heartbeat before it is returned to the cloud.
+	// 0 means that silent machines are never returned; a negative value means a time derived from
+	// HeartbeatInterval.
 	SilentReturn micros.Micros
-	// DrainHorizon is the time within which the fleet is to be large enough to work off what
-	// waits.
+	// DrainHorizon is the time within which the fleet should be able to work off the backlog;
+	// scaling out aims at it.
 	DrainHorizon micros.Micros
-	// IdleReturn is how long a machine may be idle before it is returned.
+	// IdleReturn is how long a machine may be idle before it is returned to the cloud.
 	IdleReturn micros.Micros
-	// CordonPeriod is how long a machine on which tasks fail gets no new ones.
+	// CordonPeriod is how long a machine on which tasks fail gets no new tasks.
 	CordonPeriod micros.Micros
-	// MaxMachines bounds the machines of the fleet.
+	// MaxMachines bounds the number of machines in the fleet.
 	MaxMachines int
 
-	// GuaranteeWithin is the time within which work within a team's guarantee is to be
-	// started. 0: no objective.
+	// GuaranteeWithin is the time within which work that fits into a team's guarantee should be
+	// started. 0 means no objective.
 	GuaranteeWithin micros.Micros
-	// BeginWithin is the longest that a job should wait for its first start. 0: no limit.
+	// BeginWithin is the longest time that a job should wait for its first start. 0 means no limit.
 	BeginWithin micros.Micros
-	// StartWithin and FinishWithin hold the service-level objectives by class of job: the
-	// time within which its tasks are to be started, and its jobs to be finished. A class
-	// without an entry has none.
+	// StartWithin and FinishWithin hold the service-level objectives by job class: the time within
+	// which a job's tasks should be started, and the time within which the job should be finished.
+	// A class without an entry has no objective.
 	StartWithin, FinishWithin map[string]micros.Micros
 
-	// Quota are the groups above teams; nil: none.
+	// Quota is the tree of quota groups above the teams; nil means that there are none.
 	Quota *quota.Tree
-	// Trace enables Spans of what happens to Quota.
+	// Trace enables Spans that trace changes to Quota.
 	Trace bool
-	// LogHeartbeats enables a debug line for each heartbeat, with its answer.
+	// LogHeartbeats enables a debug log line for each heartbeat and for each first stop of a task.
 	LogHeartbeats bool
 }
 
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,7 +1,7 @@
-// Package controller decides everything that a controller does. It is a state machine: Step
-// takes the time and one input and returns the effects, which the caller carries out. It does no
-// I/O, reads no clock, starts no goroutine and draws its random numbers from the seed it was
-// given.
+// Package controller holds all decisions of a controller. It is a deterministic state machine: Step
+// takes the time and one input, and returns the effects, which the caller carries out. The package
+// does no I/O, reads no clock and starts no goroutine; its random numbers come from the seed given
+// to New.
 package controller
 
 import (
@@ -12,12 +12,12 @@
 	"garnethitch/internal/micros"
 )
 
-// Controller is the state of one controller.
+// Controller is the state machine of one controller process. It is not safe for concurrent use.
 type Controller struct {
 	stepContext
 
-	userReads            *statestore.Reads // of job records, for users
-	unsentRequestsLogged uint64            // requests given up unsent when that was last logged
+	userReads            *statestore.Reads // reads of job records for user requests
+	unsentRequestsLogged uint64            // requests dropped before they were sent, as of the last log line
 
 	ownership            ownershipState
 	jobSharding          jobSharding
@@ -27,14 +27,14 @@
 	fleet                fleetState
 	quota                quotas
 	peers                map[string]*peerView
-	peerRequestsInFlight int      // users' questions to other controllers
+	peerRequestsInFlight int      // user requests forwarded to other controllers
 	nodes                []string // labels of all controllers, sorted
 
 	machines              map[string]*machine
 	machineRecords        machineRecords
 	commandQueue          commandQueue
-	taskListRound         uint64                   // of applyTaskList
-	misdirectedHeartbeats map[string]micros.Micros // machines that sent one here and belong to another shard, and when
+	taskListRound         uint64                   // counts the calls of applyTaskList
+	misdirectedHeartbeats map[string]micros.Micros // time of the last misdirected heartbeat received here, by machine
 
 	types          machineTypes
 	estimates      estimate.RunTimes
@@ -45,15 +45,15 @@
 	scheduling       schedulingState
 	preemptionPolicy preemptionPolicy
 	maintenance      maintenanceState
-	// visited counts the machines, jobs and attempts that were visited, visitedBefore those
-	// up to the step under way; see Work.
+	// visited counts the machines, jobs and attempts visited since the start; visitedBefore is its
+	// value at the beginning of the current step. See Work.
 	visited, visitedBefore uint64
 }
 
-// minWorkerRequestsInFlight is the least bound of the requests to workers in flight.
+// minWorkerRequestsInFlight is the lower bound of Config.MaxWorkerRequests.
 const minWorkerRequestsInFlight = 8
 
-// New returns a controller. Equal seeds and inputs give equal effects.
+// New returns a controller that has not made a step yet. Equal seeds and inputs give equal effects.
 func New(cfg Config, seed uint64) *Controller {
 	cfg = cfg.withDefaults()
 	c := &Controller{
@@ -87,7 +87,7 @@
 	return c
 }
 
-// Step takes one input at an instant and returns what follows from it.
+// Step processes one input at an instant and returns the resulting effects.
 func (c *Controller) Step(at Instant, in Input) []Effect {
 	c.beginStep(at)
 	c.dispatch(in)
@@ -102,8 +102,8 @@
 	return c.takeEffects()
 }
 
-// beginStep advances the clocks, of which the steady one does not run back, and takes in how long
-// the step before took.
+// beginStep advances both clocks and accounts for the duration of the previous step. The steady
+// clock never runs backwards.
 func (c *Controller) beginStep(at Instant) {
 	c.now = max(c.now, at.Steady)
 	c.wall = at.Wall
@@ -116,8 +116,8 @@
 	c.restAfter(at.PreviousStepDuration)
 }
 
-// start counts the limits from the first step on. Maintenance is due in it, but not so late that
-// it counts as a stall.
+// start initializes the rate limits and timers in the first step. Maintenance is due in that step;
+// its last run is set recent enough that the time before the start does not count as a stall.
 func (c *Controller) start() {
 	c.startedAt = c.now
 	c.stateQueue.StartAt(c.now)
@@ -125,7 +125,7 @@
 	c.maintenance.lastRunAt = c.now - stallThreshold
 }
 
-// dispatch takes in one input.
+// dispatch passes an input to its handler.
 func (c *Controller) dispatch(in Input) {
 	switch in := in.(type) {
 	case Tick:
--- a/internal/controller/decision_log.go
+++ b/internal/controller/decision_log.go
@@ -6,23 +6,24 @@
 	"garnethitch/internal/wire"
 )
 
-// Log lines that say why this node acted or did not: each change of what it may do for a
-// shard, each cancellation, and how many heartbeats were refused. The course of a job can be put
-// together from them; docs/operations.md explains the lines.
+// This file logs why this node acted or did not: each change of whether it may command a shard,
+// each cancellation, and the counts of refused heartbeats. The history of a job can be
+// reconstructed from these lines; docs/operations.md explains them.
 
-// decisionLog is what has been logged, and what has been counted since.
+// decisionLog is what was last logged, and the counters since then.
 type decisionLog struct {
-	shardReasons      []authority.Reason            // by shard, as last logged
-	refusedHeartbeats [authority.ReasonCount]uint64 // since they were last logged
+	shardReasons      []authority.Reason            // last logged reason, by shard
+	refusedHeartbeats [authority.ReasonCount]uint64 // by reason, since they were last logged
 	nextRefusalLogAt  micros.Micros
-	brokenInvariants  uint64 // since the start
+	brokenInvariants  uint64 // since the start of the process
 }
 
-// refusalLogInterval is how often the counts of refused heartbeats are logged.
+// refusalLogInterval is the time between two log lines with the counts of refused heartbeats.
 const refusalLogInterval = 10 * micros.Second
 
-// logShardDecisions logs what this node may do for each shard where that has changed, and from time
-// to time the counts of refused heartbeats and of requests to the state service.
+// logShardDecisions logs each change of whether this node may command a shard. Every
+// refusalLogInterval it also logs the counts of refused heartbeats and of requests to the state
+// service.
 func (c *Controller) logShardDecisions() {
 	d := &c.decisionLog
 	if d.shardReasons == nil {
@@ -38,7 +39,7 @@
 	}
 }
 
-// logShardDecision logs what this node may do for a shard, if that has changed.
+// logShardDecision logs whether this node may command a shard, if that has changed.
 func (c *Controller) logShardDecision(s *shard) {
 	decision := c.ownership.mayCommandShard(s)
 	before := c.decisionLog.shardReasons[s.id]
@@ -47,7 +48,7 @@
 	}
 	c.decisionLog.shardReasons[s.id] = decision.Reason
 	if before == authority.ReasonNone && decision.Reason == authority.ReasonNotOwner {
-		return // as every node begins
+		return // the initial state of every node
 	}
 	jobsView := &c.ownership.jobWatch
 	c.log(Info, "shard entitlement",
@@ -62,7 +63,7 @@
 		"renewed_ms", (c.now - c.ownership.lease.RenewedAt()).Millis())
 }
 
-// logRefusedHeartbeats logs how many heartbeats were refused since the last time, by reason.
+// logRefusedHeartbeats logs the number of heartbeats refused since the last time, by reason.
 func (c *Controller) logRefusedHeartbeats() {
 	d := &c.decisionLog
 	if d.refusedHeartbeats == [authority.ReasonCount]uint64{} {
@@ -78,7 +79,8 @@
 	c.log(Info, "heartbeats refused", args...)
 }
 
-// logHeartbeat logs whether a heartbeat was answered, why, and with how many commands.
+// logHeartbeat logs whether a heartbeat was answered, the reason, and the number of commands in the
+// answer.
 func (c *Controller) logHeartbeat(m *machine, heartbeat *wire.Heartbeat, decision authority.Decision, commands []wire.Command) {
 	if !c.cfg.LogHeartbeats {
 		return
@@ -97,7 +99,8 @@
 		"commands", len(commands))
 }
 
-// logCancelled logs that an open job has been cancelled, and from whom this node knows.
+// logCancelled logs that an open job was cancelled, and whether this node learned that from a
+// record or from another controller.
 func (c *Controller) logCancelled(j *job, f finalJob) {
 	from := "controller"
 	if f.recorded {
@@ -117,7 +120,7 @@
 		"tasks", tasks)
 }
 
-// logFirstStop logs that a task's stop is sent for the first time.
+// logFirstStop logs the first stop command for a task.
 func (c *Controller) logFirstStop(att *attempt, inReply bool) {
 	if !c.cfg.LogHeartbeats || att.stopSentAt > -micros.Never {
 		return
--- a/internal/controller/effects.go
+++ b/internal/controller/effects.go
@@ -1,6 +1,6 @@
 package controller
 
-// takeEffects returns the effects of the step.
+// takeEffects returns the effects of the current step and resets them.
 func (sc *stepContext) takeEffects() []Effect {
 	effects := sc.effects
 	sc.effects = nil
@@ -15,7 +15,7 @@
 	sc.effects = append(sc.effects, call)
 }
 
-// finishCall passes the Result of a Call on. One for an unknown call is ignored.
+// finishCall passes a Result to the callback of its Call. The Result of an unknown Call is ignored.
 func (sc *stepContext) finishCall(r Result) {
 	done, ok := sc.calls[r.ID]
 	if !ok {
@@ -25,21 +25,21 @@
 	done(r)
 }
 
-// answer answers a request; retryAfter is in seconds, 0 for none.
+// answer answers a request. retryAfter is in seconds; 0 means none.
 func (sc *stepContext) answer(r ReplyID, status int, body any, retryAfter int) {
 	sc.effects = append(sc.effects, Answer{Reply: r, Status: status, Body: body, RetryAfterS: retryAfter})
 }
 
-// log adds a log line to the effects; args are keys and values in turn.
+// log adds a log line to the effects. args are alternating keys and values.
 func (sc *stepContext) log(l Level, text string, args ...any) {
 	sc.effects = append(sc.effects, Log{Level: l, Text: text, Args: args})
 }
 
-// deferToStepEnd runs f at the end of the step, so that whoever queues a request is not called back
-// before it has returned.
+// deferToStepEnd runs f at the end of the step. Callbacks go through it so that none runs before
+// the function that registered it has returned.
 func (sc *stepContext) deferToStepEnd(f func()) { sc.deferred = append(sc.deferred, f) }
 
-// runDeferred runs what later has put off, and what that puts off in turn.
+// runDeferred runs the functions passed to deferToStepEnd, including those that they defer in turn.
 func (sc *stepContext) runDeferred() {
 	for len(sc.deferred) > 0 {
 		deferred := sc.deferred
--- a/internal/controller/first_start.go
+++ b/internal/controller/first_start.go
@@ -8,44 +8,47 @@
 	"garnethitch/internal/micros"
 )
 
-// However full a shard is, each of its jobs begins in time: one that has waited for long with
-// nothing started gets one task ahead of all others. That takes little from them, and shows its
-// user (and the estimates of its class) what it does.
+// This file ensures that each job makes its first start in time, even in a full shard. A job that
+// has waited for Config.BeginWithin with nothing started gets one task ahead of all other jobs.
+// That costs the others little, and shows the job's user and the run time estimates of its class
+// how the job behaves.
 
 const (
-	// firstStartReservation is how long a machine's capacity is kept for an overdue job before
+	// firstStartReservation is how long a machine's capacity is reserved for an overdue job before
 	// another machine is tried.
 	firstStartReservation = 45 * micros.Second
-	// minRemainingRunTimeDivisor divides the expected run time of a task into what it is expected to take
-	// yet at least, however long it has run.
+	// minRemainingRunTimeDivisor gives the lower bound of a task's expected remaining run time: its
+	// expected total run time divided by this number, however long it has run.
 	minRemainingRunTimeDivisor = 10
 )
 
-// overdue reports whether a job should have begun. One whose only start was stopped for others is
-// overdue again; one that fails everywhere has its own pace.
+// overdue reports whether a job should have begun but has no active attempt. A job whose only
+// attempt was preempted is overdue again. A job that fails on every machine is not overdue; it is
+// retried at its own interval.
 func (sc *stepContext) overdue(j *job) bool {
 	return sc.waitedTooLong(j) && j.run.nextRetryAt == 0 && len(j.run.active) == 0
 }
 
-// waitedTooLong reports whether none of a job's tasks is done by when the job should have begun.
+// waitedTooLong reports whether a job has waited for longer than Config.BeginWithin and none of its
+// tasks is done.
 func (sc *stepContext) waitedTooLong(j *job) bool {
 	return sc.cfg.BeginWithin > 0 && j.run != nil && j.run.doneCount == 0 && sc.waitingTime(j) > sc.cfg.BeginWithin
 }
 
-// waitingTime returns for how long a job could have run.
+// waitingTime returns how long a job has been waiting since it could first have run.
 func (sc *stepContext) waitingTime(j *job) micros.Micros {
 	return sc.wall - micros.Micros(j.since())*micros.Millisecond
 }
 
-// isOnlyStart reports whether the attempt is all that an overdue job has got, and is not to be
-// stopped for another if that can be helped.
+// isOnlyStart reports whether an attempt is the only active one of an overdue job. Such an attempt
+// is preempted last.
 func (sc *stepContext) isOnlyStart(att *attempt) bool {
 	return att.tracked && sc.waitedTooLong(att.job) && len(att.job.run.active) == 1
 }
 
-// reserveCapacity keeps what comes free on one machine for an overdue job that found no capacity:
-// where small tasks take every piece at once, a task that needs a whole machine would never
-// start. Nothing is stopped for it.
+// reserveCapacity reserves the capacity that becomes free on one machine for an overdue job that
+// fits on no machine. Otherwise small tasks would take each piece of free capacity at once, and a
+// task that needs a whole machine would never start. Nothing is preempted for the reservation.
 func (c *Controller) reserveCapacity(s *shard, j *job) {
 	r := j.run
 	if !c.overdue(j) || c.now < r.reservedUntil || c.scheduling.preemption.searches <= 0 {
@@ -61,8 +64,8 @@
 	c.log(Debug, "capacity reserved for an overdue job", "job", j.id, "machine", m.id, "in_s", availableIn.Seconds())
 }
 
-// soonestCapacity returns the machine that will probably be the first to have capacity for a task
-// of a job, and in how much time; nil if none will.
+// soonestCapacity returns the machine that is expected to be the first to have capacity for a task
+// of a job, and the time until then. The machine is nil if none is expected to.
 func (c *Controller) soonestCapacity(s *shard, j *job) (best *machine, availableIn micros.Micros) {
 	zones := c.zonesOf(j)
 	availableIn = micros.Never
@@ -87,15 +90,15 @@
 	return !reserved && c.allowed(j, m, zones) && j.run.failuresByMachine[m.id] == 0
 }
 
-// taskEnd is when a task will probably leave its machine.
+// taskEnd is the expected end of a task on its machine.
 type taskEnd struct {
 	index     int
 	remaining micros.Micros
 	resources scheduling.Resources
 }
 
-// timeUntilCapacity returns in how much time a machine's tasks will probably have left enough
-// capacity for a task of a job; Never if they cannot.
+// timeUntilCapacity returns the expected time until enough of a machine's tasks have ended for a
+// task of a job to fit. It returns micros.Never if the task would not fit even then.
 func (c *Controller) timeUntilCapacity(j *job, m *machine) micros.Micros {
 	need := resourcesOf(j.sub)
 	free := c.freeCapacity(m)
@@ -113,7 +116,7 @@
 	return after
 }
 
-// taskEnds returns when a machine's tasks will probably end, the first one first.
+// taskEnds returns the expected ends of a machine's tasks, the earliest first.
 func (c *Controller) taskEnds(m *machine) []taskEnd {
 	var ends []taskEnd
 	for _, att := range m.view.list {
@@ -127,7 +130,7 @@
 	return ends
 }
 
-// remainingRunTime returns how long an attempt will probably take yet.
+// remainingRunTime returns the expected remaining run time of an attempt.
 func (c *Controller) remainingRunTime(att *attempt) micros.Micros {
 	expected := c.estimates.Expect(att.job.sub)
 	if att.runAt <= 0 {
--- a/internal/controller/first_start_test.go
+++ b/internal/controller/first_start_test.go
@@ -9,14 +9,15 @@
 
 func ptr[T any](v T) *T { return &v }
 
-// TestOverdueJobStarts checks that a job that has waited for long begins with one task ahead of all
-// others, also where it needs a whole machine and small tasks take every piece that comes free.
+// TestOverdueJobStarts checks that a job that has waited too long gets one task started ahead of
+// all other jobs, even if it needs a whole machine and small tasks take all capacity that becomes
+// free.
 func TestOverdueJobStarts(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		cpus   float64
 		within micros.Micros
-		ends   int // tasks that end at a time
+		ends   int // tasks that end in each half second
 		want   bool
 	}{
 		{"small tasks", 1, 30 * sec, 1, true},
@@ -27,7 +28,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t, func(c *Config) { c.BeginWithin = tc.within })
 			fencingToken := h.reconcileMachine("vm-1")
-			h.submit(newSubmission("job-000001", 4000)) // and more of the same to come
+			h.submit(newSubmission("job-000001", 4000)) // more than enough to fill the machine all the time
 			big := newSubmission("job-000002", 50)
 			big.CPUs, big.MemGB, big.Priority = tc.cpus, 4, "best_effort"
 			h.submit(big)
@@ -35,7 +36,7 @@
 			seq := uint64(10)
 			var running []wire.TaskStatus
 			begun := 0
-			for range 120 { // each half second some tasks end
+			for range 120 { // some tasks end in each half second
 				h.run(sec / 2)
 				h.dropWorkerCalls()
 				seq++
@@ -53,17 +54,17 @@
 				}
 			}
 			if (begun > 0) != tc.want {
-				t.Errorf("%d of its tasks were started", begun)
+				t.Errorf("%d tasks of the overdue job were started", begun)
 			}
 			if begun > 1 {
-				t.Errorf("%d of its tasks were started: more than it takes to begin", begun)
+				t.Errorf("%d tasks of the overdue job were started, want at most one", begun)
 			}
 		})
 	}
 }
 
-// TestOnlyStartIsStoppedLast checks that what an overdue job has begun with is the last to be
-// stopped for others.
+// TestOnlyStartIsStoppedLast checks that the only active attempt of an overdue job is the last to
+// be preempted.
 func TestOnlyStartIsStoppedLast(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.BeginWithin = 30 * sec })
 	newAttempt := func(waited micros.Micros, others int) *attempt {
@@ -77,14 +78,14 @@
 	}
 	h.c.now, h.c.wall = h.now, h.now
 	if a, b := h.c.preemptionPolicy.loss(newAttempt(sec, 0)), h.c.preemptionPolicy.loss(newAttempt(40*sec, 0)); a >= b {
-		t.Errorf("loss %v of a young job's only task, %v of an overdue one's", a, b)
+		t.Errorf("loss %v of the only task of a young job, %v of an overdue job; want less for the young job", a, b)
 	}
 	if a, b := h.c.preemptionPolicy.loss(newAttempt(40*sec, 0)), h.c.preemptionPolicy.loss(newAttempt(40*sec, 3)); a <= b {
-		t.Errorf("loss %v of an only task, %v of one of several", a, b)
+		t.Errorf("loss %v of an only task, %v of one of several; want more for the only one", a, b)
 	}
 }
 
-// TestOverdue checks that a job is overdue once it has waited for long with nothing running or
+// TestOverdue checks that a job is overdue once it has waited too long with no task running or
 // done.
 func TestOverdue(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.BeginWithin = 30 * sec })
@@ -98,9 +99,9 @@
 		{"young", 20 * sec, run{}, false},
 		{"nothing started", 40 * sec, run{}, true},
 		{"its only start was stopped", 40 * sec, run{firstRunAt: sec}, true},
-		{"one is running", 40 * sec, run{active: map[int]*attempt{0: {}}}, false},
-		{"one is done", 40 * sec, run{doneCount: 1}, false},
-		{"it fails everywhere", 40 * sec, run{nextRetryAt: sec}, false},
+		{"a task is running", 40 * sec, run{active: map[int]*attempt{0: {}}}, false},
+		{"a task is done", 40 * sec, run{doneCount: 1}, false},
+		{"it fails on every machine", 40 * sec, run{nextRetryAt: sec}, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			j := &job{rec: wire.JobRecord{AcceptedMS: (h.c.wall - tc.waited).Millis()}, run: &tc.run}
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -15,18 +15,18 @@
 	"garnethitch/quota"
 )
 
-// The encoded form of every record and message, byte for byte. After a change of the
-// protocol that is meant, testdata/golden.json is written anew with
+// These tests compare the encoded form of every record and message byte for byte with
+// testdata/golden.json. After an intended change of the protocol, write that file again with
 //
 //	go test ./internal/controller -run TestGoldenBytes -update-golden
 
-var updateGolden = flag.Bool("update-golden", false, "write testdata/golden.json anew")
+var updateGolden = flag.Bool("update-golden", false, "rewrite testdata/golden.json")
 
 const goldenFile = "testdata/golden.json"
 
-// codec is one encoding of the protocol.
+// codec is one of the encodings of the protocol.
 type codec struct {
-	name   string // of its struct tags
+	name   string // name of its struct tags
 	encode func(any) ([]byte, error)
 	decode func([]byte, any) error
 }
@@ -36,7 +36,8 @@
 	msgpackCodec = codec{"msgpack", peer.Encode, peer.Decode}
 )
 
-// goldenSample is a type of record or message under a label that outlives its Go name.
+// goldenSample is a type of record or message. Its label does not depend on its Go name and stays
+// when that changes.
 type goldenSample struct {
 	label string
 	codec codec
@@ -47,7 +48,7 @@
 	return goldenSample{label, c, reflect.TypeFor[T]()}
 }
 
-// goldenSamples are all types that are stored, or sent as a whole body.
+// goldenSamples returns all types that are stored, or sent as a whole body.
 func goldenSamples() []goldenSample {
 	return []goldenSample{
 		goldenSampleOf[wire.OwnerRecord]("owner record", cborCodec),
@@ -78,7 +79,7 @@
 }
 
 // TestGoldenBytes checks that the encoded form of every record and message, filled and empty, is
-// the one in the file, and the filled one is decoded to the same value.
+// the one in the golden file, and that the filled one is decoded to the same value.
 func TestGoldenBytes(t *testing.T) {
 	got := map[string]string{}
 	for _, s := range goldenSamples() {
@@ -98,7 +99,7 @@
 	}
 	for label := range want {
 		if _, ok := got[label]; !ok {
-			t.Errorf("%s is encoded by nothing", label)
+			t.Errorf("%s is in the golden file but in no sample", label)
 		}
 	}
 }
@@ -163,9 +164,9 @@
 	return golden
 }
 
-// filler sets every field that has a place in an encoding, to values that differ.
+// filler sets every encoded field of a value. All numbers and strings that it sets differ.
 type filler struct {
-	tag     string // of the encoding
+	tag     string // name of the encoding's struct tags
 	counter int64
 }
 
@@ -197,12 +198,12 @@
 	case reflect.Struct:
 		return f.fillStruct(v)
 	default:
-		return fmt.Errorf("no way to fill a %s", v.Type())
+		return fmt.Errorf("cannot fill a value of type %s", v.Type())
 	}
 	return nil
 }
 
-// fillRaw sets a value that has its encoded form already.
+// fillRaw sets a value that is kept in encoded form.
 func (f *filler) fillRaw(v reflect.Value) error {
 	b, err := wire.Encode(fmt.Sprintf("raw-%d", f.next()))
 	v.SetBytes(b)
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -17,49 +17,52 @@
 	sec = micros.Second
 )
 
-// harness drives one Controller step by step, with a state service that answers at once, a cloud
-// with one machine type, and peers that say they are quiesced. Workers are the test's own: calls
-// to them stay open until the test answers.
+// harness drives one Controller step by step. It fakes a state service that answers at once, a
+// cloud with one machine type, and peers that report that they are quiesced. Tests play the workers
+// themselves: calls to workers stay in workerCalls until the test answers or drops them.
 type harness struct {
 	t           *testing.T
 	c           *Controller
 	now         micros.Micros
-	revision    uint64
-	keys        map[string]wire.KeyValue
-	events      []wire.Event
-	watches     []Call
-	workerCalls []Call // to workers
+	revision    uint64                   // of the fake state service
+	keys        map[string]wire.KeyValue // contents of the fake state service
+	events      []wire.Event             // all changes so far
+	watches     []Call                   // open watch requests
+	workerCalls []Call                   // calls to workers without a result yet
 	answers     map[ReplyID]Answer
-	lastReply   ReplyID
-	// stateDown and peersDown leave calls without an answer.
+	lastReply   ReplyID // last ID that request has used
+	// stateDown and peersDown leave the calls to the state service and to peers unanswered.
 	stateDown, peersDown bool
-	// stateRefuses is set if calls get a 503 at once while stateDown is set.
+	// stateRefuses makes calls to the state service fail with 503 at once while stateDown is set.
 	stateRefuses bool
-	// loseAnswersPrefix swallows the answers of transactions that touch a key.
+	// loseAnswersPrefix is a key prefix: transactions that change such a key are applied, but their
+	// answers are lost.
 	loseAnswersPrefix string
 	lostAnswers       []Call
-	// tooLargePrefix is a prefix of keys whose changes the store refuses with 400.
+	// tooLargePrefix is a key prefix: transactions that put such a key are refused with 400.
 	tooLargePrefix string
-	// delayPrefix keeps transactions that touch a key back: see carryOut.
+	// delayPrefix is a key prefix: transactions that change such a key are delayed until
+	// applyDelayedTxns.
 	delayPrefix          string
 	delayedTxns          []Call
-	unansweredStateCalls []Call
-	// jobRequests are the job requests that were sent to the other controllers.
+	unansweredStateCalls []Call // calls that were made while stateDown was set
+	// jobRequests are the job requests sent to the other controllers.
 	jobRequests []peer.JobRequest
-	// statusesSent are the Status messages that reached the other controllers.
+	// statusesSent are the statuses that reached the other controllers.
 	statusesSent []peer.Status
-	appliedTxns  []wire.Txn // carried out
-	// keyReads counts keyReads of single keys.
+	appliedTxns  []wire.Txn // transactions with status 200
+	// keyReads counts the reads of single keys.
 	keyReads int
-	// tooLargeRefusals counts transactions refused as too large.
+	// tooLargeRefusals counts the transactions refused as too large.
 	tooLargeRefusals int
-	// cloudMachines is what the cloud lists.
+	// cloudMachines are the machines in the cloud's list.
 	cloudMachines []wire.ListedMachine
 	// logs are the lines logged so far.
 	logs []Log
-	// unlistablePrefix is a prefix whose listings are refused, unread one whose keys can't be read.
+	// unlistablePrefix is a key prefix whose listings are refused with 429, unreadablePrefix one
+	// whose reads of single keys are.
 	unlistablePrefix, unreadablePrefix string
-	// blockedWatchPrefix is a prefix whose watches bring nothing.
+	// blockedWatchPrefix is the prefix of a watch that delivers nothing.
 	blockedWatchPrefix string
 }
 
@@ -79,7 +82,7 @@
 	return h
 }
 
-// run lets time pass.
+// run lets time pass, with a Tick every 20 ms.
 func (h *harness) run(d micros.Micros) {
 	for end := h.now + d; h.now < end; {
 		h.now += 20 * ms
@@ -87,6 +90,8 @@
 	}
 }
 
+// step passes an input to the controller, carries out the effects, and answers watches that have
+// changes. It fails the test if the controller logs a broken invariant.
 func (h *harness) step(in Input) {
 	for _, e := range h.c.Step(Instant{Steady: h.now, Wall: h.now}, in) {
 		switch e := e.(type) {
@@ -134,7 +139,7 @@
 	}
 }
 
-// result ends a call.
+// result ends a call with a status and a body.
 func (h *harness) result(c Call, status int, body any) {
 	h.step(Result{ID: c.ID, Status: status, Body: body})
 }
@@ -234,6 +239,8 @@
 	}
 }
 
+// txn applies a transaction if its conditions are met, and returns the status and body of the
+// answer.
 func (h *harness) txn(t wire.Txn) (int, any) {
 	for _, c := range t.Conditions {
 		if h.keys[c.Key].ModRevision != c.ModRevision {
@@ -253,8 +260,8 @@
 	return 200, &wire.Revision{Revision: h.revision}
 }
 
-// applyDelayedTxns executes, late, what was kept back, without an answer to the sender. It returns how
-// many transactions had their conditions met.
+// applyDelayedTxns executes the delayed transactions without answering their sender. It returns how
+// many of them had their conditions met.
 func (h *harness) applyDelayedTxns() (applied int) {
 	late := h.delayedTxns
 	h.delayedTxns = nil
@@ -266,7 +273,7 @@
 	return applied
 }
 
-// put stores a record as another node would.
+// put stores a record as another node would, and returns its revision.
 func (h *harness) put(key string, rec any) uint64 {
 	value, err := wire.Encode(rec)
 	if err != nil {
@@ -277,7 +284,7 @@
 	return h.revision
 }
 
-// request sends a request and returns its answer; the status is 0 if there is none yet.
+// request sends a request and returns its answer. The status is 0 if there is no answer yet.
 func (h *harness) request(newInput func(ReplyID) Input) Answer {
 	h.lastReply++
 	h.step(newInput(h.lastReply))
@@ -296,7 +303,7 @@
 	return h.request(func(r ReplyID) Input { return JobStatusRequest{Reply: r, ID: id} })
 }
 
-// newSubmission returns a plain submission.
+// newSubmission returns a submission without special requirements.
 func newSubmission(id string, tasks int) wire.Submission {
 	return wire.Submission{ID: id, Class: "c", Team: "t", Kind: "sweep", Priority: "standard", Tasks: tasks, CPUs: 1, MemGB: 1, Image: "i", ImageGB: 1, Spot: true, EstimateS: 10}
 }
@@ -306,21 +313,22 @@
 	return wire.Heartbeat{Machine: id, Addr: id, Type: "m", Zone: "a", AgentEpoch: agentEpoch, Sequence: seq, FencingToken: fencingToken, Tasks: tasks}
 }
 
-// heartbeat sends a heartbeat; the commands are nil unless the status is 200.
+// heartbeat sends a heartbeat and returns the status and body of the answer. The body is empty
+// unless the status is 200.
 func (h *harness) heartbeat(r wire.Heartbeat) (int, wire.HeartbeatReply) {
 	a := h.request(func(id ReplyID) Input { return Heartbeat{Reply: id, Heartbeat: r} })
 	body, _ := a.Body.(wire.HeartbeatReply)
 	return a.Status, body
 }
 
-// listMachine has the cloud listMachine a machine, and the leader read the listMachine.
+// listMachine adds a machine to the cloud's list and lets the leader read the list.
 func (h *harness) listMachine(id string) {
 	h.cloudMachines = append(h.cloudMachines, wire.ListedMachine{ID: id, Addr: id, Type: "m", Zone: "a", State: wire.MachineRunning, AgeS: 1})
 	h.c.fleet.listNext, h.c.fleet.planNext = h.now, h.now+400*ms
 	h.run(sec)
 }
 
-// putMachines records machines as another node would.
+// putMachines stores a record set of machines as another node would.
 func (h *harness) putMachines(name string, ids ...string) {
 	rec := wire.MachineRecordSet{Kinds: []wire.MachineKind{{Type: "m", Zone: "a"}}}
 	for _, id := range ids {
@@ -329,8 +337,8 @@
 	h.put(wire.MachineRecordSetKey(0, name), rec)
 }
 
-// reconcileMachine brings a machine into the fleet: the answer to its first heartbeat shows
-// the fencing token, its second heartbeat carries it.
+// reconcileMachine adds a machine to the fleet and reconciles it: the answer to its first heartbeat
+// contains the fencing token, and its second heartbeat carries the token. It returns the token.
 func (h *harness) reconcileMachine(id string) uint64 {
 	h.listMachine(id)
 	status, body := h.heartbeat(heartbeatFrom(id, 1, 2, 0))
@@ -344,7 +352,7 @@
 	return body.FencingToken
 }
 
-// dropWorkerCalls ends all open calls to workers unanswered and unsent.
+// dropWorkerCalls ends all open calls to workers as not sent.
 func (h *harness) dropWorkerCalls() {
 	open := h.workerCalls
 	h.workerCalls = nil
@@ -353,7 +361,7 @@
 	}
 }
 
-// directStarts returns the open direct commands that hold starts.
+// directStarts returns the open calls with direct commands that hold starts.
 func (h *harness) directStarts() []Call {
 	var out []Call
 	for _, c := range h.workerCalls {
@@ -364,7 +372,7 @@
 	return out
 }
 
-// timeOutLostAnswers ends the calls whose answers were lost.
+// timeOutLostAnswers ends the calls whose answers were lost, without an answer.
 func (h *harness) timeOutLostAnswers() {
 	lost := h.lostAnswers
 	h.lostAnswers = nil
@@ -390,7 +398,7 @@
 	return out
 }
 
-// logged returns the values of a key in the lines of a text, in order.
+// logged returns the values of a key in all log lines with the given text, in order.
 func (h *harness) logged(text, key string) (values []string) {
 	for _, l := range h.logs {
 		if l.Text != text {
@@ -405,12 +413,12 @@
 	return values
 }
 
-// cancel asks to cancel a job.
+// cancel requests the cancellation of a job.
 func (h *harness) cancel(id string) Answer {
 	return h.request(func(r ReplyID) Input { return CancelRequest{Reply: r, ID: id} })
 }
 
-// countImmediateStops counts the countImmediateStops without a grace period.
+// countImmediateStops counts the stop commands without a grace period.
 func countImmediateStops(cmds []wire.Command) (n int) {
 	for _, c := range cmds {
 		if c.Op == wire.OpStop && c.GraceS != nil && *c.GraceS == 0 {
@@ -420,12 +428,12 @@
 	return n
 }
 
-// startOneTask submits job-000001 with one task and has it started on vm-1 by the
-// answer to a heartbeat; it returns the attempt.
+// startOneTask submits job-000001 with one task, which is started on vm-1 by the answer to a
+// heartbeat. It returns the attempt.
 func (h *harness) startOneTask(fencingToken uint64) uint64 {
 	h.t.Helper()
 	h.submit(newSubmission("job-000001", 1))
-	h.dropWorkerCalls() // the direct command never left: the start waits again
+	h.dropWorkerCalls() // the direct command was not sent: the start is pending again
 	_, body := h.heartbeat(heartbeatFrom("vm-1", 1, 10, fencingToken))
 	cmds := startCommands(body.Commands)
 	if len(cmds) != 1 {
@@ -434,8 +442,8 @@
 	return cmds[0].Attempt
 }
 
-// runOneTask has job-000001 of one task running on vm-1, at a node with a peer; it returns
-// the fencing token and the attempt.
+// runOneTask has the one task of job-000001 running on vm-1. It returns the machine's fencing token
+// and the attempt.
 func (h *harness) runOneTask() (fencingToken, attempt uint64) {
 	fencingToken = h.reconcileMachine("vm-1")
 	attempt = h.startOneTask(fencingToken)
@@ -449,7 +457,8 @@
 
 func withPeer(c *Config) { c.Peers = []string{"n-1"} }
 
-// newOwnerHarness returns a harness whose node has had the time to claim its locks beside others.
+// newOwnerHarness returns a harness whose node has had time to claim its locks although it has
+// peers.
 func newOwnerHarness(t *testing.T, configure func(*Config)) *harness {
 	h := newHarness(t, configure)
 	h.run(2 * sec)
--- a/internal/controller/lease.go
+++ b/internal/controller/lease.go
@@ -8,13 +8,13 @@
 	"garnethitch/internal/wire"
 )
 
-// The requests for the lease in the state service under which this node holds its locks; its
-// times are kept by ownership.Lease.
+// This file sends the requests for this node's lease in the state service, under which it holds its
+// locks. ownership.Lease decides when they are due.
 
 const (
-	// leaseRequestTimeout is how long the request for a lease waits for its response.
+	// leaseRequestTimeout is how long to wait for the response to the request for a lease.
 	leaseRequestTimeout = micros.Second
-	// renewalRetryDelay is after how long a renewal that failed is tried again.
+	// renewalRetryDelay is the delay before a failed renewal is retried.
 	renewalRetryDelay = 150 * micros.Millisecond
 )
 
@@ -29,7 +29,8 @@
 	}
 }
 
-// requestLease requests a lease. It counts from when it is requested.
+// requestLease requests a lease. The lease counts from the time at which the request was sent, not
+// answered.
 func (o *ownershipState) requestLease() {
 	lease := &o.lease
 	lease.Request()
@@ -69,7 +70,7 @@
 	})
 }
 
-// handleLeaseRenewed takes the success of a renewal that was sent at a time.
+// handleLeaseRenewed handles the success of a renewal that was sent at sentAt.
 func (o *ownershipState) handleLeaseRenewed(sentAt micros.Micros) {
 	lease := &o.lease
 	if o.now >= lease.RenewedAt()+o.bounds.LeaseValidity {
@@ -80,7 +81,7 @@
 	o.schedulingDue = true
 }
 
-// loseLease gives up the lease, and every shard whose lock was held under it.
+// loseLease marks the lease as lost and deactivates every shard owned under it.
 func (c *Controller) loseLease() {
 	c.ownership.lease.Lose()
 	for _, s := range c.ownership.shards {
--- a/internal/controller/lock.go
+++ b/internal/controller/lock.go
@@ -7,44 +7,44 @@
 )
 
 const (
-	// lockRequestTimeout is how long a claim or release waits for its response.
+	// lockRequestTimeout is how long to wait for the response to a claim or release.
 	lockRequestTimeout = micros.Second
-	// releaseRetryDelay is after how long a release that failed is tried again.
+	// releaseRetryDelay is the delay before a failed release is retried.
 	releaseRetryDelay = 200 * micros.Millisecond
 )
 
-// lock is a lock that one controller holds by a key in the state service, which stands as long as
-// the controller's lease: the one of a shard, or that of the leader.
+// lock is the lock of a shard or of the leader. Its owner holds it by a key in the state service
+// that is bound to the owner's lease.
 type lock struct {
 	key   string
 	owner wire.OwnerRecord
-	// ownerEpoch is the revision of the owner's claim; 0: nobody holds the lock.
+	// ownerEpoch is the revision of the owner's claim; 0 means that the lock is free.
 	ownerEpoch uint64
-	// freeSince is since when nobody holds it, or when this node's last claim ended.
+	// freeSince is when the lock became free, or when this node's last claim of it ended.
 	freeSince micros.Micros
 	claiming  bool // a claim of this node is in flight
-	// releasingEpoch is the epoch of this node's claim whose release is in flight or done; 0:
+	// releasingEpoch is the epoch of this node's claim whose release is in flight or done; 0 means
 	// none.
 	releasingEpoch uint64
 	releaseRetryAt micros.Micros
 }
 
-// ownedBy reports whether a process holds the lock: the one of this label and lease.
+// ownedBy reports whether the process with this label and lease holds the lock.
 func (l *lock) ownedBy(owner wire.OwnerRecord) bool {
 	return !l.free() && owner.Incarnation != 0 && l.owner == owner
 }
 
 // ownedByFormerProcess reports whether an earlier process of the same node holds the lock. That
-// process has ended: its key may be replaced at once.
+// process has ended, so its key may be replaced at once.
 func (l *lock) ownedByFormerProcess(owner wire.OwnerRecord) bool {
 	return !l.free() && l.owner.Label == owner.Label && l.owner.Incarnation != owner.Incarnation
 }
 
-// free reports whether nobody holds the lock.
+// free reports whether no process holds the lock.
 func (l *lock) free() bool { return l.ownerEpoch == 0 }
 
-// claimTxn returns the transaction that claims the lock as this node knows it: free, or held by
-// its former process.
+// claimTxn returns the transaction that claims the lock. Its condition is the state of the lock
+// known to this node: free, or held by a former process of this node.
 func (l *lock) claimTxn(value []byte, lease uint64) wire.Txn {
 	return wire.Txn{
 		Conditions: []wire.Condition{{Key: l.key, ModRevision: l.ownerEpoch}},
@@ -52,7 +52,7 @@
 	}
 }
 
-// releaseDue reports whether the release of this node's claim is to be sent.
+// releaseDue reports whether the release of this node's claim should be sent now.
 func (l *lock) releaseDue(now micros.Micros) bool {
 	return l.releasingEpoch != l.ownerEpoch && now >= l.releaseRetryAt
 }
@@ -65,7 +65,7 @@
 	}
 }
 
-// ownerRecord returns the record by which this process holds locks.
+// ownerRecord returns the record with which this process claims locks.
 func (o *ownershipState) ownerRecord() wire.OwnerRecord {
 	return wire.OwnerRecord{Label: o.cfg.Label, Incarnation: o.lease.ID()}
 }
@@ -73,8 +73,8 @@
 // isMine reports whether this process holds a lock.
 func (o *ownershipState) isMine(l *lock) bool { return l.ownedBy(o.ownerRecord()) }
 
-// claimLockIfDue claims a lock that nobody holds, or that a former process of this node held. index
-// is that of the shard; the leader lock counts as one more.
+// claimLockIfDue claims a lock that is free or held by a former process of this node. index is the
+// index of the shard, or the number of shards for the leader lock.
 func (c *Controller) claimLockIfDue(l *lock, index int) {
 	switch {
 	case l.claiming:
@@ -87,8 +87,9 @@
 	c.claimLock(l)
 }
 
-// claimLock claims a lock. Whether that took effect is for the watch to show, which also shows late
-// copies and, with it, all machines recorded before.
+// claimLock sends a claim of a lock. The watch, not the response, shows whether the claim took
+// effect: it also shows claims that were executed late, and with a claim all machine records
+// written before it.
 func (c *Controller) claimLock(l *lock) {
 	owner := c.ownership.ownerRecord()
 	value, err := wire.Encode(owner)
@@ -102,7 +103,7 @@
 	})
 }
 
-// handleClaimOutcome takes the outcome of a claim that was sent under a lease.
+// handleClaimOutcome handles the outcome of a claim that was sent under a lease.
 func (c *Controller) handleClaimOutcome(l *lock, lease uint64, outcome statestore.Outcome) {
 	switch {
 	case outcome == statestore.Rejected && c.ownership.lease.ID() == lease:
@@ -111,16 +112,16 @@
 	case outcome == statestore.Applied || outcome == statestore.ConditionFailed:
 		c.ownership.lastStateReplyAt = c.now
 		c.deferToStepEnd(func() { l.claiming = false })
-		l.freeSince = c.now // gives the watch time before another claim
+		l.freeSince = c.now // delays the next claim until the watch has shown this one
 	default:
 		l.claiming = false
 		l.freeSince = c.now
 	}
 }
 
-// releaseLock deletes this node's key of a lock. Once that has been sent, this node never acts
-// under its epoch again: a late copy could delete the key while the lease lives, and a successor
-// relies on this node's commands having ended by then.
+// releaseLock deletes this node's key of a lock. Once the deletion was sent, this node never acts
+// under that epoch again, even if the deletion fails: a late copy of it could delete the key while
+// the lease is valid, and a successor relies on this node having stopped its commands by then.
 func (o *ownershipState) releaseLock(l *lock) {
 	if !l.releaseDue(o.now) {
 		return
@@ -129,7 +130,7 @@
 	l.releasingEpoch = ownerEpoch
 	o.queueStateRequest(statestore.ClassLease, l.releaseTxn(), lockRequestTimeout, func(r statestore.Reply) {
 		if l.ownerEpoch != ownerEpoch || r.Outcome() == statestore.Applied {
-			return // the watch shows the rest
+			return // the watch brings the deletion
 		}
 		l.releasingEpoch = 0
 		l.releaseRetryAt = o.now + o.jitter(releaseRetryDelay)
--- a/internal/controller/lock_test.go
+++ b/internal/controller/lock_test.go
@@ -17,7 +17,7 @@
 	}{
 		{"nobody holds it", lock{}, self, false, false},
 		{"this process", lock{owner: self, ownerEpoch: 3}, self, true, false},
-		{"released, the record is left in memory", lock{owner: self}, self, false, false},
+		{"released, the owner record still in memory", lock{owner: self}, self, false, false},
 		{"a former process of this node", lock{owner: wire.OwnerRecord{Label: "n-0", Incarnation: 6}, ownerEpoch: 3}, self, false, true},
 		{"another node", lock{owner: wire.OwnerRecord{Label: "n-1", Incarnation: 7}, ownerEpoch: 3}, self, false, false},
 		{"this node without a lease", lock{owner: wire.OwnerRecord{Label: "n-0"}, ownerEpoch: 3}, wire.OwnerRecord{Label: "n-0"}, false, false},
@@ -53,7 +53,8 @@
 	}
 }
 
-// TestLockTransactions checks that a claim and a release apply only to the key as it was seen.
+// TestLockTransactions checks that a claim and a release apply only if the key is unchanged since
+// it was seen.
 func TestLockTransactions(t *testing.T) {
 	l := lock{key: ownerKey(2), ownerEpoch: 3}
 	for _, tc := range []struct {
--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -8,19 +8,20 @@
 	"garnethitch/internal/wire"
 )
 
-// The messages of a Controller: the inputs of Step, its effects, and the requests in them.
+// This file declares the messages of a Controller: the inputs of Step, its effects, and the request
+// types that an effect can carry.
 
-// Instant is a reading of both clocks.
+// Instant is a reading of the steady clock and of the wall clock.
 type Instant struct {
-	// Steady is the time by a clock that is never set.
+	// Steady is the monotonic time.
 	Steady micros.Micros
 	// Wall is the time of day.
 	Wall micros.Micros
-	// PreviousStepDuration is how long the step before took, with carrying out its effects.
+	// PreviousStepDuration is how long the previous step took, including its effects.
 	PreviousStepDuration micros.Micros
 }
 
-// ReplyID names a request that waits for its Answer. The caller of Step chooses it.
+// ReplyID identifies a request that waits for its Answer. The caller of Step chooses it.
 type ReplyID uint64
 
 // Input is an input of Step.
@@ -28,7 +29,7 @@
 
 // Inputs of Step.
 type (
-	// Tick says that time has passed.
+	// Tick reports only that time has passed.
 	Tick struct{}
 	// SubmitRequest is a user's submission of a job.
 	SubmitRequest struct {
@@ -36,12 +37,12 @@
 		Job   wire.Submission
 		Err   *wire.SubmissionError // set if the submission is malformed
 	}
-	// JobStatusRequest asks for a job's status.
+	// JobStatusRequest is a user's request for a job's status.
 	JobStatusRequest struct {
 		Reply ReplyID
 		ID    string
 	}
-	// CancelRequest cancels a job.
+	// CancelRequest is a user's request to cancel a job.
 	CancelRequest struct {
 		Reply ReplyID
 		ID    string
@@ -58,15 +59,15 @@
 		Reply ReplyID
 		Req   peer.Request
 	}
-	// Result ends a Call.
+	// Result is the outcome of a Call.
 	Result struct {
-		ID uint64 // of the Call
-		// Status is the HTTP status of the answer, 0 if there is no usable answer.
+		ID uint64 // ID of the Call
+		// Status is the HTTP status of the response, or 0 if there is no usable response.
 		Status int
-		// Body is the decoded body of the answer, a pointer to a type of package wire or
-		// peer; nil if there is none.
+		// Body is a pointer to the decoded response body, of a type of package wire or peer; nil if
+		// there is none.
 		Body any
-		// NotSent is set if not a byte of the request has left. Status is 0 then.
+		// NotSent is set if no byte of the request was sent. Status is 0 then.
 		NotSent bool
 	}
 )
@@ -80,11 +81,11 @@
 func (PeerRequest) isInput()      {}
 func (Result) isInput()           {}
 
-// TooLarge is the Status of a Result whose answer is larger than this controller takes: the same
-// request would bring the same again.
+// TooLarge is the Status of a Result whose response exceeds this controller's size limit. Repeating
+// the request would give the same result.
 const TooLarge = http.StatusRequestEntityTooLarge
 
-// Target is the kind of service that a Call goes to.
+// Target is the kind of service that a Call is sent to.
 type Target int
 
 const (
@@ -100,47 +101,47 @@
 
 // Requests to the cloud and to workers that have no body in package wire.
 type (
-	// GetTypes asks the cloud for its machine types.
+	// GetTypes requests the cloud's machine types.
 	GetTypes struct{}
-	// ListMachines asks the cloud for a page of at most Limit machines, from the first one
-	// after After on.
+	// ListMachines requests a page of the cloud's machine list: at most Limit machines whose names
+	// follow After.
 	ListMachines struct {
 		After string
 		Limit int
 	}
 	// ReturnMachines returns machines to the cloud, by their names.
 	ReturnMachines struct{ Machines []string }
-	// GetHeartbeat asks a worker for its heartbeat.
+	// GetHeartbeat requests a worker's heartbeat.
 	GetHeartbeat struct{}
 )
 
-// Effect is an effect of Step, which the caller carries out: an Answer, a Call, a Log or a Span.
+// Effect is a result of Step that the caller carries out: an Answer, a Call, a Log or a Span.
 type Effect interface{ isEffect() }
 
 // Effects of Step.
 type (
-	// Answer answers a request.
+	// Answer is the response to a request.
 	Answer struct {
 		Reply  ReplyID
 		Status int // HTTP status
-		Body   any // of package wire or peer; nil: none
-		// RetryAfterS is the time after which to try again, in seconds; 0: none.
+		Body   any // a type of package wire or peer; nil means no body
+		// RetryAfterS is the value of the Retry-After header in seconds; 0 means no header.
 		RetryAfterS int
 	}
-	// Call sends a request. Its Result must come back exactly once.
+	// Call sends a request. The caller of Step must return exactly one Result for it.
 	Call struct {
 		ID   uint64
 		To   Target
-		Addr string // of workers the address, of controllers the label
-		Req  any    // one of the requests above, or of package wire or peer
-		// Timeout is how long the answer is waited for.
+		Addr string // the address of a worker, or the label of a controller
+		Req  any    // a request type of this file, of package wire or of package peer
+		// Timeout is how long to wait for the response.
 		Timeout micros.Micros
 	}
-	// Log is a line for the operators.
+	// Log is a line of the operators' log.
 	Log struct {
 		Level Level
 		Text  string
-		Args  []any // keys and values in turn
+		Args  []any // alternating keys and values
 	}
 )
 
@@ -153,10 +154,10 @@
 type Level int
 
 const (
-	// Debug is for what explains a decision.
+	// Debug is for lines that explain a decision.
 	Debug Level = iota
-	// Info is for what an operator may want to know.
+	// Info is for events that may interest an operator.
 	Info
-	// Error is for what an operator should look at.
+	// Error is for faults that an operator should look at.
 	Error
 )
--- a/internal/controller/ownership.go
+++ b/internal/controller/ownership.go
@@ -11,26 +11,26 @@
 )
 
 const (
-	// startingPeriod is how long after its start a controller lets others claim first.
+	// startingPeriod is how long after its start a controller gives others precedence in claims.
 	startingPeriod = 3 * micros.Second
-	// stableOwnerPeriod is how long the preferred owner must have been up, and the shard owned,
-	// before the shard is released to it.
+	// stableOwnerPeriod is how long the preferred owner must have been up, and this node have owned
+	// the shard, before the shard is released to the preferred owner.
 	stableOwnerPeriod = 8 * micros.Second
-	// shardReleaseInterval is the least time between two such releases.
+	// shardReleaseInterval is the minimum time between two releases to a preferred owner.
 	shardReleaseInterval = 5 * micros.Second
 )
 
-// shardOwnership is how far this node owns a shard.
+// shardOwnership is the state of this node's ownership of a shard.
 type shardOwnership int
 
 const (
-	// shardNotOwned means that another node owns it, or none.
+	// shardNotOwned means that another node or none owns the shard.
 	shardNotOwned shardOwnership = iota
-	// shardOwned means that this node saw its own claim in the watch, so that its view of machines
-	// is at least as new as the claim.
+	// shardOwned means that this node has seen its claim in the watch. Its view of machines is
+	// therefore at least as new as the claim.
 	shardOwned
-	// shardReleasing means that this node still holds the lock, but does nothing more for the
-	// shard, and deletes its key.
+	// shardReleasing means that this node still holds the lock but no longer acts for the shard,
+	// and is deleting the owner key.
 	shardReleasing
 )
 
@@ -43,51 +43,51 @@
 // String returns the name of the state.
 func (o shardOwnership) String() string { return shardOwnershipNames[o] }
 
-// shard is a set of teams (or of jobs) with the machines recorded to it.
+// shard is a set of teams, or of jobs, and the machines assigned to it.
 type shard struct {
 	lock
 	shardRecovery
 	id            int
-	machines      []*machine // on record, in order of name
-	dirtyMachines []*machine // whose usage is to be counted again
-	recountAll    bool       // the usage of all machines is
-	usage         []usage    // what could be on them at most, by team
-	queue         []*job     // unfinished jobs in the order in which they are served
-	// firstWaiting means that no job before this place in the queue has a task that waits, so that
-	// a heartbeat need not pass hundreds of them.
+	machines      []*machine // with a record in this shard, sorted by name
+	dirtyMachines []*machine // machines whose usage must be counted again
+	recountAll    bool       // the usage of all machines must be counted again
+	usage         []usage    // upper bound of the resources in use on the machines, by team
+	queue         []*job     // unfinished jobs in scheduling order
+	// firstWaiting is a position in the queue: no job before it has a waiting task. It saves a
+	// heartbeat from scanning hundreds of jobs.
 	firstWaiting  int
-	queueStale    bool          // a job has been added or removed since the queue was ordered
-	nextReorderAt micros.Micros // when the queue is ordered again
-	// resumeAt is the place in the queue at which the next scheduling round continues where the
+	queueStale    bool          // a job was added or removed since the queue was sorted
+	nextReorderAt micros.Micros // when the queue is next sorted
+	// resumeAt is the position in the queue at which the next scheduling round continues after the
 	// last one reached its limit.
 	resumeAt  int
 	ownership shardOwnership
-	// highestSeenEpoch is the highest epoch of another owner that this node has seen; it never
-	// acts under a lower one.
+	// highestSeenEpoch is the highest owner epoch of another node that this node has seen. This
+	// node never acts under a lower epoch.
 	highestSeenEpoch uint64
 	arrivals         estimate.RateMeter
 }
 
-// owned reports whether this node holds the shard's lock and has seen its claim.
+// owned reports whether this node holds the shard's lock and has seen its claim in the watch.
 func (s *shard) owned() bool { return s.ownership != shardNotOwned }
 
-// releasing reports whether this node is giving the shard up.
+// releasing reports whether this node is giving up the shard.
 func (s *shard) releasing() bool { return s.ownership == shardReleasing }
 
-// ownershipState is what a node knows of the locks in the state service, and of its own lease.
+// ownershipState is what this node knows of its lease and of the locks in the state service.
 type ownershipState struct {
 	*stepContext
 	lease            ownership.Lease
 	lastStateReplyAt micros.Micros // when the state service last answered any request
 	shards           []*shard
 	leader           lock
-	steppedDownEpoch uint64 // epoch of this node's leader key that is being released
+	steppedDownEpoch uint64 // epoch of this node's claim of the leader lock that it is releasing
 	controlWatch     statestore.Watch
 	jobWatch         statestore.Watch
 	lastReleaseAt    micros.Micros // when a shard was last released to its preferred owner
 }
 
-// init prepares the state of a node that holds no lease and no lock.
+// init prepares the state of a node that holds neither a lease nor a lock.
 func (o *ownershipState) init(shards int, lease micros.Micros) {
 	o.lease = ownership.NewLease(lease)
 	for id := range shards {
@@ -102,16 +102,17 @@
 // ownerKey returns the key of a shard's lock.
 func ownerKey(id int) string { return wire.PrefixOwner + strconv.Itoa(id) }
 
-// OwnsJob reports whether this node owns an unfinished job and may command its machines.
+// OwnsJob reports whether this node owns an unfinished job's shard and may command its machines.
 func (c *Controller) OwnsJob(id string) bool {
 	j := c.jobs.open[id]
 	return j != nil && j.run != nil && c.ownership.activeShard(j.shard) != nil
 }
 
-// IsLeader reports whether this node rents and returns machines for all shards.
+// IsLeader reports whether this node may rent and return machines for all shards.
 func (c *Controller) IsLeader() bool { return c.ownership.mayLead() }
 
-// CommandedMachines returns the number of machines of this node's shards that it may give tasks.
+// CommandedMachines returns the number of machines of this node's shards to which it may assign
+// tasks.
 func (c *Controller) CommandedMachines() int {
 	n := 0
 	for _, s := range c.ownership.shards {
@@ -127,7 +128,7 @@
 	return n
 }
 
-// maintainOwnership keeps the lease, follows the records, and claims and releases locks.
+// maintainOwnership maintains the lease, continues the watches, and claims and releases locks.
 func (c *Controller) maintainOwnership() {
 	o := &c.ownership
 	c.maintainLease()
@@ -143,10 +144,10 @@
 	c.releaseToPreferredOwner()
 }
 
-// preferredOwner returns the node that a shard belongs to when all are well.
+// preferredOwner returns the label of the node that should own a shard while all nodes are up.
 func (c *Controller) preferredOwner(id int) string { return ownership.PreferredOwner(c.nodes, id) }
 
-// claimDelay returns how long after a lock became free this node claims it.
+// claimDelay returns how long this node waits after a lock became free before it claims the lock.
 func (c *Controller) claimDelay(index int) micros.Micros {
 	shardsByOwner := map[string]int{}
 	for _, s := range c.ownership.shards {
@@ -167,9 +168,9 @@
 	return ownership.ClaimDelay(known)
 }
 
-// releaseToPreferredOwner releases one shard whose preferred owner has been ready for a while.
-// Commands in flight do not delay it: to the next owner they are what they are to the successor
-// of a node that has ended.
+// releaseToPreferredOwner releases one shard whose preferred owner has been ready for
+// stableOwnerPeriod. Commands in flight do not delay it: the next owner treats them like the
+// commands of an owner that has crashed.
 func (c *Controller) releaseToPreferredOwner() {
 	if c.now < c.ownership.lastReleaseAt+shardReleaseInterval {
 		return
@@ -186,26 +187,28 @@
 	}
 }
 
-// readyToOwnShard reports whether another controller can own a shard, and has been up for a while.
+// readyToOwnShard reports whether another controller can own a shard and has been up for
+// stableOwnerPeriod.
 func (c *Controller) readyToOwnShard(p *peerView) bool {
 	return c.hasWorkers(p) && p.stateReachable && p.uptime >= stableOwnerPeriod
 }
 
-// mayReleaseShard reports whether this node owns a shard, has done so for a while, and has no
-// machine left whose reconciliation the next owner would have to begin anew.
+// mayReleaseShard reports whether this node has owned a shard for stableOwnerPeriod and all its
+// machines are reconciled. The next owner would have to start the reconciliation of any other
+// machine again.
 func (o *ownershipState) mayReleaseShard(s *shard) bool {
 	return s.ownership == shardOwned && o.now >= s.claimedAt+stableOwnerPeriod && o.allReconciled(s)
 }
 
 // releaseShard ends all actions for a shard and deletes its owner key. No node owns the shard until
-// the deletion is applied, so it is sent in the class of leases, before all other requests.
+// the deletion is applied, so it is sent in the lease class, ahead of all other requests.
 func (c *Controller) releaseShard(s *shard) {
 	s.ownership = shardReleasing
 	c.dropQuota(s)
 	c.ownership.releaseLocks()
 }
 
-// stepDownAsLeader releases the leader lock, if this node holds it.
+// stepDownAsLeader releases the leader lock if this node holds it.
 func (o *ownershipState) stepDownAsLeader() {
 	leader := &o.leader
 	if !o.isMine(leader) {
--- a/internal/controller/ownership_test.go
+++ b/internal/controller/ownership_test.go
@@ -10,11 +10,11 @@
 	"garnethitch/internal/wire"
 )
 
-// TestFailover checks that jobs that a former owner may have started wait until every machine of
-// the shard is reconciled, and that jobs accepted after the claim need not.
+// TestFailover checks that, after a failover, jobs that a former owner may have started wait until
+// every machine of the shard is reconciled, and that jobs accepted after the claim do not wait.
 func TestFailover(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.Peers = []string{"n-1"}; c.Shards = 1 })
-	// n-1 owned the shard; its job and machines are on record.
+	// n-1 owned the shard; its job and its machines are on record.
 	old := newSubmission("job-000001", 1)
 	h.putMachines("l-1-1", "vm-1", "vm-2")
 	h.put(wire.JobKey("job-000001"), wire.JobRecord{Submission: &old, State: wire.StatePending, Tasks: 1})
@@ -28,16 +28,16 @@
 	fencingToken := h.c.fencingToken(s, h.c.machines["vm-1"])
 	_, body := h.heartbeat(heartbeatFrom("vm-1", 1, 5, fencingToken))
 	if n := len(startCommands(body.Commands)); n != 0 {
-		t.Fatalf("%d old tasks started while vm-2 may hold them", n)
+		t.Fatalf("%d tasks of the old job started while vm-2 may still run them", n)
 	}
 	h.submit(newSubmission("job-000002", 1))
 	h.dropWorkerCalls()
 	_, body = h.heartbeat(heartbeatFrom("vm-1", 1, 6, fencingToken))
 	if got := startCommands(body.Commands); len(got) != 1 || got[0].Task != "job-000002/0" {
-		t.Errorf("starts %v, want the new job's only", got)
+		t.Errorf("starts %v, want only the task of the new job", got)
 	}
 	started := startCommands(body.Commands)[0]
-	// vm-2 lists the old task: it is adopted, not started again.
+	// vm-2 reports the old task: the task is adopted, not started again.
 	_, body = h.heartbeat(heartbeatFrom("vm-2", 1, 5, fencingToken, wire.TaskStatus{Task: "job-000001/0", Attempt: 7, State: wire.TaskRunning}))
 	for _, c := range body.Commands {
 		t.Errorf("unexpected command %v", c)
@@ -52,7 +52,8 @@
 }
 
 // TestLosingTheStateService checks that an owner that has lost the state service stops answering
-// from memory at the end of its lease, and commanding at the end of CommandValidity.
+// from memory when LeaseValidity is over, and stops commanding its machines when CommandValidity is
+// over.
 func TestLosingTheStateService(t *testing.T) {
 	h := newHarness(t, nil)
 	fencingToken := h.reconcileMachine("vm-1")
@@ -73,13 +74,13 @@
 		}
 	}
 	if h.c.bounds.CommandValidity <= h.c.bounds.LeaseValidity+micros.Second {
-		t.Error("the case has no time between the two bounds")
+		t.Error("test setup: CommandValidity must be more than 1 s longer than LeaseValidity")
 	}
 }
 
-// TestIsolatedWithItsWorkers checks that a controller without the state service and its peers stops
-// answering its machines after CommandValidity, is not ready, and answers users with nothing but
-// final states.
+// TestIsolatedWithItsWorkers checks that a controller that reaches neither the state service nor
+// its peers stops answering its machines after CommandValidity, is not ready, and answers users
+// only about final states.
 func TestIsolatedWithItsWorkers(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.Peers = []string{"n-1"} })
 	h.run(2 * sec)
@@ -100,50 +101,51 @@
 		}
 	}
 	if a := h.request(func(r ReplyID) Input { return ReadinessRequest{Reply: r} }); a.Status != 503 {
-		t.Errorf("ready: %d, want 503: users must find the others", a.Status)
+		t.Errorf("readiness answered %d, want 503 so that users go to the other controllers", a.Status)
 	}
 	if a := h.jobStatus("job-000001"); a.Status == 200 {
-		t.Errorf("answers about an open job from memory: %v", a.Body)
+		t.Errorf("answered from memory about an open job: %v", a.Body)
 	}
 	if s := h.jobState("job-000002"); s != wire.StateCancelled {
-		t.Errorf("a cancelled job is %q", s)
+		t.Errorf("the cancelled job is reported as %q", s)
 	}
 }
 
-// TestRestartWithinLease checks that a process that is restarted within its lease replaces the keys
-// of its former process, and that what that one had sent does nothing when it arrives.
+// TestRestartWithinLease checks that a process restarted within its lease replaces the keys of its
+// former process, and that requests of the former process that arrive late change nothing.
 func TestRestartWithinLease(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.Peers = []string{"n-1"}; c.Shards = 1 })
 	key := ownerKey(0)
 	stale := h.keys[key].ModRevision - 1
 	lease := h.c.ownership.lease.ID()
-	// The former process's claim arrives only now, on a free key's condition.
+	// The former process's claim arrives only now. Its condition is that the key does not exist.
 	value, err := wire.Encode(wire.OwnerRecord{Label: "n-0", Incarnation: 999})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if status, _ := h.txn(wire.Txn{Conditions: []wire.Condition{{Key: key}}, Changes: []wire.Change{{Put: key, Value: value}}}); status != 409 {
-		t.Fatalf("a late claim got %d", status)
+		t.Fatalf("a late claim was answered %d, want 409", status)
 	}
-	// It got there first: the key names this node's label, but another incarnation.
+	// The former process's claim arrived first: the key holds this node's label, but another
+	// incarnation.
 	h.put(key, wire.OwnerRecord{Label: "n-0", Incarnation: 999})
 	h.run(sec)
 	s := h.c.ownership.shards[0]
 	if !s.owned() || s.owner.Incarnation != lease || s.ownerEpoch <= stale {
-		t.Fatalf("holds %+v, %v", s.owner, s.ownership)
+		t.Fatalf("the shard has owner %+v, ownership %v; want it owned by this process under a new epoch", s.owner, s.ownership)
 	}
 	if got := h.keys[key].ModRevision; got != s.ownerEpoch {
-		t.Errorf("the key's revision is %d, ours %d", got, s.ownerEpoch)
+		t.Errorf("the owner key has revision %d, the shard has owner epoch %d", got, s.ownerEpoch)
 	}
-	// A late write of the former process, under its own epoch, can't apply.
+	// A late write of the former process under its old epoch does not apply.
 	if status, _ := h.txn(wire.Txn{Conditions: []wire.Condition{{Key: key, ModRevision: stale}}, Changes: []wire.Change{{Delete: key}}}); status != 409 {
-		t.Errorf("a late write under an old epoch got %d", status)
+		t.Errorf("a late write under an old epoch was answered %d, want 409", status)
 	}
 }
 
-// TestReleaseShard checks that a shard is released to its preferred owner once that has been up for
-// a while, whatever commands are in flight; not while a machine is not reconciled, whose wait
-// would begin anew.
+// TestReleaseShard checks that a shard is released to its preferred owner once that node has been
+// up for a while, whether or not commands are in flight. It is not released while a machine is not
+// reconciled: the next owner would have to wait for that machine from the beginning.
 func TestReleaseShard(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -177,13 +179,14 @@
 	}
 }
 
-// TestReleaseShardBesideQuestions reproduces a fault found by the simulation at 4,000 machines and
-// a state service that takes few requests (docs/incidents/2026-12-share-stood-still.md). Seen: a
-// shard was being released for 100 s, its machines unanswered. How: nobody answers for its jobs
-// from memory meanwhile, so that each request of a user takes a read, and the deletion of the owner
-// key waited behind these, which went on for as long as it did: "state requests" said 8,309 sent
-// and 10,715 expired in the class of the reads, 45 and 261 in that of the deletion. Proof: beside
-// more requests than can be read, the key is deleted within a few seconds.
+// TestReleaseShardBesideQuestions checks that the deletion of an owner key is sent ahead of users'
+// reads: beside more requests than can be read, the key is deleted within a few seconds. While a
+// shard is being released no node answers for its jobs from memory, so that each user request takes
+// a read. The deletion once waited behind these reads, which lasted as long as the release did. At
+// 4,000 machines and a state service with a low request rate a shard was being released for 100 s,
+// and its machines got no answers: "state requests" showed 8,309 sent and 10,715 expired requests
+// in the class of the reads, 45 and 261 in that of the deletion. See
+// docs/incidents/2026-12-share-stood-still.md.
 func TestReleaseShardBesideQuestions(t *testing.T) {
 	h := newOwnerHarness(t, func(c *Config) {
 		withPeer(c)
@@ -203,12 +206,12 @@
 	h.c.releaseShard(s)
 	ask(5 * sec)
 	if h.keys[ownerKey(0)].ModRevision == modRevision {
-		t.Error("the owner key still stands 5 s after the shard was to be released")
+		t.Error("the owner key still exists 5 s after the release began")
 	}
 }
 
-// TestLateRenewals checks that renewals are sent at a steady pace while responses are late, and
-// that one that comes late counts from when it was sent.
+// TestLateRenewals checks that renewals are sent at a steady rate while their responses are late,
+// and that a renewal counts from when it was sent, not answered.
 func TestLateRenewals(t *testing.T) {
 	h := newHarness(t, nil)
 	var sent []Call
@@ -232,7 +235,7 @@
 			t.Fatalf("%d renewals in flight", len(sent))
 		}
 		if !h.c.ownership.leaseValid() {
-			t.Fatalf("the lease is not valid, %v s after the last renewal that counts", (h.now - h.c.ownership.lease.RenewedAt()).Seconds())
+			t.Fatalf("the lease is not valid %v s after the last successful renewal was sent", (h.now - h.c.ownership.lease.RenewedAt()).Seconds())
 		}
 	}
 }
--- a/internal/controller/peer_requests.go
+++ b/internal/controller/peer_requests.go
@@ -8,7 +8,7 @@
 	"garnethitch/internal/wire"
 )
 
-// handlePeerRequest answers another controller.
+// handlePeerRequest handles and answers a request of another controller.
 func (c *Controller) handlePeerRequest(in PeerRequest) {
 	req := in.Req
 	if req.Quota != nil {
@@ -38,7 +38,7 @@
 	c.answer(in.Reply, http.StatusOK, resp, 0)
 }
 
-// handleStatus takes another controller's status and returns the answer.
+// handleStatus applies another controller's status and returns the acknowledgement.
 func (c *Controller) handleStatus(p *peerView, status *peer.Status) *peer.StatusAck {
 	p.lastStatusAt = c.now
 	quiesced := c.applyControllerState(p, &status.ControllerState)
@@ -55,7 +55,8 @@
 	return &peer.StatusAck{ControllerState: c.controllerStateFor(p), QuiescedShards: quiesced}
 }
 
-// handleJobRecordHint takes the record of a new job, and reports whether it is readable.
+// handleJobRecordHint applies the record of a new job, sent by the controller that accepted it. It
+// reports whether the record is readable.
 func (c *Controller) handleJobRecordHint(hint *peer.JobRecordHint) bool {
 	var rec wire.JobRecord
 	if err := wire.Decode(hint.Record, &rec); err != nil || !wire.ValidID(hint.ID) {
@@ -65,7 +66,8 @@
 	return true
 }
 
-// handleJobRequest answers as the owner of a job, or with 503 if this node is not.
+// handleJobRequest answers a request about a job as the job's owner. If this node does not own the
+// job, the response is unavailable (503).
 func (c *Controller) handleJobRequest(req peer.JobRequest, done func(peer.JobResponse)) {
 	if f, ok := c.jobs.final(req.ID); ok {
 		done(f.answer())
@@ -91,8 +93,8 @@
 	}
 }
 
-// readBeforeCancel reads the record of a job that another controller wants cancelled here:
-// the watch may not have brought it yet.
+// readBeforeCancel reads the record of an unknown job that another controller asks this one to
+// cancel: the watch may not have delivered it yet.
 func (c *Controller) readBeforeCancel(req peer.JobRequest, done func(peer.JobResponse)) {
 	c.readJobForUser(req.ID, func(found statestore.Lookup) {
 		_, ended := c.jobs.final(req.ID)
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -10,63 +10,66 @@
 )
 
 const (
-	// statusInterval is the time between two statuses to another controller.
+	// statusInterval is the time between two statuses sent to another controller.
 	statusInterval = micros.Second
-	// peerTimeout is how long a controller that is silent counts as up.
+	// peerTimeout is how long a controller counts as alive after its last message.
 	peerTimeout = 5 * statusInterval / 2
-	// peerStatusOverdue is how far another controller's own statuses may be apart for it to
-	// count as the one that sends them; see peerAsks.
+	// peerStatusOverdue is the maximum time between two statuses of another controller for it to
+	// count as the one of the pair that sends statuses; see peerSendsStatus.
 	peerStatusOverdue = 6 * statusInterval / 5
-	// stateReachablePeriod is how long the state service counts as up after its last answer.
+	// stateReachablePeriod is how long the state service counts as reachable after its last answer.
 	stateReachablePeriod = 5 * micros.Second / 2
-	// misdirectedHeartbeatTTL is how long a heartbeat that belongs elsewhere is reported to the
-	// owner of its machine.
+	// misdirectedHeartbeatTTL is how long a misdirected heartbeat is reported to the owner of its
+	// machine.
 	misdirectedHeartbeatTTL = 10 * micros.Second
-	// maxNamesPerStatus bounds how many returned machines, and how many cancelled jobs, one message
-	// names; the rest is named in the next.
+	// maxNamesPerStatus bounds the returned machines and the cancelled jobs named in one status,
+	// each; the next status names the rest.
 	maxNamesPerStatus = 500
-	// maxMisdirectedNameBytes bounds the names of machines in a message that sent their
-	// heartbeats here. They show their owner that it does not receive them; as many as fit
-	// show that as well as all.
+	// maxMisdirectedNameBytes bounds the total size of the names of machines with misdirected
+	// heartbeats in a message. The names show the machines' owner that it does not receive their
+	// heartbeats; a part of them shows that as well as all of them.
 	maxMisdirectedNameBytes = 192 << 10
-	// nameOverheadBytes is what a name in a message takes beside its letters.
+	// nameOverheadBytes is the encoding overhead of a name in a message.
 	nameOverheadBytes = 3
 )
 
 // peerView is what this node knows of another controller.
 type peerView struct {
 	label         string
-	lastContactAt micros.Micros // when its last message came
-	// lastStatusAt is when its last own status came, answers to this node's excepted.
+	lastContactAt micros.Micros // when its last message arrived
+	// lastStatusAt is when its last status arrived. Its acknowledgements of this node's statuses do
+	// not count.
 	lastStatusAt   micros.Micros
 	uptime         micros.Micros
-	stateReachable bool // it has the state service
+	stateReachable bool // it reaches the state service
 	withoutWorkers bool
 	hasQuota       bool // it has quota groups
-	// statusInFlight is set while a status to it is not answered.
+	// statusInFlight is set while a status sent to it has not been answered.
 	statusInFlight bool
 	nextStatusAt   micros.Micros
 	demand         []peer.Demand
 	demandAt       micros.Micros
-	// misdirectedHeartbeats are machines that sent it heartbeats recently.
+	// misdirectedHeartbeats are the machines from which it recently received misdirected
+	// heartbeats.
 	misdirectedHeartbeats map[string]bool
-	// pendingReturnedMachines and cancelled are returned machines and cancelled jobs of which it
-	// is yet to be notified.
+	// pendingReturnedMachines and pendingCancellations are the returned machines and the cancelled
+	// jobs that it has not acknowledged yet.
 	pendingReturnedMachines []string
 	pendingCancellations    []string
 }
 
-// maxPendingCancellations bounds the cancellations of which a controller that can't be reached is yet to
-// be notified: as many as the state service records within the time that a cancellation has.
-// Past it the oldest are dropped: their tasks are gone by then.
+// maxPendingCancellations bounds the cancellations kept for a controller that cannot be reached. It
+// is the number that the state service can record within the time limit of a cancellation. Beyond
+// it the oldest are dropped: their tasks are gone by then.
 func (sc *stepContext) maxPendingCancellations() int {
 	recorded := int(sc.cfg.WriteRPS * sc.cfg.CancelWithin.Seconds())
 	return max(10*maxNamesPerStatus, recorded+maxNamesPerStatus)
 }
 
-// broadcastCancellation notifies the other controllers of a cancellation, until each has
-// acknowledged: the owner of the job may have lost the state service, and so not know that
-// its own record of it was written. No user's answer waits for that.
+// broadcastCancellation notifies the other controllers of a cancellation until each has
+// acknowledged it. The owner of the job may have lost the state service, and then does not learn
+// otherwise that its own write of the record was executed. The answer to the user does not wait for
+// the broadcast.
 func (c *Controller) broadcastCancellation(id string) {
 	if !c.jobs.startBroadcast(id) {
 		return
@@ -80,8 +83,8 @@
 	}
 }
 
-// applyBroadcastCancellations takes the cancellations that another controller notifies of: they
-// are on record, whatever the state service answers this one.
+// applyBroadcastCancellations applies the cancellations that another controller has announced. They
+// are on record, whatever the state service answers this node.
 func (c *Controller) applyBroadcastCancellations(p *peerView, ids []string) {
 	for _, id := range ids {
 		if !wire.ValidID(id) {
@@ -93,24 +96,25 @@
 		}
 		c.finishJob(id, f)
 		if i := slices.Index(p.pendingCancellations, id); i >= 0 {
-			p.pendingCancellations = slices.Delete(p.pendingCancellations, i, i+1) // it has recorded that itself
+			p.pendingCancellations = slices.Delete(p.pendingCancellations, i, i+1) // it knows the cancellation already
 		}
 	}
 }
 
-// alive reports whether a message of another controller came within peerTimeout. A time in
-// which this node itself was stalled does not count against others.
+// alive reports whether a message of another controller arrived within peerTimeout. Time during
+// which this node itself was stalled does not count.
 func (sc *stepContext) alive(p *peerView) bool {
 	contacted := p.lastContactAt > -micros.Never
 	return contacted && sc.now-max(p.lastContactAt, sc.lastStalledAt) < peerTimeout
 }
 
-// stateReachable reports whether the state service answered this node recently.
+// stateReachable reports whether the state service answered this node within stateReachablePeriod.
 func (o *ownershipState) stateReachable() bool {
 	return o.now-o.lastStateReplyAt < stateReachablePeriod
 }
 
-// sendDueStatuses sends the statuses that are due.
+// sendDueStatuses sends the statuses that are due, and drops misdirected heartbeats that are too
+// old to report.
 func (c *Controller) sendDueStatuses() {
 	for _, label := range c.cfg.Peers {
 		if p := c.peers[label]; c.now >= p.nextStatusAt && !c.peerUpToDate(p) {
@@ -124,15 +128,15 @@
 	}
 }
 
-// peerUpToDate reports whether another controller needs no status: its own keep coming, and
-// the answers to them say all that a status of this node would.
+// peerUpToDate reports whether another controller needs no status: it keeps sending its own, and
+// the acknowledgements of those contain all that a status of this node would.
 func (c *Controller) peerUpToDate(p *peerView) bool {
 	return c.peerSendsStatus(p) && !c.hasPendingNotifications(p) && c.ownership.quiescedByPeer(p)
 }
 
 // peerSendsStatus reports whether, of this node and another controller, the other is the one that
-// sends statuses, and does so: the one that is not the leader, since it has its demand to
-// send, else the first by name.
+// sends statuses, and is doing so. If one of the two is the leader, the other one sends, because it
+// has its demand to report; otherwise the one with the first label does.
 func (c *Controller) peerSendsStatus(p *peerView) bool {
 	if c.now-p.lastStatusAt > peerStatusOverdue {
 		return false
@@ -147,14 +151,14 @@
 	}
 }
 
-// hasPendingNotifications reports whether a status would say what no answer to another
-// controller's status does.
+// hasPendingNotifications reports whether a status would contain notifications. An acknowledgement
+// of another controller's status carries none.
 func (c *Controller) hasPendingNotifications(p *peerView) bool {
 	return len(p.pendingReturnedMachines) > 0 || len(p.pendingCancellations) > 0 || len(c.recordRequestsFor(p)) > 0
 }
 
-// quiescedByPeer reports whether another controller has said of all shards of this node that
-// it issues no commands there.
+// quiescedByPeer reports whether another controller has confirmed for all shards of this node that
+// it issues no commands for them.
 func (o *ownershipState) quiescedByPeer(p *peerView) bool {
 	for _, s := range o.shards {
 		if _, quiesced := s.quiescedPeers[p.label]; s.owned() && !quiesced {
@@ -164,8 +168,9 @@
 	return true
 }
 
-// controllerStateFor returns what this node says of itself to another controller: among the rest the shards
-// for which it acts, and the machines of the other's shards that sent heartbeats here.
+// controllerStateFor returns this node's state for a message to another controller. It includes the
+// shards for which this node acts, and the machines of the other's shards that sent heartbeats
+// here.
 func (c *Controller) controllerStateFor(p *peerView) peer.ControllerState {
 	return peer.ControllerState{
 		UptimeUS:            int64(c.now - c.startedAt),
@@ -187,8 +192,8 @@
 	return claims
 }
 
-// misdirectedMachinesOf lists the machines of another controller's shards that sent their
-// heartbeats here, as many as fit into a message.
+// misdirectedMachinesOf lists the machines of another controller's shards that sent heartbeats
+// here, as many as fit into a message.
 func (c *Controller) misdirectedMachinesOf(p *peerView) (ids []string) {
 	remainingBytes := maxMisdirectedNameBytes
 	for _, id := range sortedKeys(c.misdirectedHeartbeats) {
@@ -204,8 +209,8 @@
 	return ids
 }
 
-// applyControllerState takes what another controller says of itself, and returns the shards of its for
-// which this node issues no commands.
+// applyControllerState applies the state that another controller reports of itself. It returns the
+// shards claimed by that controller for which this node issues no commands.
 func (c *Controller) applyControllerState(p *peerView, state *peer.ControllerState) (quiesced []int) {
 	p.lastContactAt = c.now
 	p.uptime = micros.Micros(state.UptimeUS)
@@ -222,7 +227,7 @@
 	return c.recordPeerClaims(state.Claims)
 }
 
-// sendStatus sends another controller a status, unless one is in flight.
+// sendStatus sends another controller a status. If one is in flight, the status is sent after it.
 func (c *Controller) sendStatus(p *peerView) {
 	if p.statusInFlight {
 		p.nextStatusAt = c.now
@@ -241,7 +246,7 @@
 	})
 }
 
-// statusFor returns the status for another controller.
+// statusFor returns the status to send to another controller.
 func (c *Controller) statusFor(p *peerView) *peer.Status {
 	status := &peer.Status{ControllerState: c.controllerStateFor(p)}
 	if c.ownership.leader.owner.Label == p.label {
@@ -257,7 +262,7 @@
 	return status
 }
 
-// handleStatusAck takes another controller's answer to a status.
+// handleStatusAck handles another controller's acknowledgement of a status.
 func (c *Controller) handleStatusAck(p *peerView, sent *peer.Status, ack *peer.StatusAck) {
 	p.pendingReturnedMachines = p.pendingReturnedMachines[min(len(sent.ReturnedMachines), len(p.pendingReturnedMachines)):]
 	acknowledged := make(map[string]bool, len(sent.Cancelled))
--- a/internal/controller/peers_test.go
+++ b/internal/controller/peers_test.go
@@ -9,11 +9,11 @@
 	"garnethitch/internal/wire"
 )
 
-// TestPeersLearnAllCancellations checks that a controller that can't be reached is notified of
-// every cancellation whose tasks may still be on machines, however many there are. Which are
-// dropped was decided by a count, 5,000, on the assumption that the oldest are over by then: where
-// the state service takes 200 writes a second that many are recorded in 25 s, and a cancellation
-// has 49.
+// TestPeersLearnAllCancellations checks that a controller that cannot be reached is notified later
+// of every cancellation whose tasks may still be on machines, however many there are. The oldest
+// were once dropped beyond a fixed count of 5,000, on the assumption that their time limit was over
+// by then. But a state service that takes 200 writes a second records that many in 25 s, and the
+// time limit of a cancellation is 49 s.
 func TestPeersLearnAllCancellations(t *testing.T) {
 	for _, limits := range []struct {
 		writeRPS float64
@@ -33,7 +33,7 @@
 				h.c.broadcastCancellation(id)
 			}
 			notified := map[string]bool{}
-			for range 2*all/maxNamesPerStatus + 4 { // one message a second, about
+			for range 2*all/maxNamesPerStatus + 4 { // about one message a second
 				h.step(PeerRequest{Reply: 900, Req: peer.Request{From: "n-1", Status: &peer.Status{ControllerState: peer.ControllerState{StateOK: true}}}})
 				h.peersDown = false
 				before := len(h.statusesSent)
@@ -51,9 +51,9 @@
 	}
 }
 
-// TestOnePeerSendsStatus checks that of two controllers one sends statuses and the other answers
-// them; one that receives none, has notifications, or waits for the other to be quiesced, sends its
-// own.
+// TestOnePeerSendsStatus checks that of two controllers one sends statuses and the other
+// acknowledges them. The other sends its own if it receives none, has notifications, or waits for
+// the first to confirm that it is quiesced.
 func TestOnePeerSendsStatus(t *testing.T) {
 	for _, tc := range []struct {
 		name           string
@@ -61,12 +61,12 @@
 		change         func(*harness)
 		sends          bool
 	}{
-		{"asked, leading", true, func(*harness) {}, false},
-		{"not asked", false, func(*harness) {}, true},
-		{"asked, with returned machines to name", true, func(h *harness) { h.c.peers["n-1"].pendingReturnedMachines = []string{"vm-9"} }, true},
-		{"asked, but it has not said that it is quiesced", true, func(h *harness) { clear(h.c.ownership.shards[0].quiescedPeers) }, true},
-		{"asked by the leader", true, func(h *harness) { h.c.ownership.leader.owner.Label = "n-1" }, true},
-		{"asked by one that is later by name, a third leads", true, func(h *harness) { h.c.ownership.leader.owner.Label = "n-2" }, true},
+		{"receives statuses, leads", true, func(*harness) {}, false},
+		{"receives no statuses", false, func(*harness) {}, true},
+		{"receives statuses, has returned machines to name", true, func(h *harness) { h.c.peers["n-1"].pendingReturnedMachines = []string{"vm-9"} }, true},
+		{"receives statuses, but the other is not quiesced", true, func(h *harness) { clear(h.c.ownership.shards[0].quiescedPeers) }, true},
+		{"receives statuses from the leader", true, func(h *harness) { h.c.ownership.leader.owner.Label = "n-1" }, true},
+		{"receives statuses from one with a later label, a third leads", true, func(h *harness) { h.c.ownership.leader.owner.Label = "n-2" }, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t, func(c *Config) { c.Peers = []string{"n-1"} })
@@ -85,8 +85,8 @@
 }
 
 // TestCancellationIsBroadcast checks that another controller's notification ends a cancelled job at
-// once, whatever the state service answers; and a controller that answered a user notifies the
-// others until they acknowledge.
+// once, whatever the state service answers, and that a controller that knows of a cancellation
+// notifies the others until they acknowledge it.
 func TestCancellationIsBroadcast(t *testing.T) {
 	t.Run("received", func(t *testing.T) {
 		h := newOwnerHarness(t, withPeer)
@@ -99,7 +99,7 @@
 			t.Errorf("commands %v, want the task stopped", body.Commands)
 		}
 		if s := h.jobState("job-000001"); s != wire.StateCancelled {
-			t.Errorf("called %q after another controller answered its user \"cancelled\"", s)
+			t.Errorf("reported as %q after another controller confirmed the cancellation", s)
 		}
 	})
 	for _, tc := range []struct {
@@ -107,10 +107,10 @@
 		learn func(h *harness)
 	}{
 		{"cancelled by this node", func(h *harness) { h.cancel("job-000001") }},
-		{"learned by the watch", func(h *harness) {
+		{"learned from the watch", func(h *harness) {
 			h.put(wire.JobKey("job-000001"), wire.JobRecord{State: wire.StateCancelled, Tasks: 1})
 		}},
-		{"read for a status request, the job never known here", func(h *harness) {
+		{"read for a status request, job unknown before", func(h *harness) {
 			h.blockedWatchPrefix = wire.PrefixJob
 			h.put(wire.JobKey("job-000003"), wire.JobRecord{State: wire.StateCancelled, Tasks: 1})
 			h.jobState("job-000003")
@@ -123,7 +123,7 @@
 			tc.learn(h)
 			h.run(4 * sec)
 			h.peersDown = false
-			for id := range h.c.calls { // what was asked meanwhile is given up
+			for id := range h.c.calls { // calls sent while the peers were down get no answer
 				if len(h.c.calls) > 0 && h.c.peers["n-1"].statusInFlight {
 					h.step(Result{ID: id})
 				}
@@ -135,14 +135,14 @@
 				times += len(st.Cancelled)
 			}
 			if times != 1 {
-				t.Errorf("notified %d times, want once: acknowledged by the answer", times)
+				t.Errorf("notified %d times, want once: the first answer acknowledges it", times)
 			}
 		})
 	}
 }
 
-// TestLateJobRecordHint checks that a late copy of a message about a new job does not bring back
-// one whose end has left memory.
+// TestLateJobRecordHint checks that a late copy of a message about a new job does not reopen a job
+// whose end is no longer in memory.
 func TestLateJobRecordHint(t *testing.T) {
 	h := newOwnerHarness(t, func(c *Config) {
 		withPeer(c)
@@ -158,7 +158,7 @@
 	}
 	h.cancel("job-000001")
 	h.submit(newSubmission("job-000002", 1))
-	h.cancel("job-000002") // takes its place in memory
+	h.cancel("job-000002") // takes the only place for final jobs in memory
 	h.run(sec)
 	hint := peer.Request{From: "n-1", JobRecordHint: &peer.JobRecordHint{ID: "job-000001", ModRevision: modRevision, Record: value}}
 	h.step(PeerRequest{Reply: 900, Req: hint})
@@ -167,13 +167,13 @@
 		t.Error("a cancelled job is open again")
 	}
 	if s := h.jobState("job-000001"); s != wire.StateCancelled {
-		t.Errorf("called %q", s)
+		t.Errorf("the cancelled job is reported as %q", s)
 	}
 }
 
-// TestMisdirectedMachinesAreNamed checks that a controller names to another all machines of that
-// one's shards that send heartbeats to it, and no others: past a fixed bound those that matter went
-// unnamed.
+// TestMisdirectedMachinesAreNamed checks that a controller names to another one all machines of the
+// other's shards that send heartbeats here, and no others. With a fixed bound on their number,
+// machines that mattered were not named.
 func TestMisdirectedMachinesAreNamed(t *testing.T) {
 	h := newHarness(t, func(c *Config) {
 		c.Shards = 2
@@ -193,7 +193,7 @@
 	h.reconcileMachine("vm-mine")
 	for i := range machines {
 		if status, _ := h.heartbeat(heartbeatFrom(machineName(i), 1, 1, 0)); status != 421 {
-			t.Fatalf("heartbeat of another's machine answered %d", status)
+			t.Fatalf("heartbeat of a machine of another owner's shard answered %d, want 421", status)
 		}
 	}
 	a := h.request(func(r ReplyID) Input {
--- a/internal/controller/shard_recovery.go
+++ b/internal/controller/shard_recovery.go
@@ -9,29 +9,31 @@
 	"garnethitch/internal/wire"
 )
 
-// What a node does as it comes to own a shard, and as it ceases to.
+// This file starts a node's work for a shard when it becomes the owner, and ends it when it loses
+// ownership.
 
-// shardRecovery is what an owner has learned since its claim; a new claim begins with nothing.
+// shardRecovery is what an owner has learned since its claim. Each new claim starts with an empty
+// one.
 type shardRecovery struct {
 	claimedAt micros.Micros
-	// machinesFreeAt is when machines without a heartbeat since the claim hold no task any
-	// more, see authority.Bounds.
+	// machinesFreeAt is when machines that have sent no heartbeat since the claim hold no tasks any
+	// more; see authority.Bounds.
 	machinesFreeAt micros.Micros
-	// quiescedPeers are the peers that issue no commands for the shard below this claim, with
-	// when they said so.
+	// quiescedPeers maps each peer that issues no commands for the shard under an earlier claim to
+	// the time at which it confirmed that.
 	quiescedPeers map[string]micros.Micros
-	reconciled    bool // no task of a former owner can be at an unknown place
+	reconciled    bool // no task of a former owner can be in an unknown place
 	// jobsViewCurrent is set if this node's view of jobs is at least as new as its claim. Until
-	// then a job that it believes open may long have ended.
+	// then, a job that it considers open may have ended long ago.
 	jobsViewCurrent        bool
 	refreshingJobsView     bool
 	loadingCheckpoints     bool
-	checkpointsLoaded      bool // the checkpoints that stood at the claim are known
+	checkpointsLoaded      bool // the checkpoints that existed at the claim are known
 	checkpoints            map[string]wire.CheckpointRecord
 	checkpointModRevisions map[string]uint64
 }
 
-// setShardOwner takes a claim of a shard that the records show.
+// setShardOwner applies a claim of a shard found in the records.
 func (c *Controller) setShardOwner(s *shard, rec wire.OwnerRecord, modRevision uint64) {
 	s.owner = rec
 	s.ownerEpoch = modRevision
@@ -46,7 +48,7 @@
 	}
 }
 
-// activateShard starts recovery of a shard that this node has just come to own.
+// activateShard starts the recovery of a shard that this node has just come to own.
 func (c *Controller) activateShard(s *shard) {
 	s.ownership = shardOwned
 	s.shardRecovery = shardRecovery{
@@ -69,8 +71,9 @@
 	c.schedulingDue = true
 }
 
-// machineFreeDelay returns how long after a claim a machine without a heartbeat may hold tasks. A
-// node without peers has no predecessor that could have answered the machine since.
+// machineFreeDelay returns how long after a claim a machine without a heartbeat may still hold
+// tasks. A node without peers has no predecessor that could have answered the machine since, so
+// that the machine's own lease is the bound.
 func (sc *stepContext) machineFreeDelay() micros.Micros {
 	if len(sc.cfg.Peers) == 0 {
 		return sc.bounds.WorkerExpiry
@@ -78,8 +81,8 @@
 	return sc.bounds.SuccessorWait
 }
 
-// startMachineViews begins a view of each machine of a shard that is not cordoned, and returns their
-// number.
+// startMachineViews starts a view of each machine of a shard that is not cordoned, and returns the
+// number of views.
 func (c *Controller) startMachineViews(s *shard) int {
 	machines := 0
 	for _, m := range s.machines {
@@ -95,7 +98,7 @@
 	return machines
 }
 
-// startShardRuns begins to run the open jobs of a shard, and returns their number.
+// startShardRuns starts a run of each open job of a shard, and returns the number of runs.
 func (c *Controller) startShardRuns(s *shard) int {
 	jobs := 0
 	for _, j := range c.jobs.open {
@@ -107,17 +110,17 @@
 	return jobs
 }
 
-// refreshJobsView brings the view of jobs up to a claim, by one watch that does not wait: the
-// long poll may have hung on a broken connection for long.
+// refreshJobsView brings the view of jobs up to a claim by a watch request that returns at once.
+// The long poll in flight may have been stuck on a broken connection for a long time.
 func (c *Controller) refreshJobsView(s *shard) {
 	w := &c.ownership.jobWatch
 	if !w.Ready() || s.refreshingJobsView {
-		return // the listing in progress comes first; maintainMachines asks again
+		return // the listing in progress comes first; maintainMachines tries again
 	}
 	s.refreshingJobsView = true
 	ownerEpoch := s.ownerEpoch
 	sentAt := c.now
-	// Where the state service is slow, what lets renewals through lets this through.
+	// The lease class has precedence where the state service is slow.
 	c.queueStateRequest(statestore.ClassLease, statestore.WatchKeys{Prefix: w.Prefix, Since: w.Since}, c.cfg.Lease, func(r statestore.Reply) {
 		if s.owned() && s.ownerEpoch == ownerEpoch {
 			c.applyJobsRefresh(s, r, sentAt)
@@ -125,8 +128,7 @@
 	})
 }
 
-// applyJobsRefresh takes the response to a watch that was sent to bring the view of jobs up to
-// the claim.
+// applyJobsRefresh handles the response to the request of refreshJobsView that was sent at sentAt.
 func (c *Controller) applyJobsRefresh(s *shard, r statestore.Reply, sentAt micros.Micros) {
 	s.refreshingJobsView = false
 	w := &c.ownership.jobWatch
@@ -143,8 +145,8 @@
 	c.schedulingDue = true
 }
 
-// deactivateShard ends this node's work for a shard: nothing is kept that a later claim could mistake
-// for knowledge.
+// deactivateShard ends this node's work for a shard. It clears all state that a later claim could
+// mistake for current knowledge.
 func (c *Controller) deactivateShard(s *shard) {
 	c.log(Info, "shard given up", "shard", s.id)
 	s.ownership = shardNotOwned
@@ -162,9 +164,9 @@
 	}
 }
 
-// recordQuiescedPeer records that a peer issues no commands for a shard below this node's claim.
-// Once all have said so, machines without a heartbeat need to be waited for no longer than
-// their own lease.
+// recordQuiescedPeer records that a peer issues no commands for a shard under an earlier claim than
+// this node's. Once all peers have confirmed that, a machine without a heartbeat is free when its
+// own lease has expired.
 func (o *ownershipState) recordQuiescedPeer(s *shard, label string) {
 	if !s.owned() {
 		return
@@ -178,8 +180,8 @@
 	}
 }
 
-// recordPeerClaims records the claims of a peer: a higher epoch than this node's ends its work
-// for the shard. It returns the shards of them that this node does not command.
+// recordPeerClaims records the shard claims of a peer. A higher epoch than this node's ends this
+// node's work for the shard. It returns the claimed shards that this node does not own.
 func (c *Controller) recordPeerClaims(claims []peer.ShardClaim) (quiesced []int) {
 	for _, claim := range claims {
 		if claim.Shard < 0 || claim.Shard >= len(c.ownership.shards) {
--- a/internal/controller/state_records.go
+++ b/internal/controller/state_records.go
@@ -10,7 +10,7 @@
 	"garnethitch/quota"
 )
 
-// applyEvents takes in changes of keys, in their order.
+// applyEvents applies changes of keys in their order.
 func (c *Controller) applyEvents(events []wire.Event) {
 	for _, e := range events {
 		if e.Put != "" {
@@ -22,16 +22,16 @@
 	c.dropMachinesWithoutRecordSet()
 }
 
-// applyPut takes in a key's value, from a watch, a listing or a read. One that is older than
-// what is known is ignored.
+// applyPut applies the value of a key from a watch, a listing or a read. A value older than the
+// known one is ignored.
 func (c *Controller) applyPut(key string, value wire.Raw, modRevision uint64) {
 	if err := c.applyRecord(key, value, modRevision); err != nil {
 		c.log(Error, "record not readable, ignored", "key", key, "error", err)
 	}
 }
 
-// applyRecord takes in a record by the kind of its key. It returns an error if the record can't
-// be decoded.
+// applyRecord applies a record according to the prefix of its key. It returns an error if the
+// record cannot be decoded.
 func (c *Controller) applyRecord(key string, value wire.Raw, modRevision uint64) error {
 	switch {
 	case strings.HasPrefix(key, wire.PrefixOwner):
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// shardOfOwnerKey returns the shard that an owner key belongs to, nil if there is none.
+// shardOfOwnerKey returns the shard of an owner key, or nil if there is no such shard.
 func (o *ownershipState) shardOfOwnerKey(key string) *shard {
 	id, err := strconv.Atoi(key[len(wire.PrefixOwner):])
 	if err != nil || id < 0 || id >= len(o.shards) {
@@ -59,7 +59,7 @@
 	return o.shards[id]
 }
 
-// applyShardOwner takes in the record of a shard's owner.
+// applyShardOwner applies the owner record of a shard.
 func (c *Controller) applyShardOwner(key string, value wire.Raw, modRevision uint64) error {
 	s := c.ownership.shardOfOwnerKey(key)
 	if s == nil || modRevision <= s.ownerEpoch {
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// applyLeader takes in the record of the leader.
+// applyLeader applies the owner record of the leader lock.
 func (c *Controller) applyLeader(value wire.Raw, modRevision uint64) error {
 	leader := &c.ownership.leader
 	if modRevision <= leader.ownerEpoch {
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// applyMachineTypes takes in the record of the machine types.
+// applyMachineTypes applies the record of the machine types.
 func (c *Controller) applyMachineTypes(value wire.Raw, modRevision uint64) error {
 	var rec wire.MachineTypes
 	if err := wire.Decode(value, &rec); err != nil {
@@ -102,7 +102,7 @@
 	return nil
 }
 
-// applyRecordSet takes in a record set of machines.
+// applyRecordSet applies a machine record set.
 func (c *Controller) applyRecordSet(key string, value wire.Raw, modRevision uint64) error {
 	var rec wire.MachineRecordSet
 	if err := wire.Decode(value, &rec); err != nil {
@@ -112,7 +112,7 @@
 	return nil
 }
 
-// applyQuota takes in the record of a group's quota.
+// applyQuota applies the quota record of a group.
 func (c *Controller) applyQuota(group string, value wire.Raw, modRevision uint64) error {
 	var rec quota.Record
 	if err := wire.Decode(value, &rec); err != nil {
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// applyJob takes in the record of a job; a job whose record can't be decoded is unusable.
+// applyJob applies the record of a job. A job whose record cannot be decoded is marked unusable.
 func (c *Controller) applyJob(id string, value wire.Raw, modRevision uint64) error {
 	var rec wire.JobRecord
 	if err := wire.Decode(value, &rec); err != nil {
@@ -133,8 +133,8 @@
 	return nil
 }
 
-// applyDelete takes in the deletion of a key, by the kind of the key. One that is older than
-// what is known is ignored.
+// applyDelete applies the deletion of a key according to its prefix. A deletion older than the
+// known value is ignored.
 func (c *Controller) applyDelete(key string, modRevision uint64) {
 	switch {
 	case strings.HasPrefix(key, wire.PrefixOwner):
@@ -148,7 +148,7 @@
 	}
 }
 
-// applyShardOwnerDelete takes in that a shard's owner key was deleted.
+// applyShardOwnerDelete applies the deletion of a shard's owner key.
 func (c *Controller) applyShardOwnerDelete(key string, modRevision uint64) {
 	s := c.ownership.shardOfOwnerKey(key)
 	if s == nil {
@@ -159,7 +159,8 @@
 	}
 }
 
-// clearOwner takes in that a lock has no owner. It returns false if a later owner is known.
+// clearOwner marks a lock as free as of a revision. It returns false and changes nothing if a later
+// owner is known.
 func (o *ownershipState) clearOwner(l *lock, modRevision uint64) bool {
 	if modRevision < l.ownerEpoch {
 		return false
@@ -170,7 +171,8 @@
 	return true
 }
 
-// dropUnlistedKeys applies the deletions that a complete listing of the control keys shows.
+// dropUnlistedKeys applies the deletion of each control key that is known but missing from a
+// complete listing at a revision.
 func (c *Controller) dropUnlistedKeys(listed map[string]bool, revision uint64) {
 	for _, s := range c.ownership.shards {
 		c.dropUnlistedLock(&s.lock, ownerKey(s.id), listed, revision)
@@ -183,8 +185,8 @@
 	}
 }
 
-// dropUnlistedLock applies the deletion of a lock's key if the listing shows it, and notes since
-// when there is none if none was ever seen.
+// dropUnlistedLock frees a lock whose key is missing from the listing. For a lock that was never
+// held, it records the current time as the time since when the lock is free.
 func (c *Controller) dropUnlistedLock(l *lock, key string, listed map[string]bool, revision uint64) {
 	switch {
 	case l.ownerEpoch == 0:
--- a/internal/controller/state_requests.go
+++ b/internal/controller/state_requests.go
@@ -6,7 +6,7 @@
 	"garnethitch/internal/wire"
 )
 
-// newStateReads returns the reads of job records on behalf of users.
+// newStateReads returns the reader of job records for user requests.
 func (c *Controller) newStateReads() *statestore.Reads {
 	return statestore.NewReads(statestore.ReadsConfig{
 		Queue:      c.stateQueue,
@@ -17,7 +17,8 @@
 	})
 }
 
-// queueStateRequest queues a request to the state service. done is called exactly once.
+// queueStateRequest queues a request to the state service. done is called exactly once; if the
+// queue is full or the request expires in it, the reply has NotSent set.
 func (sc *stepContext) queueStateRequest(class statestore.Class, body any, timeout micros.Micros, done func(statestore.Reply)) {
 	request := statestore.Request{
 		Body:      body,
@@ -34,7 +35,8 @@
 	}
 }
 
-// sendQueuedStateRequests sends the requests to the state service that the limits allow.
+// sendQueuedStateRequests sends as many queued requests to the state service as the limits allow,
+// and drops the expired ones.
 func (c *Controller) sendQueuedStateRequests() {
 	for {
 		c.userReads.Offer(c.now)
@@ -64,30 +66,30 @@
 	})
 }
 
-// hasSpareRequests reports whether half of a second's requests to the state service are left,
-// and nothing waits for its turn.
+// hasSpareRequests reports whether at least half of a second's requests to the state service are
+// unused and no request is waiting.
 func (c *Controller) hasSpareRequests() bool {
 	return c.userReads.Waiting() == 0 && c.stateQueue.HasSpareRequests(c.now)
 }
 
-// readJobForUser reads a job's record for a user.
+// readJobForUser reads a job's record on behalf of a user.
 func (c *Controller) readJobForUser(id string, done func(statestore.Lookup)) {
 	c.userReads.Ask(c.now, id, done)
 }
 
-// retryAfter returns after how many seconds a user who is refused now is to try again.
+// retryAfter returns the Retry-After time in seconds for a user whose request is refused now.
 func (c *Controller) retryAfter() int { return c.userReads.RetryAfter() }
 
-// StateRequests returns the metrics of the requests to the state service, the most urgent
+// StateRequests returns the metrics of the requests to the state service by class, the most urgent
 // class first.
 func (c *Controller) StateRequests() []statestore.ClassMetrics {
 	metrics := c.stateQueue.Metrics(c.now)
-	metrics[statestore.ClassQuestion].Depth = c.userReads.Waiting() // of which one is queued
+	metrics[statestore.ClassQuestion].Depth = c.userReads.Waiting() // at most one of them is in the queue
 	return metrics
 }
 
-// logStateRequests logs the metrics of the classes that were used, as information whenever
-// more requests were given up unsent.
+// logStateRequests logs the metrics of all classes in use. The level is Info if requests were
+// dropped unsent since the last line, and Debug otherwise.
 func (c *Controller) logStateRequests() {
 	level, unsent := Debug, uint64(0)
 	var args []any
--- a/internal/controller/step_context.go
+++ b/internal/controller/step_context.go
@@ -9,34 +9,34 @@
 	"garnethitch/internal/micros"
 )
 
-// stepContext is what every part of a controller works with: the settings, the time of the step
-// under way, and the effects that it gives out. The parts that have methods of their own hold a
-// pointer to their controller's.
+// stepContext holds what all components of a controller share: the settings, the time of the
+// current step, and the effects of the step. Components with methods of their own hold a pointer to
+// their controller's stepContext.
 type stepContext struct {
 	cfg                Config
 	bounds             authority.Bounds
 	heartbeatDeadlines reachability.Deadlines
 	rng                *rand.Rand
 
-	// now is the steady time of the step, wall its time of day.
+	// now is the steady time of the current step, wall its time of day.
 	now, wall micros.Micros
-	startedAt micros.Micros // time of the first step; below 0: none yet
-	wakeAt    micros.Micros // see Wake
-	// lastStalledAt is when the process was last found stalled. That nothing was received
-	// before says nothing about others.
+	startedAt micros.Micros // time of the first step; negative before it
+	wakeAt    micros.Micros // time at which the next step is due at the latest; see Wake
+	// lastStalledAt is when the process was last found to have stalled. Silence of other nodes up
+	// to that time is no evidence that they are down.
 	lastStalledAt micros.Micros
-	schedulingDue bool // there is something to schedule
+	schedulingDue bool // there may be tasks to schedule
 
-	// What the step under way gives out; see effects.go.
+	// The effects of the current step and the calls in flight; see effects.go.
 	effects  []Effect
 	deferred []func()
-	calls    map[uint64]func(Result) // by ID, those without a Result yet
+	calls    map[uint64]func(Result) // callbacks of the calls in flight, by Call.ID
 	nextCall uint64
 
 	stateQueue *statestore.Queue
 }
 
-// rngStream is the second word of the random numbers' seed.
+// rngStream is the second word of the random number generator's seed.
 const rngStream = 0x9e3779b97f4a7c15
 
 // newStepContext returns the context of a controller before its first step.
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -8,34 +8,36 @@
 	"garnethitch/internal/wire"
 )
 
-// The least time between two watches of a prefix. The jobs of other controllers are not urgent:
-// an owner receives a new job from the controller that accepted it, and a claim refreshes the
-// view of jobs. They are more urgent where a job of this controller is blocked on one of them.
+// The minimum time between two requests of a watch. Changes of other controllers' jobs are not
+// urgent: an owner learns of a new job from the controller that accepted it, and refreshes its view
+// of jobs after a claim. They are more urgent while a job of this controller is blocked by one of
+// them.
 const (
 	controlWatchInterval = 80 * micros.Millisecond
 	jobWatchInterval     = 400 * micros.Millisecond
 	blockedWatchInterval = 120 * micros.Millisecond
 )
 
-// The parts of a controller's requests that watches take at most. They are of ClassLease, and
-// where records change all the time each ends at once; see statestore.LeaseFraction.
+// The maximum fractions of a controller's requests that the watches may take. Watches are sent in
+// ClassLease, and each ends at once where records change all the time; see
+// statestore.LeaseFraction.
 const (
 	controlWatchFraction = 0.27
 	jobWatchFraction     = 0.18
-	quotaWatchFraction   = 0.10 // on top, where groups are kept
+	quotaWatchFraction   = 0.10 // in addition to the others, if there are quota groups
 )
 
-// blockedWatchTimeout is the timeout of the watch of jobs while a job is blocked on another: two
+// blockedWatchTimeout is the timeout of the job watch while a job is blocked by another: two
 // watches without changes must take less than maxBlockedViewAge.
 const blockedWatchTimeout = 2 * micros.Second
 
-// watchInterval returns the least time between two watches of a prefix: as given, or more where
-// the controller may send so few requests that they took more than the given part.
+// watchInterval returns the minimum time between two requests of a watch: minInterval, or longer if
+// the requests would otherwise exceed the given fraction of the controller's request rate.
 func (sc *stepContext) watchInterval(minInterval micros.Micros, fraction float64) micros.Micros {
 	return max(minInterval, micros.FromSeconds(1/(fraction*sc.stateQueue.RequestRate())))
 }
 
-// continueWatch makes the next request of a watch if it is time.
+// continueWatch sends the next request of a watch if it is due.
 func (c *Controller) continueWatch(w *statestore.Watch) {
 	if w.InFlight {
 		return
@@ -55,7 +57,7 @@
 	})
 }
 
-// handleWatchReply takes in the reply to a long poll.
+// handleWatchReply handles the reply to a long poll.
 func (c *Controller) handleWatchReply(w *statestore.Watch, r statestore.Reply) {
 	changes, ok := r.Body.(*wire.Events)
 	switch {
@@ -69,7 +71,7 @@
 	c.continueWatch(w)
 }
 
-// handleListingReply takes in the reply to a page of a listing.
+// handleListingReply handles the reply to a page of a listing.
 func (c *Controller) handleListingReply(w *statestore.Watch, r statestore.Reply) {
 	page, ok := r.Body.(*wire.KeyList)
 	if !ok || r.Status != http.StatusOK {
