--- a/internal/controller/authority.go
+++ b/internal/controller/authority.go
@@ -149,7 +149,7 @@
 	leader := &o.leader
 	return authority.MayLead(authority.LeaderKnowledge{
 		Lease:        o.leaseKnowledge(),
-		Owned:        o.isMine(leader),
+		Owned:        o.holdsLock(leader),
 		SteppingDown: leader.ownerEpoch == o.steppedDownEpoch,
 	}, o.bounds)
 }
--- a/internal/controller/authority_test.go
+++ b/internal/controller/authority_test.go
@@ -22,7 +22,7 @@
 	h.heartbeat(h.runningHeartbeat(20, fencingToken, attempt))
 	h.heartbeat(h.runningHeartbeat(20, fencingToken, attempt)) // a duplicate
 	h.blockedWatchPrefix = wire.PrefixJob
-	h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}})
+	h.applyTxn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}})
 	h.run(2 * sec)
 	h.run(h.c.bounds.StaleViewGrace)
 	h.stateDown = true
--- a/internal/controller/cancellation_cascade_test.go
+++ b/internal/controller/cancellation_cascade_test.go
@@ -23,7 +23,7 @@
 	h.record(root)
 	for i := range n {
 		sub := after(dependentID(i), 1, root.ID)
-		h.txn(wire.Txn{Changes: []wire.Change{{Put: wire.JobKey(sub.ID), Value: encoded(t, wire.NewJobRecord(&sub, h.now.Millis()))}}})
+		h.applyTxn(wire.Txn{Changes: []wire.Change{{Put: wire.JobKey(sub.ID), Value: encoded(t, wire.NewJobRecord(&sub, h.now.Millis()))}}})
 	}
 	h.run(sec)
 	return h
@@ -129,7 +129,7 @@
 		{"asked by a former owner", func(h *harness, ask func(uint64)) {
 			h.recordEnd("job-000100", wire.StateCancelled, 0)
 			old := h.keys[ownerKey(0)].ModRevision
-			h.put(ownerKey(0), wire.OwnerRecord{Label: "n-2", Incarnation: 98})
+			h.putRecord(ownerKey(0), wire.OwnerRecord{Label: "n-2", Incarnation: 98})
 			ask(old)
 		}, 0},
 		{"asked by one that names no claim", func(h *harness, ask func(uint64)) {
@@ -139,7 +139,7 @@
 		{"one was recorded meanwhile", func(h *harness, ask func(uint64)) {
 			h.recordEnd("job-000100", wire.StateCancelled, 0)
 			h.blockedWatchPrefix = wire.PrefixJob
-			h.put(wire.JobKey(dependentID(2)), wire.JobRecord{State: wire.StateCancelled, Tasks: 1})
+			h.putRecord(wire.JobKey(dependentID(2)), wire.JobRecord{State: wire.StateCancelled, Tasks: 1})
 			ask(h.keys[ownerKey(0)].ModRevision)
 			h.run(2 * sec)
 			ask(h.keys[ownerKey(0)].ModRevision)
@@ -163,7 +163,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			h := cascade(t, n, 1000)
 			// Another controller owns the shard.
-			h.put(ownerKey(0), wire.OwnerRecord{Label: "n-1", Incarnation: 99})
+			h.putRecord(ownerKey(0), wire.OwnerRecord{Label: "n-1", Incarnation: 99})
 			h.appliedTxns = nil
 			tc.play(h, func(modRevision uint64) {
 				st := &peer.Status{ControllerState: peer.ControllerState{StateOK: true}, JobsToCancel: append(all(), "job-000777", "no id")}
@@ -316,10 +316,10 @@
 // none: never by an older state, and never at the cost of the records.
 func TestStatusOfDependents(t *testing.T) {
 	h := cascade(t, 3, 1000)
-	h.put(ownerKey(0), wire.OwnerRecord{Label: "n-1", Incarnation: 99}) // which records nothing
+	h.putRecord(ownerKey(0), wire.OwnerRecord{Label: "n-1", Incarnation: 99}) // which records nothing
 	h.recordEnd("job-000100", wire.StateCancelled, 0)
 	h.blockedWatchPrefix = wire.PrefixJob
-	h.put(wire.JobKey(dependentID(0)), wire.JobRecord{State: wire.StateCancelled, Tasks: 1})
+	h.putRecord(wire.JobKey(dependentID(0)), wire.JobRecord{State: wire.StateCancelled, Tasks: 1})
 	if got := h.jobState(dependentID(0)); got != wire.StateCancelled {
 		t.Errorf("called %q, want what the record says", got)
 	}
--- a/internal/controller/cancellation_test.go
+++ b/internal/controller/cancellation_test.go
@@ -26,7 +26,7 @@
 	notifiedAt := h.now
 	for w.alive() {
 		w.checkDeadline(notifiedAt)
-		h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}}) // the owner ends, the next one claims
+		h.applyTxn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}}) // the owner ends, the next one claims
 		h.run(3 * sec)
 		w.sendHeartbeat()
 		h.run(3 * sec) // nothing that is sent to it directly arrives
@@ -85,11 +85,11 @@
 	w := newSlowWorker(h, fencingToken, attempt)
 	h.blockedWatchPrefix = wire.PrefixJob
 	h.unlistablePrefix = wire.PrefixJob
-	h.put(ownerKey(0), wire.OwnerRecord{Label: "n-1", Incarnation: 99})
-	h.put(wire.JobKey("job-000001"), wire.JobRecord{State: wire.StateCancelled, Tasks: 1})
+	h.putRecord(ownerKey(0), wire.OwnerRecord{Label: "n-1", Incarnation: 99})
+	h.putRecord(wire.JobKey("job-000001"), wire.JobRecord{State: wire.StateCancelled, Tasks: 1})
 	notifiedAt := h.now
 	for w.alive() {
-		h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}}) // the owner ends, this node claims
+		h.applyTxn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}}) // the owner ends, this node claims
 		for until := h.now + 8*sec; h.now < until && w.alive(); {
 			h.run(sec)
 			w.sendHeartbeat()
@@ -115,9 +115,9 @@
 	w := newSlowWorker(h, fencingToken, attempt)
 	h.cancel("job-000001")
 	notifiedAt := h.now
-	h.put(wire.JobKey("job-000002"), wire.JobRecord{State: wire.StateDone, Tasks: 1})
+	h.putRecord(wire.JobKey("job-000002"), wire.JobRecord{State: wire.StateDone, Tasks: 1})
 	h.unreadablePrefix = wire.PrefixJob
-	h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}}) // the owner ends, this node claims
+	h.applyTxn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}}) // the owner ends, this node claims
 	for w.alive() {
 		h.run(sec)
 		w.sendHeartbeat()
@@ -132,7 +132,7 @@
 	h := newOwnerHarness(t, withPeer)
 	fencingToken, attempt := h.runOneTask()
 	h.unlistablePrefix = wire.PrefixCheckpoint
-	h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}})
+	h.applyTxn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}})
 	h.run(2 * sec)
 	_, body := h.heartbeat(h.runningHeartbeat(20, fencingToken, attempt))
 	fencingToken = body.FencingToken
@@ -153,7 +153,7 @@
 	fencingToken := h.reconcileMachine("vm-1")
 	for _, reconciled := range []bool{true, false} {
 		if !reconciled {
-			h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}})
+			h.applyTxn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}})
 			h.run(2 * sec)
 		}
 		status, body := h.heartbeat(heartbeatFrom("vm-1", 1, 50+uint64(h.now/sec), fencingToken))
--- a/internal/controller/compat_test.go
+++ b/internal/controller/compat_test.go
@@ -160,7 +160,7 @@
 		c.ValueBytes, c.TxnOps, c.MaxMachines = 2<<10, 4, 100
 	})
 	store := func(key string, value []byte) {
-		h.txn(wire.Txn{Changes: []wire.Change{{Put: key, Value: value}}})
+		h.applyTxn(wire.Txn{Changes: []wire.Change{{Put: key, Value: value}}})
 	}
 	store(wire.JobKey("job-000413"), samples["records"]["job pending plain"])
 	store(wire.JobKey("job-000412"), samples["records"]["job pending"])
@@ -171,7 +171,7 @@
 	if version == lastLandedVersion {
 		store(wire.JobKey("job-000414"), samples["records"]["job chained"])
 	}
-	h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}}) // the shard is claimed again
+	h.applyTxn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}}) // the shard is claimed again
 	h.run(3 * sec)
 	c := h.c
 	if j := c.jobs.open["job-000414"]; version == lastLandedVersion && (j == nil || !j.blocked() || len(j.needs) != 2) {
--- a/internal/controller/config.go
+++ b/internal/controller/config.go
@@ -60,10 +60,10 @@
 	// excepted: the remaining connections of the process are reserved for lease renewals and
 	// watches. 0 means no bound.
 	MaxStateRequests int
-	// MaxPeerQuestions bounds the user requests forwarded to other controllers in flight: the
+	// MaxForwardedRequests bounds the user requests forwarded to other controllers in flight: the
 	// remaining connections of the process are reserved for messages between controllers. 0 means
 	// no bound.
-	MaxPeerQuestions int
+	MaxForwardedRequests int
 	// MaxRegistrations bounds the machines without a record whose heartbeats wait for one to be
 	// written: each holds a connection. A heartbeat beyond it is answered with 503, and its machine
 	// sends the next one to another controller a second later. 0 means MaxMachines.
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -19,16 +19,16 @@
 	userReads            *statestore.Reads // reads of job records for user requests
 	unsentRequestsLogged uint64            // requests dropped before they were sent, as of the last log line
 
-	ownership            ownershipState
-	jobSharding          jobSharding
-	workerContact        workerContact
-	jobs                 jobTable
-	cascade              cancellationCascade
-	fleet                fleetState
-	quota                quotas
-	peers                map[string]*peerView
-	peerRequestsInFlight int      // user requests forwarded to other controllers
-	nodes                []string // labels of all controllers, sorted
+	ownership                 ownershipState
+	jobSharding               jobSharding
+	workerContact             workerContact
+	jobs                      jobTable
+	cascade                   cancellationCascade
+	fleet                     fleetState
+	quota                     quotas
+	peers                     map[string]*peerView
+	forwardedRequestsInFlight int      // user requests forwarded to other controllers
+	nodes                     []string // labels of all controllers, sorted
 
 	machines              map[string]*machine
 	machineRecords        machineRecords
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -29,12 +29,12 @@
 
 // record stores a job's record as another controller would.
 func (h *harness) record(s wire.Submission) {
-	h.put(wire.JobKey(s.ID), wire.NewJobRecord(&s, h.now.Millis()))
+	h.putRecord(wire.JobKey(s.ID), wire.NewJobRecord(&s, h.now.Millis()))
 }
 
 // recordEnd stores the record of a job that ended at a time of day, as another controller would.
 func (h *harness) recordEnd(id string, state wire.JobState, endMS int64) {
-	h.put(wire.JobKey(id), wire.JobRecord{State: state, Tasks: 1, EndMS: endMS})
+	h.putRecord(wire.JobKey(id), wire.JobRecord{State: state, Tasks: 1, EndMS: endMS})
 }
 
 // TestDependenciesAccepted checks that a submission may name jobs that any controller accepted, in
@@ -101,7 +101,7 @@
 		h := newOwnerHarness(t, func(c *Config) { withPeer(c); c.ValueBytes = 2 << 10 })
 		for _, id := range names(100, 150) {
 			if known {
-				h.put(wire.JobKey(id), wire.JobRecord{State: wire.StateDone, Tasks: 1})
+				h.putRecord(wire.JobKey(id), wire.JobRecord{State: wire.StateDone, Tasks: 1})
 			}
 		}
 		before := h.keyReads
@@ -379,10 +379,10 @@
 		{"the owner changes", func(h *harness) {
 			h.recordChain(n)
 			h.delayPrefix = wire.PrefixJob
-			h.txn(wire.Txn{Changes: []wire.Change{{Put: wire.JobKey("job-000100"), Value: encoded(t, wire.JobRecord{State: wire.StateCancelled, Tasks: 1})}}})
+			h.applyTxn(wire.Txn{Changes: []wire.Change{{Put: wire.JobKey("job-000100"), Value: encoded(t, wire.JobRecord{State: wire.StateCancelled, Tasks: 1})}}})
 			h.run(sec)
 			h.delayPrefix = ""
-			h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}})
+			h.applyTxn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}})
 			h.run(2 * sec)
 			if applied := h.applyDelayedTxns(); applied != 0 {
 				t.Errorf("%d writes of the former owner were applied", applied)
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -98,7 +98,7 @@
 		case Answer:
 			h.answers[e.Reply] = e
 		case Call:
-			h.call(e)
+			h.handleCall(e)
 		case Log:
 			h.logs = append(h.logs, e)
 			if e.Text == InvariantBroken {
@@ -126,25 +126,25 @@
 	}
 }
 
-func (h *harness) call(c Call) {
+func (h *harness) handleCall(c Call) {
 	switch c.To {
 	case ToWorker:
 		h.workerCalls = append(h.workerCalls, c)
 	case ToPeer:
-		h.callPeer(c)
+		h.answerPeerCall(c)
 	case ToCloud:
-		h.callCloud(c)
+		h.answerCloudCall(c)
 	default:
-		h.callState(c)
+		h.answerStateCall(c)
 	}
 }
 
-// result ends a call with a status and a body.
-func (h *harness) result(c Call, status int, body any) {
+// answerCall ends a call with a status and a body.
+func (h *harness) answerCall(c Call, status int, body any) {
 	h.step(Result{ID: c.ID, Status: status, Body: body})
 }
 
-func (h *harness) callPeer(c Call) {
+func (h *harness) answerPeerCall(c Call) {
 	if req := c.Req.(peer.Request); req.JobRequest != nil {
 		h.jobRequests = append(h.jobRequests, *req.JobRequest)
 	}
@@ -159,30 +159,30 @@
 			resp.Status.QuiescedShards = append(resp.Status.QuiescedShards, claim.Shard)
 		}
 	}
-	h.result(c, 200, resp)
+	h.answerCall(c, 200, resp)
 }
 
-func (h *harness) callCloud(c Call) {
+func (h *harness) answerCloudCall(c Call) {
 	switch c.Req.(type) {
 	case GetTypes:
-		h.result(c, 200, &wire.MachineTypes{Types: []wire.MachineType{{Name: "m", CPUs: 4, MemGB: 8, FetchGBPerS: 1, Price: 1, SpotPrice: 0.5, BootS: 5, Zones: []string{"a", "b"}}}})
+		h.answerCall(c, 200, &wire.MachineTypes{Types: []wire.MachineType{{Name: "m", CPUs: 4, MemGB: 8, FetchGBPerS: 1, Price: 1, SpotPrice: 0.5, BootS: 5, Zones: []string{"a", "b"}}}})
 	case ReturnMachines:
-		h.result(c, 200, nil)
+		h.answerCall(c, 200, nil)
 	case ListMachines:
-		h.result(c, 200, &wire.MachineList{Machines: slices.Clone(h.cloudMachines)})
+		h.answerCall(c, 200, &wire.MachineList{Machines: slices.Clone(h.cloudMachines)})
 	default:
-		h.result(c, 503, NoCapacity("no capacity"))
+		h.answerCall(c, 503, NoCapacity("no capacity"))
 	}
 }
 
-func (h *harness) callState(c Call) {
+func (h *harness) answerStateCall(c Call) {
 	if _, isWatch := c.Req.(statestore.WatchKeys); isWatch {
 		h.watches = append(h.watches, c)
 		return
 	}
 	if h.stateDown {
 		if h.stateRefuses {
-			h.result(c, 503, nil)
+			h.answerCall(c, 503, nil)
 			return
 		}
 		h.unansweredStateCalls = append(h.unansweredStateCalls, c)
@@ -191,23 +191,23 @@
 	switch r := c.Req.(type) {
 	case wire.NewLease:
 		h.revision++
-		h.result(c, 200, &wire.Lease{ID: h.revision})
+		h.answerCall(c, 200, &wire.Lease{ID: h.revision})
 	case statestore.RenewLease:
-		h.result(c, 200, nil)
+		h.answerCall(c, 200, nil)
 	case statestore.GetKey:
 		h.keyReads++
 		if h.unreadablePrefix != "" && strings.HasPrefix(r.Key, h.unreadablePrefix) {
-			h.result(c, 429, nil)
+			h.answerCall(c, 429, nil)
 			return
 		}
 		if kv, ok := h.keys[r.Key]; ok {
-			h.result(c, 200, &kv)
+			h.answerCall(c, 200, &kv)
 		} else {
-			h.result(c, 404, nil)
+			h.answerCall(c, 404, nil)
 		}
 	case statestore.ListKeys:
 		if h.unlistablePrefix != "" && strings.HasPrefix(r.Prefix, h.unlistablePrefix) {
-			h.result(c, 429, nil)
+			h.answerCall(c, 429, nil)
 			return
 		}
 		list := &wire.KeyList{Revision: h.revision}
@@ -216,7 +216,7 @@
 				list.Items = append(list.Items, h.keys[k])
 			}
 		}
-		h.result(c, 200, list)
+		h.answerCall(c, 200, list)
 	case wire.Txn:
 		if h.delayPrefix != "" && slices.ContainsFunc(r.Changes, func(c wire.Change) bool { return strings.HasPrefix(c.Put+c.Delete, h.delayPrefix) }) {
 			h.delayedTxns = append(h.delayedTxns, c)
@@ -224,10 +224,10 @@
 		}
 		if h.tooLargePrefix != "" && slices.ContainsFunc(r.Changes, func(c wire.Change) bool { return strings.HasPrefix(c.Put, h.tooLargePrefix) }) {
 			h.tooLargeRefusals++
-			h.result(c, 400, nil)
+			h.answerCall(c, 400, nil)
 			return
 		}
-		status, body := h.txn(r)
+		status, body := h.applyTxn(r)
 		if status == 200 {
 			h.appliedTxns = append(h.appliedTxns, r)
 		}
@@ -235,13 +235,13 @@
 			h.lostAnswers = append(h.lostAnswers, c) // applied, but the answer is lost
 			return
 		}
-		h.result(c, status, body)
+		h.answerCall(c, status, body)
 	}
 }
 
-// txn applies a transaction if its conditions are met, and returns the status and body of the
+// applyTxn applies a transaction if its conditions are met, and returns the status and body of the
 // answer.
-func (h *harness) txn(t wire.Txn) (int, any) {
+func (h *harness) applyTxn(t wire.Txn) (int, any) {
 	for _, c := range t.Conditions {
 		if h.keys[c.Key].ModRevision != c.ModRevision {
 			return 409, &wire.Revision{Revision: h.revision, Failed: []string{c.Key}}
@@ -266,20 +266,20 @@
 	late := h.delayedTxns
 	h.delayedTxns = nil
 	for _, c := range late {
-		if status, _ := h.txn(c.Req.(wire.Txn)); status == 200 {
+		if status, _ := h.applyTxn(c.Req.(wire.Txn)); status == 200 {
 			applied++
 		}
 	}
 	return applied
 }
 
-// put stores a record as another node would, and returns its revision.
-func (h *harness) put(key string, rec any) uint64 {
+// putRecord stores a record as another node would, and returns its revision.
+func (h *harness) putRecord(key string, rec any) uint64 {
 	value, err := wire.Encode(rec)
 	if err != nil {
 		h.t.Fatal(err)
 	}
-	h.txn(wire.Txn{Changes: []wire.Change{{Put: key, Value: value}}})
+	h.applyTxn(wire.Txn{Changes: []wire.Change{{Put: key, Value: value}}})
 	h.run(200 * ms)
 	return h.revision
 }
@@ -334,7 +334,7 @@
 	for _, id := range ids {
 		rec.Machines = append(rec.Machines, wire.MachineRecord{ID: id, Addr: id})
 	}
-	h.put(wire.MachineRecordSetKey(0, name), rec)
+	h.putRecord(wire.MachineRecordSetKey(0, name), rec)
 }
 
 // reconcileMachine adds a machine to the fleet and reconciles it: the answer to its first heartbeat
--- a/internal/controller/heartbeats_test.go
+++ b/internal/controller/heartbeats_test.go
@@ -251,9 +251,9 @@
 func TestOldHeartbeatsAtNewOwner(t *testing.T) {
 	h := newOwnerHarness(t, withPeer)
 	sub := newSubmission("job-000001", 3)
-	h.put(wire.JobKey("job-000001"), wire.JobRecord{Submission: &sub, State: wire.StatePending, Tasks: 3})
+	h.putRecord(wire.JobKey("job-000001"), wire.JobRecord{Submission: &sub, State: wire.StatePending, Tasks: 3})
 	h.putMachines("h-1-1", "vm-1")
-	h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}})
+	h.applyTxn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}})
 	h.run(sec)
 	h.workerCalls = nil
 	m := h.c.machines["vm-1"]
--- a/internal/controller/idempotency_test.go
+++ b/internal/controller/idempotency_test.go
@@ -27,7 +27,7 @@
 	h.t.Helper()
 	before := h.modRevisionsOf()
 	for _, txn := range slices.Clone(h.appliedTxns) {
-		if status, _ := h.txn(txn); status != 200 {
+		if status, _ := h.applyTxn(txn); status != 200 {
 			continue
 		}
 		id, isCheckpoint := strings.CutPrefix(txn.Changes[0].Put, wire.PrefixCheckpoint)
@@ -240,7 +240,7 @@
 	h.startOneOf("vm-1", fencingToken)
 	s := h.c.ownership.shards[0]
 	done := wire.JobRecord{State: wire.StateDone, Tasks: 1}
-	h.put(wire.JobKey("job-000001"), done)
+	h.putRecord(wire.JobKey("job-000001"), done)
 	sub := newSubmission("job-000001", 1)
 	record, err := wire.Encode(wire.JobRecord{Submission: &sub, State: wire.StatePending, Tasks: 1})
 	if err != nil {
--- a/internal/controller/job_end_test.go
+++ b/internal/controller/job_end_test.go
@@ -222,11 +222,11 @@
 			c.CancelWithin = 40 * sec
 		})
 		sub := newSubmission("job-000002", 2)
-		h.put(wire.JobKey("job-000001"), wire.JobRecord{State: wire.StateCancelled, Tasks: 2})
+		h.putRecord(wire.JobKey("job-000001"), wire.JobRecord{State: wire.StateCancelled, Tasks: 2})
 		h.putMachines("h-1-1", "vm-1", "vm-2")
-		h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}}) // claimed anew: they are older
+		h.applyTxn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}}) // claimed anew: they are older
 		h.run(sec)
-		h.put(wire.JobKey("job-000002"), wire.JobRecord{Submission: &sub, State: wire.StatePending, Tasks: 2})
+		h.putRecord(wire.JobKey("job-000002"), wire.JobRecord{Submission: &sub, State: wire.StatePending, Tasks: 2})
 		h.workerCalls = nil
 		s := h.c.ownership.shards[0]
 		fencingToken := h.c.fencingToken(s, h.c.machines["vm-2"])
@@ -258,7 +258,7 @@
 	h.unansweredStateCalls = nil
 	h.stateDown = false
 	h.c.loseLease() // as after a 404
-	h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}, {Delete: wire.KeyLeader}}})
+	h.applyTxn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}, {Delete: wire.KeyLeader}}})
 	h.run(3 * sec)
 	if j := h.c.jobs.open["job-000001"]; j == nil || j.run == nil || j.run.end.requested() {
 		t.Fatalf("the job is stuck: %+v", j)
--- a/internal/controller/job_reads_test.go
+++ b/internal/controller/job_reads_test.go
@@ -78,7 +78,7 @@
 			h.c.jobs.open["job-000001"].run.checkpoint.dirty = true
 		}, func(h *harness) bool { return h.keys[wire.CheckpointKey("job-000001")].ModRevision > 0 }},
 		{"checkpoints are read after a claim", func(h *harness) {
-			h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}})
+			h.applyTxn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}})
 		}, func(h *harness) bool { s := h.c.ownership.shards[0]; return s.owned() && s.checkpointsLoaded }},
 	} {
 		for _, ids := range []int{1, 5000} {
@@ -180,12 +180,12 @@
 	found := false
 	for _, c := range held {
 		if _, ok := c.Req.(statestore.GetKey); !ok || found {
-			h.call(c)
+			h.handleCall(c)
 			continue
 		}
 		found = true
-		h.put(wire.JobKey("job-000777"), wire.NewJobRecord(new(newSubmission("job-000777", 1)), 1)) // after the read, before its answer
-		h.result(c, 404, nil)
+		h.putRecord(wire.JobKey("job-000777"), wire.NewJobRecord(new(newSubmission("job-000777", 1)), 1)) // after the read, before its answer
+		h.answerCall(c, 404, nil)
 	}
 	h.run(200 * ms)
 	if got := h.answers[firstReply].Status; got != 404 {
@@ -203,7 +203,7 @@
 	const stateRequests, peerQuestions = 6, 4
 	limits := func(c *Config) {
 		withPeer(c)
-		c.MaxStateRequests, c.MaxPeerQuestions = stateRequests, peerQuestions
+		c.MaxStateRequests, c.MaxForwardedRequests = stateRequests, peerQuestions
 	}
 	ask := func(h *harness, id string, d micros.Micros) {
 		for until := h.now + d; h.now < until; {
@@ -236,7 +236,7 @@
 	t.Run("other controller", func(t *testing.T) {
 		h := newOwnerHarness(t, limits)
 		h.submit(newSubmission("job-000001", 1))
-		h.put(ownerKey(0), wire.OwnerRecord{Label: "n-1", Incarnation: 99})
+		h.putRecord(ownerKey(0), wire.OwnerRecord{Label: "n-1", Incarnation: 99})
 		h.step(PeerRequest{Reply: 900, Req: peer.Request{From: "n-1", Status: &peer.Status{ControllerState: peer.ControllerState{StateOK: true}}}})
 		h.peersDown = true
 		before := len(h.jobRequests)
--- a/internal/controller/job_status.go
+++ b/internal/controller/job_status.go
@@ -87,14 +87,14 @@
 
 // askPeer asks the owner of a job on behalf of a user.
 func (c *Controller) askPeer(p *peerView, ask peer.JobRequest, timeout micros.Micros, done func(peer.JobResponse)) {
-	if c.cfg.MaxPeerQuestions > 0 && c.peerRequestsInFlight >= c.cfg.MaxPeerQuestions {
+	if c.cfg.MaxForwardedRequests > 0 && c.forwardedRequestsInFlight >= c.cfg.MaxForwardedRequests {
 		done(unavailable())
 		return
 	}
-	c.peerRequestsInFlight++
+	c.forwardedRequestsInFlight++
 	req := peer.Request{From: c.cfg.Label, JobRequest: &ask}
 	c.sendCall(Call{To: ToPeer, Addr: p.label, Req: req, Timeout: timeout}, func(r Result) {
-		c.peerRequestsInFlight--
+		c.forwardedRequestsInFlight--
 		resp, ok := r.Body.(*peer.Response)
 		if !ok || r.Status != http.StatusOK || resp.JobResponse == nil {
 			done(unavailable())
--- a/internal/controller/lock.go
+++ b/internal/controller/lock.go
@@ -70,8 +70,8 @@
 	return wire.OwnerRecord{Label: o.cfg.Label, Incarnation: o.lease.ID()}
 }
 
-// isMine reports whether this process holds a lock.
-func (o *ownershipState) isMine(l *lock) bool { return l.ownedBy(o.ownerRecord()) }
+// holdsLock reports whether this process holds a lock.
+func (o *ownershipState) holdsLock(l *lock) bool { return l.ownedBy(o.ownerRecord()) }
 
 // claimLockIfDue claims a lock that is free or held by a former process of this node. index is the
 // index of the shard, or the number of shards for the leader lock.
--- a/internal/controller/machine_records_test.go
+++ b/internal/controller/machine_records_test.go
@@ -171,7 +171,7 @@
 	for _, c := range sent {
 		h.step(Result{ID: c.ID})
 	}
-	h.put(m.recordSet.key, recordSetOf(m.recordSet.machines, nil, nil)) // as the leader does
+	h.putRecord(m.recordSet.key, recordSetOf(m.recordSet.machines, nil, nil)) // as the leader does
 	h.dropWorkerCalls()
 	for seq := uint64(10); seq < 14; seq++ {
 		h.heartbeat(heartbeatFrom("vm-1", 1, seq, h.c.fencingToken(h.c.ownership.shards[m.rec.Shard], m)))
--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -81,9 +81,9 @@
 func (PeerRequest) isInput()      {}
 func (Result) isInput()           {}
 
-// TooLarge is the Status of a Result whose response exceeds this controller's size limit. Repeating
+// StatusResponseTooLarge is the Status of a Result whose response exceeds this controller's size limit. Repeating
 // the request would give the same result.
-const TooLarge = http.StatusRequestEntityTooLarge
+const StatusResponseTooLarge = http.StatusRequestEntityTooLarge
 
 // Target is the kind of service that a Call is sent to.
 type Target int
--- a/internal/controller/ownership.go
+++ b/internal/controller/ownership.go
@@ -211,7 +211,7 @@
 // stepDownAsLeader releases the leader lock if this node holds it.
 func (o *ownershipState) stepDownAsLeader() {
 	leader := &o.leader
-	if !o.isMine(leader) {
+	if !o.holdsLock(leader) {
 		return
 	}
 	o.steppedDownEpoch = leader.ownerEpoch
--- a/internal/controller/ownership_test.go
+++ b/internal/controller/ownership_test.go
@@ -17,8 +17,8 @@
 	// n-1 owned the shard; its job and its machines are on record.
 	old := newSubmission("job-000001", 1)
 	h.putMachines("l-1-1", "vm-1", "vm-2")
-	h.put(wire.JobKey("job-000001"), wire.JobRecord{Submission: &old, State: wire.StatePending, Tasks: 1})
-	h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}})
+	h.putRecord(wire.JobKey("job-000001"), wire.JobRecord{Submission: &old, State: wire.StatePending, Tasks: 1})
+	h.applyTxn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}})
 	h.run(3 * sec)
 	s := h.c.ownership.shards[0]
 	if !s.owned() {
@@ -123,12 +123,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if status, _ := h.txn(wire.Txn{Conditions: []wire.Condition{{Key: key}}, Changes: []wire.Change{{Put: key, Value: value}}}); status != 409 {
+	if status, _ := h.applyTxn(wire.Txn{Conditions: []wire.Condition{{Key: key}}, Changes: []wire.Change{{Put: key, Value: value}}}); status != 409 {
 		t.Fatalf("a late claim was answered %d, want 409", status)
 	}
 	// The former process's claim arrived first: the key holds this node's label, but another
 	// incarnation.
-	h.put(key, wire.OwnerRecord{Label: "n-0", Incarnation: 999})
+	h.putRecord(key, wire.OwnerRecord{Label: "n-0", Incarnation: 999})
 	h.run(sec)
 	s := h.c.ownership.shards[0]
 	if !s.owned() || s.owner.Incarnation != lease || s.ownerEpoch <= stale {
@@ -138,7 +138,7 @@
 		t.Errorf("the owner key has revision %d, the shard has owner epoch %d", got, s.ownerEpoch)
 	}
 	// A late write of the former process under its old epoch does not apply.
-	if status, _ := h.txn(wire.Txn{Conditions: []wire.Condition{{Key: key, ModRevision: stale}}, Changes: []wire.Change{{Delete: key}}}); status != 409 {
+	if status, _ := h.applyTxn(wire.Txn{Conditions: []wire.Condition{{Key: key, ModRevision: stale}}, Changes: []wire.Change{{Delete: key}}}); status != 409 {
 		t.Errorf("a late write under an old epoch was answered %d, want 409", status)
 	}
 }
@@ -223,7 +223,7 @@
 				if _, renew := call.Req.(statestore.RenewLease); renew {
 					sent, at = append(sent, call), append(at, h.now)
 				} else if call.To != ToWorker {
-					h.call(call)
+					h.handleCall(call)
 				}
 			}
 		}
--- a/internal/controller/peers_test.go
+++ b/internal/controller/peers_test.go
@@ -108,11 +108,11 @@
 	}{
 		{"cancelled by this node", func(h *harness) { h.cancel("job-000001") }},
 		{"learned from the watch", func(h *harness) {
-			h.put(wire.JobKey("job-000001"), wire.JobRecord{State: wire.StateCancelled, Tasks: 1})
+			h.putRecord(wire.JobKey("job-000001"), wire.JobRecord{State: wire.StateCancelled, Tasks: 1})
 		}},
 		{"read for a status request, job unknown before", func(h *harness) {
 			h.blockedWatchPrefix = wire.PrefixJob
-			h.put(wire.JobKey("job-000003"), wire.JobRecord{State: wire.StateCancelled, Tasks: 1})
+			h.putRecord(wire.JobKey("job-000003"), wire.JobRecord{State: wire.StateCancelled, Tasks: 1})
 			h.jobState("job-000003")
 		}},
 	} {
@@ -151,7 +151,7 @@
 	h.reconcileMachine("vm-1")
 	sub := newSubmission("job-000001", 1)
 	rec := wire.JobRecord{Submission: &sub, State: wire.StatePending, Tasks: 1}
-	modRevision := h.put(wire.JobKey("job-000001"), rec)
+	modRevision := h.putRecord(wire.JobKey("job-000001"), rec)
 	value, err := wire.Encode(rec)
 	if err != nil {
 		t.Fatal(err)
@@ -180,7 +180,7 @@
 		c.Peers = []string{"n-1"}
 		c.Teams = []Team{{Name: "t", CPUs: 8}, {Name: "u", CPUs: 4}}
 	})
-	h.put(ownerKey(1), wire.OwnerRecord{Label: "n-1", Incarnation: 77})
+	h.putRecord(ownerKey(1), wire.OwnerRecord{Label: "n-1", Incarnation: 77})
 	rec := wire.MachineRecordSet{Kinds: []wire.MachineKind{{Type: "m", Zone: "a"}}}
 	const machines = 3100
 	for i := 0; i < machines; i += 100 {
@@ -188,7 +188,7 @@
 		for k := range 100 {
 			rec.Machines = append(rec.Machines, wire.MachineRecord{ID: machineName(i + k), Addr: machineName(i + k)})
 		}
-		h.put(wire.MachineRecordSetKey(1, fmt.Sprintf("m-1-%d", i)), rec)
+		h.putRecord(wire.MachineRecordSetKey(1, fmt.Sprintf("m-1-%d", i)), rec)
 	}
 	h.reconcileMachine("vm-mine")
 	for i := range machines {
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -234,7 +234,7 @@
 	}
 	f.Fuzz(func(t *testing.T, value []byte) {
 		h := newHarness(t, withGroup(t, 3))
-		h.txn(wire.Txn{Changes: []wire.Change{{Put: wire.QuotaKey("all"), Value: value}}})
+		h.applyTxn(wire.Txn{Changes: []wire.Change{{Put: wire.QuotaKey("all"), Value: value}}})
 		h.run(600 * ms)
 		h.quotaAsk(peer.QuotaRequest{})
 		if h.jobStatus("job-000001").Status != 404 {
--- a/internal/controller/registration_test.go
+++ b/internal/controller/registration_test.go
@@ -59,7 +59,7 @@
 	if h.c.machines["vm-1"] == nil {
 		t.Fatal("never recorded")
 	}
-	if status, _ := h.txn(first); status != 409 {
+	if status, _ := h.applyTxn(first); status != 409 {
 		t.Errorf("the late record was applied beside another: %d", status)
 	}
 }
--- a/internal/controller/replacement_test.go
+++ b/internal/controller/replacement_test.go
@@ -96,8 +96,8 @@
 		c.Teams = []Team{{Name: "t", CPUs: 8}, {Name: "u", CPUs: 4}}
 	})
 	h.run(8 * sec)
-	h.put(ownerKey(1), wire.OwnerRecord{Label: "n-1", Incarnation: 77})
-	h.put(wire.MachineRecordSetKey(1, "l-1-1"), wire.MachineRecordSet{Kinds: []wire.MachineKind{{Type: "m", Zone: "a"}}, Machines: []wire.MachineRecord{{ID: "vm-1", Addr: "vm-1"}}})
+	h.putRecord(ownerKey(1), wire.OwnerRecord{Label: "n-1", Incarnation: 77})
+	h.putRecord(wire.MachineRecordSetKey(1, "l-1-1"), wire.MachineRecordSet{Kinds: []wire.MachineKind{{Type: "m", Zone: "a"}}, Machines: []wire.MachineRecord{{ID: "vm-1", Addr: "vm-1"}}})
 	if !h.c.ownership.mayLead() {
 		t.Fatal("does not lead")
 	}
--- a/internal/controller/scheduling_test.go
+++ b/internal/controller/scheduling_test.go
@@ -104,7 +104,7 @@
 			h.c.schedulingDue = true
 			for _, e := range h.c.Step(Instant{Steady: h.now, Wall: h.now, PreviousStepDuration: tc.took}, Tick{}) {
 				if call, ok := e.(Call); ok {
-					h.call(call)
+					h.handleCall(call)
 				}
 			}
 			if h.c.scheduling.scheduledLastStep {
--- a/internal/controller/shard_recovery.go
+++ b/internal/controller/shard_recovery.go
@@ -41,7 +41,7 @@
 	if s.owned() {
 		c.deactivateShard(s)
 	}
-	if c.ownership.isMine(&s.lock) {
+	if c.ownership.holdsLock(&s.lock) {
 		c.activateShard(s)
 	} else {
 		c.log(Debug, "shard has an owner", "shard", s.id, "owner", rec.Label, "epoch", modRevision)
--- a/internal/controller/state_records.go
+++ b/internal/controller/state_records.go
@@ -85,7 +85,7 @@
 	}
 	leader.owner = rec
 	leader.ownerEpoch = modRevision
-	if c.ownership.isMine(leader) {
+	if c.ownership.holdsLock(leader) {
 		c.startLeading()
 	}
 	return nil
--- a/internal/controller/unknown_jobs_test.go
+++ b/internal/controller/unknown_jobs_test.go
@@ -25,10 +25,10 @@
 		c.MaxFinalJobs, c.CancelWithin, c.MaxMachines = 1, 40*sec, 400
 	}
 	end := func(h *harness, id string) {
-		h.put(wire.JobKey(id), wire.JobRecord{State: wire.StateCancelled, Tasks: 1})
+		h.putRecord(wire.JobKey(id), wire.JobRecord{State: wire.StateCancelled, Tasks: 1})
 	}
 	reclaim := func(h *harness) {
-		h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}})
+		h.applyTxn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}})
 		h.run(2 * sec)
 	}
 	lists := func(machine string, seq, fencingToken uint64, job string, attempt uint64) wire.Heartbeat {
@@ -77,7 +77,7 @@
 		h.unreadablePrefix = wire.PrefixJob
 		later := uint64(1000)
 		h.heartbeat(lists("vm-1", 20, fencingToken, "job-000007", later<<32|1))
-		h.put(wire.JobKey("job-000009"), wire.JobRecord{State: wire.StateDone, Tasks: 1}) // the view goes on
+		h.putRecord(wire.JobKey("job-000009"), wire.JobRecord{State: wire.StateDone, Tasks: 1}) // the view goes on
 		h.run(sec)
 		if status, body := h.heartbeat(lists("vm-1", 21, fencingToken, "job-000007", later<<32|1)); status == 200 && countImmediateStops(body.Commands) != 1 {
 			t.Errorf("answered 200 with %v, want the task stopped", body.Commands)
@@ -105,11 +105,11 @@
 			fencingToken, _ := h.runOneTask()
 			before := h.c.ownership.shards[0].ownerEpoch
 			h.blockedWatchPrefix, h.unlistablePrefix, h.unreadablePrefix = wire.PrefixJob, wire.PrefixJob, wire.PrefixJob
-			claim := h.put(ownerKey(0), wire.OwnerRecord{Label: "n-1", Incarnation: 99})
+			claim := h.putRecord(ownerKey(0), wire.OwnerRecord{Label: "n-1", Incarnation: 99})
 			if !tc.later {
 				claim = before
 			}
-			h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}})
+			h.applyTxn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}})
 			h.run(2 * sec)
 			s := h.c.ownership.shards[0]
 			if !s.owned() || s.jobsViewCurrent {
@@ -137,14 +137,14 @@
 	}{
 		{"accepted while the watch hangs", true, func(h *harness) {
 			h.blockedWatchPrefix = wire.PrefixJob
-			h.put(wire.JobKey("job-000007"), wire.NewJobRecord(new(newSubmission("job-000007", 1)), 1))
+			h.putRecord(wire.JobKey("job-000007"), wire.NewJobRecord(new(newSubmission("job-000007", 1)), 1))
 		}},
 		{"of a team that the settings do not know", false, func(h *harness) {
 			sub := newSubmission("job-000007", 1)
 			sub.Team = "another"
-			h.put(wire.JobKey("job-000007"), wire.NewJobRecord(&sub, 1))
+			h.putRecord(wire.JobKey("job-000007"), wire.NewJobRecord(&sub, 1))
 		}},
-		{"its record is not readable", false, func(h *harness) { h.put(wire.JobKey("job-000007"), "nonsense") }},
+		{"its record is not readable", false, func(h *harness) { h.putRecord(wire.JobKey("job-000007"), "nonsense") }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newOwnerHarness(t, withPeer)
@@ -196,15 +196,15 @@
 		withPeer(c)
 		c.MaxFinalJobs = 1
 	})
-	h.put(wire.JobKey("job-000001"), wire.NewJobRecord(new(newSubmission("job-000001", 1)), 1))
+	h.putRecord(wire.JobKey("job-000001"), wire.NewJobRecord(new(newSubmission("job-000001", 1)), 1))
 	recorded := h.keys[wire.JobKey("job-000001")]
 	h.c.jobs.open["job-000001"].run.end.inDoubt = true // so that a request is answered by a read
 	h.stateDown = true
 	h.jobStatus("job-000001")
 	held := h.unansweredStateCalls
 	h.unansweredStateCalls, h.stateDown = nil, false
-	h.put(wire.JobKey("job-000001"), wire.JobRecord{State: wire.StateCancelled, Tasks: 1})
-	h.put(wire.JobKey("job-000002"), wire.JobRecord{State: wire.StateDone, Tasks: 1})
+	h.putRecord(wire.JobKey("job-000001"), wire.JobRecord{State: wire.StateCancelled, Tasks: 1})
+	h.putRecord(wire.JobKey("job-000002"), wire.JobRecord{State: wire.StateDone, Tasks: 1})
 	if h.c.jobs.knows("job-000001") {
 		t.Fatal("the job is still known: the case is not what it should be")
 	}
@@ -212,9 +212,9 @@
 	for _, c := range held {
 		if get, ok := c.Req.(statestore.GetKey); ok && get.Key == recorded.Key {
 			reads++
-			h.result(c, 200, &recorded)
+			h.answerCall(c, 200, &recorded)
 		} else {
-			h.call(c)
+			h.handleCall(c)
 		}
 	}
 	if reads != 1 || h.c.jobs.open["job-000001"] != nil {
@@ -240,7 +240,7 @@
 			fencingToken := h.reconcileMachine("vm-1")
 			h.blockedWatchPrefix = wire.PrefixJob
 			if tc.rec != nil {
-				h.put(wire.JobKey("job-000009"), tc.rec)
+				h.putRecord(wire.JobKey("job-000009"), tc.rec)
 			}
 			stopped := 0
 			for seq := uint64(20); seq < 28; seq++ {
--- a/internal/controller/user_requests_test.go
+++ b/internal/controller/user_requests_test.go
@@ -155,9 +155,9 @@
 
 func accepted(h *harness) {
 	sub := newSubmission("job-000001", 1)
-	h.put(wire.JobKey("job-000001"), wire.JobRecord{Submission: &sub, State: wire.StatePending, Tasks: 1})
+	h.putRecord(wire.JobKey("job-000001"), wire.JobRecord{Submission: &sub, State: wire.StatePending, Tasks: 1})
 }
 
 func over(h *harness) {
-	h.put(wire.JobKey("job-000001"), wire.JobRecord{State: wire.StateDone, Tasks: 1})
+	h.putRecord(wire.JobKey("job-000001"), wire.JobRecord{State: wire.StateDone, Tasks: 1})
 }
--- a/internal/controller/watch_test.go
+++ b/internal/controller/watch_test.go
@@ -13,14 +13,14 @@
 func TestStaleViewOfJobs(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.Peers = []string{"n-1"}; c.Shards = 1 })
 	sub := newSubmission("job-000001", 1)
-	h.put(wire.JobKey("job-000001"), wire.JobRecord{Submission: &sub, State: wire.StatePending, Tasks: 1})
+	h.putRecord(wire.JobKey("job-000001"), wire.JobRecord{Submission: &sub, State: wire.StatePending, Tasks: 1})
 	h.blockedWatchPrefix = wire.PrefixJob // from here on it learns of no change of a job
-	h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}})
+	h.applyTxn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}})
 	value, err := wire.Encode(wire.JobRecord{State: wire.StateDone, Tasks: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
-	h.txn(wire.Txn{Changes: []wire.Change{{Put: wire.JobKey("job-000001"), Value: value}}})
+	h.applyTxn(wire.Txn{Changes: []wire.Change{{Put: wire.JobKey("job-000001"), Value: value}}})
 	h.run(2 * sec)
 	if s := h.c.ownership.shards[0]; !s.owned() || s.jobsViewCurrent || h.c.jobs.open["job-000001"] == nil {
 		t.Fatalf("test setup: shard %v, job view current %v; want an owned shard with a stale view", s.ownership, s.jobsViewCurrent)
@@ -41,7 +41,7 @@
 	fencingToken := h.reconcileMachine("vm-1")
 	h.submit(newSubmission("job-000001", 1))
 	h.blockedWatchPrefix = wire.PrefixJob
-	h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}})
+	h.applyTxn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}})
 	h.run(2 * sec)
 	s := h.c.ownership.shards[0]
 	if !s.owned() || s.jobsViewCurrent {
@@ -66,11 +66,11 @@
 // TestWatchMustListAgain checks that a watch whose response is too large, or whose changes are no
 // longer kept, leads to a new listing instead of the same request for ever.
 func TestWatchMustListAgain(t *testing.T) {
-	for _, status := range []int{410, TooLarge} {
+	for _, status := range []int{410, StatusResponseTooLarge} {
 		h := newHarness(t, nil)
 		h.blockedWatchPrefix = wire.PrefixJob
 		h.submit(newSubmission("job-000001", 1))
-		h.put(wire.JobKey("job-000002"), wire.JobRecord{Submission: ptr(newSubmission("job-000002", 1)), State: wire.StatePending, Tasks: 1})
+		h.putRecord(wire.JobKey("job-000002"), wire.JobRecord{Submission: ptr(newSubmission("job-000002", 1)), State: wire.StatePending, Tasks: 1})
 		if h.c.jobs.open["job-000002"] != nil {
 			t.Fatal("job-000002 is known although the watch is blocked")
 		}
--- a/internal/controller/worker_contact.go
+++ b/internal/controller/worker_contact.go
@@ -164,7 +164,7 @@
 	c.workerContact.state = contactLost
 	c.workerContact.answeredProbes = 0
 	for _, s := range c.ownership.shards {
-		if s.ownership == shardOwned && c.ownership.isMine(&s.lock) {
+		if s.ownership == shardOwned && c.ownership.holdsLock(&s.lock) {
 			c.releaseShard(s)
 		}
 	}
--- a/internal/runtime/calls.go
+++ b/internal/runtime/calls.go
@@ -87,7 +87,7 @@
 // that did not answer are closed, since they may be as dead as the one that was used.
 func resultOfError(caller *client.Client, addr string, err error) controller.Result {
 	if errors.Is(err, http1.ErrBodyTooLarge) {
-		return controller.Result{Status: controller.TooLarge}
+		return controller.Result{Status: controller.StatusResponseTooLarge}
 	}
 	if !errors.Is(err, client.ErrBusy) {
 		caller.CloseIdle(addr)
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -115,7 +115,7 @@
 		Shards: p.Nodes, Teams: p.Teams,
 		Lease: 3 * sec, HeartbeatInterval: 2 * sec, WorkerLease: 12 * sec, CancelWithin: 25 * sec,
 		StateRPS: cmp.Or(p.StateRPS, 300), WriteRPS: cmp.Or(p.WriteRPS, 80), ValueBytes: 8 << 10, TxnOps: 8,
-		MaxWorkerRequests: 24, MaxStateRequests: 42, MaxPeerQuestions: 31, SilentReturn: -1,
+		MaxWorkerRequests: 24, MaxStateRequests: 42, MaxForwardedRequests: 31, SilentReturn: -1,
 		CloudRPS: 10, ListLag: 2 * sec,
 		DrainHorizon: 30 * sec, IdleReturn: 15 * sec, BeginWithin: 60 * sec, CordonPeriod: 30 * sec, MaxMachines: p.Machines,
 		StartWithin: map[string]micros.Micros{"rush": 3 * sec}, MaxFinalJobs: p.MaxFinalJobs,
