--- a/internal/controller/checkpoint_recovery.go
+++ b/internal/controller/checkpoint_recovery.go
@@ -82,7 +82,7 @@
 		}
 	}
 	// Tasks of machines that were reconciled before the checkpoints were loaded have only been
-	// noted.
+	// noted until now.
 	c.reconcileAfterCheckpointLoad(s)
 	c.schedulingDue = true
 }
--- a/internal/controller/compat_test.go
+++ b/internal/controller/compat_test.go
@@ -95,6 +95,8 @@
 	}
 }
 
+// testReadSamples checks that each sample of a version is decoded, and encoded again as the same
+// bytes. Every sample must be covered.
 func testReadSamples(t *testing.T, version string) {
 	samples := readSamples(t, version)
 	if version == lastLandedVersion {
@@ -152,6 +154,7 @@
 	}
 }
 
+// testFailoverFrom fails over to a node of this version with the stored samples of an older one.
 func testFailoverFrom(t *testing.T, version string) {
 	samples := readSamples(t, version)
 	h := newOwnerHarness(t, func(c *Config) {
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -62,10 +62,12 @@
 	// unlistablePrefix is a key prefix whose listings are refused with 429, unreadablePrefix one
 	// whose reads of single keys are.
 	unlistablePrefix, unreadablePrefix string
-	// blockedWatchPrefix is the prefix of a watch that delivers nothing.
+	// blockedWatchPrefix is the prefix of the keys whose watches deliver nothing.
 	blockedWatchPrefix string
 }
 
+// newHarness returns a harness whose controller has run for a second. configure, if not nil,
+// changes its configuration first.
 func newHarness(t *testing.T, configure func(*Config)) *harness {
 	cfg := Config{
 		Label: "n-0", Shards: 1, Teams: []Team{{Name: "t"}},
@@ -126,6 +128,7 @@
 	}
 }
 
+// handleCall carries out a call of the controller. Calls to workers are kept for the test.
 func (h *harness) handleCall(c Call) {
 	switch c.To {
 	case ToWorker:
@@ -144,6 +147,7 @@
 	h.step(Result{ID: c.ID, Status: status, Body: body})
 }
 
+// answerPeerCall answers as a peer that has quiesced the claimed shards, unless peersDown is set.
 func (h *harness) answerPeerCall(c Call) {
 	if req := c.Req.(peer.Request); req.JobRequest != nil {
 		h.jobRequests = append(h.jobRequests, *req.JobRequest)
@@ -162,6 +166,7 @@
 	h.answerCall(c, 200, resp)
 }
 
+// answerCloudCall answers as a cloud that has no capacity to rent.
 func (h *harness) answerCloudCall(c Call) {
 	switch c.Req.(type) {
 	case GetTypes:
@@ -175,6 +180,7 @@
 	}
 }
 
+// answerStateCall answers as the state service, subject to the faults set in the harness.
 func (h *harness) answerStateCall(c Call) {
 	if _, isWatch := c.Req.(statestore.WatchKeys); isWatch {
 		h.watches = append(h.watches, c)
@@ -291,6 +297,7 @@
 	return h.answers[h.lastReply]
 }
 
+// submit submits a job. If it is accepted, time passes until it has been scheduled.
 func (h *harness) submit(s wire.Submission) Answer {
 	a := h.request(func(r ReplyID) Input { return SubmitRequest{Reply: r, Job: s} })
 	if a.Status == 201 {
@@ -299,6 +306,7 @@
 	return a
 }
 
+// jobStatus requests a job's status.
 func (h *harness) jobStatus(id string) Answer {
 	return h.request(func(r ReplyID) Input { return JobStatusRequest{Reply: r, ID: id} })
 }
@@ -381,6 +389,8 @@
 	}
 }
 
+// jobState returns the state that a status request reports for a job, or "" if it is not answered
+// with one.
 func (h *harness) jobState(id string) wire.JobState {
 	a := h.jobStatus(id)
 	if b, ok := a.Body.(wire.JobAnswer); ok {
@@ -389,6 +399,7 @@
 	return ""
 }
 
+// startCommands returns the start commands among cmds.
 func startCommands(cmds []wire.Command) (out []wire.Command) {
 	for _, c := range cmds {
 		if c.Op == wire.OpStart {
@@ -451,10 +462,12 @@
 	return fencingToken, attempt
 }
 
+// runningHeartbeat returns a heartbeat of vm-1 that reports the task of job-000001 as running.
 func (h *harness) runningHeartbeat(seq, fencingToken, attempt uint64) wire.Heartbeat {
 	return heartbeatFrom("vm-1", 1, seq, fencingToken, wire.TaskStatus{Task: "job-000001/0", Attempt: attempt, State: wire.TaskRunning})
 }
 
+// withPeer adds one other controller to a configuration.
 func withPeer(c *Config) { c.Peers = []string{"n-1"} }
 
 // newOwnerHarness returns a harness whose node has had time to claim its locks although it has
--- a/internal/controller/lock_test.go
+++ b/internal/controller/lock_test.go
@@ -6,6 +6,8 @@
 	"garnethitch/internal/wire"
 )
 
+// TestLockOwner checks that a lock counts as owned only by the process with the same label and
+// incarnation, and that a former process of the same node is recognized.
 func TestLockOwner(t *testing.T) {
 	self := wire.OwnerRecord{Label: "n-0", Incarnation: 7}
 	for _, tc := range []struct {
@@ -33,6 +35,8 @@
 	}
 }
 
+// TestLockReleaseDue checks that a release is sent once per claim, and again only after a failure
+// and the retry delay.
 func TestLockReleaseDue(t *testing.T) {
 	for _, tc := range []struct {
 		name string
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -59,17 +59,17 @@
 }
 
 // maxPendingCancellations bounds the cancellations kept for a controller that cannot be reached. It
-// is the number that the state service can record within the time limit of a cancellation. Beyond
-// it the oldest are dropped: their tasks are gone by then.
+// is at least the number that the state service can record within the time limit of a cancellation.
+// Beyond it the oldest are dropped: their tasks are gone by then.
 func (sc *stepContext) maxPendingCancellations() int {
 	recorded := int(sc.cfg.WriteRPS * sc.cfg.CancelWithin.Seconds())
 	return max(10*maxNamesPerStatus, recorded+maxNamesPerStatus)
 }
 
 // broadcastCancellation notifies the other controllers of a cancellation until each has
-// acknowledged it. The owner of the job may have lost the state service, and then does not learn
-// otherwise that its own write of the record was executed. The answer to the user does not wait for
-// the broadcast.
+// acknowledged it: the owner of the job may have lost the state service, and so not know that its
+// own write of the cancellation was executed. The answer to the user does not wait for the
+// broadcast.
 func (c *Controller) broadcastCancellation(id string) {
 	if !c.jobs.startBroadcast(id) {
 		return
