--- a/internal/controller/cancellation_cascade_test.go
+++ b/internal/controller/cancellation_cascade_test.go
@@ -19,11 +19,11 @@
 		c.Peers = []string{"n-1", "n-2"}
 		c.WriteRPS = writeRPS
 	})
-	root := jobOf("job-000100", 1)
+	root := newSubmission("job-000100", 1)
 	h.record(root)
 	for i := range n {
 		sub := dependentSubmission(dependentID(i), 1, root.ID)
-		h.txn(wire.Txn{Changes: []wire.Change{{Put: wire.JobKey(sub.ID), Value: encoded(t, wire.NewJobRecord(&sub, h.now.Millis()))}}})
+		h.applyTxn(wire.Txn{Changes: []wire.Change{{Put: wire.JobKey(sub.ID), Value: encoded(t, wire.NewJobRecord(&sub, h.now.Millis()))}}})
 	}
 	h.run(sec)
 	return h
@@ -48,7 +48,7 @@
 func TestDependentsAreRecorded(t *testing.T) {
 	const n = 90
 	h := newCascadeHarness(t, n, 30) // this controller's share is about 10 writes a second
-	h.statusesSent, h.done = nil, nil
+	h.statusesSent, h.appliedTxns = nil, nil
 	h.recordEnd("job-000100", wire.StateCancelled, 0)
 	h.run(2 * sec)
 	requested := map[string]bool{}
@@ -65,7 +65,7 @@
 		t.Errorf("%d of %d dependents recorded: the others did not help and the owner did not record the rest", got, n)
 	}
 	most := 0
-	for _, txn := range h.done {
+	for _, txn := range h.appliedTxns {
 		most = max(most, txn.Writes())
 	}
 	if most < 2 || most > h.c.cfg.TxnOps {
@@ -73,7 +73,7 @@
 	}
 	h.run(sec)
 	for _, id := range []string{dependentID(0), dependentID(n - 1)} {
-		if got := h.state(id); got != wire.StateCancelled {
+		if got := h.jobState(id); got != wire.StateCancelled {
 			t.Errorf("%s is in state %q, want cancelled", id, got)
 		}
 	}
@@ -130,7 +130,7 @@
 		{"requested by a former owner", func(h *harness, request func(uint64)) {
 			h.recordEnd("job-000100", wire.StateCancelled, 0)
 			old := h.keys[ownerKey(0)].ModRevision
-			h.put(ownerKey(0), wire.OwnerRecord{Label: "n-2", Incarnation: 98})
+			h.putRecord(ownerKey(0), wire.OwnerRecord{Label: "n-2", Incarnation: 98})
 			request(old)
 		}, 0},
 		{"requested without naming a claim", func(h *harness, request func(uint64)) {
@@ -139,39 +139,39 @@
 		}, 0},
 		{"one was recorded meanwhile", func(h *harness, request func(uint64)) {
 			h.recordEnd("job-000100", wire.StateCancelled, 0)
-			h.watchBlocked = wire.PrefixJob
-			h.put(wire.JobKey(dependentID(2)), wire.JobRecord{State: wire.StateCancelled, Tasks: 1})
+			h.blockedWatchPrefix = wire.PrefixJob
+			h.putRecord(wire.JobKey(dependentID(2)), wire.JobRecord{State: wire.StateCancelled, Tasks: 1})
 			request(h.keys[ownerKey(0)].ModRevision)
 			h.run(2 * sec)
 			request(h.keys[ownerKey(0)].ModRevision)
 		}, n},
 		{"answers are lost", func(h *harness, request func(uint64)) {
 			h.recordEnd("job-000100", wire.StateCancelled, 0)
-			h.lose = wire.PrefixJob
+			h.loseAnswersPrefix = wire.PrefixJob
 			request(h.keys[ownerKey(0)].ModRevision)
 			h.run(sec)
-			h.lose = ""
-			h.giveUp()
+			h.loseAnswersPrefix = ""
+			h.timeOutLostAnswers()
 		}, n},
 		{"the state service refuses for a while", func(h *harness, request func(uint64)) {
 			h.recordEnd("job-000100", wire.StateCancelled, 0)
-			h.stateDown, h.refused = true, true
+			h.stateDown, h.stateRefuses = true, true
 			request(h.keys[ownerKey(0)].ModRevision)
 			h.run(sec)
-			h.stateDown, h.refused = false, false
+			h.stateDown, h.stateRefuses = false, false
 		}, n},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newCascadeHarness(t, n, 1000)
 			// Another controller owns the shard.
-			h.put(ownerKey(0), wire.OwnerRecord{Label: "n-1", Incarnation: 99})
-			h.done = nil
+			h.putRecord(ownerKey(0), wire.OwnerRecord{Label: "n-1", Incarnation: 99})
+			h.appliedTxns = nil
 			tc.act(h, func(modRevision uint64) {
 				st := &peer.Status{ControllerState: peer.ControllerState{StateOK: true}, JobsToCancel: append(all(), "job-000777", "no id")}
 				if modRevision != 0 {
 					st.Claims = []peer.ShardClaim{{Shard: 0, OwnerEpoch: modRevision}}
 				}
-				h.ask(func(r ReplyID) Input { return PeerRequest{Reply: r, Req: peer.Request{From: "n-1", Status: st}} })
+				h.request(func(r ReplyID) Input { return PeerRequest{Reply: r, Req: peer.Request{From: "n-1", Status: st}} })
 				h.run(sec)
 			})
 			h.run(4 * sec)
@@ -187,7 +187,7 @@
 // checkEndsWrittenOnce checks that no job's end is written twice.
 func (h *harness) checkEndsWrittenOnce() {
 	ends := map[string]int{}
-	for _, e := range h.log {
+	for _, e := range h.events {
 		var rec wire.JobRecord
 		if strings.HasPrefix(e.Put, wire.PrefixJob) && wire.Decode(e.Value, &rec) == nil && rec.Final() {
 			ends[e.Put]++
@@ -203,7 +203,7 @@
 // checkEndsRequireClaim checks that every transaction that ends jobs is conditional on the owner's
 // claim.
 func (h *harness) checkEndsRequireClaim() {
-	for _, txn := range h.done {
+	for _, txn := range h.appliedTxns {
 		if len(txn.Changes) > 0 && strings.HasPrefix(txn.Changes[0].Put, wire.PrefixJob) &&
 			!slices.ContainsFunc(txn.Conditions, func(c wire.Condition) bool { return c.Key == ownerKey(0) && c.ModRevision != 0 }) {
 			h.t.Errorf("an end is written without a condition on the owner's claim: %v", txn.Conditions)
@@ -220,14 +220,14 @@
 	h.run(sec)
 	for i := range 5 {
 		id := fmt.Sprintf("job-%06d", 500+i)
-		h.ask(func(r ReplyID) Input { return SubmitRequest{Reply: r, Job: jobOf(id, 1)} })
-		reply := h.reply
+		h.request(func(r ReplyID) Input { return SubmitRequest{Reply: r, Job: newSubmission(id, 1)} })
+		reply := h.lastReply
 		h.run(sec)
 		if a := h.answers[reply]; a.Status != 201 {
 			t.Fatalf("a submission while dependents are recorded is answered %d, want 201", a.Status)
 		}
 		h.cancel(id)
-		reply = h.reply
+		reply = h.lastReply
 		h.run(sec)
 		if a := h.answers[reply]; stateOf(a) != wire.StateCancelled {
 			t.Fatalf("a cancellation while dependents are recorded is answered %d %s", a.Status, stateOf(a))
@@ -244,7 +244,7 @@
 // TestCancellableDependents checks the number of dependents that CancellableDependents says can be
 // recorded within the time allowed for a cancellation.
 func TestCancellableDependents(t *testing.T) {
-	threeControllers := Config{Peers: make([]string, 2), WriteRPS: 18, Cancel: 70 * sec, Lease: 4 * sec}
+	threeControllers := Config{Peers: make([]string, 2), WriteRPS: 18, CancelWithin: 70 * sec, Lease: 4 * sec}
 	for _, tc := range []struct {
 		name            string
 		cfg             Config
@@ -258,7 +258,7 @@
 		{"all controllers down", threeControllers, 3, 0, 0},
 		{"an outage of 30 s", threeControllers, 0, 30 * sec, 474},
 		{"an outage as long as the time for a cancellation", threeControllers, 0, 70 * sec, 0},
-		{"a single controller", Config{WriteRPS: 40, Cancel: 49 * sec, Lease: 4 * sec}, 0, 0, 1311},
+		{"a single controller", Config{WriteRPS: 40, CancelWithin: 49 * sec, Lease: 4 * sec}, 0, 0, 1311},
 	} {
 		if got := CancellableDependents(tc.cfg, tc.controllersDown, tc.outage); got != tc.want {
 			t.Errorf("%s: %d dependents, want %d", tc.name, got, tc.want)
@@ -283,26 +283,26 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newOwnerHarness(t, withPeer)
-			fencingToken := h.reconcile("vm-1")
-			h.submit(jobOf("job-000001", 3))
+			fencingToken := h.reconcileMachine("vm-1")
+			h.submit(newSubmission("job-000001", 3))
 			h.submit(dependentSubmission("job-000002", 1, "job-000001"))
-			h.dropCalls()
-			h.tooLarge = tc.key
+			h.dropWorkerCalls()
+			h.tooLargePrefix = tc.key
 			tc.act(h, fencingToken)
 			h.run(20 * sec)
-			if h.refusals == 0 || h.refusals > 3 {
-				t.Errorf("the write was sent %d times in 20 s, want one to three times", h.refusals)
+			if h.tooLargeRefusals == 0 || h.tooLargeRefusals > 3 {
+				t.Errorf("the write was sent %d times in 20 s, want one to three times", h.tooLargeRefusals)
 			}
-			if a := h.submit(jobOf("job-000003", 1)); a.Status != 201 {
+			if a := h.submit(newSubmission("job-000003", 1)); a.Status != 201 {
 				t.Errorf("the submission of another job is answered %d in the meantime, want 201", a.Status)
 			}
 			if a := h.cancel("job-000003"); stateOf(a) != wire.StateCancelled {
 				t.Errorf("the cancellation of the other job is answered %d %q, want cancelled", a.Status, stateOf(a))
 			}
-			h.tooLarge = ""
+			h.tooLargePrefix = ""
 			h.run(20 * sec)
 			for _, id := range []string{"job-000001", "job-000002"} {
-				if s := h.state(id); tc.key != wire.PrefixCheckpoint && s != wire.StateCancelled {
+				if s := h.jobState(id); tc.key != wire.PrefixCheckpoint && s != wire.StateCancelled {
 					t.Errorf("%s is in state %q after the state service accepts the write, want cancelled", id, s)
 				}
 			}
@@ -318,11 +318,11 @@
 // It is never answered with an outdated state, and never takes requests that the records need.
 func TestStatusOfDependents(t *testing.T) {
 	h := newCascadeHarness(t, 3, 1000)
-	h.put(ownerKey(0), wire.OwnerRecord{Label: "n-1", Incarnation: 99}) // n-1 records nothing
+	h.putRecord(ownerKey(0), wire.OwnerRecord{Label: "n-1", Incarnation: 99}) // n-1 records nothing
 	h.recordEnd("job-000100", wire.StateCancelled, 0)
-	h.watchBlocked = wire.PrefixJob
-	h.put(wire.JobKey(dependentID(0)), wire.JobRecord{State: wire.StateCancelled, Tasks: 1})
-	if got := h.state(dependentID(0)); got != wire.StateCancelled {
+	h.blockedWatchPrefix = wire.PrefixJob
+	h.putRecord(wire.JobKey(dependentID(0)), wire.JobRecord{State: wire.StateCancelled, Tasks: 1})
+	if got := h.jobState(dependentID(0)); got != wire.StateCancelled {
 		t.Errorf("the dependent is in state %q, want the recorded state: cancelled", got)
 	}
 	if a := h.jobStatus(dependentID(1)); a.Status != 503 {
@@ -330,13 +330,13 @@
 	}
 	for h.c.hasSpareRequests() {
 		for range 50 {
-			h.c.askState(statestore.ClassFleet, statestore.GetKey{Key: "x"}, sec, func(statestore.Reply) {})
+			h.c.queueStateRequest(statestore.ClassFleet, statestore.GetKey{Key: "x"}, sec, func(statestore.Reply) {})
 		}
 		h.step(Tick{})
 	}
-	before := h.reads
-	if a := h.jobStatus(dependentID(2)); a.Status != 503 || h.reads != before {
-		t.Errorf("without spare requests: answered %d after %d reads, want 503 and no read", a.Status, h.reads-before)
+	before := h.keyReads
+	if a := h.jobStatus(dependentID(2)); a.Status != 503 || h.keyReads != before {
+		t.Errorf("without spare requests: answered %d after %d reads, want 503 and no read", a.Status, h.keyReads-before)
 	}
 }
 
@@ -357,7 +357,7 @@
 			for range 100 {
 				for h.c.stateQueue.Waiting(statestore.ClassFleet) < 20 {
 					txn := wire.Txn{Changes: []wire.Change{{Put: wire.MachineRecordSetKey(0, "x"), Value: encoded(t, wire.MachineRecordSet{})}}}
-					h.c.askState(statestore.ClassFleet, txn, sec, func(r statestore.Reply) {
+					h.c.queueStateRequest(statestore.ClassFleet, txn, sec, func(r statestore.Reply) {
 						if r.Status == 200 {
 							machines++
 						}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,7 +1,7 @@
-// Package controller decides everything that a controller does. It is a state machine: Step
-// takes the time and one input and returns the effects, which the caller carries out. It does no
-// I/O, reads no clock, starts no goroutine and draws its random numbers from the seed it was
-// given.
+// Package controller holds all decisions of a controller. It is a deterministic state machine: Step
+// takes the time and one input, and returns the effects, which the caller carries out. The package
+// does no I/O, reads no clock and starts no goroutine; its random numbers come from the seed given
+// to New.
 package controller
 
 import (
@@ -12,29 +12,29 @@
 	"garnethitch/internal/micros"
 )
 
-// Controller is the state of one controller.
+// Controller is the state machine of one controller process. It is not safe for concurrent use.
 type Controller struct {
 	stepContext
 
-	reads        *statestore.ReadCoalescer // of job records, for users
-	unsentLogged uint64                    // requests given up unsent when that was last logged
+	userReads            *statestore.ReadCoalescer // reads of job records for user requests
+	unsentRequestsLogged uint64                    // requests dropped before they were sent, as of the last log line
 
-	ownership             ownershipState
-	jobSharding           jobSharding
-	contact               workerContact
-	jobs                  jobTable
-	cascade               cancellationCascade
-	fleet                 fleetState
-	quota                 quotas
-	peers                 map[string]*peerView
-	peerQuestionsInFlight int      // users' questions to other controllers
-	nodes                 []string // labels of all controllers, sorted
+	ownership                 ownershipState
+	jobSharding               jobSharding
+	workerContact             workerContact
+	jobs                      jobTable
+	cascade                   cancellationCascade
+	fleet                     fleetState
+	quota                     quotas
+	peers                     map[string]*peerView
+	forwardedRequestsInFlight int      // user requests forwarded to other controllers
+	nodes                     []string // labels of all controllers, sorted
 
 	machines              map[string]*machine
 	machineRecords        machineRecords
 	commandQueue          commandQueue
-	listRound             uint64                   // of applyTaskList
-	misdirectedHeartbeats map[string]micros.Micros // machines that sent one here and belong to another shard, and when
+	taskListRound         uint64                   // counts the calls of applyTaskList
+	misdirectedHeartbeats map[string]micros.Micros // time of the last misdirected heartbeat received here, by machine
 
 	types          machineTypes
 	estimates      estimate.RunTimes
@@ -45,15 +45,15 @@
 	scheduling       schedulingState
 	preemptionPolicy preemptionPolicy
 	maintenance      maintenanceState
-	// visited counts the machines, jobs and attempts that were visited, visitedBefore those
-	// up to the step under way; see Work.
+	// visited counts the machines, jobs and attempts visited since the start; visitedBefore is its
+	// value at the beginning of the current step. See Work.
 	visited, visitedBefore uint64
 }
 
-// minWorkerRequests is the least bound of the requests to workers in flight.
-const minWorkerRequests = 8
+// minWorkerRequestsInFlight is the lower bound of Config.MaxWorkerRequests.
+const minWorkerRequestsInFlight = 8
 
-// New returns a controller. Equal seeds and inputs give equal effects.
+// New returns a controller that has not made a step yet. Equal seeds and inputs give equal effects.
 func New(cfg Config, seed uint64) *Controller {
 	cfg = cfg.withDefaults()
 	c := &Controller{
@@ -68,8 +68,8 @@
 	c.ownership.stepContext = &c.stepContext
 	c.fleet.stepContext = &c.stepContext
 	c.quota.stepContext = &c.stepContext
-	c.reads = c.newStateReads()
-	c.commandQueue.maxInFlight = max(cfg.MaxWorkerRequests, minWorkerRequests)
+	c.userReads = c.newStateReads()
+	c.commandQueue.maxInFlight = max(cfg.MaxWorkerRequests, minWorkerRequestsInFlight)
 	c.ownership.init(cfg.Shards, cfg.Lease)
 	c.ownership.controlWatch.Interval = c.watchInterval(controlWatchInterval, controlWatchFraction)
 	c.jobs.init(cfg.MaxFinalJobs)
@@ -82,28 +82,28 @@
 		c.enableQuota()
 	}
 	for _, label := range cfg.Peers {
-		c.peers[label] = &peerView{label: label, lastContactAt: -micros.Never, statusAt: -micros.Never}
+		c.peers[label] = &peerView{label: label, lastContactAt: -micros.Never, lastStatusAt: -micros.Never}
 	}
 	return c
 }
 
-// Step takes one input at an instant and returns what follows from it.
+// Step processes one input at an instant and returns the resulting effects.
 func (c *Controller) Step(at Instant, in Input) []Effect {
 	c.beginStep(at)
 	c.dispatch(in)
 	c.runTimers()
 	c.recordDependents()
-	c.wake = min(c.wake, c.nextMaintenance())
+	c.wakeAt = min(c.wakeAt, c.nextMaintenance())
 	c.runDeferred()
 	c.schedule()
 	c.runDeferred()
-	c.drainState()
+	c.sendQueuedStateRequests()
 	c.runDeferred()
 	return c.takeEffects()
 }
 
-// beginStep advances the clocks, of which the steady one does not run back, and takes in how long
-// the step before took.
+// beginStep advances both clocks and accounts for the duration of the previous step. The steady
+// clock never runs backwards.
 func (c *Controller) beginStep(at Instant) {
 	c.now = max(c.now, at.Steady)
 	c.wall = at.Wall
@@ -112,12 +112,12 @@
 		c.start()
 	}
 	c.detectStall()
-	c.wake = c.nextMaintenance()
-	c.restAfter(at.Took)
+	c.wakeAt = c.nextMaintenance()
+	c.restAfter(at.PreviousStepDuration)
 }
 
-// start counts the limits from the first step on. Maintenance is due in it, but not so late that
-// it counts as a stall.
+// start initializes the rate limits and timers in the first step. Maintenance is due in that step;
+// its last run is set recent enough that the time before the start does not count as a stall.
 func (c *Controller) start() {
 	c.startedAt = c.now
 	c.stateQueue.StartAt(c.now)
@@ -125,7 +125,7 @@
 	c.maintenance.lastRunAt = c.now - stallThreshold
 }
 
-// dispatch takes in one input.
+// dispatch passes an input to its handler.
 func (c *Controller) dispatch(in Input) {
 	switch in := in.(type) {
 	case Tick:
--- a/internal/controller/direct_commands.go
+++ b/internal/controller/direct_commands.go
@@ -127,7 +127,7 @@
 // askWorker sends a request to a worker, and counts it as in flight until done is called.
 func (c *Controller) askWorker(addr string, req any, done func(Result)) {
 	c.commandQueue.inFlight++
-	c.call(Call{To: ToWorker, Addr: addr, Req: req, Timeout: commandTimeout}, func(r Result) {
+	c.sendCall(Call{To: ToWorker, Addr: addr, Req: req, Timeout: commandTimeout}, func(r Result) {
 		c.commandQueue.inFlight--
 		done(r)
 	})
--- a/internal/controller/idempotency_test.go
+++ b/internal/controller/idempotency_test.go
@@ -26,8 +26,8 @@
 func (h *harness) checkRepeatsDoNothing(after string) {
 	h.t.Helper()
 	before := h.modRevisionsOf()
-	for _, txn := range slices.Clone(h.done) {
-		if status, _ := h.txn(txn); status != 200 {
+	for _, txn := range slices.Clone(h.appliedTxns) {
+		if status, _ := h.applyTxn(txn); status != 200 {
 			continue
 		}
 		id, isCheckpoint := strings.CutPrefix(txn.Changes[0].Put, wire.PrefixCheckpoint)
@@ -46,17 +46,17 @@
 // are done.
 func (h *harness) runOnMachines(n int, tokens map[string]uint64) {
 	h.t.Helper()
-	h.dropCalls()
+	h.dropWorkerCalls()
 	for i := range n {
 		id := machineName(i)
 		_, body := h.heartbeat(heartbeatFrom(id, 1, 10, tokens[id]))
-		cmds := starts(body.Commands)
+		cmds := startCommands(body.Commands)
 		h.heartbeat(heartbeatFrom(id, 1, 11, tokens[id], taskStatuses(cmds, wire.TaskRunning)...))
 		h.run(sec)
-		h.dropCalls()
+		h.dropWorkerCalls()
 		h.heartbeat(heartbeatFrom(id, 1, 12, tokens[id], shownDone(cmds)...))
 		h.run(3 * sec) // checkpoints
-		h.dropCalls()
+		h.dropWorkerCalls()
 	}
 }
 
@@ -80,7 +80,7 @@
 	for i := range 3 { // the machines hold no tasks any more
 		h.heartbeat(heartbeatFrom(machineName(i), 1, 30, tokens[machineName(i)]))
 	}
-	h.dropCalls()
+	h.dropWorkerCalls()
 	from := moved.rec.Shard
 	h.c.release(peer.Release{Machines: []string{moved.id}, Shard: 1 - from})
 	h.run(2 * sec)
@@ -100,7 +100,7 @@
 	h.c.fleet.nextPlanAt = h.now
 	for seq := uint64(40); seq < 80; seq++ {
 		h.run(sec)
-		h.dropCalls()
+		h.dropWorkerCalls()
 		for _, id := range sortedKeys(h.c.machines) {
 			m := h.c.machines[id]
 			h.heartbeat(heartbeatFrom(id, 1, seq, h.c.fencingToken(h.c.ownership.shards[m.rec.Shard], m)))
@@ -123,22 +123,22 @@
 	h.checkRepeatsDoNothing("the claims")
 	tokens := map[string]uint64{}
 	for i := range 3 {
-		tokens[machineName(i)] = h.reconcile(machineName(i))
+		tokens[machineName(i)] = h.reconcileMachine(machineName(i))
 	}
 	h.checkRepeatsDoNothing("assignment")
 	h.c.fleet.nextPlanAt = micros.Never // idle machines are not returned yet
-	h.submit(jobOf("job-000001", 2))
-	h.submit(jobOf("job-000002", 400))
+	h.submit(newSubmission("job-000001", 2))
+	h.submit(newSubmission("job-000002", 400))
 	h.checkRepeatsDoNothing("accepting")
 	h.runOnMachines(3, tokens)
-	if h.state("job-000001") != wire.StateDone {
-		t.Fatalf("the first job is in state %q, want done", h.state("job-000001"))
+	if h.jobState("job-000001") != wire.StateDone {
+		t.Fatalf("the first job is in state %q, want done", h.jobState("job-000001"))
 	}
 	if h.checkpointsStored() == 0 {
 		t.Fatal("no checkpoint was recorded")
 	}
 	h.checkRepeatsDoNothing("an end and checkpoints")
-	if a := h.ask(func(r ReplyID) Input { return CancelRequest{Reply: r, ID: "job-000002"} }); a.Status != 200 {
+	if a := h.request(func(r ReplyID) Input { return CancelRequest{Reply: r, ID: "job-000002"} }); a.Status != 200 {
 		t.Fatalf("the cancellation is answered %d, want 200", a.Status)
 	}
 	h.checkRepeatsDoNothing("a cancellation")
@@ -147,27 +147,27 @@
 	h.returnIdleMachines()
 	h.checkRepeatsDoNothing("the end of all machines")
 	kinds := map[string]bool{}
-	for _, txn := range h.done {
+	for _, txn := range h.appliedTxns {
 		for _, c := range txn.Changes {
 			key := c.Put + c.Delete
 			kinds[key[:3]] = true
 		}
 	}
-	if len(h.done) < 12 || len(kinds) < 3 {
-		t.Errorf("only %d transactions of the kinds %v were repeated", len(h.done), kinds)
+	if len(h.appliedTxns) < 12 || len(kinds) < 3 {
+		t.Errorf("only %d transactions of the kinds %v were repeated", len(h.appliedTxns), kinds)
 	}
 }
 
 // TestRepeatedRequests checks that a late repeat of a user's request that was already executed is
 // answered with the current state and changes nothing.
 func TestRepeatedRequests(t *testing.T) {
-	submit := func(r ReplyID) Input { return SubmitRequest{Reply: r, Job: jobOf("job-000001", 1)} }
+	submit := func(r ReplyID) Input { return SubmitRequest{Reply: r, Job: newSubmission("job-000001", 1)} }
 	cancel := func(r ReplyID) Input { return CancelRequest{Reply: r, ID: "job-000001"} }
 	malformed := func(r ReplyID) Input {
 		return SubmitRequest{Reply: r, Err: &wire.SubmissionError{ID: "job-000001"}}
 	}
 	tooLarge := func(r ReplyID) Input {
-		s := jobOf("job-000001", 1)
+		s := newSubmission("job-000001", 1)
 		s.CPUs = 1000
 		return SubmitRequest{Reply: r, Job: s}
 	}
@@ -190,30 +190,30 @@
 	} {
 		t.Run(fmt.Sprintf("%s, %T", tc.jobState, tc.repeat(0)), func(t *testing.T) {
 			h := newHarness(t, nil)
-			fencingToken := h.reconcile("vm-1")
+			fencingToken := h.reconcileMachine("vm-1")
 			if tc.jobState != "nothing" {
-				h.submit(jobOf("job-000001", 1))
+				h.submit(newSubmission("job-000001", 1))
 			}
 			switch tc.jobState {
 			case "running", "done":
-				h.dropCalls()
+				h.dropWorkerCalls()
 				_, body := h.heartbeat(heartbeatFrom("vm-1", 1, 10, fencingToken))
-				h.heartbeat(heartbeatFrom("vm-1", 1, 11, fencingToken, taskStatuses(starts(body.Commands), wire.TaskRunning)...))
+				h.heartbeat(heartbeatFrom("vm-1", 1, 11, fencingToken, taskStatuses(startCommands(body.Commands), wire.TaskRunning)...))
 				if tc.jobState == "done" {
-					end := taskStatuses(starts(body.Commands), wire.TaskExited)
+					end := taskStatuses(startCommands(body.Commands), wire.TaskExited)
 					end[0].ExitReason = wire.ExitDone
 					h.heartbeat(heartbeatFrom("vm-1", 1, 12, fencingToken, end...))
 					h.run(sec)
 				}
 			case "cancelled":
-				h.ask(cancel)
+				h.request(cancel)
 				h.run(sec)
 			}
-			tasks, rev := 0, h.rev
+			tasks, rev := 0, h.revision
 			if m := h.c.machines["vm-1"]; m.view != nil {
 				tasks = len(m.view.attemptList)
 			}
-			a := h.ask(tc.repeat)
+			a := h.request(tc.repeat)
 			state := wire.JobState("")
 			if b, ok := a.Body.(wire.JobAnswer); ok {
 				state = b.State
@@ -221,7 +221,7 @@
 			if got := fmt.Sprintf("%d %s", a.Status, state); got != tc.want {
 				t.Errorf("answered %q, want %q", got, tc.want)
 			}
-			if h.rev != rev || len(h.c.machines["vm-1"].view.attemptList) != tasks {
+			if h.revision != rev || len(h.c.machines["vm-1"].view.attemptList) != tasks {
 				t.Error("the repeat has changed the store or the machine's tasks")
 			}
 		})
@@ -234,15 +234,15 @@
 // reopen it.
 func TestRepeatedPeerMessages(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.Peers = []string{"n-1"}; c.MaxMachines = 100 })
-	h.submit(jobOf("job-000009", 4000))
+	h.submit(newSubmission("job-000009", 4000))
 	h.run(8 * sec)
-	fencingToken := h.reconcile("vm-1")
-	h.reconcile("vm-2")
+	fencingToken := h.reconcileMachine("vm-1")
+	h.reconcileMachine("vm-2")
 	h.startOneOf("vm-1", fencingToken)
 	s := h.c.ownership.shards[0]
 	done := wire.JobRecord{State: wire.StateDone, Tasks: 1}
-	h.put(wire.JobKey("job-000001"), done)
-	sub := jobOf("job-000001", 1)
+	h.putRecord(wire.JobKey("job-000001"), done)
+	sub := newSubmission("job-000001", 1)
 	record, err := wire.Encode(wire.JobRecord{Submission: &sub, State: wire.StatePending, Tasks: 1})
 	if err != nil {
 		t.Fatal(err)
@@ -258,14 +258,14 @@
 		{"the return of a machine that is gone", peer.Request{Status: &peer.Status{ReturnedMachines: []string{"vm-8"}}}},
 	} {
 		tc.req.From = "n-1"
-		h.ask(func(r ReplyID) Input { return PeerRequest{Reply: r, Req: tc.req} })
+		h.request(func(r ReplyID) Input { return PeerRequest{Reply: r, Req: tc.req} })
 		h.run(sec)
 		switch {
 		case h.c.ownership.activeShard(0) == nil:
 			t.Errorf("%s: the shard was given up", tc.name)
 		case h.c.machines["vm-1"] == nil || h.c.machines["vm-1"].rec.Cordoned || len(h.c.machines["vm-1"].view.attemptList) == 0:
 			t.Errorf("%s: a machine in use was released", tc.name)
-		case h.c.jobs.open["job-000001"] != nil || h.state("job-000001") != wire.StateDone:
+		case h.c.jobs.open["job-000001"] != nil || h.jobState("job-000001") != wire.StateDone:
 			t.Errorf("%s: an ended job was reopened", tc.name)
 		}
 	}
@@ -274,9 +274,9 @@
 // startOneOf makes a machine start the waiting tasks that the reply to its heartbeat contains.
 func (h *harness) startOneOf(id string, fencingToken uint64) {
 	h.t.Helper()
-	h.dropCalls()
+	h.dropWorkerCalls()
 	_, body := h.heartbeat(heartbeatFrom(id, 1, 10, fencingToken))
-	cmds := starts(body.Commands)
+	cmds := startCommands(body.Commands)
 	if len(cmds) == 0 {
 		h.t.Fatal("the reply to the heartbeat starts no task")
 	}
--- a/internal/controller/inventory.go
+++ b/internal/controller/inventory.go
@@ -96,14 +96,14 @@
 	if !c.types.known() {
 		return c.ownership.controlWatch.Ready() && c.now >= c.fleet.typesReadAt+firstTypesInterval
 	}
-	return c.ownership.leading() && c.now >= c.fleet.typesReadAt+typesInterval
+	return c.ownership.mayLead() && c.now >= c.fleet.typesReadAt+typesInterval
 }
 
 // applyTypes uses machine types read from the cloud or the state service. A leader stores those
 // from the cloud, and ignores those from the state service once it knows the types.
 func (c *Controller) applyTypes(mt wire.MachineTypes, fromCloud bool) {
 	types := usableTypes(mt)
-	if len(types) == 0 || !fromCloud && c.types.known() && c.ownership.leading() {
+	if len(types) == 0 || !fromCloud && c.types.known() && c.ownership.mayLead() {
 		return
 	}
 	c.types = newMachineTypes(types)
@@ -111,7 +111,7 @@
 	for _, s := range c.ownership.shards {
 		s.recountAll = true
 	}
-	if fromCloud && c.ownership.leading() {
+	if fromCloud && c.ownership.mayLead() {
 		c.storeTypes(mt)
 	}
 }
@@ -153,7 +153,7 @@
 		},
 		Changes: []wire.Change{{Put: wire.KeyTypes, Value: value}},
 	}
-	c.askState(statestore.ClassFleet, txn, typesTimeout, func(r statestore.Reply) {
+	c.queueStateRequest(statestore.ClassFleet, txn, typesTimeout, func(r statestore.Reply) {
 		if r.Status == http.StatusOK {
 			c.fleet.storedTypes = value
 		}
--- a/internal/controller/job_queue.go
+++ b/internal/controller/job_queue.go
@@ -68,7 +68,7 @@
 // guaranteeOverdue reports whether a job within its team's guarantee has waited for more than half
 // of the time within which guaranteed jobs should be served.
 func (sc *stepContext) guaranteeOverdue(j *job) bool {
-	return j.withinGuarantee && sc.cfg.GuaranteeWithin > 0 && sc.waited(j) > sc.cfg.GuaranteeWithin/2
+	return j.withinGuarantee && sc.cfg.GuaranteeWithin > 0 && sc.waitingTime(j) > sc.cfg.GuaranteeWithin/2
 }
 
 // compareInQueue compares jobs of a shard by the order in which they are served.
@@ -144,7 +144,7 @@
 	if r == nil || !r.checkpointApplied || r.end.requested() || j.pending() <= 0 {
 		return false
 	}
-	if j.blocked() || j.dependencyCancelled || !c.mayStart() {
+	if j.blocked() || j.dependencyCancelled || !c.mayStartTasks() {
 		return false
 	}
 	knownInTime := j.knownAt <= c.ownership.lease.RenewedAt()+c.bounds.LeaseValidity
--- a/internal/controller/job_reads_test.go
+++ b/internal/controller/job_reads_test.go
@@ -71,23 +71,23 @@
 			h.cancel("job-000001")
 		}, func(h *harness) bool { return h.stored("job-000001").State == wire.StateCancelled }},
 		{"a job is accepted", func(h *harness) {
-			h.submit(jobOf("job-000002", 1))
+			h.submit(newSubmission("job-000002", 1))
 		}, func(h *harness) bool { return h.keys[wire.JobKey("job-000002")].ModRevision > 0 }},
 		{"a machine is recorded", func(h *harness) {
-			h.listed = append(h.listed, wire.ListedMachine{ID: "vm-9", Addr: "vm-9", Type: "m", Zone: "a", State: wire.MachineRunning, AgeS: 1})
+			h.cloudMachines = append(h.cloudMachines, wire.ListedMachine{ID: "vm-9", Addr: "vm-9", Type: "m", Zone: "a", State: wire.MachineRunning, AgeS: 1})
 			h.c.fleet.nextListAt, h.c.fleet.nextPlanAt = h.now, h.now+400*ms
 		}, func(h *harness) bool { return h.c.machines["vm-9"] != nil }},
 		{"a checkpoint is recorded", func(h *harness) {
 			h.c.jobs.open["job-000001"].run.checkpoint.dirty = true
 		}, func(h *harness) bool { return h.keys[wire.CheckpointKey("job-000001")].ModRevision > 0 }},
 		{"checkpoints are read after a claim", func(h *harness) {
-			h.txn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}})
+			h.applyTxn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}})
 		}, func(h *harness) bool { s := h.c.ownership.shards[0]; return s.owned() && s.checkpointsLoaded }},
 	} {
 		for _, ids := range []int{1, 5000} {
 			t.Run(fmt.Sprintf("%s, status requests about %d", tc.name, ids), func(t *testing.T) {
 				h := newOwnerHarness(t, fewRequests)
-				h.runOne()
+				h.runOneTask()
 				q := &statusRequestLoad{h: h, ids: ids}
 				q.run(3 * sec)
 				began := h.now
@@ -109,7 +109,7 @@
 	h := newOwnerHarness(t, fewRequests)
 	for class := statestore.ClassAccept; class < statestore.ClassCount; class++ {
 		for range 100 {
-			h.c.askState(class, statestore.GetKey{Key: "x"}, 5*sec, func(statestore.Reply) {})
+			h.c.queueStateRequest(class, statestore.GetKey{Key: "x"}, 5*sec, func(statestore.Reply) {})
 		}
 	}
 	s := h.c.ownership.shards[0]
@@ -148,7 +148,7 @@
 		step := int((h.now - began) / (20 * ms))
 		for i := step % 100; i < jobs; i += 100 {
 			h.jobStatus(requestedJobID(i))
-			asked[h.reply] = i
+			asked[h.lastReply] = i
 		}
 		h.run(20 * ms)
 		for reply, i := range asked {
@@ -176,19 +176,19 @@
 	if first.Status != 0 || second.Status != 0 {
 		t.Fatalf("answered %d and %d at once", first.Status, second.Status)
 	}
-	firstReply, secondReply := h.reply-1, h.reply
+	firstReply, secondReply := h.lastReply-1, h.lastReply
 	h.stateDown = false
-	held := h.held
-	h.held = nil
+	held := h.unansweredStateCalls
+	h.unansweredStateCalls = nil
 	found := false
 	for _, c := range held {
 		if _, ok := c.Req.(statestore.GetKey); !ok || found {
-			h.call(c)
+			h.handleCall(c)
 			continue
 		}
 		found = true
-		h.put(wire.JobKey("job-000777"), wire.NewJobRecord(new(jobOf("job-000777", 1)), 1)) // after the read, before its answer
-		h.result(c, 404, nil)
+		h.putRecord(wire.JobKey("job-000777"), wire.NewJobRecord(new(newSubmission("job-000777", 1)), 1)) // after the read, before its answer
+		h.answerCall(c, 404, nil)
 	}
 	h.run(200 * ms)
 	if got := h.answers[firstReply].Status; got != 404 {
@@ -206,7 +206,7 @@
 	const stateRequests, peerQuestions = 6, 4
 	limits := func(c *Config) {
 		withPeer(c)
-		c.MaxStateRequests, c.MaxPeerQuestions = stateRequests, peerQuestions
+		c.MaxStateRequests, c.MaxForwardedRequests = stateRequests, peerQuestions
 	}
 	ask := func(h *harness, id string, d micros.Micros) {
 		for until := h.now + d; h.now < until; {
@@ -224,7 +224,7 @@
 		}
 		h.run(sec)
 		reads, renewals := 0, 0
-		for _, c := range h.held {
+		for _, c := range h.unansweredStateCalls {
 			switch c.Req.(type) {
 			case statestore.GetKey:
 				reads++
@@ -238,13 +238,13 @@
 	})
 	t.Run("other controller", func(t *testing.T) {
 		h := newOwnerHarness(t, limits)
-		h.submit(jobOf("job-000001", 1))
-		h.put(ownerKey(0), wire.OwnerRecord{Label: "n-1", Incarnation: 99})
+		h.submit(newSubmission("job-000001", 1))
+		h.putRecord(ownerKey(0), wire.OwnerRecord{Label: "n-1", Incarnation: 99})
 		h.step(PeerRequest{Reply: 900, Req: peer.Request{From: "n-1", Status: &peer.Status{ControllerState: peer.ControllerState{StateOK: true}}}})
 		h.peersDown = true
-		before := len(h.asked)
+		before := len(h.jobRequests)
 		ask(h, "job-000001", sec/5)
-		if n := len(h.asked) - before; n == 0 || n > peerQuestions {
+		if n := len(h.jobRequests) - before; n == 0 || n > peerQuestions {
 			t.Errorf("%d requests to the other controller are in flight, want some and at most %d", n, peerQuestions)
 		}
 	})
@@ -269,13 +269,13 @@
 				h.jobStatus(requestedJobID(i))
 			}
 			h.jobStatus(requestedJobID(tc.waiting))
-			reply := h.reply
+			reply := h.lastReply
 			h.run(statestore.ReadTimeout + 300*ms)
 			if a := h.answers[reply]; tc.waiting > 100 && (a.Status != 503 || a.RetryAfterS < tc.least || a.RetryAfterS > tc.most) {
 				t.Errorf("answered %d, retry after %d s, want 503 and %d s", a.Status, a.RetryAfterS, tc.least)
 			}
 			if got := h.c.retryAfter(); got < tc.least || got > tc.most {
-				t.Errorf("retry after %d s with %d jobs waiting, want %d to %d s", got, h.c.reads.Records(), tc.least, tc.most)
+				t.Errorf("retry after %d s with %d jobs waiting, want %d to %d s", got, h.c.userReads.Records(), tc.least, tc.most)
 			}
 		})
 	}
@@ -287,13 +287,13 @@
 // instead of 1 s.
 func TestSubmissionRetriesSoon(t *testing.T) {
 	h := newOwnerHarness(t, fewRequests)
-	h.stateDown, h.refused = true, true
+	h.stateDown, h.stateRefuses = true, true
 	for i := range 300 {
 		h.jobStatus(requestedJobID(i))
 		h.run(20 * ms)
 	}
-	a := h.ask(func(r ReplyID) Input { return SubmitRequest{Reply: r, Job: jobOf("job-000002", 1)} })
-	reply := h.reply
+	a := h.request(func(r ReplyID) Input { return SubmitRequest{Reply: r, Job: newSubmission("job-000002", 1)} })
+	reply := h.lastReply
 	h.run(2 * sec)
 	if a = h.answers[reply]; a.Status != 503 || a.RetryAfterS != 1 {
 		t.Errorf("the submission is answered %d, retry after %d s, want 503 and 1 s", a.Status, a.RetryAfterS)
@@ -304,14 +304,14 @@
 // can't be recorded does not depend on the backlog of status requests either.
 func TestCancelRequestRetriesSoon(t *testing.T) {
 	h := newOwnerHarness(t, fewRequests)
-	h.submit(jobOf("job-000002", 1))
-	h.stateDown, h.refused = true, true
+	h.submit(newSubmission("job-000002", 1))
+	h.stateDown, h.stateRefuses = true, true
 	for i := range 100 { // short enough that the lease does not end
 		h.jobStatus(requestedJobID(i))
 		h.run(20 * ms)
 	}
 	h.cancel("job-000002")
-	reply := h.reply
+	reply := h.lastReply
 	h.run(sec)
 	if a := h.answers[reply]; a.Status != 503 || a.RetryAfterS != 1 {
 		t.Errorf("the cancellation is answered %d, retry after %d s, want 503 and 1 s", a.Status, a.RetryAfterS)
--- a/internal/controller/job_status.go
+++ b/internal/controller/job_status.go
@@ -89,14 +89,14 @@
 // askPeer sends a user's request about a job to its owner, and calls done with unavailable if too
 // many such requests are in flight or no answer comes.
 func (c *Controller) askPeer(p *peerView, jobReq peer.JobRequest, timeout micros.Micros, done func(peer.JobResponse)) {
-	if c.cfg.MaxPeerQuestions > 0 && c.peerQuestionsInFlight >= c.cfg.MaxPeerQuestions {
+	if c.cfg.MaxForwardedRequests > 0 && c.forwardedRequestsInFlight >= c.cfg.MaxForwardedRequests {
 		done(unavailable())
 		return
 	}
-	c.peerQuestionsInFlight++
+	c.forwardedRequestsInFlight++
 	req := peer.Request{From: c.cfg.Label, JobRequest: &jobReq}
-	c.call(Call{To: ToPeer, Addr: p.label, Req: req, Timeout: timeout}, func(r Result) {
-		c.peerQuestionsInFlight--
+	c.sendCall(Call{To: ToPeer, Addr: p.label, Req: req, Timeout: timeout}, func(r Result) {
+		c.forwardedRequestsInFlight--
 		resp, ok := r.Body.(*peer.Response)
 		if !ok || r.Status != http.StatusOK || resp.JobResponse == nil {
 			done(unavailable())
@@ -113,7 +113,7 @@
 // readJob reads a job's record for internal work of the given class. Users' requests use
 // readForUser.
 func (c *Controller) readJob(class statestore.Class, id string, done func(statestore.Lookup)) {
-	c.askState(class, statestore.GetKey{Key: wire.JobKey(id)}, statestore.ReadTimeout, func(r statestore.Reply) { done(c.applyJobRead(r)) })
+	c.queueStateRequest(class, statestore.GetKey{Key: wire.JobKey(id)}, statestore.ReadTimeout, func(r statestore.Reply) { done(c.applyJobRead(r)) })
 }
 
 // applyJobRead updates the job table from the result of reading a job's record.
@@ -139,7 +139,7 @@
 
 // readJobState finds the state of a job by reading its record.
 func (c *Controller) readJobState(id string, done func(peer.JobResponse)) {
-	c.readForUser(id, func(found statestore.Lookup) {
+	c.readJobForUser(id, func(found statestore.Lookup) {
 		if f, ok := c.jobs.final(id); ok {
 			done(f.answer())
 			return
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -159,7 +159,7 @@
 		att.outcomeHandled = true
 		return
 	}
-	j.run.checkpoint.await(att)
+	j.run.checkpoint.awaitRecorded(att)
 }
 
 // openJobsScan is the result of one pass over the open jobs.
--- a/internal/controller/lease.go
+++ b/internal/controller/lease.go
@@ -8,13 +8,13 @@
 	"garnethitch/internal/wire"
 )
 
-// The requests for the lease in the state service under which this node holds its locks; its
-// times are kept by ownership.Lease.
+// This file sends the requests for this node's lease in the state service, under which it holds its
+// locks. ownership.Lease decides when they are due.
 
 const (
-	// leaseRequestTimeout is how long the request for a lease waits for its response.
+	// leaseRequestTimeout is how long to wait for the response to the request for a lease.
 	leaseRequestTimeout = micros.Second
-	// renewalRetryDelay is after how long a renewal that failed is tried again.
+	// renewalRetryDelay is the delay before a failed renewal is retried.
 	renewalRetryDelay = 150 * micros.Millisecond
 )
 
@@ -29,12 +29,13 @@
 	}
 }
 
-// requestLease requests a lease. It counts from when it is requested.
+// requestLease requests a lease. The lease counts from the time at which the request was sent, not
+// answered.
 func (o *ownershipState) requestLease() {
 	lease := &o.lease
 	lease.Requested()
 	sentAt := o.now
-	o.askState(statestore.ClassLease, wire.NewLease{TTLMS: lease.Duration().Millis()}, leaseRequestTimeout, func(r statestore.Reply) {
+	o.queueStateRequest(statestore.ClassLease, wire.NewLease{TTLMS: lease.Duration().Millis()}, leaseRequestTimeout, func(r statestore.Reply) {
 		granted, ok := r.Body.(*wire.Lease)
 		if !ok || r.Status != http.StatusOK || granted.ID == 0 {
 			lease.RequestFailed()
@@ -52,13 +53,13 @@
 	id := lease.ID()
 	sentAt := c.now
 	lease.RenewalSent(c.now)
-	c.askState(statestore.ClassLease, statestore.RenewLease{Lease: id}, lease.Duration(), func(r statestore.Reply) {
+	c.queueStateRequest(statestore.ClassLease, statestore.RenewLease{Lease: id}, lease.Duration(), func(r statestore.Reply) {
 		if !lease.RenewalEnded(id) {
 			return
 		}
 		switch r.Status {
 		case http.StatusOK:
-			c.ownership.leaseRenewed(sentAt)
+			c.ownership.handleLeaseRenewed(sentAt)
 		case http.StatusNotFound:
 			c.log(Info, "lease lost, giving up all locks", "lease", id)
 			c.ownership.lastStateReplyAt = c.now
@@ -69,8 +70,8 @@
 	})
 }
 
-// leaseRenewed takes the success of a renewal that was sent at a time.
-func (o *ownershipState) leaseRenewed(sentAt micros.Micros) {
+// handleLeaseRenewed handles the success of a renewal that was sent at sentAt.
+func (o *ownershipState) handleLeaseRenewed(sentAt micros.Micros) {
 	lease := &o.lease
 	if o.now >= lease.RenewedAt()+o.bounds.LeaseValidity {
 		o.log(Info, "lease renewed after a gap", "gap_ms", (o.now - lease.RenewedAt()).Millis())
@@ -80,12 +81,12 @@
 	o.schedulingDue = true
 }
 
-// loseLease gives up the lease, and every shard whose lock was held under it.
+// loseLease marks the lease as lost and deactivates every shard owned under it.
 func (c *Controller) loseLease() {
 	c.ownership.lease.Lost()
 	for _, s := range c.ownership.shards {
 		if s.owned() {
-			c.deactivate(s)
+			c.deactivateShard(s)
 		}
 	}
 }
--- a/internal/controller/lock_test.go
+++ b/internal/controller/lock_test.go
@@ -6,6 +6,8 @@
 	"garnethitch/internal/wire"
 )
 
+// TestLockOwner checks that a lock counts as owned only by the process with the same label and
+// incarnation, and that a former process of the same node is recognized.
 func TestLockOwner(t *testing.T) {
 	self := wire.OwnerRecord{Label: "n-0", Incarnation: 7}
 	for _, tc := range []struct {
@@ -17,7 +19,7 @@
 	}{
 		{"nobody holds it", lock{}, self, false, false},
 		{"this process", lock{owner: self, ownerEpoch: 3}, self, true, false},
-		{"released, the record is left in memory", lock{owner: self}, self, false, false},
+		{"released, the owner record still in memory", lock{owner: self}, self, false, false},
 		{"a former process of this node", lock{owner: wire.OwnerRecord{Label: "n-0", Incarnation: 6}, ownerEpoch: 3}, self, false, true},
 		{"another node", lock{owner: wire.OwnerRecord{Label: "n-1", Incarnation: 7}, ownerEpoch: 3}, self, false, false},
 		{"this node without a lease", lock{owner: wire.OwnerRecord{Label: "n-0"}, ownerEpoch: 3}, wire.OwnerRecord{Label: "n-0"}, false, false},
@@ -33,6 +35,8 @@
 	}
 }
 
+// TestLockReleaseDue checks that a release is sent once per claim, and again only after a failure
+// and the retry delay.
 func TestLockReleaseDue(t *testing.T) {
 	for _, tc := range []struct {
 		name string
@@ -53,7 +57,8 @@
 	}
 }
 
-// TestLockTransactions checks that a claim and a release apply only to the key as it was seen.
+// TestLockTransactions checks that a claim and a release apply only if the key is unchanged since
+// it was seen.
 func TestLockTransactions(t *testing.T) {
 	l := lock{key: ownerKey(2), ownerEpoch: 3}
 	for _, tc := range []struct {
--- a/internal/controller/machine_records_test.go
+++ b/internal/controller/machine_records_test.go
@@ -20,15 +20,15 @@
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t, func(c *Config) { c.Shards = 2; c.Teams = []Team{{Name: "t", CPUs: 8}, {Name: "u", CPUs: 4}} })
 			for _, id := range []string{"vm-1", "vm-2", "vm-3"} {
-				h.list(id)
+				h.listMachine(id)
 				h.heartbeat(heartbeatFrom(id, 1, 1, 0))
 			}
 			m := h.c.machines["vm-1"]
 			from := m.rec.Shard
 			m.recordSet.nextWriteAt = 0
 			if tc.lose {
-				h.lose = wire.PrefixFleet
-				h.watchBlocked = wire.PrefixControl
+				h.loseAnswersPrefix = wire.PrefixFleet
+				h.blockedWatchPrefix = wire.PrefixControl
 			}
 			h.c.fleet.nextPlanAt = micros.Never
 			h.c.release(peer.Release{Machines: []string{"vm-1"}, Shard: 1 - from})
@@ -37,11 +37,11 @@
 				if v := m.view; !v.releasing {
 					t.Error("machine may be given tasks while its move is not answered")
 				}
-				h.giveUp()
+				h.timeOutLostAnswers()
 				if v := m.view; v == nil || v.inDoubtToken == 0 {
 					t.Error("move counts as not applied although it may have been")
 				}
-				h.lose, h.watchBlocked = "", ""
+				h.loseAnswersPrefix, h.blockedWatchPrefix = "", ""
 				h.run(sec)
 			}
 			if got := h.c.machines["vm-1"]; got == nil || got.rec.Shard != 1-from {
@@ -71,27 +71,27 @@
 	for i := range 120 {
 		ids = append(ids, "vm-x"+string(rune('a'+i/26))+string(rune('a'+i%26)))
 	}
-	h.lose = wire.PrefixFleet
-	before := h.rev
+	h.loseAnswersPrefix = wire.PrefixFleet
+	before := h.revision
 	for _, id := range ids {
 		h.c.fleet.rented[id] = &rentedMachine{kind: fleet.Kind{Type: "m", Zone: "a", Spot: false}, at: h.now}
 	}
-	if h.run(sec); h.rev != before {
+	if h.run(sec); h.revision != before {
 		t.Error("machines are recorded before they send a heartbeat")
 	}
 	var waiting []ReplyID
 	for _, id := range ids {
-		if a := h.ask(func(r ReplyID) Input { return Heartbeat{Reply: r, Heartbeat: heartbeatFrom(id, 1, 1, 0)} }); a.Status != 0 {
+		if a := h.request(func(r ReplyID) Input { return Heartbeat{Reply: r, Heartbeat: heartbeatFrom(id, 1, 1, 0)} }); a.Status != 0 {
 			t.Fatalf("heartbeat of a machine without a record answered %d, want no answer yet", a.Status)
 		}
-		waiting = append(waiting, h.reply)
+		waiting = append(waiting, h.lastReply)
 	}
 	h.run(500 * ms)
-	if n := h.rev - before; n != 3 {
+	if n := h.revision - before; n != 3 {
 		t.Errorf("%d transactions for 120 machines, want 3", n)
 	}
-	h.lose = ""
-	h.giveUp()
+	h.loseAnswersPrefix = ""
+	h.timeOutLostAnswers()
 	h.run(4 * sec)
 	if len(h.c.fleet.pendingCreations) != 0 || len(h.c.machines) != 120 {
 		t.Errorf("%d creations pending, %d machines; want 0 and 120", len(h.c.fleet.pendingCreations), len(h.c.machines))
@@ -106,16 +106,16 @@
 	}
 	// Nobody else can have commanded the machine, so that its first heartbeat to its owner is
 	// answered with starts.
-	h.submit(jobOf("job-000001", 2))
+	h.submit(newSubmission("job-000001", 2))
 	_, body := h.heartbeat(heartbeatFrom(ids[0], 1, 1, 0))
-	if len(starts(body.Commands)) != 2 {
+	if len(startCommands(body.Commands)) != 2 {
 		t.Errorf("first heartbeat answered with %v, want 2 starts", body.Commands)
 	}
 	// A heartbeat that shows a fencing token of somebody else is not answered with starts.
-	h.submit(jobOf("job-000002", 2))
-	h.dropCalls()
+	h.submit(newSubmission("job-000002", 2))
+	h.dropWorkerCalls()
 	_, body = h.heartbeat(heartbeatFrom(ids[1], 1, 1, 1))
-	if len(starts(body.Commands)) != 0 {
+	if len(startCommands(body.Commands)) != 0 {
 		t.Errorf("machine that shows a foreign token is sent %v, want no starts", body.Commands)
 	}
 }
@@ -159,33 +159,33 @@
 		c.Teams = []Team{{Name: "t", CPUs: 8}, {Name: "u", CPUs: 4}}
 	})
 	h.run(4 * sec)
-	h.list("vm-1")
+	h.listMachine("vm-1")
 	h.heartbeat(heartbeatFrom("vm-1", 1, 1, 0))
 	m := h.c.machines["vm-1"]
 	m.recordSet.nextWriteAt = 0
 	h.c.fleet.nextPlanAt = micros.Never
-	h.late = wire.PrefixFleet
+	h.delayPrefix = wire.PrefixFleet
 	if h.c.release(peer.Release{Machines: []string{"vm-1"}, Shard: 1 - m.rec.Shard}); !m.view.releasing {
 		t.Fatal("setup failed: the machine is not being released")
 	}
 	h.step(Tick{})
-	sent := h.lateOut
-	h.late, h.lateOut = "", nil
+	sent := h.delayedTxns
+	h.delayPrefix, h.delayedTxns = "", nil
 	for _, c := range sent {
 		h.step(Result{ID: c.ID})
 	}
-	h.put(m.recordSet.key, recordSetOf(m.recordSet.machines, nil, nil)) // as the leader does
-	h.dropCalls()
+	h.putRecord(m.recordSet.key, recordSetOf(m.recordSet.machines, nil, nil)) // as the leader does
+	h.dropWorkerCalls()
 	for seq := uint64(10); seq < 14; seq++ {
 		h.heartbeat(heartbeatFrom("vm-1", 1, seq, h.c.fencingToken(h.c.ownership.shards[m.rec.Shard], m)))
 		h.run(2 * sec)
-		h.dropCalls()
+		h.dropWorkerCalls()
 	}
 	if m.view == nil || m.view.releasing || m.view.inDoubtToken != 0 {
 		t.Errorf("%+v: still releasing although the move can't be applied any more", m.view)
 	}
-	h.lateOut = sent
-	if n := h.carryOut(); n != 0 {
+	h.delayedTxns = sent
+	if n := h.applyDelayedTxns(); n != 0 {
 		t.Errorf("%d moves were applied after the rewrite, want 0", n)
 	}
 }
--- a/internal/controller/maintenance.go
+++ b/internal/controller/maintenance.go
@@ -44,11 +44,11 @@
 }
 
 // Wake returns the latest steady time (see Instant) at which Step must be called next.
-func (sc *stepContext) Wake() micros.Micros { return sc.wake }
+func (sc *stepContext) Wake() micros.Micros { return sc.wakeAt }
 
 // wakeIn makes Wake at most d from now, but not less than a millisecond from now.
 func (sc *stepContext) wakeIn(d micros.Micros) {
-	sc.wake = min(sc.wake, sc.now+max(d, micros.Millisecond))
+	sc.wakeAt = min(sc.wakeAt, sc.now+max(d, micros.Millisecond))
 }
 
 // nextMaintenance returns when maintain is due. Registrations that are due make it run earlier.
@@ -110,7 +110,7 @@
 func (c *Controller) runTimers() {
 	if c.now >= c.nextMaintenance() {
 		c.maintenance.lastRunAt = c.now
-		c.wake = c.now + c.maintenanceInterval()
+		c.wakeAt = c.now + c.maintenanceInterval()
 		c.maintain()
 		return
 	}
@@ -119,8 +119,8 @@
 
 // followWatches sends the next request of each watch that is due.
 func (c *Controller) followWatches() {
-	c.follow(&c.ownership.controlWatch)
-	c.follow(&c.ownership.jobWatch)
+	c.continueWatch(&c.ownership.controlWatch)
+	c.continueWatch(&c.ownership.jobWatch)
 	c.followQuota()
 }
 
@@ -128,7 +128,7 @@
 // restAfterWalk has put it off.
 func (c *Controller) maintain() {
 	c.maintainOwnership()
-	c.maintainPeers()
+	c.sendDueStatuses()
 	c.maintainQuota()
 	c.logShardDecisions()
 	if c.now < c.maintenance.nextWalkAt {
--- a/internal/controller/preemption_policy.go
+++ b/internal/controller/preemption_policy.go
@@ -92,7 +92,7 @@
 		CheckpointInterval: sub.CheckpointS,
 		CPUs:               sub.CPUs,
 		Priority:           att.job.priority,
-		OnlyRunningTask:    p.onlyStart(att),
+		OnlyRunningTask:    p.isOnlyStart(att),
 	}
 	if att.runAt != 0 {
 		loss.RunTime = p.now - att.runAt
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -29,7 +29,7 @@
 
 // quotaRequest sends an operator's request and returns the response.
 func (h *harness) quotaRequest(req peer.QuotaRequest) *peer.QuotaResponse {
-	a := h.ask(func(r ReplyID) Input { return PeerRequest{Reply: r, Req: peer.Request{Quota: &req}} })
+	a := h.request(func(r ReplyID) Input { return PeerRequest{Reply: r, Req: peer.Request{Quota: &req}} })
 	resp, ok := a.Body.(*peer.Response)
 	if !ok || resp.Quota == nil {
 		h.t.Fatalf("answer: status %d, body %+v, want a quota response", a.Status, a.Body)
@@ -53,13 +53,13 @@
 // that sends no heartbeats. When the operator clears it, the limit of the options applies again.
 func TestGroupLimitBoundsStarts(t *testing.T) {
 	h := newHarness(t, withGroup(t, 3))
-	fencingToken := h.reconcile("vm-1")
-	h.submit(jobOf("job-000001", 10))
+	fencingToken := h.reconcileMachine("vm-1")
+	h.submit(newSubmission("job-000001", 10))
 	h.run(3 * sec)
 	_, body := h.heartbeat(heartbeatFrom("vm-1", 1, 4, fencingToken))
-	started := starts(body.Commands)
-	for _, o := range h.directCommands() {
-		started = append(started, starts(o.Req.(wire.DirectCommand).Commands)...)
+	started := startCommands(body.Commands)
+	for _, o := range h.directStarts() {
+		started = append(started, startCommands(o.Req.(wire.DirectCommand).Commands)...)
 	}
 	if len(started) != 3 {
 		t.Fatalf("%d tasks started, want 3, the group's limit", len(started))
@@ -69,7 +69,7 @@
 	}
 	// Writes of rows are conditional on the shard's owner key, those of definitions on the leader's.
 	writesByKey := map[string]int{}
-	for _, txn := range h.done {
+	for _, txn := range h.appliedTxns {
 		if txn.Changes[0].Put == wire.QuotaKey("all") && len(txn.Conditions) == 2 && txn.Conditions[1].ModRevision != 0 {
 			writesByKey[txn.Conditions[1].Key]++
 		}
@@ -88,7 +88,7 @@
 	}
 	// The job is cancelled, but its machine sends no heartbeat: tasks that may run there still count.
 	h.cancel("job-000001")
-	h.submit(jobOf("job-000002", 2))
+	h.submit(newSubmission("job-000002", 2))
 	h.run(2 * sec)
 	if got := h.c.jobs.open["job-000002"].run; len(got.active) != 0 {
 		t.Errorf("%d tasks started while cancelled ones may still run, want none", len(got.active))
@@ -141,7 +141,7 @@
 		}
 	}
 	// Once another controller reports that it handles quotas, this one handles them too.
-	withoutOption.ask(func(r ReplyID) Input {
+	withoutOption.request(func(r ReplyID) Input {
 		return PeerRequest{Reply: r, Req: peer.Request{From: "n-1", Status: &peer.Status{ControllerState: peer.ControllerState{StateOK: true, Quota: true}}}}
 	})
 	withoutOption.run(sec)
@@ -158,7 +158,7 @@
 		withGroup(t, 3)(c)
 	})
 	trace, span := [16]byte{1, 2}, [8]byte{3}
-	h.ask(func(r ReplyID) Input {
+	h.request(func(r ReplyID) Input {
 		return PeerRequest{Reply: r, Req: peer.Request{From: "n-1", Status: &peer.Status{ControllerState: peer.ControllerState{StateOK: true, Quota: true},
 			Traces: []peer.TraceContext{{WaitingTasks: "all", Shard: 1, Trace: trace[:], Span: span[:], BeganUS: 1}, {WaitingTasks: "all", Shard: 2, Trace: []byte("short")}}}}}
 	})
@@ -240,7 +240,7 @@
 	}
 	f.Fuzz(func(t *testing.T, value []byte) {
 		h := newHarness(t, withGroup(t, 3))
-		h.txn(wire.Txn{Changes: []wire.Change{{Put: wire.QuotaKey("all"), Value: value}}})
+		h.applyTxn(wire.Txn{Changes: []wire.Change{{Put: wire.QuotaKey("all"), Value: value}}})
 		h.run(600 * ms)
 		h.quotaRequest(peer.QuotaRequest{})
 		if h.jobStatus("job-000001").Status != 404 {
--- a/internal/controller/readiness.go
+++ b/internal/controller/readiness.go
@@ -33,13 +33,13 @@
 	// This controller was started while no controller has the state service. Users are better off
 	// with a 503 and a Retry-After than with no controller at all, and the load balancer would
 	// treat the controllers as down for a while after the outage.
-	return c.now-c.startedAt > startupGrace && !c.ownership.stateFresh() && !c.peerHasState()
+	return c.now-c.startedAt > startupGrace && !c.ownership.stateReachable() && !c.peerHasState()
 }
 
 // peerHasState reports whether another controller is alive and reaches the state service.
 func (c *Controller) peerHasState() bool {
 	for _, p := range c.peers {
-		if c.alive(p) && p.stateOK {
+		if c.alive(p) && p.stateReachable {
 			return true
 		}
 	}
--- a/internal/controller/returned_machines.go
+++ b/internal/controller/returned_machines.go
@@ -37,13 +37,13 @@
 	}
 	c.machineReturned(id)
 	p := c.peers[c.ownership.shards[m.rec.Shard].owner.Label]
-	if p == nil || slices.Contains(p.returnedMachines, id) {
+	if p == nil || slices.Contains(p.pendingReturnedMachines, id) {
 		return
 	}
 	// Beyond this bound the owner is notified later by repeatReturnNotices, since its demand still
 	// names the machine as silent.
-	if len(p.returnedMachines) < c.cfg.MaxMachines {
-		p.returnedMachines = append(p.returnedMachines, id)
+	if len(p.pendingReturnedMachines) < c.cfg.MaxMachines {
+		p.pendingReturnedMachines = append(p.pendingReturnedMachines, id)
 	}
 }
 
--- a/internal/controller/state_requests.go
+++ b/internal/controller/state_requests.go
@@ -6,19 +6,20 @@
 	"garnethitch/internal/wire"
 )
 
-// newStateReads returns the reads of job records on behalf of users.
+// newStateReads returns the reader of job records for user requests.
 func (c *Controller) newStateReads() *statestore.ReadCoalescer {
 	return statestore.NewReadCoalescer(statestore.ReadCoalescerConfig{
 		Queue:       c.stateQueue,
 		MaxRecords:  c.cfg.MaxOpenJobs,
 		NewRequest:  func(id string) any { return statestore.GetKey{Key: wire.JobKey(id)} },
 		HandleReply: c.applyJobRead,
-		Defer:       c.later,
+		Defer:       c.deferToStepEnd,
 	})
 }
 
-// askState queues a request to the state service. done is called exactly once.
-func (sc *stepContext) askState(class statestore.Class, body any, timeout micros.Micros, done func(statestore.Reply)) {
+// queueStateRequest queues a request to the state service. done is called exactly once; if the
+// queue is full or the request expires in it, the reply has NotSent set.
+func (sc *stepContext) queueStateRequest(class statestore.Class, body any, timeout micros.Micros, done func(statestore.Reply)) {
 	request := statestore.Request{
 		Body:      body,
 		Timeout:   timeout,
@@ -30,16 +31,17 @@
 		request.Writes = float64(txn.Writes())
 	}
 	if !sc.stateQueue.Push(class, request) {
-		sc.later(func() { done(statestore.Reply{NotSent: true}) })
+		sc.deferToStepEnd(func() { done(statestore.Reply{NotSent: true}) })
 	}
 }
 
-// drainState sends the requests to the state service that the limits allow.
-func (c *Controller) drainState() {
+// sendQueuedStateRequests sends as many queued requests to the state service as the limits allow,
+// and drops the expired ones.
+func (c *Controller) sendQueuedStateRequests() {
 	for {
-		c.reads.QueueNext(c.now)
+		c.userReads.QueueNext(c.now)
 		if expired, ok := c.stateQueue.Expire(c.now); ok {
-			c.later(func() { expired.Done(statestore.Reply{NotSent: true}) })
+			c.deferToStepEnd(func() { expired.Done(statestore.Reply{NotSent: true}) })
 			continue
 		}
 		request, ok, wait := c.stateQueue.Next(c.now)
@@ -49,45 +51,45 @@
 			}
 			return
 		}
-		c.callState(request)
+		c.sendStateRequest(request)
 	}
 }
 
-// callState sends a request to the state service.
-func (sc *stepContext) callState(request statestore.Request) {
+// sendStateRequest sends a request to the state service.
+func (sc *stepContext) sendStateRequest(request statestore.Request) {
 	if request.Sent != nil {
 		request.Sent()
 	}
-	sc.call(Call{To: ToState, Req: request.Body, Timeout: request.Timeout}, func(r Result) {
+	sc.sendCall(Call{To: ToState, Req: request.Body, Timeout: request.Timeout}, func(r Result) {
 		sc.stateQueue.Answered(request)
 		request.Done(statestore.Reply{Status: r.Status, Body: r.Body, NotSent: r.NotSent})
 	})
 }
 
-// hasSpareRequests reports whether half of a second's requests to the state service are left,
-// and nothing waits for its turn.
+// hasSpareRequests reports whether at least half of a second's requests to the state service are
+// unused and no request is waiting.
 func (c *Controller) hasSpareRequests() bool {
-	return c.reads.Waiting() == 0 && c.stateQueue.HasSpareRequests(c.now)
+	return c.userReads.Waiting() == 0 && c.stateQueue.HasSpareRequests(c.now)
 }
 
-// readForUser reads a job's record for a user.
-func (c *Controller) readForUser(id string, done func(statestore.Lookup)) {
-	c.reads.Read(c.now, id, done)
+// readJobForUser reads a job's record on behalf of a user.
+func (c *Controller) readJobForUser(id string, done func(statestore.Lookup)) {
+	c.userReads.Read(c.now, id, done)
 }
 
-// retryAfter returns after how many seconds a user who is refused now is to try again.
-func (c *Controller) retryAfter() int { return c.reads.RetryAfter() }
+// retryAfter returns the Retry-After time in seconds for a user whose request is refused now.
+func (c *Controller) retryAfter() int { return c.userReads.RetryAfter() }
 
-// StateRequests returns the metrics of the requests to the state service, the most urgent
+// StateRequests returns the metrics of the requests to the state service by class, the most urgent
 // class first.
 func (c *Controller) StateRequests() []statestore.ClassMetrics {
 	metrics := c.stateQueue.Metrics(c.now)
-	metrics[statestore.ClassUserRead].Depth = c.reads.Waiting() // of which one is queued
+	metrics[statestore.ClassUserRead].Depth = c.userReads.Waiting() // at most one of them is in the queue
 	return metrics
 }
 
-// logStateRequests logs the metrics of the classes that were used, as information whenever
-// more requests were given up unsent.
+// logStateRequests logs the metrics of all classes in use. The level is Info if requests were
+// dropped unsent since the last line, and Debug otherwise.
 func (c *Controller) logStateRequests() {
 	level, unsent := Debug, uint64(0)
 	var args []any
@@ -100,8 +102,8 @@
 		args = append(args, class+"_sent", m.Sent, class+"_waiting", m.Depth, class+"_oldest_ms", m.OldestWait.Millis(),
 			class+"_longest_ms", m.LongestWait.Millis(), class+"_expired", m.Expired, class+"_rejected", m.Rejected)
 	}
-	if unsent > c.unsentLogged {
-		c.unsentLogged = unsent
+	if unsent > c.unsentRequestsLogged {
+		c.unsentRequestsLogged = unsent
 		level = Info
 	}
 	c.log(level, "state requests", args...)
