--- a/internal/digest/digest.go
+++ b/internal/digest/digest.go
@@ -18,8 +18,8 @@
 	"garnethitch/internal/simulation"
 )
 
-// Head is the first line of a file of digests.
-const Head = "# plan/seed, number of messages, hash of all messages; made by: go run ./internal/measure digest"
+// Header is the first line of a file of digests.
+const Header = "# plan/seed, number of messages, hash of all messages; made by: go run ./internal/measure digest"
 
 // hashBytes is how many bytes of a hash are kept.
 const hashBytes = 8
@@ -47,7 +47,7 @@
 func Play(run Run) (Digest, error) {
 	recorder := newRecorder()
 	sim := simulation.New(run.Plan.WithSeed(run.Seed))
-	sim.Sent = recorder.record
+	sim.OnSend = recorder.record
 	sim.Run()
 	if recorder.err != nil {
 		return Digest{}, fmt.Errorf("digest: %s/%d: %w", run.Plan.Name, run.Seed, recorder.err)
@@ -77,42 +77,42 @@
 
 func (r *recorder) record(at micros.Micros, from string, effect controller.Effect) {
 	r.messages++
-	r.number(int64(at))
-	r.text(from)
+	r.writeNumber(int64(at))
+	r.writeText(from)
 	switch e := effect.(type) {
 	case controller.Answer:
-		r.answer(e)
+		r.recordAnswer(e)
 	case controller.Call:
-		r.call(e)
+		r.recordCall(e)
 	default:
-		r.fail(fmt.Errorf("effect of unknown type %T", effect))
+		r.keepFirstError(fmt.Errorf("effect of unknown type %T", effect))
 	}
 }
 
-func (r *recorder) answer(answer controller.Answer) {
+func (r *recorder) recordAnswer(answer controller.Answer) {
 	contentType, body, err := runtime.EncodeAnswer(answer.Body)
-	r.fail(err)
-	r.text("answer")
-	r.number(int64(answer.Reply))
-	r.number(int64(answer.Status))
-	r.number(int64(answer.RetryAfterS))
-	r.text(contentType)
-	r.bytes(body)
+	r.keepFirstError(err)
+	r.writeText("answer")
+	r.writeNumber(int64(answer.Reply))
+	r.writeNumber(int64(answer.Status))
+	r.writeNumber(int64(answer.RetryAfterS))
+	r.writeText(contentType)
+	r.writeBytes(body)
 }
 
-func (r *recorder) call(call controller.Call) {
+func (r *recorder) recordCall(call controller.Call) {
 	encoded, err := runtime.EncodeCall(call)
-	r.fail(err)
-	r.text(r.target(call.To))
-	r.text(call.Addr)
-	r.number(int64(call.Timeout))
-	r.text(encoded.Method)
-	r.text(encoded.Target)
-	r.bytes(encoded.Body)
+	r.keepFirstError(err)
+	r.writeText(r.targetName(call.To))
+	r.writeText(call.Addr)
+	r.writeNumber(int64(call.Timeout))
+	r.writeText(encoded.Method)
+	r.writeText(encoded.Target)
+	r.writeBytes(encoded.Body)
 }
 
-// target returns the fixed name of each kind of target.
-func (r *recorder) target(to controller.Target) string {
+// targetName returns the fixed name of each kind of targetName.
+func (r *recorder) targetName(to controller.Target) string {
 	switch to {
 	case controller.ToState:
 		return "state"
@@ -123,35 +123,35 @@
 	case controller.ToPeer:
 		return "peer"
 	}
-	r.fail(fmt.Errorf("unknown target %d", to))
+	r.keepFirstError(fmt.Errorf("unknown target %d", to))
 	return ""
 }
 
-func (r *recorder) fail(err error) {
+func (r *recorder) keepFirstError(err error) {
 	if r.err == nil {
 		r.err = err
 	}
 }
 
-func (r *recorder) number(n int64) {
+func (r *recorder) writeNumber(n int64) {
 	var buffer [8]byte
 	binary.BigEndian.PutUint64(buffer[:], uint64(n))
 	r.write(buffer[:])
 }
 
-func (r *recorder) text(s string) {
-	r.bytes([]byte(s))
+func (r *recorder) writeText(s string) {
+	r.writeBytes([]byte(s))
 }
 
-// bytes hashes the length first, so that different sequences of parts have different hashes.
-func (r *recorder) bytes(b []byte) {
-	r.number(int64(len(b)))
+// writeBytes hashes the length first, so that different sequences of parts have different hashes.
+func (r *recorder) writeBytes(b []byte) {
+	r.writeNumber(int64(len(b)))
 	r.write(b)
 }
 
 func (r *recorder) write(b []byte) {
 	_, err := r.hash.Write(b)
-	r.fail(err)
+	r.keepFirstError(err)
 }
 
 const (
@@ -170,14 +170,14 @@
 		if !strings.Contains(plan.Name, pattern) {
 			continue
 		}
-		for seed := range seedsOf(plan, seeds) {
+		for seed := range seedCount(plan, seeds) {
 			runs = append(runs, Run{Plan: plan, Seed: uint64(seed) + 1})
 		}
 	}
 	return runs
 }
 
-func seedsOf(plan simulation.NamedPlan, wanted int) int {
+func seedCount(plan simulation.NamedPlan, wanted int) int {
 	switch {
 	case wanted > 0:
 		return wanted
--- a/internal/digest/digest_test.go
+++ b/internal/digest/digest_test.go
@@ -11,16 +11,16 @@
 	"garnethitch/internal/simulation"
 )
 
-// recorded reads the lines of the file that "go run ./internal/measure digest" prints.
-func recorded(t *testing.T) []string {
+// readRecorded reads the lines of the file that "go run ./internal/measure digest" prints.
+func readRecorded(t *testing.T) []string {
 	t.Helper()
 	text, err := os.ReadFile("testdata/digest.txt")
 	if err != nil {
 		t.Fatal(err)
 	}
 	lines := strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
-	if lines[0] != Head {
-		t.Errorf("the file begins with %q, want %q", lines[0], Head)
+	if lines[0] != Header {
+		t.Errorf("the file begins with %q, want %q", lines[0], Header)
 	}
 	return lines[1:]
 }
@@ -28,7 +28,7 @@
 // TestBehaviourIsPreserved plays a few small plans and compares the digests of their
 // messages with the recorded ones. The whole file is compared with what the command prints.
 func TestBehaviourIsPreserved(t *testing.T) {
-	lines := recorded(t)
+	lines := readRecorded(t)
 	plans := simulation.RulePlans()
 	for _, name := range []string{
 		"no faults, sharded by job",
@@ -61,7 +61,7 @@
 // TestEveryRunIsRecorded checks that the file has a line for each run that is played by default.
 func TestEveryRunIsRecorded(t *testing.T) {
 	t.Parallel()
-	lines := recorded(t)
+	lines := readRecorded(t)
 	runs := Runs(simulation.RulePlans(), "", 0)
 	if len(lines) != len(runs) {
 		t.Fatalf("%d digests are recorded, want %d", len(lines), len(runs))
@@ -75,14 +75,14 @@
 	}
 }
 
-// TestHookChangesNothing checks that a run goes the same way with and without a recorder.
-func TestHookChangesNothing(t *testing.T) {
+// TestRecorderChangesNothing checks that a run goes the same way with and without a recorder.
+func TestRecorderChangesNothing(t *testing.T) {
 	t.Parallel()
 	for _, plan := range simulation.RulePlans()[:4] {
 		plain := simulation.New(plan.WithSeed(1))
 		plain.Run()
 		recorded := simulation.New(plan.WithSeed(1))
-		recorded.Sent = newRecorder().record
+		recorded.OnSend = newRecorder().record
 		recorded.Run()
 		if outcomeOf(plain) != outcomeOf(recorded) {
 			t.Errorf("%s: %+v, recorded %+v", plan.Name, outcomeOf(plain), outcomeOf(recorded))
@@ -95,7 +95,7 @@
 	started    int
 	finished   int
 	restarts   int
-	copies     int
+	duplicates     int
 	violations int
 	waited     micros.Micros
 	requests   string
@@ -106,7 +106,7 @@
 		started:    sim.Started,
 		finished:   sim.Finished,
 		restarts:   sim.Restarts,
-		copies:     sim.CopiedHeartbeats,
+		duplicates:     sim.DuplicateHeartbeats,
 		violations: len(sim.Violations),
 		waited:     sim.LongestInputWait,
 		requests:   fmt.Sprint(sim.StateRequests()),
--- a/internal/measure/digest.go
+++ b/internal/measure/digest.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Println(digest.Head)
+	fmt.Println(digest.Header)
 	for _, result := range digests {
 		fmt.Println(result)
 	}
--- a/internal/measure/size.go
+++ b/internal/measure/size.go
@@ -41,7 +41,7 @@
 	return simulation.Plan{
 		Seed: seed, Nodes: 3, Machines: s.Machines, InitialMachines: s.Machines, Jobs: s.Machines / 8, Large: true, StaleJobs: true,
 		Faults: s.Faults, FleetFaults: s.Fleet, SlowStep: s.Slow, StateRPS: s.StateRPS, WriteRPS: s.WriteRPS, StatusRequestRate: s.Questions,
-		Teams: []controller.Team{{Name: "solo"}}, Length: 90 * micros.Second, RecoveryTime: 300 * micros.Second,
+		Teams: []controller.Team{{Name: "solo"}}, ActiveTime: 90 * micros.Second, RecoveryTime: 300 * micros.Second,
 	}
 }
 
--- a/internal/simulation/cascade.go
+++ b/internal/simulation/cascade.go
@@ -15,8 +15,8 @@
 const (
 	// cascadeAcceptedBy is when the jobs of a cascade may be accepted.
 	cascadeAcceptedBy = 20 * sec
-	// cascadeFaultTime is how long a cascade's fault lasts.
-	cascadeFaultTime = 15 * sec
+	// cascadeFaultDuration is how long a cascade's fault lasts.
+	cascadeFaultDuration = 15 * sec
 )
 
 // CascadeShape is how the jobs depend on each other.
@@ -39,14 +39,14 @@
 // Faults of a cascade.
 const (
 	NoFault CascadeFault = iota
-	// OwnerEnds means that it is away for longer than its lease.
-	OwnerEnds
-	// OwnerReturns means that it ends and is back at once.
-	OwnerReturns
+	// OwnerCrashes means that it is away for longer than its lease.
+	OwnerCrashes
+	// OwnerRestarts means that it ends and is back at once.
+	OwnerRestarts
 	// OwnerCutOff means that it loses the network.
 	OwnerCutOff
-	// OwnerRefused means that the state service refuses it alone.
-	OwnerRefused
+	// OwnerRefusedByState means that the state service refuses it alone.
+	OwnerRefusedByState
 	// LimitsLowered means that the state service lowers its limits, for all.
 	LimitsLowered
 )
@@ -55,20 +55,20 @@
 type Cascade struct {
 	Shape      CascadeShape
 	Dependents int
-	// Middle cancels a job half-way down instead of the first.
-	Middle bool
+	// CancelMiddle cancels a job half-way down instead of the first.
+	CancelMiddle bool
 	Fault  CascadeFault
-	// Limited lowers the limits before the jobs are submitted.
-	Limited bool
+	// LimitsLoweredBefore lowers the limits before the jobs are submitted.
+	LimitsLoweredBefore bool
 	// UpgradeFrom is the version that a rolling upgrade begins with, the cancellation coming
 	// while it lasts.
 	UpgradeFrom Release
 }
 
-// ownersAway returns how many controllers the fault takes away for longer than a lease.
-func (c Cascade) ownersAway() int {
+// unavailableOwners returns how many controllers the fault takes away for longer than a lease.
+func (c Cascade) unavailableOwners() int {
 	switch c.Fault {
-	case OwnerEnds, OwnerCutOff, OwnerRefused:
+	case OwnerCrashes, OwnerCutOff, OwnerRefusedByState:
 		return 1
 	}
 	return 0
@@ -87,13 +87,13 @@
 	limits := s.state.Limits()
 	limits.WritesPerSecond = s.cfg.WriteRPS
 	s.state.SetLimits(limits)
-	if plan.Limited {
+	if plan.LimitsLoweredBefore {
 		s.lowerLimits()
 	}
 	c := &cascade{Cascade: plan, sim: s}
 	c.addMembers()
 	c.target = c.members[0]
-	if c.Middle {
+	if c.CancelMiddle {
 		c.target = c.members[len(c.members)/2]
 	}
 	s.after(cascadeAcceptedBy, c.start)
@@ -101,23 +101,23 @@
 
 // addMembers adds the users of the jobs, the one that all depend on first.
 func (c *cascade) addMembers() {
-	first := c.add()
+	first := c.addMember()
 	first.Runs[0] = 5 * micros.Minute // it is not done before it is cancelled
 	for last := first; len(c.members) <= c.Dependents; {
 		switch c.Shape {
 		case Wide:
-			c.add(first)
+			c.addMember(first)
 		case Deep:
-			last = c.add(last)
+			last = c.addMember(last)
 		case Diamonds:
-			left, right := c.add(last), c.add(last)
-			last = c.add(left, right)
+			left, right := c.addMember(last), c.addMember(last)
+			last = c.addMember(left, right)
 		}
 	}
 }
 
-// add adds a user with a job of one task that depends on others.
-func (c *cascade) add(dependencies ...*user) *user {
+// addMember adds a user with a job of one task that depends on others.
+func (c *cascade) addMember(dependencies ...*user) *user {
 	s := c.sim
 	u := newUser(s, len(s.users))
 	u.Submission.Class = "plain"
@@ -144,7 +144,7 @@
 func (c *cascade) start() {
 	s := c.sim
 	if slices.ContainsFunc(c.members, func(u *user) bool { return !u.accepted }) {
-		s.after(submitRetry, c.start)
+		s.after(submitRetryInterval, c.start)
 		return
 	}
 	s.trace("all accepted, %s is cancelled", c.target.Submission.ID)
@@ -157,16 +157,16 @@
 // injectCascadeFault injects a cascade's fault at a controller.
 func (s *Simulation) injectCascadeFault(fault CascadeFault, n *node) {
 	switch fault {
-	case OwnerEnds:
-		n.crash(cascadeFaultTime)
-	case OwnerReturns:
+	case OwnerCrashes:
+		n.crash(cascadeFaultDuration)
+	case OwnerRestarts:
 		n.crash(200 * ms)
 	case OwnerCutOff:
 		links := append(n.workerLinks(), n.stateLink(), n.cloudLink(), n.userLink())
 		links = append(links, n.peerLinks()...)
-		s.cut(links, cutHold, cascadeFaultTime)
-	case OwnerRefused:
-		n.stateRefusedUntil = s.now + cascadeFaultTime
+		s.cut(links, cutHold, cascadeFaultDuration)
+	case OwnerRefusedByState:
+		n.stateRefusedUntil = s.now + cascadeFaultDuration
 	case LimitsLowered:
 		s.lowerLimits()
 	}
@@ -194,23 +194,23 @@
 
 // awaitConfirmation waits until the cancellation is reported, and then for its time.
 func (c *cascade) awaitConfirmation() {
-	until, cancelled := c.target.cancelTime()
+	until, cancelled := c.target.cancelDeadline()
 	if !cancelled {
 		c.sim.after(100*ms, c.awaitConfirmation)
 		return
 	}
-	c.sim.after(until-c.sim.now, c.check)
+	c.sim.after(until-c.sim.now, c.checkCancelled)
 }
 
-// check checks that all jobs that depend on the target are cancelled, and no others.
-func (c *cascade) check() {
+// checkCancelled checks that all jobs that depend on the target are cancelled, and no others.
+func (c *cascade) checkCancelled() {
 	s := c.sim
-	late := 0
+	notCancelled := 0
 	for _, u := range c.members {
 		cancelled := s.recordOf(u).State == wire.StateCancelled
 		affected := u == c.target || slices.Contains(u.ancestors(), c.target)
 		if affected && !cancelled {
-			late++
+			notCancelled++
 		}
 		if cancelled && !affected {
 			s.violated("went_back: %s is cancelled, nothing that it needs is", u.Submission.ID)
@@ -219,8 +219,8 @@
 			s.CascadeCancelled++
 		}
 	}
-	if late > 0 {
-		s.violated("orphaned: %d of %d jobs are not cancelled %v s after the one that they need", late, len(c.members), s.cfg.Cancel.Seconds())
+	if notCancelled > 0 {
+		s.violated("orphaned: %d of %d jobs are not cancelled %v s after the one that they need", notCancelled, len(c.members), s.cfg.Cancel.Seconds())
 	}
 	c.members[0].requestCancel() // what is left would take hours to run in order
 }
@@ -241,5 +241,5 @@
 func (s *Simulation) maxDependents(c Cascade) int {
 	cfg := s.settingsFor(ReleaseCurrent)
 	cfg.Peers = make([]string, s.plan.Nodes-1)
-	return controller.CancellableDependents(cfg, c.ownersAway(), 0)
+	return controller.CancellableDependents(cfg, c.unavailableOwners(), 0)
 }
--- a/internal/simulation/cascade_test.go
+++ b/internal/simulation/cascade_test.go
@@ -18,18 +18,18 @@
 	}{
 		{"wide", fourTeams(), Cascade{Shape: Wide, Dependents: 900}},
 		{"wide, sharded by job", oneTeam(), Cascade{Shape: Wide, Dependents: 900}},
-		{"wide, limits lowered before", fourTeams(), Cascade{Shape: Wide, Dependents: 900, Limited: true}},
+		{"wide, limits lowered before", fourTeams(), Cascade{Shape: Wide, Dependents: 900, LimitsLoweredBefore: true}},
 		{"wide, limits lowered meanwhile", fourTeams(), Cascade{Shape: Wide, Dependents: 900, Fault: LimitsLowered}},
-		{"wide, the owner ends", fourTeams(), Cascade{Shape: Wide, Dependents: 400, Fault: OwnerEnds}},
-		{"wide, the owner returns at once", fourTeams(), Cascade{Shape: Wide, Dependents: 900, Fault: OwnerReturns}},
+		{"wide, the owner ends", fourTeams(), Cascade{Shape: Wide, Dependents: 400, Fault: OwnerCrashes}},
+		{"wide, the owner returns at once", fourTeams(), Cascade{Shape: Wide, Dependents: 900, Fault: OwnerRestarts}},
 		{"wide, the owner is cut off", fourTeams(), Cascade{Shape: Wide, Dependents: 400, Fault: OwnerCutOff}},
-		{"wide, the owner is refused", fourTeams(), Cascade{Shape: Wide, Dependents: 400, Fault: OwnerRefused, Limited: true}},
+		{"wide, the owner is refused", fourTeams(), Cascade{Shape: Wide, Dependents: 400, Fault: OwnerRefusedByState, LimitsLoweredBefore: true}},
 		{"deep", fourTeams(), Cascade{Shape: Deep, Dependents: 200}},
-		{"deep, sharded by job, from the middle", oneTeam(), Cascade{Shape: Deep, Dependents: 200, Middle: true}},
-		{"deep, the owner ends", fourTeams(), Cascade{Shape: Deep, Dependents: 200, Fault: OwnerEnds}},
-		{"deep, the owner is refused", oneTeam(), Cascade{Shape: Deep, Dependents: 200, Fault: OwnerRefused}},
-		{"diamonds, from the middle", fourTeams(), Cascade{Shape: Diamonds, Dependents: 300, Middle: true}},
-		{"diamonds, the owner returns at once", oneTeam(), Cascade{Shape: Diamonds, Dependents: 300, Fault: OwnerReturns, Limited: true}},
+		{"deep, sharded by job, from the middle", oneTeam(), Cascade{Shape: Deep, Dependents: 200, CancelMiddle: true}},
+		{"deep, the owner ends", fourTeams(), Cascade{Shape: Deep, Dependents: 200, Fault: OwnerCrashes}},
+		{"deep, the owner is refused", oneTeam(), Cascade{Shape: Deep, Dependents: 200, Fault: OwnerRefusedByState}},
+		{"diamonds, from the middle", fourTeams(), Cascade{Shape: Diamonds, Dependents: 300, CancelMiddle: true}},
+		{"diamonds, the owner returns at once", oneTeam(), Cascade{Shape: Diamonds, Dependents: 300, Fault: OwnerRestarts, LimitsLoweredBefore: true}},
 		{"wide, during an upgrade from the previous release", fourTeams(), Cascade{Shape: Wide, Dependents: 300, UpgradeFrom: ReleaseWithoutDependentRecords}},
 		{"deep, during an upgrade from the previous release", oneTeam(), Cascade{Shape: Deep, Dependents: 200, UpgradeFrom: ReleaseWithoutDependentRecords}},
 		{"diamonds, the owner is cut off", fourTeams(), Cascade{Shape: Diamonds, Dependents: 300, Fault: OwnerCutOff}},
@@ -37,7 +37,7 @@
 		for seed := range seeds(1) {
 			t.Run(fmt.Sprintf("%s/%d", tc.name, seed), func(t *testing.T) {
 				t.Parallel()
-				s := newTraced(t, Plan{Seed: uint64(seed) + 1, Nodes: 3, Machines: 4, Cascade: &tc.cascade, UpgradeFrom: tc.cascade.UpgradeFrom, Teams: tc.teams, Length: 90 * sec, RecoveryTime: 300 * sec})
+				s := newTraced(t, Plan{Seed: uint64(seed) + 1, Nodes: 3, Machines: 4, Cascade: &tc.cascade, UpgradeFrom: tc.cascade.UpgradeFrom, Teams: tc.teams, ActiveTime: 90 * sec, RecoveryTime: 300 * sec})
 				if most := s.maxDependents(tc.cascade); tc.cascade.Dependents > most {
 					t.Fatalf("%d dependents, %d fit into the time", tc.cascade.Dependents, most)
 				}
--- a/internal/simulation/check_answers.go
+++ b/internal/simulation/check_answers.go
@@ -26,7 +26,7 @@
 	if !ok || !answered {
 		return
 	}
-	u.answeredAt = s.now
+	u.lastAnsweredAt = s.now
 	u.checkDependenciesCancelled(answer.State)
 	if finalState != "" && answer.State != finalState {
 		s.violated("went_back: %s was %s and is now %s", u.Submission.ID, finalState, answer.State)
@@ -54,35 +54,35 @@
 		if !u.mayBeCancelled() {
 			s.violated("went_back: %s is called cancelled, nobody asked for it", u.Submission.ID)
 		}
-		if u.cancelConfirmed == 0 {
-			u.cancelConfirmed = s.now
+		if u.cancelConfirmedAt == 0 {
+			u.cancelConfirmedAt = s.now
 		}
 		u.finalState = state
 	}
 }
 
-// cancelTime returns until when a job's tasks may run that was reported as cancelled; ok is
+// cancelDeadline returns until when a job's tasks may run that was reported as cancelled; ok is
 // false if it was not.
-func (u *user) cancelTime() (until micros.Micros, ok bool) {
-	return u.cancelConfirmed + u.sim.cfg.Cancel, u.cancelConfirmed != 0
+func (u *user) cancelDeadline() (until micros.Micros, ok bool) {
+	return u.cancelConfirmedAt + u.sim.cfg.Cancel, u.cancelConfirmedAt != 0
 }
 
-// pastCancelTime reports whether the time of the job's cancellation is over.
-func (u *user) pastCancelTime() bool {
-	until, cancelled := u.cancelTime()
+// pastCancelDeadline reports whether the time of the job's cancellation is over.
+func (u *user) pastCancelDeadline() bool {
+	until, cancelled := u.cancelDeadline()
 	return cancelled && u.sim.now > until
 }
 
-// checkAnswered checks that requests about accepted jobs that were not cancelled are answered
+// checkUnanswered checks that requests about accepted jobs that were not cancelled are answered
 // once faults are over.
-func (s *Simulation) checkAnswered() {
-	if s.now <= s.plan.Length+maxUnanswered {
+func (s *Simulation) checkUnanswered() {
+	if s.now <= s.plan.ActiveTime+maxUnanswered {
 		return
 	}
 	for _, u := range s.users {
-		unanswered := s.now - max(u.answeredAt, s.plan.Length)
+		unanswered := s.now - max(u.lastAnsweredAt, s.plan.ActiveTime)
 		if u.accepted && !u.mayBeCancelled() && unanswered > maxUnanswered {
-			s.violated("forgotten: no question about %s was answered for %v s", u.Submission.ID, (s.now - u.answeredAt).Seconds())
+			s.violated("forgotten: no question about %s was answered for %v s", u.Submission.ID, (s.now - u.lastAnsweredAt).Seconds())
 		}
 	}
 }
--- a/internal/simulation/check_service.go
+++ b/internal/simulation/check_service.go
@@ -46,23 +46,23 @@
 	}
 }
 
-// served counts the jobs of a group, and those that were done in time.
-type served struct{ all, inTime int }
+// completionCount counts the jobs of a group, and those that were done in time.
+type completionCount struct{ all, inTime int }
 
-// checkServed checks that at least half of each class, of each team and of each class's
+// checkCompletedInTime checks that at least half of each class, of each team and of each class's
 // largest jobs was done in time.
-func (s *Simulation) checkServed() {
-	within := s.plan.serviceTime(s.cfg.Cancel)
-	groups := map[string]*served{}
+func (s *Simulation) checkCompletedInTime() {
+	limit := s.plan.maxCompletionTime(s.cfg.Cancel)
+	groups := map[string]*completionCount{}
 	for _, u := range s.users {
 		dependenciesDoneAt, ok := u.dependenciesDoneAt()
 		if !u.accepted || u.mayBeCancelled() || !ok {
 			continue
 		}
-		inTime := u.Completed() && u.DoneAt < max(s.plan.Length, dependenciesDoneAt)+within
-		for _, name := range u.servedGroups() {
+		inTime := u.Completed() && u.DoneAt < max(s.plan.ActiveTime, dependenciesDoneAt)+limit
+		for _, name := range u.completionGroups() {
 			if groups[name] == nil {
-				groups[name] = &served{}
+				groups[name] = &completionCount{}
 			}
 			groups[name].all++
 			if inTime {
@@ -77,8 +77,8 @@
 	}
 }
 
-// servedGroups returns the groups of jobs of which half must be done in time.
-func (u *user) servedGroups() []string {
+// completionGroups returns the groups of jobs of which half must be done in time.
+func (u *user) completionGroups() []string {
 	groups := []string{"class " + u.Submission.Class, "team " + u.Submission.Team}
 	if u.largest {
 		groups = append(groups, "largest of "+u.Submission.Class)
@@ -86,27 +86,27 @@
 	return groups
 }
 
-// serviceTime returns how long after the faults jobs must be done.
-func (p Plan) serviceTime(cancel micros.Micros) micros.Micros {
-	within := micros.Minute
+// maxCompletionTime returns how long after the faults jobs must be done.
+func (p Plan) maxCompletionTime(cancel micros.Micros) micros.Micros {
+	limit := micros.Minute
 	if p.FleetFaults {
-		within *= 2
+		limit *= 2
 	}
 	if p.hasLongTasks() {
 		// Tasks last up to a minute there, not 12 s, and the last fault may end a
 		// cancellation's time after Length.
-		within += cancel + micros.Minute
+		limit += cancel + micros.Minute
 	}
 	if p.Groups != nil {
-		within += 2 * micros.Minute // limits are low, and down to nothing meanwhile
+		limit += 2 * micros.Minute // limits are low, and down to nothing meanwhile
 	}
-	return within
+	return limit
 }
 
 // checkWaiting checks that no job is left waiting beside a machine that its tasks fit on, its
 // team and groups under their limits.
 func (s *Simulation) checkWaiting() {
-	if s.now < s.plan.Length+earliestEnd {
+	if s.now < s.plan.ActiveTime+settleTime {
 		return
 	}
 	for _, u := range s.users {
@@ -122,8 +122,8 @@
 		u.waitingSince = 0 // blocked on dependencies, or its owner has yet to learn that it is not
 		return
 	}
-	if u.waitingSince == 0 || u.starts != u.startsSeen || !s.waitsDespiteCapacity(u) {
-		u.startsSeen = u.starts
+	if u.waitingSince == 0 || u.starts != u.startsWhenWaitingSince || !s.waitsDespiteCapacity(u) {
+		u.startsWhenWaitingSince = u.starts
 		u.waitingSince = s.now
 		return
 	}
@@ -141,7 +141,7 @@
 	}
 	return slices.ContainsFunc(s.machineNames, func(name string) bool {
 		w := s.workers[name]
-		return w.usable() && w.suits(u) && w.Fits(&u.Job) && u.allowsZone(w.Zone, zones)
+		return w.usable() && w.allowedBy(u) && w.Fits(&u.Job) && u.allowsZone(w.Zone, zones)
 	})
 }
 
@@ -175,8 +175,8 @@
 	return !w.Dead && !w.ReclaimAnnounced() && now >= w.UpAt+propagationMargin && reachable && healthy
 }
 
-// suits reports whether a job allows machines of this type and kind.
-func (w *worker) suits(u *user) bool {
+// allowedBy reports whether a job allows machines of this type and kind.
+func (w *worker) allowedBy(u *user) bool {
 	kindAllowed := !w.Spot || u.Submission.Spot
 	typeAllowed := u.Submission.Types == nil || slices.Contains(u.Submission.Types, w.Type)
 	return kindAllowed && typeAllowed
@@ -185,11 +185,11 @@
 // allowsZone reports whether one more of the job's tasks may be in a zone, given where the
 // others are.
 func (u *user) allowsZone(zone string, zones map[string]int) bool {
-	return !u.elsewhere(zone, zones) && !u.crowds(zone, zones)
+	return !u.violatesSameZone(zone, zones) && !u.violatesSpread(zone, zones)
 }
 
-// elsewhere reports whether the job's tasks must be in one zone and some are in another.
-func (u *user) elsewhere(zone string, zones map[string]int) bool {
+// violatesSameZone reports whether the job's tasks must be in one zone and some are in another.
+func (u *user) violatesSameZone(zone string, zones map[string]int) bool {
 	for other, count := range zones {
 		if u.Submission.SameZone && count > 0 && other != zone {
 			return true
@@ -198,8 +198,8 @@
 	return false
 }
 
-// crowds reports whether the job's tasks must be spread and one more would be too many in a zone.
-func (u *user) crowds(zone string, zones map[string]int) bool {
+// violatesSpread reports whether the job's tasks must be spread and one more would be too many in a zone.
+func (u *user) violatesSpread(zone string, zones map[string]int) bool {
 	return u.Submission.Spread && zones[zone]+1 > (u.Submission.Tasks+1)/2
 }
 
--- a/internal/simulation/check_tasks.go
+++ b/internal/simulation/check_tasks.go
@@ -27,7 +27,7 @@
 	}
 	u.starts++
 	s.checkDependenciesDone(u, t)
-	if u.pastCancelTime() {
+	if u.pastCancelDeadline() {
 		s.violated("ran_cancelled: %s starts long after its cancellation", t.Name)
 	}
 	zones := s.checkRunsOnce(w, t)
@@ -58,13 +58,13 @@
 // others are.
 func (s *Simulation) checkPlacement(w *worker, t *fakes.Task, u *user, zones map[string]int) {
 	zoneAllowed := u.Submission.Zone == "" || u.Submission.Zone == w.Zone
-	if !w.suits(u) || !zoneAllowed {
+	if !w.allowedBy(u) || !zoneAllowed {
 		s.violated("wrong_place: %s on %s", t.Name, w.ID)
 	}
-	if u.elsewhere(w.Zone, zones) {
+	if u.violatesSameZone(w.Zone, zones) {
 		s.violated("wrong_place: %s in %s, others are in %v", t.Name, w.Zone, zones)
 	}
-	if u.crowds(w.Zone, zones) {
+	if u.violatesSpread(w.Zone, zones) {
 		s.violated("wrong_place: %s is one too many in %s", t.Name, w.Zone)
 	}
 }
@@ -104,7 +104,7 @@
 }
 
 func (w *worker) checkCancelledTask(t *fakes.Task) {
-	if t.OnMachine() && w.sim.userOf(t.Job).pastCancelTime() {
+	if t.OnMachine() && w.sim.userOf(t.Job).pastCancelDeadline() {
 		w.sim.violated("ran_cancelled: %s is still on %s", t.Name, w.ID)
 	}
 }
@@ -119,9 +119,9 @@
 		if t.Exited() || u == nil {
 			continue
 		}
-		until, cancelled := u.cancelTime()
+		until, cancelled := u.cancelDeadline()
 		if cancelled && leaseUntil > until+renewalMargin {
-			s.violated("renewed: the lease of %s, which ends %v s after %s was called cancelled, and %s has not been stopped", w.ID, (leaseUntil - u.cancelConfirmed).Seconds(), t.Job, t.Name)
+			s.violated("renewed: the lease of %s, which ends %v s after %s was called cancelled, and %s has not been stopped", w.ID, (leaseUntil - u.cancelConfirmedAt).Seconds(), t.Job, t.Name)
 		}
 	}
 }
@@ -135,8 +135,8 @@
 		}
 		job, _, err := wire.ParseTask(command.Task)
 		u := s.userOf(job)
-		if err == nil && u != nil && u.cancelConfirmed != 0 {
-			s.violated("%s sends a start of %s %v s after its cancellation was confirmed", n.label, command.Task, (s.now - u.cancelConfirmed).Seconds())
+		if err == nil && u != nil && u.cancelConfirmedAt != 0 {
+			s.violated("%s sends a start of %s %v s after its cancellation was confirmed", n.label, command.Task, (s.now - u.cancelConfirmedAt).Seconds())
 		}
 	}
 }
@@ -157,9 +157,9 @@
 	}
 }
 
-// checkReturn counts machines that are returned with work on them although nothing is wrong.
-func (s *Simulation) checkReturn(m *fakes.Machine) {
-	if !s.plan.hasFaults() && !m.Dead && s.workers[m.ID].working() {
+// countBusyReturn counts machines that are returned with work on them although nothing is wrong.
+func (s *Simulation) countBusyReturn(m *fakes.Machine) {
+	if !s.plan.mayReturnBusyMachines() && !m.Dead && s.workers[m.ID].runsWantedTask() {
 		s.ReturnedBusy++
 		s.trace("%s returned with work on it", m.ID)
 	}
--- a/internal/simulation/concurrent_faults.go
+++ b/internal/simulation/concurrent_faults.go
@@ -15,13 +15,13 @@
 	maxKeptHeartbeats = 400
 	// keptFraction of heartbeats are.
 	keptFraction = 0.3
-	// replayWithin is within what time kept heartbeats are delivered.
-	replayWithin = 60 * ms
+	// maxReplayDelay is within what time kept heartbeats are delivered.
+	maxReplayDelay = 60 * ms
 )
 
 // concurrentFaults is the state of the concurrent faults that last for a while.
 type concurrentFaults struct {
-	lateWrites lateWrites
+	unansweredWrites unansweredWrites
 
 	// kept are copies of heartbeats, which are replayed when the next leader or owner begins.
 	keepUntil micros.Micros
@@ -29,37 +29,37 @@
 
 	repeatUntil      micros.Micros // until then users repeat requests within milliseconds
 	cancelAtEndUntil micros.Micros // until then they cancel jobs at the end of the last task
-	quickBootUntil   micros.Micros // until then machines are up within two seconds
+	fastBootUntil   micros.Micros // until then machines are up within two seconds
 }
 
-// lateWrites are transactions that get no answer.
-type lateWrites struct {
+// unansweredWrites are transactions that get no answer.
+type unansweredWrites struct {
 	fraction   float64
 	until      micros.Micros
-	answerLost bool  // they are carried out when they come, else some seconds later
-	only       *node // that it happens to; nil: to all
+	immediate bool  // they are carried out when they come, else some seconds later
+	onlyNode       *node // that it happens to; nil: to all
 }
 
-// startLateWrites has a fraction of all transactions get no answer for a while.
-func (s *Simulation) startLateWrites(fraction float64, answerLost bool, d micros.Micros) {
-	s.concurrent.lateWrites = lateWrites{fraction: fraction, until: s.now + d, answerLost: answerLost}
+// startUnansweredWrites has a fraction of all transactions get no answer for a while.
+func (s *Simulation) startUnansweredWrites(fraction float64, answerLost bool, d micros.Micros) {
+	s.concurrentFaults.unansweredWrites = unansweredWrites{fraction: fraction, until: s.now + d, immediate: answerLost}
 }
 
 // affects reports whether a call is a transaction that may get no answer.
-func (l *lateWrites) affects(n *node, call controller.Call, now micros.Micros) bool {
+func (l *unansweredWrites) affects(n *node, call controller.Call, now micros.Micros) bool {
 	_, isTxn := call.Req.(wire.Txn)
-	return isTxn && now < l.until && (l.only == nil || l.only == n)
+	return isTxn && now < l.until && (l.onlyNode == nil || l.onlyNode == n)
 }
 
-// carryOutLate may carry a transaction out without an answer, and reports whether it does.
-func (s *Simulation) carryOutLate(n *node, call controller.Call) bool {
-	late := &s.concurrent.lateWrites
+// maybeExecuteUnanswered may carry a transaction out without an answer, and reports whether it does.
+func (s *Simulation) maybeExecuteUnanswered(n *node, call controller.Call) bool {
+	late := &s.concurrentFaults.unansweredWrites
 	if !late.affects(n, call, s.now) || !s.chance(late.fraction) {
 		return false
 	}
-	s.Concurrent.LateWrites++
+	s.Concurrent.UnansweredWrites++
 	delay := micros.Micros(0)
-	if !late.answerLost {
+	if !late.immediate {
 		delay = s.between(2*sec, 12*sec)
 	}
 	s.after(delay, func() { s.serve(call, func(controller.Result) {}) })
@@ -69,7 +69,7 @@
 // keepHeartbeat may keep a copy of a heartbeat, to be replayed when the next leader or owner
 // begins.
 func (s *Simulation) keepHeartbeat(heartbeat *wire.Heartbeat) {
-	c := &s.concurrent
+	c := &s.concurrentFaults
 	if s.now < c.keepUntil && len(c.kept) < maxKeptHeartbeats && s.chance(keptFraction) {
 		c.kept = append(c.kept, heartbeat)
 	}
@@ -78,12 +78,12 @@
 // replayHeartbeats delivers the heartbeats that were kept to every controller, just as a new
 // leader or owner begins, before and after it knows of that. The replies are lost.
 func (s *Simulation) replayHeartbeats() {
-	kept := s.concurrent.kept
-	s.concurrent.kept = nil
+	kept := s.concurrentFaults.kept
+	s.concurrentFaults.kept = nil
 	for _, heartbeat := range kept {
 		for _, n := range s.nodes {
 			s.Concurrent.ReplayedHeartbeats++
-			s.after(s.between(0, replayWithin), func() { n.heartbeat(heartbeat, func(controller.Answer) {}) })
+			s.after(s.between(0, maxReplayDelay), func() { n.deliverHeartbeat(heartbeat, func(controller.Answer) {}) })
 		}
 	}
 }
@@ -127,7 +127,7 @@
 	faults := append(s.ownerFaults(), s.messageFaults()...)
 	s.rng.Shuffle(len(faults), func(i, j int) { faults[i], faults[j] = faults[j], faults[i] })
 	for i, fault := range faults[:concurrentFaultCount] {
-		at := micros.Micros(i) * (s.plan.Length - 10*sec) / concurrentFaultCount
+		at := micros.Micros(i) * (s.plan.ActiveTime - 10*sec) / concurrentFaultCount
 		s.after(s.between(5*sec, 9*sec)+at, fault)
 	}
 }
@@ -139,7 +139,7 @@
 		s.cancelDuringFailover,
 		s.allAwayForLongerThanLease,
 		s.heartbeatsLostAtFailover,
-		s.quickMachinesAndLateWrites,
+		s.fastBootsAndUnansweredWrites,
 		s.ownerRefusedBeforeOutage,
 		s.failoversInSeries,
 	}
@@ -148,8 +148,8 @@
 // oldHeartbeatsAtFailover is the case that a heartbeat is held back until a new leader has acted;
 // an old one reaches every controller just as it begins; copies come after newer ones.
 func (s *Simulation) oldHeartbeatsAtFailover() {
-	s.concurrent.keepUntil = s.now + 20*sec
-	s.copiesUntil = s.now + 30*sec
+	s.concurrentFaults.keepUntil = s.now + 20*sec
+	s.duplicateBurstUntil = s.now + 30*sec
 	s.after(s.between(2*sec, 18*sec), func() { s.crashOwner(5 * sec) })
 }
 
@@ -179,11 +179,11 @@
 	s.after(s.between(0, lease), func() { s.crashOwner(4 * sec) })
 }
 
-// quickMachinesAndLateWrites is the case that new machines are up at once while writes lag, and the
+// fastBootsAndUnansweredWrites is the case that new machines are up at once while writes lag, and the
 // leader ends.
-func (s *Simulation) quickMachinesAndLateWrites() {
-	s.concurrent.quickBootUntil = s.now + 30*sec
-	s.startLateWrites(0.5, s.chance(0.5), 20*sec)
+func (s *Simulation) fastBootsAndUnansweredWrites() {
+	s.concurrentFaults.fastBootUntil = s.now + 30*sec
+	s.startUnansweredWrites(0.5, s.chance(0.5), 20*sec)
 	s.killMachines(0.3)
 	s.after(s.between(2*sec, 15*sec), func() { s.crashOwner(4 * sec) })
 }
@@ -214,13 +214,13 @@
 func (s *Simulation) messageFaults() []func() {
 	return []func(){
 		s.machinesUnreachableAtFailover,
-		func() { s.startLateWrites(0.5, false, 25*sec) },
-		func() { s.startLateWrites(0.5, true, 25*sec) },
+		func() { s.startUnansweredWrites(0.5, false, 25*sec) },
+		func() { s.startUnansweredWrites(0.5, true, 25*sec) },
 		s.leaderCutFromStateAndPeers,
 		s.cancelOnHangingMachines,
-		func() { s.concurrent.cancelAtEndUntil = s.now + 30*sec },
+		func() { s.concurrentFaults.cancelAtEndUntil = s.now + 30*sec },
 		func() { s.sendInvalidRequests(40 * sec) },
-		func() { s.concurrent.repeatUntil = s.now + 40*sec },
+		func() { s.concurrentFaults.repeatUntil = s.now + 40*sec },
 	}
 }
 
--- a/internal/simulation/concurrent_faults_test.go
+++ b/internal/simulation/concurrent_faults_test.go
@@ -7,7 +7,7 @@
 func TestConcurrentFaultsHappen(t *testing.T) {
 	var runs []ConcurrentCounts
 	for seed := range uint64(8) {
-		p := Plan{Seed: seed + 1, Nodes: 3, Machines: 12, Jobs: 30, ConcurrentFaults: true, Teams: fourTeams(), Length: 90 * sec, RecoveryTime: 300 * sec}
+		p := Plan{Seed: seed + 1, Nodes: 3, Machines: 12, Jobs: 30, ConcurrentFaults: true, Teams: fourTeams(), ActiveTime: 90 * sec, RecoveryTime: 300 * sec}
 		if seed%4 == 3 {
 			p.ConcurrentFaults = false
 			p.LongOutage = true
@@ -20,7 +20,7 @@
 		name  string
 		count func(ConcurrentCounts) int
 	}{
-		{"writes without an answer", func(c ConcurrentCounts) int { return c.LateWrites }},
+		{"writes without an answer", func(c ConcurrentCounts) int { return c.UnansweredWrites }},
 		{"replayed heartbeats", func(c ConcurrentCounts) int { return c.ReplayedHeartbeats }},
 		{"machines whose heartbeats are lost", func(c ConcurrentCounts) int { return c.CutHeartbeats }},
 		{"jobs cancelled", func(c ConcurrentCounts) int { return c.Cancelled }},
--- a/internal/simulation/concurrent_users.go
+++ b/internal/simulation/concurrent_users.go
@@ -14,8 +14,8 @@
 const (
 	// maxHungForCancel is how many machines of cancelled jobs hang at most.
 	maxHungForCancel = 8
-	// cancelSpread is within what time users cancel.
-	cancelSpread = 200 * ms
+	// maxCancelDelay is within what time users cancel.
+	maxCancelDelay = 200 * ms
 	// repeatRounds is how often a request is repeated at all controllers.
 	repeatRounds = 4
 	// impossibleCPUs fit on no machine.
@@ -42,11 +42,11 @@
 		if len(running) > 0 {
 			count--
 			s.Concurrent.Cancelled++
-			s.after(s.between(0, cancelSpread), u.requestCancel)
+			s.after(s.between(0, maxCancelDelay), u.requestCancel)
 		}
 	}
 	if hang > 0 {
-		s.hangSome(machines, hang)
+		s.hangNamed(machines, hang)
 	}
 }
 
@@ -64,8 +64,8 @@
 	return machines
 }
 
-// hangSome has some of the machines hang for a while.
-func (s *Simulation) hangSome(machines []string, d micros.Micros) {
+// hangNamed has some of the machines hang for a while.
+func (s *Simulation) hangNamed(machines []string, d micros.Micros) {
 	slices.Sort(machines)
 	machines = slices.Compact(machines)
 	for _, name := range machines[:min(len(machines), maxHungForCancel)] {
@@ -75,7 +75,7 @@
 
 // maybeCancelAtEnd may cancel a job at the moment at which its last task ends.
 func (s *Simulation) maybeCancelAtEnd(u *user) {
-	if s.now >= s.concurrent.cancelAtEndUntil || !u.Completed() || u.cancelRequested || !s.chance(0.6) {
+	if s.now >= s.concurrentFaults.cancelAtEndUntil || !u.Completed() || u.cancelRequested || !s.chance(0.6) {
 		return
 	}
 	s.Concurrent.CancelledAtEnd++
@@ -89,7 +89,7 @@
 // submission; some cancel at once. No controller may answer anything older.
 func (u *user) requestRepeatedly() {
 	s := u.sim
-	if s.now >= s.concurrent.repeatUntil {
+	if s.now >= s.concurrentFaults.repeatUntil {
 		return
 	}
 	for round := range repeatRounds {
@@ -132,24 +132,24 @@
 type invalidSubmission struct {
 	user     *user // whose job it may repeat
 	job      wire.Submission
-	lacking  bool // it lacks a field, and is not decoded
-	repeated bool // it has the name of a job that is accepted
+	undecodable  bool // it lacks a field, and is not decoded
+	reusesID bool // it has the name of a job that is accepted
 }
 
 func (s *Simulation) drawInvalidSubmission(u *user) invalidSubmission {
-	unknown := s.drawUnknownJob(firstUnknownInvalid, unknownInvalid)
+	unknown := s.drawUnknownJob(firstUnknownInvalid, unknownInvalidCount)
 	i := invalidSubmission{user: u, job: u.Submission}
 	i.job.CPUs = impossibleCPUs
-	i.lacking = s.chance(0.5)
-	i.repeated = u.accepted && s.chance(0.5)
-	if !i.repeated {
+	i.undecodable = s.chance(0.5)
+	i.reusesID = u.accepted && s.chance(0.5)
+	if !i.reusesID {
 		i.job.ID = unknown
 	}
 	return i
 }
 
 func (i invalidSubmission) input(id controller.ReplyID) controller.Input {
-	if i.lacking {
+	if i.undecodable {
 		return controller.SubmitRequest{Reply: id, Err: &wire.SubmissionError{ID: i.job.ID, Reason: "a field is missing"}}
 	}
 	return controller.SubmitRequest{Reply: id, Job: i.job}
@@ -163,9 +163,9 @@
 		accepted := a.Status == http.StatusOK || a.Status == http.StatusCreated
 		switch {
 		case !ok:
-		case i.repeated && rejected(a):
+		case i.reusesID && rejected(a):
 			n.sim.violated("forgotten: an odd repeat of %s got %d", i.job.ID, a.Status)
-		case i.repeated:
+		case i.reusesID:
 			i.user.checkAnswer(a, finalState)
 		case accepted:
 			n.sim.violated("accepted though it can't run: %s got %d", i.job.ID, a.Status)
--- a/internal/simulation/counts.go
+++ b/internal/simulation/counts.go
@@ -20,8 +20,8 @@
 	EndedTaskStops int
 	// StaleEpisodes counts the times in which controllers acted on stale views of jobs.
 	StaleEpisodes int
-	// CopiedHeartbeats counts late copies, Unreachable machines that could not be reached.
-	CopiedHeartbeats, Unreachable int
+	// DuplicateHeartbeats counts late copies, Unreachable machines that could not be reached.
+	DuplicateHeartbeats, Unreachable int
 	// ZoneCuts counts zones that were cut off; Died and Hung count machines.
 	ZoneCuts, Died, Hung int
 	// LongestInputWait is the longest that an input waited for a slow controller.
@@ -44,7 +44,7 @@
 
 // ConcurrentCounts count the events of concurrent faults.
 type ConcurrentCounts struct {
-	LateWrites         int // carried out late, or without an answer
+	UnansweredWrites         int // carried out late, or without an answer
 	ReplayedHeartbeats int
 	CutHeartbeats      int // machines that reach no controller
 	Cancelled          int // jobs that run
@@ -56,13 +56,13 @@
 
 // workSum adds up what steps of one kind cost.
 type workSum struct {
-	steps, visited, most uint64
+	steps, visited, maxVisited uint64
 }
 
 func (w *workSum) add(visited uint64) {
 	w.steps++
 	w.visited += visited
-	w.most = max(w.most, visited)
+	w.maxVisited = max(w.maxVisited, visited)
 }
 
 // mean returns how much one step visited.
--- a/internal/simulation/dags.go
+++ b/internal/simulation/dags.go
@@ -13,8 +13,8 @@
 	// dependents of an ordinary job.
 	dagDepth = 10
 	dagWidth = 8
-	// submitRetry is how often a user checks whether the jobs that its own depends on are accepted.
-	submitRetry = 200 * ms
+	// submitRetryInterval is how often a user checks whether the jobs that its own depends on are accepted.
+	submitRetryInterval = 200 * ms
 )
 
 // addDAGs adds users whose jobs depend on each other.
@@ -25,7 +25,7 @@
 		begin = s.upgradeEnd() + 2*sec
 	}
 	for range s.plan.DAGs {
-		at := s.between(begin, max(begin, s.plan.Length*3/4))
+		at := s.between(begin, max(begin, s.plan.ActiveTime*3/4))
 		members := s.addDAG(at, ordinary)
 		if s.chance(0.4) {
 			members[s.rng.IntN(len(members))].willCancel = true
@@ -99,7 +99,7 @@
 			u.gaveUp = true
 			return
 		case !d.accepted || late && d.finalState == "":
-			u.sim.after(submitRetry, func() { u.submitAfterDependencies(late) })
+			u.sim.after(submitRetryInterval, func() { u.submitAfterDependencies(late) })
 			return
 		}
 	}
@@ -109,19 +109,19 @@
 // ancestors returns all jobs that a job depends on, directly or through others, each once: in
 // diamonds there are as many ways to one as two to the power of its distance.
 func (u *user) ancestors() []*user {
-	if u.allAncestors != nil || len(u.dependencies) == 0 {
-		return u.allAncestors
+	if u.cachedAncestors != nil || len(u.dependencies) == 0 {
+		return u.cachedAncestors
 	}
 	seen := map[*user]bool{}
 	for _, d := range u.dependencies {
 		for _, ancestor := range append([]*user{d}, d.ancestors()...) {
 			if !seen[ancestor] {
 				seen[ancestor] = true
-				u.allAncestors = append(u.allAncestors, ancestor)
+				u.cachedAncestors = append(u.cachedAncestors, ancestor)
 			}
 		}
 	}
-	return u.allAncestors
+	return u.cachedAncestors
 }
 
 // mayBeCancelled reports whether the job's user or that of an ancestor has asked to cancel it.
@@ -162,8 +162,8 @@
 		return
 	}
 	for _, ancestor := range u.ancestors() {
-		if ancestor.pastCancelTime() {
-			s.violated("orphaned: %s is called %s %v s after %s was called cancelled", u.Submission.ID, state, (s.now - ancestor.cancelConfirmed).Seconds(), ancestor.Submission.ID)
+		if ancestor.pastCancelDeadline() {
+			s.violated("orphaned: %s is called %s %v s after %s was called cancelled", u.Submission.ID, state, (s.now - ancestor.cancelConfirmedAt).Seconds(), ancestor.Submission.ID)
 		}
 	}
 }
--- a/internal/simulation/draws.go
+++ b/internal/simulation/draws.go
@@ -37,7 +37,7 @@
 
 // drawBootTime draws how long a rented machine takes to come up.
 func (s *Simulation) drawBootTime() micros.Micros {
-	if s.now < s.concurrent.quickBootUntil {
+	if s.now < s.concurrentFaults.fastBootUntil {
 		return s.between(200*ms, 2*sec)
 	}
 	return s.between(sec, 10*sec)
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -30,12 +30,12 @@
 	faultCutFromStateAndPeers
 	faultQuickRestarts
 	faultLateHeartbeats
-	faultKinds
+	faultKindCount
 )
 
 // String returns the kind in words.
 func (k faultKind) String() string {
-	names := [faultKinds]string{
+	names := [faultKindCount]string{
 		"crash", "crash", "crash of all", "restarts in turn", "outage of the state service",
 		"cut from state", "cut from workers", "cut from all", "cut from peers", "outage of the cloud",
 		"machine", "machine", "state refuses", "late commands", "long cut from state",
@@ -53,14 +53,14 @@
 	machineFailsTasks
 	machineReclaimed
 	machineCutOff
-	singleMachineFaults
+	singleMachineFaultCount
 )
 
 // scheduleFaults schedules drawn faults, which may overlap.
 func (s *Simulation) scheduleFaults() {
 	count := 6 + s.rng.IntN(9)
 	for range count {
-		s.after(s.between(5*sec, s.plan.Length), s.injectFault)
+		s.after(s.between(5*sec, s.plan.ActiveTime), s.injectFault)
 	}
 }
 
@@ -72,7 +72,7 @@
 		mode = cutReset
 	}
 	d := s.between(sec, 30*sec)
-	kind := faultKind(s.rng.IntN(int(faultKinds)))
+	kind := faultKind(s.rng.IntN(int(faultKindCount)))
 	s.trace("fault %s at %s for %v s, mode %s", kind, n.label, d.Seconds(), mode)
 	switch kind {
 	case faultMachine, faultMachineAgain:
@@ -148,8 +148,8 @@
 	}
 }
 
-// drawMachineFaultTime draws how long a machine is away: often it is back within a moment.
-func (s *Simulation) drawMachineFaultTime() micros.Micros {
+// drawMachineFaultDuration draws how long a machine is away: often it is back within a moment.
+func (s *Simulation) drawMachineFaultDuration() micros.Micros {
 	if s.chance(0.3) {
 		return s.between(50*ms, 800*ms)
 	}
@@ -162,9 +162,9 @@
 		return
 	}
 	w := s.drawWorker()
-	switch singleMachineFault(s.rng.IntN(int(singleMachineFaults))) {
+	switch singleMachineFault(s.rng.IntN(int(singleMachineFaultCount))) {
 	case machineHangs:
-		w.HungUntil = s.now + s.drawMachineFaultTime()
+		w.HungUntil = s.now + s.drawMachineFaultDuration()
 	case machineFailsTasks:
 		w.FaultyUntil = s.now + 40*sec
 	case machineReclaimed:
@@ -176,7 +176,7 @@
 		for _, n := range s.nodes {
 			links = append(links, n.workerLink(w.ID))
 		}
-		s.cut(links, mode, s.drawMachineFaultTime())
+		s.cut(links, mode, s.drawMachineFaultDuration())
 	}
 }
 
@@ -189,7 +189,7 @@
 			s.Unreachable++
 		}
 	case faultLateHeartbeats: // copies of heartbeats come late, to any controller
-		s.copiesUntil = s.now + d
+		s.duplicateBurstUntil = s.now + d
 	case faultLostCommandReplies: // replies of one machine are lost for a while
 		if len(s.machineNames) > 0 {
 			w := s.drawWorker()
--- a/internal/simulation/fleet_faults.go
+++ b/internal/simulation/fleet_faults.go
@@ -27,14 +27,14 @@
 	s.ZoneCuts++
 	var links []string
 	for _, n := range s.nodes {
-		links = append(links, n.linksAcross(zone)...)
+		links = append(links, n.linksAcrossZone(zone)...)
 	}
 	s.cut(links, mode, d)
 }
 
-// linksAcross returns the links of a controller that lead into or out of a zone. The services
+// linksAcrossZone returns the links of a controller that lead into or out of a zone. The services
 // and users are outside.
-func (n *node) linksAcross(zone string) (links []string) {
+func (n *node) linksAcrossZone(zone string) (links []string) {
 	inside := n.zone() == zone
 	for _, name := range n.sim.machineNames {
 		machineInside := n.sim.workers[name].Zone == zone
@@ -109,7 +109,7 @@
 	for i, in := range inputs {
 		n.sim.after(micros.Micros(i)*thawInterval, func() {
 			if n.incarnation == incarnation {
-				n.step(in)
+				n.handleInput(in)
 			}
 		})
 	}
@@ -119,10 +119,10 @@
 // they overlap with each other and with the faults of single parts.
 func (s *Simulation) scheduleFleetFaults() {
 	for _, fault := range s.fleetFaults() {
-		s.after(s.between(10*sec, s.plan.Length), fault)
+		s.after(s.between(10*sec, s.plan.ActiveTime), fault)
 	}
 	// A zone is cut off while all controllers are restarted.
-	s.after(s.between(15*sec, s.plan.Length*3/4), func() {
+	s.after(s.between(15*sec, s.plan.ActiveTime*3/4), func() {
 		s.cutZone(s.drawZone(), cutHold, s.between(10*sec, 30*sec))
 		s.after(s.between(sec, 5*sec), func() { s.crashAll(20*ms, 3*sec) })
 	})
--- a/internal/simulation/groups.go
+++ b/internal/simulation/groups.go
@@ -19,9 +19,9 @@
 	limitChanges = 6
 	// limitTimeout is that of a request to set a limit, and limitRetry when it is repeated.
 	limitTimeout = 5 * sec
-	limitRetry   = 2 * sec
-	// clearAttempts is how often clearing a limit that was set by hand is retried.
-	clearAttempts = 20
+	limitRetryInterval   = 2 * sec
+	// maxClearRetries is how often clearing a limit that was set by hand is retried.
+	maxClearRetries = 20
 )
 
 // groupsOver returns groups around the teams of a plan.
@@ -60,11 +60,11 @@
 	s.cfg.Trace = true
 	s.groups = map[string]quota.Record{}
 	for range limitChanges {
-		s.after(s.between(8*sec, s.plan.Length), s.changeLimit)
+		s.after(s.between(8*sec, s.plan.ActiveTime), s.changeLimit)
 	}
-	s.after(s.plan.Length, func() {
+	s.after(s.plan.ActiveTime, func() {
 		for _, g := range s.plan.Groups {
-			s.setLimit(g.Name, nil, clearAttempts)
+			s.setLimit(g.Name, nil, maxClearRetries)
 		}
 	})
 }
@@ -89,7 +89,7 @@
 	}
 	s.trace("operator sets %s to %v at %s", group, limit, n.label)
 	exchange(s, n.userLink(), limitTimeout, func(reply func(controller.Answer)) {
-		n.request(func(id controller.ReplyID) controller.Input {
+		n.deliverRequest(func(id controller.ReplyID) controller.Input {
 			return controller.PeerRequest{Reply: id, Req: peer.Request{Quota: &request}}
 		}, reply)
 	}, func(a controller.Answer, ok bool) {
@@ -98,7 +98,7 @@
 		case ok && isResponse && response.Quota.Problem == "":
 			s.LimitsSet++
 		case retries > 0:
-			s.after(limitRetry, func() { s.setLimit(group, limit, retries-1) })
+			s.after(limitRetryInterval, func() { s.setLimit(group, limit, retries-1) })
 		}
 	})
 }
--- a/internal/simulation/jobs.go
+++ b/internal/simulation/jobs.go
@@ -15,11 +15,11 @@
 	// Numbers of jobs that nobody submits: those that users ask about, those that
 	// StatusRequestRate asks about, and those of invalid submissions.
 	firstUnknownPolled  = 900000
-	unknownPolled       = 1000
+	unknownPolledCount       = 1000
 	firstUnknownRequest = 800000
-	unknownRequests     = 100_000
+	unknownRequestCount     = 100_000
 	firstUnknownInvalid = 700000
-	unknownInvalid      = 1000
+	unknownInvalidCount      = 1000
 )
 
 func jobID(number int) string { return fmt.Sprintf("job-%06d", number) }
@@ -40,7 +40,7 @@
 	if s.plan.Churn {
 		u.adaptToChurn(i)
 	}
-	shortest, longest := u.drawTaskLengths()
+	shortest, longest := u.drawTaskDurations()
 	for range u.Submission.Tasks {
 		u.Runs = append(u.Runs, s.between(shortest, longest))
 	}
@@ -102,8 +102,8 @@
 	u.willCancel = i%4 == 0
 }
 
-// drawTaskLengths draws how long the tasks run, and adapts the job to that.
-func (u *user) drawTaskLengths() (shortest, longest micros.Micros) {
+// drawTaskDurations draws how long the tasks run, and adapts the job to that.
+func (u *user) drawTaskDurations() (shortest, longest micros.Micros) {
 	s := u.sim
 	shortest, longest = 2*sec, 12*sec
 	if u.willCancel {
--- a/internal/simulation/large_fleet_test.go
+++ b/internal/simulation/large_fleet_test.go
@@ -9,7 +9,7 @@
 	t.Parallel()
 	type cost struct{ heartbeat, round, mostRound float64 } // the latter two for each machine
 	play := func(machines int, seed uint64) cost {
-		s := New(Plan{Seed: seed, Nodes: 3, Machines: machines, InitialMachines: machines, Jobs: machines / 8, Large: true, ReconnectionWaves: true, Teams: oneTeam(), Length: 90 * sec, RecoveryTime: 300 * sec})
+		s := New(Plan{Seed: seed, Nodes: 3, Machines: machines, InitialMachines: machines, Jobs: machines / 8, Large: true, ReconnectionWaves: true, Teams: oneTeam(), ActiveTime: 90 * sec, RecoveryTime: 300 * sec})
 		s.Run()
 		reportViolations(t, s)
 		up := machines
@@ -23,8 +23,8 @@
 			t.Errorf("nothing ran: %d started, %d finished", s.Started, s.Finished)
 		}
 		t.Logf("%d machines: %d heartbeats, %.1f visited by each; %d rounds, %.0f by each, %d at most; %d tasks",
-			machines, s.Heartbeats.steps, s.Heartbeats.mean(), s.Rounds.steps, s.Rounds.mean(), s.Rounds.most, s.Finished)
-		return cost{s.Heartbeats.mean(), s.Rounds.mean() / float64(machines), float64(s.Rounds.most) / float64(machines)}
+			machines, s.Heartbeats.steps, s.Heartbeats.mean(), s.Rounds.steps, s.Rounds.mean(), s.Rounds.maxVisited, s.Finished)
+		return cost{s.Heartbeats.mean(), s.Rounds.mean() / float64(machines), float64(s.Rounds.maxVisited) / float64(machines)}
 	}
 	// The costliest round of one play is chance, so that plays of several seeds are what the
 	// large fleet is compared with.
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -86,10 +86,10 @@
 // exchange carries a request and its answer. serve gets a function to answer with; done is
 // called once, with ok false if there was no answer within the timeout.
 func exchange[T any](s *Simulation, link string, timeout micros.Micros, serve func(reply func(T)), done func(answer T, ok bool)) {
-	over := false
+	finished := false
 	finish := func(answer T, ok bool) {
-		if !over {
-			over = true
+		if !finished {
+			finished = true
 			done(answer, ok)
 		}
 	}
@@ -149,7 +149,7 @@
 		return
 	}
 	n.release.downgradeRequest(&received)
-	n.request(func(id controller.ReplyID) controller.Input {
+	n.deliverRequest(func(id controller.ReplyID) controller.Input {
 		return controller.PeerRequest{Reply: id, Req: received}
 	}, func(a controller.Answer) {
 		reply(controller.Result{Status: a.Status, Body: a.Body})
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -17,8 +17,8 @@
 	repeatedCallFraction = 0.2
 	// maxHeartbeatBytes bounds a heartbeat.
 	maxHeartbeatBytes = 1 << 20
-	// wallClockStep is how far the wall clocks of two controllers in a row are apart.
-	wallClockStep = 3 * ms
+	// wallClockOffset is how far the wall clocks of two controllers in a row are apart.
+	wallClockOffset = 3 * ms
 )
 
 // node is one controller of the simulation: its process, its clock and its calls.
@@ -36,11 +36,11 @@
 	pendingReplies map[controller.ReplyID]func(controller.Answer)
 	wakeAt         micros.Micros
 	recentCalls    []controller.Call
-	heartbeats     *wire.HeartbeatReader // decodes heartbeats, as that of a real controller
+	heartbeatReader     *wire.HeartbeatReader // decodes heartbeats, as that of a real controller
 
 	// stepTime is how long a step takes at present; backlog waits for the one under way.
 	stepTime micros.Micros
-	working  bool
+	stepInProgress  bool
 	backlog  []queuedInput
 	// frozenUntil is when the process stops being frozen; inputs wait until then.
 	frozenUntil  micros.Micros
@@ -66,13 +66,13 @@
 	n.incarnation++
 	n.frozenUntil = 0
 	n.frozenInputs = nil
-	n.working = false
+	n.stepInProgress = false
 	n.backlog = nil
-	n.heartbeats = wire.NewHeartbeatReader(maxHeartbeatBytes)
+	n.heartbeatReader = wire.NewHeartbeatReader(maxHeartbeatBytes)
 	n.controller = controller.New(cfg, n.sim.rng.Uint64())
 	n.pendingReplies = map[controller.ReplyID]func(controller.Answer){}
 	n.wakeAt = micros.Never
-	n.step(controller.Tick{})
+	n.handleInput(controller.Tick{})
 }
 
 // crash ends the process at once, for a while. Some of what it sent may be repeated.
@@ -98,17 +98,17 @@
 func (n *node) steadyClock() micros.Micros { return n.clockDrift.Apply(n.sim.now) }
 
 // wallClock returns what the process's wall clock shows.
-func (n *node) wallClock() micros.Micros { return n.sim.now + micros.Micros(n.id)*wallClockStep }
+func (n *node) wallClock() micros.Micros { return n.sim.now + micros.Micros(n.id)*wallClockOffset }
 
-// step gives the controller an input, which waits while the process is frozen or busy.
-func (n *node) step(in controller.Input) {
+// handleInput gives the controller an input, which waits while the process is frozen or busy.
+func (n *node) handleInput(in controller.Input) {
 	switch {
 	case n.controller == nil:
 	case n.sim.now < n.frozenUntil:
 		n.frozenInputs = append(n.frozenInputs, in)
-	case n.stepTime > 0 || n.working:
+	case n.stepTime > 0 || n.stepInProgress:
 		n.backlog = append(n.backlog, queuedInput{in, n.sim.now})
-		n.work()
+		n.processBacklog()
 	default:
 		n.process(in, 0)
 	}
@@ -120,18 +120,18 @@
 	effects := n.controller.Step(at, in)
 	n.sim.countWork(in, n.controller.LastWork())
 	for _, effect := range effects {
-		n.carryOut(effect)
+		n.executeEffect(effect)
 	}
 	n.scheduleWake(at.Steady)
 }
 
-func (n *node) carryOut(effect controller.Effect) {
+func (n *node) executeEffect(effect controller.Effect) {
 	switch e := effect.(type) {
 	case controller.Answer:
-		n.passToHook(e)
+		n.callOnSend(e)
 		n.deliverAnswer(e)
 	case controller.Call:
-		n.passToHook(e)
+		n.callOnSend(e)
 		if command, ok := e.Req.(wire.DirectCommand); ok {
 			n.sim.checkStartsSent(n, command.Commands)
 		}
@@ -141,9 +141,9 @@
 	}
 }
 
-func (n *node) passToHook(effect controller.Effect) {
-	if n.sim.Sent != nil {
-		n.sim.Sent(n.sim.now, n.label, effect)
+func (n *node) callOnSend(effect controller.Effect) {
+	if n.sim.OnSend != nil {
+		n.sim.OnSend(n.sim.now, n.label, effect)
 	}
 }
 
@@ -179,30 +179,30 @@
 	n.wakeAt = wake
 	incarnation := n.incarnation
 	n.sim.after(max(wake-steadyNow, ms), func() {
-		if n.lives(incarnation) && n.steadyClock() >= n.wakeAt {
-			n.step(controller.Tick{})
+		if n.isRunning(incarnation) && n.steadyClock() >= n.wakeAt {
+			n.handleInput(controller.Tick{})
 		}
 	})
 }
 
-// lives reports whether a process has not ended.
-func (n *node) lives(incarnation int) bool {
+// isRunning reports whether a process has not ended.
+func (n *node) isRunning(incarnation int) bool {
 	return n.incarnation == incarnation && n.controller != nil
 }
 
-// request gives the controller the request that newInput makes; deliver gets the answer, if one
+// deliverRequest gives the controller the deliverRequest that newInput makes; deliver gets the answer, if one
 // comes.
-func (n *node) request(newInput func(controller.ReplyID) controller.Input, deliver func(controller.Answer)) {
+func (n *node) deliverRequest(newInput func(controller.ReplyID) controller.Input, deliver func(controller.Answer)) {
 	if n.controller == nil {
 		return
 	}
 	n.nextReplyID++
 	n.pendingReplies[n.nextReplyID] = deliver
-	n.step(newInput(n.nextReplyID))
+	n.handleInput(newInput(n.nextReplyID))
 }
 
-// heartbeat gives the controller a worker's heartbeat, encoded and decoded as on the wire.
-func (n *node) heartbeat(sent *wire.Heartbeat, deliver func(controller.Answer)) {
+// deliverHeartbeat gives the controller a worker's deliverHeartbeat, encoded and decoded as on the wire.
+func (n *node) deliverHeartbeat(sent *wire.Heartbeat, deliver func(controller.Answer)) {
 	if n.controller == nil {
 		return
 	}
@@ -211,12 +211,12 @@
 		n.sim.violated("heartbeat: %v", err)
 		return
 	}
-	received, err := n.heartbeats.Parse(body)
+	received, err := n.heartbeatReader.Parse(body)
 	if err != nil {
 		n.sim.violated("heartbeat: %v", err)
 		return
 	}
-	n.request(func(id controller.ReplyID) controller.Input {
+	n.deliverRequest(func(id controller.ReplyID) controller.Input {
 		return controller.Heartbeat{Reply: id, Heartbeat: received}
 	}, deliver)
 }
@@ -235,7 +235,7 @@
 	exchange(n.sim, n.link(call), call.Timeout, func(reply func(controller.Result)) {
 		n.serveCall(call, reply)
 	}, func(result controller.Result, ok bool) {
-		if !n.lives(incarnation) {
+		if !n.isRunning(incarnation) {
 			return
 		}
 		if !ok {
@@ -243,7 +243,7 @@
 		}
 		result = release.downgradeResult(result)
 		result.ID = call.ID
-		n.step(result)
+		n.handleInput(result)
 	})
 }
 
@@ -259,7 +259,7 @@
 		}
 	case s.refusesJobs(call):
 		reply(controller.Result{Status: http.StatusTooManyRequests})
-	case toState && s.carryOutLate(n, call):
+	case toState && s.maybeExecuteUnanswered(n, call):
 	case isWatch && s.now < n.watchesLostUntil:
 	default:
 		s.serve(call, reply)
--- a/internal/simulation/outages.go
+++ b/internal/simulation/outages.go
@@ -11,13 +11,13 @@
 
 // Faults in which controllers act on stale views.
 
-// lostAnswersTime is for how long the owner's answers are lost before a long outage.
-const lostAnswersTime = 600 * ms
+// lostAnswersDuration is for how long the owner's answers are lost before a long outage.
+const lostAnswersDuration = 600 * ms
 
 // scheduleLongOutages plays a long outage twice.
 func (s *Simulation) scheduleLongOutages() {
 	s.after(s.between(15*sec, 25*sec), s.longOutage)
-	s.after(s.plan.Length*2/3, s.longOutage)
+	s.after(s.plan.ActiveTime*2/3, s.longOutage)
 }
 
 // longOutage is the case that what the owner writes is carried out, but its answers are lost and
@@ -26,15 +26,15 @@
 func (s *Simulation) longOutage() {
 	n := s.owner()
 	s.Concurrent.LongOutages++
-	s.startLateWrites(1, true, lostAnswersTime)
-	s.concurrent.lateWrites.only = n
+	s.startUnansweredWrites(1, true, lostAnswersDuration)
+	s.concurrentFaults.unansweredWrites.onlyNode = n
 	n.watchesLostUntil = s.now + 10*sec
-	s.after(lostAnswersTime, func() { n.stateRefusedUntil = s.now + s.between(3*sec, 8*sec) })
+	s.after(lostAnswersDuration, func() { n.stateRefusedUntil = s.now + s.between(3*sec, 8*sec) })
 	s.cancelRunning(6, 0)
 	s.after(s.between(1500*ms, 2500*ms), func() { s.state.SetOutage(s.now + s.cfg.Cancel + 6*sec) })
 	if s.chance(0.4) { // and the others can't reach it either
 		links := n.peerLinks()
-		s.after(lostAnswersTime, func() { s.cut(links, cutReset, s.cfg.Cancel) })
+		s.after(lostAnswersDuration, func() { s.cut(links, cutReset, s.cfg.Cancel) })
 	}
 }
 
@@ -58,7 +58,7 @@
 // scheduleStaleJobs plays an episode of stale views twice.
 func (s *Simulation) scheduleStaleJobs() {
 	s.after(s.between(10*sec, 15*sec), s.staleJobs)
-	s.after(s.plan.Length/2, s.staleJobs)
+	s.after(s.plan.ActiveTime/2, s.staleJobs)
 }
 
 // staleJobs is the case that jobs are cancelled just before reads of jobs are refused and owners
--- a/internal/simulation/plan.go
+++ b/internal/simulation/plan.go
@@ -57,9 +57,9 @@
 	// Inputs wait in line meanwhile.
 	SlowStep micros.Micros
 
-	// Length is how long faults and submissions go on; after that nothing goes wrong, and
+	// ActiveTime is how long faults and submissions go on; after that nothing goes wrong, and
 	// every job must end within RecoveryTime.
-	Length, RecoveryTime micros.Micros
+	ActiveTime, RecoveryTime micros.Micros
 }
 
 // hasLongTasks reports whether some tasks of the plan's jobs are long, so that there are jobs
@@ -68,7 +68,7 @@
 	return p.ConcurrentFaults || p.LongOutage || p.StaleJobs
 }
 
-// hasFaults reports whether a controller may take busy machines for idle ones.
-func (p Plan) hasFaults() bool {
+// mayReturnBusyMachines reports whether a controller may take busy machines for idle ones.
+func (p Plan) mayReturnBusyMachines() bool {
 	return p.Faults || p.FleetFaults || p.hasLongTasks()
 }
--- a/internal/simulation/plans.go
+++ b/internal/simulation/plans.go
@@ -36,8 +36,8 @@
 }
 
 const (
-	// rulesLength and rulesRecoveryTime are those of the plans of TestRules.
-	rulesLength       = 90 * sec
+	// rulesActiveTime and rulesRecoveryTime are those of the plans of TestRules.
+	rulesActiveTime       = 90 * sec
 	rulesRecoveryTime = 300 * sec
 )
 
@@ -68,7 +68,7 @@
 		slowFaultPlans(),
 	)
 	for i := range plans {
-		plans[i].Plan.Length = rulesLength
+		plans[i].Plan.ActiveTime = rulesActiveTime
 		plans[i].Plan.RecoveryTime = rulesRecoveryTime
 	}
 	return plans
--- a/internal/simulation/reconnection_waves.go
+++ b/internal/simulation/reconnection_waves.go
@@ -3,12 +3,12 @@
 // Waves of a large fleet: all workers turn to another controller at once.
 
 const (
-	// leaderAwayFor is how long the leader is away.
-	leaderAwayFor = 8 * sec
-	// singleControllerFrom is when one controller is left alone with everything, and
+	// leaderDowntime is how long the leader is away.
+	leaderDowntime = 8 * sec
+	// singleControllerStart is when one controller is left alone with everything, and
 	// singleControllerFor how long.
-	singleControllerFrom = 45 * sec
-	singleControllerFor  = 25 * sec
+	singleControllerStart = 45 * sec
+	singleControllerDuration  = 25 * sec
 )
 
 // scheduleReconnectionWaves ends the leader, later all controllers within a second, later all
@@ -17,14 +17,14 @@
 	s.after(12*sec, s.crashLeader)
 	s.after(30*sec, func() { s.crashAll(100*ms, sec) })
 	single := s.drawNode()
-	s.after(singleControllerFrom, func() {
+	s.after(singleControllerStart, func() {
 		for _, n := range s.nodes {
 			if n != single {
-				n.crash(singleControllerFor)
+				n.crash(singleControllerDuration)
 			}
 		}
 	})
-	s.after(singleControllerFrom+singleControllerFor-sec, func() {
+	s.after(singleControllerStart+singleControllerDuration-sec, func() {
 		if single.controller != nil {
 			s.CommandedBySingle = single.controller.Commanded()
 			s.UpWithSingle = s.machinesUp()
@@ -35,7 +35,7 @@
 func (s *Simulation) crashLeader() {
 	for _, n := range s.nodes {
 		if n.controller != nil && n.controller.Leads() {
-			n.crash(leaderAwayFor)
+			n.crash(leaderDowntime)
 			return
 		}
 	}
--- a/internal/simulation/rules_test.go
+++ b/internal/simulation/rules_test.go
@@ -41,19 +41,19 @@
 		for seed := range seeds(plan.Seeds) {
 			t.Run(fmt.Sprintf("%s/%d", plan.Name, seed), func(t *testing.T) {
 				t.Parallel()
-				playByRules(t, plan.WithSeed(uint64(seed)+1))
+				playAndCheck(t, plan.WithSeed(uint64(seed)+1))
 			})
 		}
 	}
 }
 
-// playByRules plays a run, and checks that no rule was broken and that it was what its plan says.
-func playByRules(t *testing.T, p Plan) {
+// playAndCheck plays a run, and checks that no rule was broken and that it was what its plan says.
+func playAndCheck(t *testing.T, p Plan) {
 	t.Helper()
 	s := newTraced(t, p)
 	s.Run()
 	reportViolations(t, s)
-	checkHappened(t, s)
+	checkPlanTookEffect(t, s)
 	if s.ReturnedBusy > 0 {
 		t.Errorf("%d machines returned with work on them, though nothing was wrong with them", s.ReturnedBusy)
 	}
@@ -62,8 +62,8 @@
 	}
 }
 
-// checkHappened checks that a run was what its plan says.
-func checkHappened(t *testing.T, s *Simulation) {
+// checkPlanTookEffect checks that a run was what its plan says.
+func checkPlanTookEffect(t *testing.T, s *Simulation) {
 	t.Helper()
 	p := s.plan
 	passed := len(s.Violations) == 0
@@ -90,7 +90,7 @@
 // TestSameSeed checks that two runs of one seed are equal, so that a failure can be repeated.
 func TestSameSeed(t *testing.T) {
 	play := func() string {
-		s := New(Plan{Seed: 5, Nodes: 3, Machines: 8, Jobs: 15, Faults: true, Teams: fourTeams(), Length: 60 * sec, RecoveryTime: 200 * sec})
+		s := New(Plan{Seed: 5, Nodes: 3, Machines: 8, Jobs: 15, Faults: true, Teams: fourTeams(), ActiveTime: 60 * sec, RecoveryTime: 200 * sec})
 		s.Run()
 		return fmt.Sprint(s.now, s.Started, s.Finished, s.Restarts, s.state.Revision(), s.Violations)
 	}
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -25,8 +25,8 @@
 	seedStream = 77
 	// checkInterval is how often the rules about waiting are checked.
 	checkInterval = 5 * sec
-	// earliestEnd is how long after Length a run ends at the earliest.
-	earliestEnd = 10 * sec
+	// settleTime is how long after Length a run ends at the earliest.
+	settleTime = 10 * sec
 )
 
 // Simulation is one run.
@@ -36,9 +36,9 @@
 	Violations []string
 	// Trace, if set, is called with a line for each event.
 	Trace func(string)
-	// Sent, if set, is called with each Answer and Call of each controller, in the order in
+	// OnSend, if set, is called with each Answer and Call of each controller, in the order in
 	// which they are sent. It must not change the effect.
-	Sent func(at micros.Micros, from string, effect controller.Effect)
+	OnSend func(at micros.Micros, from string, effect controller.Effect)
 
 	plan        Plan
 	cfg         controller.Config
@@ -63,9 +63,9 @@
 	lostRepliesUntil map[string]micros.Micros
 	// jobsRefusedUntil is until when the state service refuses reads and watches of jobs.
 	jobsRefusedUntil micros.Micros
-	// copiesUntil is until when many heartbeats are copied.
-	copiesUntil micros.Micros
-	concurrent  concurrentFaults
+	// duplicateBurstUntil is until when many heartbeats are copied.
+	duplicateBurstUntil micros.Micros
+	concurrentFaults  concurrentFaults
 }
 
 // New prepares a run.
@@ -104,7 +104,7 @@
 	s.state = fakes.NewState(scheduler{s}, fakes.StateLimits{ValueBytes: s.cfg.ValueBytes, TxnOps: s.cfg.TxnOps})
 	s.state.OnPut = s.handlePut
 	s.cloud = fakes.NewCloud(fakes.CloudConfig{
-		Scheduler: scheduler{s}, Random: s.rng, MaxMachines: p.Machines, BootTime: s.drawBootTime, OnRent: s.addWorker, OnReturn: s.checkReturn,
+		Scheduler: scheduler{s}, Random: s.rng, MaxMachines: p.Machines, BootTime: s.drawBootTime, OnRent: s.addWorker, OnReturn: s.countBusyReturn,
 	})
 	return s
 }
@@ -142,7 +142,7 @@
 	for i := range s.plan.Jobs {
 		u := newUser(s, i)
 		s.addUser(u)
-		at := s.between(0, s.plan.Length*3/4)
+		at := s.between(0, s.plan.ActiveTime*3/4)
 		if s.plan.Churn {
 			at = 5*sec + micros.Micros(i)*250*ms
 		}
@@ -180,21 +180,21 @@
 
 // Run plays the run to its end, or to the first violation.
 func (s *Simulation) Run() {
-	end := s.plan.Length + s.plan.RecoveryTime
+	end := s.plan.ActiveTime + s.plan.RecoveryTime
 	for _, more := s.queue.Due(); more && s.now < end && len(s.Violations) == 0; _, more = s.queue.Due() {
 		at, event := s.queue.Take()
 		s.now = max(s.now, at)
 		event()
 		s.checkPeriodically()
-		if s.now > s.plan.Length+earliestEnd && s.allJobsEnded() {
-			s.checkServed()
+		if s.now > s.plan.ActiveTime+settleTime && s.allJobsEnded() {
+			s.checkCompletedInTime()
 			return
 		}
 	}
 	if len(s.Violations) > 0 {
 		return
 	}
-	s.checkServed()
+	s.checkCompletedInTime()
 	s.checkEnded()
 }
 
@@ -204,7 +204,7 @@
 		return
 	}
 	s.nextCheckAt = s.now + checkInterval
-	s.checkAnswered()
+	s.checkUnanswered()
 	s.checkLargestStarted()
 	s.checkWaiting()
 }
--- a/internal/simulation/slow_steps.go
+++ b/internal/simulation/slow_steps.go
@@ -7,19 +7,19 @@
 
 // queuedInput waits for a controller that is short of time.
 type queuedInput struct {
-	in controller.Input
-	at micros.Micros
+	input controller.Input
+	queuedAt micros.Micros
 }
 
-// work takes the next input of the backlog, which takes its time.
-func (n *node) work() {
-	if n.working || len(n.backlog) == 0 {
+// processBacklog takes the next input of the backlog, which takes its time.
+func (n *node) processBacklog() {
+	if n.stepInProgress || len(n.backlog) == 0 {
 		return
 	}
-	n.working = true
+	n.stepInProgress = true
 	incarnation, stepTime := n.incarnation, n.stepTime
 	n.sim.after(stepTime, func() {
-		if !n.lives(incarnation) {
+		if !n.isRunning(incarnation) {
 			return
 		}
 		if n.sim.now < n.frozenUntil {
@@ -28,19 +28,19 @@
 		}
 		next := n.backlog[0]
 		n.backlog = n.backlog[1:]
-		n.sim.LongestInputWait = max(n.sim.LongestInputWait, n.sim.now-next.at)
-		n.process(next.in, stepTime)
-		n.working = false
-		n.work()
+		n.sim.LongestInputWait = max(n.sim.LongestInputWait, n.sim.now-next.queuedAt)
+		n.process(next.input, stepTime)
+		n.stepInProgress = false
+		n.processBacklog()
 	})
 }
 
 // freezeBacklog has the backlog wait with a process that is frozen, the input under way
 // included.
 func (n *node) freezeBacklog() {
-	n.working = false
+	n.stepInProgress = false
 	for _, queued := range n.backlog {
-		n.frozenInputs = append(n.frozenInputs, queued.in)
+		n.frozenInputs = append(n.frozenInputs, queued.input)
 	}
 	n.backlog = nil
 }
@@ -56,10 +56,10 @@
 
 // scheduleSlowSteps slows one controller down, later all of them.
 func (s *Simulation) scheduleSlowSteps() {
-	s.after(s.between(10*sec, s.plan.Length/3), func() {
+	s.after(s.between(10*sec, s.plan.ActiveTime/3), func() {
 		s.slowDown([]*node{s.drawNode()}, s.between(10*sec, 25*sec))
 	})
-	s.after(s.between(s.plan.Length/2, s.plan.Length*3/4), func() {
+	s.after(s.between(s.plan.ActiveTime/2, s.plan.ActiveTime*3/4), func() {
 		s.slowDown(s.nodes, s.between(10*sec, 20*sec))
 	})
 }
--- a/internal/simulation/status_requests.go
+++ b/internal/simulation/status_requests.go
@@ -21,7 +21,7 @@
 // from the first submissions until accepted jobs have to be answered for.
 func (s *Simulation) scheduleStatusRequests() {
 	interval := micros.FromSeconds(1 / s.plan.StatusRequestRate)
-	until := s.plan.Length + maxUnanswered
+	until := s.plan.ActiveTime + maxUnanswered
 	var next func()
 	next = func() {
 		s.requestStatusEverywhere()
@@ -49,9 +49,9 @@
 
 // requestUnknownEverywhere asks all controllers about a job that nobody submitted.
 func (s *Simulation) requestUnknownEverywhere() {
-	unknown := s.drawUnknownJob(firstUnknownRequest, unknownRequests)
+	unknown := s.drawUnknownJob(firstUnknownRequest, unknownRequestCount)
 	for _, n := range s.nodes {
-		n.request(func(id controller.ReplyID) controller.Input {
+		n.deliverRequest(func(id controller.ReplyID) controller.Input {
 			return controller.JobStatusRequest{Reply: id, ID: unknown}
 		}, func(a controller.Answer) {
 			switch a.Status {
--- a/internal/simulation/upgrade.go
+++ b/internal/simulation/upgrade.go
@@ -51,7 +51,7 @@
 		delay := micros.Micros(i) * upgradeInterval
 		s.after(s.upgradeStart()+delay, func() { n.upgradeTo(ReleaseCurrent) })
 		if s.plan.Rollback {
-			s.after(s.plan.Length*2/3+delay, func() { n.upgradeTo(s.plan.UpgradeFrom) })
+			s.after(s.plan.ActiveTime*2/3+delay, func() { n.upgradeTo(s.plan.UpgradeFrom) })
 		}
 	}
 	s.after(s.between(12*sec, s.upgradeEnd()+30*sec), s.lowerLimits) // while old controllers run, or later
--- a/internal/simulation/user.go
+++ b/internal/simulation/user.go
@@ -33,23 +33,23 @@
 	sim          *Simulation
 	willCancel   bool
 	dependencies []*user // whose jobs this one depends on
-	allAncestors []*user // see ancestors
+	cachedAncestors []*user // see ancestors
 
 	submitted       bool
 	submitAttempts  int
 	gaveUp          bool
 	accepted        bool
 	acceptedAt      micros.Micros
-	answeredAt      micros.Micros // when a request about it was last answered
+	lastAnsweredAt      micros.Micros // when a request about it was last answered
 	cancelRequested bool
-	cancelConfirmed micros.Micros // when it was first reported as cancelled; 0: it was not
+	cancelConfirmedAt micros.Micros // when it was first reported as cancelled; 0: it was not
 	finalState      wire.JobState // as reported; empty: none was
 
 	// For checks.
 	largest      bool          // one of its class's largest
 	waitingSince micros.Micros // when a task was first seen waiting beside free capacity, without a start since
 	starts       int           // of its tasks
-	startsSeen   int           // when waitingSince was set
+	startsWhenWaitingSince   int           // when waitingSince was set
 }
 
 // send sends a request to the controller that the load balancer picks.
@@ -59,7 +59,7 @@
 
 // sendTo sends a request to a controller.
 func (u *user) sendTo(n *node, newInput func(controller.ReplyID) controller.Input, timeout micros.Micros, done func(controller.Answer, bool)) {
-	exchange(u.sim, n.userLink(), timeout, func(reply func(controller.Answer)) { n.request(newInput, reply) }, done)
+	exchange(u.sim, n.userLink(), timeout, func(reply func(controller.Answer)) { n.deliverRequest(newInput, reply) }, done)
 }
 
 func (u *user) submitRequest(id controller.ReplyID) controller.Input {
@@ -99,7 +99,7 @@
 	s := u.sim
 	u.accepted = true
 	u.acceptedAt = s.now
-	u.answeredAt = s.now
+	u.lastAnsweredAt = s.now
 	u.checkAnswer(a, finalState)
 	u.requestRepeatedly()
 	s.after(s.between(sec, 3*sec), u.pollStatus)
@@ -148,7 +148,7 @@
 // requestUnknownStatus asks about a job that nobody submitted.
 func (u *user) requestUnknownStatus() {
 	s := u.sim
-	unknown := s.drawUnknownJob(firstUnknownPolled, unknownPolled)
+	unknown := s.drawUnknownJob(firstUnknownPolled, unknownPolledCount)
 	u.send(func(id controller.ReplyID) controller.Input {
 		return controller.JobStatusRequest{Reply: id, ID: unknown}
 	}, statusTimeout, func(a controller.Answer, ok bool) {
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// copiedFraction of heartbeats are copied where there are faults, manyCopiedFraction while
+	// duplicateFraction of heartbeats are copied where there are faults, manyCopiedFraction while
 	// many are.
-	copiedFraction     = 0.01
-	manyCopiedFraction = 0.5
+	duplicateFraction     = 0.01
+	burstDuplicateFraction = 0.5
 	// longDelayFraction of the copies come about a lease later.
 	longDelayFraction = 0.5
 )
@@ -52,13 +52,13 @@
 func (w *worker) SendHeartbeat(node int, heartbeat *wire.Heartbeat, done func(controller.Answer, bool)) (sent bool) {
 	s := w.sim
 	s.keepHeartbeat(heartbeat)
-	s.maybeCopyLater(heartbeat)
+	s.maybeDuplicateLater(heartbeat)
 	if s.now < w.cutOffUntil {
 		return false
 	}
 	n := s.nodes[node]
 	exchange(s, n.workerLink(w.ID), fakes.HeartbeatTimeout, func(reply func(controller.Answer)) {
-		n.heartbeat(heartbeat, func(a controller.Answer) {
+		n.deliverHeartbeat(heartbeat, func(a controller.Answer) {
 			if s.now >= w.unreachableUntil {
 				reply(a)
 			}
@@ -67,13 +67,13 @@
 	return true
 }
 
-// maybeCopyLater may deliver a copy of a heartbeat again, to any controller, from seconds to
+// maybeDuplicateLater may deliver a copy of a heartbeat again, to any controller, from seconds to
 // well over a lease later. The reply to it is lost.
-func (s *Simulation) maybeCopyLater(heartbeat *wire.Heartbeat) {
+func (s *Simulation) maybeDuplicateLater(heartbeat *wire.Heartbeat) {
 	if !s.plan.Faults {
 		return
 	}
-	copied := s.chance(copiedFraction) || s.now < s.copiesUntil && s.chance(manyCopiedFraction)
+	copied := s.chance(duplicateFraction) || s.now < s.duplicateBurstUntil && s.chance(burstDuplicateFraction)
 	if !copied {
 		return
 	}
@@ -82,9 +82,9 @@
 		delay = s.between(s.cfg.WorkerLease/2, 3*s.cfg.WorkerLease)
 	}
 	n := s.drawNode()
-	s.CopiedHeartbeats++
+	s.DuplicateHeartbeats++
 	s.after(delay, func() {
-		n.heartbeat(heartbeat, func(controller.Answer) {})
+		n.deliverHeartbeat(heartbeat, func(controller.Answer) {})
 	})
 }
 
@@ -129,8 +129,8 @@
 // Trace passes a line on.
 func (w *worker) Trace(format string, args ...any) { w.sim.trace(format, args...) }
 
-// working reports whether a task runs on the machine whose user has not cancelled it.
-func (w *worker) working() bool {
+// runsWantedTask reports whether a task runs on the machine whose user has not cancelled it.
+func (w *worker) runsWantedTask() bool {
 	for _, t := range w.Tasks() {
 		if t.OnMachine() && !w.sim.userOf(t.Job).cancelRequested {
 			return true
