--- a/internal/digest/digest_test.go
+++ b/internal/digest/digest_test.go
@@ -95,7 +95,7 @@
 	started    int
 	finished   int
 	restarts   int
-	duplicates     int
+	duplicates int
 	violations int
 	waited     micros.Micros
 	requests   string
@@ -106,7 +106,7 @@
 		started:    sim.Started,
 		finished:   sim.Finished,
 		restarts:   sim.Restarts,
-		duplicates:     sim.DuplicateHeartbeats,
+		duplicates: sim.DuplicateHeartbeats,
 		violations: len(sim.Violations),
 		waited:     sim.LongestInputWait,
 		requests:   fmt.Sprint(sim.StateRequests()),
--- a/internal/simulation/cascade.go
+++ b/internal/simulation/cascade.go
@@ -57,7 +57,7 @@
 	Dependents int
 	// CancelMiddle cancels a job half-way down instead of the first.
 	CancelMiddle bool
-	Fault  CascadeFault
+	Fault        CascadeFault
 	// LimitsLoweredBefore lowers the limits before the jobs are submitted.
 	LimitsLoweredBefore bool
 	// UpgradeFrom is the version that a rolling upgrade begins with, the cancellation coming
--- a/internal/simulation/concurrent_faults.go
+++ b/internal/simulation/concurrent_faults.go
@@ -29,20 +29,20 @@
 
 	repeatUntil      micros.Micros // until then users repeat requests within milliseconds
 	cancelAtEndUntil micros.Micros // until then they cancel jobs at the end of the last task
-	fastBootUntil   micros.Micros // until then machines are up within two seconds
+	fastBootUntil    micros.Micros // until then machines are up within two seconds
 }
 
 // unansweredWrites are transactions that get no answer.
 type unansweredWrites struct {
-	fraction   float64
-	until      micros.Micros
+	fraction  float64
+	until     micros.Micros
 	immediate bool  // they are carried out when they come, else some seconds later
-	onlyNode       *node // that it happens to; nil: to all
+	onlyNode  *node // that it happens to; nil: to all
 }
 
 // startUnansweredWrites has a fraction of all transactions get no answer for a while.
-func (s *Simulation) startUnansweredWrites(fraction float64, answerLost bool, d micros.Micros) {
-	s.concurrentFaults.unansweredWrites = unansweredWrites{fraction: fraction, until: s.now + d, immediate: answerLost}
+func (s *Simulation) startUnansweredWrites(fraction float64, immediate bool, d micros.Micros) {
+	s.concurrentFaults.unansweredWrites = unansweredWrites{fraction: fraction, until: s.now + d, immediate: immediate}
 }
 
 // affects reports whether a call is a transaction that may get no answer.
--- a/internal/simulation/concurrent_users.go
+++ b/internal/simulation/concurrent_users.go
@@ -130,10 +130,10 @@
 
 // invalidSubmission is a submission that can't be accepted.
 type invalidSubmission struct {
-	user     *user // whose job it may repeat
-	job      wire.Submission
-	undecodable  bool // it lacks a field, and is not decoded
-	reusesID bool // it has the name of a job that is accepted
+	user        *user // whose job it may repeat
+	job         wire.Submission
+	undecodable bool // it lacks a field, and is not decoded
+	reusesID    bool // it has the name of a job that is accepted
 }
 
 func (s *Simulation) drawInvalidSubmission(u *user) invalidSubmission {
--- a/internal/simulation/counts.go
+++ b/internal/simulation/counts.go
@@ -44,7 +44,7 @@
 
 // ConcurrentCounts count the events of concurrent faults.
 type ConcurrentCounts struct {
-	UnansweredWrites         int // carried out late, or without an answer
+	UnansweredWrites   int // carried out late, or without an answer
 	ReplayedHeartbeats int
 	CutHeartbeats      int // machines that reach no controller
 	Cancelled          int // jobs that run
--- a/internal/simulation/groups.go
+++ b/internal/simulation/groups.go
@@ -18,8 +18,8 @@
 	// limitChanges is how often operators change limits.
 	limitChanges = 6
 	// limitTimeout is that of a request to set a limit, and limitRetry when it is repeated.
-	limitTimeout = 5 * sec
-	limitRetryInterval   = 2 * sec
+	limitTimeout       = 5 * sec
+	limitRetryInterval = 2 * sec
 	// maxClearRetries is how often clearing a limit that was set by hand is retried.
 	maxClearRetries = 20
 )
--- a/internal/simulation/jobs.go
+++ b/internal/simulation/jobs.go
@@ -15,11 +15,11 @@
 	// Numbers of jobs that nobody submits: those that users ask about, those that
 	// StatusRequestRate asks about, and those of invalid submissions.
 	firstUnknownPolled  = 900000
-	unknownPolledCount       = 1000
+	unknownPolledCount  = 1000
 	firstUnknownRequest = 800000
-	unknownRequestCount     = 100_000
+	unknownRequestCount = 100_000
 	firstUnknownInvalid = 700000
-	unknownInvalidCount      = 1000
+	unknownInvalidCount = 1000
 )
 
 func jobID(number int) string { return fmt.Sprintf("job-%06d", number) }
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -30,18 +30,18 @@
 	release    Release // which version it runs
 
 	// The process; controller is nil while there is none.
-	controller     *controller.Controller
-	incarnation    int
-	nextReplyID    controller.ReplyID
-	pendingReplies map[controller.ReplyID]func(controller.Answer)
-	wakeAt         micros.Micros
-	recentCalls    []controller.Call
-	heartbeatReader     *wire.HeartbeatReader // decodes heartbeats, as that of a real controller
+	controller      *controller.Controller
+	incarnation     int
+	nextReplyID     controller.ReplyID
+	pendingReplies  map[controller.ReplyID]func(controller.Answer)
+	wakeAt          micros.Micros
+	recentCalls     []controller.Call
+	heartbeatReader *wire.HeartbeatReader // decodes heartbeats, as that of a real controller
 
 	// stepTime is how long a step takes at present; backlog waits for the one under way.
-	stepTime micros.Micros
-	stepInProgress  bool
-	backlog  []queuedInput
+	stepTime       micros.Micros
+	stepInProgress bool
+	backlog        []queuedInput
 	// frozenUntil is when the process stops being frozen; inputs wait until then.
 	frozenUntil  micros.Micros
 	frozenInputs []controller.Input
--- a/internal/simulation/plans.go
+++ b/internal/simulation/plans.go
@@ -37,7 +37,7 @@
 
 const (
 	// rulesActiveTime and rulesRecoveryTime are those of the plans of TestRules.
-	rulesActiveTime       = 90 * sec
+	rulesActiveTime   = 90 * sec
 	rulesRecoveryTime = 300 * sec
 )
 
--- a/internal/simulation/reconnection_waves.go
+++ b/internal/simulation/reconnection_waves.go
@@ -7,8 +7,8 @@
 	leaderDowntime = 8 * sec
 	// singleControllerStart is when one controller is left alone with everything, and
 	// singleControllerFor how long.
-	singleControllerStart = 45 * sec
-	singleControllerDuration  = 25 * sec
+	singleControllerStart    = 45 * sec
+	singleControllerDuration = 25 * sec
 )
 
 // scheduleReconnectionWaves ends the leader, later all controllers within a second, later all
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -65,7 +65,7 @@
 	jobsRefusedUntil micros.Micros
 	// duplicateBurstUntil is until when many heartbeats are copied.
 	duplicateBurstUntil micros.Micros
-	concurrentFaults  concurrentFaults
+	concurrentFaults    concurrentFaults
 }
 
 // New prepares a run.
--- a/internal/simulation/slow_steps.go
+++ b/internal/simulation/slow_steps.go
@@ -7,7 +7,7 @@
 
 // queuedInput waits for a controller that is short of time.
 type queuedInput struct {
-	input controller.Input
+	input    controller.Input
 	queuedAt micros.Micros
 }
 
--- a/internal/simulation/user.go
+++ b/internal/simulation/user.go
@@ -30,26 +30,26 @@
 // what it reported.
 type user struct {
 	fakes.Job
-	sim          *Simulation
-	willCancel   bool
-	dependencies []*user // whose jobs this one depends on
+	sim             *Simulation
+	willCancel      bool
+	dependencies    []*user // whose jobs this one depends on
 	cachedAncestors []*user // see ancestors
 
-	submitted       bool
-	submitAttempts  int
-	gaveUp          bool
-	accepted        bool
-	acceptedAt      micros.Micros
-	lastAnsweredAt      micros.Micros // when a request about it was last answered
-	cancelRequested bool
+	submitted         bool
+	submitAttempts    int
+	gaveUp            bool
+	accepted          bool
+	acceptedAt        micros.Micros
+	lastAnsweredAt    micros.Micros // when a request about it was last answered
+	cancelRequested   bool
 	cancelConfirmedAt micros.Micros // when it was first reported as cancelled; 0: it was not
-	finalState      wire.JobState // as reported; empty: none was
+	finalState        wire.JobState // as reported; empty: none was
 
 	// For checks.
-	largest      bool          // one of its class's largest
-	waitingSince micros.Micros // when a task was first seen waiting beside free capacity, without a start since
-	starts       int           // of its tasks
-	startsWhenWaitingSince   int           // when waitingSince was set
+	largest                bool          // one of its class's largest
+	waitingSince           micros.Micros // when a task was first seen waiting beside free capacity, without a start since
+	starts                 int           // of its tasks
+	startsWhenWaitingSince int           // when waitingSince was set
 }
 
 // send sends a request to the controller that the load balancer picks.
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -10,7 +10,7 @@
 const (
 	// duplicateFraction of heartbeats are copied where there are faults, manyCopiedFraction while
 	// many are.
-	duplicateFraction     = 0.01
+	duplicateFraction      = 0.01
 	burstDuplicateFraction = 0.5
 	// longDelayFraction of the copies come about a lease later.
 	longDelayFraction = 0.5
