--- a/internal/simulation/cascade.go
+++ b/internal/simulation/cascade.go
@@ -9,63 +9,65 @@
 	"garnethitch/internal/wire"
 )
 
-// A cancellation that reaches many jobs is a plan of its own, since its users, and the
-// limit on writes that they run into, would hide whatever else a run is about.
+// Cancellations that cascade to many dependents have separate plans: their many users and the write
+// limit that they reach would hide whatever else a run is meant to test.
 
 const (
-	// cascadeAcceptedBy is when the jobs of a cascade may be accepted.
+	// cascadeAcceptedBy is the time by which the jobs of a cascade are submitted. The cancellation
+	// follows once all are accepted.
 	cascadeAcceptedBy = 20 * sec
-	// cascadeFaultDuration is how long a cascade's fault lasts.
+	// cascadeFaultDuration is how long the fault of a cascade lasts.
 	cascadeFaultDuration = 15 * sec
 )
 
-// CascadeShape is how the jobs depend on each other.
+// CascadeShape is the shape of the graph of dependencies between the jobs of a cascade.
 type CascadeShape int
 
 // Shapes of a cascade.
 const (
-	// Wide means that all depend on the same job.
+	// Wide makes all jobs depend on the first one.
 	Wide CascadeShape = iota + 1
-	// Deep means that each depends on the one before it.
+	// Deep makes each job depend on the previous one.
 	Deep
-	// Diamonds are pairs that depend on the one before them both, and one that depends on
-	// the pair.
+	// Diamonds is a chain of diamonds: two jobs depend on the last job of the previous diamond, and
+	// a third depends on both.
 	Diamonds
 )
 
-// CascadeFault is what happens to the owner of most of the jobs at the cancellation.
+// CascadeFault is the fault that is injected just after the cancellation.
 type CascadeFault int
 
-// Faults of a cascade.
+// Faults of a cascade. The owner is the controller that owns the shard of the last job.
 const (
 	NoFault CascadeFault = iota
-	// OwnerCrashes means that it is away for longer than its lease.
+	// OwnerCrashes ends the owner for longer than its lease.
 	OwnerCrashes
-	// OwnerRestarts means that it ends and is back at once.
+	// OwnerRestarts ends the owner and starts it again almost at once.
 	OwnerRestarts
-	// OwnerCutOff means that it loses the network.
+	// OwnerCutOff cuts all network links of the owner.
 	OwnerCutOff
-	// OwnerRefusedByState means that the state service refuses it alone.
+	// OwnerRefusedByState makes the state service refuse the requests of the owner only.
 	OwnerRefusedByState
-	// LimitsLowered means that the state service lowers its limits, for all.
+	// LimitsLowered lowers the limits of the state service for all controllers.
 	LimitsLowered
 )
 
-// Cascade plans one cancellation.
+// Cascade describes a set of interdependent jobs, one of which is cancelled.
 type Cascade struct {
 	Shape      CascadeShape
-	Dependents int
-	// CancelMiddle cancels a job half-way down instead of the first.
+	Dependents int // jobs besides the first
+	// CancelMiddle cancels the middle one of the jobs instead of the first.
 	CancelMiddle bool
 	Fault        CascadeFault
-	// LimitsLoweredBefore lowers the limits before the jobs are submitted.
+	// LimitsLoweredBefore lowers the limits of the state service before the jobs are submitted.
 	LimitsLoweredBefore bool
-	// UpgradeFrom is the version that a rolling upgrade begins with, the cancellation coming
-	// while it lasts.
+	// UpgradeFrom is the release from which a rolling upgrade begins. The cancellation comes during
+	// the upgrade.
 	UpgradeFrom Release
 }
 
-// unavailableOwners returns how many controllers the fault takes away for longer than a lease.
+// unavailableOwners returns how many controllers the fault makes unavailable for longer than a
+// lease.
 func (c Cascade) unavailableOwners() int {
 	switch c.Fault {
 	case OwnerCrashes, OwnerCutOff, OwnerRefusedByState:
@@ -74,15 +76,15 @@
 	return 0
 }
 
-// cascade is a Cascade that is being played.
+// cascade is the state of a Cascade during a run.
 type cascade struct {
 	Cascade
 	sim     *Simulation
 	members []*user
-	target  *user // whose job is cancelled
+	target  *user // user whose job is cancelled
 }
 
-// addCascade submits the jobs, and cancels one of them once all are accepted.
+// addCascade adds the users of a cascade's jobs, and cancels one job once all are accepted.
 func (s *Simulation) addCascade(plan Cascade) {
 	limits := s.state.Limits()
 	limits.WritesPerSecond = s.cfg.WriteRPS
@@ -99,10 +101,10 @@
 	s.after(cascadeAcceptedBy, c.start)
 }
 
-// addMembers adds the users of the jobs, the one that all depend on first.
+// addMembers adds the users of the jobs, beginning with the job that all others depend on.
 func (c *cascade) addMembers() {
 	first := c.addMember()
-	first.Runs[0] = 5 * micros.Minute // it is not done before it is cancelled
+	first.Runs[0] = 5 * micros.Minute // so that it is not done before it is cancelled
 	for last := first; len(c.members) <= c.Dependents; {
 		switch c.Shape {
 		case Wide:
@@ -116,7 +118,7 @@
 	}
 }
 
-// addMember adds a user with a job of one task that depends on others.
+// addMember adds a user with a job of one task that depends on the jobs of other users.
 func (c *cascade) addMember(dependencies ...*user) *user {
 	s := c.sim
 	u := newUser(s, len(s.users))
@@ -147,14 +149,14 @@
 		s.after(submitRetryInterval, c.start)
 		return
 	}
-	s.trace("all accepted, %s is cancelled", c.target.Submission.ID)
+	s.trace("all jobs of the cascade are accepted, %s is cancelled", c.target.Submission.ID)
 	owner := s.ownerOf(c.members[len(c.members)-1])
 	c.target.requestCancel()
 	s.after(s.between(0, 300*ms), func() { s.injectCascadeFault(c.Fault, owner) })
 	c.awaitConfirmation()
 }
 
-// injectCascadeFault injects a cascade's fault at a controller.
+// injectCascadeFault injects a cascade's fault; n is the owner that it affects.
 func (s *Simulation) injectCascadeFault(fault CascadeFault, n *node) {
 	switch fault {
 	case OwnerCrashes:
@@ -172,7 +174,8 @@
 	}
 }
 
-// lowerLimits gives the state service its lower limits.
+// lowerLimits lowers the limits of the state service. The write rate is lowered only if it is
+// limited already.
 func (s *Simulation) lowerLimits() {
 	s.trace("the state service lowers its limits")
 	limits := fakes.StateLimits{ValueBytes: loweredValueBytes, TxnOps: loweredTxnOps}
@@ -182,7 +185,8 @@
 	s.state.SetLimits(limits)
 }
 
-// ownerOf returns the controller that owns a job's shard, by its own word.
+// ownerOf returns the first controller that considers itself the owner of a job's shard, or the
+// first of all controllers if none does.
 func (s *Simulation) ownerOf(u *user) *node {
 	for _, n := range s.nodes {
 		if n.controller != nil && n.controller.Owns(u.Submission.ID) {
@@ -192,7 +196,8 @@
 	return s.nodes[0]
 }
 
-// awaitConfirmation waits until the cancellation is reported, and then for its time.
+// awaitConfirmation waits until the cancellation is reported to its user, and runs the check when
+// the deadline of the cancellation is reached.
 func (c *cascade) awaitConfirmation() {
 	until, cancelled := c.target.cancelDeadline()
 	if !cancelled {
@@ -202,7 +207,7 @@
 	c.sim.after(until-c.sim.now, c.checkCancelled)
 }
 
-// checkCancelled checks that all jobs that depend on the target are cancelled, and no others.
+// checkCancelled checks that the target and all its dependents are cancelled, and no other jobs.
 func (c *cascade) checkCancelled() {
 	s := c.sim
 	notCancelled := 0
@@ -213,19 +218,19 @@
 			notCancelled++
 		}
 		if cancelled && !affected {
-			s.violated("went_back: %s is cancelled, nothing that it needs is", u.Submission.ID)
+			s.violated("went_back: %s is cancelled, but no job that it depends on is", u.Submission.ID)
 		}
 		if cancelled {
 			s.CascadeCancelled++
 		}
 	}
 	if notCancelled > 0 {
-		s.violated("orphaned: %d of %d jobs are not cancelled %v s after the one that they need", notCancelled, len(c.members), s.cfg.Cancel.Seconds())
+		s.violated("orphaned: %d of %d jobs are not cancelled %v s after the job that they depend on", notCancelled, len(c.members), s.cfg.Cancel.Seconds())
 	}
-	c.members[0].requestCancel() // what is left would take hours to run in order
+	c.members[0].requestCancel() // the remaining jobs would take hours to run one after the other
 }
 
-// recordOf returns a job's record in the state service.
+// recordOf returns a job's record in the state service, or an empty one if there is none.
 func (s *Simulation) recordOf(u *user) (record wire.JobRecord) {
 	value, ok := s.state.Value(wire.JobKey(u.Submission.ID))
 	if !ok {
@@ -237,7 +242,8 @@
 	return record
 }
 
-// maxDependents returns how many dependents the settings allow for a cascade.
+// maxDependents returns how many dependents a controller with these settings can cancel in time
+// despite the cascade's fault.
 func (s *Simulation) maxDependents(c Cascade) int {
 	cfg := s.settingsFor(ReleaseCurrent)
 	cfg.Peers = make([]string, s.plan.Nodes-1)
--- a/internal/simulation/cascade_test.go
+++ b/internal/simulation/cascade_test.go
@@ -7,9 +7,10 @@
 	"garnethitch/internal/controller"
 )
 
-// TestCascades cancels one of many jobs that depend on each other: as many as the settings allow
-// for are cancelled within the time of a cancellation, whatever happens to their
-// owner, and the rules hold meanwhile.
+// TestCascades checks that cancelling a job cancels all its dependents by the deadline of the
+// cancellation, up to the number of dependents that the settings allow for, and that the rules hold
+// meanwhile. The owner of the jobs may crash or be cut off, the state service may refuse it or lower
+// its limits, and the controllers may be upgraded.
 func TestCascades(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
@@ -39,12 +40,12 @@
 				t.Parallel()
 				s := newTraced(t, Plan{Seed: uint64(seed) + 1, Nodes: 3, Machines: 4, Cascade: &tc.cascade, UpgradeFrom: tc.cascade.UpgradeFrom, Teams: tc.teams, ActiveTime: 90 * sec, RecoveryTime: 300 * sec})
 				if most := s.maxDependents(tc.cascade); tc.cascade.Dependents > most {
-					t.Fatalf("%d dependents, %d fit into the time", tc.cascade.Dependents, most)
+					t.Fatalf("the cascade has %d dependents, but at most %d can be cancelled in time", tc.cascade.Dependents, most)
 				}
 				s.Run()
 				reportViolations(t, s)
 				if least := tc.cascade.Dependents / 3; s.CascadeCancelled < least {
-					t.Errorf("%d jobs were cancelled, want %d at least", s.CascadeCancelled, least)
+					t.Errorf("%d jobs were cancelled, want at least %d", s.CascadeCancelled, least)
 				}
 			})
 		}
--- a/internal/simulation/check_service.go
+++ b/internal/simulation/check_service.go
@@ -11,28 +11,30 @@
 )
 
 const (
-	// maxLargestStart is when the largest jobs must have begun.
+	// maxLargestStart is the time within which the largest jobs must start, counted from when
+	// their dependencies are done.
 	maxLargestStart = 4 * micros.Minute
-	// maxWaitDespiteCapacity is how long, once faults are over, a job may wait beside free capacity.
+	// maxWaitDespiteCapacity is how long, once faults are over, a job may wait although there is
+	// free capacity for it.
 	maxWaitDespiteCapacity = 90 * sec
 	// propagationMargin is how long a controller may take to learn that a machine is up, or that a
 	// job's dependencies are done.
 	propagationMargin = 10 * sec
 )
 
-// checkLargestStarted checks that the largest jobs of each class are not starved.
+// checkLargestStarted checks that the largest jobs of each class start in time.
 func (s *Simulation) checkLargestStarted() {
 	for _, u := range s.users {
 		if !u.largest || !u.accepted || u.mayBeCancelled() || u.StartedAt != 0 {
 			continue
 		}
 		if at, ok := u.dependenciesDoneAt(); ok && s.now > at+maxLargestStart {
-			s.violated("starved: %s, one of the largest of %s, has not begun", u.Submission.ID, u.Submission.Class)
+			s.violated("starved: %s, one of the largest jobs of class %s, has not started", u.Submission.ID, u.Submission.Class)
 		}
 	}
 }
 
-// markLargest finds each class's largest jobs: a quarter, at least one.
+// markLargest marks the largest jobs of each class: a quarter of its jobs, rounded up.
 func (s *Simulation) markLargest() {
 	byClass := map[string][]*user{}
 	for _, u := range s.users {
@@ -46,11 +48,11 @@
 	}
 }
 
-// completionCount counts the jobs of a group, and those that were done in time.
+// completionCount counts the jobs of a group, and those of them that were done in time.
 type completionCount struct{ all, inTime int }
 
-// checkCompletedInTime checks that at least half of each class, of each team and of each class's
-// largest jobs was done in time.
+// checkCompletedInTime checks that at least half of the jobs of each class, of each team and of
+// each class's largest jobs were done in time.
 func (s *Simulation) checkCompletedInTime() {
 	limit := s.plan.maxCompletionTime(s.cfg.Cancel)
 	groups := map[string]*completionCount{}
@@ -72,12 +74,12 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(groups)) {
 		if g := groups[name]; 2*g.inTime < g.all {
-			s.violated("starved: %d of %d served of %s", g.inTime, g.all, name)
+			s.violated("starved: only %d of %d jobs were done in time: %s", g.inTime, g.all, name)
 		}
 	}
 }
 
-// completionGroups returns the groups of jobs of which half must be done in time.
+// completionGroups returns the names of the groups that count the job in checkCompletedInTime.
 func (u *user) completionGroups() []string {
 	groups := []string{"class " + u.Submission.Class, "team " + u.Submission.Team}
 	if u.largest {
@@ -86,25 +88,26 @@
 	return groups
 }
 
-// maxCompletionTime returns how long after the faults jobs must be done.
+// maxCompletionTime returns the time within which a job must be done, counted from the end of
+// ActiveTime or of the job's dependencies. cancel is the time that a cancellation may take.
 func (p Plan) maxCompletionTime(cancel micros.Micros) micros.Micros {
 	limit := micros.Minute
 	if p.FleetFaults {
 		limit *= 2
 	}
 	if p.hasLongTasks() {
-		// Tasks last up to a minute there, not 12 s, and the last fault may end a
-		// cancellation's time after Length.
+		// In these plans tasks last up to a minute instead of 12 s, and the last fault may go on
+		// after ActiveTime for as long as a cancellation may take.
 		limit += cancel + micros.Minute
 	}
 	if p.Groups != nil {
-		limit += 2 * micros.Minute // limits are low, and down to nothing meanwhile
+		limit += 2 * micros.Minute // quota limits are low, and drop to zero at times
 	}
 	return limit
 }
 
-// checkWaiting checks that no job is left waiting beside a machine that its tasks fit on, its
-// team and groups under their limits.
+// checkWaiting checks that no job is left waiting although a machine has room for its tasks and its
+// team and groups are within their limits.
 func (s *Simulation) checkWaiting() {
 	if s.now < s.plan.ActiveTime+settleTime {
 		return
@@ -116,10 +119,11 @@
 	}
 }
 
+// checkWaiting checks that the job does not wait for longer than maxWaitDespiteCapacity.
 func (u *user) checkWaiting() {
 	s := u.sim
 	if at, ok := u.dependenciesDoneAt(); !ok || s.now < at+propagationMargin {
-		u.waitingSince = 0 // blocked on dependencies, or its owner has yet to learn that it is not
+		u.waitingSince = 0 // blocked on dependencies, or its owner may not know yet that they are done
 		return
 	}
 	if u.waitingSince == 0 || u.starts != u.startsWhenWaitingSince || !s.waitsDespiteCapacity(u) {
@@ -128,12 +132,12 @@
 		return
 	}
 	if waited := s.now - u.waitingSince; waited > maxWaitDespiteCapacity {
-		s.violated("left waiting: %s (%s) for %v s beside free capacity, %d of %d tasks done", u.Submission.ID, u.Submission.Class, waited.Seconds(), len(u.Done), u.Submission.Tasks)
+		s.violated("left waiting: %s (%s) for %v s despite free capacity, %d of %d tasks done", u.Submission.ID, u.Submission.Class, waited.Seconds(), len(u.Done), u.Submission.Tasks)
 	}
 }
 
-// waitsDespiteCapacity reports whether a task of the job is on no machine although one has
-// capacity for it now.
+// waitsDespiteCapacity reports whether an unfinished task of the job is on no machine although the
+// limits allow it and a machine has capacity for it now.
 func (s *Simulation) waitsDespiteCapacity(u *user) bool {
 	placed, zones := s.placedTasks(u)
 	if u.unplaced(placed) == 0 || !s.withinTeamLimit(u) || !s.withinGroupLimits(u) {
@@ -145,7 +149,8 @@
 	})
 }
 
-// placedTasks returns which of a job's tasks are on machines, and how many are in each zone.
+// placedTasks returns the indexes of a job's tasks that are on machines, and the number of these
+// tasks by zone.
 func (s *Simulation) placedTasks(u *user) (placed map[int]bool, zones map[string]int) {
 	placed, zones = map[int]bool{}, map[string]int{}
 	for t, w := range s.tasksByJob[u.Submission.ID] {
@@ -167,7 +172,7 @@
 	return count
 }
 
-// usable reports whether the controllers should know that tasks may be started on a machine.
+// usable reports whether the machine can run tasks and the controllers have had time to learn that.
 func (w *worker) usable() bool {
 	now := w.sim.now
 	reachable := now >= w.unreachableUntil && now >= w.cutOffUntil
@@ -175,20 +180,21 @@
 	return !w.Dead && !w.ReclaimAnnounced() && now >= w.UpAt+propagationMargin && reachable && healthy
 }
 
-// allowedBy reports whether a job allows machines of this type and kind.
+// allowedBy reports whether the user's job allows machines of this type, spot or not.
 func (w *worker) allowedBy(u *user) bool {
 	kindAllowed := !w.Spot || u.Submission.Spot
 	typeAllowed := u.Submission.Types == nil || slices.Contains(u.Submission.Types, w.Type)
 	return kindAllowed && typeAllowed
 }
 
-// allowsZone reports whether one more of the job's tasks may be in a zone, given where the
-// others are.
+// allowsZone reports whether one more task of the job may run in a zone, given the number of its
+// other tasks by zone.
 func (u *user) allowsZone(zone string, zones map[string]int) bool {
 	return !u.violatesSameZone(zone, zones) && !u.violatesSpread(zone, zones)
 }
 
-// violatesSameZone reports whether the job's tasks must be in one zone and some are in another.
+// violatesSameZone reports whether a task in the zone would break the job's constraint that all its
+// tasks are in the same zone.
 func (u *user) violatesSameZone(zone string, zones map[string]int) bool {
 	for other, count := range zones {
 		if u.Submission.SameZone && count > 0 && other != zone {
@@ -198,12 +204,14 @@
 	return false
 }
 
-// violatesSpread reports whether the job's tasks must be spread and one more would be too many in a zone.
+// violatesSpread reports whether one more task in the zone would break the job's constraint that
+// its tasks are spread, with at most half of them, rounded up, in one zone.
 func (u *user) violatesSpread(zone string, zones map[string]int) bool {
 	return u.Submission.Spread && zones[zone]+1 > (u.Submission.Tasks+1)/2
 }
 
-// withinTeamLimit reports whether the job's team may use one more of its tasks.
+// withinTeamLimit reports whether the job's team stays within its limit with one more of the job's
+// tasks.
 func (s *Simulation) withinTeamLimit(u *user) bool {
 	i := slices.IndexFunc(s.plan.Teams, func(t controller.Team) bool { return t.Name == u.Submission.Team })
 	if i < 0 || s.plan.Teams[i].CPUsMax <= 0 {
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -7,9 +7,11 @@
 )
 
 const (
-	// heldFraction of messages over a link that holds them back are delivered later.
+	// heldFraction is the fraction of messages over a link cut with cutHold that are delivered
+	// later; the others are lost.
 	heldFraction = 0.8
-	// lostFraction and slowFraction of messages are lost and late where there are faults.
+	// lostFraction and slowFraction are the fractions of messages that are lost and that are late
+	// in plans with Faults.
 	lostFraction = 0.012
 	slowFraction = 0.01
 )
@@ -18,28 +20,29 @@
 type cutMode int
 
 const (
-	cutNone  cutMode = iota
-	cutHold          // they are delivered once the cut is over
-	cutReset         // they are lost
+	cutNone  cutMode = iota // not cut
+	cutHold                 // most messages are held back and delivered once the cut is over
+	cutReset                // messages are lost
 )
 
-// String returns the mode in a word.
+// String returns the name of the mode.
 func (m cutMode) String() string {
 	return [...]string{cutNone: "none", cutHold: "hold", cutReset: "reset"}[m]
 }
 
-// network is the links between controllers, services, workers and users. Messages are delayed,
-// lost, held back and cut. A link is named by its ends.
+// network holds the state of the links between controllers, services, workers and users. A link is
+// named after its two ends.
 type network struct {
-	cuts map[string]cutMode
-	held map[string][]func()
+	cuts map[string]cutMode  // by link
+	held map[string][]func() // deliveries of messages that are held back, by link
 }
 
 func newNetwork() network {
 	return network{cuts: map[string]cutMode{}, held: map[string][]func(){}}
 }
 
-// drawDelay draws the delay of one message: mostly short, now and then long.
+// drawDelay draws the delay of one message. Most delays are short; in plans with Faults some are
+// long.
 func (s *Simulation) drawDelay() micros.Micros {
 	if s.plan.Faults && s.chance(slowFraction) {
 		return s.between(100*ms, 900*ms)
@@ -47,7 +50,8 @@
 	return s.between(300, 4*ms)
 }
 
-// send carries a message over a link.
+// send sends a message over a link. deliver is called when the message arrives, and never if it is
+// lost.
 func (s *Simulation) send(link string, deliver func()) {
 	switch s.network.cuts[link] {
 	case cutHold:
@@ -64,7 +68,7 @@
 	s.after(s.drawDelay(), deliver)
 }
 
-// cut cuts links for a while.
+// cut cuts links for the duration d.
 func (s *Simulation) cut(links []string, mode cutMode, d micros.Micros) {
 	for _, link := range links {
 		s.network.cuts[link] = mode
@@ -72,7 +76,7 @@
 	s.after(d, func() { s.restore(links) })
 }
 
-// restore ends the cut of links.
+// restore ends the cut of links and delivers the messages that were held back.
 func (s *Simulation) restore(links []string) {
 	for _, link := range links {
 		delete(s.network.cuts, link)
@@ -83,8 +87,9 @@
 	}
 }
 
-// exchange carries a request and its answer. serve gets a function to answer with; done is
-// called once, with ok false if there was no answer within the timeout.
+// exchange sends a request over a link and its answer back. serve is called when the request
+// arrives, with the function to answer with. done is called once, with ok false if no answer arrives
+// within the timeout.
 func exchange[T any](s *Simulation, link string, timeout micros.Micros, serve func(reply func(T)), done func(answer T, ok bool)) {
 	finished := false
 	finish := func(answer T, ok bool) {
@@ -102,7 +107,7 @@
 	})
 }
 
-// serve passes a call on to the called side.
+// serve passes a call on to the component that it is addressed to.
 func (s *Simulation) serve(call controller.Call, reply func(controller.Result)) {
 	switch call.To {
 	case controller.ToState:
@@ -116,7 +121,8 @@
 	}
 }
 
-// serveWorker hands a request to a worker, unless it, or the reply to it, is lost.
+// serveWorker passes a call on to a worker. The call is lost while the worker can't be reached, and
+// the reply is lost until the time in lostRepliesUntil.
 func (s *Simulation) serveWorker(call controller.Call, reply func(controller.Result)) {
 	w := s.workers[call.Addr]
 	if w == nil || s.now < w.unreachableUntil {
@@ -129,7 +135,7 @@
 	})
 }
 
-// servePeer hands a message to another controller, encoded and decoded as on the wire.
+// servePeer passes a call on to the controller that it is addressed to, if that is running.
 func (s *Simulation) servePeer(call controller.Call, reply func(controller.Result)) {
 	for _, n := range s.nodes {
 		if n.label == call.Addr && n.controller != nil {
@@ -138,6 +144,8 @@
 	}
 }
 
+// servePeer gives the controller a request of another controller after encoding and decoding it as
+// for the network.
 func (n *node) servePeer(sent any, reply func(controller.Result)) {
 	var received peer.Request
 	encoded, err := peer.Encode(sent)
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -11,47 +11,50 @@
 )
 
 const (
-	// maxRecentCalls is how many of its last calls may be repeated when a controller crashes.
+	// maxRecentCalls is the number of a controller's last calls that may be repeated after it
+	// crashes.
 	maxRecentCalls = 12
-	// repeatedCallFraction of these are.
+	// repeatedCallFraction is the probability that each of them is repeated.
 	repeatedCallFraction = 0.2
-	// maxHeartbeatBytes bounds a heartbeat.
+	// maxHeartbeatBytes limits the size of an encoded heartbeat.
 	maxHeartbeatBytes = 1 << 20
-	// wallClockOffset is how far the wall clocks of two controllers in a row are apart.
+	// wallClockOffset is the difference between the wall clocks of a controller and the next one.
 	wallClockOffset = 3 * ms
 )
 
-// node is one controller of the simulation: its process, its clock and its calls.
+// node is a simulated controller: its process, its clock and its calls. The process may end and be
+// started again.
 type node struct {
 	sim        *Simulation
 	id         int
 	label      string
 	clockDrift fakes.ClockDrift
-	release    Release // which version it runs
+	release    Release // the release that it runs
 
-	// The process; controller is nil while there is none.
+	// State of the process; controller is nil while there is none.
 	controller      *controller.Controller
-	incarnation     int
+	incarnation     int // number of the process; each start increments it
 	nextReplyID     controller.ReplyID
 	pendingReplies  map[controller.ReplyID]func(controller.Answer)
-	wakeAt          micros.Micros
+	wakeAt          micros.Micros // on the steady clock
 	recentCalls     []controller.Call
-	heartbeatReader *wire.HeartbeatReader // decodes heartbeats, as that of a real controller
+	heartbeatReader *wire.HeartbeatReader // decodes heartbeats as a real controller does
 
-	// stepTime is how long a step takes at present; backlog waits for the one under way.
+	// stepTime is how long a step takes at present. backlog holds the inputs of slow steps; the
+	// first one is in progress if stepInProgress.
 	stepTime       micros.Micros
 	stepInProgress bool
 	backlog        []queuedInput
-	// frozenUntil is when the process stops being frozen; inputs wait until then.
+	// frozenUntil is the time until which the process is frozen; frozenInputs wait until then.
 	frozenUntil  micros.Micros
 	frozenInputs []controller.Input
 
-	// The state service refuses this controller alone until stateRefusedUntil, and its watches
-	// get no answer until watchesLostUntil.
+	// The state service refuses the requests of this controller only until stateRefusedUntil. The
+	// controller's watches get no answer until watchesLostUntil.
 	stateRefusedUntil, watchesLostUntil micros.Micros
 }
 
-// start starts the process, if there is none.
+// start starts a process unless one is running.
 func (n *node) start() {
 	if n.controller != nil {
 		return
@@ -75,7 +78,8 @@
 	n.handleInput(controller.Tick{})
 }
 
-// crash ends the process at once, for a while. Some of what it sent may be repeated.
+// crash ends the process at once and starts another after the given downtime. Some of its recent
+// calls may arrive a second time.
 func (n *node) crash(down micros.Micros) {
 	if n.controller == nil {
 		return
@@ -94,13 +98,14 @@
 	n.sim.after(down, n.start)
 }
 
-// steadyClock returns what the process's steady clock shows.
+// steadyClock returns the time on the process's steady clock, which drifts.
 func (n *node) steadyClock() micros.Micros { return n.clockDrift.Apply(n.sim.now) }
 
-// wallClock returns what the process's wall clock shows.
+// wallClock returns the time on the process's wall clock.
 func (n *node) wallClock() micros.Micros { return n.sim.now + micros.Micros(n.id)*wallClockOffset }
 
-// handleInput gives the controller an input, which waits while the process is frozen or busy.
+// handleInput gives the controller an input. While the process is frozen or slow, the input is
+// queued; without a process it is dropped.
 func (n *node) handleInput(in controller.Input) {
 	switch {
 	case n.controller == nil:
@@ -114,7 +119,8 @@
 	}
 }
 
-// process has the controller take an input, and carries out the effects.
+// process runs one step of the controller with an input, and executes the step's effects. took is
+// the duration of the step.
 func (n *node) process(in controller.Input, took micros.Micros) {
 	at := controller.Instant{Steady: n.steadyClock(), Wall: n.wallClock(), Took: took}
 	effects := n.controller.Step(at, in)
@@ -125,6 +131,7 @@
 	n.scheduleWake(at.Steady)
 }
 
+// executeEffect delivers an answer, sends a call or handles a log entry.
 func (n *node) executeEffect(effect controller.Effect) {
 	switch e := effect.(type) {
 	case controller.Answer:
@@ -141,12 +148,14 @@
 	}
 }
 
+// callOnSend passes an effect to Simulation.OnSend if that is set.
 func (n *node) callOnSend(effect controller.Effect) {
 	if n.sim.OnSend != nil {
 		n.sim.OnSend(n.sim.now, n.label, effect)
 	}
 }
 
+// deliverAnswer delivers an answer of the controller to whoever sent the request.
 func (n *node) deliverAnswer(answer controller.Answer) {
 	if reply, ok := answer.Body.(wire.HeartbeatReply); ok {
 		n.sim.checkStartsSent(n, reply.Commands)
@@ -157,8 +166,8 @@
 	}
 }
 
-// handleLog follows what the controller logs, and takes an invariant that it finds broken as
-// a violation.
+// handleLog traces a log entry of the controller. A broken invariant is recorded as a violation,
+// and the stop of a task whose job has ended is checked.
 func (n *node) handleLog(entry controller.Log) {
 	n.sim.trace("%s %s %v", n.label, entry.Text, entry.Args)
 	if entry.Level == controller.Error && entry.Text == controller.InvariantBroken {
@@ -169,7 +178,7 @@
 	}
 }
 
-// scheduleWake gives the controller a tick when it wants one.
+// scheduleWake schedules the controller's next tick at the time that the controller asks for.
 func (n *node) scheduleWake(steadyNow micros.Micros) {
 	wake := n.controller.Wake()
 	planned := n.wakeAt > steadyNow && wake >= n.wakeAt
@@ -185,7 +194,7 @@
 	})
 }
 
-// isRunning reports whether a process has not ended.
+// isRunning reports whether the process with this incarnation is still running.
 func (n *node) isRunning(incarnation int) bool {
 	return n.incarnation == incarnation && n.controller != nil
 }
@@ -221,7 +230,8 @@
 	}, deliver)
 }
 
-// call carries a call of the controller, and gives it the result.
+// call sends a call of the controller, and gives it the result. The result is empty if the call
+// times out.
 func (n *node) call(call controller.Call) {
 	if txn, ok := call.Req.(wire.Txn); ok {
 		n.checkLimits(txn)
@@ -247,14 +257,14 @@
 	})
 }
 
-// serveCall passes a call on to the called side, unless a fault prevents that.
+// serveCall passes a call on to the called component, unless a fault prevents that.
 func (n *node) serveCall(call controller.Call, reply func(controller.Result)) {
 	s := n.sim
 	toState := call.To == controller.ToState
 	_, isWatch := call.Req.(statestore.WatchKeys)
 	switch {
 	case toState && s.now < n.stateRefusedUntil:
-		if !isWatch { // watches wait, as in an outage
+		if !isWatch { // watches get no answer, as in an outage
 			reply(controller.Result{Status: http.StatusServiceUnavailable})
 		}
 	case s.refusesJobs(call):
@@ -266,7 +276,7 @@
 	}
 }
 
-// link returns the link that a call goes over.
+// link returns the name of the network link that a call uses.
 func (n *node) link(call controller.Call) string {
 	switch call.To {
 	case controller.ToState:
@@ -287,12 +297,12 @@
 
 func (n *node) workerLink(machine string) string { return n.label + "-" + machine }
 
-// peerLink is named alike from both ends.
+// peerLink returns the link to another controller. Its name is the same at both ends.
 func (n *node) peerLink(peer string) string {
 	return min(n.label, peer) + "-" + max(n.label, peer)
 }
 
-// workerLinks returns the links to all machines.
+// workerLinks returns the links to all machines ever rented.
 func (n *node) workerLinks() (links []string) {
 	for _, name := range n.sim.machineNames {
 		links = append(links, n.workerLink(name))
--- a/internal/simulation/plan.go
+++ b/internal/simulation/plan.go
@@ -6,69 +6,73 @@
 	"garnethitch/quota"
 )
 
-// Plan says what a run is made of.
+// Plan describes a run: the cluster, the load and the faults.
 type Plan struct {
 	Seed     uint64
 	Nodes    int
 	Teams    []controller.Team
-	Machines int // that run at a time
-	Jobs     int
-	// InitialMachines is how many machines are up at the start; 0: as many as suits the rest.
+	Machines int // maximum number at a time
+	Jobs     int // ordinary jobs, without those of DAGs and Cascade
+	// InitialMachines is the number of machines that are up at the start. 0: derived from
+	// Machines.
 	InitialMachines int
-	// Large makes arrays large and machines many, and workers' ticks longer.
+	// Large gives jobs many tasks, starts with more machines and makes the workers' ticks longer.
 	Large bool
-	// DAGs is how many sets of jobs that depend on each other are submitted besides.
+	// DAGs is the number of sets of interdependent jobs that are submitted in addition to Jobs.
 	DAGs int
-	// Churn makes every job one task, four of them a second, a quarter cancelled.
+	// Churn gives every job one task, submits four jobs a second and cancels a quarter of them.
 	Churn bool
-	// Cascade cancels a job that many others depend on.
+	// Cascade, if set, cancels a job that many others depend on.
 	Cascade *Cascade
-	// Groups are groups of teams whose limits change meanwhile.
+	// Groups are groups of teams whose limits operators change during the run.
 	Groups []quota.GroupOptions
-	// StatusRequestRate is how many times a second users ask about jobs, each time at all
-	// controllers, beside what they ask about their own.
+	// StatusRequestRate is how many times a second all controllers are asked about a job, in
+	// addition to the requests of users about their own jobs.
 	StatusRequestRate float64
 
-	// StateRPS and WriteRPS are the limits of the state service; 0: large ones.
+	// StateRPS and WriteRPS limit the requests and the writes to the state service, per second.
+	// 0: a high limit.
 	StateRPS, WriteRPS float64
-	// MaxFinalJobs is how many final states a controller keeps; 0: the controller's own number.
+	// MaxFinalJobs is the number of final jobs that a controller keeps in memory. 0: the
+	// controller's default.
 	MaxFinalJobs int
-	// UpgradeFrom begins with controllers of an older version, which are replaced one by one;
-	// Rollback has them return to it later.
+	// UpgradeFrom is the release that the controllers run at first; they are then upgraded one
+	// by one. Rollback returns them to that release later.
 	UpgradeFrom Release
 	Rollback    bool
 
-	// Faults adds faults of single parts.
+	// Faults adds faults that each hit a single component.
 	Faults bool
-	// FleetFaults adds faults that hit many machines or all controllers at a time.
+	// FleetFaults adds faults that hit many machines or all controllers at once.
 	FleetFaults bool
 	// ConcurrentFaults adds faults that overlap, and users who repeat requests within
 	// milliseconds.
 	ConcurrentFaults bool
-	// LongOutage has one controller lose the state service with the answers to what it wrote,
-	// and then all of them for longer than a cancellation may take.
+	// LongOutage makes one controller lose the state service together with the answers to its
+	// writes, and then all controllers for longer than a cancellation may take.
 	LongOutage bool
-	// StaleJobs has controllers act on stale views of jobs: the state service refuses reads of jobs
-	// while owners end one after the other.
+	// StaleJobs makes controllers act on stale views of jobs: the state service refuses reads of
+	// jobs while owners crash one after the other.
 	StaleJobs bool
-	// ReconnectionWaves ends the leader, then all controllers, then all but one.
+	// ReconnectionWaves crashes the leader, then all controllers, then all but one.
 	ReconnectionWaves bool
-	// SlowStep is how long a step takes, for a while, on one controller and then on all.
-	// Inputs wait in line meanwhile.
+	// SlowStep is the duration of a step while controllers are slow: first one controller, later
+	// all. Inputs queue up meanwhile.
 	SlowStep micros.Micros
 
-	// ActiveTime is how long faults and submissions go on; after that nothing goes wrong, and
-	// every job must end within RecoveryTime.
+	// ActiveTime is the time during which jobs are submitted and faults injected. After it there
+	// are no more faults, and every job must end within RecoveryTime.
 	ActiveTime, RecoveryTime micros.Micros
 }
 
-// hasLongTasks reports whether some tasks of the plan's jobs are long, so that there are jobs
-// to cancel.
+// hasLongTasks reports whether some jobs of the plan have long tasks, so that running jobs can be
+// cancelled.
 func (p Plan) hasLongTasks() bool {
 	return p.ConcurrentFaults || p.LongOutage || p.StaleJobs
 }
 
-// mayReturnBusyMachines reports whether a controller may take busy machines for idle ones.
+// mayReturnBusyMachines reports whether the plan's faults may make a controller return a machine
+// that has tasks because it believes that the machine is idle.
 func (p Plan) mayReturnBusyMachines() bool {
 	return p.Faults || p.FleetFaults || p.hasLongTasks()
 }
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -1,7 +1,7 @@
-// Package simulation is a deterministic simulation that drives several controllers against
-// fakes of the state service, the cloud, workers and users, through losses, delays, late
-// copies, cuts and crashes. Every rule of the protocol is checked at every step. Equal seeds
-// give equal runs.
+// Package simulation runs several controllers against fakes of the state service, the cloud,
+// the workers and the users. It injects lost, delayed and duplicate messages, network
+// partitions and crashes, and checks the rules of the protocol as the run goes on. A run is
+// deterministic: the same plan and seed give the same run.
 package simulation
 
 import (
@@ -21,23 +21,24 @@
 	ms  = micros.Millisecond
 	sec = micros.Second
 
-	// seedStream separates a run's random numbers from others of the same seed.
+	// seedStream keeps a run's random numbers independent of other streams of the same seed.
 	seedStream = 77
-	// checkInterval is how often the rules about waiting are checked.
+	// checkInterval is how often the rules are checked that bound how long users and jobs wait.
 	checkInterval = 5 * sec
-	// settleTime is how long after Length a run ends at the earliest.
+	// settleTime is how long a run goes on after Plan.ActiveTime at least. Waiting jobs are checked
+	// from then on.
 	settleTime = 10 * sec
 )
 
-// Simulation is one run.
+// Simulation is one run of a Plan.
 type Simulation struct {
 	Counts
-	// Violations lists the rules that were broken, with time and circumstances.
+	// Violations describes each broken rule, with the time and the circumstances.
 	Violations []string
-	// Trace, if set, is called with a line for each event.
+	// Trace, if set, is called with one line of text for each event.
 	Trace func(string)
-	// OnSend, if set, is called with each Answer and Call of each controller, in the order in
-	// which they are sent. It must not change the effect.
+	// OnSend, if set, is called with each controller.Answer and controller.Call that a
+	// controller sends, in order. It must not modify the effect.
 	OnSend func(at micros.Micros, from string, effect controller.Effect)
 
 	plan        Plan
@@ -52,23 +53,25 @@
 	cloud         *fakes.Cloud
 	network       network
 	workers       map[string]*worker
-	machineNames  []string // in the order in which they were rented
+	machineNames  []string // all machines ever rented, in the order in which they were rented
 	users         []*user
 	userByJob     map[string]*user
-	tasksByJob    map[string]map[*fakes.Task]*worker // those that workers know of, exited ones included
-	groups        map[string]quota.Record
-	stateRequests []statestore.ClassMetrics // of processes that have ended
+	tasksByJob    map[string]map[*fakes.Task]*worker // tasks that workers know of, including exited ones
+	groups        map[string]quota.Record            // stored records by group; nil without groups
+	stateRequests []statestore.ClassMetrics          // counted by processes that have ended
 
-	// lostRepliesUntil is until when a machine's replies to commands are lost, by machine.
+	// lostRepliesUntil holds, by machine, the time until which its replies to commands are lost.
 	lostRepliesUntil map[string]micros.Micros
-	// jobsRefusedUntil is until when the state service refuses reads and watches of jobs.
+	// jobsRefusedUntil is the time until which the state service refuses reads and watches of
+	// jobs.
 	jobsRefusedUntil micros.Micros
-	// duplicateBurstUntil is until when many heartbeats are copied.
+	// duplicateBurstUntil is the time until which burstDuplicateFraction of heartbeats are
+	// duplicated.
 	duplicateBurstUntil micros.Micros
 	concurrentFaults    concurrentFaults
 }
 
-// New prepares a run.
+// New prepares a run of a plan.
 func New(p Plan) *Simulation {
 	s := newServices(p)
 	for i := range p.Nodes {
@@ -91,7 +94,8 @@
 	return s
 }
 
-// newServices makes the services and the settings of a run, with nobody to use them.
+// newServices returns a run that has its settings, state service and cloud, but no controllers,
+// machines or users yet.
 func newServices(p Plan) *Simulation {
 	s := &Simulation{
 		plan: p, cfg: p.settings(), rng: fakes.NewRandom(p.Seed, seedStream), now: sec,
@@ -109,7 +113,7 @@
 	return s
 }
 
-// settings returns the controllers' settings.
+// settings returns the settings of the controllers.
 func (p Plan) settings() controller.Config {
 	cfg := controller.Config{
 		Shards: p.Nodes, Teams: p.Teams,
@@ -121,12 +125,12 @@
 		StartWithin: map[string]micros.Micros{"rush": 3 * sec}, MaxFinalJobs: p.MaxFinalJobs,
 	}
 	if p.LongOutage {
-		cfg.Lease = 6 * sec // twice the margin of the bounds, which must not hide what they leave out
+		cfg.Lease = 6 * sec // twice the margin of the time bounds, so that it can't hide a term that a bound omits
 	}
 	return cfg
 }
 
-// initialMachines returns how many machines are up at the start.
+// initialMachines returns the number of machines that are up at the start.
 func (p Plan) initialMachines() int {
 	switch {
 	case p.InitialMachines > 0:
@@ -137,7 +141,8 @@
 	return min(3, p.Machines)
 }
 
-// addUsers adds the users of ordinary jobs, who submit them in the first three quarters of Length.
+// addUsers adds the users of ordinary jobs. They submit in the first three quarters of
+// Plan.ActiveTime; with Plan.Churn they submit at fixed intervals.
 func (s *Simulation) addUsers() {
 	for i := range s.plan.Jobs {
 		u := newUser(s, i)
@@ -155,7 +160,8 @@
 	s.userByJob[u.Submission.ID] = u
 }
 
-// scheduleEvents draws what happens during the run.
+// scheduleEvents schedules the upgrades, faults and loads that the plan asks for, at times drawn
+// from the seed.
 func (s *Simulation) scheduleEvents() {
 	p := s.plan
 	for _, events := range []struct {
@@ -178,7 +184,8 @@
 	}
 }
 
-// Run plays the run to its end, or to the first violation.
+// Run processes events until the run ends or a rule is broken. A run ends when all jobs have
+// ended, or when RecoveryTime is over.
 func (s *Simulation) Run() {
 	end := s.plan.ActiveTime + s.plan.RecoveryTime
 	for _, more := s.queue.Due(); more && s.now < end && len(s.Violations) == 0; _, more = s.queue.Due() {
@@ -198,7 +205,7 @@
 	s.checkEnded()
 }
 
-// checkPeriodically checks the rules about waiting, every checkInterval.
+// checkPeriodically checks the rules about waiting once per checkInterval.
 func (s *Simulation) checkPeriodically() {
 	if s.now < s.nextCheckAt {
 		return
@@ -218,7 +225,8 @@
 	return true
 }
 
-// violated records that a rule was broken.
+// violated records the violation of a rule. The text begins with the name of the rule and a
+// colon.
 func (s *Simulation) violated(format string, args ...any) {
 	s.Violations = append(s.Violations, fmt.Sprintf("%.3f s: ", s.now.Seconds())+fmt.Sprintf(format, args...))
 }
@@ -229,20 +237,21 @@
 	}
 }
 
-// at has f happen at a time.
+// at schedules f at time t, or now if t has passed.
 func (s *Simulation) at(t micros.Micros, f func()) { s.queue.Add(max(t, s.now), f) }
 
-// after has f happen once the duration has passed.
+// after schedules f once d has passed.
 func (s *Simulation) after(d micros.Micros, f func()) { s.at(s.now+d, f) }
 
-// scheduler makes the fakes run by the simulation's time.
+// scheduler lets the fakes use the simulation's clock and event queue.
 type scheduler struct{ sim *Simulation }
 
 func (s scheduler) Now() micros.Micros { return s.sim.now }
 
 func (s scheduler) After(d micros.Micros, f func()) { s.sim.after(d, f) }
 
-// handlePut is called with each value that controllers write.
+// handlePut is called with each value that a controller writes to the state service. A new lock
+// triggers the replay of old heartbeats.
 func (s *Simulation) handlePut(key string, value wire.Raw, _ uint64) {
 	if fakes.IsLock(key) {
 		s.replayHeartbeats()
@@ -250,5 +259,5 @@
 	s.handleGroupRecord(key, value)
 }
 
-// userOf returns the user of a job; nil: nobody submitted it.
+// userOf returns the user who owns a job, or nil if no user has a job with this ID.
 func (s *Simulation) userOf(job string) *user { return s.userByJob[job] }
--- a/internal/simulation/slow_steps.go
+++ b/internal/simulation/slow_steps.go
@@ -5,13 +5,13 @@
 	"garnethitch/internal/micros"
 )
 
-// queuedInput waits for a controller that is short of time.
+// queuedInput is an input in the backlog of a slow controller.
 type queuedInput struct {
 	input    controller.Input
 	queuedAt micros.Micros
 }
 
-// processBacklog takes the next input of the backlog, which takes its time.
+// processBacklog processes the inputs of the backlog one after the other, each after stepTime.
 func (n *node) processBacklog() {
 	if n.stepInProgress || len(n.backlog) == 0 {
 		return
@@ -35,8 +35,8 @@
 	})
 }
 
-// freezeBacklog has the backlog wait with a process that is frozen, the input under way
-// included.
+// freezeBacklog moves the backlog, including the input in progress, to the inputs that wait until
+// the process is no longer frozen.
 func (n *node) freezeBacklog() {
 	n.stepInProgress = false
 	for _, queued := range n.backlog {
@@ -45,16 +45,16 @@
 	n.backlog = nil
 }
 
-// slowDown makes some controllers slow for a while.
+// slowDown makes the steps of some controllers take the plan's SlowStep for the duration d.
 func (s *Simulation) slowDown(nodes []*node, d micros.Micros) {
 	for _, n := range nodes {
-		s.trace("%s takes %v s a step for %v s", n.label, s.plan.SlowStep.Seconds(), d.Seconds())
+		s.trace("each step of %s takes %v s for the next %v s", n.label, s.plan.SlowStep.Seconds(), d.Seconds())
 		n.stepTime = s.plan.SlowStep
 		s.after(d, func() { n.stepTime = 0 })
 	}
 }
 
-// scheduleSlowSteps slows one controller down, later all of them.
+// scheduleSlowSteps slows down one controller, and later all controllers.
 func (s *Simulation) scheduleSlowSteps() {
 	s.after(s.between(10*sec, s.plan.ActiveTime/3), func() {
 		s.slowDown([]*node{s.drawNode()}, s.between(10*sec, 25*sec))
--- a/internal/simulation/user.go
+++ b/internal/simulation/user.go
@@ -10,54 +10,55 @@
 )
 
 const (
-	// submitTimeout is that of a submission and of a cancellation, statusTimeout that of a
-	// status request.
+	// submitTimeout is the timeout of submissions and cancellations, statusTimeout that of status
+	// requests.
 	submitTimeout = 5 * sec
 	statusTimeout = 2 * sec
-	// maxSubmitAttempts is how often a user tries to submit a job.
+	// maxSubmitAttempts limits how often a user repeats a failed submission before giving up.
 	maxSubmitAttempts = 60
-	// retryPause is how long a user waits before a request is repeated.
+	// retryPause is how long a user waits before repeating a request.
 	retryPause = sec
-	// statusInterval is how often a user asks about a job, finalStatusInterval how often about
-	// one that has ended.
+	// statusInterval is the pause between status requests about a job, finalStatusInterval the
+	// pause once a final state is reported.
 	statusInterval      = 2 * sec
 	finalStatusInterval = 10 * sec
-	// unknownJobChance is how probable it is that a user asks about an unknown job, too.
+	// unknownJobChance is the probability that a user also asks about an unknown job.
 	unknownJobChance = 0.05
 )
 
-// user owns one job: submits it, asks about it, perhaps cancels it, and holds the service to
-// what it reported.
+// user owns one job. The user submits it, asks for its status, may cancel it, and checks each answer
+// against earlier ones.
 type user struct {
 	fakes.Job
 	sim             *Simulation
 	willCancel      bool
-	dependencies    []*user // whose jobs this one depends on
-	cachedAncestors []*user // see ancestors
+	dependencies    []*user // users whose jobs this job depends on
+	cachedAncestors []*user // result of ancestors once computed
 
 	submitted         bool
 	submitAttempts    int
 	gaveUp            bool
 	accepted          bool
 	acceptedAt        micros.Micros
-	lastAnsweredAt    micros.Micros // when a request about it was last answered
+	lastAnsweredAt    micros.Micros // when a request about the job was last answered
 	cancelRequested   bool
-	cancelConfirmedAt micros.Micros // when it was first reported as cancelled; 0: it was not
-	finalState        wire.JobState // as reported; empty: none was
-
-	// For checks.
-	largest                bool          // one of its class's largest
-	waitingSince           micros.Micros // when a task was first seen waiting beside free capacity, without a start since
-	starts                 int           // of its tasks
-	startsWhenWaitingSince int           // when waitingSince was set
+	cancelConfirmedAt micros.Micros // when the job was first reported as cancelled; 0: never
+	finalState        wire.JobState // reported final state; empty: none yet
+
+	// The following fields are used by checks only.
+	largest                bool          // the job is among the largest of its class
+	waitingSince           micros.Micros // since when the job waits despite free capacity, without a start meanwhile; 0: it does not
+	starts                 int           // number of starts of the job's tasks
+	startsWhenWaitingSince int           // value of starts when waitingSince was set
 }
 
-// send sends a request to the controller that the load balancer picks.
+// send sends a request to a random controller, as through a load balancer.
 func (u *user) send(newInput func(controller.ReplyID) controller.Input, timeout micros.Micros, done func(controller.Answer, bool)) {
 	u.sendTo(u.sim.drawNode(), newInput, timeout, done)
 }
 
-// sendTo sends a request to a controller.
+// sendTo sends the request that newInput returns to a controller. done is called with the answer, or
+// with false after the timeout.
 func (u *user) sendTo(n *node, newInput func(controller.ReplyID) controller.Input, timeout micros.Micros, done func(controller.Answer, bool)) {
 	exchange(u.sim, n.userLink(), timeout, func(reply func(controller.Answer)) { n.deliverRequest(newInput, reply) }, done)
 }
@@ -74,7 +75,7 @@
 	return controller.CancelRequest{Reply: id, ID: u.Submission.ID}
 }
 
-// submit submits the job until it is accepted.
+// submit submits the job, and repeats that until it is accepted or the user gives up.
 func (u *user) submit() {
 	s := u.sim
 	u.submitted = true
@@ -85,7 +86,7 @@
 		case ok && (a.Status == http.StatusCreated || a.Status == http.StatusOK):
 			u.handleAccepted(a, finalState)
 		case ok && (a.Status == http.StatusBadRequest || a.Status == http.StatusUnprocessableEntity):
-			s.violated("a good submission of %s got %d", u.Submission.ID, a.Status)
+			s.violated("the valid submission of %s was rejected with status %d", u.Submission.ID, a.Status)
 		case u.submitAttempts > maxSubmitAttempts:
 			u.gaveUp = true
 		default:
@@ -94,7 +95,7 @@
 	})
 }
 
-// handleAccepted plans what the user does with an accepted job.
+// handleAccepted checks the answer that accepts the job, and schedules the user's further requests.
 func (u *user) handleAccepted(a controller.Answer, finalState wire.JobState) {
 	s := u.sim
 	u.accepted = true
@@ -109,9 +110,10 @@
 	s.after(s.between(2*sec, 60*sec), u.resubmit)
 }
 
-// resubmit repeats the submission of an accepted job.
+// resubmit repeats the submission of an accepted job at a random controller.
 func (u *user) resubmit() { u.resubmitTo(u.sim.drawNode()) }
 
+// resubmitTo repeats the submission at a controller, and checks that it is not rejected.
 func (u *user) resubmitTo(n *node) {
 	finalState := u.finalState
 	u.sendTo(n, u.submitRequest, submitTimeout, func(a controller.Answer, ok bool) {
@@ -125,7 +127,7 @@
 	})
 }
 
-// rejected reports whether an answer says that a submission is not valid, or unknown.
+// rejected reports whether an answer says that a submission is invalid or its job unknown.
 func rejected(a controller.Answer) bool {
 	return a.Status == http.StatusBadRequest || a.Status == http.StatusUnprocessableEntity || a.Status == http.StatusNotFound
 }
@@ -145,7 +147,7 @@
 	})
 }
 
-// requestUnknownStatus asks about a job that nobody submitted.
+// requestUnknownStatus asks about a job that no user submits, and checks that it is not found.
 func (u *user) requestUnknownStatus() {
 	s := u.sim
 	unknown := s.drawUnknownJob(firstUnknownPolled, unknownPolledCount)
@@ -153,13 +155,13 @@
 		return controller.JobStatusRequest{Reply: id, ID: unknown}
 	}, statusTimeout, func(a controller.Answer, ok bool) {
 		if ok && a.Status == http.StatusOK {
-			s.violated("invented: %s", unknown)
+			s.violated("invented: status of %s, which no user submitted", unknown)
 		}
 	})
 }
 
-// requestStatus asks a controller about the job; then, if set, is called after the answer or
-// the timeout.
+// requestStatus asks a controller for the job's status and checks the answer. then, if not nil, is
+// called after the answer or the timeout.
 func (u *user) requestStatus(n *node, then func()) {
 	finalState := u.finalState
 	u.sendTo(n, u.statusRequest, statusTimeout, func(a controller.Answer, ok bool) {
@@ -172,7 +174,7 @@
 	})
 }
 
-// requestCancel cancels the job, and repeats that until a final state is reported.
+// requestCancel asks to cancel the job, and repeats that until a final state is reported.
 func (u *user) requestCancel() {
 	s := u.sim
 	if u.finalState != "" {
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -16,16 +16,16 @@
 	longDelayFraction = 0.5
 )
 
-// worker is a machine of the simulation with its worker. It is the worker's host: its network
-// to the controllers, and the checks of what it does.
+// worker is a machine with a fake worker. It implements the fake worker's host: it connects the
+// worker to the controllers, and checks the rules about what the worker does.
 type worker struct {
 	*fakes.Worker
 	sim              *Simulation
-	unreachableUntil micros.Micros // until then nothing that is sent to it arrives
-	cutOffUntil      micros.Micros // until then it reaches no controller
+	unreachableUntil micros.Micros // until then nothing that is sent to the machine arrives
+	cutOffUntil      micros.Micros // until then the machine's heartbeats reach no controller
 }
 
-// addWorker starts a worker on a new machine.
+// addWorker starts a worker on a newly rented machine.
 func (s *Simulation) addWorker(m *fakes.Machine) {
 	w := &worker{sim: s}
 	w.Worker = fakes.NewWorker(m, s.workerConfig(), w)
@@ -48,7 +48,9 @@
 	return config
 }
 
-// SendHeartbeat sends a heartbeat, and perhaps a copy of it later.
+// SendHeartbeat sends a heartbeat to a controller, and may deliver duplicates of it later. done is
+// called with the answer or after a timeout. It reports false if the worker is cut off; done is not
+// called then.
 func (w *worker) SendHeartbeat(node int, heartbeat *wire.Heartbeat, done func(controller.Answer, bool)) (sent bool) {
 	s := w.sim
 	s.keepHeartbeat(heartbeat)
@@ -67,8 +69,8 @@
 	return true
 }
 
-// maybeDuplicateLater may deliver a copy of a heartbeat again, to any controller, from seconds to
-// well over a lease later. The reply to it is lost.
+// maybeDuplicateLater may deliver a duplicate of a heartbeat to any controller, between a fraction of
+// a second and three worker leases later. The reply to the duplicate is lost.
 func (s *Simulation) maybeDuplicateLater(heartbeat *wire.Heartbeat) {
 	if !s.plan.Faults {
 		return
@@ -88,7 +90,7 @@
 	})
 }
 
-// Job returns a job by its name; nil: nobody submitted it.
+// Job returns the job with the given ID, or nil if no user has it.
 func (w *worker) Job(name string) *fakes.Job {
 	if u := w.sim.userOf(name); u != nil {
 		return &u.Job
@@ -96,7 +98,7 @@
 	return nil
 }
 
-// TaskAdded records a task that the worker knows of.
+// TaskAdded records a task that the worker has learnt of.
 func (w *worker) TaskAdded(t *fakes.Task) {
 	s := w.sim
 	if s.userOf(t.Job) == nil {
@@ -111,25 +113,25 @@
 // TaskForgotten removes a task that the worker has forgotten.
 func (w *worker) TaskForgotten(t *fakes.Task) { delete(w.sim.tasksByJob[t.Job], t) }
 
-// TaskStarted checks the rules when a task has its image.
+// TaskStarted checks the rules about a start when a task's image is loaded.
 func (w *worker) TaskStarted(t *fakes.Task) { w.sim.checkStart(w, t) }
 
-// TaskCompleted counts a task, and may have its job cancelled.
+// TaskCompleted counts a completed task, and may cancel its job at that moment.
 func (w *worker) TaskCompleted(t *fakes.Task) {
 	w.sim.Finished++
 	w.sim.maybeCancelAtEnd(w.sim.userOf(t.Job))
 }
 
-// LeaseRenewed checks the rule of renewed leases.
+// LeaseRenewed checks the rule about renewed leases.
 func (w *worker) LeaseRenewed() { w.sim.checkLeaseRenewal(w) }
 
-// Ticked checks the rule of cancelled tasks.
+// Ticked checks the rule about the tasks of cancelled jobs.
 func (w *worker) Ticked() { w.checkCancelledTasks() }
 
-// Trace passes a line on.
+// Trace adds a line to the simulation's trace.
 func (w *worker) Trace(format string, args ...any) { w.sim.trace(format, args...) }
 
-// runsWantedTask reports whether a task runs on the machine whose user has not cancelled it.
+// runsWantedTask reports whether the machine runs a task whose user has not asked to cancel it.
 func (w *worker) runsWantedTask() bool {
 	for _, t := range w.Tasks() {
 		if t.OnMachine() && !w.sim.userOf(t.Job).cancelRequested {
