--- a/internal/digest/digest.go
+++ b/internal/digest/digest.go
@@ -1,7 +1,6 @@
-// Package digest computes hashes of all messages that controllers send in runs of the
-// simulation. A refactoring that preserves behaviour leaves them as they are. The hashes
-// are made of encoded messages only: no name of a Go type or field enters them, and
-// neither do log lines or spans.
+// Package digest computes a hash of all messages that controllers send in a run of the
+// simulation. A refactoring that preserves behaviour does not change the hashes. Only encoded
+// messages enter a hash: names of Go types and fields, log lines and spans do not.
 package digest
 
 import (
@@ -18,19 +17,19 @@
 	"garnethitch/internal/simulation"
 )
 
-// Header is the first line of a file of digests.
+// Header is the first line of a file with digests.
 const Header = "# plan/seed, number of messages, hash of all messages; made by: go run ./internal/measure digest"
 
-// hashBytes is how many bytes of a hash are kept.
+// hashBytes is the number of bytes to which a hash is truncated.
 const hashBytes = 8
 
-// Run names one run of the simulation.
+// Run identifies one run of the simulation.
 type Run struct {
 	Plan simulation.NamedPlan
 	Seed uint64
 }
 
-// Digest is the hash of all messages that the controllers sent in one run.
+// Digest holds the number and the hash of all messages that the controllers sent in one run.
 type Digest struct {
 	Plan     string
 	Seed     uint64
@@ -38,12 +37,12 @@
 	Hash     string
 }
 
-// String returns the line that stands for the digest in a file.
+// String returns the line for the digest in a file with digests.
 func (d Digest) String() string {
 	return fmt.Sprintf("%s/%d %d %s", d.Plan, d.Seed, d.Messages, d.Hash)
 }
 
-// Play plays one run.
+// Play plays one run and returns its digest. It returns an error if a message can't be encoded.
 func Play(run Run) (Digest, error) {
 	recorder := newRecorder()
 	sim := simulation.New(run.Plan.WithSeed(run.Seed))
@@ -64,7 +63,7 @@
 type recorder struct {
 	hash     hash.Hash
 	messages int
-	err      error // the first
+	err      error // first error, if any
 }
 
 func newRecorder() *recorder {
@@ -75,6 +74,7 @@
 	return hex.EncodeToString(r.hash.Sum(nil)[:hashBytes])
 }
 
+// record hashes one message with the time and the label of the controller that sends it.
 func (r *recorder) record(at micros.Micros, from string, effect controller.Effect) {
 	r.messages++
 	r.writeNumber(int64(at))
@@ -155,15 +155,17 @@
 }
 
 const (
-	// defaultSeeds and defaultSeedsLarge are how many seeds of a plan are played by default.
+	// defaultSeeds is the default number of seeds of a plan, defaultSeedsLarge that of a large
+	// plan.
 	defaultSeeds      = 2
 	defaultSeedsLarge = 1
-	// largeMachines is from how many machines on a plan is large.
+	// largeMachines is the number of machines from which on a plan is large.
 	largeMachines = 300
 )
 
-// Runs lists the runs of the plans whose names contain pattern, ordered by plan, then by
-// seed. With seeds 0 it lists few seeds of each plan, and fewer of large ones.
+// Runs returns the runs of the plans whose names contain pattern, ordered by plan, then by
+// seed. seeds is the number of seeds of each plan; 0 selects the default number, which is
+// smaller for large plans.
 func Runs(plans []simulation.NamedPlan, pattern string, seeds int) []Run {
 	var runs []Run
 	for _, plan := range plans {
--- a/internal/digest/digest_test.go
+++ b/internal/digest/digest_test.go
@@ -20,13 +20,15 @@
 	}
 	lines := strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
 	if lines[0] != Header {
-		t.Errorf("the file begins with %q, want %q", lines[0], Header)
+		t.Errorf("the first line of the file is %q, want %q", lines[0], Header)
 	}
 	return lines[1:]
 }
 
-// TestBehaviourIsPreserved plays a few small plans and compares the digests of their
-// messages with the recorded ones. The whole file is compared with what the command prints.
+// TestBehaviourIsPreserved guards against refactorings that change the controllers' messages: it
+// plays a few small plans and compares their digests with the recorded ones. The other recorded
+// digests are checked by comparing the whole file with the output of "go run ./internal/measure
+// digest".
 func TestBehaviourIsPreserved(t *testing.T) {
 	lines := readRecorded(t)
 	plans := simulation.RulePlans()
@@ -45,7 +47,7 @@
 			t.Parallel()
 			i := slices.IndexFunc(plans, func(p simulation.NamedPlan) bool { return p.Name == name })
 			if i < 0 {
-				t.Fatal("no such plan")
+				t.Fatal("RulePlans has no plan of this name")
 			}
 			got, err := Play(Run{Plan: plans[i], Seed: 1})
 			if err != nil {
@@ -58,7 +60,8 @@
 	}
 }
 
-// TestEveryRunIsRecorded checks that the file has a line for each run that is played by default.
+// TestEveryRunIsRecorded checks that the file has a line for each run that is played by default, in
+// the same order.
 func TestEveryRunIsRecorded(t *testing.T) {
 	t.Parallel()
 	lines := readRecorded(t)
@@ -70,7 +73,7 @@
 		name := Digest{Plan: run.Plan.Name, Seed: run.Seed}.String()
 		name = strings.TrimSuffix(name, " 0 ")
 		if !strings.HasPrefix(lines[i], name+" ") {
-			t.Errorf("line %d is %q, want that of %s", i, lines[i], name)
+			t.Errorf("line %d is %q, want the line of %s", i, lines[i], name)
 		}
 	}
 }
@@ -85,12 +88,12 @@
 		recorded.OnSend = newRecorder().record
 		recorded.Run()
 		if outcomeOf(plain) != outcomeOf(recorded) {
-			t.Errorf("%s: %+v, recorded %+v", plan.Name, outcomeOf(plain), outcomeOf(recorded))
+			t.Errorf("%s: outcome %+v without a recorder, %+v with one", plan.Name, outcomeOf(plain), outcomeOf(recorded))
 		}
 	}
 }
 
-// outcome is what a run comes to.
+// outcome summarizes a run for comparison.
 type outcome struct {
 	started    int
 	finished   int
--- a/internal/digest/parallel.go
+++ b/internal/digest/parallel.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// PlayAll plays runs, at most parallel of them at a time. The digests are in the order of
-// the runs.
+// PlayAll plays the runs, at most parallel of them at a time, and returns their digests in the
+// order of the runs. The error joins those of all runs that failed.
 func PlayAll(runs []Run, parallel int) ([]Digest, error) {
 	digests := make([]Digest, len(runs))
 	failures := make([]error, len(runs))
--- a/internal/eventqueue/eventqueue.go
+++ b/internal/eventqueue/eventqueue.go
@@ -1,4 +1,4 @@
-// Package eventqueue is the queue of events of a simulation.
+// Package eventqueue provides the queue of timed events of a simulation.
 package eventqueue
 
 import (
@@ -7,11 +7,11 @@
 	"garnethitch/internal/micros"
 )
 
-// Queue holds events in order of time, and events of the same time in the order in which they
-// were added. The zero value is empty.
+// Queue is a priority queue of events, ordered by time. Events of the same time are taken in the
+// order in which they were added. The zero value is an empty queue.
 type Queue struct {
 	events eventHeap
-	added  uint64 // number of events
+	added  uint64 // number of events ever added
 }
 
 type event struct {
@@ -20,7 +20,7 @@
 	run      func()
 }
 
-// eventHeap implements heap.Interface.
+// eventHeap implements heap.Interface, with the earliest event first.
 type eventHeap []event
 
 func (h eventHeap) Len() int { return len(h) }
@@ -43,13 +43,13 @@
 	return removed
 }
 
-// Add adds an event at a time.
+// Add adds an event that calls run at the given time.
 func (q *Queue) Add(at micros.Micros, run func()) {
 	q.added++
 	heap.Push(&q.events, event{at: at, sequence: q.added, run: run})
 }
 
-// Due returns the time of the next event; ok is false if there is none.
+// Due returns the time of the next event; ok is false if the queue is empty.
 func (q *Queue) Due() (at micros.Micros, ok bool) {
 	if len(q.events) == 0 {
 		return 0, false
@@ -57,7 +57,7 @@
 	return q.events[0].at, true
 }
 
-// Take removes the next event and returns it. The queue must not be empty.
+// Take removes and returns the next event. It panics if the queue is empty.
 func (q *Queue) Take() (at micros.Micros, run func()) {
 	next := heap.Pop(&q.events).(event)
 	return next.at, next.run
--- a/internal/eventqueue/eventqueue_test.go
+++ b/internal/eventqueue/eventqueue_test.go
@@ -7,6 +7,8 @@
 	"garnethitch/internal/micros"
 )
 
+// TestQueueOrder checks that events are taken in order of time, and events of the same time in the
+// order in which they were added.
 func TestQueueOrder(t *testing.T) {
 	var q Queue
 	var taken []string
@@ -21,7 +23,7 @@
 	for due, ok := q.Due(); ok; due, ok = q.Due() {
 		at, run := q.Take()
 		if at != due {
-			t.Errorf("an event of %d is taken, due was %d", at, due)
+			t.Errorf("Take returned an event of time %d after Due returned %d", at, due)
 		}
 		times = append(times, at)
 		run()
@@ -34,8 +36,8 @@
 	}
 }
 
-// TestQueueEventAddsEvent checks that an event that is added while another runs is taken in its
-// turn.
+// TestQueueEventAddsEvent checks that an event that is added by a running event is taken in order
+// of time.
 func TestQueueEventAddsEvent(t *testing.T) {
 	var q Queue
 	var taken []string
--- a/internal/simulation/cascade_test.go
+++ b/internal/simulation/cascade_test.go
@@ -9,8 +9,8 @@
 
 // TestCascades checks that cancelling a job cancels all its dependents by the deadline of the
 // cancellation, up to the number of dependents that the settings allow for, and that the rules hold
-// meanwhile. The owner of the jobs may crash or be cut off, the state service may refuse it or lower
-// its limits, and the controllers may be upgraded.
+// meanwhile. The owner of the jobs may crash or be cut off, the state service may refuse it or
+// lower its limits, and the controllers may be upgraded.
 func TestCascades(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
--- a/internal/simulation/check_tasks.go
+++ b/internal/simulation/check_tasks.go
@@ -137,7 +137,7 @@
 		job, _, err := wire.ParseTask(command.Task)
 		u := s.userOf(job)
 		if err == nil && u != nil && u.cancelConfirmedAt != 0 {
-			s.violated("%s starts %s %v s after its job was reported as cancelled", n.label, command.Task, (s.now - u.cancelConfirmedAt).Seconds())
+			s.violated("%s sends a start of %s %v s after its job was reported as cancelled", n.label, command.Task, (s.now - u.cancelConfirmedAt).Seconds())
 		}
 	}
 }
--- a/internal/simulation/concurrent_faults.go
+++ b/internal/simulation/concurrent_faults.go
@@ -6,52 +6,56 @@
 	"garnethitch/internal/wire"
 )
 
-// Concurrent faults overlap with each other, and with the faults of single parts.
+// This file holds the faults of Plan.ConcurrentFaults. They overlap with each other, and with the
+// faults of single components.
 
 const (
-	// concurrentFaultCount is how many of the concurrent faults a run has.
+	// concurrentFaultCount is the number of concurrent faults in a run.
 	concurrentFaultCount = 9
-	// maxKeptHeartbeats is how many copies of heartbeats are kept at a time.
+	// maxKeptHeartbeats is the maximum number of heartbeats kept for replay.
 	maxKeptHeartbeats = 400
-	// keptFraction of heartbeats are.
+	// keptFraction is the fraction of heartbeats that are kept for replay.
 	keptFraction = 0.3
-	// maxReplayDelay is within what time kept heartbeats are delivered.
+	// maxReplayDelay is the time within which kept heartbeats are delivered once a replay begins.
 	maxReplayDelay = 60 * ms
 )
 
-// concurrentFaults is the state of the concurrent faults that last for a while.
+// concurrentFaults is the state of the concurrent faults that last for some time.
 type concurrentFaults struct {
 	unansweredWrites unansweredWrites
 
-	// kept are copies of heartbeats, which are replayed when the next leader or owner begins.
+	// Until keepUntil, heartbeats are kept. They are replayed when the next leader or owner takes
+	// its lock.
 	keepUntil micros.Micros
 	kept      []*wire.Heartbeat
 
 	repeatUntil      micros.Micros // until then users repeat requests within milliseconds
-	cancelAtEndUntil micros.Micros // until then they cancel jobs at the end of the last task
-	fastBootUntil    micros.Micros // until then machines are up within two seconds
+	cancelAtEndUntil micros.Micros // until then users cancel jobs as the last task ends
+	fastBootUntil    micros.Micros // until then rented machines are up within two seconds
 }
 
-// unansweredWrites are transactions that get no answer.
+// unansweredWrites describes the fault that transactions are executed but get no answer.
 type unansweredWrites struct {
-	fraction  float64
+	fraction  float64 // of the transactions
 	until     micros.Micros
-	immediate bool  // they are carried out when they come, else some seconds later
-	onlyNode  *node // that it happens to; nil: to all
+	immediate bool  // execute the transactions when they arrive, rather than some seconds later
+	onlyNode  *node // the only controller that is affected; nil: all are
 }
 
-// startUnansweredWrites has a fraction of all transactions get no answer for a while.
+// startUnansweredWrites starts the fault of unanswered writes at all controllers for the duration
+// d.
 func (s *Simulation) startUnansweredWrites(fraction float64, immediate bool, d micros.Micros) {
 	s.concurrentFaults.unansweredWrites = unansweredWrites{fraction: fraction, until: s.now + d, immediate: immediate}
 }
 
-// affects reports whether a call is a transaction that may get no answer.
+// affects reports whether a call of a controller is a transaction that may get no answer.
 func (l *unansweredWrites) affects(n *node, call controller.Call, now micros.Micros) bool {
 	_, isTxn := call.Req.(wire.Txn)
 	return isTxn && now < l.until && (l.onlyNode == nil || l.onlyNode == n)
 }
 
-// maybeExecuteUnanswered may carry a transaction out without an answer, and reports whether it does.
+// maybeExecuteUnanswered decides whether a call is executed without an answer, and reports whether
+// it is.
 func (s *Simulation) maybeExecuteUnanswered(n *node, call controller.Call) bool {
 	late := &s.concurrentFaults.unansweredWrites
 	if !late.affects(n, call, s.now) || !s.chance(late.fraction) {
@@ -66,8 +70,7 @@
 	return true
 }
 
-// keepHeartbeat may keep a copy of a heartbeat, to be replayed when the next leader or owner
-// begins.
+// keepHeartbeat may keep a heartbeat, to be replayed when the next leader or owner takes its lock.
 func (s *Simulation) keepHeartbeat(heartbeat *wire.Heartbeat) {
 	c := &s.concurrentFaults
 	if s.now < c.keepUntil && len(c.kept) < maxKeptHeartbeats && s.chance(keptFraction) {
@@ -75,8 +78,9 @@
 	}
 }
 
-// replayHeartbeats delivers the heartbeats that were kept to every controller, just as a new
-// leader or owner begins, before and after it knows of that. The replies are lost.
+// replayHeartbeats delivers the kept heartbeats to every controller. It is called when a new leader
+// or owner takes its lock, so that heartbeats arrive before and after the controller learns that it
+// has the lock. The replies are lost.
 func (s *Simulation) replayHeartbeats() {
 	kept := s.concurrentFaults.kept
 	s.concurrentFaults.kept = nil
@@ -88,7 +92,8 @@
 	}
 }
 
-// cutHeartbeats keeps a fraction of the machines from reaching any controller.
+// cutHeartbeats prevents a fraction of the machines from reaching any controller for the duration
+// d.
 func (s *Simulation) cutHeartbeats(fraction float64, d micros.Micros) {
 	for _, w := range s.drawMachines(fraction) {
 		w.cutOffUntil = s.now + d
@@ -96,7 +101,7 @@
 	}
 }
 
-// makeUnreachable keeps what is sent to a fraction of the machines from arriving.
+// makeUnreachable loses everything that is sent to a fraction of the machines for the duration d.
 func (s *Simulation) makeUnreachable(fraction float64, d micros.Micros) {
 	for _, w := range s.drawMachines(fraction) {
 		w.unreachableUntil = s.now + d
@@ -104,8 +109,8 @@
 	}
 }
 
-// owner returns the controller that owns most shards and leads, as far as the state
-// service knows.
+// owner returns the controller that holds the most locks of shards and of the leader in the state
+// service.
 func (s *Simulation) owner() *node {
 	locks := s.state.LocksByController()
 	owner := s.nodes[0]
@@ -117,12 +122,13 @@
 	return owner
 }
 
-// crashOwner ends the owner for a time up to longest.
+// crashOwner crashes the owner with a random downtime of at most longest.
 func (s *Simulation) crashOwner(longest micros.Micros) {
 	s.owner().crash(s.between(20*ms, longest))
 }
 
-// scheduleConcurrentFaults schedules drawn concurrent faults one after the other.
+// scheduleConcurrentFaults schedules concurrentFaultCount of the concurrent faults in random order.
+// They start one after the other.
 func (s *Simulation) scheduleConcurrentFaults() {
 	faults := append(s.ownerFaults(), s.messageFaults()...)
 	s.rng.Shuffle(len(faults), func(i, j int) { faults[i], faults[j] = faults[j], faults[i] })
@@ -132,7 +138,7 @@
 	}
 }
 
-// ownerFaults returns the concurrent faults in which controllers end or change.
+// ownerFaults returns the concurrent faults in which controllers crash or shards change owners.
 func (s *Simulation) ownerFaults() []func() {
 	return []func(){
 		s.oldHeartbeatsAtFailover,
@@ -145,16 +151,16 @@
 	}
 }
 
-// oldHeartbeatsAtFailover is the case that a heartbeat is held back until a new leader has acted;
-// an old one reaches every controller just as it begins; copies come after newer ones.
+// oldHeartbeatsAtFailover replays old heartbeats to every controller just as a new leader takes its
+// lock. Duplicates of heartbeats also arrive after the new leader has acted, and after newer
+// heartbeats.
 func (s *Simulation) oldHeartbeatsAtFailover() {
 	s.concurrentFaults.keepUntil = s.now + 20*sec
 	s.duplicateBurstUntil = s.now + 30*sec
 	s.after(s.between(2*sec, 18*sec), func() { s.crashOwner(5 * sec) })
 }
 
-// cancelDuringFailover is the case that jobs are cancelled in the seconds in which shards change
-// owners.
+// cancelDuringFailover cancels jobs in the seconds in which shards change owners.
 func (s *Simulation) cancelDuringFailover() {
 	s.crashOwner(6 * sec)
 	for range 4 {
@@ -162,8 +168,8 @@
 	}
 }
 
-// allAwayForLongerThanLease is the case that all controllers are away for longer than a worker's
-// lease.
+// allAwayForLongerThanLease crashes all controllers for longer than a worker's lease, just after
+// jobs are cancelled.
 func (s *Simulation) allAwayForLongerThanLease() {
 	s.cancelRunning(3, 0)
 	for _, n := range s.nodes {
@@ -171,16 +177,16 @@
 	}
 }
 
-// heartbeatsLostAtFailover is the case that workers reach no controller, while commands reach them;
-// a leader changes.
+// heartbeatsLostAtFailover loses the heartbeats of workers, while commands still reach the workers.
+// The leader crashes meanwhile.
 func (s *Simulation) heartbeatsLostAtFailover() {
 	lease := s.cfg.WorkerLease
 	s.cutHeartbeats(0.5, s.between(lease/2, 2*lease))
 	s.after(s.between(0, lease), func() { s.crashOwner(4 * sec) })
 }
 
-// fastBootsAndUnansweredWrites is the case that new machines are up at once while writes lag, and the
-// leader ends.
+// fastBootsAndUnansweredWrites makes new machines come up within seconds while writes get no
+// answer. Machines die and the leader crashes meanwhile.
 func (s *Simulation) fastBootsAndUnansweredWrites() {
 	s.concurrentFaults.fastBootUntil = s.now + 30*sec
 	s.startUnansweredWrites(0.5, s.chance(0.5), 20*sec)
@@ -188,8 +194,9 @@
 	s.after(s.between(2*sec, 15*sec), func() { s.crashOwner(4 * sec) })
 }
 
-// ownerRefusedBeforeOutage is the case that the state service refuses the leader alone and then
-// everybody for longer than a cancellation may take, while users cancel and ask.
+// ownerRefusedBeforeOutage makes the state service refuse the leader only, and then has an outage
+// of the service that lasts longer than a cancellation may take. Users cancel jobs and ask for
+// their status meanwhile.
 func (s *Simulation) ownerRefusedBeforeOutage() {
 	s.owner().stateRefusedUntil = s.now + s.between(2*sec, 8*sec)
 	s.cancelRunning(3, 0)
@@ -199,8 +206,8 @@
 	})
 }
 
-// failoversInSeries is the case that shards change owners back and forth, also within a second, and
-// all end.
+// failoversInSeries makes shards change owners back and forth, also within a second. All
+// controllers crash and the state service has an outage meanwhile.
 func (s *Simulation) failoversInSeries() {
 	for i := range 10 {
 		s.after(micros.Micros(i)*3*sec, func() { s.crashOwner(sec) })
@@ -224,16 +231,16 @@
 	}
 }
 
-// machinesUnreachableAtFailover is the case that a leader ends while machines can't be reached, or
-// don't get the new one's reply.
+// machinesUnreachableAtFailover crashes the leader while machines can't be reached, or before they
+// get a reply of the new leader.
 func (s *Simulation) machinesUnreachableAtFailover() {
 	lease := s.cfg.WorkerLease
 	s.makeUnreachable(0.4, s.between(lease/2, lease+5*sec))
 	s.after(s.between(0, 4*sec), func() { s.crashOwner(5 * sec) })
 }
 
-// leaderCutFromStateAndPeers is the case that a leader keeps its workers and users only; jobs are
-// cancelled through another.
+// leaderCutFromStateAndPeers cuts the leader off from everything but its workers and users. Jobs
+// are cancelled through other controllers meanwhile.
 func (s *Simulation) leaderCutFromStateAndPeers() {
 	lease := s.cfg.WorkerLease
 	n := s.owner()
@@ -243,8 +250,8 @@
 	}
 }
 
-// cancelOnHangingMachines is the case of teams at their limits, cancelled jobs whose machines
-// hang or are cut off, and a leader that changes.
+// cancelOnHangingMachines cancels jobs whose machines hang, while teams are at their limits and the
+// leader crashes.
 func (s *Simulation) cancelOnHangingMachines() {
 	lease := s.cfg.WorkerLease
 	s.cancelRunning(6, s.between(lease/2, lease+4*sec))
--- a/internal/simulation/concurrent_faults_test.go
+++ b/internal/simulation/concurrent_faults_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestConcurrentFaultsHappen checks that what a plan of concurrent faults is made of does take
-// place.
+// TestConcurrentFaultsHappen guards against plans that silently inject nothing: each kind of
+// concurrent fault and of long outage must occur in at least one of eight runs.
 func TestConcurrentFaultsHappen(t *testing.T) {
 	var runs []ConcurrentCounts
 	for seed := range uint64(8) {
--- a/internal/simulation/concurrent_users.go
+++ b/internal/simulation/concurrent_users.go
@@ -9,21 +9,21 @@
 	"garnethitch/internal/wire"
 )
 
-// What users do while there are concurrent faults.
+// This file holds what users do during concurrent faults.
 
 const (
-	// maxHungForCancel is how many machines of cancelled jobs hang at most.
+	// maxHungForCancel is the maximum number of machines that hang when jobs are cancelled.
 	maxHungForCancel = 8
-	// maxCancelDelay is within what time users cancel.
+	// maxCancelDelay is the time within which users send their cancellations.
 	maxCancelDelay = 200 * ms
 	// repeatRounds is how often a request is repeated at all controllers.
 	repeatRounds = 4
-	// impossibleCPUs fit on no machine.
+	// impossibleCPUs is a number of CPUs that no machine has.
 	impossibleCPUs = 1000
 )
 
-// cancelRunning has users cancel some running jobs with time left; some of their machines
-// hang for a while from then on, if hang is not 0.
+// cancelRunning makes users cancel up to count jobs whose tasks run for some time yet. If hang is
+// not 0, some of the machines that run these tasks hang for that time.
 func (s *Simulation) cancelRunning(count int, hang micros.Micros) {
 	minRemaining := 3 * sec
 	if s.plan.LongOutage {
@@ -50,11 +50,11 @@
 	}
 }
 
-// isOpen reports whether the job is accepted, is not completed and was not reported as ended.
+// isOpen reports whether the job is accepted, not completed and not reported as ended.
 func (u *user) isOpen() bool { return u.accepted && !u.Completed() && u.finalState == "" }
 
-// machinesRunning returns the machines on which tasks of a job run for longer than
-// minRemaining.
+// machinesRunning returns the machines on which tasks of a job have more than minRemaining left to
+// run.
 func (s *Simulation) machinesRunning(u *user, minRemaining micros.Micros) (machines []string) {
 	for t, w := range s.tasksByJob[u.Submission.ID] {
 		if t.OnMachine() && !w.Dead && t.Until > s.now+minRemaining {
@@ -64,7 +64,7 @@
 	return machines
 }
 
-// hangNamed has some of the machines hang for a while.
+// hangNamed makes at most maxHungForCancel of the named machines hang for the duration d.
 func (s *Simulation) hangNamed(machines []string, d micros.Micros) {
 	slices.Sort(machines)
 	machines = slices.Compact(machines)
@@ -73,7 +73,8 @@
 	}
 }
 
-// maybeCancelAtEnd may cancel a job at the moment at which its last task ends.
+// maybeCancelAtEnd may cancel a job at the moment its last task completes, and then asks for its
+// status and repeats the submission.
 func (s *Simulation) maybeCancelAtEnd(u *user) {
 	if s.now >= s.concurrentFaults.cancelAtEndUntil || !u.Completed() || u.cancelRequested || !s.chance(0.6) {
 		return
@@ -84,9 +85,10 @@
 	s.after(s.between(0, 5*ms), u.resubmit)
 }
 
-// requestRepeatedly is called when a job was accepted, has ended or is reported as cancelled:
-// its user asks all controllers several times within milliseconds, and repeats the
-// submission; some cancel at once. No controller may answer anything older.
+// requestRepeatedly makes the user ask all controllers for the job's status and repeat the
+// submission several times within milliseconds; some users also cancel the job. It is called when
+// the job is accepted and when a final state is reported. No controller may answer with an older
+// state.
 func (u *user) requestRepeatedly() {
 	s := u.sim
 	if s.now >= s.concurrentFaults.repeatUntil {
@@ -107,8 +109,9 @@
 	}
 }
 
-// sendInvalidRequests sends, for a while, submissions that lack a field or fit no machine, for
-// new jobs and for accepted ones, and cancellations of jobs that are done.
+// sendInvalidRequests sends invalid requests for the duration d: submissions that lack a field or
+// fit on no machine, with new IDs and with IDs of accepted jobs, and cancellations of jobs that are
+// done.
 func (s *Simulation) sendInvalidRequests(d micros.Micros) {
 	until := s.now + d
 	var next func()
@@ -128,12 +131,12 @@
 	next()
 }
 
-// invalidSubmission is a submission that can't be accepted.
+// invalidSubmission is a submission that must not be accepted.
 type invalidSubmission struct {
-	user        *user // whose job it may repeat
+	user        *user // user whose job's ID it may reuse
 	job         wire.Submission
-	undecodable bool // it lacks a field, and is not decoded
-	reusesID    bool // it has the name of a job that is accepted
+	undecodable bool // a field is missing, so that decoding fails
+	reusesID    bool // it has the ID of an accepted job
 }
 
 func (s *Simulation) drawInvalidSubmission(u *user) invalidSubmission {
@@ -155,8 +158,8 @@
 	return controller.SubmitRequest{Reply: id, Job: i.job}
 }
 
-// send sends the submission, and checks that it is rejected, or answered as the first one if it
-// repeats a job that is accepted.
+// send sends the submission. It checks that the submission is not accepted or, if it reuses the ID
+// of an accepted job, that the answer is about that job.
 func (i invalidSubmission) send(n *node) {
 	finalState := i.user.finalState
 	i.user.sendTo(n, i.input, submitTimeout, func(a controller.Answer, ok bool) {
@@ -164,16 +167,16 @@
 		switch {
 		case !ok:
 		case i.reusesID && rejected(a):
-			n.sim.violated("forgotten: an odd repeat of %s got %d", i.job.ID, a.Status)
+			n.sim.violated("forgotten: an invalid submission with the ID of the accepted job %s got status %d", i.job.ID, a.Status)
 		case i.reusesID:
 			i.user.checkAnswer(a, finalState)
 		case accepted:
-			n.sim.violated("accepted though it can't run: %s got %d", i.job.ID, a.Status)
+			n.sim.violated("accepted though it can't run: %s got status %d", i.job.ID, a.Status)
 		}
 	})
 }
 
-// cancelDone cancels a job that is done, and checks that it stays so.
+// cancelDone cancels a job that was reported as done, and checks that it is still reported as done.
 func (u *user) cancelDone(n *node) {
 	u.sendTo(n, u.cancelRequest, submitTimeout, func(a controller.Answer, ok bool) {
 		if ok {
--- a/internal/simulation/counts.go
+++ b/internal/simulation/counts.go
@@ -5,56 +5,60 @@
 	"garnethitch/internal/micros"
 )
 
-// Counts are what has happened in a run.
+// Counts counts the events of a run.
 type Counts struct {
-	// Started and Finished count tasks, DependentStarts those of jobs that depend on others.
+	// Started and Finished count tasks; DependentStarts counts starts of tasks whose jobs depend on
+	// other jobs.
 	Started, Finished, DependentStarts int
-	// Restarts counts ends of controllers, Frozen those that were frozen for a while.
+	// Restarts counts crashes of controllers, Frozen how often a controller was frozen.
 	Restarts, Frozen int
-	// CascadeCancelled counts the jobs of a cascade that are cancelled at its end.
+	// CascadeCancelled counts the jobs of a cascade that are cancelled when it is checked.
 	CascadeCancelled int
-	// StatusRequests counts those that a plan's StatusRequestRate asks for, RefusedRequests the
-	// answers that could not be given.
+	// StatusRequests counts the rounds of requests made for Plan.StatusRequestRate, each to all
+	// controllers. RefusedRequests counts the answers with status 503 to those about unknown jobs.
 	StatusRequests, RefusedRequests int
-	// EndedTaskStops counts tasks that were stopped since their jobs had ended and left memory.
+	// EndedTaskStops counts tasks that were stopped because their jobs had ended and were no longer
+	// kept in memory.
 	EndedTaskStops int
-	// StaleEpisodes counts the times in which controllers acted on stale views of jobs.
+	// StaleEpisodes counts the episodes in which controllers acted on stale views of jobs.
 	StaleEpisodes int
-	// DuplicateHeartbeats counts late copies, Unreachable machines that could not be reached.
+	// DuplicateHeartbeats counts duplicates of heartbeats; Unreachable counts how often a machine
+	// was made unreachable.
 	DuplicateHeartbeats, Unreachable int
-	// ZoneCuts counts zones that were cut off; Died and Hung count machines.
+	// ZoneCuts counts how often a zone was cut off; Died and Hung count machines.
 	ZoneCuts, Died, Hung int
-	// LongestInputWait is the longest that an input waited for a slow controller.
+	// LongestInputWait is the longest time that an input waited in the backlog of a slow
+	// controller.
 	LongestInputWait micros.Micros
-	// ReturnedBusy counts machines that were returned with work on them although nothing was
-	// wrong.
+	// ReturnedBusy counts machines that were returned while running tasks, in plans without a fault
+	// that explains it.
 	ReturnedBusy int
-	// LimitsSet counts limits of groups that operators have set, GroupWrites writes of
-	// groups' records.
+	// LimitsSet counts the limits of groups that operators set or cleared, GroupWrites the writes
+	// of group records.
 	LimitsSet, GroupWrites int
-	// Heartbeats and Rounds are what a heartbeat, and a round in which a controller visits
-	// whole shards, cost.
+	// Heartbeats is the cost of the steps that handle a heartbeat, Rounds the cost of the steps in
+	// which a controller visits whole shards.
 	Heartbeats, Rounds workSum
-	// CommandedBySingle counts the machines that one controller commanded while it was the
-	// only one, UpWithSingle those that were up then.
+	// CommandedBySingle is the number of machines that the single remaining controller commanded,
+	// UpWithSingle the number of machines that were up at that time.
 	CommandedBySingle, UpWithSingle int
 	// Concurrent counts the events of concurrent faults.
 	Concurrent ConcurrentCounts
 }
 
-// ConcurrentCounts count the events of concurrent faults.
+// ConcurrentCounts counts the events of concurrent faults.
 type ConcurrentCounts struct {
-	UnansweredWrites   int // carried out late, or without an answer
+	UnansweredWrites   int // transactions executed at once or late, without an answer
 	ReplayedHeartbeats int
-	CutHeartbeats      int // machines that reach no controller
-	Cancelled          int // jobs that run
-	CancelledAtEnd     int // jobs whose last task ended at that moment
+	CutHeartbeats      int // machines that could reach no controller
+	Cancelled          int // running jobs that were cancelled
+	CancelledAtEnd     int // jobs that were cancelled as their last task completed
 	RepeatedRequests   int
 	InvalidRequests    int
 	LongOutages        int
 }
 
-// workSum adds up what steps of one kind cost.
+// workSum sums the cost of the steps of one kind, measured in visited machines, jobs and attempts.
 type workSum struct {
 	steps, visited, maxVisited uint64
 }
@@ -65,10 +69,10 @@
 	w.maxVisited = max(w.maxVisited, visited)
 }
 
-// mean returns how much one step visited.
+// mean returns the average number of items that a step visited.
 func (w workSum) mean() float64 { return float64(w.visited) / float64(max(w.steps, 1)) }
 
-// countWork adds what one input made a controller visit.
+// countWork adds the cost of one step of a controller to the sum for its kind of step.
 func (s *Simulation) countWork(in controller.Input, work controller.Work) {
 	if work.Round {
 		s.Rounds.add(work.Visited)
--- a/internal/simulation/dags.go
+++ b/internal/simulation/dags.go
@@ -9,15 +9,17 @@
 )
 
 const (
-	// dagDepth is the number of jobs behind the first of a chain, dagWidth the number of
+	// dagDepth is the number of jobs after the first one of a chain, dagWidth the number of
 	// dependents of an ordinary job.
 	dagDepth = 10
 	dagWidth = 8
-	// submitRetryInterval is how often a user checks whether the jobs that its own depends on are accepted.
+	// submitRetryInterval is how often a user checks whether the dependencies of the job are
+	// accepted.
 	submitRetryInterval = 200 * ms
 )
 
-// addDAGs adds users whose jobs depend on each other.
+// addDAGs adds the plan's sets of users whose jobs depend on each other. In some sets one job is
+// cancelled.
 func (s *Simulation) addDAGs() {
 	ordinary := slices.Clone(s.users)
 	begin := 5 * sec
@@ -33,8 +35,8 @@
 	}
 }
 
-// addDAG adds the users of the jobs of one DAG: a chain, several dependents of one ordinary job,
-// or a diamond with a further job behind it.
+// addDAG adds the users of one DAG of jobs: a chain, several dependents of one ordinary job, or a
+// diamond followed by one more job. The jobs are submitted at the given time or later.
 func (s *Simulation) addDAG(at micros.Micros, ordinary []*user) (members []*user) {
 	switch s.rng.IntN(4) {
 	case 0:
@@ -58,7 +60,9 @@
 	return members
 }
 
-// addDependent adds a user whose job depends on others.
+// addDependent adds a user whose job depends on the jobs of other users. The job is submitted at
+// the given time, once its dependencies are accepted; some are submitted only once these have
+// ended.
 func (s *Simulation) addDependent(at micros.Micros, dependencies ...*user) *user {
 	u := newUser(s, len(s.users))
 	u.Fails = false
@@ -66,13 +70,13 @@
 	u.Submission.Tasks = min(u.Submission.Tasks, 3)
 	u.Runs = u.Runs[:u.Submission.Tasks]
 	for i := range u.Runs {
-		u.Runs[i] = s.between(2*sec, 6*sec) // a chain has to be done within RecoveryTime
+		u.Runs[i] = s.between(2*sec, 6*sec) // short enough for a whole chain to be done within RecoveryTime
 	}
 	if u.Submission.Class == "rush" && len(dependencies) < 2 {
 		u.Submission.Priority = "best_effort"
 	}
 	u.dependOn(dependencies)
-	if len(dependencies) > 0 && s.chance(0.2) { // one may be named twice
+	if len(dependencies) > 0 && s.chance(0.2) { // a submission may name a dependency twice
 		u.Submission.DependsOn = append(u.Submission.DependsOn, u.Submission.DependsOn[0])
 		u.Submission.DependsOn = slices.Compact(u.Submission.DependsOn)
 	}
@@ -82,7 +86,7 @@
 	return u
 }
 
-// dependOn makes the job depend on others.
+// dependOn makes the user's job depend on the jobs of other users.
 func (u *user) dependOn(dependencies []*user) {
 	u.dependencies = dependencies
 	for _, d := range dependencies {
@@ -90,8 +94,8 @@
 	}
 }
 
-// submitAfterDependencies submits a job once those that it depends on are accepted, or have
-// ended if it is a late one.
+// submitAfterDependencies submits the job once its dependencies are accepted or, if late, once they
+// are reported as ended. The user gives up if the user of a dependency has given up.
 func (u *user) submitAfterDependencies(late bool) {
 	for _, d := range u.dependencies {
 		switch {
@@ -106,8 +110,9 @@
 	u.submit()
 }
 
-// ancestors returns all jobs that a job depends on, directly or through others, each once: in
-// diamonds there are as many ways to one as two to the power of its distance.
+// ancestors returns the users of all jobs that the job depends on, directly or transitively, each
+// once. The result is cached, since the number of paths in a chain of diamonds is exponential in
+// its length.
 func (u *user) ancestors() []*user {
 	if u.cachedAncestors != nil || len(u.dependencies) == 0 {
 		return u.cachedAncestors
@@ -124,13 +129,14 @@
 	return u.cachedAncestors
 }
 
-// mayBeCancelled reports whether the job's user or that of an ancestor has asked to cancel it.
+// mayBeCancelled reports whether the user has asked to cancel the job, or the user of an ancestor
+// has asked to cancel that one.
 func (u *user) mayBeCancelled() bool {
 	return u.cancelRequested || slices.ContainsFunc(u.ancestors(), func(a *user) bool { return a.cancelRequested })
 }
 
-// dependenciesDoneAt returns when the last job that it depends on was done, or when it was
-// accepted if that was later; ok is false while one is not done.
+// dependenciesDoneAt returns when the last of the job's dependencies was done, or when the job was
+// accepted if that was later. ok is false if a dependency is not done.
 func (u *user) dependenciesDoneAt() (at micros.Micros, ok bool) {
 	at = u.acceptedAt
 	for _, d := range u.dependencies {
@@ -142,11 +148,11 @@
 	return at, true
 }
 
-// checkDependenciesDone checks that no task starts before all that its job depends on is done.
+// checkDependenciesDone checks that a task starts only after all dependencies of its job are done.
 func (s *Simulation) checkDependenciesDone(u *user, t *fakes.Task) {
 	for _, d := range u.dependencies {
 		if !d.Completed() {
-			s.violated("too_early: %s starts, %d of %d tasks of %s are done", t.Name, len(d.Done), d.Submission.Tasks, d.Submission.ID)
+			s.violated("too_early: %s starts, but only %d of %d tasks of its dependency %s are done", t.Name, len(d.Done), d.Submission.Tasks, d.Submission.ID)
 		}
 	}
 	if len(u.dependencies) > 0 {
@@ -154,8 +160,8 @@
 	}
 }
 
-// checkDependenciesCancelled checks that no job is reported as queued or running long after an
-// ancestor's cancellation was reported.
+// checkDependenciesCancelled checks that a job is not reported as pending or running after the
+// deadline of the cancellation of one of its ancestors.
 func (u *user) checkDependenciesCancelled(state wire.JobState) {
 	s := u.sim
 	if state != wire.StatePending && state != wire.StateRunning {
@@ -163,7 +169,7 @@
 	}
 	for _, ancestor := range u.ancestors() {
 		if ancestor.pastCancelDeadline() {
-			s.violated("orphaned: %s is called %s %v s after %s was called cancelled", u.Submission.ID, state, (s.now - ancestor.cancelConfirmedAt).Seconds(), ancestor.Submission.ID)
+			s.violated("orphaned: %s is reported as %s %v s after its ancestor %s was reported as cancelled", u.Submission.ID, state, (s.now - ancestor.cancelConfirmedAt).Seconds(), ancestor.Submission.ID)
 		}
 	}
 }
--- a/internal/simulation/draws.go
+++ b/internal/simulation/draws.go
@@ -5,12 +5,12 @@
 	"garnethitch/internal/micros"
 )
 
-// between draws a duration.
+// between draws a duration or a time between from and to.
 func (s *Simulation) between(from, to micros.Micros) micros.Micros {
 	return s.rng.Between(from, to)
 }
 
-// chance reports true with a probability.
+// chance returns true with the given probability.
 func (s *Simulation) chance(probability float64) bool { return s.rng.Chance(probability) }
 
 func (s *Simulation) drawZone() string {
@@ -20,12 +20,13 @@
 
 func (s *Simulation) drawNode() *node { return s.nodes[s.rng.IntN(len(s.nodes))] }
 
-// drawWorker draws a worker of all that there have been.
+// drawWorker draws one of all workers that ever existed.
 func (s *Simulation) drawWorker() *worker {
 	return s.workers[s.machineNames[s.rng.IntN(len(s.machineNames))]]
 }
 
-// drawMachines draws a fraction of the machines that are up.
+// drawMachines draws a random subset of the machines that are up; fraction is the probability of
+// each.
 func (s *Simulation) drawMachines(fraction float64) (workers []*worker) {
 	for _, name := range s.machineNames {
 		if w := s.workers[name]; w.Up() && s.chance(fraction) {
@@ -35,7 +36,7 @@
 	return workers
 }
 
-// drawBootTime draws how long a rented machine takes to come up.
+// drawBootTime draws how long a rented machine takes to boot.
 func (s *Simulation) drawBootTime() micros.Micros {
 	if s.now < s.concurrentFaults.fastBootUntil {
 		return s.between(200*ms, 2*sec)
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -4,9 +4,11 @@
 	"garnethitch/internal/micros"
 )
 
-// Faults that hit single parts, drawn by the seed.
+// This file holds the faults of Plan.Faults, which hit single components and are drawn from the
+// seed.
 
-// faultKind is one of the faults that injectFault draws, each as often as it is listed.
+// faultKind is one of the faults that injectFault draws with equal probability. A fault that is
+// listed twice is twice as probable.
 type faultKind int
 
 const (
@@ -33,7 +35,7 @@
 	faultKindCount
 )
 
-// String returns the kind in words.
+// String returns a description of the kind for traces.
 func (k faultKind) String() string {
 	names := [faultKindCount]string{
 		"crash", "crash", "crash of all", "restarts in turn", "outage of the state service",
@@ -45,7 +47,7 @@
 	return names[k]
 }
 
-// singleMachineFault is one of the faults that injectMachineFault draws.
+// singleMachineFault is one of the faults that injectMachineFault draws with equal probability.
 type singleMachineFault int
 
 const (
@@ -56,7 +58,7 @@
 	singleMachineFaultCount
 )
 
-// scheduleFaults schedules drawn faults, which may overlap.
+// scheduleFaults schedules 6 to 14 random faults, which may overlap.
 func (s *Simulation) scheduleFaults() {
 	count := 6 + s.rng.IntN(9)
 	for range count {
@@ -64,7 +66,7 @@
 	}
 }
 
-// injectFault injects one drawn fault.
+// injectFault injects a random fault at a random controller or machine.
 func (s *Simulation) injectFault() {
 	n := s.drawNode()
 	mode := cutHold
@@ -92,7 +94,7 @@
 	}
 }
 
-// injectCrash ends controllers.
+// injectCrash injects a fault in which one or all controllers crash.
 func (s *Simulation) injectCrash(kind faultKind, n *node) {
 	switch kind {
 	case faultCrash, faultCrashAgain:
@@ -108,15 +110,15 @@
 	}
 }
 
-// crashAll ends all controllers, each for a time of its own.
+// crashAll crashes all controllers, each with a downtime drawn between shortest and longest.
 func (s *Simulation) crashAll(shortest, longest micros.Micros) {
 	for _, n := range s.nodes {
 		n.crash(s.between(shortest, longest))
 	}
 }
 
-// restartQuickly ends a controller, which is back at once, and so are the others while its
-// locks are being taken.
+// restartQuickly crashes a controller, and the others within the seconds in which they take over
+// its locks. Each is back within a fraction of a second.
 func (s *Simulation) restartQuickly(first *node) {
 	first.crash(s.between(20*ms, 400*ms))
 	for _, n := range s.nodes {
@@ -126,7 +128,7 @@
 	}
 }
 
-// injectCut cuts a controller off.
+// injectCut injects a fault in which some links of a controller are cut.
 func (s *Simulation) injectCut(kind faultKind, n *node, mode cutMode, d micros.Micros) {
 	state := []string{n.stateLink()}
 	switch kind {
@@ -138,17 +140,18 @@
 		s.cut(append(append(n.workerLinks(), n.peerLinks()...), n.stateLink(), n.cloudLink()), mode, d)
 	case faultCutFromPeers:
 		s.cut(n.peerLinks(), mode, d)
-	case faultLateCommands: // its messages to workers are held back, it ends, and they arrive after a successor's
+	case faultLateCommands: // messages to workers are held back, the controller crashes, and they arrive after those of its successor
 		s.cut(n.workerLinks(), cutHold, s.between(4*sec, 14*sec))
 		s.after(s.between(100*ms, 3*sec), func() { n.crash(s.between(4*sec, 20*sec)) })
-	case faultLongCutFromState: // its locks are lost; it comes back with an old view, and soon owns again
+	case faultLongCutFromState: // the controller loses its locks, returns with a stale view and soon owns shards again
 		s.cut(state, mode, s.between(5*sec, 25*sec))
-	case faultCutFromStateAndPeers: // it keeps its workers
+	case faultCutFromStateAndPeers: // the controller still reaches its workers
 		s.cut(append(n.peerLinks(), state...), mode, s.between(5*sec, 35*sec))
 	}
 }
 
-// drawMachineFaultDuration draws how long a machine is away: often it is back within a moment.
+// drawMachineFaultDuration draws how long a machine hangs or is cut off: some faults last less than
+// a second.
 func (s *Simulation) drawMachineFaultDuration() micros.Micros {
 	if s.chance(0.3) {
 		return s.between(50*ms, 800*ms)
@@ -156,7 +159,8 @@
 	return s.between(sec, 25*sec)
 }
 
-// injectMachineFault injects a fault of one machine.
+// injectMachineFault injects a random fault at a random machine. mode is used if the machine is cut
+// off.
 func (s *Simulation) injectMachineFault(mode cutMode) {
 	if len(s.machineNames) == 0 {
 		return
@@ -180,17 +184,18 @@
 	}
 }
 
-// injectMessageFault loses or delays messages of machines.
+// injectMessageFault injects a fault in which messages from or to machines are lost, delayed or
+// duplicated.
 func (s *Simulation) injectMessageFault(kind faultKind, d micros.Micros) {
 	switch kind {
-	case faultUnreachableMachines: // their heartbeats arrive; replies and commands don't reach them
+	case faultUnreachableMachines: // heartbeats of the machines arrive, but replies and commands do not reach the machines
 		for range min(len(s.machineNames), 1+s.rng.IntN(4)) {
 			s.drawWorker().unreachableUntil = s.now + s.between(4*sec, 30*sec)
 			s.Unreachable++
 		}
-	case faultLateHeartbeats: // copies of heartbeats come late, to any controller
+	case faultLateHeartbeats: // many heartbeats are duplicated, and the duplicates arrive late at any controller
 		s.duplicateBurstUntil = s.now + d
-	case faultLostCommandReplies: // replies of one machine are lost for a while
+	case faultLostCommandReplies: // a machine's replies to commands are lost
 		if len(s.machineNames) > 0 {
 			w := s.drawWorker()
 			s.lostRepliesUntil[w.ID] = s.now + s.between(2*sec, 10*sec)
--- a/internal/simulation/fleet_faults.go
+++ b/internal/simulation/fleet_faults.go
@@ -8,20 +8,22 @@
 	"garnethitch/internal/micros"
 )
 
-// Faults that hit many at a time: a zone, a part of the fleet, all controllers.
+// This file holds the faults of Plan.FleetFaults, which hit a whole zone, a part of the fleet or
+// all controllers at once.
 
-// thawInterval is how long a process takes for each of the inputs that waited while it was
-// frozen, at a fraction of a core.
+// thawInterval is the time between the queued inputs that a thawed process handles. It is what one
+// input takes on a fraction of a core.
 const thawInterval micros.Micros = 200
 
+// zone returns the zone in which the controller runs.
 func (n *node) zone() string {
 	zones := fakes.Zones()
 	return zones[n.id%len(zones)]
 }
 
-// cutZone cuts a zone off from everything: its machines from the controllers
-// outside, and the controllers inside from the services, the users and the
-// others. Machines and controllers inside still reach each other.
+// cutZone cuts a zone off for the duration d: its machines from the controllers outside, and its
+// controllers from the machines and controllers outside, the services and the users. Machines and
+// controllers inside the zone still reach each other.
 func (s *Simulation) cutZone(zone string, mode cutMode, d micros.Micros) {
 	s.trace("zone %s is cut off for %v s, mode %s", zone, d.Seconds(), mode)
 	s.ZoneCuts++
@@ -32,8 +34,8 @@
 	s.cut(links, mode, d)
 }
 
-// linksAcrossZone returns the links of a controller that lead into or out of a zone. The services
-// and users are outside.
+// linksAcrossZone returns the links of the controller that cross the border of a zone. The services
+// and the users are outside every zone.
 func (n *node) linksAcrossZone(zone string) (links []string) {
 	inside := n.zone() == zone
 	for _, name := range n.sim.machineNames {
@@ -54,7 +56,7 @@
 	return links
 }
 
-// killMachines ends a fraction of the fleet at once.
+// killMachines ends a fraction of the machines at once and for good.
 func (s *Simulation) killMachines(fraction float64) {
 	for _, w := range s.drawMachines(fraction) {
 		w.Dead = true
@@ -62,7 +64,7 @@
 	}
 }
 
-// hangMachines has a fraction of the fleet hang for a while.
+// hangMachines makes a fraction of the machines hang for the duration d.
 func (s *Simulation) hangMachines(fraction float64, d micros.Micros) {
 	for _, w := range s.drawMachines(fraction) {
 		w.HungUntil = s.now + d
@@ -70,7 +72,7 @@
 	}
 }
 
-// reclaimMachines has the cloud take back the spot machines of a fraction of the fleet.
+// reclaimMachines makes the cloud reclaim the spot machines among a fraction of the machines.
 func (s *Simulation) reclaimMachines(fraction float64) {
 	for _, w := range s.drawMachines(fraction) {
 		if w.Spot {
@@ -79,7 +81,7 @@
 	}
 }
 
-// freeze stops a process for a while, during which its clocks run on and inputs wait.
+// freeze stops the process for the duration d. Its clocks keep running, and inputs wait.
 func (n *node) freeze(d micros.Micros) {
 	if n.controller == nil {
 		return
@@ -95,8 +97,8 @@
 	})
 }
 
-// thaw gives a process that is no longer frozen the inputs that waited, and a tick before or
-// after them.
+// thaw resumes a frozen process. It handles the inputs that waited, and a tick before or after
+// them.
 func (n *node) thaw() {
 	inputs := n.frozenInputs
 	n.frozenInputs = nil
@@ -115,8 +117,8 @@
 	}
 }
 
-// scheduleFleetFaults schedules faults of many machines or controllers at drawn times, so that
-// they overlap with each other and with the faults of single parts.
+// scheduleFleetFaults schedules the fleet faults at random times, so that they overlap with each
+// other and with the faults of single components.
 func (s *Simulation) scheduleFleetFaults() {
 	for _, fault := range s.fleetFaults() {
 		s.after(s.between(10*sec, s.plan.ActiveTime), fault)
@@ -128,7 +130,7 @@
 	})
 }
 
-// fleetFaults returns the faults that hit many at a time.
+// fleetFaults returns the faults that hit many machines or controllers at once.
 func (s *Simulation) fleetFaults() []func() {
 	lease := s.cfg.WorkerLease
 	return []func(){
--- a/internal/simulation/groups.go
+++ b/internal/simulation/groups.go
@@ -11,20 +11,23 @@
 	"garnethitch/quota"
 )
 
-// Groups of teams: operators change limits at any moment, and what runs is checked against the
-// limit that the record in the state service says is in force.
+// This file holds the groups of teams. Operators change the limits of groups at any time. The
+// resources that a group uses are checked against the limit that its record in the state service
+// declares to be in force.
 
 const (
-	// limitChanges is how often operators change limits.
+	// limitChanges is how often operators change a limit in a run.
 	limitChanges = 6
-	// limitTimeout is that of a request to set a limit, and limitRetry when it is repeated.
+	// limitTimeout is the timeout of a request to set a limit, limitRetryInterval the pause before
+	// the request is repeated.
 	limitTimeout       = 5 * sec
 	limitRetryInterval = 2 * sec
-	// maxClearRetries is how often clearing a limit that was set by hand is retried.
+	// maxClearRetries is how often a request to clear a limit set by an operator is repeated.
 	maxClearRetries = 20
 )
 
-// groupsOver returns groups around the teams of a plan.
+// groupsOver returns groups for teams: one group for all, and within it one for each half of the
+// teams if there are several. cpus is the limit of the outer group.
 func groupsOver(teams []controller.Team, cpus float64) []quota.GroupOptions {
 	names := teamNames(teams)
 	half := len(names) / 2
@@ -45,8 +48,8 @@
 	return names
 }
 
-// addGroups makes the groups of a plan, and has operators change their limits. After Length
-// what the options say counts again.
+// addGroups configures the plan's groups and schedules the changes of their limits. After
+// Plan.ActiveTime the changes are cleared, so that the limits in the options are in force again.
 func (s *Simulation) addGroups() {
 	if s.plan.Groups == nil {
 		return
@@ -69,7 +72,7 @@
 	})
 }
 
-// changeLimit has an operator set a limit by hand, sometimes two in a row at different
+// changeLimit makes an operator set the limit of a random group, sometimes twice in a row at random
 // controllers.
 func (s *Simulation) changeLimit() {
 	g := s.plan.Groups[s.rng.IntN(len(s.plan.Groups))]
@@ -79,15 +82,15 @@
 	}
 }
 
-// setLimit asks a controller to set a limit, or to clear what was set if it is nil, and repeats
-// that at most so many times if it could not.
+// setLimit asks a random controller to set the limit of a group or, if limit is nil, to clear the
+// limit that an operator set. A request that fails is repeated at most retries times.
 func (s *Simulation) setLimit(group string, limit *quota.Limit, retries int) {
 	n := s.drawNode()
 	request := peer.QuotaRequest{Set: &peer.SetLimit{WaitingTasks: group, Clear: limit == nil}}
 	if limit != nil {
 		request.Set.Limit = *limit
 	}
-	s.trace("operator sets %s to %v at %s", group, limit, n.label)
+	s.trace("operator sets the limit of group %s to %v at %s", group, limit, n.label)
 	exchange(s, n.userLink(), limitTimeout, func(reply func(controller.Answer)) {
 		n.deliverRequest(func(id controller.ReplyID) controller.Input {
 			return controller.PeerRequest{Reply: id, Req: peer.Request{Quota: &request}}
@@ -103,7 +106,8 @@
 	})
 }
 
-// handleGroupRecord takes a group's record as it is stored.
+// handleGroupRecord records a group's record when a controller writes it, and checks the group's
+// usage against it. Other keys are ignored.
 func (s *Simulation) handleGroupRecord(key string, value wire.Raw) {
 	name, ok := strings.CutPrefix(key, wire.PrefixQuota)
 	if !ok || s.groups == nil {
@@ -119,26 +123,26 @@
 	s.checkGroup(name)
 }
 
-// checkGroup checks what a group's tasks use against the limit in force. Controllers that
-// know no groups are not bound by one.
+// checkGroup checks that a group's tasks use no more than the limit in force. Plans with an upgrade
+// are not checked, since controllers of a release without groups do not keep to the limits.
 func (s *Simulation) checkGroup(name string) {
 	record := s.groups[name]
 	if record.Applied == nil || record.Removed || s.plan.UpgradeFrom != ReleaseCurrent {
 		return
 	}
 	if used := s.groupUsage(name); !used.Within(record.Applied.Amount()) {
-		s.violated("group: %s uses %g CPUs, in force is %s", name, used.CPUs, record.Applied)
+		s.violated("group: %s uses %g CPUs, the limit in force is %s", name, used.CPUs, record.Applied)
 	}
 }
 
-// checkGroupsOf checks all groups that a team is in.
+// checkGroupsOf checks all groups that contain a team.
 func (s *Simulation) checkGroupsOf(team string) {
 	for _, g := range s.groupPath(team) {
 		s.checkGroup(g)
 	}
 }
 
-// groupPath returns the groups that a team is in, the innermost first.
+// groupPath returns the groups that contain a team, the innermost first.
 func (s *Simulation) groupPath(team string) []string {
 	for _, g := range s.plan.Groups {
 		if slices.Contains(g.Teams, team) {
@@ -148,13 +152,13 @@
 	return nil
 }
 
-// groupUsage returns what a group's tasks use.
+// groupUsage returns how many CPUs a group's running tasks use.
 func (s *Simulation) groupUsage(name string) quota.Amount {
 	return quota.Amount{CPUs: s.usageOf(quotatest.TeamsWithin(s.plan.Groups, name)...)}
 }
 
-// withinGroupLimits reports whether one more of a job's tasks is within the limits of all its
-// groups.
+// withinGroupLimits reports whether all groups of the job's team stay within their limits with one
+// more of the job's tasks.
 func (s *Simulation) withinGroupLimits(u *user) bool {
 	one := quota.Amount{CPUs: u.Submission.CPUs}
 	for _, g := range s.groupPath(u.Submission.Team) {
--- a/internal/simulation/jobs.go
+++ b/internal/simulation/jobs.go
@@ -9,11 +9,12 @@
 )
 
 const (
-	// firstJob is the number of the first job, jobStep how far numbers are apart.
+	// firstJob is the number in the ID of the first job, jobStep the difference between the numbers
+	// of consecutive jobs.
 	firstJob = 100000
 	jobStep  = 37
-	// Numbers of jobs that nobody submits: those that users ask about, those that
-	// StatusRequestRate asks about, and those of invalid submissions.
+	// Ranges of numbers of jobs that no user submits: those that users poll, those of the requests
+	// for Plan.StatusRequestRate, and those of invalid submissions.
 	firstUnknownPolled  = 900000
 	unknownPolledCount  = 1000
 	firstUnknownRequest = 800000
@@ -24,12 +25,13 @@
 
 func jobID(number int) string { return fmt.Sprintf("job-%06d", number) }
 
-// drawUnknownJob draws a job that nobody submits.
+// drawUnknownJob draws the ID of a job that no user submits from count numbers beginning with
+// first.
 func (s *Simulation) drawUnknownJob(first, count int) string {
 	return jobID(first + s.rng.IntN(count))
 }
 
-// newUser draws a user with a job.
+// newUser returns a user with a random job; i is the number of users before it.
 func newUser(s *Simulation, i int) *user {
 	u := &user{sim: s, Job: fakes.Job{Submission: s.drawSubmission(i), Done: map[int]bool{}}}
 	u.willCancel = s.rng.IntN(6) == 0
@@ -48,7 +50,7 @@
 	return u
 }
 
-// drawSubmission draws a job's submission.
+// drawSubmission draws the submission of the job with index i.
 func (s *Simulation) drawSubmission(i int) wire.Submission {
 	r := s.rng
 	sub := wire.Submission{
@@ -92,7 +94,8 @@
 	return tasks
 }
 
-// adaptToChurn makes the job one small task, a quarter of them cancelled.
+// adaptToChurn changes the job for Plan.Churn: it has one small task, and every fourth job is
+// cancelled.
 func (u *user) adaptToChurn(i int) {
 	u.Submission.Tasks = 1
 	u.Submission.CPUs = 1
@@ -102,23 +105,25 @@
 	u.willCancel = i%4 == 0
 }
 
-// drawTaskDurations draws how long the tasks run, and adapts the job to that.
+// drawTaskDurations returns the range of the durations of the job's tasks. For long durations it
+// reduces the number of tasks and adapts the job's other fields.
 func (u *user) drawTaskDurations() (shortest, longest micros.Micros) {
 	s := u.sim
 	shortest, longest = 2*sec, 12*sec
 	if u.willCancel {
-		longest = micros.Minute // or it would be over before its cancellation has to be
+		longest = micros.Minute // shorter jobs would end before the deadline of their cancellation
 	}
 	if s.plan.hasLongTasks() && !s.plan.Churn && s.rng.IntN(3) == 0 {
-		longest = 50 * sec // a few tasks that end far apart, and jobs to cancel
+		longest = 50 * sec // few tasks that end far apart, so that there are running jobs to cancel
 		u.Submission.Tasks = min(u.Submission.Tasks, 3)
 	}
 	if s.plan.ReconnectionWaves {
-		longest = micros.Minute // work for the whole fleet all the time
+		longest = micros.Minute // keeps the whole fleet busy all the time
 		u.Submission.EstimateS = longest.Seconds() / 2
 	}
 	if s.plan.LongOutage && s.rng.IntN(2) == 0 {
-		// A task that is left running has to outlast its cancellation.
+		// A task that is wrongly left running must still run at the deadline of its cancellation,
+		// so that the checks see it.
 		shortest = s.cfg.Cancel + 15*sec
 		longest = s.cfg.Cancel + 40*sec
 		u.Fails = false
--- a/internal/simulation/large_fleet_test.go
+++ b/internal/simulation/large_fleet_test.go
@@ -2,32 +2,33 @@
 
 import "testing"
 
-// TestLargeFleet plays a fleet of four thousand machines through the end of its leader, a
-// wave of reconnections, and a failover of everything by one controller left alone. What
-// a heartbeat costs may not grow with the fleet, nor what a round costs for each machine.
+// TestLargeFleet guards against controller steps that visit too much in a large fleet, by comparing
+// runs with 1000 and 4000 machines. In each run the leader crashes, all controllers crash so that
+// all workers reconnect, and one remaining controller takes over everything. The cost of a
+// heartbeat must not grow with the fleet, and neither must the cost of a round for each machine.
 func TestLargeFleet(t *testing.T) {
 	t.Parallel()
-	type cost struct{ heartbeat, round, mostRound float64 } // the latter two for each machine
+	type cost struct{ heartbeat, round, mostRound float64 } // mean heartbeat; mean and costliest round per machine
 	play := func(machines int, seed uint64) cost {
 		s := New(Plan{Seed: seed, Nodes: 3, Machines: machines, InitialMachines: machines, Jobs: machines / 8, Large: true, ReconnectionWaves: true, Teams: oneTeam(), ActiveTime: 90 * sec, RecoveryTime: 300 * sec})
 		s.Run()
 		reportViolations(t, s)
 		up := machines
 		if seed != 1 {
-			up = s.UpWithSingle // elsewhere idle machines have been returned by then
+			up = s.UpWithSingle // with other seeds idle machines may have been returned by then
 		}
 		if s.CommandedBySingle < up*9/10 {
-			t.Errorf("%d of %d machines are commanded by the controller that is left alone", s.CommandedBySingle, up)
+			t.Errorf("the single remaining controller commands %d of %d machines", s.CommandedBySingle, up)
 		}
 		if s.Started == 0 || s.Finished == 0 {
-			t.Errorf("nothing ran: %d started, %d finished", s.Started, s.Finished)
+			t.Errorf("no tasks ran to the end: %d started, %d finished", s.Started, s.Finished)
 		}
-		t.Logf("%d machines: %d heartbeats, %.1f visited by each; %d rounds, %.0f by each, %d at most; %d tasks",
+		t.Logf("%d machines: %d heartbeats, each visits %.1f items on average; %d rounds, each visits %.0f on average, %d at most; %d tasks finished",
 			machines, s.Heartbeats.steps, s.Heartbeats.mean(), s.Rounds.steps, s.Rounds.mean(), s.Rounds.maxVisited, s.Finished)
 		return cost{s.Heartbeats.mean(), s.Rounds.mean() / float64(machines), float64(s.Rounds.maxVisited) / float64(machines)}
 	}
-	// The costliest round of one play is chance, so that plays of several seeds are what the
-	// large fleet is compared with.
+	// The cost of the costliest round depends on chance. The large fleet is therefore compared with
+	// the average over several seeds of the small one.
 	const plays = 5
 	var small cost
 	for seed := range uint64(plays) {
@@ -38,16 +39,16 @@
 	}
 	large := play(4000, 1)
 	if large.heartbeat > small.heartbeat+maxMoreVisited {
-		t.Errorf("a heartbeat makes a controller visit %.1f machines, jobs and attempts, at 1000 machines at %.1f", large.heartbeat, small.heartbeat)
+		t.Errorf("with 4000 machines a heartbeat visits %.1f machines, jobs and attempts, with 1000 machines %.1f", large.heartbeat, small.heartbeat)
 	}
 	if large.round > 1.5*small.round {
-		t.Errorf("a round visits each machine %.2f times, at 1000 machines %.2f times", large.round, small.round)
+		t.Errorf("with 4000 machines a round visits %.2f items per machine, with 1000 machines %.2f", large.round, small.round)
 	}
 	if large.mostRound > 2*small.mostRound+1 {
-		t.Errorf("the costliest round visits each machine %.1f times, at 1000 machines %.1f times", large.mostRound, small.mostRound)
+		t.Errorf("with 4000 machines the costliest round visits %.1f items per machine, with 1000 machines %.1f", large.mostRound, small.mostRound)
 	}
 }
 
-// maxMoreVisited is how many more items a heartbeat may visit in a larger fleet: a bounded number
-// of the jobs that wait, of which there are more.
+// maxMoreVisited is how many more items a heartbeat may visit in the larger fleet. A heartbeat
+// visits a bounded number of waiting jobs, and the larger fleet has more of them.
 const maxMoreVisited = 20
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -88,8 +88,8 @@
 }
 
 // exchange sends a request over a link and its answer back. serve is called when the request
-// arrives, with the function to answer with. done is called once, with ok false if no answer arrives
-// within the timeout.
+// arrives, with the function to answer with. done is called once, with ok false if no answer
+// arrives within the timeout.
 func exchange[T any](s *Simulation, link string, timeout micros.Micros, serve func(reply func(T)), done func(answer T, ok bool)) {
 	finished := false
 	finish := func(answer T, ok bool) {
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -199,8 +199,8 @@
 	return n.incarnation == incarnation && n.controller != nil
 }
 
-// deliverRequest gives the controller the deliverRequest that newInput makes; deliver gets the answer, if one
-// comes.
+// deliverRequest gives the controller the request that newInput returns. deliver is called with the
+// answer, or never if there is none.
 func (n *node) deliverRequest(newInput func(controller.ReplyID) controller.Input, deliver func(controller.Answer)) {
 	if n.controller == nil {
 		return
@@ -210,7 +210,8 @@
 	n.handleInput(newInput(n.nextReplyID))
 }
 
-// deliverHeartbeat gives the controller a worker's deliverHeartbeat, encoded and decoded as on the wire.
+// deliverHeartbeat gives the controller a worker's heartbeat after encoding and decoding it as for
+// the network. deliver is called with the answer, or never if there is none.
 func (n *node) deliverHeartbeat(sent *wire.Heartbeat, deliver func(controller.Answer)) {
 	if n.controller == nil {
 		return
--- a/internal/simulation/outages.go
+++ b/internal/simulation/outages.go
@@ -9,20 +9,22 @@
 	"garnethitch/internal/wire"
 )
 
-// Faults in which controllers act on stale views.
+// This file holds the faults of Plan.LongOutage and Plan.StaleJobs, in which controllers act on
+// stale views.
 
-// lostAnswersDuration is for how long the owner's answers are lost before a long outage.
+// lostAnswersDuration is how long before a long outage the answers to the owner's writes are lost.
 const lostAnswersDuration = 600 * ms
 
-// scheduleLongOutages plays a long outage twice.
+// scheduleLongOutages schedules two long outages.
 func (s *Simulation) scheduleLongOutages() {
 	s.after(s.between(15*sec, 25*sec), s.longOutage)
 	s.after(s.plan.ActiveTime*2/3, s.longOutage)
 }
 
-// longOutage is the case that what the owner writes is carried out, but its answers are lost and
-// its watches bring nothing; a moment later it is refused; then the state service is away for all
-// for longer than cancelled tasks may last.
+// longOutage injects three faults of the state service in a row, just as jobs are cancelled. First
+// it executes the owner's writes, but the answers are lost and the owner's watches deliver nothing.
+// Then it refuses the owner. Finally it has an outage for all controllers that lasts longer than
+// the tasks of cancelled jobs may run.
 func (s *Simulation) longOutage() {
 	n := s.owner()
 	s.Concurrent.LongOutages++
@@ -32,14 +34,15 @@
 	s.after(lostAnswersDuration, func() { n.stateRefusedUntil = s.now + s.between(3*sec, 8*sec) })
 	s.cancelRunning(6, 0)
 	s.after(s.between(1500*ms, 2500*ms), func() { s.state.SetOutage(s.now + s.cfg.Cancel + 6*sec) })
-	if s.chance(0.4) { // and the others can't reach it either
+	if s.chance(0.4) { // the other controllers can't reach the owner either
 		links := n.peerLinks()
 		s.after(lostAnswersDuration, func() { s.cut(links, cutReset, s.cfg.Cancel) })
 	}
 }
 
 // refusesJobs reports whether the state service refuses a call because it reads or watches jobs.
-// Locks, renewals and writes are still accepted, as by a service at its limit of requests.
+// Locks, renewals of leases and writes are still accepted, as by a service that has reached its
+// request limit.
 func (s *Simulation) refusesJobs(call controller.Call) bool {
 	if call.To != controller.ToState || s.now >= s.jobsRefusedUntil {
 		return false
@@ -55,14 +58,15 @@
 	return false
 }
 
-// scheduleStaleJobs plays an episode of stale views twice.
+// scheduleStaleJobs schedules two episodes of stale views.
 func (s *Simulation) scheduleStaleJobs() {
 	s.after(s.between(10*sec, 15*sec), s.staleJobs)
 	s.after(s.plan.ActiveTime/2, s.staleJobs)
 }
 
-// staleJobs is the case that jobs are cancelled just before reads of jobs are refused and owners
-// end one after the other; some of the machines hang meanwhile.
+// staleJobs starts an episode of stale views: jobs are cancelled just before the state service
+// refuses reads of jobs, and owners crash one after the other. Some of the jobs' machines hang
+// meanwhile.
 func (s *Simulation) staleJobs() {
 	const owners = 6
 	s.StaleEpisodes++
--- a/internal/simulation/plans.go
+++ b/internal/simulation/plans.go
@@ -6,12 +6,13 @@
 	"garnethitch/internal/controller"
 )
 
-// The plans that every rule of the protocol is checked with.
-
-// One team's jobs are assigned to shards one by one; of several teams each is assigned as a whole.
+// This file holds the plans of TestRules, with which every rule of the protocol is checked.
 
+// oneTeam returns a single team, whose jobs are assigned to shards one by one. With several teams,
+// each team is assigned to a shard as a whole.
 func oneTeam() []controller.Team { return []controller.Team{{Name: "solo"}} }
 
+// fourTeams returns four teams with limits for about ten machines.
 func fourTeams() []controller.Team {
 	return []controller.Team{
 		{Name: "red", CPUs: 8, CPUsMax: 14}, {Name: "green", CPUs: 4, CPUsMax: 10},
@@ -19,7 +20,7 @@
 	}
 }
 
-// largeTeams() are the same with limits for hundreds of machines.
+// largeTeams returns the same four teams with limits for hundreds of machines.
 func largeTeams() []controller.Team {
 	return []controller.Team{
 		{Name: "red", CPUs: 300, CPUsMax: 500}, {Name: "green", CPUs: 150, CPUsMax: 400},
@@ -27,7 +28,7 @@
 	}
 }
 
-// fleetTeams() are the same with limits for over a thousand.
+// fleetTeams returns the same four teams with limits for more than a thousand machines.
 func fleetTeams() []controller.Team {
 	return []controller.Team{
 		{Name: "red", CPUs: 1200, CPUsMax: 2000}, {Name: "green", CPUs: 600, CPUsMax: 1600},
@@ -36,19 +37,20 @@
 }
 
 const (
-	// rulesActiveTime and rulesRecoveryTime are those of the plans of TestRules.
+	// rulesActiveTime and rulesRecoveryTime are the ActiveTime and RecoveryTime of the plans of
+	// TestRules.
 	rulesActiveTime   = 90 * sec
 	rulesRecoveryTime = 300 * sec
 )
 
-// NamedPlan is a plan with a unique name, and how many seeds a test plays it with.
+// NamedPlan is a plan with a unique name.
 type NamedPlan struct {
 	Name  string
 	Plan  Plan
-	Seeds int
+	Seeds int // number of seeds with which TestRules runs the plan
 }
 
-// WithSeed returns the plan for one seed.
+// WithSeed returns the plan with the given seed.
 func (n NamedPlan) WithSeed(seed uint64) Plan {
 	plan := n.Plan
 	plan.Seed = seed
@@ -74,7 +76,8 @@
 	return plans
 }
 
-// faultPlans are about faults of single parts, and of many at a time.
+// faultPlans returns the plans without faults, with faults of single components and with fleet
+// faults.
 func faultPlans() []NamedPlan {
 	return []NamedPlan{
 		{"no faults, sharded by job", Plan{Teams: oneTeam(), Nodes: 3, Machines: 8, Jobs: 20}, 2},
@@ -92,7 +95,8 @@
 	}
 }
 
-// slowPlans are about steps that take so long that inputs come twice, and ten times, as fast as they can be taken.
+// slowPlans returns the plans with slow steps. Inputs arrive about twice as fast as they can be
+// processed with slow steps, and about ten times as fast with very slow ones.
 func slowPlans() []NamedPlan {
 	return []NamedPlan{
 		{"slow steps, sharded by job", Plan{Teams: oneTeam(), Nodes: 3, Machines: 8, Jobs: 20, SlowStep: 30 * ms}, 4},
@@ -102,7 +106,8 @@
 	}
 }
 
-// concurrentFaultPlans are about concurrent faults, and controllers that act on stale views.
+// concurrentFaultPlans returns the plans with concurrent faults, and those in which controllers act
+// on stale views.
 func concurrentFaultPlans() []NamedPlan {
 	return []NamedPlan{
 		{"long outage, sharded by job", Plan{Teams: oneTeam(), Nodes: 3, Machines: 14, Jobs: 40, LongOutage: true}, 6},
@@ -119,7 +124,8 @@
 	}
 }
 
-// loadPlans are about users who ask more than the state service takes, and many small jobs.
+// loadPlans returns the plans with more status requests than the state service can serve, and those
+// with many small jobs.
 func loadPlans() []NamedPlan {
 	return []NamedPlan{
 		{"status requests, sharded by job", Plan{Teams: oneTeam(), Nodes: 3, Machines: 14, Jobs: 40, StatusRequestRate: 50, StateRPS: 60, WriteRPS: 20}, 4},
@@ -130,7 +136,7 @@
 	}
 }
 
-// dagPlans are about jobs that depend on each other.
+// dagPlans returns the plans with jobs that depend on each other.
 func dagPlans() []NamedPlan {
 	return []NamedPlan{
 		{"DAGs, sharded by job", Plan{Teams: oneTeam(), Nodes: 3, Machines: 12, Jobs: 12, DAGs: 4}, 3},
@@ -142,7 +148,7 @@
 	}
 }
 
-// upgradePlans are about rolling upgrades.
+// upgradePlans returns the plans with rolling upgrades.
 func upgradePlans() []NamedPlan {
 	return []NamedPlan{
 		{"upgrade, sharded by job", Plan{Teams: oneTeam(), Nodes: 3, Machines: 12, Jobs: 16, DAGs: 4, UpgradeFrom: ReleaseWithoutDependencies}, 4},
@@ -155,7 +161,7 @@
 	}
 }
 
-// groupPlans are about groups of teams, whose limits operators change meanwhile.
+// groupPlans returns the plans with groups of teams, whose limits operators change during the run.
 func groupPlans() []NamedPlan {
 	return []NamedPlan{
 		{"groups, sharded by job", Plan{Teams: oneTeam(), Nodes: 3, Machines: 10, Jobs: 25, Groups: groupsOver(oneTeam(), 16), Faults: true}, 12},
@@ -171,7 +177,7 @@
 	}
 }
 
-// slowFaultPlans are about slow steps together with other faults.
+// slowFaultPlans returns the plans with slow steps and other faults.
 func slowFaultPlans() []NamedPlan {
 	return []NamedPlan{
 		{"very slow steps, faults", Plan{Teams: fourTeams(), Nodes: 3, Machines: 10, Jobs: 25, Faults: true, SlowStep: 300 * ms}, 6},
--- a/internal/simulation/reconnection_waves.go
+++ b/internal/simulation/reconnection_waves.go
@@ -1,18 +1,20 @@
 package simulation
 
-// Waves of a large fleet: all workers turn to another controller at once.
+// This file holds the faults of Plan.ReconnectionWaves, in which all workers of a large fleet turn
+// to another controller at once.
 
 const (
-	// leaderDowntime is how long the leader is away.
+	// leaderDowntime is how long the leader is down after its crash.
 	leaderDowntime = 8 * sec
-	// singleControllerStart is when one controller is left alone with everything, and
-	// singleControllerFor how long.
+	// singleControllerStart is when all controllers but one crash, singleControllerDuration how
+	// long they are down.
 	singleControllerStart    = 45 * sec
 	singleControllerDuration = 25 * sec
 )
 
-// scheduleReconnectionWaves ends the leader, later all controllers within a second, later all
-// but one for longer than a worker's lease.
+// scheduleReconnectionWaves schedules a crash of the leader, later a crash of all controllers for
+// at most a second, and later a crash of all but one for longer than a worker's lease. Just before
+// they return, it counts the machines that the single remaining controller commands.
 func (s *Simulation) scheduleReconnectionWaves() {
 	s.after(12*sec, s.crashLeader)
 	s.after(30*sec, func() { s.crashAll(100*ms, sec) })
@@ -32,6 +34,7 @@
 	})
 }
 
+// crashLeader crashes the first controller that leads, if any does.
 func (s *Simulation) crashLeader() {
 	for _, n := range s.nodes {
 		if n.controller != nil && n.controller.Leads() {
--- a/internal/simulation/release.go
+++ b/internal/simulation/release.go
@@ -10,22 +10,24 @@
 	"garnethitch/internal/wire"
 )
 
-// Release is a version that a controller may run.
+// Release is a release of the controller.
 type Release int
 
-// Releases that may run side by side.
+// Releases that may run side by side. The commit of each older release is in parentheses.
 const (
-	// ReleaseCurrent is this version.
+	// ReleaseCurrent is the current release.
 	ReleaseCurrent Release = iota
-	// ReleaseWithoutDependencies knows no dependencies and no limits to come (025d571).
+	// ReleaseWithoutDependencies has no dependencies between jobs, and does not know the lowered
+	// limits of the state service (025d571).
 	ReleaseWithoutDependencies
-	// ReleaseWithoutDependentRecords knows both, and asks nobody to record dependents (040d356).
+	// ReleaseWithoutDependentRecords has dependencies and knows the lowered limits, but does not
+	// ask other controllers to record dependents (040d356).
 	ReleaseWithoutDependentRecords
-	// ReleaseWithoutGroups is as this version, but knows no groups of teams (88a546a).
+	// ReleaseWithoutGroups is like the current release, but has no groups of teams (88a546a).
 	ReleaseWithoutGroups
 )
 
-// recordWithoutDependencies is a job's record as ReleaseWithoutDependencies knows it.
+// recordWithoutDependencies is a job's record with the fields that ReleaseWithoutDependencies has.
 type recordWithoutDependencies struct {
 	Submission *wire.Submission `cbor:"sub,omitempty"`
 	AcceptedMS int64            `cbor:"at"`
@@ -49,7 +51,7 @@
 	return encoded
 }
 
-// downgradeStatus takes from a status request what the release doesn't know.
+// downgradeStatus removes the fields of a status message that the release does not have.
 func (r Release) downgradeStatus(status *peer.Status) {
 	status.Quota = false
 	status.Traces = nil
@@ -89,7 +91,7 @@
 	return txn
 }
 
-// downgradeResult returns a result as a controller of the release reads it.
+// downgradeResult returns the result of a call as a controller of the release reads it.
 func (r Release) downgradeResult(result controller.Result) controller.Result {
 	if r == ReleaseCurrent {
 		return result
@@ -105,7 +107,8 @@
 	return result
 }
 
-// downgradeState returns an answer of the state service as ReleaseWithoutDependencies reads it.
+// downgradeState returns the body of an answer of the state service as ReleaseWithoutDependencies
+// reads it.
 func downgradeState(body any) any {
 	switch b := body.(type) {
 	case *wire.KeyValue:
@@ -132,7 +135,8 @@
 	return body
 }
 
-// downgradeRequest takes from another controller's message what the release doesn't know.
+// downgradeRequest removes the fields of another controller's request that the release does not
+// have.
 func (r Release) downgradeRequest(request *peer.Request) {
 	if r != ReleaseCurrent && request.Status != nil {
 		r.downgradeStatus(request.Status)
--- a/internal/simulation/rules_test.go
+++ b/internal/simulation/rules_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// seeds returns n, or the number of seeds that the environment variable GARNETHITCH_SEEDS sets.
+// seeds returns the number of seeds in the environment variable GARNETHITCH_SEEDS, or n if that is
+// not set.
 func seeds(n int) int {
 	if v, err := strconv.Atoi(os.Getenv("GARNETHITCH_SEEDS")); err == nil && v > 0 {
 		return v
@@ -15,7 +16,8 @@
 	return n
 }
 
-// newTraced prepares a run, whose trace goes to the test's log if GARNETHITCH_TRACE is set.
+// newTraced prepares a run. If the environment variable GARNETHITCH_TRACE is set, the run's trace
+// goes to the test's log.
 func newTraced(t *testing.T, p Plan) *Simulation {
 	t.Helper()
 	s := New(p)
@@ -26,7 +28,7 @@
 	return s
 }
 
-// reportViolations fails the test for each rule that was broken.
+// reportViolations reports each violation as an error of the test.
 func reportViolations(t *testing.T, s *Simulation) {
 	t.Helper()
 	for _, violation := range s.Violations {
@@ -34,8 +36,8 @@
 	}
 }
 
-// TestRules plays runs with faults and checks every rule at every step, and
-// that all work is done once the faults are over.
+// TestRules guards the rules of the protocol: it runs every plan of RulePlans with several seeds.
+// The simulation checks the rules during the run, and that all jobs end once the faults are over.
 func TestRules(t *testing.T) {
 	for _, plan := range RulePlans() {
 		for seed := range seeds(plan.Seeds) {
@@ -47,7 +49,8 @@
 	}
 }
 
-// playAndCheck plays a run, and checks that no rule was broken and that it was what its plan says.
+// playAndCheck runs a plan. It checks that no rule was broken, and that the run did what the plan
+// is meant to test.
 func playAndCheck(t *testing.T, p Plan) {
 	t.Helper()
 	s := newTraced(t, p)
@@ -55,39 +58,41 @@
 	reportViolations(t, s)
 	checkPlanTookEffect(t, s)
 	if s.ReturnedBusy > 0 {
-		t.Errorf("%d machines returned with work on them, though nothing was wrong with them", s.ReturnedBusy)
+		t.Errorf("%d machines were returned while running tasks, although no fault explains it", s.ReturnedBusy)
 	}
 	if s.Started == 0 || s.Finished == 0 {
-		t.Errorf("nothing ran: %d started, %d finished", s.Started, s.Finished)
+		t.Errorf("no tasks ran to the end: %d started, %d finished", s.Started, s.Finished)
 	}
 }
 
-// checkPlanTookEffect checks that a run was what its plan says.
+// checkPlanTookEffect checks that a run was affected by the faults and the load of its plan, since
+// a plan without effect tests nothing.
 func checkPlanTookEffect(t *testing.T, s *Simulation) {
 	t.Helper()
 	p := s.plan
 	passed := len(s.Violations) == 0
 	if p.FleetFaults && (s.ZoneCuts < 3 || p.Machines > 100 && (s.Died == 0 || s.Hung == 0)) {
-		t.Errorf("too little happened: %d zone cuts, %d dead, %d hung, %d frozen", s.ZoneCuts, s.Died, s.Hung, s.Frozen)
+		t.Errorf("too few fleet faults: %d zones cut off, %d machines died, %d machines hung, %d controllers frozen", s.ZoneCuts, s.Died, s.Hung, s.Frozen)
 	}
 	if p.SlowStep > 0 && s.LongestInputWait < 3*p.SlowStep {
-		t.Errorf("nothing had to wait: %v s at most", s.LongestInputWait.Seconds())
+		t.Errorf("slow steps delayed no input enough: inputs waited for %v s at most", s.LongestInputWait.Seconds())
 	}
 	if p.StaleJobs && passed && (s.StaleEpisodes < 2 || s.Concurrent.Cancelled == 0) {
-		t.Errorf("too little happened: %d episodes of stale views, %d jobs cancelled", s.StaleEpisodes, s.Concurrent.Cancelled)
+		t.Errorf("too few stale views: %d episodes, %d jobs cancelled", s.StaleEpisodes, s.Concurrent.Cancelled)
 	}
 	if p.StatusRequestRate > 0 && passed && (s.StatusRequests < 1000 || s.RefusedRequests < 100) {
-		t.Errorf("too little happened: %d status requests, %d refused", s.StatusRequests, s.RefusedRequests)
+		t.Errorf("too few status requests: %d sent, %d refused", s.StatusRequests, s.RefusedRequests)
 	}
 	if p.DAGs > 0 && !p.ConcurrentFaults && !p.Faults && s.DependentStarts == 0 {
-		t.Error("no task started after others")
+		t.Error("no task of a job with dependencies started")
 	}
 	if p.Groups != nil && !p.Rollback && (s.LimitsSet == 0 || s.GroupWrites < 10) {
-		t.Errorf("operators set %d limits, records of groups were written %d times", s.LimitsSet, s.GroupWrites)
+		t.Errorf("too few changes of limits: operators set %d, group records were written %d times", s.LimitsSet, s.GroupWrites)
 	}
 }
 
-// TestSameSeed checks that two runs of one seed are equal, so that a failure can be repeated.
+// TestSameSeed checks that two runs with the same plan and seed are equal. Otherwise a failure
+// could not be reproduced.
 func TestSameSeed(t *testing.T) {
 	play := func() string {
 		s := New(Plan{Seed: 5, Nodes: 3, Machines: 8, Jobs: 15, Faults: true, Teams: fourTeams(), ActiveTime: 60 * sec, RecoveryTime: 200 * sec})
@@ -95,6 +100,6 @@
 		return fmt.Sprint(s.now, s.Started, s.Finished, s.Restarts, s.state.Revision(), s.Violations)
 	}
 	if a, b := play(), play(); a != b {
-		t.Errorf("two runs of one seed differ:\n%s\n%s", a, b)
+		t.Errorf("two runs with the same seed differ:\n%s\n%s", a, b)
 	}
 }
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -225,7 +225,7 @@
 	return true
 }
 
-// violated records the violation of a rule. The text begins with the name of the rule and a
+// violated records the violation of a rule. Most texts begin with the name of the rule and a
 // colon.
 func (s *Simulation) violated(format string, args ...any) {
 	s.Violations = append(s.Violations, fmt.Sprintf("%.3f s: ", s.now.Seconds())+fmt.Sprintf(format, args...))
--- a/internal/simulation/state_requests.go
+++ b/internal/simulation/state_requests.go
@@ -5,9 +5,10 @@
 	"garnethitch/internal/controller/statestore"
 )
 
-// Requests to the state service, counted over all controllers and their former processes.
+// This file sums the requests to the state service over all controllers, including their processes
+// that have ended.
 
-// addStateRequests adds what a process counted until its end.
+// addStateRequests adds the requests that a process has counted so far to the sums.
 func (s *Simulation) addStateRequests(c *controller.Controller) {
 	for i, m := range c.StateRequests() {
 		if i == len(s.stateRequests) {
@@ -21,7 +22,8 @@
 	}
 }
 
-// StateRequests gives the sums of a run that is over, by class; call it once.
+// StateRequests returns the sums of a finished run, by class of request. It must be called only
+// once, since it adds the counts of the running processes to the sums.
 func (s *Simulation) StateRequests() []statestore.ClassMetrics {
 	for _, n := range s.nodes {
 		if n.controller != nil {
--- a/internal/simulation/status_requests.go
+++ b/internal/simulation/status_requests.go
@@ -7,18 +7,19 @@
 	"garnethitch/internal/micros"
 )
 
-// Users who ask more than the state service takes.
+// This file holds the load of Plan.StatusRequestRate: more status requests than the state service
+// can serve.
 
 const (
-	// firstStatusRequest is when the first of these requests comes.
+	// firstStatusRequest is when the status requests begin.
 	firstStatusRequest = 5 * sec
-	// unknownJobFraction of them are about jobs that nobody submitted: each of these takes a
-	// read, whoever owns what.
+	// unknownJobFraction is the fraction of the requests about jobs that no user submitted. Every
+	// controller has to read the state service for such a job, whichever shards it owns.
 	unknownJobFraction = 0.75
 )
 
-// scheduleStatusRequests has users ask so many times a second, each time at all controllers,
-// from the first submissions until accepted jobs have to be answered for.
+// scheduleStatusRequests schedules StatusRequestRate rounds of status requests per second, each to
+// all controllers. They go on until checkUnanswered requires answers about all accepted jobs.
 func (s *Simulation) scheduleStatusRequests() {
 	interval := micros.FromSeconds(1 / s.plan.StatusRequestRate)
 	until := s.plan.ActiveTime + maxUnanswered
@@ -32,7 +33,7 @@
 	s.after(firstStatusRequest, next)
 }
 
-// requestStatusEverywhere asks all controllers about one job.
+// requestStatusEverywhere asks all controllers for the status of one job.
 func (s *Simulation) requestStatusEverywhere() {
 	s.StatusRequests++
 	u := s.users[s.rng.IntN(len(s.users))]
@@ -41,13 +42,13 @@
 		return
 	}
 	for _, n := range s.nodes {
-		if u.accepted { // before, 404 would be a right answer
+		if u.accepted { // until then, 404 is a correct answer
 			u.requestStatus(n, nil)
 		}
 	}
 }
 
-// requestUnknownEverywhere asks all controllers about a job that nobody submitted.
+// requestUnknownEverywhere asks all controllers for the status of a job that no user submitted.
 func (s *Simulation) requestUnknownEverywhere() {
 	unknown := s.drawUnknownJob(firstUnknownRequest, unknownRequestCount)
 	for _, n := range s.nodes {
@@ -56,7 +57,7 @@
 		}, func(a controller.Answer) {
 			switch a.Status {
 			case http.StatusOK:
-				s.violated("invented: %s", unknown)
+				s.violated("invented: status of %s, which no user submitted", unknown)
 			case http.StatusServiceUnavailable:
 				s.RefusedRequests++
 			}
--- a/internal/simulation/upgrade.go
+++ b/internal/simulation/upgrade.go
@@ -6,22 +6,23 @@
 	"garnethitch/internal/wire"
 )
 
-// A rolling upgrade from an older version: controllers that behave as it does in all that they
-// write and read are replaced one by one.
+// This file holds the rolling upgrade of Plan.UpgradeFrom. At first the controllers write and read
+// messages and records as the older release does; they are upgraded to the current release one by
+// one.
 
-// The lowered limits are those that the state service will have; current controllers keep to
-// them from the start.
+// The state service lowers its limits to these values during the run. Controllers of newer releases
+// keep to them from the start.
 const (
 	loweredValueBytes = 2 << 10
 	loweredTxnOps     = 4
 	loweredWriteRate  = 60.0
 )
 
-// upgradeInterval is how long after one controller the next is replaced.
+// upgradeInterval is the time between the upgrades of two controllers.
 const upgradeInterval = 7 * sec
 
-// upgradeStart returns when the first controller is replaced; in a cascade just before its
-// cancellation.
+// upgradeStart returns when the first controller is upgraded. With a cascade that is after its jobs
+// are submitted, so that the cancellation comes during the upgrade.
 func (s *Simulation) upgradeStart() micros.Micros {
 	if s.plan.Cascade != nil {
 		return 24 * sec
@@ -29,14 +30,15 @@
 	return 10 * sec
 }
 
-// upgradeEnd returns about when all controllers have the current version; crashes during the
-// upgrade may delay that.
+// upgradeEnd returns the approximate time at which all controllers run the current release. Crashes
+// during the upgrade may delay it.
 func (s *Simulation) upgradeEnd() micros.Micros {
 	return s.upgradeStart() + 2*sec + micros.Micros(len(s.nodes))*upgradeInterval
 }
 
-// scheduleUpgrade replaces the controllers one by one, in an order that the seed draws, and
-// lowers the state service's limits some time later.
+// scheduleUpgrade schedules the upgrades of the controllers one by one in random order, and the
+// lowering of the state service's limits. With some seeds the first two controllers are upgraded at
+// once.
 func (s *Simulation) scheduleUpgrade() {
 	order := s.rng.Perm(len(s.nodes))
 	for _, n := range s.nodes {
@@ -54,28 +56,28 @@
 			s.after(s.plan.ActiveTime*2/3+delay, func() { n.upgradeTo(s.plan.UpgradeFrom) })
 		}
 	}
-	s.after(s.between(12*sec, s.upgradeEnd()+30*sec), s.lowerLimits) // while old controllers run, or later
+	s.after(s.between(12*sec, s.upgradeEnd()+30*sec), s.lowerLimits) // while controllers of the old release run, or later
 }
 
-// upgradeTo ends a controller, to start again as another version.
+// upgradeTo restarts a controller with another release.
 func (n *node) upgradeTo(release Release) {
 	n.release = release
 	if n.controller == nil {
 		return
 	}
-	version := "the old version back"
+	version := "the old release"
 	if release == ReleaseCurrent {
-		version = "the new version"
+		version = "the current release"
 	}
-	n.sim.trace("%s gets %s", n.label, version)
+	n.sim.trace("%s is restarted with %s", n.label, version)
 	n.crash(n.sim.between(200*ms, 4*sec))
 }
 
-// config returns the settings of a controller.
+// config returns the settings of the controller.
 func (n *node) config() controller.Config { return n.sim.settingsFor(n.release) }
 
-// settingsFor returns the settings as a version takes them: the oldest one doesn't know the
-// limits to come.
+// settingsFor returns the settings of a controller of the given release. ReleaseWithoutDependencies
+// does not know the lowered limits, and older releases do not know groups.
 func (s *Simulation) settingsFor(release Release) controller.Config {
 	cfg := s.cfg
 	changesToCome := s.plan.UpgradeFrom != ReleaseCurrent || s.plan.Cascade != nil
@@ -90,15 +92,16 @@
 	return cfg
 }
 
-// checkLimits checks that a controller writes nothing that the limits which it knows would refuse.
+// checkLimits checks that a transaction of the controller keeps to the limits of the state service
+// that the controller knows.
 func (n *node) checkLimits(txn wire.Txn) {
 	cfg := n.config()
 	if txn.Writes() > cfg.TxnOps || len(txn.Conditions) > 4*cfg.TxnOps {
-		n.sim.violated("%s sends %d changes and %d conditions in a transaction", n.label, txn.Writes(), len(txn.Conditions))
+		n.sim.violated("%s exceeds the limits of a transaction with %d changes and %d conditions", n.label, txn.Writes(), len(txn.Conditions))
 	}
 	for _, change := range txn.Changes {
 		if change.Put != "" && wire.StoredSize(change.Value, cfg.ValueBytes) > cfg.ValueBytes {
-			n.sim.violated("%s writes a value of %d bytes to %s", n.label, len(change.Value), change.Put)
+			n.sim.violated("%s exceeds the limit of a value with %d bytes for key %s", n.label, len(change.Value), change.Put)
 		}
 	}
 }
--- a/internal/simulation/user.go
+++ b/internal/simulation/user.go
@@ -26,8 +26,8 @@
 	unknownJobChance = 0.05
 )
 
-// user owns one job. The user submits it, asks for its status, may cancel it, and checks each answer
-// against earlier ones.
+// user owns one job. The user submits it, asks for its status, may cancel it, and checks each
+// answer against earlier ones.
 type user struct {
 	fakes.Job
 	sim             *Simulation
@@ -57,8 +57,8 @@
 	u.sendTo(u.sim.drawNode(), newInput, timeout, done)
 }
 
-// sendTo sends the request that newInput returns to a controller. done is called with the answer, or
-// with false after the timeout.
+// sendTo sends the request that newInput returns to a controller. done is called with the answer,
+// or with false after the timeout.
 func (u *user) sendTo(n *node, newInput func(controller.ReplyID) controller.Input, timeout micros.Micros, done func(controller.Answer, bool)) {
 	exchange(u.sim, n.userLink(), timeout, func(reply func(controller.Answer)) { n.deliverRequest(newInput, reply) }, done)
 }
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -8,11 +8,12 @@
 )
 
 const (
-	// duplicateFraction of heartbeats are copied where there are faults, manyCopiedFraction while
-	// many are.
+	// duplicateFraction is the fraction of heartbeats that are duplicated in plans with Faults, and
+	// burstDuplicateFraction the additional fraction until duplicateBurstUntil.
 	duplicateFraction      = 0.01
 	burstDuplicateFraction = 0.5
-	// longDelayFraction of the copies come about a lease later.
+	// longDelayFraction is the fraction of duplicates that arrive between half and three times a
+	// worker's lease later. The others arrive within seconds.
 	longDelayFraction = 0.5
 )
 
@@ -69,8 +70,8 @@
 	return true
 }
 
-// maybeDuplicateLater may deliver a duplicate of a heartbeat to any controller, between a fraction of
-// a second and three worker leases later. The reply to the duplicate is lost.
+// maybeDuplicateLater may deliver a duplicate of a heartbeat to any controller, between a fraction
+// of a second and three worker leases later. The reply to the duplicate is lost.
 func (s *Simulation) maybeDuplicateLater(heartbeat *wire.Heartbeat) {
 	if !s.plan.Faults {
 		return
