--- a/internal/digest/digest.go
+++ b/internal/digest/digest.go
@@ -111,7 +111,8 @@
 	r.writeBytes(encoded.Body)
 }
 
-// targetName returns the fixed name of each kind of targetName.
+// targetName returns the name that stands for a target in the hashes. It is fixed, so that renaming
+// a constant does not change them.
 func (r *recorder) targetName(to controller.Target) string {
 	switch to {
 	case controller.ToState:
--- a/internal/simulation/cascade.go
+++ b/internal/simulation/cascade.go
@@ -61,8 +61,8 @@
 	Fault        CascadeFault
 	// LimitsLoweredBefore lowers the limits of the state service before the jobs are submitted.
 	LimitsLoweredBefore bool
-	// UpgradeFrom is the release from which a rolling upgrade begins. The cancellation comes during
-	// the upgrade.
+	// UpgradeFrom is the release from which a rolling upgrade begins, shortly after the jobs are
+	// submitted. The cancellation is meant to be in progress during the upgrade.
 	UpgradeFrom Release
 }
 
--- a/internal/simulation/concurrent_faults.go
+++ b/internal/simulation/concurrent_faults.go
@@ -194,9 +194,9 @@
 	s.after(s.between(2*sec, 15*sec), func() { s.crashOwner(4 * sec) })
 }
 
-// ownerRefusedBeforeOutage makes the state service refuse the leader only, and then has an outage
-// of the service that lasts longer than a cancellation may take. Users cancel jobs and ask for
-// their status meanwhile.
+// ownerRefusedBeforeOutage makes the state service refuse the leader only, and then be unavailable
+// to all controllers for longer than a cancellation may take. Users cancel jobs and ask for their
+// status meanwhile.
 func (s *Simulation) ownerRefusedBeforeOutage() {
 	s.owner().stateRefusedUntil = s.now + s.between(2*sec, 8*sec)
 	s.cancelRunning(3, 0)
--- a/internal/simulation/outages.go
+++ b/internal/simulation/outages.go
@@ -12,7 +12,7 @@
 // This file holds the faults of Plan.LongOutage and Plan.StaleJobs, in which controllers act on
 // stale views.
 
-// lostAnswersDuration is how long before a long outage the answers to the owner's writes are lost.
+// lostAnswersDuration is how long the answers to the owner's writes are lost before a long outage.
 const lostAnswersDuration = 600 * ms
 
 // scheduleLongOutages schedules two long outages.
--- a/internal/simulation/upgrade.go
+++ b/internal/simulation/upgrade.go
@@ -21,8 +21,9 @@
 // upgradeInterval is the time between the upgrades of two controllers.
 const upgradeInterval = 7 * sec
 
-// upgradeStart returns when the first controller is upgraded. With a cascade that is after its jobs
-// are submitted, so that the cancellation comes during the upgrade.
+// upgradeStart returns when the first controller is upgraded. With a cascade it is a few seconds
+// after cascadeAcceptedBy, so that the upgrade overlaps the cancellation if all jobs are accepted
+// by then.
 func (s *Simulation) upgradeStart() micros.Micros {
 	if s.plan.Cascade != nil {
 		return 24 * sec
--- a/internal/simulation/user.go
+++ b/internal/simulation/user.go
@@ -47,7 +47,7 @@
 
 	// The following fields are used by checks only.
 	largest                bool          // the job is among the largest of its class
-	waitingSince           micros.Micros // since when the job waits despite free capacity, without a start meanwhile; 0: it does not
+	waitingSince           micros.Micros // start of the current wait despite free capacity, reset by each start of a task; 0: blocked or unchecked
 	starts                 int           // number of starts of the job's tasks
 	startsWhenWaitingSince int           // value of starts when waitingSince was set
 }
