--- a/internal/digest/digest.go
+++ b/internal/digest/digest.go
@@ -1,7 +1,6 @@
-// Package digest computes hashes of all messages that controllers send in runs of the
-// simulation. A refactoring that preserves behaviour leaves them as they are. The hashes
-// are made of encoded messages only: no name of a Go type or field enters them, and
-// neither do log lines or spans.
+// Package digest computes a hash of all messages that controllers send in a run of the
+// simulation. A refactoring that preserves behaviour does not change the hashes. Only encoded
+// messages enter a hash: names of Go types and fields, log lines and spans do not.
 package digest
 
 import (
@@ -18,19 +17,19 @@
 	"garnethitch/internal/simulation"
 )
 
-// Head is the first line of a file of digests.
-const Head = "# plan/seed, number of messages, hash of all messages; made by: go run ./internal/measure digest"
+// Header is the first line of a file with digests.
+const Header = "# plan/seed, number of messages, hash of all messages; made by: go run ./internal/measure digest"
 
-// hashBytes is how many bytes of a hash are kept.
+// hashBytes is the number of bytes to which a hash is truncated.
 const hashBytes = 8
 
-// Run names one run of the simulation.
+// Run identifies one run of the simulation.
 type Run struct {
 	Plan simulation.NamedPlan
 	Seed uint64
 }
 
-// Digest is the hash of all messages that the controllers sent in one run.
+// Digest holds the number and the hash of all messages that the controllers sent in one run.
 type Digest struct {
 	Plan     string
 	Seed     uint64
@@ -38,16 +37,16 @@
 	Hash     string
 }
 
-// String returns the line that stands for the digest in a file.
+// String returns the line for the digest in a file with digests.
 func (d Digest) String() string {
 	return fmt.Sprintf("%s/%d %d %s", d.Plan, d.Seed, d.Messages, d.Hash)
 }
 
-// Play plays one run.
+// Play plays one run and returns its digest. It returns an error if a message can't be encoded.
 func Play(run Run) (Digest, error) {
 	recorder := newRecorder()
 	sim := simulation.New(run.Plan.WithSeed(run.Seed))
-	sim.Sent = recorder.record
+	sim.OnSend = recorder.record
 	sim.Run()
 	if recorder.err != nil {
 		return Digest{}, fmt.Errorf("digest: %s/%d: %w", run.Plan.Name, run.Seed, recorder.err)
@@ -64,7 +63,7 @@
 type recorder struct {
 	hash     hash.Hash
 	messages int
-	err      error // the first
+	err      error // first error, if any
 }
 
 func newRecorder() *recorder {
@@ -75,44 +74,46 @@
 	return hex.EncodeToString(r.hash.Sum(nil)[:hashBytes])
 }
 
+// record hashes one message with the time and the label of the controller that sends it.
 func (r *recorder) record(at micros.Micros, from string, effect controller.Effect) {
 	r.messages++
-	r.number(int64(at))
-	r.text(from)
+	r.writeNumber(int64(at))
+	r.writeText(from)
 	switch e := effect.(type) {
 	case controller.Answer:
-		r.answer(e)
+		r.recordAnswer(e)
 	case controller.Call:
-		r.call(e)
+		r.recordCall(e)
 	default:
-		r.fail(fmt.Errorf("effect of unknown type %T", effect))
+		r.keepFirstError(fmt.Errorf("effect of unknown type %T", effect))
 	}
 }
 
-func (r *recorder) answer(answer controller.Answer) {
+func (r *recorder) recordAnswer(answer controller.Answer) {
 	contentType, body, err := runtime.EncodeAnswer(answer.Body)
-	r.fail(err)
-	r.text("answer")
-	r.number(int64(answer.Reply))
-	r.number(int64(answer.Status))
-	r.number(int64(answer.RetryAfterS))
-	r.text(contentType)
-	r.bytes(body)
+	r.keepFirstError(err)
+	r.writeText("answer")
+	r.writeNumber(int64(answer.Reply))
+	r.writeNumber(int64(answer.Status))
+	r.writeNumber(int64(answer.RetryAfterS))
+	r.writeText(contentType)
+	r.writeBytes(body)
 }
 
-func (r *recorder) call(call controller.Call) {
+func (r *recorder) recordCall(call controller.Call) {
 	encoded, err := runtime.EncodeCall(call)
-	r.fail(err)
-	r.text(r.target(call.To))
-	r.text(call.Addr)
-	r.number(int64(call.Timeout))
-	r.text(encoded.Method)
-	r.text(encoded.Target)
-	r.bytes(encoded.Body)
-}
-
-// target returns the fixed name of each kind of target.
-func (r *recorder) target(to controller.Target) string {
+	r.keepFirstError(err)
+	r.writeText(r.targetName(call.To))
+	r.writeText(call.Addr)
+	r.writeNumber(int64(call.Timeout))
+	r.writeText(encoded.Method)
+	r.writeText(encoded.Target)
+	r.writeBytes(encoded.Body)
+}
+
+// targetName returns the name that stands for a target in the hashes. It is fixed, so that renaming
+// a constant does not change them.
+func (r *recorder) targetName(to controller.Target) string {
 	switch to {
 	case controller.ToState:
 		return "state"
@@ -123,61 +124,63 @@
 	case controller.ToPeer:
 		return "peer"
 	}
-	r.fail(fmt.Errorf("unknown target %d", to))
+	r.keepFirstError(fmt.Errorf("unknown target %d", to))
 	return ""
 }
 
-func (r *recorder) fail(err error) {
+func (r *recorder) keepFirstError(err error) {
 	if r.err == nil {
 		r.err = err
 	}
 }
 
-func (r *recorder) number(n int64) {
+func (r *recorder) writeNumber(n int64) {
 	var buffer [8]byte
 	binary.BigEndian.PutUint64(buffer[:], uint64(n))
 	r.write(buffer[:])
 }
 
-func (r *recorder) text(s string) {
-	r.bytes([]byte(s))
+func (r *recorder) writeText(s string) {
+	r.writeBytes([]byte(s))
 }
 
-// bytes hashes the length first, so that different sequences of parts have different hashes.
-func (r *recorder) bytes(b []byte) {
-	r.number(int64(len(b)))
+// writeBytes hashes the length first, so that different sequences of parts have different hashes.
+func (r *recorder) writeBytes(b []byte) {
+	r.writeNumber(int64(len(b)))
 	r.write(b)
 }
 
 func (r *recorder) write(b []byte) {
 	_, err := r.hash.Write(b)
-	r.fail(err)
+	r.keepFirstError(err)
 }
 
 const (
-	// defaultSeeds and defaultSeedsLarge are how many seeds of a plan are played by default.
+	// defaultSeeds is the default number of seeds of a plan, defaultSeedsLarge that of a large
+	// plan.
 	defaultSeeds      = 2
 	defaultSeedsLarge = 1
-	// largeMachines is from how many machines on a plan is large.
+	// largeMachines is the number of machines from which on a plan is large.
 	largeMachines = 300
 )
 
-// Runs lists the runs of the plans whose names contain pattern, ordered by plan, then by
-// seed. With seeds 0 it lists few seeds of each plan, and fewer of large ones.
+// Runs returns the runs of the plans whose names contain pattern, ordered by plan, then by
+// seed. seeds is the number of seeds of each plan; 0 selects the default number, which is
+// smaller for large plans.
 func Runs(plans []simulation.NamedPlan, pattern string, seeds int) []Run {
 	var runs []Run
 	for _, plan := range plans {
 		if !strings.Contains(plan.Name, pattern) {
 			continue
 		}
-		for seed := range seedsOf(plan, seeds) {
+		for seed := range seedCount(plan, seeds) {
 			runs = append(runs, Run{Plan: plan, Seed: uint64(seed) + 1})
 		}
 	}
 	return runs
 }
 
-func seedsOf(plan simulation.NamedPlan, wanted int) int {
+func seedCount(plan simulation.NamedPlan, wanted int) int {
 	switch {
 	case wanted > 0:
 		return wanted
--- a/internal/digest/digest_test.go
+++ b/internal/digest/digest_test.go
@@ -11,24 +11,26 @@
 	"garnethitch/internal/simulation"
 )
 
-// recorded reads the lines of the file that "go run ./internal/measure digest" prints.
-func recorded(t *testing.T) []string {
+// readRecorded reads the lines of the file that "go run ./internal/measure digest" prints.
+func readRecorded(t *testing.T) []string {
 	t.Helper()
 	text, err := os.ReadFile("testdata/digest.txt")
 	if err != nil {
 		t.Fatal(err)
 	}
 	lines := strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
-	if lines[0] != Head {
-		t.Errorf("the file begins with %q, want %q", lines[0], Head)
+	if lines[0] != Header {
+		t.Errorf("the first line of the file is %q, want %q", lines[0], Header)
 	}
 	return lines[1:]
 }
 
-// TestBehaviourIsPreserved plays a few small plans and compares the digests of their
-// messages with the recorded ones. The whole file is compared with what the command prints.
+// TestBehaviourIsPreserved guards against refactorings that change the controllers' messages: it
+// plays a few small plans and compares their digests with the recorded ones. The other recorded
+// digests are checked by comparing the whole file with the output of "go run ./internal/measure
+// digest".
 func TestBehaviourIsPreserved(t *testing.T) {
-	lines := recorded(t)
+	lines := readRecorded(t)
 	plans := simulation.RulePlans()
 	for _, name := range []string{
 		"no faults, sharded by job",
@@ -45,7 +47,7 @@
 			t.Parallel()
 			i := slices.IndexFunc(plans, func(p simulation.NamedPlan) bool { return p.Name == name })
 			if i < 0 {
-				t.Fatal("no such plan")
+				t.Fatal("RulePlans has no plan of this name")
 			}
 			got, err := Play(Run{Plan: plans[i], Seed: 1})
 			if err != nil {
@@ -58,10 +60,11 @@
 	}
 }
 
-// TestEveryRunIsRecorded checks that the file has a line for each run that is played by default.
+// TestEveryRunIsRecorded checks that the file has a line for each run that is played by default, in
+// the same order.
 func TestEveryRunIsRecorded(t *testing.T) {
 	t.Parallel()
-	lines := recorded(t)
+	lines := readRecorded(t)
 	runs := Runs(simulation.RulePlans(), "", 0)
 	if len(lines) != len(runs) {
 		t.Fatalf("%d digests are recorded, want %d", len(lines), len(runs))
@@ -70,32 +73,32 @@
 		name := Digest{Plan: run.Plan.Name, Seed: run.Seed}.String()
 		name = strings.TrimSuffix(name, " 0 ")
 		if !strings.HasPrefix(lines[i], name+" ") {
-			t.Errorf("line %d is %q, want that of %s", i, lines[i], name)
+			t.Errorf("line %d is %q, want the line of %s", i, lines[i], name)
 		}
 	}
 }
 
-// TestHookChangesNothing checks that a run goes the same way with and without a recorder.
-func TestHookChangesNothing(t *testing.T) {
+// TestRecorderChangesNothing checks that a run goes the same way with and without a recorder.
+func TestRecorderChangesNothing(t *testing.T) {
 	t.Parallel()
 	for _, plan := range simulation.RulePlans()[:4] {
 		plain := simulation.New(plan.WithSeed(1))
 		plain.Run()
 		recorded := simulation.New(plan.WithSeed(1))
-		recorded.Sent = newRecorder().record
+		recorded.OnSend = newRecorder().record
 		recorded.Run()
 		if outcomeOf(plain) != outcomeOf(recorded) {
-			t.Errorf("%s: %+v, recorded %+v", plan.Name, outcomeOf(plain), outcomeOf(recorded))
+			t.Errorf("%s: outcome %+v without a recorder, %+v with one", plan.Name, outcomeOf(plain), outcomeOf(recorded))
 		}
 	}
 }
 
-// outcome is what a run comes to.
+// outcome summarizes a run for comparison.
 type outcome struct {
 	started    int
 	finished   int
 	restarts   int
-	copies     int
+	duplicates int
 	violations int
 	waited     micros.Micros
 	requests   string
@@ -106,7 +109,7 @@
 		started:    sim.Started,
 		finished:   sim.Finished,
 		restarts:   sim.Restarts,
-		copies:     sim.CopiedHeartbeats,
+		duplicates: sim.DuplicateHeartbeats,
 		violations: len(sim.Violations),
 		waited:     sim.LongestInputWait,
 		requests:   fmt.Sprint(sim.StateRequests()),
--- a/internal/simulation/cascade.go
+++ b/internal/simulation/cascade.go
@@ -9,115 +9,117 @@
 	"garnethitch/internal/wire"
 )
 
-// A cancellation that reaches many jobs is a plan of its own, since its users, and the
-// limit on writes that they run into, would hide whatever else a run is about.
+// Cancellations that cascade to many dependents have separate plans: their many users and the write
+// limit that they reach would hide whatever else a run is meant to test.
 
 const (
-	// cascadeAcceptedBy is when the jobs of a cascade may be accepted.
+	// cascadeAcceptedBy is the time by which the jobs of a cascade are submitted. The cancellation
+	// follows once all are accepted.
 	cascadeAcceptedBy = 20 * sec
-	// cascadeFaultTime is how long a cascade's fault lasts.
-	cascadeFaultTime = 15 * sec
+	// cascadeFaultDuration is how long the fault of a cascade lasts.
+	cascadeFaultDuration = 15 * sec
 )
 
-// CascadeShape is how the jobs depend on each other.
+// CascadeShape is the shape of the graph of dependencies between the jobs of a cascade.
 type CascadeShape int
 
 // Shapes of a cascade.
 const (
-	// Wide means that all depend on the same job.
+	// Wide makes all jobs depend on the first one.
 	Wide CascadeShape = iota + 1
-	// Deep means that each depends on the one before it.
+	// Deep makes each job depend on the previous one.
 	Deep
-	// Diamonds are pairs that depend on the one before them both, and one that depends on
-	// the pair.
+	// Diamonds is a chain of diamonds: two jobs depend on the last job of the previous diamond, and
+	// a third depends on both.
 	Diamonds
 )
 
-// CascadeFault is what happens to the owner of most of the jobs at the cancellation.
+// CascadeFault is the fault that is injected just after the cancellation.
 type CascadeFault int
 
-// Faults of a cascade.
+// Faults of a cascade. The owner is the controller that owns the shard of the last job.
 const (
 	NoFault CascadeFault = iota
-	// OwnerEnds means that it is away for longer than its lease.
-	OwnerEnds
-	// OwnerReturns means that it ends and is back at once.
-	OwnerReturns
-	// OwnerCutOff means that it loses the network.
+	// OwnerCrashes ends the owner for longer than its lease.
+	OwnerCrashes
+	// OwnerRestarts ends the owner and starts it again almost at once.
+	OwnerRestarts
+	// OwnerCutOff cuts all network links of the owner.
 	OwnerCutOff
-	// OwnerRefused means that the state service refuses it alone.
-	OwnerRefused
-	// LimitsLowered means that the state service lowers its limits, for all.
+	// OwnerRefusedByState makes the state service refuse the requests of the owner only.
+	OwnerRefusedByState
+	// LimitsLowered lowers the limits of the state service for all controllers.
 	LimitsLowered
 )
 
-// Cascade plans one cancellation.
+// Cascade describes a set of interdependent jobs, one of which is cancelled.
 type Cascade struct {
 	Shape      CascadeShape
-	Dependents int
-	// Middle cancels a job half-way down instead of the first.
-	Middle bool
-	Fault  CascadeFault
-	// Limited lowers the limits before the jobs are submitted.
-	Limited bool
-	// UpgradeFrom is the version that a rolling upgrade begins with, the cancellation coming
-	// while it lasts.
+	Dependents int // jobs besides the first
+	// CancelMiddle cancels the middle one of the jobs instead of the first.
+	CancelMiddle bool
+	Fault        CascadeFault
+	// LimitsLoweredBefore lowers the limits of the state service before the jobs are submitted.
+	LimitsLoweredBefore bool
+	// UpgradeFrom is the release from which a rolling upgrade begins, shortly after the jobs are
+	// submitted. The cancellation is meant to be in progress during the upgrade.
 	UpgradeFrom Release
 }
 
-// ownersAway returns how many controllers the fault takes away for longer than a lease.
-func (c Cascade) ownersAway() int {
+// unavailableOwners returns how many controllers the fault makes unavailable for longer than a
+// lease.
+func (c Cascade) unavailableOwners() int {
 	switch c.Fault {
-	case OwnerEnds, OwnerCutOff, OwnerRefused:
+	case OwnerCrashes, OwnerCutOff, OwnerRefusedByState:
 		return 1
 	}
 	return 0
 }
 
-// cascade is a Cascade that is being played.
+// cascade is the state of a Cascade during a run.
 type cascade struct {
 	Cascade
 	sim     *Simulation
 	members []*user
-	target  *user // whose job is cancelled
+	target  *user // user whose job is cancelled
 }
 
-// addCascade submits the jobs, and cancels one of them once all are accepted.
+// addCascade adds the users of a cascade's jobs, and cancels one job once all are accepted.
 func (s *Simulation) addCascade(plan Cascade) {
 	limits := s.state.Limits()
 	limits.WritesPerSecond = s.cfg.WriteRPS
 	s.state.SetLimits(limits)
-	if plan.Limited {
+	if plan.LimitsLoweredBefore {
 		s.lowerLimits()
 	}
 	c := &cascade{Cascade: plan, sim: s}
 	c.addMembers()
 	c.target = c.members[0]
-	if c.Middle {
+	if c.CancelMiddle {
 		c.target = c.members[len(c.members)/2]
 	}
 	s.after(cascadeAcceptedBy, c.start)
 }
 
-// addMembers adds the users of the jobs, the one that all depend on first.
+// addMembers adds the users of the jobs, beginning with the job that all others depend on.
 func (c *cascade) addMembers() {
-	first := c.add()
-	first.Runs[0] = 5 * micros.Minute // it is not done before it is cancelled
+	first := c.addMember()
+	first.Runs[0] = 5 * micros.Minute // so that it is not done before it is cancelled
 	for last := first; len(c.members) <= c.Dependents; {
 		switch c.Shape {
 		case Wide:
-			c.add(first)
+			c.addMember(first)
 		case Deep:
-			last = c.add(last)
+			last = c.addMember(last)
 		case Diamonds:
-			left, right := c.add(last), c.add(last)
-			last = c.add(left, right)
+			left, right := c.addMember(last), c.addMember(last)
+			last = c.addMember(left, right)
 		}
 	}
 }
 
-// add adds a user with a job of one task that depends on others.
-func (c *cascade) add(dependencies ...*user) *user {
+// addMember adds a user with a job of one task that depends on the jobs of other users.
+func (c *cascade) addMember(dependencies ...*user) *user {
 	s := c.sim
 	u := newUser(s, len(s.users))
 	u.Submission.Class = "plain"
@@ -144,35 +146,36 @@
 func (c *cascade) start() {
 	s := c.sim
 	if slices.ContainsFunc(c.members, func(u *user) bool { return !u.accepted }) {
-		s.after(submitRetry, c.start)
+		s.after(submitRetryInterval, c.start)
 		return
 	}
-	s.trace("all accepted, %s is cancelled", c.target.Submission.ID)
+	s.trace("all jobs of the cascade are accepted, %s is cancelled", c.target.Submission.ID)
 	owner := s.ownerOf(c.members[len(c.members)-1])
 	c.target.requestCancel()
 	s.after(s.between(0, 300*ms), func() { s.injectCascadeFault(c.Fault, owner) })
 	c.awaitConfirmation()
 }
 
-// injectCascadeFault injects a cascade's fault at a controller.
+// injectCascadeFault injects a cascade's fault; n is the owner that it affects.
 func (s *Simulation) injectCascadeFault(fault CascadeFault, n *node) {
 	switch fault {
-	case OwnerEnds:
-		n.crash(cascadeFaultTime)
-	case OwnerReturns:
+	case OwnerCrashes:
+		n.crash(cascadeFaultDuration)
+	case OwnerRestarts:
 		n.crash(200 * ms)
 	case OwnerCutOff:
 		links := append(n.workerLinks(), n.stateLink(), n.cloudLink(), n.userLink())
 		links = append(links, n.peerLinks()...)
-		s.cut(links, cutHold, cascadeFaultTime)
-	case OwnerRefused:
-		n.stateRefusedUntil = s.now + cascadeFaultTime
+		s.cut(links, cutHold, cascadeFaultDuration)
+	case OwnerRefusedByState:
+		n.stateRefusedUntil = s.now + cascadeFaultDuration
 	case LimitsLowered:
 		s.lowerLimits()
 	}
 }
 
-// lowerLimits gives the state service its lower limits.
+// lowerLimits lowers the limits of the state service. The write rate is lowered only if it is
+// limited already.
 func (s *Simulation) lowerLimits() {
 	s.trace("the state service lowers its limits")
 	limits := fakes.StateLimits{ValueBytes: loweredValueBytes, TxnOps: loweredTxnOps}
@@ -182,7 +185,8 @@
 	s.state.SetLimits(limits)
 }
 
-// ownerOf returns the controller that owns a job's shard, by its own word.
+// ownerOf returns the first controller that considers itself the owner of a job's shard, or the
+// first of all controllers if none does.
 func (s *Simulation) ownerOf(u *user) *node {
 	for _, n := range s.nodes {
 		if n.controller != nil && n.controller.OwnsJob(u.Submission.ID) {
@@ -192,40 +196,41 @@
 	return s.nodes[0]
 }
 
-// awaitConfirmation waits until the cancellation is reported, and then for its time.
+// awaitConfirmation waits until the cancellation is reported to its user, and runs the check when
+// the deadline of the cancellation is reached.
 func (c *cascade) awaitConfirmation() {
-	until, cancelled := c.target.cancelTime()
+	until, cancelled := c.target.cancelDeadline()
 	if !cancelled {
 		c.sim.after(100*ms, c.awaitConfirmation)
 		return
 	}
-	c.sim.after(until-c.sim.now, c.check)
+	c.sim.after(until-c.sim.now, c.checkCancelled)
 }
 
-// check checks that all jobs that depend on the target are cancelled, and no others.
-func (c *cascade) check() {
+// checkCancelled checks that the target and all its dependents are cancelled, and no other jobs.
+func (c *cascade) checkCancelled() {
 	s := c.sim
-	late := 0
+	notCancelled := 0
 	for _, u := range c.members {
 		cancelled := s.recordOf(u).State == wire.StateCancelled
 		affected := u == c.target || slices.Contains(u.ancestors(), c.target)
 		if affected && !cancelled {
-			late++
+			notCancelled++
 		}
 		if cancelled && !affected {
-			s.violated("went_back: %s is cancelled, nothing that it needs is", u.Submission.ID)
+			s.violated("went_back: %s is cancelled, but no job that it depends on is", u.Submission.ID)
 		}
 		if cancelled {
 			s.CascadeCancelled++
 		}
 	}
-	if late > 0 {
-		s.violated("orphaned: %d of %d jobs are not cancelled %v s after the one that they need", late, len(c.members), s.cfg.CancelWithin.Seconds())
+	if notCancelled > 0 {
+		s.violated("orphaned: %d of %d jobs are not cancelled %v s after the job that they depend on", notCancelled, len(c.members), s.cfg.CancelWithin.Seconds())
 	}
-	c.members[0].requestCancel() // what is left would take hours to run in order
+	c.members[0].requestCancel() // the remaining jobs would take hours to run one after the other
 }
 
-// recordOf returns a job's record in the state service.
+// recordOf returns a job's record in the state service, or an empty one if there is none.
 func (s *Simulation) recordOf(u *user) (record wire.JobRecord) {
 	value, ok := s.state.Value(wire.JobKey(u.Submission.ID))
 	if !ok {
@@ -237,9 +242,10 @@
 	return record
 }
 
-// maxDependents returns how many dependents the settings allow for a cascade.
+// maxDependents returns how many dependents a controller with these settings can cancel in time
+// despite the cascade's fault.
 func (s *Simulation) maxDependents(c Cascade) int {
 	cfg := s.settingsFor(ReleaseCurrent)
 	cfg.Peers = make([]string, s.plan.Nodes-1)
-	return controller.CancellableDependents(cfg, c.ownersAway(), 0)
+	return controller.CancellableDependents(cfg, c.unavailableOwners(), 0)
 }
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -11,47 +11,50 @@
 )
 
 const (
-	// maxRecentCalls is how many of its last calls may be repeated when a controller crashes.
+	// maxRecentCalls is the number of a controller's last calls that may be repeated after it
+	// crashes.
 	maxRecentCalls = 12
-	// repeatedCallFraction of these are.
+	// repeatedCallFraction is the probability that each of them is repeated.
 	repeatedCallFraction = 0.2
-	// maxHeartbeatBytes bounds a heartbeat.
+	// maxHeartbeatBytes limits the size of an encoded heartbeat.
 	maxHeartbeatBytes = 1 << 20
-	// wallClockStep is how far the wall clocks of two controllers in a row are apart.
-	wallClockStep = 3 * ms
+	// wallClockOffset is the difference between the wall clocks of a controller and the next one.
+	wallClockOffset = 3 * ms
 )
 
-// node is one controller of the simulation: its process, its clock and its calls.
+// node is a simulated controller: its process, its clock and its calls. The process may end and be
+// started again.
 type node struct {
 	sim        *Simulation
 	id         int
 	label      string
 	clockDrift fakes.ClockDrift
-	release    Release // which version it runs
+	release    Release // the release that it runs
 
-	// The process; controller is nil while there is none.
-	controller     *controller.Controller
-	incarnation    int
-	nextReplyID    controller.ReplyID
-	pendingReplies map[controller.ReplyID]func(controller.Answer)
-	wakeAt         micros.Micros
-	recentCalls    []controller.Call
-	heartbeats     *wire.HeartbeatReader // decodes heartbeats, as that of a real controller
+	// State of the process; controller is nil while there is none.
+	controller      *controller.Controller
+	incarnation     int // number of the process; each start increments it
+	nextReplyID     controller.ReplyID
+	pendingReplies  map[controller.ReplyID]func(controller.Answer)
+	wakeAt          micros.Micros // on the steady clock
+	recentCalls     []controller.Call
+	heartbeatReader *wire.HeartbeatReader // decodes heartbeats as a real controller does
 
-	// stepTime is how long a step takes at present; backlog waits for the one under way.
-	stepTime micros.Micros
-	working  bool
-	backlog  []queuedInput
-	// frozenUntil is when the process stops being frozen; inputs wait until then.
+	// stepTime is how long a step takes at present. backlog holds the inputs of slow steps; the
+	// first one is in progress if stepInProgress.
+	stepTime       micros.Micros
+	stepInProgress bool
+	backlog        []queuedInput
+	// frozenUntil is the time until which the process is frozen; frozenInputs wait until then.
 	frozenUntil  micros.Micros
 	frozenInputs []controller.Input
 
-	// The state service refuses this controller alone until stateRefusedUntil, and its watches
-	// get no answer until watchesLostUntil.
+	// The state service refuses the requests of this controller only until stateRefusedUntil. The
+	// controller's watches get no answer until watchesLostUntil.
 	stateRefusedUntil, watchesLostUntil micros.Micros
 }
 
-// start starts the process, if there is none.
+// start starts a process unless one is running.
 func (n *node) start() {
 	if n.controller != nil {
 		return
@@ -66,16 +69,17 @@
 	n.incarnation++
 	n.frozenUntil = 0
 	n.frozenInputs = nil
-	n.working = false
+	n.stepInProgress = false
 	n.backlog = nil
-	n.heartbeats = wire.NewHeartbeatReader(maxHeartbeatBytes)
+	n.heartbeatReader = wire.NewHeartbeatReader(maxHeartbeatBytes)
 	n.controller = controller.New(cfg, n.sim.rng.Uint64())
 	n.pendingReplies = map[controller.ReplyID]func(controller.Answer){}
 	n.wakeAt = micros.Never
-	n.step(controller.Tick{})
+	n.handleInput(controller.Tick{})
 }
 
-// crash ends the process at once, for a while. Some of what it sent may be repeated.
+// crash ends the process at once and starts another after the given downtime. Some of its recent
+// calls may arrive a second time.
 func (n *node) crash(down micros.Micros) {
 	if n.controller == nil {
 		return
@@ -94,44 +98,47 @@
 	n.sim.after(down, n.start)
 }
 
-// steadyClock returns what the process's steady clock shows.
+// steadyClock returns the time on the process's steady clock, which drifts.
 func (n *node) steadyClock() micros.Micros { return n.clockDrift.Apply(n.sim.now) }
 
-// wallClock returns what the process's wall clock shows.
-func (n *node) wallClock() micros.Micros { return n.sim.now + micros.Micros(n.id)*wallClockStep }
+// wallClock returns the time on the process's wall clock.
+func (n *node) wallClock() micros.Micros { return n.sim.now + micros.Micros(n.id)*wallClockOffset }
 
-// step gives the controller an input, which waits while the process is frozen or busy.
-func (n *node) step(in controller.Input) {
+// handleInput gives the controller an input. While the process is frozen or slow, the input is
+// queued; without a process it is dropped.
+func (n *node) handleInput(in controller.Input) {
 	switch {
 	case n.controller == nil:
 	case n.sim.now < n.frozenUntil:
 		n.frozenInputs = append(n.frozenInputs, in)
-	case n.stepTime > 0 || n.working:
+	case n.stepTime > 0 || n.stepInProgress:
 		n.backlog = append(n.backlog, queuedInput{in, n.sim.now})
-		n.work()
+		n.processBacklog()
 	default:
 		n.process(in, 0)
 	}
 }
 
-// process has the controller take an input, and carries out the effects.
+// process runs one step of the controller with an input, and executes the step's effects. took is
+// the duration of the step.
 func (n *node) process(in controller.Input, took micros.Micros) {
 	at := controller.Instant{Steady: n.steadyClock(), Wall: n.wallClock(), PreviousStepDuration: took}
 	effects := n.controller.Step(at, in)
 	n.sim.countWork(in, n.controller.LastWork())
 	for _, effect := range effects {
-		n.carryOut(effect)
+		n.executeEffect(effect)
 	}
 	n.scheduleWake(at.Steady)
 }
 
-func (n *node) carryOut(effect controller.Effect) {
+// executeEffect delivers an answer, sends a call or handles a log entry.
+func (n *node) executeEffect(effect controller.Effect) {
 	switch e := effect.(type) {
 	case controller.Answer:
-		n.passToHook(e)
+		n.callOnSend(e)
 		n.deliverAnswer(e)
 	case controller.Call:
-		n.passToHook(e)
+		n.callOnSend(e)
 		if command, ok := e.Req.(wire.DirectCommand); ok {
 			n.sim.checkStartsSent(n, command.Commands)
 		}
@@ -141,12 +148,14 @@
 	}
 }
 
-func (n *node) passToHook(effect controller.Effect) {
-	if n.sim.Sent != nil {
-		n.sim.Sent(n.sim.now, n.label, effect)
+// callOnSend passes an effect to Simulation.OnSend if that is set.
+func (n *node) callOnSend(effect controller.Effect) {
+	if n.sim.OnSend != nil {
+		n.sim.OnSend(n.sim.now, n.label, effect)
 	}
 }
 
+// deliverAnswer delivers an answer of the controller to whoever sent the request.
 func (n *node) deliverAnswer(answer controller.Answer) {
 	if reply, ok := answer.Body.(wire.HeartbeatReply); ok {
 		n.sim.checkStartsSent(n, reply.Commands)
@@ -157,8 +166,8 @@
 	}
 }
 
-// handleLog follows what the controller logs, and takes an invariant that it finds broken as
-// a violation.
+// handleLog traces a log entry of the controller. A broken invariant is recorded as a violation,
+// and the stop of a task whose job has ended is checked.
 func (n *node) handleLog(entry controller.Log) {
 	n.sim.trace("%s %s %v", n.label, entry.Text, entry.Args)
 	if entry.Level == controller.Error && entry.Text == controller.InvariantBroken {
@@ -169,7 +178,7 @@
 	}
 }
 
-// scheduleWake gives the controller a tick when it wants one.
+// scheduleWake schedules the controller's next tick at the time that the controller asks for.
 func (n *node) scheduleWake(steadyNow micros.Micros) {
 	wake := n.controller.Wake()
 	planned := n.wakeAt > steadyNow && wake >= n.wakeAt
@@ -179,30 +188,31 @@
 	n.wakeAt = wake
 	incarnation := n.incarnation
 	n.sim.after(max(wake-steadyNow, ms), func() {
-		if n.lives(incarnation) && n.steadyClock() >= n.wakeAt {
-			n.step(controller.Tick{})
+		if n.isRunning(incarnation) && n.steadyClock() >= n.wakeAt {
+			n.handleInput(controller.Tick{})
 		}
 	})
 }
 
-// lives reports whether a process has not ended.
-func (n *node) lives(incarnation int) bool {
+// isRunning reports whether the process with this incarnation is still running.
+func (n *node) isRunning(incarnation int) bool {
 	return n.incarnation == incarnation && n.controller != nil
 }
 
-// request gives the controller the request that newInput makes; deliver gets the answer, if one
-// comes.
-func (n *node) request(newInput func(controller.ReplyID) controller.Input, deliver func(controller.Answer)) {
+// deliverRequest gives the controller the request that newInput returns. deliver is called with the
+// answer, or never if there is none.
+func (n *node) deliverRequest(newInput func(controller.ReplyID) controller.Input, deliver func(controller.Answer)) {
 	if n.controller == nil {
 		return
 	}
 	n.nextReplyID++
 	n.pendingReplies[n.nextReplyID] = deliver
-	n.step(newInput(n.nextReplyID))
+	n.handleInput(newInput(n.nextReplyID))
 }
 
-// heartbeat gives the controller a worker's heartbeat, encoded and decoded as on the wire.
-func (n *node) heartbeat(sent *wire.Heartbeat, deliver func(controller.Answer)) {
+// deliverHeartbeat gives the controller a worker's heartbeat after encoding and decoding it as for
+// the network. deliver is called with the answer, or never if there is none.
+func (n *node) deliverHeartbeat(sent *wire.Heartbeat, deliver func(controller.Answer)) {
 	if n.controller == nil {
 		return
 	}
@@ -211,17 +221,18 @@
 		n.sim.violated("heartbeat: %v", err)
 		return
 	}
-	received, err := n.heartbeats.Parse(body)
+	received, err := n.heartbeatReader.Parse(body)
 	if err != nil {
 		n.sim.violated("heartbeat: %v", err)
 		return
 	}
-	n.request(func(id controller.ReplyID) controller.Input {
+	n.deliverRequest(func(id controller.ReplyID) controller.Input {
 		return controller.Heartbeat{Reply: id, Heartbeat: received}
 	}, deliver)
 }
 
-// call carries a call of the controller, and gives it the result.
+// call sends a call of the controller, and gives it the result. The result is empty if the call
+// times out.
 func (n *node) call(call controller.Call) {
 	if txn, ok := call.Req.(wire.Txn); ok {
 		n.checkLimits(txn)
@@ -235,7 +246,7 @@
 	exchange(n.sim, n.link(call), call.Timeout, func(reply func(controller.Result)) {
 		n.serveCall(call, reply)
 	}, func(result controller.Result, ok bool) {
-		if !n.lives(incarnation) {
+		if !n.isRunning(incarnation) {
 			return
 		}
 		if !ok {
@@ -243,30 +254,30 @@
 		}
 		result = release.downgradeResult(result)
 		result.ID = call.ID
-		n.step(result)
+		n.handleInput(result)
 	})
 }
 
-// serveCall passes a call on to the called side, unless a fault prevents that.
+// serveCall passes a call on to the called component, unless a fault prevents that.
 func (n *node) serveCall(call controller.Call, reply func(controller.Result)) {
 	s := n.sim
 	toState := call.To == controller.ToState
 	_, isWatch := call.Req.(statestore.WatchKeys)
 	switch {
 	case toState && s.now < n.stateRefusedUntil:
-		if !isWatch { // watches wait, as in an outage
+		if !isWatch { // watches get no answer, as in an outage
 			reply(controller.Result{Status: http.StatusServiceUnavailable})
 		}
 	case s.refusesJobs(call):
 		reply(controller.Result{Status: http.StatusTooManyRequests})
-	case toState && s.carryOutLate(n, call):
+	case toState && s.maybeExecuteUnanswered(n, call):
 	case isWatch && s.now < n.watchesLostUntil:
 	default:
 		s.serve(call, reply)
 	}
 }
 
-// link returns the link that a call goes over.
+// link returns the name of the network link that a call uses.
 func (n *node) link(call controller.Call) string {
 	switch call.To {
 	case controller.ToState:
@@ -287,12 +298,12 @@
 
 func (n *node) workerLink(machine string) string { return n.label + "-" + machine }
 
-// peerLink is named alike from both ends.
+// peerLink returns the link to another controller. Its name is the same at both ends.
 func (n *node) peerLink(peer string) string {
 	return min(n.label, peer) + "-" + max(n.label, peer)
 }
 
-// workerLinks returns the links to all machines.
+// workerLinks returns the links to all machines ever rented.
 func (n *node) workerLinks() (links []string) {
 	for _, name := range n.sim.machineNames {
 		links = append(links, n.workerLink(name))
--- a/internal/simulation/slow_steps.go
+++ b/internal/simulation/slow_steps.go
@@ -5,21 +5,21 @@
 	"garnethitch/internal/micros"
 )
 
-// queuedInput waits for a controller that is short of time.
+// queuedInput is an input in the backlog of a slow controller.
 type queuedInput struct {
-	in controller.Input
-	at micros.Micros
+	input    controller.Input
+	queuedAt micros.Micros
 }
 
-// work takes the next input of the backlog, which takes its time.
-func (n *node) work() {
-	if n.working || len(n.backlog) == 0 {
+// processBacklog processes the inputs of the backlog one after the other, each after stepTime.
+func (n *node) processBacklog() {
+	if n.stepInProgress || len(n.backlog) == 0 {
 		return
 	}
-	n.working = true
+	n.stepInProgress = true
 	incarnation, stepTime := n.incarnation, n.stepTime
 	n.sim.after(stepTime, func() {
-		if !n.lives(incarnation) {
+		if !n.isRunning(incarnation) {
 			return
 		}
 		if n.sim.now < n.frozenUntil {
@@ -28,38 +28,38 @@
 		}
 		next := n.backlog[0]
 		n.backlog = n.backlog[1:]
-		n.sim.LongestInputWait = max(n.sim.LongestInputWait, n.sim.now-next.at)
-		n.process(next.in, stepTime)
-		n.working = false
-		n.work()
+		n.sim.LongestInputWait = max(n.sim.LongestInputWait, n.sim.now-next.queuedAt)
+		n.process(next.input, stepTime)
+		n.stepInProgress = false
+		n.processBacklog()
 	})
 }
 
-// freezeBacklog has the backlog wait with a process that is frozen, the input under way
-// included.
+// freezeBacklog moves the backlog, including the input in progress, to the inputs that wait until
+// the process is no longer frozen.
 func (n *node) freezeBacklog() {
-	n.working = false
+	n.stepInProgress = false
 	for _, queued := range n.backlog {
-		n.frozenInputs = append(n.frozenInputs, queued.in)
+		n.frozenInputs = append(n.frozenInputs, queued.input)
 	}
 	n.backlog = nil
 }
 
-// slowDown makes some controllers slow for a while.
+// slowDown makes the steps of some controllers take the plan's SlowStep for the duration d.
 func (s *Simulation) slowDown(nodes []*node, d micros.Micros) {
 	for _, n := range nodes {
-		s.trace("%s takes %v s a step for %v s", n.label, s.plan.SlowStep.Seconds(), d.Seconds())
+		s.trace("each step of %s takes %v s for the next %v s", n.label, s.plan.SlowStep.Seconds(), d.Seconds())
 		n.stepTime = s.plan.SlowStep
 		s.after(d, func() { n.stepTime = 0 })
 	}
 }
 
-// scheduleSlowSteps slows one controller down, later all of them.
+// scheduleSlowSteps slows down one controller, and later all controllers.
 func (s *Simulation) scheduleSlowSteps() {
-	s.after(s.between(10*sec, s.plan.Length/3), func() {
+	s.after(s.between(10*sec, s.plan.ActiveTime/3), func() {
 		s.slowDown([]*node{s.drawNode()}, s.between(10*sec, 25*sec))
 	})
-	s.after(s.between(s.plan.Length/2, s.plan.Length*3/4), func() {
+	s.after(s.between(s.plan.ActiveTime/2, s.plan.ActiveTime*3/4), func() {
 		s.slowDown(s.nodes, s.between(10*sec, 20*sec))
 	})
 }
