--- a/cmd/garnethitch/quota.go
+++ b/cmd/garnethitch/quota.go
@@ -80,7 +80,7 @@
 	if err != nil {
 		return exitError{exitBadInput, err}
 	}
-	set := peer.SetLimit{WaitingTasks: q.Group, Limit: quota.Limit{CPUs: q.CPUs, GPUs: q.GPUs}, Clear: q.Clear}
+	set := peer.SetLimit{Group: q.Group, Limit: quota.Limit{CPUs: q.CPUs, GPUs: q.GPUs}, Clear: q.Clear}
 	if err := admin.CheckSetLimit(set, q.Options, settings); err != nil {
 		return exitError{exitBadInput, err}
 	}
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -41,7 +41,7 @@
 		t.Fatalf("%s: not within 10 s: %+v, %v", what, resp, err)
 	}
 	wait("the options' limit in force", func(g quota.GroupStatus) bool { return g.State == quota.StateInForce && *g.Limit.CPUs == 40 })
-	set, err := admin.RequestQuota(ctx, addrs[0], peer.QuotaRequest{Set: &peer.SetLimit{WaitingTasks: "lake", Limit: quota.CPULimit(7)}})
+	set, err := admin.RequestQuota(ctx, addrs[0], peer.QuotaRequest{Set: &peer.SetLimit{Group: "lake", Limit: quota.CPULimit(7)}})
 	if err != nil || set.Epoch < 2 {
 		t.Fatalf("%+v, %v", set, err)
 	}
@@ -63,7 +63,7 @@
 	if err := json.Unmarshal(text.Bytes(), &back); err != nil || len(back.Groups) != 2 || *back.Groups[1].Limit.CPUs != 7 {
 		t.Errorf("%v in\n%s", err, &text)
 	}
-	if _, err := admin.RequestQuota(ctx, addrs[0], peer.QuotaRequest{Set: &peer.SetLimit{WaitingTasks: "none", Limit: quota.CPULimit(7)}}); !errors.Is(err, admin.ErrRefused) {
+	if _, err := admin.RequestQuota(ctx, addrs[0], peer.QuotaRequest{Set: &peer.SetLimit{Group: "none", Limit: quota.CPULimit(7)}}); !errors.Is(err, admin.ErrRefused) {
 		t.Errorf("an unknown group: %v", err)
 	}
 }
@@ -81,12 +81,12 @@
 		options string
 		want    string // text of the error; empty: none
 	}{
-		{"good", peer.SetLimit{WaitingTasks: "lake", Limit: quota.CPULimit(3)}, path, ""},
-		{"without options", peer.SetLimit{WaitingTasks: "any", Clear: true}, "", ""},
-		{"neither a limit nor cleared", peer.SetLimit{WaitingTasks: "lake"}, path, "--cpus"},
-		{"negative", peer.SetLimit{WaitingTasks: "lake", Limit: quota.Limit{CPUs: &negative}}, path, "limit.cpus = -2"},
-		{"an unknown group", peer.SetLimit{WaitingTasks: "hill", Limit: quota.CPULimit(3)}, path, `group "hill"`},
-		{"no options file", peer.SetLimit{WaitingTasks: "lake", Limit: quota.CPULimit(3)}, path + "x", "no such file"},
+		{"good", peer.SetLimit{Group: "lake", Limit: quota.CPULimit(3)}, path, ""},
+		{"without options", peer.SetLimit{Group: "any", Clear: true}, "", ""},
+		{"neither a limit nor cleared", peer.SetLimit{Group: "lake"}, path, "--cpus"},
+		{"negative", peer.SetLimit{Group: "lake", Limit: quota.Limit{CPUs: &negative}}, path, "limit.cpus = -2"},
+		{"an unknown group", peer.SetLimit{Group: "hill", Limit: quota.CPULimit(3)}, path, `group "hill"`},
+		{"no options file", peer.SetLimit{Group: "lake", Limit: quota.CPULimit(3)}, path + "x", "no such file"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			err := admin.CheckSetLimit(tc.set, tc.options, config.Settings{})
--- a/internal/admin/checkset.go
+++ b/internal/admin/checkset.go
@@ -36,9 +36,9 @@
 	if err := options.BuildGroups(optionsPath, settings); err != nil {
 		return err
 	}
-	if !options.Groups.Has(set.WaitingTasks) {
+	if !options.Groups.Has(set.Group) {
 		names := strings.Join(options.Groups.Names(), ", ")
-		return fmt.Errorf("%s: group %q: want one of the file's: %s", optionsPath, set.WaitingTasks, names)
+		return fmt.Errorf("%s: group %q: want one of the file's: %s", optionsPath, set.Group, names)
 	}
 	return nil
 }
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -18,10 +18,10 @@
 const (
 	// maxHeadBytes bounds the status line and header fields of a response.
 	maxHeadBytes = 8 << 10
-	// requestHeadBytes is the space set aside for the head of a request.
-	requestHeadBytes = 256
-	// responseBytes is the first size of the buffer for a response.
-	responseBytes = 2048
+	// requestHeadCapacity is the space set aside for the head of a request.
+	requestHeadCapacity = 256
+	// initialResponseCapacity is the first size of the buffer for a response.
+	initialResponseCapacity = 2048
 )
 
 // ErrNotSent marks calls of which not a byte was sent.
@@ -61,13 +61,13 @@
 
 // Call is one request.
 type Call struct {
-	Addr        string // IP:port
-	Method      string
-	Target      string // path and query
-	ContentType string // of Body, if there is one
-	Body        []byte
-	Timeout     time.Duration // for the whole call
-	MaxBody     int           // bytes of the response body; 0: Config.MaxBody
+	Addr         string // IP:port
+	Method       string
+	Target       string // path and query
+	ContentType  string // of Body, if there is one
+	Body         []byte
+	Timeout      time.Duration // for the whole call
+	MaxBodyBytes int           // bytes of the response body; 0: Config.MaxBody
 }
 
 // Do makes the call and reads the whole response. An error that is ErrNotSent says that
@@ -95,12 +95,12 @@
 	if err := conn.SetDeadline(deadline); err != nil {
 		return http1.Message{}, err
 	}
-	request := make([]byte, 0, requestHeadBytes+len(call.Body))
+	request := make([]byte, 0, requestHeadCapacity+len(call.Body))
 	request = http1.AppendRequest(request, call.Method, call.Target, call.Addr, call.ContentType, call.Body)
 	if _, err := conn.Write(request); err != nil {
 		return http1.Message{}, err
 	}
-	maxBody := call.MaxBody
+	maxBody := call.MaxBodyBytes
 	if maxBody == 0 {
 		maxBody = c.cfg.MaxBodyBytes
 	}
@@ -108,7 +108,7 @@
 }
 
 func readResponse(conn net.Conn, limits http1.Limits) (http1.Message, error) {
-	buf := make([]byte, 0, responseBytes)
+	buf := make([]byte, 0, initialResponseCapacity)
 	for {
 		if len(buf) == cap(buf) {
 			buf = doubleCapacity(buf)
--- a/internal/client/client_test.go
+++ b/internal/client/client_test.go
@@ -14,10 +14,10 @@
 
 type dialFunc = func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// answering returns a dialer whose connections answer each request with the next of the
+// answeringDialer returns a dialer whose connections answer each request with the next of the
 // texts, over and over, and the number of its dials. An empty text closes the connection
 // without an answer.
-func answering(texts ...string) (dial dialFunc, dials *int) {
+func answeringDialer(texts ...string) (dial dialFunc, dials *int) {
 	dials = new(int)
 	next := 0
 	return func(context.Context, string, string) (net.Conn, error) {
@@ -59,7 +59,7 @@
 		{"more than was asked for", []string{okResponse + "extra", okResponse}, []bool{false, false}, 2},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			dial, dials := answering(tc.texts...)
+			dial, dials := answeringDialer(tc.texts...)
 			c := New(Config{MaxIdle: 2, MaxConns: 4, MaxBodyBytes: 50, IdleTimeout: time.Hour, DialTimeout: time.Hour, Dial: dial})
 			for i, fails := range tc.fails {
 				_, err := c.Do(t.Context(), Call{Addr: "a:1", Method: "GET", Target: "/", Timeout: time.Hour})
--- a/internal/client/pool.go
+++ b/internal/client/pool.go
@@ -11,9 +11,9 @@
 // idleConn is an open connection that no call uses.
 type idleConn struct {
 	net.Conn
-	addr  string
-	since time.Time
-	entry *list.Element // in Client.idleByAge
+	addr      string
+	idleSince time.Time
+	entry     *list.Element // in Client.idleByAge
 }
 
 // connect takes the connection to addr that was idle for the shortest time, or opens one.
@@ -72,7 +72,7 @@
 		c.open--
 		return
 	}
-	idle := &idleConn{Conn: conn, addr: addr, since: time.Now()}
+	idle := &idleConn{Conn: conn, addr: addr, idleSince: time.Now()}
 	idle.entry = c.idleByAge.PushBack(idle)
 	c.idle[addr] = append(c.idle[addr], idle)
 }
@@ -85,7 +85,7 @@
 
 // expired reports whether a connection has been idle for too long.
 func (c *Client) expired(idle *idleConn, now time.Time) bool {
-	return now.Sub(idle.since) > c.cfg.IdleTimeout
+	return now.Sub(idle.idleSince) > c.cfg.IdleTimeout
 }
 
 // evictLongestIdle closes the longest idle connection, so that idle connections never
--- a/internal/client/pool_test.go
+++ b/internal/client/pool_test.go
@@ -10,7 +10,7 @@
 // closed. A failover with 900 machines found all of 400 connections idle, and could call
 // nobody for 10 s.
 func TestLongestIdleEvicted(t *testing.T) {
-	dial, dials := answering(okResponse)
+	dial, dials := answeringDialer(okResponse)
 	c := New(Config{MaxIdle: 1, MaxConns: 4, MaxBodyBytes: 50, IdleTimeout: time.Hour, DialTimeout: time.Hour, Dial: dial})
 	ask := func(i int) {
 		addr := fmt.Sprintf("a:%d", i)
--- a/internal/controller/cancellation_cascade_test.go
+++ b/internal/controller/cancellation_cascade_test.go
@@ -166,7 +166,7 @@
 			h.put(ownerKey(0), wire.OwnerRecord{Label: "n-1", Incarnation: 99})
 			h.done = nil
 			tc.play(h, func(modRevision uint64) {
-				st := &peer.Status{ControllerState: peer.ControllerState{StateOK: true}, JobsToCancel: append(all(), "job-000777", "no id")}
+				st := &peer.Status{ControllerState: peer.ControllerState{StateServiceOK: true}, JobsToCancel: append(all(), "job-000777", "no id")}
 				if modRevision != 0 {
 					st.Claims = []peer.ShardClaim{{Shard: 0, OwnerEpoch: modRevision}}
 				}
--- a/internal/controller/checkpoint/checkpoint.go
+++ b/internal/controller/checkpoint/checkpoint.go
@@ -47,14 +47,14 @@
 // does no harm.
 func NewRecord(p Progress, maxBytes int) (wire.CheckpointRecord, TaskSet) {
 	rec := wire.CheckpointRecord{
-		Steps:      latestSteps(p.Steps, maxBytes),
-		Recoveries: p.Recoveries,
+		FinishedTasks: latestSteps(p.Steps, maxBytes),
+		RecoveriesMS:  p.Recoveries,
 	}
-	remainingBytes := maxBytes - stepBytes*len(rec.Steps) - otherBytes
+	remainingBytes := maxBytes - stepBytes*len(rec.FinishedTasks) - otherBytes
 	if setIsShorter(p, remainingBytes) {
-		rec.Set = slices.Clone(p.Done)
-		rec.Count = p.DoneCount
-		return rec, TaskSet(rec.Set)
+		rec.DoneBitmap = slices.Clone(p.Done)
+		rec.DoneCount = p.DoneCount
+		return rec, TaskSet(rec.DoneBitmap)
 	}
 	maxRanges := max(remainingBytes/rangeBytes, 1)
 	covered := addRanges(&rec, p, maxRanges)
@@ -104,8 +104,8 @@
 			covered.Add(task)
 			task++
 		}
-		rec.Ranges = append(rec.Ranges, first, task-1)
-		rec.Count += task - first
+		rec.DoneRanges = append(rec.DoneRanges, first, task-1)
+		rec.DoneCount += task - first
 		ranges++
 	}
 	return covered
@@ -115,13 +115,13 @@
 // Indexes outside the job are ignored.
 func DoneTasks(rec wire.CheckpointRecord, tasks int) TaskSet {
 	done := NewTaskSet(tasks)
-	for i := 0; i+1 < len(rec.Ranges); i += 2 {
-		first, last := rec.Ranges[i], rec.Ranges[i+1]
+	for i := 0; i+1 < len(rec.DoneRanges); i += 2 {
+		first, last := rec.DoneRanges[i], rec.DoneRanges[i+1]
 		for task := max(first, 0); task <= last && task < tasks; task++ {
 			done.Add(task)
 		}
 	}
-	set := TaskSet(rec.Set)
+	set := TaskSet(rec.DoneBitmap)
 	for task := range min(tasks, wordBits*len(set)) {
 		if set.Has(task) {
 			done.Add(task)
--- a/internal/controller/checkpoint/checkpoint_test.go
+++ b/internal/controller/checkpoint/checkpoint_test.go
@@ -41,14 +41,14 @@
 		t.Run(tc.name, func(t *testing.T) {
 			p := progressOf(tc.tasks, tc.done)
 			rec, covered := NewRecord(p, testMaxBytes)
-			if rec.Count != tc.count {
-				t.Fatalf("%d done, want %d", rec.Count, tc.count)
+			if rec.DoneCount != tc.count {
+				t.Fatalf("%d done, want %d", rec.DoneCount, tc.count)
 			}
-			if tc.set != (rec.Set != nil) {
-				t.Fatalf("a set of %d words, want a set: %v", len(rec.Set), tc.set)
+			if tc.set != (rec.DoneBitmap != nil) {
+				t.Fatalf("a set of %d words, want a set: %v", len(rec.DoneBitmap), tc.set)
 			}
-			if !slices.Equal(rec.Ranges, tc.ranges) {
-				t.Errorf("ranges %v, want %v", rec.Ranges, tc.ranges)
+			if !slices.Equal(rec.DoneRanges, tc.ranges) {
+				t.Errorf("ranges %v, want %v", rec.DoneRanges, tc.ranges)
 			}
 			if !slices.Equal(covered, p.Done) {
 				t.Error("the tasks covered are not those done")
@@ -68,10 +68,10 @@
 		rec  wire.CheckpointRecord
 		want []int
 	}{
-		{"range beyond both ends", wire.CheckpointRecord{Ranges: []int{-3, 9}}, []int{0, 1, 2}},
-		{"range without an end", wire.CheckpointRecord{Ranges: []int{0, 1, 2}}, []int{0, 1}},
-		{"set beyond the end", wire.CheckpointRecord{Set: []uint64{1<<2 | 1<<5, 1}}, []int{2}},
-		{"range and set", wire.CheckpointRecord{Ranges: []int{0, 1}, Set: []uint64{1 << 1}}, []int{0, 1}},
+		{"range beyond both ends", wire.CheckpointRecord{DoneRanges: []int{-3, 9}}, []int{0, 1, 2}},
+		{"range without an end", wire.CheckpointRecord{DoneRanges: []int{0, 1, 2}}, []int{0, 1}},
+		{"set beyond the end", wire.CheckpointRecord{DoneBitmap: []uint64{1<<2 | 1<<5, 1}}, []int{2}},
+		{"range and set", wire.CheckpointRecord{DoneRanges: []int{0, 1}, DoneBitmap: []uint64{1 << 1}}, []int{0, 1}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			got := slices.Collect(DoneTasks(tc.rec, 3).All())
@@ -90,8 +90,8 @@
 	}
 	rec, covered := NewRecord(p, testMaxBytes)
 	value, err := wire.Encode(rec)
-	if err != nil || len(value) > testMaxBytes || rec.Count == 0 {
-		t.Errorf("the worst record has %d bytes for %d tasks, %v", len(value), rec.Count, err)
+	if err != nil || len(value) > testMaxBytes || rec.DoneCount == 0 {
+		t.Errorf("the worst record has %d bytes for %d tasks, %v", len(value), rec.DoneCount, err)
 	}
 	for task := range covered.All() {
 		if !p.Done.Has(task) {
--- a/internal/controller/checkpoint_recovery.go
+++ b/internal/controller/checkpoint_recovery.go
@@ -109,6 +109,6 @@
 		}
 		r.checkpoint.recorded.Add(task)
 	}
-	r.steps = rec.Steps
-	r.checkpoint.recoveries = rec.Recoveries
+	r.steps = rec.FinishedTasks
+	r.checkpoint.recoveries = rec.RecoveriesMS
 }
--- a/internal/controller/checkpoints_test.go
+++ b/internal/controller/checkpoints_test.go
@@ -47,8 +47,8 @@
 		former.run.doneCount++
 	}
 	rec, _ := c.buildCheckpoint(former)
-	if rec.Count != done || len(rec.Ranges) != 0 {
-		t.Fatalf("%d done in %d ranges, want %d in a set", rec.Count, len(rec.Ranges)/2, done)
+	if rec.DoneCount != done || len(rec.DoneRanges) != 0 {
+		t.Fatalf("%d done in %d ranges, want %d in a set", rec.DoneCount, len(rec.DoneRanges)/2, done)
 	}
 	recovered := newJob()
 	c.applyCheckpoint(&shard{shardRecovery: shardRecovery{checkpoints: map[string]wire.CheckpointRecord{sub.ID: rec}}}, recovered)
--- a/internal/controller/commands_test.go
+++ b/internal/controller/commands_test.go
@@ -246,7 +246,7 @@
 			for seq := uint64(11); h.now < h.c.ownership.lease.RenewedAt()+h.c.bounds.LeaseValidity+sec; seq++ {
 				h.run(sec / 2)
 				if !tc.silent {
-					h.step(PeerRequest{Reply: ReplyID(9000 + seq), Req: peer.Request{From: "n-1", Status: &peer.Status{ControllerState: peer.ControllerState{StateOK: tc.stateOK}}}})
+					h.step(PeerRequest{Reply: ReplyID(9000 + seq), Req: peer.Request{From: "n-1", Status: &peer.Status{ControllerState: peer.ControllerState{StateServiceOK: tc.stateOK}}}})
 				}
 				h.heartbeat(heartbeatFrom("vm-1", 1, seq, fencingToken, append([]wire.TaskStatus{{Task: first[0].Task, Attempt: first[0].Attempt, State: wire.TaskRunning}}, list...)...))
 			}
--- a/internal/controller/compat_test.go
+++ b/internal/controller/compat_test.go
@@ -215,7 +215,7 @@
 // TestOlderVersionsReadRequestsToRecord checks that a request to record dependents is lost on an
 // older version, and nothing else of the message is.
 func TestOlderVersionsReadRequestsToRecord(t *testing.T) {
-	about := peer.ControllerState{UptimeUS: 5, StateOK: true, Claims: []peer.ShardClaim{{Shard: 1, OwnerEpoch: 77}}}
+	about := peer.ControllerState{UptimeUS: 5, StateServiceOK: true, Claims: []peer.ShardClaim{{Shard: 1, OwnerEpoch: 77}}}
 	sent, err := peer.Encode(peer.Request{From: "n-1", Status: &peer.Status{ControllerState: about, Cancelled: []string{"job-000412"}, JobsToCancel: []string{"job-000413"}}})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/controller/demand.go
+++ b/internal/controller/demand.go
@@ -56,13 +56,13 @@
 func (c *Controller) demandOf(s *shard, remainingBytes int) (peer.Demand, int) {
 	c.refresh(s)
 	d := peer.Demand{
-		Shard:       s.id,
-		ArrivalCPUs: s.arrivals.Rate(c.now),
-		All:         len(s.machines),
-		Guarantee:   c.guaranteedCPUs(s),
+		Shard:          s.id,
+		ArrivalCPUs:    s.arrivals.Rate(c.now),
+		TotalMachines:  len(s.machines),
+		GuaranteedCPUs: c.guaranteedCPUs(s),
 	}
 	remainingBytes = c.addMachines(s, &d, remainingBytes)
-	d.Groups = c.waitingGroups(s)
+	d.WaitingTasks = c.waitingGroups(s)
 	return d, remainingBytes
 }
 
@@ -81,14 +81,14 @@
 // remainingBytes.
 func (c *Controller) addMachines(s *shard, d *peer.Demand, remainingBytes int) int {
 	var busy []peer.Machine
-	zones := map[string]*peer.Zone{}
+	zones := map[string]*peer.ZoneMachines{}
 	for _, m := range s.machines {
 		if m.view == nil || m.returned {
 			continue
 		}
 		zone := zones[m.rec.Zone]
 		if zone == nil {
-			zone = &peer.Zone{Name: m.rec.Zone}
+			zone = &peer.ZoneMachines{Name: m.rec.Zone}
 			zones[m.rec.Zone] = zone
 		}
 		row := c.addMachine(s, m, d, zone)
@@ -111,43 +111,43 @@
 }
 
 // addMachine adds a machine to its shard's sums and its zone's, by its state, and returns its row.
-func (c *Controller) addMachine(s *shard, m *machine, d *peer.Demand, zone *peer.Zone) peer.Machine {
+func (c *Controller) addMachine(s *shard, m *machine, d *peer.Demand, zone *peer.ZoneMachines) peer.Machine {
 	v := m.view
 	cpus := c.types.cpusOf(m)
 	used := min(v.usage.total.CPUs, cpus)
-	row := peer.Machine{ID: m.id, State: c.stateOf(m), Busy: used, Movable: true}
+	row := peer.Machine{ID: m.id, State: c.stateOf(m), BusyCPUs: used, Movable: true}
 	if row.State == peer.MachineBooting {
-		d.Booting += cpus
+		d.BootingCPUs += cpus
 		return row
 	}
-	zone.All++
+	zone.TotalMachines++
 	switch row.State {
 	case peer.MachineUnreconciled:
 		c.addUnreconciled(s, v, d, zone, &row)
 	case peer.MachineSilent:
-		d.Silent++
-		zone.Silent++
-		row.SinceUS = int64(c.silentFor(v))
+		d.SilentMachines++
+		zone.SilentMachines++
+		row.InStateUS = int64(c.silentFor(v))
 	case peer.MachineIdle:
-		row.SinceUS = int64(c.now - v.idleAt)
+		row.InStateUS = int64(c.now - v.idleAt)
 		d.CPUs += cpus
 	case peer.MachineBusy:
 		d.CPUs += cpus
-		d.Busy += used
+		d.BusyCPUs += used
 	}
 	return row
 }
 
 // addUnreconciled adds an unreconciled machine.
-func (c *Controller) addUnreconciled(s *shard, v *view, d *peer.Demand, zone *peer.Zone, row *peer.Machine) {
+func (c *Controller) addUnreconciled(s *shard, v *view, d *peer.Demand, zone *peer.ZoneMachines, row *peer.Machine) {
 	sinceClaim := c.now - s.claimedAt
 	if v.unansweredCommands >= minUnansweredCommands {
-		row.SinceUS = int64(sinceClaim)
+		row.InStateUS = int64(sinceClaim)
 	}
-	d.Unreconciled++
+	d.UnreconciledMachines++
 	d.BlockedUS = max(int64(s.machinesFreeAt-c.now), 0)
 	if sinceClaim > unreconciledReturnAfter {
-		zone.Silent++
+		zone.SilentMachines++
 	}
 }
 
@@ -173,11 +173,11 @@
 		if !c.movable(att) {
 			row.Movable = false
 		} else if att.job.sub.CheckpointS <= 0 {
-			row.LostUS += int64(float64(c.now-att.runAt) * cpus)
+			row.LostWorkUS += int64(float64(c.now-att.runAt) * cpus)
 		}
 		remaining := c.remaining(att)
-		row.LeftUS = max(row.LeftUS, int64(remaining))
-		d.RunLeftUS += int64(float64(remaining) * cpus)
+		row.RemainingUS = max(row.RemainingUS, int64(remaining))
+		d.RemainingWorkUS += int64(float64(remaining) * cpus)
 	}
 }
 
@@ -185,7 +185,7 @@
 // and those of the others that stand most unused. It sorts busy.
 func (c *Controller) busyRows(busy []peer.Machine) []peer.Machine {
 	slices.SortFunc(busy, func(a, b peer.Machine) int {
-		return cmp.Or(cmp.Compare(a.LeftUS, b.LeftUS), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(a.RemainingUS, b.RemainingUS), cmp.Compare(a.ID, b.ID))
 	})
 	soonest := min(len(busy), maxBusyRows)
 	rest := busy[soonest:]
@@ -302,7 +302,7 @@
 			groups = append(groups, groupOf(j))
 		}
 		g := &groups[i]
-		g.Waiting += count
+		g.Count += count
 		g.WorkUS += int64(pending) * int64(c.estimates.Expect(j.sub))
 		g.MemGB = max(g.MemGB, j.sub.MemGB)
 	}
@@ -320,7 +320,7 @@
 func groupOf(j *job) peer.WaitingTasks {
 	return peer.WaitingTasks{
 		Types:    j.sub.Types,
-		Any:      j.sub.Types == nil,
+		AnyType:  j.sub.Types == nil,
 		Zone:     j.sub.Zone,
 		Spot:     j.sub.Spot,
 		CPUs:     j.sub.CPUs,
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -214,8 +214,8 @@
 	if !free.withinGuarantee {
 		t.Error("a blocked job takes of its team's guarantee")
 	}
-	if d, _ := c.demandOf(s, maxRowBytes); fleet.WaitingCPUs(&d)+d.Busy > 3+scheduling.Tolerance {
-		t.Errorf("%v CPUs are wanted: a blocked job is among them", fleet.WaitingCPUs(&d)+d.Busy)
+	if d, _ := c.demandOf(s, maxRowBytes); fleet.WaitingCPUs(&d)+d.BusyCPUs > 3+scheduling.Tolerance {
+		t.Errorf("%v CPUs are wanted: a blocked job is among them", fleet.WaitingCPUs(&d)+d.BusyCPUs)
 	}
 	if got := h.state("job-000002"); got != wire.StatePending {
 		t.Errorf("called %q", got)
--- a/internal/controller/fleet/catalog.go
+++ b/internal/controller/fleet/catalog.go
@@ -76,13 +76,13 @@
 	if g.Zone != "" && g.Zone != k.Zone || k.Spot && !g.Spot {
 		return false
 	}
-	return g.Any || slices.Contains(g.Types, k.Type)
+	return g.AnyType || slices.Contains(g.Types, k.Type)
 }
 
 // Useful reports whether tasks that wait in a shard could use a machine of a kind.
 func (c Catalog) Useful(d *peer.Demand, k Kind) bool {
-	for _, g := range d.Groups {
-		if g.Waiting > 0 && c.Hosts(g, k) {
+	for _, g := range d.WaitingTasks {
+		if g.Count > 0 && c.Hosts(g, k) {
 			return true
 		}
 	}
--- a/internal/controller/fleet/catalog_test.go
+++ b/internal/controller/fleet/catalog_test.go
@@ -20,7 +20,7 @@
 }
 
 func TestCatalogHosts(t *testing.T) {
-	task := peer.WaitingTasks{Any: true, Spot: true, CPUs: 1, MemGB: 1, Waiting: 1}
+	task := peer.WaitingTasks{AnyType: true, Spot: true, CPUs: 1, MemGB: 1, Count: 1}
 	with := func(change func(*peer.WaitingTasks)) peer.WaitingTasks {
 		g := task
 		change(&g)
@@ -37,9 +37,9 @@
 		{"unknown type", task, Kind{Type: "huge", Zone: "a"}, false},
 		{"its zone", with(func(g *peer.WaitingTasks) { g.Zone = "a" }), small, true},
 		{"another zone", with(func(g *peer.WaitingTasks) { g.Zone = "b" }), small, false},
-		{"its type", with(func(g *peer.WaitingTasks) { g.Any, g.Types = false, []string{"small"} }), small, true},
-		{"another type", with(func(g *peer.WaitingTasks) { g.Any, g.Types = false, []string{"large"} }), small, false},
-		{"no type at all", with(func(g *peer.WaitingTasks) { g.Any = false }), small, false},
+		{"its type", with(func(g *peer.WaitingTasks) { g.AnyType, g.Types = false, []string{"small"} }), small, true},
+		{"another type", with(func(g *peer.WaitingTasks) { g.AnyType, g.Types = false, []string{"large"} }), small, false},
+		{"no type at all", with(func(g *peer.WaitingTasks) { g.AnyType = false }), small, false},
 		{"no spot machines", with(func(g *peer.WaitingTasks) { g.Spot = false }), small, false},
 		{"no spot machines, and this is none", with(func(g *peer.WaitingTasks) { g.Spot = false }), Kind{Type: "small", Zone: "a"}, true},
 		{"all CPUs", with(func(g *peer.WaitingTasks) { g.CPUs = 4 }), small, true},
@@ -53,11 +53,11 @@
 			if got := c.Hosts(tc.group, tc.kind); got != tc.want {
 				t.Errorf("hosts: %v, want %v", got, tc.want)
 			}
-			demands := Demands{3: {Shard: 3, Groups: []peer.WaitingTasks{tc.group}}}
+			demands := Demands{3: {Shard: 3, WaitingTasks: []peer.WaitingTasks{tc.group}}}
 			if got := c.UsefulAnywhere(demands, tc.kind); got != tc.want {
 				t.Errorf("useful: %v, want %v", got, tc.want)
 			}
-			demands[3].Groups[0].Waiting = 0
+			demands[3].WaitingTasks[0].Count = 0
 			if c.UsefulAnywhere(demands, tc.kind) {
 				t.Error("useful though nothing waits")
 			}
@@ -67,13 +67,13 @@
 
 func TestCatalogConstrained(t *testing.T) {
 	c := testCatalog()
-	if g := (peer.WaitingTasks{Any: true, Spot: true, CPUs: 4, MemGB: 8}); c.Constrained(g) {
+	if g := (peer.WaitingTasks{AnyType: true, Spot: true, CPUs: 4, MemGB: 8}); c.Constrained(g) {
 		t.Error("constrained though it runs on all kinds")
 	}
-	if g := (peer.WaitingTasks{Any: true, Spot: true, CPUs: 5, MemGB: 8}); !c.Constrained(g) {
+	if g := (peer.WaitingTasks{AnyType: true, Spot: true, CPUs: 5, MemGB: 8}); !c.Constrained(g) {
 		t.Error("not constrained though it needs the large type")
 	}
-	if g := (peer.WaitingTasks{Any: true, CPUs: 1}); !c.Constrained(g) {
+	if g := (peer.WaitingTasks{AnyType: true, CPUs: 1}); !c.Constrained(g) {
 		t.Error("not constrained though it runs on no spot machine")
 	}
 }
--- a/internal/controller/fleet/consolidation.go
+++ b/internal/controller/fleet/consolidation.go
@@ -32,13 +32,13 @@
 
 // gain returns what draining the machine brings, in CPU seconds.
 func (m DrainCandidate) gain() float64 {
-	return m.unusedWork() - repeatedWorkWeight*micros.Micros(m.LostUS).Seconds()
+	return m.unusedWork() - repeatedWorkWeight*micros.Micros(m.LostWorkUS).Seconds()
 }
 
 // worthDraining reports whether the machine would otherwise stay mostly unused for long.
 func (m DrainCandidate) worthDraining() bool {
-	mostlyUnused := 2*m.Busy <= m.CPUs
-	return mostlyUnused && micros.Micros(m.LeftUS) >= minDrainLeft && m.gain() > minDrainGain
+	mostlyUnused := 2*m.BusyCPUs <= m.CPUs
+	return mostlyUnused && micros.Micros(m.RemainingUS) >= minDrainLeft && m.gain() > minDrainGain
 }
 
 // Consolidation decides which busy machines are drained.
@@ -53,11 +53,11 @@
 func (c *Consolidation) Choose(d *peer.Demand, candidates []DrainCandidate, draining int) []DrainCandidate {
 	candidates = slices.DeleteFunc(candidates, func(m DrainCandidate) bool { return !m.worthDraining() })
 	slices.SortStableFunc(candidates, func(a, b DrainCandidate) int { return -cmp.Compare(a.gain(), b.gain()) })
-	most := max(1, d.All/drainedDivisor) - draining
-	free := d.CPUs - d.Busy
+	most := max(1, d.TotalMachines/drainedDivisor) - draining
+	free := d.CPUs - d.BusyCPUs
 	for i, m := range candidates {
-		freeElsewhere := free - (m.CPUs - m.Busy)
-		if i >= most || c.Have-m.CPUs < c.Need || freeElsewhere < m.Busy {
+		freeElsewhere := free - (m.CPUs - m.BusyCPUs)
+		if i >= most || c.Have-m.CPUs < c.Need || freeElsewhere < m.BusyCPUs {
 			return candidates[:i]
 		}
 		c.Have -= m.CPUs
--- a/internal/controller/fleet/consolidation_test.go
+++ b/internal/controller/fleet/consolidation_test.go
@@ -10,7 +10,7 @@
 
 func TestConsolidationChoose(t *testing.T) {
 	candidate := func(id string, busy float64, left, lost micros.Micros) DrainCandidate {
-		return DrainCandidate{Machine: peer.Machine{ID: id, Busy: busy, LeftUS: int64(left), LostUS: int64(lost)}, CPUs: 16}
+		return DrainCandidate{Machine: peer.Machine{ID: id, BusyCPUs: busy, RemainingUS: int64(left), LostWorkUS: int64(lost)}, CPUs: 16}
 	}
 	long := 100 * micros.Second
 	for _, tc := range []struct {
@@ -34,7 +34,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			c := Consolidation{Have: tc.have, Need: tc.need}
-			d := &peer.Demand{All: tc.all, CPUs: tc.have, Busy: tc.have / 2}
+			d := &peer.Demand{TotalMachines: tc.all, CPUs: tc.have, BusyCPUs: tc.have / 2}
 			var got []string
 			for _, m := range c.Choose(d, tc.candidates, tc.draining) {
 				got = append(got, m.ID)
@@ -52,7 +52,7 @@
 // TestConsolidationNeedsFreeCapacity checks that tasks of a machine that is drained must find
 // capacity on others.
 func TestConsolidationNeedsFreeCapacity(t *testing.T) {
-	m := DrainCandidate{Machine: peer.Machine{ID: "vm-1", Busy: 4, LeftUS: int64(100 * micros.Second)}, CPUs: 16}
+	m := DrainCandidate{Machine: peer.Machine{ID: "vm-1", BusyCPUs: 4, RemainingUS: int64(100 * micros.Second)}, CPUs: 16}
 	for _, tc := range []struct {
 		name string
 		free float64
@@ -60,7 +60,7 @@
 	}{{"just enough elsewhere", 16, 1}, {"too little elsewhere", 15, 0}} {
 		t.Run(tc.name, func(t *testing.T) {
 			c := Consolidation{Have: 320}
-			d := &peer.Demand{All: 20, CPUs: 320, Busy: 320 - tc.free}
+			d := &peer.Demand{TotalMachines: 20, CPUs: 320, BusyCPUs: 320 - tc.free}
 			if got := c.Choose(d, []DrainCandidate{m}, 0); len(got) != tc.want {
 				t.Errorf("%d drained, want %d", len(got), tc.want)
 			}
--- a/internal/controller/fleet/demand.go
+++ b/internal/controller/fleet/demand.go
@@ -31,7 +31,7 @@
 func (d Demands) Groups() []peer.WaitingTasks {
 	var groups []peer.WaitingTasks
 	for _, shard := range d.Shards() {
-		groups = append(groups, d[shard].Groups...)
+		groups = append(groups, d[shard].WaitingTasks...)
 	}
 	return groups
 }
@@ -39,16 +39,16 @@
 // WaitingCPUs returns the CPUs that a shard's waiting tasks would take at once.
 func WaitingCPUs(d *peer.Demand) float64 {
 	cpus := 0.0
-	for _, g := range d.Groups {
-		cpus += float64(g.Waiting) * g.CPUs
+	for _, g := range d.WaitingTasks {
+		cpus += float64(g.Count) * g.CPUs
 	}
 	return cpus
 }
 
 // UnfinishedWork returns all unfinished work of a shard, in CPU seconds.
 func UnfinishedWork(d *peer.Demand) float64 {
-	work := micros.Micros(d.RunLeftUS).Seconds()
-	for _, g := range d.Groups {
+	work := micros.Micros(d.RemainingWorkUS).Seconds()
+	for _, g := range d.WaitingTasks {
 		work += micros.Micros(g.WorkUS).Seconds() * g.CPUs
 	}
 	return work
@@ -59,10 +59,10 @@
 // meanwhile, as far as tasks wait for it.
 func BlockedWork(d *peer.Demand) float64 {
 	blocked := micros.Micros(d.BlockedUS).Seconds()
-	unused := (d.CPUs - d.Busy) * blocked
-	if d.Busy > 0 {
-		runLeft := micros.Micros(d.RunLeftUS).Seconds() / d.Busy
-		unused += d.Busy * max(0, blocked-runLeft)
+	unused := (d.CPUs - d.BusyCPUs) * blocked
+	if d.BusyCPUs > 0 {
+		runLeft := micros.Micros(d.RemainingWorkUS).Seconds() / d.BusyCPUs
+		unused += d.BusyCPUs * max(0, blocked-runLeft)
 	}
 	return min(unused, WaitingCPUs(d)*blocked)
 }
@@ -70,7 +70,7 @@
 // UnusedWork returns how much of a machine with so many CPUs stands unused until it is empty, in
 // CPU seconds.
 func UnusedWork(m peer.Machine, cpus float64) float64 {
-	return (cpus - m.Busy) * micros.Micros(m.LeftUS).Seconds()
+	return (cpus - m.BusyCPUs) * micros.Micros(m.RemainingUS).Seconds()
 }
 
 // Sums is what all shards want and have together.
@@ -86,10 +86,10 @@
 // Add adds what a shard wants and has.
 func (s *Sums) Add(d *peer.Demand) {
 	s.Have += d.CPUs
-	s.Booting += d.Booting
-	s.Busy += d.Busy
+	s.Booting += d.BootingCPUs
+	s.Busy += d.BusyCPUs
 	s.Work += UnfinishedWork(d)
-	s.Parallel += d.Busy + WaitingCPUs(d)
+	s.Parallel += d.BusyCPUs + WaitingCPUs(d)
 	s.Arrival += d.ArrivalCPUs
 }
 
--- a/internal/controller/fleet/demand_test.go
+++ b/internal/controller/fleet/demand_test.go
@@ -12,8 +12,8 @@
 
 func TestDemandSums(t *testing.T) {
 	demands := Demands{
-		1: {Shard: 1, CPUs: 40, Busy: 30, Booting: 8, ArrivalCPUs: 2, RunLeftUS: cpuSeconds(60), Groups: []peer.WaitingTasks{{CPUs: 2, Waiting: 5, WorkUS: cpuSeconds(50)}}},
-		0: {Shard: 0, CPUs: 10, Busy: 1, ArrivalCPUs: 1, RunLeftUS: cpuSeconds(4)},
+		1: {Shard: 1, CPUs: 40, BusyCPUs: 30, BootingCPUs: 8, ArrivalCPUs: 2, RemainingWorkUS: cpuSeconds(60), WaitingTasks: []peer.WaitingTasks{{CPUs: 2, Count: 5, WorkUS: cpuSeconds(50)}}},
+		0: {Shard: 0, CPUs: 10, BusyCPUs: 1, ArrivalCPUs: 1, RemainingWorkUS: cpuSeconds(4)},
 	}
 	sums := Sums{Booting: 4}
 	for _, shard := range demands.Shards() {
@@ -26,7 +26,7 @@
 	if !demands.Waiting() || (Demands{0: demands[0]}).Waiting() {
 		t.Errorf("waiting: %v, and without shard 1 %v", demands.Waiting(), Demands{0: demands[0]}.Waiting())
 	}
-	if groups := demands.Groups(); len(groups) != 1 || groups[0].Waiting != 5 {
+	if groups := demands.Groups(); len(groups) != 1 || groups[0].Count != 5 {
 		t.Errorf("groups %+v", groups)
 	}
 }
@@ -52,7 +52,7 @@
 }
 
 func TestBlockedWork(t *testing.T) {
-	waiting := func(tasks int) []peer.WaitingTasks { return []peer.WaitingTasks{{CPUs: 1, Waiting: tasks}} }
+	waiting := func(tasks int) []peer.WaitingTasks { return []peer.WaitingTasks{{CPUs: 1, Count: tasks}} }
 	blocked := int64(40 * micros.Second)
 	for _, tc := range []struct {
 		name   string
@@ -60,10 +60,10 @@
 		want   float64 // CPU seconds
 	}{
 		{"nothing waits", peer.Demand{CPUs: 100, BlockedUS: blocked}, 0},
-		{"free capacity", peer.Demand{CPUs: 100, BlockedUS: blocked, Groups: waiting(1000)}, 4000},
-		{"as far as tasks wait", peer.Demand{CPUs: 100, BlockedUS: blocked, Groups: waiting(10)}, 400},
-		{"capacity that comes free", peer.Demand{CPUs: 100, Busy: 100, RunLeftUS: cpuSeconds(1000), BlockedUS: blocked, Groups: waiting(1000)}, 3000},
-		{"running tasks outlast it", peer.Demand{CPUs: 100, Busy: 100, RunLeftUS: cpuSeconds(9000), BlockedUS: blocked, Groups: waiting(1000)}, 0},
+		{"free capacity", peer.Demand{CPUs: 100, BlockedUS: blocked, WaitingTasks: waiting(1000)}, 4000},
+		{"as far as tasks wait", peer.Demand{CPUs: 100, BlockedUS: blocked, WaitingTasks: waiting(10)}, 400},
+		{"capacity that comes free", peer.Demand{CPUs: 100, BusyCPUs: 100, RemainingWorkUS: cpuSeconds(1000), BlockedUS: blocked, WaitingTasks: waiting(1000)}, 3000},
+		{"running tasks outlast it", peer.Demand{CPUs: 100, BusyCPUs: 100, RemainingWorkUS: cpuSeconds(9000), BlockedUS: blocked, WaitingTasks: waiting(1000)}, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if got := BlockedWork(&tc.demand); got != tc.want {
--- a/internal/controller/fleet/rebalancing.go
+++ b/internal/controller/fleet/rebalancing.go
@@ -73,7 +73,7 @@
 		spare:     map[int]float64{},
 	}
 	for shard, d := range demands {
-		free := d.CPUs - d.Busy
+		free := d.CPUs - d.BusyCPUs
 		waiting := WaitingCPUs(d)
 		r.has[shard] = d.CPUs
 		r.shortfall[shard] = max(0, waiting-free)
@@ -100,7 +100,7 @@
 // ones as they empty, where a shard has more than its part of the fleet. It sorts machines.
 func (r *Rebalancing) Moves(machines []Machine) []Move {
 	slices.SortStableFunc(machines, func(a, b Machine) int {
-		return cmp.Or(cmp.Compare(a.State, b.State), cmp.Compare(a.LeftUS, b.LeftUS), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(a.State, b.State), cmp.Compare(a.RemainingUS, b.RemainingUS), cmp.Compare(a.ID, b.ID))
 	})
 	var moves []Move
 	for _, m := range machines {
@@ -149,11 +149,11 @@
 	if gain < m.CPUs/2 || surplus < m.CPUs/2 {
 		return false
 	}
-	if unused := m.CPUs - m.Busy; unused > 0 && r.spare[m.From] >= unused {
+	if unused := m.CPUs - m.BusyCPUs; unused > 0 && r.spare[m.From] >= unused {
 		r.spare[m.From] -= unused
 		return true
 	}
-	if micros.Micros(m.LeftUS) > drainWithin || r.draining >= maxDraining {
+	if micros.Micros(m.RemainingUS) > drainWithin || r.draining >= maxDraining {
 		return false
 	}
 	r.draining++
--- a/internal/controller/fleet/rebalancing_test.go
+++ b/internal/controller/fleet/rebalancing_test.go
@@ -11,14 +11,14 @@
 // one-CPU tasks wait, and 1, where none do and so many CPUs are busy.
 func rebalancingDemands(waiting int, busy float64) Demands {
 	return Demands{
-		0: {Shard: 0, CPUs: 80, Busy: 80, RunLeftUS: cpuSeconds(800), Groups: []peer.WaitingTasks{{Any: true, Spot: true, CPUs: 1, MemGB: 1, Waiting: waiting, WorkUS: cpuSeconds(float64(10 * waiting))}}},
-		1: {Shard: 1, CPUs: 80, Busy: busy, RunLeftUS: cpuSeconds(10 * busy)},
+		0: {Shard: 0, CPUs: 80, BusyCPUs: 80, RemainingWorkUS: cpuSeconds(800), WaitingTasks: []peer.WaitingTasks{{AnyType: true, Spot: true, CPUs: 1, MemGB: 1, Count: waiting, WorkUS: cpuSeconds(float64(10 * waiting))}}},
+		1: {Shard: 1, CPUs: 80, BusyCPUs: busy, RemainingWorkUS: cpuSeconds(10 * busy)},
 	}
 }
 
 func movable(id string, state peer.MachineState, busy float64, left micros.Micros) Machine {
 	return Machine{
-		Machine: peer.Machine{ID: id, State: state, Busy: busy, LeftUS: int64(left)},
+		Machine: peer.Machine{ID: id, State: state, BusyCPUs: busy, RemainingUS: int64(left)},
 		From:    1,
 		Kind:    Kind{Type: "small", Zone: "a"},
 		CPUs:    4,
@@ -28,7 +28,7 @@
 func TestRebalancingMoves(t *testing.T) {
 	idle := movable("vm-1", peer.MachineIdle, 0, 0)
 	gpuOnly := rebalancingDemands(100, 40)
-	gpuOnly[0].Groups[0].GPUs = 1
+	gpuOnly[0].WaitingTasks[0].GPUs = 1
 	for _, tc := range []struct {
 		name     string
 		demands  Demands
@@ -95,7 +95,7 @@
 	if !NewRebalancing(testCatalog(), demands).Wanted(m) {
 		t.Error("not wanted where tasks wait and machines are missing")
 	}
-	demands[1].Groups = []peer.WaitingTasks{{Any: true, CPUs: 1, Waiting: 1000, WorkUS: cpuSeconds(90_000)}}
+	demands[1].WaitingTasks = []peer.WaitingTasks{{AnyType: true, CPUs: 1, Count: 1000, WorkUS: cpuSeconds(90_000)}}
 	if NewRebalancing(testCatalog(), demands).Wanted(m) {
 		t.Error("wanted in a shard that has more than its part")
 	}
--- a/internal/controller/fleet/scale_out.go
+++ b/internal/controller/fleet/scale_out.go
@@ -37,7 +37,7 @@
 }
 
 // Add counts a rental among what there is.
-func (s *ScaleOut) Add(rental wire.Rental) {
+func (s *ScaleOut) Add(rental wire.RentalRequest) {
 	cpus := s.Catalog.CPUs(rental.Type, rental.Count)
 	s.Sums.Have += cpus
 	s.Free[Kind{rental.Type, rental.Zone, rental.Spot}] += cpus
@@ -47,24 +47,24 @@
 
 // Next returns the next rental, of the cheapest machines that the largest waiting work can use,
 // as long as there are fewer than are worth their price; false if there is none. It sorts Groups.
-func (s *ScaleOut) Next() (wire.Rental, bool) {
+func (s *ScaleOut) Next() (wire.RentalRequest, bool) {
 	slices.SortStableFunc(s.Groups, func(a, b peer.WaitingTasks) int {
 		return cmp.Compare(float64(b.WorkUS)*b.CPUs, float64(a.WorkUS)*a.CPUs)
 	})
 	lowestPrice := s.Catalog.LowestPrice()
 	for _, g := range s.Groups {
-		if g.Waiting == 0 {
+		if g.Count == 0 {
 			continue
 		}
 		if rental, ok := s.rentalFor(g, lowestPrice); ok {
 			return rental, true
 		}
 	}
-	return wire.Rental{}, false
+	return wire.RentalRequest{}, false
 }
 
 // rentalFor returns the rental for a group's tasks; false if they are not to have any.
-func (s *ScaleOut) rentalFor(g peer.WaitingTasks, lowestPrice float64) (wire.Rental, bool) {
+func (s *ScaleOut) rentalFor(g peer.WaitingTasks, lowestPrice float64) (wire.RentalRequest, bool) {
 	shortfall := s.Sums.Parallel - s.Sums.Have
 	groupShortfall := 0.0
 	hardlyAnyMachine := s.Sums.Have+scheduling.Tolerance < g.CPUs
@@ -73,7 +73,7 @@
 		shortfall = max(shortfall, groupShortfall)
 	}
 	if shortfall <= 0 {
-		return wire.Rental{}, false
+		return wire.RentalRequest{}, false
 	}
 	for _, o := range s.options(g, shortfall) {
 		deficit := max(s.Sums.Need(s.DrainHorizon, max(o.cpuPrice/lowestPrice, 1))-s.Sums.Have, groupShortfall)
@@ -81,15 +81,15 @@
 			continue
 		}
 		count := max(1, min(int(math.Ceil(deficit/o.cpus-roundingDown)), maxRentalMachines, s.MaxMachines))
-		return wire.Rental{Type: o.kind.Type, Zone: o.kind.Zone, Spot: o.kind.Spot, Count: count}, true
+		return wire.RentalRequest{Type: o.kind.Type, Zone: o.kind.Zone, Spot: o.kind.Spot, Count: count}, true
 	}
-	return wire.Rental{}, false
+	return wire.RentalRequest{}, false
 }
 
 // groupShortfall returns how many CPUs are wanted for a constrained group alone: the fleet may be
 // large enough and yet have none that its tasks can use.
 func (s *ScaleOut) groupShortfall(g peer.WaitingTasks) float64 {
-	waiting := float64(g.Waiting) * g.CPUs
+	waiting := float64(g.Count) * g.CPUs
 	toDrain := micros.Micros(g.WorkUS).Seconds() * g.CPUs / s.DrainHorizon.Seconds()
 	shortfall := min(waiting, max(toDrain, g.CPUs))
 	for k, cpus := range s.Free {
--- a/internal/controller/fleet/target.go
+++ b/internal/controller/fleet/target.go
@@ -15,8 +15,8 @@
 	work := map[int]float64{}
 	for _, shard := range d.shards {
 		demand := demands[shard]
-		usable[shard] = demand.Busy + WaitingCPUs(demand)
-		guaranteed[shard] = demand.Guarantee
+		usable[shard] = demand.BusyCPUs + WaitingCPUs(demand)
+		guaranteed[shard] = demand.GuaranteedCPUs
 		work[shard] = UnfinishedWork(demand)
 	}
 	withinGuarantee := map[int]float64{}
--- a/internal/controller/fleet/target_test.go
+++ b/internal/controller/fleet/target_test.go
@@ -9,9 +9,9 @@
 
 func TestTargetCPUs(t *testing.T) {
 	demand := func(guarantee, busy float64, waiting int, work float64) *peer.Demand {
-		d := &peer.Demand{Guarantee: guarantee, Busy: busy, RunLeftUS: cpuSeconds(work)}
+		d := &peer.Demand{GuaranteedCPUs: guarantee, BusyCPUs: busy, RemainingWorkUS: cpuSeconds(work)}
 		if waiting > 0 {
-			d.Groups = []peer.WaitingTasks{{CPUs: 1, Waiting: waiting}}
+			d.WaitingTasks = []peer.WaitingTasks{{CPUs: 1, Count: waiting}}
 		}
 		return d
 	}
--- a/internal/controller/fleet/zones.go
+++ b/internal/controller/fleet/zones.go
@@ -48,8 +48,8 @@
 	for _, d := range demands {
 		for _, z := range d.Zones {
 			count := counts[z.Name]
-			count.all += z.All
-			count.silent += z.Silent
+			count.all += z.TotalMachines
+			count.silent += z.SilentMachines
 			counts[z.Name] = count
 		}
 	}
--- a/internal/controller/fleet/zones_test.go
+++ b/internal/controller/fleet/zones_test.go
@@ -11,16 +11,16 @@
 func TestPartitionedZones(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
-		shards [][]peer.Zone
+		shards [][]peer.ZoneMachines
 		want   string
 	}{
-		{"all connected", [][]peer.Zone{{{Name: "a", All: 100}, {Name: "b", All: 100, Silent: 3}}}, ""},
-		{"one is partitioned", [][]peer.Zone{{{Name: "a", All: 100, Silent: 90}, {Name: "b", All: 100, Silent: 3}}}, "a"},
-		{"over several shards", [][]peer.Zone{{{Name: "a", All: 3, Silent: 3}, {Name: "b", All: 9}}, {{Name: "a", All: 2, Silent: 2}}}, "a"},
-		{"a tenth of all has died", [][]peer.Zone{{{Name: "a", All: 100, Silent: 10}, {Name: "b", All: 100, Silent: 10}}}, ""},
-		{"half of a zone", [][]peer.Zone{{{Name: "a", All: 100, Silent: 50}, {Name: "b", All: 100}}}, ""},
-		{"two machines say nothing of a zone", [][]peer.Zone{{{Name: "a", All: 2, Silent: 2}, {Name: "b", All: 8}}}, ""},
-		{"no zone is connected: it is not the zone", [][]peer.Zone{{{Name: "a", All: 100, Silent: 95}, {Name: "b", All: 100, Silent: 96}}}, ""},
+		{"all connected", [][]peer.ZoneMachines{{{Name: "a", TotalMachines: 100}, {Name: "b", TotalMachines: 100, SilentMachines: 3}}}, ""},
+		{"one is partitioned", [][]peer.ZoneMachines{{{Name: "a", TotalMachines: 100, SilentMachines: 90}, {Name: "b", TotalMachines: 100, SilentMachines: 3}}}, "a"},
+		{"over several shards", [][]peer.ZoneMachines{{{Name: "a", TotalMachines: 3, SilentMachines: 3}, {Name: "b", TotalMachines: 9}}, {{Name: "a", TotalMachines: 2, SilentMachines: 2}}}, "a"},
+		{"a tenth of all has died", [][]peer.ZoneMachines{{{Name: "a", TotalMachines: 100, SilentMachines: 10}, {Name: "b", TotalMachines: 100, SilentMachines: 10}}}, ""},
+		{"half of a zone", [][]peer.ZoneMachines{{{Name: "a", TotalMachines: 100, SilentMachines: 50}, {Name: "b", TotalMachines: 100}}}, ""},
+		{"two machines say nothing of a zone", [][]peer.ZoneMachines{{{Name: "a", TotalMachines: 2, SilentMachines: 2}, {Name: "b", TotalMachines: 8}}}, ""},
+		{"no zone is connected: it is not the zone", [][]peer.ZoneMachines{{{Name: "a", TotalMachines: 100, SilentMachines: 95}, {Name: "b", TotalMachines: 100, SilentMachines: 96}}}, ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			demands := Demands{}
--- a/internal/controller/fleet_plan.go
+++ b/internal/controller/fleet_plan.go
@@ -129,8 +129,8 @@
 		c.log(Debug, "shard demand",
 			"shard", id,
 			"cpus", d.CPUs,
-			"busy", d.Busy,
-			"booting", d.Booting,
+			"busy", d.BusyCPUs,
+			"booting", d.BootingCPUs,
 			"waiting", fleet.WaitingCPUs(d),
 			"work", fleet.UnfinishedWork(d))
 	}
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -62,7 +62,7 @@
 		sample[wire.Redirect]("report redirect", cborCodec),
 		sample[wire.DirectCommand]("worker commands", cborCodec),
 		sample[wire.MachineTypes]("machine types", cborCodec),
-		sample[wire.Rental]("machine request", cborCodec),
+		sample[wire.RentalRequest]("machine request", cborCodec),
 		sample[wire.MachineNames]("machine names", cborCodec),
 		sample[wire.MachineList]("machine list", cborCodec),
 		sample[wire.KeyValue]("key and value", cborCodec),
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -149,7 +149,7 @@
 	resp := &peer.Response{From: c.Addr}
 	if req := c.Req.(peer.Request); req.Status != nil {
 		h.statusesSent = append(h.statusesSent, *req.Status)
-		resp.Status = &peer.StatusAck{ControllerState: peer.ControllerState{StateOK: true}}
+		resp.Status = &peer.StatusAck{ControllerState: peer.ControllerState{StateServiceOK: true}}
 		for _, o := range req.Status.Claims {
 			resp.Status.QuiescedShards = append(resp.Status.QuiescedShards, o.Shard)
 		}
--- a/internal/controller/idempotency_test.go
+++ b/internal/controller/idempotency_test.go
@@ -82,7 +82,7 @@
 	}
 	h.dropCalls()
 	from := moved.rec.Shard
-	h.c.release(peer.Release{Machines: []string{moved.id}, Shard: 1 - from})
+	h.c.release(peer.Release{Machines: []string{moved.id}, ToShard: 1 - from})
 	h.run(2 * sec)
 	h.c.release(peer.Release{Machines: []string{retired.id}, Cordon: true})
 	h.run(2 * sec)
--- a/internal/controller/inventory.go
+++ b/internal/controller/inventory.go
@@ -146,9 +146,9 @@
 	txn := wire.Txn{
 		Conditions: []wire.Condition{
 			{Key: wire.KeyLeader, ModRevision: c.ownership.leader.ownerEpoch},
-			{Key: wire.KeyTypes, ModRevision: c.fleet.typesModRevision},
+			{Key: wire.KeyMachineTypes, ModRevision: c.fleet.typesModRevision},
 		},
-		Changes: []wire.Change{{Put: wire.KeyTypes, Value: value}},
+		Changes: []wire.Change{{Put: wire.KeyMachineTypes, Value: value}},
 	}
 	c.askState(statestore.ClassFleet, txn, typesTimeout, func(r statestore.Reply) {
 		if r.Status == http.StatusOK {
--- a/internal/controller/job_reads_test.go
+++ b/internal/controller/job_reads_test.go
@@ -237,7 +237,7 @@
 		h := newOwnerHarness(t, limits)
 		h.submit(jobOf("job-000001", 1))
 		h.put(ownerKey(0), wire.OwnerRecord{Label: "n-1", Incarnation: 99})
-		h.step(PeerRequest{Reply: 900, Req: peer.Request{From: "n-1", Status: &peer.Status{ControllerState: peer.ControllerState{StateOK: true}}}})
+		h.step(PeerRequest{Reply: 900, Req: peer.Request{From: "n-1", Status: &peer.Status{ControllerState: peer.ControllerState{StateServiceOK: true}}}})
 		h.peersDown = true
 		before := len(h.asked)
 		ask(h, "job-000001", sec/5)
--- a/internal/controller/machine_maintenance.go
+++ b/internal/controller/machine_maintenance.go
@@ -53,7 +53,7 @@
 
 // sameDestination reports whether two releases can be recorded together.
 func sameDestination(a, b peer.Release) bool {
-	return a.Cordon == b.Cordon && a.Shard == b.Shard
+	return a.Cordon == b.Cordon && a.ToShard == b.ToShard
 }
 
 // maintainMachine maintains one machine, and reports whether it is to be released now.
--- a/internal/controller/machine_records_test.go
+++ b/internal/controller/machine_records_test.go
@@ -30,7 +30,7 @@
 				h.watchBlocked = wire.PrefixControl
 			}
 			h.c.fleet.planNext = micros.Never
-			h.c.release(peer.Release{Machines: []string{"vm-1"}, Shard: 1 - from})
+			h.c.release(peer.Release{Machines: []string{"vm-1"}, ToShard: 1 - from})
 			h.step(Tick{})
 			if tc.lose {
 				if v := m.view; !v.releasing {
@@ -162,7 +162,7 @@
 	m.recordSet.nextWriteAt = 0
 	h.c.fleet.planNext = micros.Never
 	h.late = wire.PrefixFleet
-	if h.c.release(peer.Release{Machines: []string{"vm-1"}, Shard: 1 - m.rec.Shard}); !m.view.releasing {
+	if h.c.release(peer.Release{Machines: []string{"vm-1"}, ToShard: 1 - m.rec.Shard}); !m.view.releasing {
 		t.Fatal("not releasing: the case is not what it should be")
 	}
 	h.step(Tick{})
--- a/internal/controller/machine_release.go
+++ b/internal/controller/machine_release.go
@@ -22,7 +22,7 @@
 // release releases machines at the leader's request: at once those that are idle, others when
 // they are empty, if they may be drained. It reports whether it has begun with any.
 func (c *Controller) release(r peer.Release) bool {
-	if r.Shard < 0 || r.Shard >= len(c.ownership.shards) {
+	if r.ToShard < 0 || r.ToShard >= len(c.ownership.shards) {
 		return false
 	}
 	var ready []*machine
@@ -47,7 +47,7 @@
 		return false
 	}
 	s := c.ownership.activeShard(m.rec.Shard)
-	return s != nil && (r.Cordon || r.Shard != s.id)
+	return s != nil && (r.Cordon || r.ToShard != s.id)
 }
 
 // planRelease has a machine emptied and released then.
@@ -150,7 +150,7 @@
 	writes := txn.writes
 	if !r.Cordon {
 		writes = append(writes, recordSetWrite{
-			key:    wire.MachineRecordSetKey(r.Shard, c.machineRecords.newName(recordSetMoved, s.ownerEpoch)),
+			key:    wire.MachineRecordSetKey(r.ToShard, c.machineRecords.newName(recordSetMoved, s.ownerEpoch)),
 			record: recordSetOf(txn.machines, nil, nil),
 		})
 	}
--- a/internal/controller/ownership_test.go
+++ b/internal/controller/ownership_test.go
@@ -167,7 +167,7 @@
 			}
 			tc.change(h.c.machines["vm-1"].view)
 			h.ask(func(r ReplyID) Input {
-				return PeerRequest{Reply: r, Req: peer.Request{From: "n-0", Status: &peer.Status{ControllerState: peer.ControllerState{StateOK: true, UptimeUS: int64(tc.uptime)}}}}
+				return PeerRequest{Reply: r, Req: peer.Request{From: "n-0", Status: &peer.Status{ControllerState: peer.ControllerState{StateServiceOK: true, UptimeUS: int64(tc.uptime)}}}}
 			})
 			h.c.releaseToPreferredOwner()
 			if s.releasing() != tc.want {
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -167,9 +167,9 @@
 func (c *Controller) about(p *peerView) peer.ControllerState {
 	return peer.ControllerState{
 		UptimeUS:            int64(c.now - c.startedAt),
-		StateOK:             c.ownership.stateFresh(),
+		StateServiceOK:      c.ownership.stateFresh(),
 		WithoutWorkers:      c.contact.lost(),
-		Quota:               c.quota.ledger != nil,
+		SupportsQuota:       c.quota.ledger != nil,
 		Claims:              c.ownership.shardClaims(),
 		MisdirectedMachines: c.misdirectedMachinesOf(p),
 	}
@@ -207,10 +207,10 @@
 func (c *Controller) applyAbout(p *peerView, a *peer.ControllerState) (quiesced []int) {
 	p.lastContactAt = c.now
 	p.uptime = micros.Micros(a.UptimeUS)
-	p.stateOK = a.StateOK
+	p.stateOK = a.StateServiceOK
 	p.withoutWorkers = a.WithoutWorkers
-	p.quota = a.Quota
-	if a.Quota {
+	p.quota = a.SupportsQuota
+	if a.SupportsQuota {
 		c.enableQuota()
 	}
 	p.misdirectedHeartbeats = map[string]bool{}
--- a/internal/controller/peers_test.go
+++ b/internal/controller/peers_test.go
@@ -34,7 +34,7 @@
 			}
 			informed := map[string]bool{}
 			for range 2*all/maxNamed + 4 { // one message a second, about
-				h.step(PeerRequest{Reply: 900, Req: peer.Request{From: "n-1", Status: &peer.Status{ControllerState: peer.ControllerState{StateOK: true}}}})
+				h.step(PeerRequest{Reply: 900, Req: peer.Request{From: "n-1", Status: &peer.Status{ControllerState: peer.ControllerState{StateServiceOK: true}}}})
 				h.peersDown = false
 				before := len(h.statusesSent)
 				h.run(statusInterval + 100*ms)
@@ -73,7 +73,7 @@
 			h.run(5 * sec)
 			if tc.asked {
 				h.ask(func(r ReplyID) Input {
-					return PeerRequest{Reply: r, Req: peer.Request{From: "n-1", Status: &peer.Status{ControllerState: peer.ControllerState{StateOK: true}}}}
+					return PeerRequest{Reply: r, Req: peer.Request{From: "n-1", Status: &peer.Status{ControllerState: peer.ControllerState{StateServiceOK: true}}}}
 				})
 			}
 			tc.change(h)
@@ -94,7 +94,7 @@
 		h.stateDown, h.refused = true, true
 		h.run(sec / 2)
 		h.step(PeerRequest{Reply: 900, Req: peer.Request{From: "n-1", Status: &peer.Status{
-			ControllerState: peer.ControllerState{StateOK: true}, Cancelled: []string{"job-000001", "nonsense", "job-000777"}}}})
+			ControllerState: peer.ControllerState{StateServiceOK: true}, Cancelled: []string{"job-000001", "nonsense", "job-000777"}}}})
 		if _, body := h.heartbeat(h.running(12, fencingToken, a)); stops(body.Commands) != 1 {
 			t.Errorf("commands %v, want the task stopped", body.Commands)
 		}
--- a/internal/controller/quota_requests.go
+++ b/internal/controller/quota_requests.go
@@ -36,7 +36,7 @@
 		return
 	}
 	q := &c.quota
-	in := quota.Set{Token: q.nextSetToken, Group: set.WaitingTasks}
+	in := quota.Set{Token: q.nextSetToken, Group: set.Group}
 	if !set.Clear {
 		in.Limit = &set.Limit
 	}
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -74,7 +74,7 @@
 		t.Errorf("written under %v", under)
 	}
 	low := quota.CPULimit(1)
-	if resp := h.quotaAsk(peer.QuotaRequest{Set: &peer.SetLimit{WaitingTasks: "all", Limit: low}}); resp.Problem != "" || resp.Epoch != 2 {
+	if resp := h.quotaAsk(peer.QuotaRequest{Set: &peer.SetLimit{Group: "all", Limit: low}}); resp.Problem != "" || resp.Epoch != 2 {
 		t.Errorf("lowering it says %+v", resp)
 	}
 	h.run(sec)
@@ -89,7 +89,7 @@
 	if got := h.c.jobs.open["job-000002"].run; len(got.active) != 0 {
 		t.Errorf("%d tasks started beside cancelled ones that may run", len(got.active))
 	}
-	if resp := h.quotaAsk(peer.QuotaRequest{Set: &peer.SetLimit{WaitingTasks: "all", Clear: true}}); resp.Problem != "" {
+	if resp := h.quotaAsk(peer.QuotaRequest{Set: &peer.SetLimit{Group: "all", Clear: true}}); resp.Problem != "" {
 		t.Error(resp.Problem)
 	}
 	h.run(3 * sec)
@@ -108,8 +108,8 @@
 		name, want string
 		set        peer.SetLimit
 	}{
-		{"an unknown group", "no such group", peer.SetLimit{WaitingTasks: "none", Limit: quota.CPULimit(1)}},
-		{"a negative limit", "limit.cpus = -1", peer.SetLimit{WaitingTasks: "all", Limit: quota.Limit{CPUs: &negative}}},
+		{"an unknown group", "no such group", peer.SetLimit{Group: "none", Limit: quota.CPULimit(1)}},
+		{"a negative limit", "limit.cpus = -1", peer.SetLimit{Group: "all", Limit: quota.Limit{CPUs: &negative}}},
 	} {
 		if resp := h.quotaAsk(peer.QuotaRequest{Set: &tc.set}); !strings.Contains(resp.Problem, tc.want) {
 			t.Errorf("%s: %q", tc.name, resp.Problem)
@@ -130,13 +130,13 @@
 		}
 	}
 	for _, st := range off.statusesSent {
-		if st.Quota || st.Traces != nil {
+		if st.SupportsQuota || st.Traces != nil {
 			t.Errorf("without the option, others are sent %+v", st)
 		}
 	}
 	// Another controller shows that it keeps groups: this one follows.
 	off.ask(func(r ReplyID) Input {
-		return PeerRequest{Reply: r, Req: peer.Request{From: "n-1", Status: &peer.Status{ControllerState: peer.ControllerState{StateOK: true, Quota: true}}}}
+		return PeerRequest{Reply: r, Req: peer.Request{From: "n-1", Status: &peer.Status{ControllerState: peer.ControllerState{StateServiceOK: true, SupportsQuota: true}}}}
 	})
 	off.run(sec)
 	if resp := off.quotaAsk(peer.QuotaRequest{}); resp.Problem != "" {
@@ -153,8 +153,8 @@
 	})
 	trace, span := [16]byte{1, 2}, [8]byte{3}
 	h.ask(func(r ReplyID) Input {
-		return PeerRequest{Reply: r, Req: peer.Request{From: "n-1", Status: &peer.Status{ControllerState: peer.ControllerState{StateOK: true, Quota: true},
-			Traces: []peer.TraceContext{{WaitingTasks: "all", Shard: 1, Trace: trace[:], Span: span[:], BeganUS: 1}, {WaitingTasks: "all", Shard: 2, Trace: []byte("short")}}}}}
+		return PeerRequest{Reply: r, Req: peer.Request{From: "n-1", Status: &peer.Status{ControllerState: peer.ControllerState{StateServiceOK: true, SupportsQuota: true},
+			Traces: []peer.TraceContext{{Group: "all", Shard: 1, TraceID: trace[:], SpanID: span[:], BeganUS: 1}, {Group: "all", Shard: 2, TraceID: []byte("short")}}}}}
 	})
 	h.c.effects = nil
 	h.c.quota.traceQuota(quota.Changed{Kind: quota.Shrunk, Group: "all", Shard: 0, From: quota.Amount{CPUs: 2}, To: quota.Amount{CPUs: 1}})
@@ -163,7 +163,7 @@
 	}
 	h.c.quota.traceQuota(quota.Changed{Kind: quota.Asked, Group: "all", Shard: 0})
 	asked := h.c.effects[1].(Span)
-	if contexts := h.c.quota.openTraces(); len(contexts) != 1 || [16]byte(contexts[0].Trace) != asked.Trace || [8]byte(contexts[0].Span) != asked.ID {
+	if contexts := h.c.quota.openTraces(); len(contexts) != 1 || [16]byte(contexts[0].TraceID) != asked.Trace || [8]byte(contexts[0].SpanID) != asked.ID {
 		t.Errorf("others are sent %+v of %+v", contexts, asked)
 	}
 }
@@ -171,8 +171,8 @@
 // TestOlderVersionsReadStatusWithGroups checks that an older version reads the fields of a message
 // that it knows.
 func TestOlderVersionsReadStatusWithGroups(t *testing.T) {
-	st := &peer.Status{ControllerState: peer.ControllerState{UptimeUS: 5, StateOK: true, Claims: []peer.ShardClaim{{Shard: 1, OwnerEpoch: 7}}, Quota: true}, ReturnedMachines: []string{"vm-1"},
-		Traces: []peer.TraceContext{{WaitingTasks: "all", Trace: make([]byte, 16), Span: make([]byte, 8)}}}
+	st := &peer.Status{ControllerState: peer.ControllerState{UptimeUS: 5, StateServiceOK: true, Claims: []peer.ShardClaim{{Shard: 1, OwnerEpoch: 7}}, SupportsQuota: true}, ReturnedMachines: []string{"vm-1"},
+		Traces: []peer.TraceContext{{Group: "all", TraceID: make([]byte, 16), SpanID: make([]byte, 8)}}}
 	sent, err := peer.Encode(peer.Request{From: "n-1", Status: st})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/controller/quota_trace.go
+++ b/internal/controller/quota_trace.go
@@ -161,15 +161,15 @@
 	var contexts []peer.TraceContext
 	for key, open := range own {
 		contexts = append(contexts, peer.TraceContext{
-			WaitingTasks: key.group,
-			Shard:        key.shard,
-			Trace:        open.trace[:],
-			Span:         open.span[:],
-			BeganUS:      int64(open.began),
+			Group:   key.group,
+			Shard:   key.shard,
+			TraceID: open.trace[:],
+			SpanID:  open.span[:],
+			BeganUS: int64(open.began),
 		})
 	}
 	slices.SortFunc(contexts, func(a, b peer.TraceContext) int {
-		return cmp.Or(cmp.Compare(a.WaitingTasks, b.WaitingTasks), cmp.Compare(a.Shard, b.Shard))
+		return cmp.Or(cmp.Compare(a.Group, b.Group), cmp.Compare(a.Shard, b.Shard))
 	})
 	return contexts[:min(len(contexts), maxTraces)]
 }
@@ -192,12 +192,12 @@
 	dropExpired(remote, q.now)
 	for _, ctx := range contexts {
 		open := openTrace{began: micros.Micros(ctx.BeganUS), until: q.now + traceDuration}
-		if len(ctx.Trace) != len(open.trace) || len(ctx.Span) != len(open.span) || len(remote) >= maxTraces {
+		if len(ctx.TraceID) != len(open.trace) || len(ctx.SpanID) != len(open.span) || len(remote) >= maxTraces {
 			continue
 		}
-		copy(open.trace[:], ctx.Trace)
-		copy(open.span[:], ctx.Span)
-		remote[traceKey{ctx.WaitingTasks, ctx.Shard}] = open
+		copy(open.trace[:], ctx.TraceID)
+		copy(open.span[:], ctx.SpanID)
+		remote[traceKey{ctx.Group, ctx.Shard}] = open
 	}
 }
 
--- a/internal/controller/rebalancing.go
+++ b/internal/controller/rebalancing.go
@@ -26,7 +26,7 @@
 		if move.Drain {
 			c.fleet.plannedMoves[id] = plannedMove{shard: move.To, until: c.now + maxMoveDuration}
 		}
-		c.requestMachineRelease(id, peer.Release{Shard: move.To, Drain: move.Drain})
+		c.requestMachineRelease(id, peer.Release{ToShard: move.To, Drain: move.Drain})
 	}
 }
 
@@ -63,6 +63,6 @@
 		delete(c.fleet.plannedMoves, m.ID)
 	default:
 		choice.AddDraining(m, move.shard)
-		c.requestMachineRelease(m.ID, peer.Release{Shard: move.shard, Drain: true})
+		c.requestMachineRelease(m.ID, peer.Release{ToShard: move.shard, Drain: true})
 	}
 }
--- a/internal/controller/record_limits_test.go
+++ b/internal/controller/record_limits_test.go
@@ -125,7 +125,7 @@
 			if n := wire.StoredSize(value, smallValueBytes); n > smallValueBytes {
 				t.Errorf("a checkpoint of %d tasks, %s, counts %d bytes", tasks, pattern, n)
 			}
-			if rec.Count == 0 && tasks > 1 {
+			if rec.DoneCount == 0 && tasks > 1 {
 				t.Errorf("a checkpoint of %d tasks, %s, names none", tasks, pattern)
 			}
 		}
--- a/internal/controller/release_requests.go
+++ b/internal/controller/release_requests.go
@@ -45,7 +45,7 @@
 	}
 	f.releaseRequestedAt[id] = c.now
 	if r.Cordon {
-		r.Shard = m.rec.Shard
+		r.ToShard = m.rec.Shard
 	}
 	f.releaseRequests = append(f.releaseRequests, releaseRequest{id, r})
 }
@@ -65,10 +65,10 @@
 		if m == nil {
 			continue
 		}
-		key := releaseKey{m.rec.Shard, request.Shard, request.Cordon, request.Drain, request.Save}
+		key := releaseKey{m.rec.Shard, request.ToShard, request.Cordon, request.Drain, request.Save}
 		r := byKey[key]
 		if r == nil {
-			r = &peer.Release{Cordon: request.Cordon, Drain: request.Drain, Save: request.Save, Shard: request.Shard}
+			r = &peer.Release{Cordon: request.Cordon, Drain: request.Drain, Save: request.Save, ToShard: request.ToShard}
 			byKey[key] = r
 			keys = append(keys, key)
 		}
--- a/internal/controller/replacement.go
+++ b/internal/controller/replacement.go
@@ -74,15 +74,15 @@
 func (c *Controller) unreachableMachines(d *peer.Demand, partitioned map[string]bool) unreachableMachines {
 	var lost unreachableMachines
 	// If most are unreachable, the fault is rather in the owner's network.
-	mostSilent := 2*d.Silent > d.All
-	mostUnreconciled := 2*d.Unreconciled > d.All
+	mostSilent := 2*d.SilentMachines > d.TotalMachines
+	mostUnreconciled := 2*d.UnreconciledMachines > d.TotalMachines
 	for _, m := range d.Machines {
 		rec := c.machines[m.ID]
 		if rec == nil || c.fleet.returned[m.ID] != 0 || c.fleet.returning[m.ID] {
 			continue
 		}
 		inPartition := partitioned[rec.rec.Zone]
-		since := micros.Micros(m.SinceUS)
+		since := micros.Micros(m.InStateUS)
 		switch m.State {
 		case peer.MachineSilent:
 			if since > c.silenceLimit(inPartition) && !mostSilent {
--- a/internal/controller/replacement_test.go
+++ b/internal/controller/replacement_test.go
@@ -35,16 +35,16 @@
 			c := New(Config{Label: "a", Shards: 1, Teams: []Team{{Name: "t"}}, StateRPS: 10, WriteRPS: 10, CloudRPS: 10,
 				HeartbeatInterval: 10 * sec, WorkerLease: 45 * sec, SilentReturn: -1}, 1)
 			c.types = newMachineTypes(map[string]wire.MachineType{"m": {Name: "m", CPUs: 4, BootS: 5}})
-			d := &peer.Demand{All: 100, Unreconciled: tc.unreconciled, BlockedUS: int64(tc.blocked), CPUs: float64(4 * (100 - tc.unreconciled)), Busy: tc.busy,
-				RunLeftUS: int64(tc.busy * 20e6), Groups: []peer.WaitingTasks{{Any: true, CPUs: 1, Waiting: tc.wait}},
-				Zones: []peer.Zone{{Name: "a", All: tc.unreconciled}, {Name: "b", All: 100 - tc.unreconciled}}}
+			d := &peer.Demand{TotalMachines: 100, UnreconciledMachines: tc.unreconciled, BlockedUS: int64(tc.blocked), CPUs: float64(4 * (100 - tc.unreconciled)), BusyCPUs: tc.busy,
+				RemainingWorkUS: int64(tc.busy * 20e6), WaitingTasks: []peer.WaitingTasks{{AnyType: true, CPUs: 1, Count: tc.wait}},
+				Zones: []peer.ZoneMachines{{Name: "a", TotalMachines: tc.unreconciled}, {Name: "b", TotalMachines: 100 - tc.unreconciled}}}
 			if tc.partitioned {
-				d.Zones[0].Silent = tc.unreconciled
+				d.Zones[0].SilentMachines = tc.unreconciled
 			}
 			for i := range tc.unreconciled {
 				id := machineName(i)
 				c.machines[id] = &machine{id: id, rec: machineRecord{Zone: "a", Type: "m"}}
-				d.Machines = append(d.Machines, peer.Machine{ID: id, State: peer.MachineUnreconciled, SinceUS: int64(tc.since)})
+				d.Machines = append(d.Machines, peer.Machine{ID: id, State: peer.MachineUnreconciled, InStateUS: int64(tc.since)})
 			}
 			c.fleet.budget = ratelimit.NewBucket(10)
 			c.replaceUnhealthy(map[int]*peer.Demand{0: d})
@@ -62,19 +62,19 @@
 		name  string
 		zone  string // of the silent machine
 		since micros.Micros
-		zones []peer.Zone
+		zones []peer.ZoneMachines
 		want  bool
 	}{
-		{"a dead machine", "a", 30 * sec, []peer.Zone{{Name: "a", All: 50, Silent: 5}, {Name: "b", All: 50}}, true},
-		{"its zone is partitioned", "a", 30 * sec, []peer.Zone{{Name: "a", All: 20, Silent: 20}, {Name: "b", All: 80}}, false},
-		{"another zone is", "b", 30 * sec, []peer.Zone{{Name: "a", All: 20, Silent: 20}, {Name: "b", All: 80, Silent: 1}}, true},
-		{"its zone is, for minutes", "a", 140 * sec, []peer.Zone{{Name: "a", All: 20, Silent: 20}, {Name: "b", All: 80}}, true},
+		{"a dead machine", "a", 30 * sec, []peer.ZoneMachines{{Name: "a", TotalMachines: 50, SilentMachines: 5}, {Name: "b", TotalMachines: 50}}, true},
+		{"its zone is partitioned", "a", 30 * sec, []peer.ZoneMachines{{Name: "a", TotalMachines: 20, SilentMachines: 20}, {Name: "b", TotalMachines: 80}}, false},
+		{"another zone is", "b", 30 * sec, []peer.ZoneMachines{{Name: "a", TotalMachines: 20, SilentMachines: 20}, {Name: "b", TotalMachines: 80, SilentMachines: 1}}, true},
+		{"its zone is, for minutes", "a", 140 * sec, []peer.ZoneMachines{{Name: "a", TotalMachines: 20, SilentMachines: 20}, {Name: "b", TotalMachines: 80}}, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			c := New(Config{Label: "a", Shards: 1, Teams: []Team{{Name: "t"}}, StateRPS: 10, WriteRPS: 10, CloudRPS: 10,
 				HeartbeatInterval: 10 * sec, WorkerLease: 45 * sec, SilentReturn: -1}, 1)
 			c.machines["vm-1"] = &machine{id: "vm-1", rec: machineRecord{Zone: tc.zone}}
-			d := &peer.Demand{All: 100, Silent: 21, Zones: tc.zones, Machines: []peer.Machine{{ID: "vm-1", State: peer.MachineSilent, SinceUS: int64(tc.since)}}}
+			d := &peer.Demand{TotalMachines: 100, SilentMachines: 21, Zones: tc.zones, Machines: []peer.Machine{{ID: "vm-1", State: peer.MachineSilent, InStateUS: int64(tc.since)}}}
 			c.fleet.budget = ratelimit.NewBucket(10)
 			c.replaceUnhealthy(map[int]*peer.Demand{0: d})
 			if got := c.fleet.returning["vm-1"]; got != tc.want {
@@ -105,7 +105,7 @@
 	for _, state := range []peer.MachineState{peer.MachineUnreconciled, peer.MachineSilent} {
 		p := h.c.peers["n-1"]
 		p.returnedMachines = nil
-		d := &peer.Demand{Shard: 1, All: 1, Machines: []peer.Machine{{ID: "vm-1", State: state}}}
+		d := &peer.Demand{Shard: 1, TotalMachines: 1, Machines: []peer.Machine{{ID: "vm-1", State: state}}}
 		h.c.replaceUnhealthy(map[int]*peer.Demand{1: d})
 		h.c.replaceUnhealthy(map[int]*peer.Demand{1: d})
 		if len(p.returnedMachines) != 1 || p.returnedMachines[0] != "vm-1" {
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -143,7 +143,7 @@
 				ID:       m.ID,
 				CPUs:     mt.CPUs,
 				CPUPrice: fleet.CPUPrice(mt, rec.rec.Spot),
-				IdleFor:  micros.Micros(m.SinceUS),
+				IdleFor:  micros.Micros(m.InStateUS),
 				Useless:  waiting && !catalog.UsefulAnywhere(demands, rec.kind()),
 			})
 		}
@@ -176,7 +176,7 @@
 		}
 		candidates, draining := c.drainCandidates(d)
 		for _, m := range choice.Choose(d, candidates, draining) {
-			c.log(Info, "draining a mostly unused machine", "machine", m.ID, "shard", shard, "busy", m.Busy)
+			c.log(Info, "draining a mostly unused machine", "machine", m.ID, "shard", shard, "busy", m.BusyCPUs)
 			c.fleet.plannedMoves[m.ID] = plannedMove{retire: true, until: c.now + maxConsolidation}
 			c.requestMachineRelease(m.ID, peer.Release{Cordon: true, Drain: true, Save: true})
 		}
--- a/internal/controller/scale_out.go
+++ b/internal/controller/scale_out.go
@@ -42,7 +42,7 @@
 // scaleOutRequest is a rental under way. It is sent again, under the same name, until the cloud
 // has answered: it may have been carried out.
 type scaleOutRequest struct {
-	rental   wire.Rental
+	rental   wire.RentalRequest
 	nextAt   micros.Micros // when it may be sent again
 	inFlight bool
 }
@@ -128,7 +128,7 @@
 		}
 		choice.Add(rental)
 		f.scaleOutSequence++
-		rental.Request = fmt.Sprintf("r-%d-%d", c.ownership.leader.ownerEpoch, f.scaleOutSequence)
+		rental.RequestID = fmt.Sprintf("r-%d-%d", c.ownership.leader.ownerEpoch, f.scaleOutSequence)
 		req := &scaleOutRequest{rental: rental}
 		f.scaleOuts = append(f.scaleOuts, req)
 		c.sendScaleOut(req)
@@ -163,7 +163,7 @@
 	case r.Status == http.StatusBadRequest:
 		f.endScaleOut(req)
 		f.refuse(req.kind())
-		f.log(Error, "rental request called malformed", "request", req.rental.Request)
+		f.log(Error, "rental request called malformed", "request", req.rental.RequestID)
 	default:
 		req.nextAt = f.now + f.jitter(scaleOutRetryInterval)
 	}
--- a/internal/controller/scale_out_test.go
+++ b/internal/controller/scale_out_test.go
@@ -12,7 +12,7 @@
 // that there are.
 func TestNextScaleOut(t *testing.T) {
 	waiting := func(tasks int, cpus, seconds float64) peer.WaitingTasks {
-		return peer.WaitingTasks{Any: true, Spot: true, CPUs: cpus, MemGB: 1, Waiting: tasks, WorkUS: int64(float64(tasks) * seconds * 1e6)}
+		return peer.WaitingTasks{AnyType: true, Spot: true, CPUs: cpus, MemGB: 1, Count: tasks, WorkUS: int64(float64(tasks) * seconds * 1e6)}
 	}
 	noSpot := waiting(4, 1, 300)
 	noSpot.Spot = false
--- a/internal/controller/scale_test.go
+++ b/internal/controller/scale_test.go
@@ -258,8 +258,8 @@
 		return st, len(b)
 	}
 	st, size := demandStatus()
-	if d := st.Demand[0]; len(d.Machines) < machines-1 || d.All != machines || len(st.MisdirectedMachines) != machines {
-		t.Errorf("%d machines named, %d misdirected, %d counted, of %d", len(d.Machines), len(st.MisdirectedMachines), d.All, machines)
+	if d := st.Demand[0]; len(d.Machines) < machines-1 || d.TotalMachines != machines || len(st.MisdirectedMachines) != machines {
+		t.Errorf("%d machines named, %d misdirected, %d counted, of %d", len(d.Machines), len(st.MisdirectedMachines), d.TotalMachines, machines)
 	}
 	if size > peer.MaxMessage*9/10 {
 		t.Errorf("a message of %d bytes, want at most nine tenths of %d", size, peer.MaxMessage)
@@ -268,8 +268,8 @@
 		m.id += strings.Repeat("x", 200-len(m.id))
 	}
 	st, size = demandStatus()
-	if d := st.Demand[0]; len(d.Machines) == 0 || len(d.Machines) == machines || d.All != machines {
-		t.Errorf("past the bound %d machines are named, %d counted, of %d", len(d.Machines), d.All, machines)
+	if d := st.Demand[0]; len(d.Machines) == 0 || len(d.Machines) == machines || d.TotalMachines != machines {
+		t.Errorf("past the bound %d machines are named, %d counted, of %d", len(d.Machines), d.TotalMachines, machines)
 	}
 	if size > peer.MaxMessage*9/10 {
 		t.Errorf("past the bound a message of %d bytes, want at most nine tenths of %d", size, peer.MaxMessage)
--- a/internal/controller/state_records.go
+++ b/internal/controller/state_records.go
@@ -38,7 +38,7 @@
 		return c.applyShardOwner(key, value, modRevision)
 	case key == wire.KeyLeader:
 		return c.applyLeader(value, modRevision)
-	case key == wire.KeyTypes:
+	case key == wire.KeyMachineTypes:
 		return c.applyMachineTypes(value, modRevision)
 	case strings.HasPrefix(key, wire.PrefixFleet):
 		return c.applyRecordSet(key, value, modRevision)
--- a/internal/fakes/cloud.go
+++ b/internal/fakes/cloud.go
@@ -110,7 +110,7 @@
 		reply.body(http.StatusOK, &wire.MachineTypes{Types: MachineTypes()})
 	case controller.ListMachines:
 		reply.body(http.StatusOK, c.list(r.After))
-	case wire.Rental:
+	case wire.RentalRequest:
 		c.rent(r, reply)
 	case controller.ReturnMachines:
 		c.endRentals(r.Machines)
@@ -166,21 +166,21 @@
 }
 
 // rent answers a rental request; a repeated one gets the answer of the first.
-func (c *Cloud) rent(request wire.Rental, reply Reply) {
-	names, repeated := c.rentals[request.Request]
+func (c *Cloud) rent(request wire.RentalRequest, reply Reply) {
+	names, repeated := c.rentals[request.RequestID]
 	if !repeated {
 		names = c.addMachines(request)
 		if len(names) == 0 {
 			reply.body(http.StatusServiceUnavailable, controller.RefusedRental)
 			return
 		}
-		c.rentals[request.Request] = names
+		c.rentals[request.RequestID] = names
 	}
 	reply.body(http.StatusOK, &wire.MachineNames{Machines: names})
 }
 
 // addMachines adds the machines of a request, up to MaxMachines that run at a time.
-func (c *Cloud) addMachines(request wire.Rental) (names []string) {
+func (c *Cloud) addMachines(request wire.RentalRequest) (names []string) {
 	running := c.running()
 	for len(names) < request.Count && running < c.config.MaxMachines {
 		names = append(names, c.Add(MachineKind{request.Type, request.Zone, request.Spot}, c.config.BootTime()))
--- a/internal/fakes/cloud_test.go
+++ b/internal/fakes/cloud_test.go
@@ -28,17 +28,17 @@
 
 func TestCloudRental(t *testing.T) {
 	_, cloud, returned := newTestCloud()
-	rental := wire.Rental{Request: "r1", Type: "small", Zone: "east", Count: 2}
+	rental := wire.RentalRequest{RequestID: "r1", Type: "small", Zone: "east", Count: 2}
 	first := mustAnswer(t, cloud, rental, 200).(*wire.MachineNames).Machines
 	again := mustAnswer(t, cloud, rental, 200).(*wire.MachineNames).Machines
 	if len(first) != 2 || !slices.Equal(first, again) {
 		t.Errorf("a repeated rental gives %v, the first gave %v", again, first)
 	}
-	rental.Request = "r2"
+	rental.RequestID = "r2"
 	if names := mustAnswer(t, cloud, rental, 200).(*wire.MachineNames).Machines; len(names) != 1 {
 		t.Errorf("%v beyond the number of machines", names)
 	}
-	rental.Request = "r3"
+	rental.RequestID = "r3"
 	if body := mustAnswer(t, cloud, rental, 503); body != controller.RefusedRental {
 		t.Errorf("a rental without capacity is answered with %v", body)
 	}
--- a/internal/fakes/server_test.go
+++ b/internal/fakes/server_test.go
@@ -43,7 +43,7 @@
 		{"keys", controller.ToState, statestore.ListKeys{Prefix: "ctl/", Limit: 10}, 200},
 		{"watch", controller.ToState, statestore.WatchKeys{Prefix: "ctl/", WaitMS: 1000}, 200},
 		{"machine types", controller.ToCloud, controller.GetTypes{}, 200},
-		{"rental", controller.ToCloud, wire.Rental{Request: "r", Type: "small", Zone: "east", Count: 1}, 503},
+		{"rental", controller.ToCloud, wire.RentalRequest{RequestID: "r", Type: "small", Zone: "east", Count: 1}, 503},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if status, body := serve(tc.to, tc.request); status != tc.status {
--- a/internal/faulttest/grants.go
+++ b/internal/faulttest/grants.go
@@ -146,7 +146,7 @@
 
 // SetLimit sets a group's limit at a controller, as the command line does; nil clears it.
 func (c *Cluster) SetLimit(node int, group string, limit *quota.Limit) error {
-	set := peer.SetLimit{WaitingTasks: group, Clear: limit == nil}
+	set := peer.SetLimit{Group: group, Clear: limit == nil}
 	if limit != nil {
 		set.Limit = *limit
 	}
--- a/internal/peer/quota.go
+++ b/internal/peer/quota.go
@@ -9,9 +9,9 @@
 
 // SetLimit sets a group's limit in place of the one in the options, or, with Clear, ends that.
 type SetLimit struct {
-	WaitingTasks string      `msgpack:"g"`
-	Limit        quota.Limit `msgpack:"l"`
-	Clear        bool        `msgpack:"c,omitempty"`
+	Group string      `msgpack:"g"`
+	Limit quota.Limit `msgpack:"l"`
+	Clear bool        `msgpack:"c,omitempty"`
 }
 
 // QuotaResponse answers a QuotaRequest.
@@ -25,9 +25,9 @@
 
 // TraceContext is the parent span of others' work on a group's quota.
 type TraceContext struct {
-	WaitingTasks string `msgpack:"g"`
-	Shard        int    `msgpack:"s"` // the one that asks for more; -1: a limit was announced
-	Trace        []byte `msgpack:"t"`
-	Span         []byte `msgpack:"p"`
-	BeganUS      int64  `msgpack:"b"`
+	Group   string `msgpack:"g"`
+	Shard   int    `msgpack:"s"` // the one that asks for more; -1: a limit was announced
+	TraceID []byte `msgpack:"t"`
+	SpanID  []byte `msgpack:"p"`
+	BeganUS int64  `msgpack:"b"`
 }
--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -3,9 +3,9 @@
 // ControllerState is what a controller says of itself in a Status and in a StatusAck.
 type ControllerState struct {
 	UptimeUS       int64        `msgpack:"u"`
-	StateOK        bool         `msgpack:"k"`           // the state service has answered it recently
+	StateServiceOK bool         `msgpack:"k"`           // the state service has answered it recently
 	WithoutWorkers bool         `msgpack:"e,omitempty"` // it receives no heartbeats
-	Quota          bool         `msgpack:"y,omitempty"` // it keeps groups of teams
+	SupportsQuota  bool         `msgpack:"y,omitempty"` // it keeps groups of teams
 	Claims         []ShardClaim `msgpack:"o,omitempty"`
 	// MisdirectedMachines are machines of the receiver's shards that recently sent their
 	// heartbeats to the sender.
--- a/internal/runtime/answers.go
+++ b/internal/runtime/answers.go
@@ -57,7 +57,7 @@
 		return decodeBody[wire.MachineTypes](msg, http.StatusOK)
 	case controller.ListMachines:
 		return decodeBody[wire.MachineList](msg, http.StatusOK)
-	case wire.Rental:
+	case wire.RentalRequest:
 		return decodeRentalAnswer(msg)
 
 	// From a worker.
--- a/internal/runtime/calls.go
+++ b/internal/runtime/calls.go
@@ -8,8 +8,8 @@
 	"garnethitch/internal/http1"
 )
 
-// cloudPart of the connections to services may be in use for calls to the cloud.
-const cloudPart = 8
+// cloudConnsDivisor of the connections to services may be in use for calls to the cloud.
+const cloudConnsDivisor = 8
 
 // callsPerWorkerRequest is how many calls there may be to a request that the controller counts: beside
 // those, as many again may still be under way.
@@ -21,14 +21,14 @@
 // callLimits bounds the calls under way to each target: one that does not answer must not
 // keep the lease from being renewed.
 type callLimits struct {
-	most     callCounts
-	underway callCounts
+	max      callCounts
+	inFlight callCounts
 }
 
 func newCallLimits(sizes Sizes) callLimits {
-	return callLimits{most: callCounts{
+	return callLimits{max: callCounts{
 		controller.ToState:  sizes.StateCalls,
-		controller.ToCloud:  sizes.ServiceConns / cloudPart,
+		controller.ToCloud:  sizes.ServiceConns / cloudConnsDivisor,
 		controller.ToWorker: callsPerWorkerRequest * sizes.WorkerCalls,
 		controller.ToPeer:   sizes.PeerCalls,
 	}}
@@ -36,15 +36,15 @@
 
 // acquire counts a call to a target as under way, and reports false if it may have none more.
 func (l *callLimits) acquire(to controller.Target) bool {
-	if l.underway[to] >= l.most[to] {
+	if l.inFlight[to] >= l.max[to] {
 		return false
 	}
-	l.underway[to]++
+	l.inFlight[to]++
 	return true
 }
 
 // release takes back an acquire.
-func (l *callLimits) release(to controller.Target) { l.underway[to]-- }
+func (l *callLimits) release(to controller.Target) { l.inFlight[to]-- }
 
 // startCall makes a call in the background and feeds its result back.
 func (rt *Runtime) startCall(call controller.Call) {
@@ -64,7 +64,7 @@
 
 // makeCall makes a call. Anything that is not a well-formed answer counts as none.
 func (rt *Runtime) makeCall(call controller.Call) controller.Result {
-	request, err := rt.request(call)
+	request, err := rt.httpRequest(call)
 	if err != nil {
 		rt.log.Error("request not encoded", "error", err)
 		return controller.Result{NotSent: true}
@@ -95,8 +95,8 @@
 	return controller.Result{NotSent: errors.Is(err, client.ErrNotSent)}
 }
 
-// request returns the HTTP form of a call.
-func (rt *Runtime) request(call controller.Call) (client.Call, error) {
+// httpRequest returns the HTTP form of a call.
+func (rt *Runtime) httpRequest(call controller.Call) (client.Call, error) {
 	encoded, err := EncodeCall(call)
 	if err != nil {
 		return client.Call{}, err
@@ -122,9 +122,9 @@
 func (rt *Runtime) address(call controller.Call) string {
 	switch call.To {
 	case controller.ToState:
-		return rt.set.Endpoints.State
+		return rt.settings.Endpoints.State
 	case controller.ToCloud:
-		return rt.set.Endpoints.Cloud
+		return rt.settings.Endpoints.Cloud
 	case controller.ToPeer:
 		return rt.peers[call.Addr]
 	default:
--- a/internal/runtime/requests.go
+++ b/internal/runtime/requests.go
@@ -105,7 +105,7 @@
 		return getForm(wire.ListMachinesTarget(r.After, r.Limit)), nil
 	case controller.ReturnMachines:
 		return postForm(wire.PathReturnMachines, wire.MachineNames{Machines: r.Machines}), nil
-	case wire.Rental:
+	case wire.RentalRequest:
 		return postForm(wire.PathMachines, r), nil
 
 	// To a worker.
--- a/internal/runtime/routes.go
+++ b/internal/runtime/routes.go
@@ -150,6 +150,6 @@
 		ContentType:       contentType,
 		Body:              body,
 		RetryAfterSeconds: a.RetryAfterS,
-		CloseIfCrowded:    waiting.heartbeat,
+		CloseIfNearlyFull: waiting.heartbeat,
 	})
 }
--- a/internal/runtime/runtime.go
+++ b/internal/runtime/runtime.go
@@ -26,10 +26,10 @@
 	workerIdleConns     = 1           // kept per worker
 	workerIdleTimeout   = time.Minute // about as long as a task runs
 	dialTimeout         = 700 * time.Millisecond
-	serveTimeout        = 10 * time.Second // within which a request must arrive whole
+	requestTimeout      = 10 * time.Second // within which a request must arrive whole
 	connSweepInterval   = 10 * time.Second
 	firstTimerInterval  = time.Hour // replaced in the first step
-	shortestTimer       = time.Millisecond
+	minTimerInterval    = time.Millisecond
 	steadyClockStart    = micros.Second // of the steady clock: 0 stands for "never"
 	encodingErrorRetryS = 1             // seconds in Retry-After
 )
@@ -42,9 +42,9 @@
 
 // Runtime is one running controller.
 type Runtime struct {
-	set   config.Settings
-	log   *slog.Logger
-	start time.Time // zero of the steady clock, but for steadyClockStart
+	settings config.Settings
+	log      *slog.Logger
+	start    time.Time // zero of the steady clock, but for steadyClockStart
 
 	mu               sync.Mutex // guards what follows, down to timer
 	controller       *controller.Controller
@@ -71,7 +71,7 @@
 	cfg.LogHeartbeats = log != nil && log.Enabled(context.Background(), slog.LevelDebug)
 	sizes := SizesOf(set)
 	rt := &Runtime{
-		set:        set,
+		settings:   set,
 		log:        log,
 		start:      time.Now(),
 		controller: controller.New(cfg, seed),
@@ -116,11 +116,11 @@
 
 func (rt *Runtime) serverConfig(sizes Sizes) server.Config {
 	return server.Config{
-		Addrs:            []string{publicListener: rt.set.ServeOn, internalListener: rt.set.InternalAddr},
+		Addrs:            []string{publicListener: rt.settings.ServeOn, internalListener: rt.settings.InternalAddr},
 		MaxBodyBytes:     []int{publicListener: maxBodyBytes, internalListener: peer.MaxMessage},
 		MaxConns:         sizes.ServedConns,
 		MaxBufferedBytes: sizes.BufferedBytes,
-		RequestTimeout:   serveTimeout,
+		RequestTimeout:   requestTimeout,
 		IdleTimeout:      sizes.IdleTimeout,
 		Log:              rt.log,
 		Now:              time.Now,
@@ -184,7 +184,7 @@
 	at := rt.instant()
 	at.Took = rt.lastStepDuration
 	for _, effect := range rt.controller.Step(at, in) {
-		rt.carryOut(effect)
+		rt.execute(effect)
 	}
 	end := rt.instant().Steady
 	rt.lastStepDuration = end - at.Steady
@@ -193,8 +193,8 @@
 	rt.setTimer(end, timerFired)
 }
 
-// carryOut does what the controller has decided.
-func (rt *Runtime) carryOut(effect controller.Effect) {
+// execute does what the controller has decided.
+func (rt *Runtime) execute(effect controller.Effect) {
 	switch effect := effect.(type) {
 	case controller.Answer:
 		rt.answer(effect)
@@ -218,7 +218,7 @@
 		return
 	}
 	rt.wakeAt = wake
-	rt.timer.Reset(max((wake - now).Duration(), shortestTimer))
+	rt.timer.Reset(max((wake - now).Duration(), minTimerInterval))
 }
 
 func (rt *Runtime) logLine(line controller.Log) {
--- a/internal/runtime/runtime_test.go
+++ b/internal/runtime/runtime_test.go
@@ -123,7 +123,7 @@
 	sizes := SizesOf(set)
 	rt := New(set, config.Defaults(), nil, 1)
 	sum := 0
-	for target, most := range rt.limits.most {
+	for target, most := range rt.limits.max {
 		if most < 2 {
 			t.Errorf("target %d may have %d calls", target, most)
 		}
--- a/internal/runtime/sizes.go
+++ b/internal/runtime/sizes.go
@@ -53,15 +53,15 @@
 // SizesOf derives the sizes from the settings. No other function divides resources.
 func SizesOf(set config.Settings) Sizes {
 	var sizes Sizes
-	sizes.divideSockets(set.Cluster.Resources.Sockets)
-	sizes.divideMemory(int(set.Cluster.Resources.RAMMB * bytesPerMiB))
+	sizes.allocateSockets(set.Cluster.Resources.Sockets)
+	sizes.allocateMemory(int(set.Cluster.Resources.RAMMB * bytesPerMiB))
 	sizes.IdleTimeout = idleTimeout(set.Cluster.Workers.ReportS)
 	return sizes
 }
 
-// divideSockets sets the bounds of connections and calls. Calls to the state service are
+// allocateSockets sets the bounds of connections and calls. Calls to the state service are
 // bounded by its rate as well: each takes milliseconds, or at most some seconds in an outage.
-func (s *Sizes) divideSockets(sockets int) {
+func (s *Sizes) allocateSockets(sockets int) {
 	s.ServiceConns = clamp(sockets/16, 16, 256)
 	s.StateCalls = s.ServiceConns / 2
 	s.PeerCalls = s.ServiceConns * 3 / 8
@@ -72,8 +72,8 @@
 	s.ServedConns = max(sockets-notServing, 1)
 }
 
-// divideMemory sets the bounds of what is kept in memory, given in bytes.
-func (s *Sizes) divideMemory(memory int) {
+// allocateMemory sets the bounds of what is kept in memory, given in bytes.
+func (s *Sizes) allocateMemory(memory int) {
 	s.StateBodyBytes = clamp(memory/16, 2*statePageBytes, 24*bytesPerMiB)
 	s.BufferedBytes = int64(max(memory/16, 2*statePageBytes))
 	s.TaskListBytes = memory / 32
--- a/internal/server/address_test.go
+++ b/internal/server/address_test.go
@@ -50,7 +50,7 @@
 // A server starts on the address of one that has just ended with connections open. Their
 // remains in TIME_WAIT hold the address for a minute, in which a controller that was
 // killed could not restart (found by the soak).
-func TestBeginsAgainAtOnce(t *testing.T) {
+func TestRestartOnSameAddress(t *testing.T) {
 	addr := freeAddr(t)
 	for range 2 {
 		s := New(testConfig(addr, 10, func(r Request) { r.Reply().Send(Response{Status: http.StatusOK}) }))
@@ -69,7 +69,7 @@
 			}
 		}
 		defer client.Close()
-		if resp := ask(t, client, "/a"); resp.StatusCode != 200 {
+		if resp := get(t, client, "/a"); resp.StatusCode != 200 {
 			t.Errorf("status %d", resp.StatusCode)
 		}
 		cancel() // the server closes first
--- a/internal/server/connection.go
+++ b/internal/server/connection.go
@@ -35,9 +35,9 @@
 type conn struct {
 	stream         gnet.Conn
 	listener       Listener
-	in             []byte // input that is not yet parsed
-	out            []byte // answers that are not yet written
-	waiting        bool   // a request is with the handler
+	input          []byte // input that is not yet parsed
+	output         []byte // answers that are not yet written
+	awaitingReply  bool   // a request is with the handler
 	receiving      bool   // receive is running and will write out
 	refused        bool   // a request was too large; the rest of it is dropped
 	discardedBytes int    // input dropped since then
@@ -45,7 +45,7 @@
 	closed         bool
 	evicted        bool          // closing to let another connection in
 	evictableEntry *list.Element // in Server.evictable; nil if it must not be evicted
-	requestBegan   time.Time     // when the first byte of an incomplete request came
+	requestStarted time.Time     // when the first byte of an incomplete request came
 	lastUsed       time.Time
 }
 
@@ -62,12 +62,12 @@
 	if len(in) > 0 {
 		s.recordInput(c, now)
 	}
-	buffered := len(c.in) > 0
+	buffered := len(c.input) > 0
 	if buffered {
 		if !s.bufferInput(c, in) {
 			return c.takeOutput()
 		}
-		in = c.in
+		in = c.input
 	}
 	used := s.serveRequests(c, in, now)
 	if !c.closing && !c.refused && !c.closed {
@@ -90,8 +90,8 @@
 	if c.evictableEntry != nil {
 		s.evictable.MoveToBack(c.evictableEntry)
 	}
-	if len(c.in) == 0 {
-		c.requestBegan = now
+	if len(c.input) == 0 {
+		c.requestStarted = now
 	}
 }
 
@@ -100,12 +100,12 @@
 // that would exceed the bounds.
 func (s *Server) bufferInput(c *conn, in []byte) bool {
 	maxConnBytes := s.cfg.MaxBodyBytes[c.listener] + maxFramingBytes
-	if len(c.in)+len(in) > maxConnBytes || s.bufferedBytes+int64(len(in)) > s.cfg.MaxBufferedBytes {
+	if len(c.input)+len(in) > maxConnBytes || s.bufferedBytes+int64(len(in)) > s.cfg.MaxBufferedBytes {
 		c.closing = true
 		return false
 	}
 	s.bufferedBytes += int64(len(in))
-	c.in = append(c.in, in...)
+	c.input = append(c.input, in...)
 	return true
 }
 
@@ -117,18 +117,18 @@
 		s.bufferInput(c, in[used:])
 	case buffered && used > 0:
 		s.bufferedBytes -= int64(used)
-		c.in = append(c.in[:0], in[used:]...)
-		if len(c.in) == 0 {
-			c.in = nil
+		c.input = append(c.input[:0], in[used:]...)
+		if len(c.input) == 0 {
+			c.input = nil
 		}
 	}
 }
 
 // takeOutput returns what is to be written now, and whether to close after it.
 func (c *conn) takeOutput() ([]byte, gnet.Action) {
-	out := c.out
-	c.out = nil
-	if c.closing && !c.waiting {
+	out := c.output
+	c.output = nil
+	if c.closing && !c.awaitingReply {
 		return out, gnet.Close
 	}
 	return out, gnet.None
@@ -137,12 +137,12 @@
 // serveRequests hands on the requests in the input, until one is incomplete or waits
 // for its answer. It returns the number of bytes that they took.
 func (s *Server) serveRequests(c *conn, in []byte, now time.Time) int {
-	if c.out == nil {
-		c.out = s.scratch[:0]
+	if c.output == nil {
+		c.output = s.scratch[:0]
 	}
 	c.receiving = true
 	used := 0
-	for !c.waiting && !c.closing && !c.refused && used < len(in) {
+	for !c.awaitingReply && !c.closing && !c.refused && used < len(in) {
 		n := s.serveRequest(c, in[used:], now)
 		if n == 0 {
 			break
@@ -165,8 +165,8 @@
 		s.refuse(c, statusOf(err), now)
 		return 0
 	}
-	c.requestBegan = now
-	c.waiting = true
+	c.requestStarted = now
+	c.awaitingReply = true
 	reply := &Reply{server: s, conn: c, closeAfter: msg.Close}
 	s.mu.Unlock()
 	s.cfg.Handler(Request{Listener: c.listener, Message: msg, reply: reply})
@@ -180,12 +180,12 @@
 
 // refuse answers a request that cannot be parsed and has the connection closed.
 func (s *Server) refuse(c *conn, status int, now time.Time) {
-	c.out = http1.AppendResponse(c.out, status, "", nil, 0, true)
+	c.output = http1.AppendResponse(c.output, status, "", nil, 0, true)
 	c.refused = status == http.StatusRequestEntityTooLarge
 	c.closing = !c.refused
-	s.bufferedBytes -= int64(len(c.in))
-	c.in = nil
-	c.requestBegan = now
+	s.bufferedBytes -= int64(len(c.input))
+	c.input = nil
+	c.requestStarted = now
 }
 
 // statusOf returns the status that answers a request with a parse error.
@@ -214,8 +214,8 @@
 }
 
 func (s *Server) expired(c *conn, now time.Time) bool {
-	incomplete := len(c.in) > 0 && !c.waiting && now.Sub(c.requestBegan) > s.cfg.RequestTimeout
-	idle := !c.waiting && now.Sub(c.lastUsed) > s.cfg.IdleTimeout
-	discarded := c.refused && now.Sub(c.requestBegan) > discardTimeout
+	incomplete := len(c.input) > 0 && !c.awaitingReply && now.Sub(c.requestStarted) > s.cfg.RequestTimeout
+	idle := !c.awaitingReply && now.Sub(c.lastUsed) > s.cfg.IdleTimeout
+	discarded := c.refused && now.Sub(c.requestStarted) > discardTimeout
 	return incomplete || idle || discarded
 }
--- a/internal/server/connection_test.go
+++ b/internal/server/connection_test.go
@@ -11,15 +11,15 @@
 )
 
 // An incomplete request that outgrows the buffer ends its connection and no other.
-func TestRequestBeyondBuffer(t *testing.T) {
+func TestOversizedIncompleteRequest(t *testing.T) {
 	addr := serve(t, 2)
 	first, second := dial(t, addr), dial(t, addr)
-	ask(t, first, "/a")
+	get(t, first, "/a")
 	_, _ = io.WriteString(second, "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"+strings.Repeat("1\r\na\r\n", 5000))
 	if _, err := io.ReadAll(second); err != nil && !strings.Contains(err.Error(), "reset") {
 		t.Errorf("reading after an endless request: %v", err)
 	}
-	ask(t, first, "/b")
+	get(t, first, "/b")
 }
 
 // Requests that are malformed or too large are refused without a call of the handler,
@@ -56,7 +56,7 @@
 	if n := handled.Load(); n != 0 {
 		t.Errorf("%d bad requests reached the handler", n)
 	}
-	if resp := ask(t, dial(t, addr), "/a"); resp.StatusCode != 200 {
+	if resp := get(t, dial(t, addr), "/a"); resp.StatusCode != 200 {
 		t.Errorf("a good request after the flood: %d", resp.StatusCode)
 	}
 }
--- a/internal/server/eviction.go
+++ b/internal/server/eviction.go
@@ -4,9 +4,9 @@
 	// maxEvicting is the number of connections that may be closing at a time to let
 	// new ones in. They hold their sockets until they are closed.
 	maxEvicting = 32
-	// crowdedPercent is the part of MaxConns above which connections that are Spare are
+	// nearlyFullPercent is the part of MaxConns above which connections that are Spare are
 	// closed after their answer.
-	crowdedPercent = 80
+	nearlyFullPercent = 80
 )
 
 // MaxSockets returns the most sockets that a Server with the given Config.MaxConns holds
@@ -22,10 +22,10 @@
 	}
 	for entry := s.evictable.Front(); entry != nil; entry = entry.Next() {
 		c := entry.Value.(*conn)
-		if c.waiting {
+		if c.awaitingReply {
 			continue
 		}
-		s.protect(c)
+		s.exemptFromEviction(c)
 		c.closing = true
 		c.evicted = true
 		s.evicting++
@@ -35,8 +35,8 @@
 	return false
 }
 
-// protect exempts a connection from eviction. The lock is held.
-func (s *Server) protect(c *conn) {
+// exemptFromEviction exempts a connection from eviction. The lock is held.
+func (s *Server) exemptFromEviction(c *conn) {
 	if c.evictableEntry == nil {
 		return
 	}
@@ -44,5 +44,5 @@
 	c.evictableEntry = nil
 }
 
-// crowded reports whether most of the connections that may be open are.
-func (s *Server) crowded() bool { return s.OpenConns() > s.cfg.MaxConns*crowdedPercent/100 }
+// nearlyFull reports whether most of the connections that may be open are.
+func (s *Server) nearlyFull() bool { return s.OpenConns() > s.cfg.MaxConns*nearlyFullPercent/100 }
--- a/internal/server/eviction_test.go
+++ b/internal/server/eviction_test.go
@@ -7,14 +7,14 @@
 
 // Past MaxConns the longest unused connection that may be evicted is closed for a new
 // one; where none may, the new one is refused. Exempt connections stay open.
-func TestBounds(t *testing.T) {
+func TestMaxConns(t *testing.T) {
 	addr := serve(t, 3)
 	kept, idle, later := dial(t, addr), dial(t, addr), dial(t, addr)
-	ask(t, kept, "/keep")
-	ask(t, idle, "/a")
-	ask(t, later, "/a")
+	get(t, kept, "/keep")
+	get(t, idle, "/a")
+	get(t, later, "/a")
 	for i, c := range []net.Conn{dial(t, addr), dial(t, addr)} {
-		ask(t, c, "/keep")
+		get(t, c, "/keep")
 		gone := []net.Conn{idle, later}[i]
 		if _, err := gone.Read(make([]byte, 1)); err == nil {
 			t.Errorf("connection %d did not give way", i)
@@ -24,14 +24,14 @@
 	if _, err := refused.Read(make([]byte, 1)); err == nil {
 		t.Error("a connection beyond the bound is served")
 	}
-	ask(t, kept, "/b")
+	get(t, kept, "/b")
 }
 
 // When few connections are left, those with a Spare answer are closed after it.
-func TestSpareClosedWhenCrowded(t *testing.T) {
+func TestCloseIfNearlyFull(t *testing.T) {
 	addr := serve(t, 5)
 	for i := range 5 {
-		if resp := ask(t, dial(t, addr), "/spare"); resp.Close != (i == 4) {
+		if resp := get(t, dial(t, addr), "/spare"); resp.Close != (i == 4) {
 			t.Errorf("connection %d of 5: close %v", i+1, resp.Close)
 		}
 	}
--- a/internal/server/request.go
+++ b/internal/server/request.go
@@ -26,7 +26,7 @@
 	s := r.reply.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.protect(r.reply.conn)
+	s.exemptFromEviction(r.reply.conn)
 }
 
 // Response is a response.
@@ -36,10 +36,10 @@
 	Body              []byte
 	RetryAfterSeconds int  // seconds; 0: no Retry-After header
 	Close             bool // close the connection after the answer
-	// CloseIfCrowded closes the connection after the answer if the server is crowded. It suits
+	// CloseIfNearlyFull closes the connection after the answer if the server is crowded. It suits
 	// clients that ask again only after a while: the number of their open connections
 	// then follows their rate of requests and not their number.
-	CloseIfCrowded bool
+	CloseIfNearlyFull bool
 }
 
 // Reply is the handle by which one request is answered, from any goroutine.
@@ -62,14 +62,14 @@
 	if c.closed {
 		return
 	}
-	closing := answer.Close || r.closeAfter || answer.CloseIfCrowded && s.crowded()
-	c.out = http1.AppendResponse(c.out, answer.Status, answer.ContentType, answer.Body, answer.RetryAfterSeconds, closing)
-	c.waiting = false
+	closing := answer.Close || r.closeAfter || answer.CloseIfNearlyFull && s.nearlyFull()
+	c.output = http1.AppendResponse(c.output, answer.Status, answer.ContentType, answer.Body, answer.RetryAfterSeconds, closing)
+	c.awaitingReply = false
 	if closing {
 		c.closing = true
 	}
 	if c.receiving {
-		s.scratch = c.out // append may have moved it
+		s.scratch = c.output // append may have moved it
 	} else {
 		_ = c.stream.Wake(nil)
 	}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -170,11 +170,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c.closed = true
-	s.bufferedBytes -= int64(len(c.in))
-	c.in, c.out = nil, nil
+	s.bufferedBytes -= int64(len(c.input))
+	c.input, c.output = nil, nil
 	delete(s.conns, c)
 	s.openConns.Store(int64(len(s.conns)))
-	s.protect(c)
+	s.exemptFromEviction(c)
 	if c.evicted {
 		s.evicting--
 	}
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -35,7 +35,7 @@
 		}
 		answer := func() {
 			body := append([]byte(r.Message.Path+" "), r.Message.Body...)
-			r.Reply().Send(Response{Status: http.StatusOK, Body: body, CloseIfCrowded: r.Message.Path == "/spare"})
+			r.Reply().Send(Response{Status: http.StatusOK, Body: body, CloseIfNearlyFull: r.Message.Path == "/spare"})
 		}
 		if r.Message.Path == "/later" {
 			go answer()
@@ -92,8 +92,8 @@
 	}
 }
 
-// ask sends a GET request on a connection and returns the response.
-func ask(t *testing.T, c net.Conn, path string) *http.Response {
+// get sends a GET request on a connection and returns the response.
+func get(t *testing.T, c net.Conn, path string) *http.Response {
 	t.Helper()
 	if _, err := io.WriteString(c, "GET "+path+" HTTP/1.1\r\n\r\n"); err != nil {
 		t.Fatal(err)
--- a/internal/simulation/groups.go
+++ b/internal/simulation/groups.go
@@ -83,7 +83,7 @@
 // that at most so many times if it could not.
 func (s *Simulation) setLimit(group string, limit *quota.Limit, retries int) {
 	n := s.drawNode()
-	request := peer.QuotaRequest{Set: &peer.SetLimit{WaitingTasks: group, Clear: limit == nil}}
+	request := peer.QuotaRequest{Set: &peer.SetLimit{Group: group, Clear: limit == nil}}
 	if limit != nil {
 		request.Set.Limit = *limit
 	}
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -19,14 +19,14 @@
 	Types []MachineType `cbor:"breeds"`
 }
 
-// Rental asks the cloud for machines (protocol: "POST /rentals"). A Request that was granted
+// RentalRequest asks the cloud for machines (protocol: "POST /rentals"). A Request that was granted
 // is granted with the same machines when repeated, and must never be used for others.
-type Rental struct {
-	Request string `cbor:"hire"`
-	Type    string `cbor:"breed"`
-	Zone    string `cbor:"paddock"`
-	Spot    bool   `cbor:"strays"`
-	Count   int    `cbor:"count"`
+type RentalRequest struct {
+	RequestID string `cbor:"hire"`
+	Type      string `cbor:"breed"`
+	Zone      string `cbor:"paddock"`
+	Spot      bool   `cbor:"strays"`
+	Count     int    `cbor:"count"`
 }
 
 // Refusal is the body of a 503 from the cloud.
--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -24,8 +24,8 @@
 
 // Bounds of how much longer the textual form of a value is than what is sent.
 const (
-	widestExpansion = 6      // a boolean takes one byte in CBOR and, with its comma, six in text
-	decimalsMargin  = 2 * 16 // amounts have a decimal point in text even where they are whole
+	maxTextExpansion   = 6      // a boolean takes one byte in CBOR and, with its comma, six in text
+	decimalPointMargin = 2 * 16 // amounts have a decimal point in text even where they are whole
 )
 
 var (
@@ -80,7 +80,7 @@
 // limits count the textual form, but no less than what is sent. The result is at most limit
 // if and only if the value fits; it is exact only near the limit.
 func StoredSize(value Raw, limit int) int {
-	if len(value) > limit || widestExpansion*len(value) <= limit {
+	if len(value) > limit || maxTextExpansion*len(value) <= limit {
 		return len(value)
 	}
 	var v any
@@ -91,5 +91,5 @@
 	if err != nil {
 		return limit + 1
 	}
-	return max(len(text)+decimalsMargin, len(value))
+	return max(len(text)+decimalPointMargin, len(value))
 }
--- a/internal/wire/heartbeat.go
+++ b/internal/wire/heartbeat.go
@@ -16,8 +16,8 @@
 	ErrTaskState = errors.New("wire: task state")
 )
 
-// maxMachineName leaves space in a key of the state service for what stands beside the name.
-const maxMachineName = 150 // bytes
+// maxMachineNameBytes leaves space in a key of the state service for what stands beside the name.
+const maxMachineNameBytes = 150 // bytes
 
 // ParseHeartbeat decodes and checks a worker's heartbeat (protocol: "POST /checkin").
 func ParseHeartbeat(body []byte) (Heartbeat, error) {
@@ -33,9 +33,9 @@
 	raw rawHeartbeat
 	// Lists are kept in two generations: a list that was not needed while the younger one
 	// filled is dropped with the older one.
-	young, old map[string]taskList // by machine
-	youngBytes int
-	maxBytes   int // of one generation
+	current, previous  map[string]taskList // by machine
+	currentBytes       int
+	maxGenerationBytes int // of one generation
 }
 
 // taskList is a list of tasks in both forms.
@@ -46,13 +46,13 @@
 
 // Memory in bytes that is counted beside texts.
 const (
-	taskListBytes   = 128
-	taskStatusBytes = 64
+	taskListOverheadBytes   = 128
+	taskStatusOverheadBytes = 64
 )
 
 // bytes estimates the memory of a list, whose texts are held in both forms.
 func (l taskList) bytes() int {
-	return taskListBytes + 2*len(l.raw) + taskStatusBytes*len(l.tasks)
+	return taskListOverheadBytes + 2*len(l.raw) + taskStatusOverheadBytes*len(l.tasks)
 }
 
 // rawHeartbeat is a Heartbeat whose list of tasks is not decoded.
@@ -64,9 +64,9 @@
 // NewHeartbeatReader makes a reader that remembers lists of at most maxBytes.
 func NewHeartbeatReader(maxBytes int) *HeartbeatReader {
 	return &HeartbeatReader{
-		young:    map[string]taskList{},
-		old:      map[string]taskList{},
-		maxBytes: maxBytes / 2,
+		current:            map[string]taskList{},
+		previous:           map[string]taskList{},
+		maxGenerationBytes: maxBytes / 2,
 	}
 }
 
@@ -78,7 +78,7 @@
 		return Heartbeat{}, err
 	}
 	heartbeat := raw.Heartbeat
-	if !usableMachineName(heartbeat.Machine) || heartbeat.AgentEpoch == 0 {
+	if !validMachineName(heartbeat.Machine) || heartbeat.AgentEpoch == 0 {
 		return Heartbeat{}, ErrWorkerIdentity
 	}
 	if heartbeat.NoticeS != nil && !finite(*heartbeat.NoticeS) {
@@ -92,8 +92,8 @@
 	return heartbeat, err
 }
 
-func usableMachineName(name string) bool {
-	return name != "" && len(name) <= maxMachineName && !strings.ContainsAny(name, " \t\r\n")
+func validMachineName(name string) bool {
+	return name != "" && len(name) <= maxMachineNameBytes && !strings.ContainsAny(name, " \t\r\n")
 }
 
 // parseTasks decodes and checks a machine's list of tasks, unless it is the one before.
@@ -106,7 +106,7 @@
 		}
 		last = taskList{raw: bytes.Clone(raw), tasks: tasks}
 	}
-	hr.remember(machine, last)
+	hr.store(machine, last)
 	return last.tasks, nil
 }
 
@@ -128,29 +128,29 @@
 }
 
 func (hr *HeartbeatReader) lookUp(machine string) (list taskList, ok bool) {
-	if list, ok = hr.young[machine]; ok {
+	if list, ok = hr.current[machine]; ok {
 		return list, true
 	}
-	list, ok = hr.old[machine]
+	list, ok = hr.previous[machine]
 	return list, ok
 }
 
-// remember puts a machine's list among the younger ones. A list that would take much of the
+// store puts a machine's list among the younger ones. A list that would take much of the
 // memory by itself is not remembered.
-func (hr *HeartbeatReader) remember(machine string, list taskList) {
-	if list.bytes() > hr.maxBytes/4 {
+func (hr *HeartbeatReader) store(machine string, list taskList) {
+	if list.bytes() > hr.maxGenerationBytes/4 {
 		return
 	}
-	if replaced, ok := hr.young[machine]; ok {
-		hr.youngBytes -= replaced.bytes()
+	if replaced, ok := hr.current[machine]; ok {
+		hr.currentBytes -= replaced.bytes()
 	}
-	hr.youngBytes += list.bytes()
-	if hr.youngBytes > hr.maxBytes {
-		hr.old = hr.young
-		hr.young = map[string]taskList{}
-		hr.youngBytes = list.bytes()
+	hr.currentBytes += list.bytes()
+	if hr.currentBytes > hr.maxGenerationBytes {
+		hr.previous = hr.current
+		hr.current = map[string]taskList{}
+		hr.currentBytes = list.bytes()
 	}
-	hr.young[machine] = list
+	hr.current[machine] = list
 }
 
 func finite(v float64) bool { return !math.IsNaN(v) && !math.IsInf(v, 0) }
--- a/internal/wire/heartbeat_test.go
+++ b/internal/wire/heartbeat_test.go
@@ -111,7 +111,7 @@
 			t.Fatal(err)
 		}
 		size := 0
-		for _, half := range []map[string]taskList{reader.young, reader.old} {
+		for _, half := range []map[string]taskList{reader.current, reader.previous} {
 			for _, l := range half {
 				size += l.bytes()
 			}
--- a/internal/wire/records.go
+++ b/internal/wire/records.go
@@ -10,7 +10,7 @@
 	PrefixControl    = "ctl/"
 	PrefixOwner      = "ctl/owner/"
 	KeyLeader        = "ctl/leader"
-	KeyTypes         = "ctl/types"
+	KeyMachineTypes  = "ctl/types"
 	PrefixFleet      = "ctl/fleet/"
 	PrefixJob        = "job/"
 	PrefixCheckpoint = "version/"
@@ -96,11 +96,11 @@
 // CheckpointRecord is a state of a job to restart from, a Version of the paper ("Survivor").
 // The tasks that are done are in Ranges or, where that is shorter, in Set.
 type CheckpointRecord struct {
-	Ranges     []int          `cbor:"done"`            // [first, last, first, last, ...]
-	Set        []uint64       `cbor:"set,omitempty"`   // a bit for each task
-	Count      int            `cbor:"count"`           // of tasks that are done
-	Steps      []FinishedTask `cbor:"steps,omitempty"` // the latest ones
-	Recoveries []int64        `cbor:"re,omitempty"`    // times of day in ms of the latest recoveries
+	DoneRanges    []int          `cbor:"done"`            // [first, last, first, last, ...]
+	DoneBitmap    []uint64       `cbor:"set,omitempty"`   // a bit for each task
+	DoneCount     int            `cbor:"count"`           // of tasks that are done
+	FinishedTasks []FinishedTask `cbor:"steps,omitempty"` // the latest ones
+	RecoveriesMS  []int64        `cbor:"re,omitempty"`    // times of day in ms of the latest recoveries
 }
 
 // JobKey returns the key of a job's record.
@@ -128,10 +128,10 @@
 	return shard, name, ok && err == nil && shard >= 0 && name != ""
 }
 
-// maxKey is the longest key in bytes (protocol: "Controller nodes -> state service").
-const maxKey = 200
+// maxKeyBytes is the longest key in bytes (protocol: "Controller nodes -> state service").
+const maxKeyBytes = 200
 
 // ValidKey reports whether the state service takes a key, and a path can hold it unescaped.
 func ValidKey(key string) bool {
-	return key != "" && len(key) <= maxKey && !strings.ContainsAny(key, " ?#%\r\n\t")
+	return key != "" && len(key) <= maxKeyBytes && !strings.ContainsAny(key, " ?#%\r\n\t")
 }
--- a/internal/wire/submission.go
+++ b/internal/wire/submission.go
@@ -12,9 +12,9 @@
 
 // Bounds of a submission's fields, of which the protocol sets none. Texts are in bytes.
 const (
-	maxText     = 200
-	maxTypes    = 64
-	maxTypeName = 100
+	maxTextBytes     = 200
+	maxTypes         = 64
+	maxTypeNameBytes = 100
 )
 
 // Form of a job's id: a prefix and digits (protocol: "POST /submissions").
@@ -115,7 +115,7 @@
 	}
 	var check fieldCheck
 	submission := check.required(&raw)
-	check.words(submission)
+	check.enums(submission)
 	check.optional(&raw, &submission)
 	if check.reason == "" {
 		return submission, nil
@@ -173,8 +173,8 @@
 	}
 }
 
-// words checks the fields that hold one of the protocol's words.
-func (c *fieldCheck) words(submission Submission) {
+// enums checks the fields that hold one of the protocol's enums.
+func (c *fieldCheck) enums(submission Submission) {
 	if submission.Kind != kindArray {
 		c.fail("unknown kind of job")
 	}
@@ -213,7 +213,7 @@
 		c.fail(name + " missing")
 		return ""
 	}
-	if *value == "" || len(*value) > maxText {
+	if *value == "" || len(*value) > maxTextBytes {
 		c.fail(name + " empty or too long")
 	}
 	return *value
@@ -257,7 +257,7 @@
 		c.fail("too many machine types")
 	}
 	for _, name := range names {
-		if name == "" || len(name) > maxTypeName {
+		if name == "" || len(name) > maxTypeNameBytes {
 			c.fail("a machine type has no usable name")
 		}
 	}
