--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -1,7 +1,8 @@
-// Package wire holds the messages that a controller exchanges with users, workers, the cloud
-// and the state service, the records that it stores, and the paths of requests. Bodies are
-// CBOR (protocol: the introduction). Go names are the field's terms; the protocol's own words
-// stand only in the struct tags and constants here.
+// Package wire defines the messages that a controller exchanges with users, workers, the cloud
+// and the state service, the records that it stores in the state service, and the paths of
+// requests. Bodies are encoded as CBOR (protocol: the introduction). Go identifiers use the
+// standard terms of cluster scheduling; the words of the protocol appear only in the struct
+// tags and constants of this package.
 package wire
 
 import (
@@ -12,20 +13,24 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Raw is an encoded value whose meaning depends on where it stands.
+// Raw is an encoded value that is decoded later, once its type is known.
 type Raw = cbor.RawMessage
 
-// Bounds of what is decoded.
+// Limits of the decoder.
 const (
 	maxNesting       = 16
 	maxArrayElements = 131072 // more than MaxTasks
 	maxMapPairs      = 65536
 )
 
-// Bounds of how much longer the textual form of a value is than what is sent.
+// Bounds on how much longer the textual form of a value is than its CBOR form.
 const (
-	maxTextExpansion   = 6      // a boolean takes one byte in CBOR and, with its comma, six in text
-	decimalPointMargin = 2 * 16 // amounts have a decimal point in text even where they are whole
+	// maxTextExpansion is the largest ratio of the two lengths: false takes one byte in CBOR
+	// and, with the comma after it, six bytes in text.
+	maxTextExpansion = 6
+	// decimalPointMargin is the number of bytes added for amounts: the state service's text
+	// writes whole amounts with a decimal point, and encoding/json does not.
+	decimalPointMargin = 2 * 16
 )
 
 var (
@@ -33,8 +38,8 @@
 	decMode = newDecMode()
 )
 
-// newEncMode makes the encoder. Floats keep their full width: not every reader knows the
-// half-wide form.
+// newEncMode returns the encoder. Floats are encoded at full width, because not every reader
+// supports half-precision floats.
 func newEncMode() cbor.EncMode {
 	options := cbor.EncOptions{Sort: cbor.SortBytewiseLexical, ShortestFloat: cbor.ShortestFloatNone}
 	mode, err := options.EncMode()
@@ -59,7 +64,7 @@
 	return mode
 }
 
-// Encode returns the CBOR form of a body made by this program.
+// Encode returns the CBOR form of v.
 func Encode(v any) ([]byte, error) {
 	b, err := encMode.Marshal(v)
 	if err != nil {
@@ -68,7 +73,7 @@
 	return b, nil
 }
 
-// Decode reads a whole CBOR body into v. Anything left over is an error.
+// Decode decodes a CBOR body into v. Bytes after the first CBOR value are an error.
 func Decode(b []byte, v any) error {
 	if err := decMode.Unmarshal(b, v); err != nil {
 		return fmt.Errorf("wire: decode %T: %w", v, err)
@@ -76,9 +81,9 @@
 	return nil
 }
 
-// StoredSize returns the size in bytes at which a value counts in the state service, whose
-// limits count the textual form, but no less than what is sent. The result is at most limit
-// if and only if the value fits; it is exact only near the limit.
+// StoredSize returns the size in bytes that the state service counts towards its limits for a
+// value: the length of the textual form, or of the CBOR form if that is longer. The result is
+// at most limit if and only if the value fits. It is only exact near the limit.
 func StoredSize(value Raw, limit int) int {
 	if len(value) > limit || maxTextExpansion*len(value) <= limit {
 		return len(value)
--- a/internal/wire/codec_test.go
+++ b/internal/wire/codec_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// TestStoredSize checks that a value counts as its text does, or as what is sent if that is more.
+// TestStoredSize checks that a value fits only if both its textual form and its CBOR form do.
 func TestStoredSize(t *testing.T) {
 	list := make([]bool, 300)
 	value, err := Encode(map[string]any{"k": list})
--- a/internal/wire/heartbeat.go
+++ b/internal/wire/heartbeat.go
@@ -8,60 +8,61 @@
 	"strings"
 )
 
-// Errors of ParseHeartbeat. ErrTaskName is returned as well.
+// Errors of ParseHeartbeat, which may also return ErrTaskName or a decoding error.
 var (
-	// ErrWorkerIdentity says that a heartbeat names no usable machine or agent epoch.
-	ErrWorkerIdentity = errors.New("wire: report without a usable machine or session")
-	// ErrTaskState says that a task is in a state that the protocol does not know.
-	ErrTaskState = errors.New("wire: task state")
+	// ErrWorkerIdentity is returned for a heartbeat without a valid machine name or agent epoch.
+	ErrWorkerIdentity = errors.New("wire: heartbeat without a valid machine name or agent epoch")
+	// ErrTaskState is returned, wrapped, for a task state that the protocol does not define.
+	ErrTaskState = errors.New("wire: unknown task state")
 )
 
-// maxMachineNameBytes leaves space in a key of the state service for what stands beside the name.
-const maxMachineNameBytes = 150 // bytes
+// maxMachineNameBytes bounds the length of a machine's name. It is shorter than maxKeyBytes,
+// so that a key in the state service can hold the name beside a prefix.
+const maxMachineNameBytes = 150
 
-// ParseHeartbeat decodes and checks a worker's heartbeat (protocol: "POST /checkin").
+// ParseHeartbeat decodes and validates a worker's heartbeat (protocol: "POST /checkin").
 func ParseHeartbeat(body []byte) (Heartbeat, error) {
 	var reader HeartbeatReader
 	return reader.Parse(body)
 }
 
-// HeartbeatReader parses heartbeats, and remembers each machine's list of tasks: most
-// heartbeats list the same as the one before, which need not be decoded again. Equal lists
-// in a row are one Tasks slice, which must not be changed. A reader is for one goroutine.
-// The zero value remembers nothing; see NewHeartbeatReader.
+// HeartbeatReader parses heartbeats and caches each machine's list of tasks. Most heartbeats
+// repeat the list of the machine's previous one, which is then not decoded again: consecutive
+// equal lists share one Tasks slice, which must not be modified. A HeartbeatReader must not be
+// used by several goroutines at once. The zero value caches nothing; see NewHeartbeatReader.
 type HeartbeatReader struct {
 	raw rawHeartbeat
-	// Lists are kept in two generations: a list that was not needed while the younger one
-	// filled is dropped with the older one.
+	// The cache consists of two generations. When the current generation is full, it
+	// replaces the previous one, so lists that were not used in the meantime are dropped.
 	current, previous  map[string]taskList // by machine
 	currentBytes       int
-	maxGenerationBytes int // of one generation
+	maxGenerationBytes int
 }
 
-// taskList is a list of tasks in both forms.
+// taskList is a list of tasks in its encoded and its decoded form.
 type taskList struct {
 	raw   Raw
 	tasks []TaskStatus
 }
 
-// Memory in bytes that is counted beside texts.
+// Estimated memory in bytes that a list and each of its tasks take beside their strings.
 const (
 	taskListOverheadBytes   = 128
 	taskStatusOverheadBytes = 64
 )
 
-// bytes estimates the memory of a list, whose texts are held in both forms.
+// bytes estimates the memory of a list. The strings are held twice, encoded and decoded.
 func (l taskList) bytes() int {
 	return taskListOverheadBytes + 2*len(l.raw) + taskStatusOverheadBytes*len(l.tasks)
 }
 
-// rawHeartbeat is a Heartbeat whose list of tasks is not decoded.
+// rawHeartbeat is a Heartbeat whose list of tasks is not decoded yet.
 type rawHeartbeat struct {
 	Heartbeat
-	Tasks Raw `cbor:"loads"` // hides Heartbeat's
+	Tasks Raw `cbor:"loads"` // shadows Heartbeat.Tasks
 }
 
-// NewHeartbeatReader makes a reader that remembers lists of at most maxBytes.
+// NewHeartbeatReader returns a HeartbeatReader that caches at most maxBytes of lists.
 func NewHeartbeatReader(maxBytes int) *HeartbeatReader {
 	return &HeartbeatReader{
 		current:            map[string]taskList{},
@@ -70,7 +71,8 @@
 	}
 }
 
-// Parse decodes and checks a heartbeat. The result does not refer to body.
+// Parse decodes and validates a heartbeat. The result does not refer to body. The errors are
+// those of ParseHeartbeat.
 func (hr *HeartbeatReader) Parse(body []byte) (Heartbeat, error) {
 	raw := &hr.raw
 	*raw = rawHeartbeat{Tasks: raw.Tasks[:0]}
@@ -96,7 +98,8 @@
 	return name != "" && len(name) <= maxMachineNameBytes && !strings.ContainsAny(name, " \t\r\n")
 }
 
-// parseTasks decodes and checks a machine's list of tasks, unless it is the one before.
+// parseTasks returns a machine's list of tasks. It decodes and validates the list unless it
+// equals the cached one.
 func (hr *HeartbeatReader) parseTasks(machine string, raw Raw) ([]TaskStatus, error) {
 	last, ok := hr.lookUp(machine)
 	if !ok || !bytes.Equal(last.raw, raw) {
@@ -135,8 +138,8 @@
 	return list, ok
 }
 
-// store puts a machine's list among the younger ones. A list that would take much of the
-// memory by itself is not remembered.
+// store puts a machine's list into the current generation of the cache. A list that would take
+// more than a quarter of a generation is not cached.
 func (hr *HeartbeatReader) store(machine string, list taskList) {
 	if list.bytes() > hr.maxGenerationBytes/4 {
 		return
--- a/internal/wire/heartbeat_test.go
+++ b/internal/wire/heartbeat_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// heartbeatOf is a heartbeat of a machine with a task in each of the states.
+// heartbeatOf returns a heartbeat of a machine with one task in each of the states.
 func heartbeatOf(machine string, sequence uint64, states ...TaskState) Heartbeat {
 	heartbeat := Heartbeat{Machine: machine, AgentEpoch: 1, Sequence: sequence}
 	for i, state := range states {
@@ -25,17 +25,17 @@
 		field string
 		value any
 		ok    bool
-		err   error // nil: of the decoder
+		err   error // nil: any error
 	}{
-		{"as it is", "", nil, true, nil},
-		{"a notice", "warningS", 4.5, true, nil},
+		{"valid", "", nil, true, nil},
+		{"reclaim notice", "warningS", 4.5, true, nil},
 		{"no machine", "post", "", false, ErrWorkerIdentity},
 		{"machine with a space", "post", "a b", false, ErrWorkerIdentity},
 		{"no agent epoch", "tether", 0, false, ErrWorkerIdentity},
 		{"negative token", "rein", -1, false, nil},
-		{"odd task", "loads", []any{task("x", "running")}, false, ErrTaskName},
-		{"odd state", "loads", []any{task("job-000001/0", "dancing")}, false, ErrTaskState},
-		{"a task", "loads", []any{task("job-000001/0", "running")}, true, nil},
+		{"invalid task name", "loads", []any{task("x", "running")}, false, ErrTaskName},
+		{"unknown task state", "loads", []any{task("job-000001/0", "dancing")}, false, ErrTaskState},
+		{"one task", "loads", []any{task("job-000001/0", "running")}, true, nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			fields := map[string]any{
@@ -60,21 +60,22 @@
 	}
 }
 
-// TestHeartbeatReader checks that a machine's list is decoded anew just when it has changed, and
-// never taken for another machine's or an older one, whatever the reader has to forget.
+// TestHeartbeatReader checks that a machine's list is decoded again only when it has changed, that
+// it is never confused with another machine's list or an earlier one, and that the cache stays
+// within its bound.
 func TestHeartbeatReader(t *testing.T) {
 	reader := NewHeartbeatReader(8 << 10)
 	var last [3]*TaskStatus
 	for i, tc := range []struct {
 		machine int
 		states  []TaskState
-		same    bool // as the one before of this machine
+		same    bool // the slice is shared with the machine's previous heartbeat
 	}{
 		{0, []TaskState{TaskRunning, TaskFetching}, false},
-		{1, []TaskState{TaskRunning, TaskFetching}, false}, // another machine's
+		{1, []TaskState{TaskRunning, TaskFetching}, false}, // equal to the list of another machine
 		{0, []TaskState{TaskRunning, TaskFetching}, true},
 		{0, []TaskState{TaskRunning, TaskRunning}, false},
-		{0, []TaskState{TaskRunning, TaskFetching}, false}, // as before the last
+		{0, []TaskState{TaskRunning, TaskFetching}, false}, // equal to the list before the previous one
 		{1, []TaskState{TaskRunning, TaskFetching}, true},
 		{0, []TaskState{TaskRunning}, false},
 		{0, nil, false},
@@ -89,19 +90,19 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		clear(body) // it belongs to the connection: nothing may still point there
+		clear(body) // the connection reuses the buffer: the result must not refer to it
 		if fmt.Sprint(got) != fmt.Sprint(want) {
-			t.Errorf("heartbeat %d reads as %v, want %v", i, got, want)
+			t.Errorf("heartbeat %d parsed as %v, want %v", i, got, want)
 		}
 		if len(got.Tasks) == 0 {
 			continue
 		}
 		if same := &got.Tasks[0] == last[tc.machine]; same != tc.same {
-			t.Errorf("heartbeat %d: the same list %v, want %v", i, same, tc.same)
+			t.Errorf("heartbeat %d: slice shared with the previous heartbeat: %v, want %v", i, same, tc.same)
 		}
 		last[tc.machine] = &got.Tasks[0]
 	}
-	// Past the bound the longest unused are forgotten.
+	// Beyond the bound, the lists that were unused for the longest time are dropped.
 	for i := range 500 {
 		body, err := Encode(heartbeatOf(fmt.Sprint("vm-", i), 1, TaskRunning, TaskRunning))
 		if err != nil {
@@ -117,12 +118,13 @@
 			}
 		}
 		if size > 8<<10 {
-			t.Fatalf("%d bytes remembered after %d machines", size, i)
+			t.Fatalf("%d bytes cached after %d machines", size, i)
 		}
 	}
 }
 
-// TestUnchangedHeartbeatAllocs checks that a list that says nothing new is not decoded again.
+// TestUnchangedHeartbeatAllocs checks, by the number of allocations, that an unchanged list is not
+// decoded again.
 func TestUnchangedHeartbeatAllocs(t *testing.T) {
 	body, err := Encode(heartbeatOf("vm-1", 1, slices.Repeat([]TaskState{TaskRunning}, 32)...))
 	if err != nil {
@@ -134,6 +136,6 @@
 			t.Fatal(err)
 		}
 	}); n > 10 {
-		t.Errorf("a heartbeat of 32 tasks as before takes %.0f allocations", n)
+		t.Errorf("a heartbeat with 32 unchanged tasks takes %.0f allocations, want at most 10", n)
 	}
 }
--- a/internal/wire/paths.go
+++ b/internal/wire/paths.go
@@ -46,13 +46,13 @@
 // Names of query parameters.
 const (
 	queryPrefix = "starts"
-	queryAfter  = "since" // of a listing: the key or name before the first one
-	querySince  = "since" // of a watch: the revision before the first one
+	queryAfter  = "since" // in a listing: the key or name after which the page begins
+	querySince  = "since" // in a watch: the revision after which changes are returned
 	queryLimit  = "most"
 	queryWaitMS = "blockMs"
 )
 
-// JobAction is what a user asks for about one job.
+// JobAction is an action that a user requests for one job.
 type JobAction int
 
 // The actions that a path below PathSubmissions can name.
@@ -62,8 +62,8 @@
 	CancelJob
 )
 
-// ParseJobPath returns the job and the action that a path below PathSubmissions names. The
-// id may have any form.
+// ParseJobPath returns the job and the action that a path below PathSubmissions names. It does
+// not validate the form of the id.
 func ParseJobPath(path string) (id string, action JobAction) {
 	id, ok := strings.CutPrefix(path, PathSubmissions+"/")
 	if !ok {
@@ -78,38 +78,39 @@
 	return id, JobStatus
 }
 
-// JobStatusPath is the path at which users ask for the status of a job.
+// JobStatusPath returns the path at which users ask for the status of a job.
 func JobStatusPath(id string) string { return PathSubmissions + "/" + id }
 
-// CancelJobPath is the path at which users cancel a job.
+// CancelJobPath returns the path at which users cancel a job.
 func CancelJobPath(id string) string { return JobStatusPath(id) + cancelSuffix }
 
-// RenewLeasePath is the path that renews a lease.
+// RenewLeasePath returns the path that renews a lease.
 func RenewLeasePath(lease uint64) string {
 	return PathLeases + "/" + strconv.FormatUint(lease, 10) + renewSuffix
 }
 
-// KeyPath is the path of a key, whose slashes stay as they are.
+// KeyPath returns the path of a key. The key's slashes are not escaped.
 func KeyPath(key string) string { return PathKeys + "/" + key }
 
-// ListKeysTarget is the path and query of a page of at most limit keys with a prefix. The
-// page begins after a key; empty: with the first one.
+// ListKeysTarget returns the path and query for a page of at most limit keys with a prefix. The
+// page begins after the key after, or with the first key if after is empty.
 func ListKeysTarget(prefix, after string, limit int) string {
 	target := PathKeys + "?" + queryPrefix + "=" + url.QueryEscape(prefix) +
 		"&" + queryLimit + "=" + strconv.Itoa(limit)
 	return appendAfter(target, after)
 }
 
-// WatchTarget is the path and query of a watch for changes after a revision to keys with a
-// prefix, which waits for at most waitMS milliseconds.
+// WatchTarget returns the path and query for a watch on the keys with a prefix. The watch
+// returns the changes after a revision, and waits for at most waitMS milliseconds if there are
+// none.
 func WatchTarget(prefix string, since uint64, waitMS int64) string {
 	return PathWatch + "?" + queryPrefix + "=" + url.QueryEscape(prefix) +
 		"&" + querySince + "=" + strconv.FormatUint(since, 10) +
 		"&" + queryWaitMS + "=" + strconv.FormatInt(waitMS, 10)
 }
 
-// ListMachinesTarget is the path and query of a page of at most limit machines. The page
-// begins after a machine; empty: with the first one.
+// ListMachinesTarget returns the path and query for a page of at most limit machines. The page
+// begins after the machine after, or with the first machine if after is empty.
 func ListMachinesTarget(after string, limit int) string {
 	return appendAfter(PathMachines+"?"+queryLimit+"="+strconv.Itoa(limit), after)
 }
--- a/internal/wire/paths_test.go
+++ b/internal/wire/paths_test.go
@@ -22,14 +22,14 @@
 	} {
 		t.Run(tc.path, func(t *testing.T) {
 			if id, action := ParseJobPath(tc.path); id != tc.id || action != tc.action {
-				t.Errorf("read as %q, %d, want %q, %d", id, action, tc.id, tc.action)
+				t.Errorf("parsed as %q, %d, want %q, %d", id, action, tc.id, tc.action)
 			}
 		})
 	}
 }
 
-// TestTargets checks that the forms are those of the protocol's examples; what may hold any byte is
-// escaped, but not the slashes of a key.
+// TestTargets checks that paths and queries have the form of the protocol's examples: query values
+// are escaped, and the slashes of a key in a path are not.
 func TestTargets(t *testing.T) {
 	for _, tc := range []struct{ name, got, want string }{
 		{"key", KeyPath("a/b"), "/keys/a/b"},
@@ -44,7 +44,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if tc.got != tc.want {
-				t.Errorf("%q, want %q", tc.got, tc.want)
+				t.Errorf("got %q, want %q", tc.got, tc.want)
 			}
 		})
 	}
--- a/internal/wire/protocolwords_test.go
+++ b/internal/wire/protocolwords_test.go
@@ -14,37 +14,38 @@
 	"testing"
 )
 
-// repositoryRoot is the root of the repository, seen from this package.
+// repositoryRoot is the path of the repository's root relative to this package.
 const repositoryRoot = "../.."
 
-// protocolWords are words of the protocol that have no other use in this repository: no
-// identifier and no text may have one as a part.
+// protocolWords are words of the protocol that have no other use in this repository. No
+// identifier and no string may contain one as a part.
 var protocolWords = []string{
 	"breed", "breeds", "checkin", "crew", "drover", "flavor", "flavors", "gait", "halter", "haul", "herd",
 	"paddock", "paddocks", "rein", "stance", "stow", "strays", "tack", "tally", "tether", "withdraw",
 }
 
-// identifierWords are words of the protocol that are ordinary as a part of an identifier: no
-// identifier and no text may consist of one alone.
+// identifierWords are words of the protocol that are also ordinary parts of identifiers. No
+// identifier and no string may consist of one of them alone.
 var identifierWords = []string{"halt", "hire", "loads", "mark", "mount", "nameId", "oneZone", "post", "posts", "sku"}
 
-// textWords are words of the protocol that are ordinary in identifiers: no text may consist
-// of one alone.
+// textWords are words of the protocol that are also ordinary identifiers. No string may
+// consist of one of them alone.
 var textWords = []string{"drop", "flushing", "halted", "kept", "ledger", "load", "truncated"}
 
-// protocolTexts are paths, names of query parameters and content types: no text may contain
+// protocolTexts are paths, names of query parameters and content types. No string may contain
 // one.
 var protocolTexts = []string{
 	"/checkin", "/flavors", "/rentals", "/orders", "/show", "/keys", "/multi", "/grants", "/watch", "/submissions",
 	"/ready", "/extend", "/peer", "starts=", "most=", "since=", "blockMs", "application/cbor", "application/msgpack",
 }
 
-// translators are the packages that map the protocol's words to the field's terms.
+// translators are the directories of the packages that translate between the words of the
+// protocol and the terms that the rest of the code uses.
 var translators = []string{"internal/wire/", "internal/peer/"}
 
-// exceptions are the words that a file outside the translators may hold, by its path. These
-// files play the protocol's other side (users, workers, the cloud, the state service) or
-// check the encoded form.
+// exceptions are the words that a file outside the translators may contain, by its path. These
+// files implement the other side of the protocol (users, workers, the cloud, the state service)
+// or check the encoded form.
 var exceptions = map[string][]string{
 	"dependencies_test.go":               {"/submissions", "breeds", "crew", "gait", "haul", "herd", "loads", "nameId", "oneZone", "paddock", "stow", "strays", "tack", "withdraw"},
 	"docs_test.go":                       {"oneZone"},
@@ -55,42 +56,43 @@
 	"internal/http1/write_test.go":       {"application/cbor"},
 }
 
-// TestProtocolWordsStayInTranslators checks that outside the packages that translate, no identifier
-// and no text is a word of the protocol; and no exception is listed that is not needed.
+// TestProtocolWordsStayInTranslators checks that no identifier and no string outside the
+// translators uses a word of the protocol, and that every listed exception is needed.
 func TestProtocolWordsStayInTranslators(t *testing.T) {
 	for _, path := range goFiles(t) {
 		needed := map[string]bool{}
 		for _, use := range protocolWordsOf(t, path) {
 			needed[use.word] = true
 			if !slices.Contains(exceptions[path], use.word) {
-				t.Errorf("%s:%d: %q is a word of the protocol", path, use.line, use.word)
+				t.Errorf("%s:%d: %q is a word of the protocol; use the Go name of internal/wire instead", path, use.line, use.word)
 			}
 		}
 		for _, word := range exceptions[path] {
 			if !needed[word] {
-				t.Errorf("%s: the exception for %q is not needed", path, word)
+				t.Errorf("%s: the exception for %q is not needed; remove it", path, word)
 			}
 		}
 	}
 }
 
-// TestExceptionsNameFiles checks that a file that is gone has no exceptions.
+// TestExceptionsNameFiles checks that every file with exceptions exists.
 func TestExceptionsNameFiles(t *testing.T) {
 	paths := goFiles(t)
 	for path := range exceptions {
 		if !slices.Contains(paths, path) {
-			t.Errorf("%s has exceptions, but is not a file that is searched", path)
+			t.Errorf("%s has exceptions, but is not among the files searched", path)
 		}
 	}
 }
 
-// wordUse is a word of the protocol in a file.
+// wordUse is an occurrence of a word of the protocol in a file.
 type wordUse struct {
 	line int
 	word string
 }
 
-// goFiles lists the repository's Go files outside the translators, from its root.
+// goFiles returns the paths of the repository's Go files outside the translators, relative to
+// its root.
 func goFiles(t *testing.T) (paths []string) {
 	t.Helper()
 	err := fs.WalkDir(os.DirFS(repositoryRoot), ".", func(path string, entry fs.DirEntry, err error) error {
@@ -115,7 +117,7 @@
 	return paths
 }
 
-// protocolWordsOf lists the words of the protocol in a file.
+// protocolWordsOf returns the occurrences of the protocol's words in a file.
 func protocolWordsOf(t *testing.T, path string) (uses []wordUse) {
 	t.Helper()
 	files := token.NewFileSet()
@@ -148,7 +150,7 @@
 	return uses
 }
 
-// identifierPart matches a word of an identifier or text: letters up to the next capital.
+// identifierPart matches one word of an identifier or string: letters up to the next capital.
 var identifierPart = regexp.MustCompile(`[A-Z]*[a-z]+|[A-Z]+`)
 
 // wordsInIdentifier returns the words of the protocol in an identifier.
@@ -164,7 +166,7 @@
 	return words
 }
 
-// wordsInText returns the words of the protocol in a text.
+// wordsInText returns the words of the protocol in a string.
 func wordsInText(text string) (words []string) {
 	if slices.Contains(textWords, text) {
 		words = append(words, text)
--- a/internal/wire/records.go
+++ b/internal/wire/records.go
@@ -17,20 +17,21 @@
 	PrefixQuota      = "quota/"
 )
 
-// OwnerRecord is the value of a lock: which controller holds a shard, or is the leader.
+// OwnerRecord is the value of a lock in the state service. It names the controller that owns a
+// shard or is the leader.
 type OwnerRecord struct {
 	Label       string `cbor:"label"`
-	Incarnation uint64 `cbor:"inc"` // the lease that the key is attached to, new with every process
+	Incarnation uint64 `cbor:"inc"` // ID of the lease that the key is attached to; differs for every process
 }
 
-// MachineRecordSet is a set of machines recorded together, under a key that names their
+// MachineRecordSet is a set of machines that are recorded under one key, which names their
 // shard.
 type MachineRecordSet struct {
 	Kinds    []MachineKind   `cbor:"kinds"`
 	Machines []MachineRecord `cbor:"machines"`
 }
 
-// MachineKind is what machines have in common.
+// MachineKind holds the properties that several machines of a record set share.
 type MachineKind struct {
 	_    struct{} `cbor:",toarray"`
 	Type string
@@ -38,27 +39,27 @@
 	Spot bool
 }
 
-// MachineRecord is a machine of a record set.
+// MachineRecord describes one machine of a record set.
 type MachineRecord struct {
 	_        struct{} `cbor:",toarray"`
 	ID       string
-	Addr     string // empty until it is known
-	Kind     int    // index into the set's Kinds
-	Cordoned bool   // no task may start on it, and it is to be returned
+	Addr     string // empty if not known yet
+	Kind     int    // index into MachineRecordSet.Kinds
+	Cordoned bool   // no task may start on the machine, and it is to be returned to the cloud
 }
 
-// JobRecord is an accepted job. The record of one that is over keeps only what users may
-// still ask for. The submission of a job with dependencies is in a field of its own: a
-// version that does not know of dependencies then takes the record for one without a usable
-// submission, answers that the job is pending, and starts nothing.
+// JobRecord describes an accepted job. The record of a finished or cancelled job keeps only
+// what users may still ask for. The submission of a job with dependencies is stored in a
+// separate field, WithDependencies. A release that does not support dependencies then finds no
+// usable submission in the record, reports the job as pending, and starts none of its tasks.
 type JobRecord struct {
 	Submission       *Submission `cbor:"sub,omitempty"`
 	WithDependencies *Submission `cbor:"chain,omitempty"`
-	AcceptedMS       int64       `cbor:"at"` // time of day
+	AcceptedMS       int64       `cbor:"at"` // Unix time in milliseconds
 	State            JobState    `cbor:"state"`
 	Tasks            int         `cbor:"tasks"`
-	// EndMS is when the job ended, by the time of day of its owner: the waiting time of
-	// dependent jobs counts from then on, at any owner. 0: unknown.
+	// EndMS is the Unix time in milliseconds at which the job ended, by the clock of its
+	// owner. Every owner counts the waiting time of dependent jobs from then on. 0: unknown.
 	EndMS int64 `cbor:"end,omitempty"`
 }
 
@@ -73,7 +74,7 @@
 	return r
 }
 
-// Job returns the submission of an unfinished job; nil if the record holds none.
+// Job returns the submission of an unfinished job, or nil if the record holds none.
 func (r JobRecord) Job() *Submission {
 	if r.WithDependencies != nil {
 		return r.WithDependencies
@@ -81,11 +82,11 @@
 	return r.Submission
 }
 
-// Final reports whether the job is over.
+// Final reports whether the job is done or cancelled.
 func (r JobRecord) Final() bool { return r.State.Final() }
 
-// FinishedTask is a finished task in a checkpoint: where it ran, and when, by the time of day of the
-// controller that saw it.
+// FinishedTask tells where and when a finished task ran. Times are Unix times in milliseconds, by
+// the clock of the controller that observed them.
 type FinishedTask struct {
 	Task    int    `cbor:"t"`
 	Machine string `cbor:"m"`
@@ -93,14 +94,15 @@
 	EndMS   int64  `cbor:"e"`
 }
 
-// CheckpointRecord is a state of a job to restart from, a Version of the paper ("Survivor").
-// The tasks that are done are in Ranges or, where that is shorter, in Set.
+// CheckpointRecord is a checkpoint of a job: the progress from which the job is restarted. The
+// paper "Survivor" calls it a Version. The tasks that are done are in DoneRanges or, if that is
+// shorter, in DoneBitmap.
 type CheckpointRecord struct {
-	DoneRanges    []int          `cbor:"done"`            // [first, last, first, last, ...]
-	DoneBitmap    []uint64       `cbor:"set,omitempty"`   // a bit for each task
-	DoneCount     int            `cbor:"count"`           // of tasks that are done
-	FinishedTasks []FinishedTask `cbor:"steps,omitempty"` // the latest ones
-	RecoveriesMS  []int64        `cbor:"re,omitempty"`    // times of day in ms of the latest recoveries
+	DoneRanges    []int          `cbor:"done"`            // task indexes: [first, last, first, last, ...]
+	DoneBitmap    []uint64       `cbor:"set,omitempty"`   // one bit for each task
+	DoneCount     int            `cbor:"count"`           // number of tasks that are done
+	FinishedTasks []FinishedTask `cbor:"steps,omitempty"` // the tasks that finished most recently
+	RecoveriesMS  []int64        `cbor:"re,omitempty"`    // Unix times in milliseconds of the latest recoveries
 }
 
 // JobKey returns the key of a job's record.
@@ -112,12 +114,13 @@
 // QuotaKey returns the key of the quota record of a group of teams.
 func QuotaKey(group string) string { return PrefixQuota + group }
 
-// MachineRecordSetKey returns the key of a record set of a shard's machines.
+// MachineRecordSetKey returns the key of a set of records of a shard's machines.
 func MachineRecordSetKey(shard int, name string) string {
 	return PrefixFleet + strconv.Itoa(shard) + "/" + name
 }
 
-// ParseMachineRecordSetKey returns the shard and the name that a record set's key holds.
+// ParseMachineRecordSetKey is the inverse of MachineRecordSetKey. It returns false for ok if key
+// is not the key of a record set.
 func ParseMachineRecordSetKey(key string) (shard int, name string, ok bool) {
 	rest, ok := strings.CutPrefix(key, PrefixFleet)
 	if !ok {
@@ -128,10 +131,11 @@
 	return shard, name, ok && err == nil && shard >= 0 && name != ""
 }
 
-// maxKeyBytes is the longest key in bytes (protocol: "Controller nodes -> state service").
+// maxKeyBytes is the largest length of a key (protocol: "Controller nodes -> state service").
 const maxKeyBytes = 200
 
-// ValidKey reports whether the state service takes a key, and a path can hold it unescaped.
+// ValidKey reports whether the state service accepts a key, and whether a path can contain it
+// without escaping.
 func ValidKey(key string) bool {
 	return key != "" && len(key) <= maxKeyBytes && !strings.ContainsAny(key, " ?#%\r\n\t")
 }
--- a/internal/wire/submission.go
+++ b/internal/wire/submission.go
@@ -10,28 +10,28 @@
 // MaxTasks is the largest number of tasks in a job (protocol: "POST /submissions").
 const MaxTasks = 100_000
 
-// Bounds of a submission's fields, of which the protocol sets none. Texts are in bytes.
+// Limits on the fields of a submission. The protocol does not limit them.
 const (
 	maxTextBytes     = 200
 	maxTypes         = 64
 	maxTypeNameBytes = 100
 )
 
-// Form of a job's id: a prefix and digits (protocol: "POST /submissions").
+// Form of a job's id: a prefix followed by digits (protocol: "POST /submissions").
 const (
 	idPrefix    = "job-"
 	minIDDigits = 6
-	maxIDDigits = 18 // as many as always fit an int64
+	maxIDDigits = 18 // every number of 18 digits fits into an int64
 )
 
 // kindArray is the only kind of job: independent tasks, each of which runs to completion.
 const kindArray = "sweep"
 
-// ErrTaskName says that a text is not the name of a task. ParseTask wraps it.
-var ErrTaskName = errors.New("wire: task name")
+// ErrTaskName is returned, wrapped, for a string that is not the name of a task.
+var ErrTaskName = errors.New("wire: invalid task name")
 
-// Submission is a job as its user describes it, checked (protocol: "POST /submissions").
-// Durations are in seconds.
+// Submission is a user's validated description of a job (protocol: "POST /submissions"). Field
+// names that end in S are durations in seconds, those that end in GB are sizes in gigabytes.
 type Submission struct {
 	ID          string   `cbor:"nameId"`
 	Class       string   `cbor:"herd"`
@@ -44,8 +44,8 @@
 	MemGB       float64  `cbor:"memGb"`
 	Image       string   `cbor:"tack"`
 	ImageGB     float64  `cbor:"sizeGb"`
-	Types       []string `cbor:"breeds"` // nil: any
-	Zone        string   `cbor:"paddock,omitempty"`
+	Types       []string `cbor:"breeds"`            // allowed machine types; nil: any
+	Zone        string   `cbor:"paddock,omitempty"` // empty: any
 	SameZone    bool     `cbor:"oneZone"`
 	Spread      bool     `cbor:"apart"`
 	Spot        bool     `cbor:"strays"`
@@ -53,12 +53,13 @@
 	CheckpointS float64  `cbor:"restS"`
 	SaveS       float64  `cbor:"stowS"`
 	DeadlineS   *float64 `cbor:"dueS"`
-	// DependsOn are the jobs that must be done before a task of this one starts, each
-	// named once.
+	// DependsOn lists the ids of the jobs that must be done before any task of this job
+	// starts, without duplicates.
 	DependsOn []string `cbor:"follows,omitempty"`
 }
 
-// rawSubmission is a Submission in which a missing or null field differs from a zero one.
+// rawSubmission is a Submission before validation. Its pointers distinguish a missing or null
+// field from a zero value.
 type rawSubmission struct {
 	ID          *string   `cbor:"nameId"`
 	Class       *string   `cbor:"herd"`
@@ -83,16 +84,17 @@
 	DependsOn   *[]string `cbor:"follows"`
 }
 
-// SubmissionError says what is wrong with a submission.
+// SubmissionError is the reason why a submission is invalid.
 type SubmissionError struct {
-	ID     string // of the job, if the body names one in the protocol's form
+	ID     string // the job's id; empty unless the body contains a valid one
 	Reason string
 }
 
-// Error returns the reason.
+// Error returns the reason with a prefix.
 func (e *SubmissionError) Error() string { return "submission: " + e.Reason }
 
-// ValidID reports whether an id has the protocol's form: "job-" and at least six digits.
+// ValidID reports whether a job's id has the protocol's form: "job-" and at least six digits.
+// Ids with more than maxIDDigits digits are rejected.
 func ValidID(id string) bool {
 	digits, ok := strings.CutPrefix(id, idPrefix)
 	if !ok || len(digits) < minIDDigits || len(digits) > maxIDDigits {
@@ -106,8 +108,8 @@
 	return true
 }
 
-// ParseSubmission decodes and checks the body of a submission (protocol: "POST
-// /submissions"). Whether the job can ever run is not checked here.
+// ParseSubmission decodes and validates the body of a submission (protocol: "POST
+// /submissions"). It does not check whether the cluster can ever run the job.
 func ParseSubmission(body []byte) (Submission, *SubmissionError) {
 	var raw rawSubmission
 	if err := Decode(body, &raw); err != nil {
@@ -126,7 +128,8 @@
 	return submission, &SubmissionError{ID: submission.ID, Reason: check.reason}
 }
 
-// idOfMalformed returns the id that a malformed body names in the protocol's form, or "".
+// idOfMalformed returns the id of a body whose other fields cannot be decoded, or "" if the
+// body contains no valid id.
 func idOfMalformed(body []byte) string {
 	var only struct {
 		ID any `cbor:"nameId"`
@@ -140,8 +143,8 @@
 	return ""
 }
 
-// fieldCheck checks the fields of a submission one after the other. Its reason is what is
-// wrong with the first bad one.
+// fieldCheck validates the fields of a submission one after the other. reason tells what is
+// wrong with the first invalid field; it is empty as long as all are valid.
 type fieldCheck struct{ reason string }
 
 func (c *fieldCheck) fail(reason string) {
@@ -150,7 +153,7 @@
 	}
 }
 
-// required returns a submission with the fields that may not be missing.
+// required returns a submission with the mandatory fields set.
 func (c *fieldCheck) required(raw *rawSubmission) Submission {
 	return Submission{
 		ID:          c.id(raw.ID),
@@ -183,7 +186,7 @@
 	}
 }
 
-// optional sets the fields that may be missing.
+// optional sets the optional fields of the submission.
 func (c *fieldCheck) optional(raw *rawSubmission, submission *Submission) {
 	if raw.DeadlineS != nil {
 		deadline := c.amount("deadline", raw.DeadlineS)
@@ -250,8 +253,8 @@
 	return int(*value)
 }
 
-// types checks a list of machine types. An empty one allows none: such a job can never run,
-// but is well-formed.
+// types checks a list of allowed machine types. An empty list allows no type: the submission is
+// valid, although the job can never run.
 func (c *fieldCheck) types(names []string) []string {
 	if len(names) > maxTypes {
 		c.fail("too many machine types")
@@ -264,7 +267,7 @@
 	return append([]string{}, names...)
 }
 
-// dependencies checks a list of jobs and returns each once.
+// dependencies checks a list of job ids and returns it without duplicates.
 func (c *fieldCheck) dependencies(ids []string) (unique []string) {
 	seen := make(map[string]bool, len(ids))
 	for _, id := range ids {
@@ -279,10 +282,11 @@
 	return unique
 }
 
-// TaskName returns the name of a job's task (protocol: "POST /submissions").
+// TaskName returns the name of the task with an index in a job (protocol: "POST /submissions").
 func TaskName(job string, index int) string { return job + "/" + strconv.Itoa(index) }
 
-// ParseTask reads a task's name. The error is ErrTaskName.
+// ParseTask returns the job and the index that a task's name consists of. The error wraps
+// ErrTaskName.
 func ParseTask(name string) (job string, index int, err error) {
 	job, digits, ok := strings.Cut(name, "/")
 	if !ok || !ValidID(job) {
--- a/internal/wire/submission_test.go
+++ b/internal/wire/submission_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// submissionFields are the fields of a well-formed submission.
+// submissionFields returns the fields of a valid submission by their names in the protocol.
 func submissionFields() map[string]any {
 	return map[string]any{
 		"nameId": "job-000412", "herd": "train", "crew": "vision", "gait": "sweep", "rank": "high", "loads": 16,
@@ -20,27 +20,27 @@
 	for _, tc := range []struct {
 		name  string
 		field string
-		value any // the field is left out if this is its own name
+		value any // a value equal to the field's name: the field is left out
 		ok    bool
-		id    string // in the error
+		id    string // the expected SubmissionError.ID
 	}{
-		{name: "as it is", ok: true},
+		{name: "valid", ok: true},
 		{"unknown field", "colour", "red", true, ""},
 		{"any type", "breeds", nil, true, ""},
 		{"types left out", "breeds", "breeds", true, ""},
-		{"no type at all", "breeds", []string{}, true, ""},
+		{"empty list of types", "breeds", []string{}, true, ""},
 		{"no deadline", "dueS", nil, true, ""},
 		{"a zone", "paddock", "a", true, ""},
-		{"no CPUs is an amount", "cpus", 0.0, true, ""},
+		{"zero CPUs", "cpus", 0.0, true, ""},
 		{"whole number as an amount", "cpus", 8, true, ""},
 		{"most tasks", "loads", 100_000, true, ""},
 		{"too many tasks", "loads", 100_001, false, "job-000412"},
 		{"no tasks", "loads", 0, false, "job-000412"},
 		{"negative tasks", "loads", -1, false, "job-000412"},
 		{"tasks as text", "loads", "16", false, "job-000412"},
-		{"fewer CPUs than none", "cpus", -1.0, false, "job-000412"},
-		{"endless memory", "memGb", math.Inf(1), false, "job-000412"},
-		{"time that is no number", "haulS", math.NaN(), false, "job-000412"},
+		{"negative CPUs", "cpus", -1.0, false, "job-000412"},
+		{"infinite memory", "memGb", math.Inf(1), false, "job-000412"},
+		{"estimate that is not a number", "haulS", math.NaN(), false, "job-000412"},
 		{"negative deadline", "dueS", -1.0, false, "job-000412"},
 		{"unknown kind", "gait", "trot", false, "job-000412"},
 		{"unknown priority", "rank", "king", false, "job-000412"},
@@ -55,7 +55,7 @@
 		{"dependencies", "follows", []string{"job-000001", "job-000002"}, true, ""},
 		{"dependencies as text", "follows", "job-000001", false, "job-000412"},
 		{"dependencies as numbers", "follows", []int{1}, false, "job-000412"},
-		{"a dependency that is no id", "follows", []string{"job-000001", "task-7"}, false, "job-000412"},
+		{"a dependency that is not a job's id", "follows", []string{"job-000001", "task-7"}, false, "job-000412"},
 		{"a dependency that is null", "follows", []any{nil}, false, "job-000412"},
 		{"id without digits", "nameId", "job-", false, ""},
 		{"short id", "nameId", "job-12", false, ""},
@@ -79,10 +79,10 @@
 				t.Fatalf("error %v", serr)
 			}
 			if serr != nil && serr.ID != tc.id {
-				t.Errorf("the error names %q, want %q", serr.ID, tc.id)
+				t.Errorf("the error has the id %q, want %q", serr.ID, tc.id)
 			}
 			if serr == nil && (s.ID != "job-000412" || s.Tasks < 1 || s.Image != "img-07") {
-				t.Errorf("read as %+v", s)
+				t.Errorf("parsed as %+v", s)
 			}
 		})
 	}
@@ -90,7 +90,7 @@
 		"nothing": nil, "not CBOR": []byte("{\"a\":1}"), "a list": {0x80}, "null": {0xf6}, "half a map": {0xa2, 0x61, 'a'}, "a number": {0x01},
 	} {
 		if _, serr := ParseSubmission(body); serr == nil {
-			t.Errorf("%s is taken for a submission", name)
+			t.Errorf("%s is accepted as a submission", name)
 		}
 	}
 }
@@ -113,7 +113,7 @@
 	} {
 		job, index, err := ParseTask(tc.name)
 		if (err == nil) != tc.ok || job != tc.job || index != tc.index {
-			t.Errorf("%q is read as %q, %d, %v", tc.name, job, index, err)
+			t.Errorf("%q is parsed as %q, %d, %v", tc.name, job, index, err)
 		}
 		if err != nil && !errors.Is(err, ErrTaskName) {
 			t.Errorf("%q: error %v is not ErrTaskName", tc.name, err)
@@ -121,7 +121,8 @@
 	}
 }
 
-// TestDependencies checks that each is named once; null and empty are the same.
+// TestDependencies checks that duplicate dependencies are removed, and that null and an empty list
+// mean the same.
 func TestDependencies(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
--- a/internal/wire/users.go
+++ b/internal/wire/users.go
@@ -1,6 +1,6 @@
 package wire
 
-// Priorities of jobs, low to high (protocol: "Preemption").
+// Priorities of jobs in ascending order (protocol: "Preemption").
 const (
 	PriorityLow = iota
 	PriorityNormal
@@ -8,7 +8,8 @@
 	PriorityProduction
 )
 
-// PriorityOf returns the priority that a word of the protocol names.
+// PriorityOf returns the priority that a word of the protocol stands for. It returns false for
+// known if there is no such priority.
 func PriorityOf(word string) (priority int, known bool) {
 	switch word {
 	case "best_effort":
@@ -34,13 +35,13 @@
 	StateCancelled JobState = "cancelled"
 )
 
-// Final reports whether a job in the state is over.
+// Final reports whether the state is final: the job is done or cancelled.
 func (s JobState) Final() bool { return s == StateDone || s == StateCancelled }
 
-// JobAnswer is the answer to a user's request about a job.
+// JobAnswer is the response to a user's request about a job.
 type JobAnswer struct {
 	ID      string   `cbor:"nameId"`
 	State   JobState `cbor:"stance"`
-	Done    *int     `cbor:"done,omitempty"`
-	Running *int     `cbor:"running,omitempty"`
+	Done    *int     `cbor:"done,omitempty"`    // number of tasks
+	Running *int     `cbor:"running,omitempty"` // number of tasks
 }
