--- a/internal/peer/demand.go
+++ b/internal/peer/demand.go
@@ -1,75 +1,79 @@
 package peer
 
-// Demand is what the leader needs to know of a shard to size and divide the fleet.
+// Demand describes a shard's load and machines to the leader, which sizes the fleet and divides
+// it among the shards.
 type Demand struct {
 	Shard int `msgpack:"s"`
-	// WaitingTasks are the waiting tasks.
+	// WaitingTasks are the shard's waiting tasks, grouped by their requirements.
 	WaitingTasks []WaitingTasks `msgpack:"g,omitempty"`
-	CPUs         float64        `msgpack:"c"` // of the usable machines
+	CPUs         float64        `msgpack:"c"` // CPUs of the idle and busy machines
 	BusyCPUs     float64        `msgpack:"b"` // CPUs in use
 	// BootingCPUs are the CPUs of machines that have not sent a heartbeat yet.
 	BootingCPUs float64 `msgpack:"o,omitempty"`
-	// TotalMachines, Silent and Unreconciled count the recorded machines, and those in these states;
-	// Machines does not list all of them.
+	// TotalMachines counts the recorded machines; SilentMachines and UnreconciledMachines count
+	// those in these states. Machines does not list all of them.
 	TotalMachines        int `msgpack:"l,omitempty"`
 	SilentMachines       int `msgpack:"k,omitempty"`
 	UnreconciledMachines int `msgpack:"q,omitempty"`
-	// BlockedUS is how long unreconciled machines will still block older jobs if they send
-	// no heartbeat.
+	// BlockedUS is the time in microseconds for which unreconciled machines will still block
+	// jobs from before the failover, if they send no heartbeat.
 	BlockedUS int64          `msgpack:"h,omitempty"`
 	Zones     []ZoneMachines `msgpack:"z,omitempty"`
-	// RemainingWorkUS is the work left in running tasks, in microseconds of one CPU.
+	// RemainingWorkUS is the estimated remaining work of the running tasks in CPU microseconds.
 	RemainingWorkUS int64 `msgpack:"w"`
-	// GuaranteedCPUs are the CPUs that unfinished jobs within their team's guarantee can use.
+	// GuaranteedCPUs is the number of CPUs that unfinished jobs within their team's guarantee
+	// can use.
 	GuaranteedCPUs float64 `msgpack:"u"`
-	// ArrivalCPUs is the recently submitted work, in CPUs that it keeps busy.
+	// ArrivalCPUs is the rate at which work was submitted recently, as the number of CPUs that
+	// it would keep busy.
 	ArrivalCPUs float64   `msgpack:"n"`
 	Machines    []Machine `msgpack:"m,omitempty"`
 }
 
-// ZoneMachines counts a shard's machines in one zone.
+// ZoneMachines counts a shard's machines in one zone, without those that are booting.
 type ZoneMachines struct {
 	Name           string `msgpack:"n"`
-	TotalMachines  int    `msgpack:"a"`           // without those that boot
-	SilentMachines int    `msgpack:"s,omitempty"` // those that send no heartbeats any more
+	TotalMachines  int    `msgpack:"a"`
+	SilentMachines int    `msgpack:"s,omitempty"` // machines whose heartbeats have stopped
 }
 
-// WaitingTasks is a set of waiting tasks that the same machines could run.
+// WaitingTasks is a group of waiting tasks with the same requirements, so that the same machines
+// can run them.
 type WaitingTasks struct {
 	Types    []string `msgpack:"t,omitempty"`
-	AnyType  bool     `msgpack:"a,omitempty"` // of all types
+	AnyType  bool     `msgpack:"a,omitempty"` // any type will do; Types is ignored
 	Zone     string   `msgpack:"z,omitempty"` // empty: any
-	Spot     bool     `msgpack:"s,omitempty"` // spot machines will do
+	Spot     bool     `msgpack:"s,omitempty"` // the tasks may run on spot machines
 	CPUs     float64  `msgpack:"c"`
 	GPUs     float64  `msgpack:"g,omitempty"`
 	MemGB    float64  `msgpack:"m"`
 	Count    int      `msgpack:"w"`
-	WorkUS   int64    `msgpack:"u"` // sum of estimated run times
-	Priority int      `msgpack:"p"` // of package wire
+	WorkUS   int64    `msgpack:"u"` // sum of the estimated run times in microseconds
+	Priority int      `msgpack:"p"` // one of the priorities of package wire
 }
 
-// Machine is a machine of a shard that matters to the leader.
+// Machine describes one machine of a shard that is relevant to the leader's decisions.
 type Machine struct {
 	ID        string       `msgpack:"i"`
 	State     MachineState `msgpack:"s"`
-	InStateUS int64        `msgpack:"t"` // time spent in the state
-	// RemainingUS is how long its tasks will probably still take.
+	InStateUS int64        `msgpack:"t"` // microseconds spent in the state, for idle, silent and unreconciled machines
+	// RemainingUS is the estimated time in microseconds until all tasks of the machine end.
 	RemainingUS int64   `msgpack:"l,omitempty"`
 	BusyCPUs    float64 `msgpack:"b,omitempty"` // CPUs in use
-	// Movable says that its tasks may continue elsewhere: each can save, or starts anew
-	// without breaking an objective. LostUS is the work that would be repeated, in
-	// microseconds of one CPU.
+	// Movable reports whether the machine's tasks may continue on other machines: each can
+	// save its progress, or can restart without breaking an objective. LostWorkUS is the work
+	// that would then be repeated, in CPU microseconds.
 	Movable    bool  `msgpack:"v,omitempty"`
 	LostWorkUS int64 `msgpack:"x,omitempty"`
 }
 
-// Release asks an owner to release idle machines to another shard, or to cordon them. With
-// Drain it also releases the others, each once it is empty; as long as the leader repeats the
-// request no task starts on them.
+// Release asks the owner of a shard to release idle machines to another shard, or to cordon
+// them. With Drain the owner also releases machines that have tasks, each once its tasks have
+// ended. No task starts on such a machine as long as the leader repeats the request.
 type Release struct {
 	Machines []string `msgpack:"m"`
-	Cordon   bool     `msgpack:"r,omitempty"` // cordon them, so that they are returned
+	Cordon   bool     `msgpack:"r,omitempty"` // cordon the machines, so that they are returned to the cloud
 	Drain    bool     `msgpack:"d,omitempty"`
-	Save     bool     `msgpack:"v,omitempty"` // with Drain: stop tasks that can save
-	ToShard  int      `msgpack:"s"`           // that the machines go to
+	Save     bool     `msgpack:"v,omitempty"` // with Drain: stop tasks that can save their progress
+	ToShard  int      `msgpack:"s"`           // the shard that receives the machines
 }
--- a/internal/peer/jobs.go
+++ b/internal/peer/jobs.go
@@ -2,7 +2,7 @@
 
 import "garnethitch/internal/wire"
 
-// JobRequest asks a job's owner for its status, or to cancel it.
+// JobRequest asks a job's owner for the job's status or, with Cancel, to cancel it.
 type JobRequest struct {
 	ID     string `msgpack:"i"`
 	Cancel bool   `msgpack:"c,omitempty"`
@@ -10,15 +10,16 @@
 
 // JobResponse answers a JobRequest.
 type JobResponse struct {
-	Status  int           `msgpack:"s"` // the HTTP status for the user; 503: the owner doesn't know
+	Status  int           `msgpack:"s"` // HTTP status for the user; 503: the owner cannot answer
 	State   wire.JobState `msgpack:"t"`
-	Done    int           `msgpack:"d,omitempty"` // tasks
-	Running int           `msgpack:"r,omitempty"` // tasks
+	Done    int           `msgpack:"d,omitempty"` // number of tasks
+	Running int           `msgpack:"r,omitempty"` // number of tasks
 }
 
-// JobRecordHint tells the owner of a job that the sender has accepted, ahead of its watch.
+// JobRecordHint sends the record of a job that the sender has accepted to the job's owner, so
+// that the owner need not wait for its watch of the state service.
 type JobRecordHint struct {
 	ID          string `msgpack:"i"`
 	ModRevision uint64 `msgpack:"m"`
-	Record      []byte `msgpack:"r"` // the record as stored
+	Record      []byte `msgpack:"r"` // the record as stored in the state service
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// TestMachineStateIsSentAsInteger checks that other versions read the state as an integer.
+// TestMachineStateIsSentAsInteger checks that a MachineState is encoded as a plain integer, which
+// other versions expect.
 func TestMachineStateIsSentAsInteger(t *testing.T) {
 	for state := MachineIdle; state <= MachineUnreconciled; state++ {
 		got, err := Encode(state)
@@ -17,7 +18,7 @@
 			t.Fatal(err)
 		}
 		if !bytes.Equal(got, want) {
-			t.Errorf("%s is sent as %x, want %x", state, got, want)
+			t.Errorf("%s is encoded as %x, want %x", state, got, want)
 		}
 	}
 }
--- a/internal/peer/quota.go
+++ b/internal/peer/quota.go
@@ -2,12 +2,14 @@
 
 import "garnethitch/quota"
 
-// QuotaRequest asks for the status of all groups of teams, or, with Set, sets a limit.
+// QuotaRequest asks for the quota status of all groups of teams or, with Set, sets a group's
+// limit.
 type QuotaRequest struct {
 	Set *SetLimit `msgpack:"s,omitempty"`
 }
 
-// SetLimit sets a group's limit in place of the one in the options, or, with Clear, ends that.
+// SetLimit overrides the limit that the options give a group or, with Clear, removes the
+// override.
 type SetLimit struct {
 	Group string      `msgpack:"g"`
 	Limit quota.Limit `msgpack:"l"`
@@ -17,16 +19,18 @@
 // QuotaResponse answers a QuotaRequest.
 type QuotaResponse struct {
 	Problem string              `msgpack:"p,omitempty"` // why the request was refused
-	Epoch   uint64              `msgpack:"e,omitempty"` // of the limit that was set
+	Epoch   uint64              `msgpack:"e,omitempty"` // epoch of the limit that was set
 	Groups  []quota.GroupStatus `msgpack:"g,omitempty"`
-	// ControllersWithoutQuota lists the controllers that do not keep groups: limits do not bind them.
+	// ControllersWithoutQuota lists the controllers that do not support groups and therefore do
+	// not enforce limits.
 	ControllersWithoutQuota []string `msgpack:"w,omitempty"`
 }
 
-// TraceContext is the parent span of others' work on a group's quota.
+// TraceContext identifies a span of the sender's work on a group's quota. Other controllers use it
+// as the parent of the spans of their related work.
 type TraceContext struct {
 	Group   string `msgpack:"g"`
-	Shard   int    `msgpack:"s"` // the one that asks for more; -1: a limit was announced
+	Shard   int    `msgpack:"s"` // the shard that asks for more quota; -1: the work follows from an announced limit
 	TraceID []byte `msgpack:"t"`
 	SpanID  []byte `msgpack:"p"`
 	BeganUS int64  `msgpack:"b"`
--- a/internal/wire/submission.go
+++ b/internal/wire/submission.go
@@ -176,7 +176,7 @@
 	}
 }
 
-// enums checks the fields that hold one of the protocol's enums.
+// enums checks the fields whose value must be one of the words that the protocol enumerates.
 func (c *fieldCheck) enums(submission Submission) {
 	if submission.Kind != kindArray {
 		c.fail("unknown kind of job")
--- a/internal/wire/workers.go
+++ b/internal/wire/workers.go
@@ -20,9 +20,9 @@
 	ExitDone       ExitReason = "done"
 	ExitStopped    ExitReason = "halted"
 	ExitError      ExitReason = "error"
-	ExitNoCapacity ExitReason = "no_room" // start refused: the machine's resources are in use
+	ExitNoCapacity ExitReason = "no_room" // start refused: not enough free resources on the machine
 	ExitInUse      ExitReason = "in_use"  // start refused: another attempt of the task is on the machine
-	ExitUnknown    ExitReason = "unknown" // start refused: no such task
+	ExitUnknown    ExitReason = "unknown" // start refused: the task does not exist
 )
 
 // TaskStatus is the status of one task on a machine.
