--- a/internal/http1/chunks.go
+++ b/internal/http1/chunks.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// maxChunkLineBytes bounds the line with a chunk's size.
+	// maxChunkLineBytes bounds the line that gives a chunk's size.
 	maxChunkLineBytes = 64
-	// chunkSizeBits bounds a chunk's size, so that it fits an int on every platform.
+	// chunkSizeBits bounds a chunk's size so that it fits into an int on every platform.
 	chunkSizeBits = 31
 )
 
 var crlf = []byte("\r\n")
 
-// parseChunks parses a chunked body, which starts at an offset of buf, and returns the
-// offset after it.
+// parseChunks parses a chunked body that starts at an offset in buf, and appends its data to
+// msg.Body. It returns the offset after the body.
 func parseChunks(msg *Message, buf []byte, offset int, limits Limits) (int, error) {
 	for {
 		size, n, err := parseChunkSize(buf[offset:])
@@ -43,8 +43,8 @@
 	}
 }
 
-// parseChunkSize parses the line before a chunk, and returns the chunk's size and the
-// number of bytes of the line.
+// parseChunkSize parses the line before a chunk. It returns the chunk's size and the length of
+// the line, both in bytes.
 func parseChunkSize(buf []byte) (size, n int, err error) {
 	line, n, err := cutLine(buf, maxChunkLineBytes)
 	if errors.Is(err, ErrHeadTooLarge) {
@@ -61,8 +61,8 @@
 	return int(value), n, nil
 }
 
-// skipTrailers returns the offset after the trailers, which are bounded as header fields
-// are.
+// skipTrailers returns the offset after the trailer fields that start at an offset in buf.
+// Limits.HeadBytes bounds their size too.
 func skipTrailers(buf []byte, offset int, limits Limits) (int, error) {
 	start := offset
 	for {
--- a/internal/http1/fields.go
+++ b/internal/http1/fields.go
@@ -8,17 +8,17 @@
 // maxFields bounds the number of header fields.
 const maxFields = 100
 
-// unknownLength is the content length of a message that does not tell it.
+// unknownLength is the content length of a message without a Content-Length field.
 const unknownLength = -1
 
-// framing is what the header fields say about the extent of the body.
+// framing describes how the end of the body is found, according to the header fields.
 type framing struct {
 	length  int // bytes, or unknownLength
 	chunked bool
 }
 
-// parseFieldsAndBody parses the header fields, which start at an offset of buf, and the
-// body. It returns the offset after the message.
+// parseFieldsAndBody parses the header fields that start at an offset in buf, and the body
+// after them. It returns the offset after the message.
 func parseFieldsAndBody(msg *Message, buf []byte, offset int, limits Limits) (int, error) {
 	body := framing{length: unknownLength}
 	for fields := 0; ; fields++ {
@@ -39,6 +39,8 @@
 	}
 }
 
+// parseField parses one header field into msg or body. It returns false if the line is malformed
+// or contradicts an earlier field.
 func parseField(msg *Message, body *framing, line []byte) bool {
 	colon := bytes.IndexByte(line, ':')
 	if colon <= 0 || !isToken(line[:colon]) {
@@ -65,6 +67,7 @@
 	return true
 }
 
+// parseConnection sets msg.Close if the value of a Connection field contains "close".
 func parseConnection(msg *Message, value []byte) {
 	for _, option := range bytes.Split(value, []byte(",")) {
 		if foldEqual(bytes.Trim(option, " \t"), "close") {
@@ -73,8 +76,7 @@
 	}
 }
 
-// parseBody parses the body, which starts at an offset of buf, and returns the offset
-// after it.
+// parseBody parses the body that starts at an offset in buf, and returns the offset after it.
 func parseBody(msg *Message, buf []byte, offset int, body framing, limits Limits) (int, error) {
 	switch {
 	case body.chunked && body.length != unknownLength:
@@ -96,9 +98,9 @@
 	return end, nil
 }
 
-// mayOmitLength reports whether a message without framing is one without a body. A
-// response whose body ends with the connection is refused: it could not be told from one
-// that was cut off.
+// mayOmitLength reports whether a message without framing has no body. A response whose body
+// ends with the connection is rejected, because a complete body could not be distinguished from
+// a truncated one.
 func mayOmitLength(msg *Message) bool {
 	isRequest := msg.Status == 0
 	return isRequest || msg.Status == http.StatusNoContent || msg.Status == http.StatusNotModified
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -22,7 +22,7 @@
 		{name: "get", in: "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n", method: "GET", path: "/ready"},
 		{name: "query", in: "GET /keys?starts=a%2F&most=2 HTTP/1.1\r\n\r\n", method: "GET", path: "/keys", query: "starts=a%2F&most=2"},
 		{name: "body", in: "POST /x HTTP/1.1\r\ncontent-LENGTH: 3\r\n\r\nabc", method: "POST", path: "/x", body: "abc"},
-		{name: "what follows is left", in: "POST /x HTTP/1.1\r\nContent-Length: 1\r\n\r\nabc", method: "POST", path: "/x", body: "a", rest: "bc"},
+		{name: "bytes after the message", in: "POST /x HTTP/1.1\r\nContent-Length: 1\r\n\r\nabc", method: "POST", path: "/x", body: "a", rest: "bc"},
 		{name: "chunks", in: "POST /x HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1;q=1\r\nc\r\n0\r\nT: v\r\n\r\n", method: "POST", path: "/x", body: "abc"},
 		{name: "close", in: "GET / HTTP/1.1\r\nConnection: keep-alive, Close\r\n\r\n", method: "GET", path: "/", closes: true},
 		{name: "old version closes", in: "GET / HTTP/1.0\r\n\r\n", method: "GET", path: "/", closes: true},
@@ -64,7 +64,7 @@
 				t.Errorf("got %+v with body %q", msg, msg.Body)
 			}
 			if rest := tc.in[n:]; rest != tc.rest {
-				t.Errorf("left over %q, want %q", rest, tc.rest)
+				t.Errorf("bytes after the message %q, want %q", rest, tc.rest)
 			}
 		})
 	}
@@ -100,8 +100,8 @@
 	}
 }
 
-// FuzzParse checks that no input makes the parsers panic or exceed their limits, and that
-// a message is the same without the bytes that follow it.
+// FuzzParse checks that no input makes the parsers panic or exceed their limits, and that the bytes
+// after a message do not change how it is parsed.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte("GET / HTTP/1.1\r\nHost: a\r\n\r\n"))
 	f.Add([]byte("POST /x HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n"))
@@ -113,11 +113,11 @@
 				continue
 			}
 			if n < 1 || n > len(in) || len(msg.Body) > limits.BodyBytes {
-				t.Fatalf("took %d of %d bytes, body of %d", n, len(in), len(msg.Body))
+				t.Fatalf("parsed %d of %d bytes, body of %d bytes", n, len(in), len(msg.Body))
 			}
 			again, m, err := parse(in[:n], limits)
 			if err != nil || m != n || string(again.Body) != string(msg.Body) {
-				t.Fatalf("the message alone reads differently: %d, %v", m, err)
+				t.Fatalf("without the bytes after it the message is parsed differently: %d bytes, error %v", m, err)
 			}
 		}
 	})
--- a/internal/http1/lexer.go
+++ b/internal/http1/lexer.go
@@ -2,11 +2,12 @@
 
 import "bytes"
 
-// maxDigits bounds a decimal number, so that it fits an int on every platform.
+// maxDigits bounds the length of a decimal number so that it fits into an int on every platform.
 const maxDigits = 9
 
-// cutLine returns the line at the start of buf without its CRLF, and the offset after it.
-// A bare LF is malformed: two parsers could disagree about it.
+// cutLine returns the line at the start of buf without its CRLF, and the offset after the CRLF.
+// It returns ErrHeadTooLarge if the line with its CRLF is longer than limit bytes. A bare LF is
+// malformed, because parsers disagree on whether it ends a line.
 func cutLine(buf []byte, limit int) (line []byte, next int, err error) {
 	lf := bytes.IndexByte(buf, '\n')
 	if lf < 0 {
@@ -28,7 +29,8 @@
 	return line, lf + 1, nil
 }
 
-// parseDigits parses a decimal number of at most maxDigits digits.
+// parseDigits parses a decimal number of at most maxDigits digits. It returns false if b is not
+// such a number.
 func parseDigits(b []byte) (int, bool) {
 	if len(b) == 0 || len(b) > maxDigits {
 		return 0, false
@@ -43,7 +45,7 @@
 	return value, true
 }
 
-// isToken reports whether b is a token of RFC 9110: a method or a field name.
+// isToken reports whether b is a token as defined by RFC 9110. Methods and field names are tokens.
 func isToken(b []byte) bool {
 	if len(b) == 0 {
 		return false
@@ -59,7 +61,8 @@
 	return true
 }
 
-// foldEqual compares b with a lower-case ASCII word without allocating.
+// foldEqual reports whether b equals lower, a lower-case ASCII word, ignoring case. It does not
+// allocate.
 func foldEqual(b []byte, lower string) bool {
 	if len(b) != len(lower) {
 		return false
--- a/internal/http1/startline.go
+++ b/internal/http1/startline.go
@@ -5,11 +5,11 @@
 	"net/http"
 )
 
-// maxMethodBytes bounds the name of a method.
+// maxMethodBytes bounds the length of a method's name.
 const maxMethodBytes = 16
 
-// A status line is "HTTP/1.1 200 OK": a version, a space, three digits and, after
-// another space, an optional reason. These are offsets in it.
+// Offsets in a status line such as "HTTP/1.1 200 OK": a version, a space, three digits and,
+// after another space, an optional reason.
 const (
 	versionEnd  = len("HTTP/1.1")
 	statusStart = versionEnd + 1
@@ -19,9 +19,8 @@
 // maxStatus is the last status code of RFC 9110.
 const maxStatus = 599
 
-// ParseRequest parses the request at the start of buf and returns it with the number of
-// bytes that it takes. The error is one of ErrShort, ErrMalformed, ErrHeadLarge and
-// ErrBodyLarge.
+// ParseRequest parses the request at the start of buf. It returns the request and its length in
+// bytes. The error is one of ErrIncomplete, ErrMalformed, ErrHeadTooLarge and ErrBodyTooLarge.
 func ParseRequest(buf []byte, limits Limits) (Message, int, error) {
 	var msg Message
 	line, fieldsStart, err := cutLine(buf, limits.HeadBytes)
@@ -35,9 +34,9 @@
 	return msg, n, err
 }
 
-// ParseResponse parses the response at the start of buf and returns it with the number
-// of bytes that it takes. The error is one of ErrShort, ErrMalformed, ErrHeadLarge and
-// ErrBodyLarge. Interim responses (1xx) are malformed.
+// ParseResponse parses the response at the start of buf. It returns the response and its length
+// in bytes. The error is one of ErrIncomplete, ErrMalformed, ErrHeadTooLarge and ErrBodyTooLarge.
+// Interim responses (1xx) are rejected as malformed.
 func ParseResponse(buf []byte, limits Limits) (Message, int, error) {
 	var msg Message
 	line, fieldsStart, err := cutLine(buf, limits.HeadBytes)
@@ -86,8 +85,8 @@
 	return true
 }
 
-// parseVersion accepts HTTP/1.1, and HTTP/1.0 as a message whose sender closes the
-// connection.
+// parseVersion reports whether the version is supported: HTTP/1.1 or HTTP/1.0. The sender of an
+// HTTP/1.0 message is taken to close the connection after it.
 func parseVersion(msg *Message, version []byte) bool {
 	switch string(version) {
 	case "HTTP/1.1":
@@ -99,7 +98,8 @@
 	return false
 }
 
-// isTarget reports whether a request target is in origin form and of visible ASCII.
+// isTarget reports whether a request target is in origin form and consists of visible ASCII
+// characters. The target must not be empty.
 func isTarget(target []byte) bool {
 	if target[0] != '/' {
 		return false
--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -6,8 +6,8 @@
 	"strconv"
 )
 
-// AppendRequest appends a request to dst and returns the extended buffer. contentType is
-// written only with a body.
+// AppendRequest appends a request to dst and returns the extended buffer. contentType is only
+// written if there is a body.
 func AppendRequest(dst []byte, method, target, host, contentType string, body []byte) []byte {
 	dst = append(dst, method...)
 	dst = append(dst, ' ')
@@ -25,9 +25,9 @@
 	return append(dst, body...)
 }
 
-// AppendResponse appends a response to dst and returns the extended buffer. contentType is
-// written only with a body; retryAfter is in seconds, 0 for none; closing announces that
-// the connection will be closed.
+// AppendResponse appends a response to dst and returns the extended buffer. contentType is only
+// written if there is a body. retryAfter is in seconds; 0 omits the Retry-After header. closing
+// adds a header which announces that the connection will be closed.
 func AppendResponse(dst []byte, status int, contentType string, body []byte, retryAfter int, closing bool) []byte {
 	dst = append(dst, "HTTP/1.1 "...)
 	dst = strconv.AppendInt(dst, int64(status), 10)
@@ -62,8 +62,8 @@
 	return append(dst, "\r\n"...)
 }
 
-// reasonPhrase returns the text that follows a status, by RFC 9110, which for 413 and 422
-// is not that of net/http.
+// reasonPhrase returns the reason phrase of a status as defined by RFC 9110. net/http has other
+// phrases for 413 and 422.
 func reasonPhrase(status int) string {
 	switch status {
 	case http.StatusOK:
