--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -1,6 +1,6 @@
-// Package client makes outbound HTTP/1.1 calls. A connection carries one request at a
-// time, is reused while the server allows it, and every call has a deadline. Calls are
-// never retried: only the caller knows whether that is safe.
+// Package client makes outbound HTTP/1.1 calls over pooled connections. A connection carries one
+// request at a time and is reused as long as the server allows it. Every call has a deadline.
+// Calls are never retried, because only the caller knows whether a retry is safe.
 package client
 
 import (
@@ -18,39 +18,39 @@
 const (
 	// maxHeadBytes bounds the status line and header fields of a response.
 	maxHeadBytes = 8 << 10
-	// requestHeadCapacity is the space set aside for the head of a request.
+	// requestHeadCapacity is the buffer space in bytes reserved for the head of a request.
 	requestHeadCapacity = 256
-	// initialResponseCapacity is the first size of the buffer for a response.
+	// initialResponseCapacity is the initial size in bytes of the buffer for a response.
 	initialResponseCapacity = 2048
 )
 
-// ErrNotSent marks calls of which not a byte was sent.
+// ErrNotSent is returned, wrapped, for a call of which no byte was sent.
 var ErrNotSent = errors.New("client: not sent")
 
-// ErrBusy is returned, wrapped with ErrNotSent, when Config.MaxConns connections are in use.
+// ErrBusy is returned, wrapped together with ErrNotSent, if Config.MaxConns connections are in use.
 var ErrBusy = errors.New("client: no connection free")
 
-// Config bounds a Client.
+// Config configures a Client.
 type Config struct {
-	MaxIdle      int           // idle connections per address
-	MaxConns     int           // open connections over all addresses
-	MaxBodyBytes int           // bytes of a response body
-	IdleTimeout  time.Duration // longest time that a connection stays idle
-	DialTimeout  time.Duration // longest time to connect, within the call's deadline
-	// Dial opens connections; nil: as net.Dialer without TCP keep-alive.
+	MaxIdle      int           // maximum number of idle connections per address
+	MaxConns     int           // maximum number of open connections over all addresses
+	MaxBodyBytes int           // maximum size of a response body
+	IdleTimeout  time.Duration // maximum time that a connection stays idle
+	DialTimeout  time.Duration // maximum time to connect, within the call's deadline
+	// Dial opens connections. If it is nil, a net.Dialer without TCP keep-alive is used.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
 // Client makes calls. It is safe for concurrent use.
 type Client struct {
 	cfg       Config
-	mu        sync.Mutex // guards all that follows
-	open      int        // connections, in use or idle
-	idle      map[string][]*idleConn
-	idleByAge *list.List // of all *idleConn, the longest idle first
+	mu        sync.Mutex             // guards the fields below
+	open      int                    // number of connections that are in use, idle or being dialed
+	idle      map[string][]*idleConn // by address, the longest idle first
+	idleByAge *list.List             // of *idleConn over all addresses, the longest idle first
 }
 
-// New makes a Client.
+// New returns a Client.
 func New(cfg Config) *Client {
 	if cfg.Dial == nil {
 		dialer := &net.Dialer{KeepAlive: -1}
@@ -64,14 +64,14 @@
 	Addr         string // IP:port
 	Method       string
 	Target       string // path and query
-	ContentType  string // of Body, if there is one
+	ContentType  string // media type of Body; not sent without a body
 	Body         []byte
 	Timeout      time.Duration // for the whole call
-	MaxBodyBytes int           // bytes of the response body; 0: Config.MaxBody
+	MaxBodyBytes int           // maximum size of the response body; 0: Config.MaxBodyBytes
 }
 
-// Do makes the call and reads the whole response. An error that is ErrNotSent says that
-// the server has seen nothing of the call; any other leaves that open.
+// Do makes the call and reads the whole response. If the error is ErrNotSent, the server has
+// received nothing of the call. After any other error the server may have executed the call.
 func (c *Client) Do(ctx context.Context, call Call) (http1.Message, error) {
 	deadline := time.Now().Add(call.Timeout)
 	conn, err := c.connect(ctx, call.Addr, deadline)
@@ -118,7 +118,7 @@
 		if n > 0 {
 			msg, used, err := http1.ParseResponse(buf, limits)
 			if err == nil && used != len(buf) {
-				msg.Close = true // what follows answers no request
+				msg.Close = true // the surplus bytes belong to no request: do not reuse the connection
 			}
 			if !errors.Is(err, http1.ErrIncomplete) {
 				return msg, err
--- a/internal/client/client_test.go
+++ b/internal/client/client_test.go
@@ -14,9 +14,9 @@
 
 type dialFunc = func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// answeringDialer returns a dialer whose connections answer each request with the next of the
-// texts, over and over, and the number of its dials. An empty text closes the connection
-// without an answer.
+// answeringDialer returns a dial function and the number of its calls. The connections respond to
+// each request with the next of the texts, in a cycle. An empty text closes the connection without
+// a response.
 func answeringDialer(texts ...string) (dial dialFunc, dials *int) {
 	dials = new(int)
 	next := 0
@@ -56,7 +56,7 @@
 		{"no answer", []string{"", okResponse}, []bool{true, false}, 2},
 		{"not HTTP", []string{"what?\r\n\r\n", okResponse}, []bool{true, false}, 2},
 		{"body too large", []string{"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n", okResponse}, []bool{true, false}, 2},
-		{"more than was asked for", []string{okResponse + "extra", okResponse}, []bool{false, false}, 2},
+		{"bytes after the response", []string{okResponse + "extra", okResponse}, []bool{false, false}, 2},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			dial, dials := answeringDialer(tc.texts...)
@@ -67,11 +67,11 @@
 					t.Errorf("call %d: %v", i, err)
 				}
 				if errors.Is(err, ErrNotSent) {
-					t.Errorf("call %d was sent, but is said not to be", i)
+					t.Errorf("call %d was sent, but returned ErrNotSent", i)
 				}
 			}
 			if *dials != tc.dials {
-				t.Errorf("%d connections made, want %d", *dials, tc.dials)
+				t.Errorf("%d connections opened, want %d", *dials, tc.dials)
 			}
 		})
 	}
@@ -83,17 +83,17 @@
 	for range 3 {
 		_, err := c.Do(t.Context(), Call{Addr: "a:1", Method: "GET", Target: "/", Timeout: time.Hour})
 		if !errors.Is(err, ErrNotSent) || errors.Is(err, ErrBusy) {
-			t.Errorf("refused: %v, want not sent, and the connection no longer counted", err)
+			t.Errorf("dial refused: %v, want ErrNotSent without ErrBusy: a failed dial must not count as an open connection", err)
 		}
 	}
 	c = New(Config{MaxConns: 0})
 	_, err := c.Do(t.Context(), Call{Addr: "a:1", Timeout: time.Hour})
 	if !errors.Is(err, ErrBusy) || !errors.Is(err, ErrNotSent) {
-		t.Errorf("no connection free: %v, want busy and not sent", err)
+		t.Errorf("no connection free: %v, want ErrBusy and ErrNotSent", err)
 	}
 }
 
-// A deadline ends a call on a silent connection.
+// TestDoDeadline checks that a call on a connection without a response ends at its deadline.
 func TestDoDeadline(t *testing.T) {
 	ours, theirs := net.Pipe()
 	defer theirs.Close()
--- a/internal/client/pool.go
+++ b/internal/client/pool.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// idleConn is an open connection that no call uses.
+// idleConn is an open connection that is not used by a call.
 type idleConn struct {
 	net.Conn
 	addr      string
@@ -16,7 +16,7 @@
 	entry     *list.Element // in Client.idleByAge
 }
 
-// connect takes the connection to addr that was idle for the shortest time, or opens one.
+// connect returns the most recently used idle connection to addr, or opens a new one.
 func (c *Client) connect(ctx context.Context, addr string, deadline time.Time) (net.Conn, error) {
 	now := time.Now()
 	conn, err := c.reuseOrReserve(addr, now)
@@ -37,8 +37,9 @@
 	return conn, nil
 }
 
-// reuseOrReserve returns an idle connection to addr. If there is none it counts a new one
-// as open and returns nil, for the caller to dial; ErrBusy if that would be one too many.
+// reuseOrReserve returns an idle connection to addr. If there is none, it counts a new connection
+// as open and returns nil, and the caller must dial. It returns ErrBusy if Config.MaxConns
+// connections are in use.
 func (c *Client) reuseOrReserve(addr string, now time.Time) (net.Conn, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -57,13 +58,15 @@
 	return nil, nil
 }
 
+// unreserve undoes the reservation of a connection that is not open.
 func (c *Client) unreserve() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.open--
 }
 
-// release makes a connection idle after a call, or closes it if there are enough of them.
+// release makes a connection idle after a call, or closes it if there are Config.MaxIdle idle
+// connections to its address already.
 func (c *Client) release(addr string, conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -88,9 +91,9 @@
 	return now.Sub(idle.idleSince) > c.cfg.IdleTimeout
 }
 
-// evictLongestIdle closes the longest idle connection, so that idle connections never
-// keep other addresses from being called. It returns false if there is none. The lock is
-// held.
+// evictLongestIdle closes the connection that has been idle for the longest time, so that idle
+// connections never prevent calls to other addresses. It returns false if there is none. c.mu
+// must be held.
 func (c *Client) evictLongestIdle() bool {
 	oldest := c.idleByAge.Front()
 	if oldest == nil {
@@ -100,14 +103,15 @@
 	return true
 }
 
-// closeIdle closes an idle connection. The lock is held.
+// closeIdle closes an idle connection. c.mu must be held.
 func (c *Client) closeIdle(idle *idleConn) {
 	c.removeIdle(idle)
 	idle.Close()
 	c.open--
 }
 
-// removeIdle takes a connection off the idle ones. The lock is held.
+// removeIdle removes a connection from the idle connections without closing it. c.mu must be
+// held.
 func (c *Client) removeIdle(idle *idleConn) {
 	c.idleByAge.Remove(idle.entry)
 	conns := c.idle[idle.addr]
--- a/internal/client/pool_test.go
+++ b/internal/client/pool_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Idle connections never keep other addresses from being called: the longest idle one is
-// closed. A failover with 900 machines found all of 400 connections idle, and could call
-// nobody for 10 s.
+// TestLongestIdleEvicted checks that idle connections never prevent calls to other addresses: the
+// one that has been idle for the longest time is closed instead. Without that, a failover with 900
+// machines found all 400 connections idle and could make no calls for 10 s.
 func TestLongestIdleEvicted(t *testing.T) {
 	dial, dials := answeringDialer(okResponse)
 	c := New(Config{MaxIdle: 1, MaxConns: 4, MaxBodyBytes: 50, IdleTimeout: time.Hour, DialTimeout: time.Hour, Dial: dial})
@@ -22,9 +22,9 @@
 		ask(i)
 	}
 	if ask(9); *dials != 10 || c.open != 4 {
-		t.Errorf("%d connections made, %d open, want 10 and 4", *dials, c.open)
+		t.Errorf("%d connections opened, %d open now, want 10 and 4", *dials, c.open)
 	}
 	if ask(0); *dials != 11 {
-		t.Errorf("%d connections made, want 11: the longest idle one was closed", *dials)
+		t.Errorf("%d connections opened, want 11: the longest idle one was to be evicted", *dials)
 	}
 }
--- a/internal/server/address.go
+++ b/internal/server/address.go
@@ -7,8 +7,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// checkFree returns an error if another socket listens on the address. It binds and does
-// not listen: the kernel would accept a client in the meantime, and then reset it.
+// checkFree returns an error if another socket listens on the address. It binds a socket but does
+// not listen on it: otherwise the kernel could accept a client's connection and reset it when the
+// socket is closed.
 func checkFree(address string) error {
 	addr, err := net.ResolveTCPAddr("tcp4", address)
 	if err != nil {
@@ -19,7 +20,8 @@
 		return fmt.Errorf("socket: %w", err)
 	}
 	defer unix.Close(fd)
-	// As when listening: connections of an earlier process in TIME_WAIT do not count.
+	// gnet sets this option as well. Without it, connections of an earlier process in TIME_WAIT
+	// would make bind fail.
 	if err := unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1); err != nil {
 		return fmt.Errorf("set SO_REUSEADDR: %w", err)
 	}
--- a/internal/server/address_test.go
+++ b/internal/server/address_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// An address is free unless somebody listens there, and the check never accepts a
-// client's connection, which would then be reset.
+// TestCheckFree checks that an address is free unless a socket listens on it, and that the check
+// never accepts a client's connection, which would then be reset.
 func TestCheckFree(t *testing.T) {
 	addr := freeAddr(t)
 	stop, checked := make(chan struct{}), make(chan error, 1)
@@ -29,13 +29,13 @@
 	for range 2000 {
 		if c, err := net.Dial("tcp4", addr); err == nil {
 			c.Close()
-			t.Error("a client was accepted where nobody serves")
+			t.Error("a client was accepted on an address without a server")
 			break
 		}
 	}
 	close(stop)
 	if err := <-checked; err != nil {
-		t.Errorf("a free address: %v", err)
+		t.Errorf("a free address is reported as in use: %v", err)
 	}
 	l, err := net.Listen("tcp4", addr)
 	if err != nil {
@@ -43,13 +43,13 @@
 	}
 	defer l.Close()
 	if checkFree(addr) == nil {
-		t.Error("an address on which somebody listens counts as free")
+		t.Error("an address with a listening socket is reported as free")
 	}
 }
 
-// A server starts on the address of one that has just ended with connections open. Their
-// remains in TIME_WAIT hold the address for a minute, in which a controller that was
-// killed could not restart (found by the soak).
+// TestRestartOnSameAddress checks that a server starts on the address of one that has just ended
+// with open connections. Sockets in TIME_WAIT keep such an address in use for a minute. The soak
+// found that a controller that had been killed could not restart during that minute.
 func TestRestartOnSameAddress(t *testing.T) {
 	addr := freeAddr(t)
 	for range 2 {
@@ -61,7 +61,7 @@
 		for client == nil {
 			select {
 			case err := <-ended:
-				t.Fatalf("does not start: %v", err)
+				t.Fatalf("the server does not start: %v", err)
 			default:
 				if c, err := net.Dial("tcp4", addr); err == nil {
 					client = c
--- a/internal/server/connection.go
+++ b/internal/server/connection.go
@@ -15,42 +15,43 @@
 const (
 	// maxHeadBytes bounds the start line and header fields of a request.
 	maxHeadBytes = 8 << 10
-	// maxFramingBytes bounds what a buffered request takes beyond its body: head, chunk
+	// maxFramingBytes bounds the bytes of a buffered request beside its body: head, chunk
 	// sizes and trailers.
 	maxFramingBytes = 2 * maxHeadBytes
-	// maxDiscardedBytes bounds what is read and dropped of a request that is refused for
-	// its size.
+	// maxDiscardedBytes bounds the bytes that are read and discarded of a request that was
+	// refused because of its size.
 	maxDiscardedBytes = 1 << 20
-	// maxUnreadBytes bounds the answers that a client has asked for and does not read.
+	// maxUnreadBytes bounds the responses buffered for a client that does not read them.
 	maxUnreadBytes = 256 << 10
-	// discardTimeout is how long the rest of a refused request is read and dropped.
+	// discardTimeout bounds the time for which the rest of a refused request is read and
+	// discarded.
 	discardTimeout = 2 * time.Second
-	// requestsPerYield is the number of requests after which other goroutines get the
-	// processor. On a single thread a backlog of heartbeats would otherwise delay the
-	// renewal of the controller's own lease.
+	// requestsPerYield is the number of requests after which the event loop yields the
+	// processor to other goroutines. On a single thread a backlog of heartbeats would
+	// otherwise delay the renewal of the controller's lease.
 	requestsPerYield = 8
 )
 
-// conn is one connection, guarded by its server's lock.
+// conn is one connection. Its fields are guarded by Server.mu.
 type conn struct {
 	stream         gnet.Conn
 	listener       Listener
-	input          []byte // input that is not yet parsed
-	output         []byte // answers that are not yet written
-	awaitingReply  bool   // a request is with the handler
-	receiving      bool   // receive is running and will write out
-	refused        bool   // a request was too large; the rest of it is dropped
-	discardedBytes int    // input dropped since then
-	closing        bool   // to be closed once out is written
+	input          []byte // received but not parsed yet
+	output         []byte // responses that are not written yet
+	awaitingReply  bool   // the handler has a request and has not replied yet
+	receiving      bool   // receive is running and will write output
+	refused        bool   // a request was too large; the rest of it is discarded
+	discardedBytes int    // input discarded since the refusal
+	closing        bool   // to be closed once output is written
 	closed         bool
-	evicted        bool          // closing to let another connection in
-	evictableEntry *list.Element // in Server.evictable; nil if it must not be evicted
-	requestStarted time.Time     // when the first byte of an incomplete request came
-	lastUsed       time.Time
+	evicted        bool          // closing to make room for another connection
+	evictableEntry *list.Element // in Server.evictable; nil if the connection must not be evicted
+	requestStarted time.Time     // when the first byte of an incomplete request arrived
+	lastUsed       time.Time     // when input last arrived
 }
 
-// receive handles input and returns what is to be written now, which is valid until
-// the next call. Only the event loop calls it.
+// receive handles input and returns the output to write now, which is valid until the next
+// call. Only the event loop calls it.
 func (s *Server) receive(c *conn, in []byte) ([]byte, gnet.Action) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -76,8 +77,8 @@
 	return c.takeOutput()
 }
 
-// discard drops input of a refused request. Closing at once would reset the connection
-// before the client has read the answer.
+// discard drops input of a refused request. If the connection were closed immediately instead,
+// it would be reset before the client has read the response.
 func (c *conn) discard(in []byte) {
 	c.discardedBytes += len(in)
 	if c.discardedBytes > maxDiscardedBytes {
@@ -85,6 +86,7 @@
 	}
 }
 
+// recordInput updates the times and the eviction order of a connection that has received input.
 func (s *Server) recordInput(c *conn, now time.Time) {
 	c.lastUsed = now
 	if c.evictableEntry != nil {
@@ -95,9 +97,9 @@
 	}
 }
 
-// bufferInput keeps input of an incomplete request, or of one that must wait for the
-// answer to the one before it. It returns false, and has the connection closed, if
-// that would exceed the bounds.
+// bufferInput stores input that cannot be handled yet: that of an incomplete request, or of a
+// request that must wait for the response to the previous one. If the input would exceed the
+// bounds, bufferInput returns false and the connection will be closed.
 func (s *Server) bufferInput(c *conn, in []byte) bool {
 	maxConnBytes := s.cfg.MaxBodyBytes[c.listener] + maxFramingBytes
 	if len(c.input)+len(in) > maxConnBytes || s.bufferedBytes+int64(len(in)) > s.cfg.MaxBufferedBytes {
@@ -109,8 +111,7 @@
 	return true
 }
 
-// keepUnparsed keeps the input after the first used bytes. If buffered, in is the
-// connection's own buffer.
+// keepUnparsed stores the input after the first used bytes. buffered tells that in is c.input.
 func (s *Server) keepUnparsed(c *conn, in []byte, used int, buffered bool) {
 	switch {
 	case !buffered && used < len(in):
@@ -124,7 +125,7 @@
 	}
 }
 
-// takeOutput returns what is to be written now, and whether to close after it.
+// takeOutput returns the output to write now, and whether to close the connection after it.
 func (c *conn) takeOutput() ([]byte, gnet.Action) {
 	out := c.output
 	c.output = nil
@@ -134,8 +135,8 @@
 	return out, gnet.None
 }
 
-// serveRequests hands on the requests in the input, until one is incomplete or waits
-// for its answer. It returns the number of bytes that they took.
+// serveRequests hands the requests in the input to the handler, until one is incomplete or is not
+// answered immediately. It returns the number of bytes consumed.
 func (s *Server) serveRequests(c *conn, in []byte, now time.Time) int {
 	if c.output == nil {
 		c.output = s.scratch[:0]
@@ -153,9 +154,9 @@
 	return used
 }
 
-// serveRequest parses one request and hands it to the handler. It returns the number
-// of bytes that the request took, 0 if it is incomplete or refused. The lock is held
-// on entry and on return, but not while the handler runs.
+// serveRequest parses one request and passes it to the handler. It returns the number of bytes
+// consumed, or 0 if the request is incomplete or refused. s.mu is held on entry and on return,
+// but not while the handler runs.
 func (s *Server) serveRequest(c *conn, in []byte, now time.Time) int {
 	msg, n, err := http1.ParseRequest(in, http1.Limits{HeadBytes: maxHeadBytes, BodyBytes: s.cfg.MaxBodyBytes[c.listener]})
 	if errors.Is(err, http1.ErrIncomplete) {
@@ -178,7 +179,9 @@
 	return n
 }
 
-// refuse answers a request that cannot be parsed and has the connection closed.
+// refuse responds with an error status to a request that cannot be parsed. The connection is
+// closed after the response; if the body is too large, only once the rest of the request has been
+// discarded or exceeds a limit.
 func (s *Server) refuse(c *conn, status int, now time.Time) {
 	c.output = http1.AppendResponse(c.output, status, "", nil, 0, true)
 	c.refused = status == http.StatusRequestEntityTooLarge
@@ -188,7 +191,7 @@
 	c.requestStarted = now
 }
 
-// statusOf returns the status that answers a request with a parse error.
+// statusOf returns the HTTP status for a parse error.
 func statusOf(err error) int {
 	switch {
 	case errors.Is(err, http1.ErrBodyTooLarge):
@@ -199,8 +202,8 @@
 	return http.StatusBadRequest
 }
 
-// closeExpired closes connections that are idle, or whose request is incomplete or
-// being discarded, for too long.
+// closeExpired closes connections that have been idle for too long, or on which a request has
+// been incomplete or being discarded for too long.
 func (s *Server) closeExpired() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/server/connection_test.go
+++ b/internal/server/connection_test.go
@@ -10,20 +10,21 @@
 	"testing"
 )
 
-// An incomplete request that outgrows the buffer ends its connection and no other.
+// TestOversizedIncompleteRequest checks that an incomplete request that exceeds the buffer closes
+// only the connection on which it arrives.
 func TestOversizedIncompleteRequest(t *testing.T) {
 	addr := serve(t, 2)
 	first, second := dial(t, addr), dial(t, addr)
 	get(t, first, "/a")
 	_, _ = io.WriteString(second, "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"+strings.Repeat("1\r\na\r\n", 5000))
 	if _, err := io.ReadAll(second); err != nil && !strings.Contains(err.Error(), "reset") {
-		t.Errorf("reading after an endless request: %v", err)
+		t.Errorf("reading after an oversized request: %v", err)
 	}
 	get(t, first, "/b")
 }
 
-// Requests that are malformed or too large are refused without a call of the handler,
-// which keeps its time for heartbeats and leases.
+// TestBadRequestsNotHandled checks that malformed and oversized requests are refused without a call
+// of the handler, whose time is needed for heartbeats and leases.
 func TestBadRequestsNotHandled(t *testing.T) {
 	var handled atomic.Int64
 	addr := serveWith(t, 10, func(r Request) {
@@ -57,12 +58,12 @@
 		t.Errorf("%d bad requests reached the handler", n)
 	}
 	if resp := get(t, dial(t, addr), "/a"); resp.StatusCode != 200 {
-		t.Errorf("a good request after the flood: %d", resp.StatusCode)
+		t.Errorf("status %d for a valid request after the bad ones, want 200", resp.StatusCode)
 	}
 }
 
-// A backlog of requests yields to other goroutines: one that a handler has started
-// runs before the backlog is done.
+// TestBacklogYields checks that the event loop yields to other goroutines while it serves a backlog
+// of requests: a goroutine started by the first request runs before the backlog is finished.
 func TestBacklogYields(t *testing.T) {
 	procs := runtime.GOMAXPROCS(1)
 	defer runtime.GOMAXPROCS(procs)
@@ -89,6 +90,6 @@
 		}
 	}
 	if n := before.Load(); n > 2*requestsPerYield {
-		t.Errorf("%d requests of a backlog of %d were handled before anybody else had a turn", n, backlog)
+		t.Errorf("%d requests of a backlog of %d were handled before another goroutine ran", n, backlog)
 	}
 }
--- a/internal/server/eviction.go
+++ b/internal/server/eviction.go
@@ -1,21 +1,21 @@
 package server
 
 const (
-	// maxEvicting is the number of connections that may be closing at a time to let
-	// new ones in. They hold their sockets until they are closed.
+	// maxEvicting bounds the connections that are being closed at the same time to make room
+	// for new ones. They hold their sockets until they are closed.
 	maxEvicting = 32
-	// nearlyFullPercent is the part of MaxConns above which connections that are Spare are
-	// closed after their answer.
+	// nearlyFullPercent is the percentage of Config.MaxConns above which connections are
+	// closed after a Response with CloseIfNearlyFull.
 	nearlyFullPercent = 80
 )
 
-// MaxSockets returns the most sockets that a Server with the given Config.MaxConns holds
-// for connections, including those that are being evicted.
+// MaxSockets returns the maximum number of sockets that a Server with the given Config.MaxConns
+// uses for connections, including those that are being evicted.
 func MaxSockets(maxConns int) int { return maxConns + maxEvicting }
 
-// evictLongestUnused has the longest unused connection closed that may be evicted and
-// does not wait for an answer. It returns false if there is none, or if too many are
-// closing already. The lock is held.
+// evictLongestUnused begins to close the connection that has been unused for the longest time
+// among those that may be evicted and do not wait for a response. It returns false if there is
+// none, or if maxEvicting connections are already being evicted. s.mu must be held.
 func (s *Server) evictLongestUnused() bool {
 	if s.evicting >= maxEvicting {
 		return false
@@ -35,7 +35,7 @@
 	return false
 }
 
-// exemptFromEviction exempts a connection from eviction. The lock is held.
+// exemptFromEviction exempts a connection from eviction. s.mu must be held.
 func (s *Server) exemptFromEviction(c *conn) {
 	if c.evictableEntry == nil {
 		return
@@ -44,5 +44,5 @@
 	c.evictableEntry = nil
 }
 
-// nearlyFull reports whether most of the connections that may be open are.
+// nearlyFull reports whether more than nearlyFullPercent of the permitted connections are open.
 func (s *Server) nearlyFull() bool { return s.OpenConns() > s.cfg.MaxConns*nearlyFullPercent/100 }
--- a/internal/server/eviction_test.go
+++ b/internal/server/eviction_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// Past MaxConns the longest unused connection that may be evicted is closed for a new
-// one; where none may, the new one is refused. Exempt connections stay open.
+// TestMaxConns checks that at MaxConns a new connection evicts the one that has been unused for the
+// longest time. Connections exempt from eviction stay open; if all are exempt, the new connection
+// is refused.
 func TestMaxConns(t *testing.T) {
 	addr := serve(t, 3)
 	kept, idle, later := dial(t, addr), dial(t, addr), dial(t, addr)
@@ -17,22 +18,23 @@
 		get(t, c, "/keep")
 		gone := []net.Conn{idle, later}[i]
 		if _, err := gone.Read(make([]byte, 1)); err == nil {
-			t.Errorf("connection %d did not give way", i)
+			t.Errorf("connection %d was not evicted", i)
 		}
 	}
 	refused := dial(t, addr)
 	if _, err := refused.Read(make([]byte, 1)); err == nil {
-		t.Error("a connection beyond the bound is served")
+		t.Error("a connection beyond MaxConns is served")
 	}
 	get(t, kept, "/b")
 }
 
-// When few connections are left, those with a Spare answer are closed after it.
+// TestCloseIfNearlyFull checks that a response with CloseIfNearlyFull closes its connection only
+// when few more connections can be opened.
 func TestCloseIfNearlyFull(t *testing.T) {
 	addr := serve(t, 5)
 	for i := range 5 {
-		if resp := get(t, dial(t, addr), "/spare"); resp.Close != (i == 4) {
-			t.Errorf("connection %d of 5: close %v", i+1, resp.Close)
+		if resp := get(t, dial(t, addr), "/close-if-nearly-full"); resp.Close != (i == 4) {
+			t.Errorf("connection %d of 5: closed %v", i+1, resp.Close)
 		}
 	}
 }
--- a/internal/server/gnetlog.go
+++ b/internal/server/gnetlog.go
@@ -5,7 +5,8 @@
 	"log/slog"
 )
 
-// gnetLogger passes gnet's log lines on. All below errors are for debugging.
+// gnetLogger writes gnet's log lines to log. Lines below the error level are logged at the debug
+// level.
 type gnetLogger struct{ log *slog.Logger }
 
 func (l gnetLogger) Debugf(format string, args ...any) { l.log.Debug(fmt.Sprintf(format, args...)) }
--- a/internal/server/request.go
+++ b/internal/server/request.go
@@ -6,22 +6,22 @@
 	"garnethitch/internal/http1"
 )
 
-// Handler is called on the event loop's goroutine for each request, and must not block.
-// It may answer the request before it returns or later.
+// Handler handles a request. It is called on the event loop's goroutine and must not block. It
+// may reply to the request before it returns or later.
 type Handler func(Request)
 
-// Request is a parsed request together with the means to answer it.
+// Request is a parsed request together with the handle for replying to it.
 type Request struct {
-	Listener Listener // the address that it came to
+	Listener Listener // the address at which the request arrived
 	Message  http1.Message
 	reply    *Reply
 }
 
-// Reply returns the handle by which the request is answered.
+// Reply returns the handle for replying to the request.
 func (r *Request) Reply() *Reply { return r.reply }
 
-// ExemptFromEviction exempts the request's connection from eviction when a new connection finds
-// the server full.
+// ExemptFromEviction exempts the request's connection from being closed to make room for a new
+// connection when the server is full.
 func (r *Request) ExemptFromEviction() {
 	s := r.reply.server
 	s.mu.Lock()
@@ -29,29 +29,29 @@
 	s.exemptFromEviction(r.reply.conn)
 }
 
-// Response is a response.
+// Response is the response to a request.
 type Response struct {
 	Status            int
-	ContentType       string // of Body, if there is one
+	ContentType       string // media type of Body; not sent without a body
 	Body              []byte
-	RetryAfterSeconds int  // seconds; 0: no Retry-After header
-	Close             bool // close the connection after the answer
-	// CloseIfNearlyFull closes the connection after the answer if the server is crowded. It suits
-	// clients that ask again only after a while: the number of their open connections
-	// then follows their rate of requests and not their number.
+	RetryAfterSeconds int  // 0: no Retry-After header
+	Close             bool // close the connection after the response
+	// CloseIfNearlyFull closes the connection after the response if the server is nearly full.
+	// It suits clients that send their next request only after a while: the number of their
+	// open connections then depends on their request rate and not on their number.
 	CloseIfNearlyFull bool
 }
 
-// Reply is the handle by which one request is answered, from any goroutine.
+// Reply is the handle for replying to one request. It may be used from any goroutine.
 type Reply struct {
 	server     *Server
 	conn       *conn
 	sent       atomic.Bool
-	closeAfter bool // the client has asked for it
+	closeAfter bool // the client has asked to close the connection
 }
 
-// Send answers the request. Only the first call has an effect, and none if the
-// connection is closed.
+// Send sends the response to the request. Only the first call has an effect. If the connection
+// is already closed, Send does nothing.
 func (r *Reply) Send(answer Response) {
 	if r.sent.Swap(true) {
 		return
@@ -69,7 +69,7 @@
 		c.closing = true
 	}
 	if c.receiving {
-		s.scratch = c.output // append may have moved it
+		s.scratch = c.output // append may have reallocated the buffer
 	} else {
 		_ = c.stream.Wake(nil)
 	}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -1,7 +1,7 @@
-// Package server serves HTTP/1.1 on a single gnet event loop. It parses requests,
-// hands each to a Handler on the loop's goroutine and writes the answers, which may
-// be given later and from any goroutine. The number of connections, the memory held
-// for them and the time they may take are bounded.
+// Package server implements an HTTP/1.1 server on a single gnet event loop. It parses requests,
+// passes each to a Handler on the loop's goroutine, and writes the responses, which may be given
+// later and from any goroutine. The number of connections, their memory and the time that a
+// request or an idle connection may take are bounded.
 package server
 
 import (
@@ -22,48 +22,49 @@
 // Config holds the addresses, bounds and dependencies of a Server.
 type Config struct {
 	Addrs            []string         // IP:port each; the index is the Listener
-	MaxConns         int              // connections served at a time
-	MaxBodyBytes     []int            // bytes of a request body, by Listener
-	MaxBufferedBytes int64            // bytes of buffered input over all connections
-	RequestTimeout   time.Duration    // longest time in which a request must arrive whole
-	IdleTimeout      time.Duration    // longest time that a connection may go unused
-	Log              *slog.Logger     // also takes what gnet logs
-	Handler          Handler          // takes every well-formed request
+	MaxConns         int              // maximum number of connections served at a time
+	MaxBodyBytes     []int            // maximum size of a request body, by Listener
+	MaxBufferedBytes int64            // maximum size of buffered input over all connections
+	RequestTimeout   time.Duration    // maximum time from the first byte of a request to its last
+	IdleTimeout      time.Duration    // maximum time that a connection may be without input
+	Log              *slog.Logger     // also receives gnet's log lines
+	Handler          Handler          // called for every well-formed request
 	Now              func() time.Time // the clock
 }
 
 const (
-	// stableRunTime is how long the event loop must have run for the restarts before
-	// it to be forgotten.
+	// stableRunTime is the running time of the event loop after which earlier failures are no
+	// longer counted.
 	stableRunTime = 10 * time.Second
-	// restartDelay is the pause before a failed event loop is started again.
+	// restartDelay is the pause before a failed event loop is restarted.
 	restartDelay = 250 * time.Millisecond
-	// maxRestarts is how many short runs in a row are followed by another.
+	// maxRestarts is the number of consecutive restarts, without a run of stableRunTime, after
+	// which the server gives up.
 	maxRestarts = 20
-	// sweepInterval is the time between checks for connections that took too long.
+	// sweepInterval is the time between checks for connections that have timed out.
 	sweepInterval = time.Second
 )
 
-// Server accepts connections and serves the requests on them. New makes one.
+// Server accepts connections and serves the requests on them. Use New to create one.
 type Server struct {
 	gnet.BuiltinEventEngine
 	cfg       Config
-	listeners map[string]Listener // by address; never changed
+	listeners map[string]Listener // by address; not modified after New
 	stop      atomic.Bool
-	openConns atomic.Int64 // len(conns), readable without the lock
-	handled   uint         // requests so far; event loop only
+	openConns atomic.Int64 // len(conns), readable without mu
+	handled   uint         // requests handled so far; used by the event loop only
 
-	mu            sync.Mutex // guards all that follows, and every conn
+	mu            sync.Mutex // guards the fields below and every conn
 	conns         map[*conn]struct{}
-	bufferedBytes int64      // of all conns' in
+	bufferedBytes int64      // total length of conn.input over all connections
 	evictable     *list.List // of *conn, the longest unused first
-	evicting      int        // connections told to close and not yet closed
-	// scratch is the buffer for answers that are given while their request is being
-	// handled. gnet copies what it cannot send at once.
+	evicting      int        // connections that are being evicted and are not closed yet
+	// scratch is reused as the output buffer for responses that are given while their request
+	// is being handled. gnet copies the bytes that it cannot send immediately.
 	scratch []byte
 }
 
-// New makes a Server, which does nothing before Run.
+// New returns a Server. It does not accept connections before Run is called.
 func New(cfg Config) *Server {
 	s := &Server{cfg: cfg, conns: map[*conn]struct{}{}, evictable: list.New(), listeners: map[string]Listener{}}
 	for i, addr := range cfg.Addrs {
@@ -72,13 +73,12 @@
 	return s
 }
 
-// OpenConns returns the number of connections that are open. It may be called from any
-// goroutine.
+// OpenConns returns the number of open connections. It may be called from any goroutine.
 func (s *Server) OpenConns() int { return int(s.openConns.Load()) }
 
-// Run serves until ctx is done, and then returns nil. An event loop that ends by itself,
-// as gnet's does on an error from accept, is started again after a pause. Run returns
-// an error if an address is in use, or if the loop fails time after time.
+// Run serves until ctx is done, and then returns nil. If the event loop ends for another reason,
+// such as an error from accept, Run restarts it after a pause. Run returns an error if an address
+// is in use, or if the loop fails more than maxRestarts times in a row.
 func (s *Server) Run(ctx context.Context) error {
 	unregister := context.AfterFunc(ctx, func() { s.stop.Store(true) })
 	defer unregister()
@@ -97,7 +97,7 @@
 			failures = 0
 		}
 		failures++
-		s.cfg.Log.Error("serving ended, starting again", "error", err)
+		s.cfg.Log.Error("event loop ended, restarting it", "error", err)
 		if failures > maxRestarts && err != nil {
 			return fmt.Errorf("serve %v: %w", s.cfg.Addrs, err)
 		}
@@ -109,9 +109,10 @@
 	}
 }
 
-// listenURLs returns the addresses as gnet takes them. gnet listens with SO_REUSEPORT,
-// so that one loop accepts and serves; a second process on the same address must fail
-// all the same rather than take half of the connections.
+// listenURLs returns the addresses in the form that gnet expects, and an error if one is in use.
+// gnet listens with SO_REUSEPORT so that one event loop both accepts and serves connections.
+// Without the check, a second process could therefore listen on the same address and would
+// receive half of the connections.
 func (s *Server) listenURLs() ([]string, error) {
 	urls := make([]string, len(s.cfg.Addrs))
 	for i, addr := range s.cfg.Addrs {
@@ -133,7 +134,7 @@
 		gnet.WithLogger(gnetLogger{s.cfg.Log}))
 }
 
-// reset forgets the connections of an earlier event loop.
+// reset discards the state of the connections of an earlier event loop.
 func (s *Server) reset() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -144,12 +145,12 @@
 	s.openConns.Store(0)
 }
 
-// OnOpen registers a new connection, or refuses it when there are too many. It is
-// called by gnet.
+// OnOpen is called by gnet for a new connection. It registers the connection, or refuses it if
+// there are too many.
 func (s *Server) OnOpen(stream gnet.Conn) ([]byte, gnet.Action) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	// Without free file descriptors accept fails, which ends gnet's loop.
+	// The bound keeps file descriptors free: without one accept fails, and gnet's loop ends.
 	if len(s.conns)-s.evicting >= s.cfg.MaxConns && !s.evictLongestUnused() {
 		return nil, gnet.Close
 	}
@@ -161,7 +162,7 @@
 	return nil, gnet.None
 }
 
-// OnClose forgets a connection. It is called by gnet.
+// OnClose is called by gnet for a closed connection, and unregisters it.
 func (s *Server) OnClose(stream gnet.Conn, _ error) gnet.Action {
 	c, ok := stream.Context().(*conn)
 	if !ok {
@@ -181,8 +182,8 @@
 	return gnet.None
 }
 
-// OnTraffic serves what a connection has received and writes what is ready for it.
-// It is called by gnet, without input after a Wake.
+// OnTraffic is called by gnet when a connection has received input and, without input, after a
+// call of Wake. It handles the input and writes the pending output.
 func (s *Server) OnTraffic(stream gnet.Conn) gnet.Action {
 	in, err := stream.Next(-1)
 	c, ok := stream.Context().(*conn)
@@ -194,7 +195,7 @@
 		return action
 	}
 	if _, err := stream.Write(out); err != nil {
-		return gnet.None // gnet has closed it
+		return gnet.None // gnet has closed the connection
 	}
 	if stream.OutboundBuffered() > maxUnreadBytes {
 		return gnet.Close
@@ -202,8 +203,8 @@
 	return action
 }
 
-// OnTick closes connections that took too long, and ends the loop once the server
-// is to stop. It is called by gnet.
+// OnTick is called by gnet at intervals. It closes connections that have timed out, and ends the
+// event loop once the server is to stop.
 func (s *Server) OnTick() (time.Duration, gnet.Action) {
 	if s.stop.Load() {
 		return 0, gnet.Shutdown
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// freeAddr finds a loopback address to listen on.
+// freeAddr returns a loopback address on which no socket listens.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -24,9 +24,9 @@
 	return l.Addr().String()
 }
 
-// serve runs a server until the test ends and returns its address. It echoes path and
-// body: from another goroutine for "/later", else before the handler returns. "/keep"
-// exempts the connection from eviction, "/spare" makes the answer Spare.
+// serve runs a server until the test ends and returns its address. The server echoes path and
+// body: from another goroutine for "/later", else before the handler returns. "/keep" exempts
+// the connection from eviction, "/close-if-nearly-full" sets Response.CloseIfNearlyFull.
 func serve(t *testing.T, maxConns int) string {
 	t.Helper()
 	return serveWith(t, maxConns, func(r Request) {
@@ -35,7 +35,7 @@
 		}
 		answer := func() {
 			body := append([]byte(r.Message.Path+" "), r.Message.Body...)
-			r.Reply().Send(Response{Status: http.StatusOK, Body: body, CloseIfNearlyFull: r.Message.Path == "/spare"})
+			r.Reply().Send(Response{Status: http.StatusOK, Body: body, CloseIfNearlyFull: r.Message.Path == "/close-if-nearly-full"})
 		}
 		if r.Message.Path == "/later" {
 			go answer()
@@ -62,7 +62,7 @@
 	return addr
 }
 
-// testConfig returns a configuration with small buffers and no effective time-outs.
+// testConfig returns a configuration with small buffers and with timeouts that no test reaches.
 func testConfig(addr string, maxConns int, handler Handler) Config {
 	return Config{
 		Addrs:            []string{addr},
@@ -77,7 +77,7 @@
 	}
 }
 
-// dial connects as soon as the server listens.
+// dial connects to a server, waiting until the server listens.
 func dial(t *testing.T, addr string) net.Conn {
 	t.Helper()
 	for {
@@ -133,7 +133,7 @@
 		{"answered later", []string{"GET /later HTTP/1.1\r\n\r\n"}, []int{200}, "/later ", false},
 		{"two on one connection", []string{"GET /a HTTP/1.1\r\n\r\n", "GET /later HTTP/1.1\r\n\r\n"}, []int{200, 200}, "/later ", false},
 		{"asked to close", []string{"GET /a HTTP/1.1\r\nConnection: close\r\n\r\n"}, []int{200}, "/a ", true},
-		{"broken", []string{"HELLO\r\n\r\n"}, []int{400}, "", true},
+		{"malformed", []string{"HELLO\r\n\r\n"}, []int{400}, "", true},
 		{"large body", []string{"POST /a HTTP/1.1\r\nContent-Length: 1001\r\n\r\n"}, []int{413}, "", true},
 		{"large head", []string{"GET /" + strings.Repeat("x", 9000) + " HTTP/1.1\r\n\r\n"}, []int{431}, "", true},
 	} {
@@ -159,16 +159,16 @@
 			}
 			if tc.closes {
 				if _, err := in.ReadByte(); err != io.EOF {
-					t.Errorf("the connection stays open: %v", err)
+					t.Errorf("the connection is not closed: %v", err)
 				}
 			}
 		})
 	}
 }
 
-// Concurrent clients each get their own bytes back, whether they are answered in the
-// handler or later from another goroutine: no buffer is reused while it is in use. To
-// be run under the race detector as well.
+// TestConcurrentAnswers checks that concurrent clients get their own bytes back, whether the
+// response is given in the handler or later from another goroutine. It fails if a buffer is reused
+// while it is still in use. It should also be run under the race detector.
 func TestConcurrentAnswers(t *testing.T) {
 	addr := serve(t, 100)
 	const clients, requests = 20, 60
