--- a/internal/client/client_test.go
+++ b/internal/client/client_test.go
@@ -22,10 +22,10 @@
 	next := 0
 	return func(context.Context, string, string) (net.Conn, error) {
 		*dials++
-		ours, theirs := net.Pipe()
+		clientEnd, serverEnd := net.Pipe()
 		go func() {
-			defer theirs.Close()
-			in := bufio.NewReader(theirs)
+			defer serverEnd.Close()
+			in := bufio.NewReader(serverEnd)
 			for {
 				if _, err := http.ReadRequest(in); err != nil {
 					return
@@ -35,12 +35,12 @@
 				if text == "" {
 					return
 				}
-				if _, err := theirs.Write([]byte(text)); err != nil {
+				if _, err := serverEnd.Write([]byte(text)); err != nil {
 					return
 				}
 			}
 		}()
-		return ours, nil
+		return clientEnd, nil
 	}, dials
 }
 
@@ -95,10 +95,10 @@
 
 // TestDoDeadline checks that a call on a connection without a response ends at its deadline.
 func TestDoDeadline(t *testing.T) {
-	ours, theirs := net.Pipe()
-	defer theirs.Close()
-	go func() { _, _ = http.ReadRequest(bufio.NewReader(theirs)) }()
-	dial := func(context.Context, string, string) (net.Conn, error) { return ours, nil }
+	clientEnd, serverEnd := net.Pipe()
+	defer serverEnd.Close()
+	go func() { _, _ = http.ReadRequest(bufio.NewReader(serverEnd)) }()
+	dial := func(context.Context, string, string) (net.Conn, error) { return clientEnd, nil }
 	c := New(Config{MaxConns: 1, MaxBodyBytes: 10, DialTimeout: time.Hour, Dial: dial})
 	_, err := c.Do(t.Context(), Call{Addr: "a:1", Method: "GET", Target: "/", Timeout: time.Millisecond})
 	var netErr net.Error
--- a/internal/runtime/config.go
+++ b/internal/runtime/config.go
@@ -12,12 +12,12 @@
 const silentReturnDerived micros.Micros = -1
 
 // ControllerConfig returns what the controller needs of the settings and options.
-func ControllerConfig(set config.Settings, opt config.Options) controller.Config {
-	cluster := set.Cluster
-	sizes := SizesOf(set)
+func ControllerConfig(settings config.Settings, opt config.Options) controller.Config {
+	cluster := settings.Cluster
+	sizes := SizesOf(settings)
 	state := cluster.State.Strictest()
 	cfg := controller.Config{
-		Label:             set.Label,
+		Label:             settings.Label,
 		Shards:            cluster.Nodes,
 		Lease:             micros.Micros(opt.LeaseMS) * micros.Millisecond,
 		HeartbeatInterval: micros.FromSeconds(cluster.Workers.ReportS),
@@ -44,7 +44,7 @@
 		Quota:             opt.Groups,
 		Trace:             opt.Trace.Enabled(),
 	}
-	for _, seed := range set.Seeds {
+	for _, seed := range settings.Seeds {
 		cfg.Peers = append(cfg.Peers, seed.Label)
 	}
 	for _, team := range cluster.Teams {
--- a/internal/runtime/runtime.go
+++ b/internal/runtime/runtime.go
@@ -66,12 +66,12 @@
 }
 
 // New prepares a controller that draws its random numbers from seed.
-func New(set config.Settings, opt config.Options, log *slog.Logger, seed uint64) *Runtime {
-	cfg := ControllerConfig(set, opt)
+func New(settings config.Settings, opt config.Options, log *slog.Logger, seed uint64) *Runtime {
+	cfg := ControllerConfig(settings, opt)
 	cfg.LogHeartbeats = log != nil && log.Enabled(context.Background(), slog.LevelDebug)
-	sizes := SizesOf(set)
+	sizes := SizesOf(settings)
 	rt := &Runtime{
-		settings:   set,
+		settings:   settings,
 		log:        log,
 		start:      time.Now(),
 		controller: controller.New(cfg, seed),
@@ -80,7 +80,7 @@
 		heartbeats: wire.NewHeartbeatReader(sizes.TaskListBytes),
 		services:   newServiceClient(sizes),
 		workers:    newWorkerClient(sizes),
-		peers:      peerAddresses(set.Seeds),
+		peers:      peerAddresses(settings.Seeds),
 	}
 	rt.srv = server.New(rt.serverConfig(sizes))
 	return rt
--- a/internal/runtime/runtime_test.go
+++ b/internal/runtime/runtime_test.go
@@ -12,9 +12,9 @@
 // TestControllerConfig checks that of several objectives for a class the strictest counts, and
 // bounds follow the settings at any size.
 func TestControllerConfig(t *testing.T) {
-	set := config.Settings{Label: "a"}
-	set.Cluster.Nodes = 3
-	set.Cluster.Objectives = []config.Objective{
+	settings := config.Settings{Label: "a"}
+	settings.Cluster.Nodes = 3
+	settings.Cluster.Objectives = []config.Objective{
 		{Kind: "wait", Class: "x", WithinS: 6}, {Kind: "wait", Class: "x", WithinS: 25},
 		{Kind: "finished", Class: "x", WithinS: 400}, {Kind: "finished", Class: "x", WithinS: 250},
 		{Kind: "deadline", Class: "y"}, {Kind: "submit", WithinS: 1},
@@ -29,10 +29,10 @@
 		{1800, 60, new(float64), 0},
 		{5000, 96, func() *float64 { v := 30.0; return &v }(), 30 * micros.Second},
 	} {
-		set.Cluster.Resources.Sockets = tc.sockets
+		settings.Cluster.Resources.Sockets = tc.sockets
 		opt := config.Defaults()
 		opt.SilentReturnS = tc.silent
-		cfg := ControllerConfig(set, opt)
+		cfg := ControllerConfig(settings, opt)
 		if cfg.MaxWorkerRequests != tc.workerCalls || cfg.SilentReturn != tc.want {
 			t.Errorf("%d sockets: %d requests to workers, silent machines returned after %d", tc.sockets, cfg.MaxWorkerRequests, cfg.SilentReturn)
 		}
@@ -75,10 +75,10 @@
 		{"the least that starts", 128, 32, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			var set config.Settings
-			set.Cluster.Resources = config.Resources{Sockets: tc.sockets, RAMMB: tc.ramMB}
-			set.Cluster.Workers.ReportS = 10
-			sizes := SizesOf(set)
+			var settings config.Settings
+			settings.Cluster.Resources = config.Resources{Sockets: tc.sockets, RAMMB: tc.ramMB}
+			settings.Cluster.Workers.ReportS = 10
+			sizes := SizesOf(settings)
 			if need := tc.machines*3/2 + users; tc.machines > 0 && sizes.ServedConns < need {
 				t.Errorf("serves %d connections, needs %d", sizes.ServedConns, need)
 			}
@@ -100,7 +100,7 @@
 			}
 			// Nothing that stands for a number of machines stands below half as many again.
 			opt := config.Defaults()
-			cfg := ControllerConfig(set, opt)
+			cfg := ControllerConfig(settings, opt)
 			if need := tc.machines * 3 / 2; cfg.MaxRegistrations < need || cfg.MaxMachines < need {
 				t.Errorf("%d machines may wait for a record and %d be known, of %d", cfg.MaxRegistrations, cfg.MaxMachines, need)
 			}
@@ -117,11 +117,11 @@
 // TestCallBounds checks that many calls to one target leave the others theirs: each target has a
 // bound of its own, and a call past it fails at once.
 func TestCallBounds(t *testing.T) {
-	var set config.Settings
-	set.Cluster.Resources = config.Resources{Sockets: 4317, RAMMB: 441}
-	set.Cluster.Nodes = 1
-	sizes := SizesOf(set)
-	rt := New(set, config.Defaults(), nil, 1)
+	var settings config.Settings
+	settings.Cluster.Resources = config.Resources{Sockets: 4317, RAMMB: 441}
+	settings.Cluster.Nodes = 1
+	sizes := SizesOf(settings)
+	rt := New(settings, config.Defaults(), nil, 1)
 	sum := 0
 	for target, most := range rt.limits.max {
 		if most < 2 {
--- a/internal/runtime/sizes.go
+++ b/internal/runtime/sizes.go
@@ -51,11 +51,11 @@
 )
 
 // SizesOf derives the sizes from the settings. No other function divides resources.
-func SizesOf(set config.Settings) Sizes {
+func SizesOf(settings config.Settings) Sizes {
 	var sizes Sizes
-	sizes.allocateSockets(set.Cluster.Resources.Sockets)
-	sizes.allocateMemory(int(set.Cluster.Resources.RAMMB * bytesPerMiB))
-	sizes.IdleTimeout = idleTimeout(set.Cluster.Workers.ReportS)
+	sizes.allocateSockets(settings.Cluster.Resources.Sockets)
+	sizes.allocateMemory(int(settings.Cluster.Resources.RAMMB * bytesPerMiB))
+	sizes.IdleTimeout = idleTimeout(settings.Cluster.Workers.ReportS)
 	return sizes
 }
 
