--- a/internal/runtime/answers.go
+++ b/internal/runtime/answers.go
@@ -11,8 +11,8 @@
 	"garnethitch/internal/wire"
 )
 
-// decodeResult reads an answer into the type that the controller expects for the request.
-// The body of a status that needs none is left unread.
+// decodeResult decodes the response to a call into the type that the controller expects for the
+// request. The body is not decoded if the controller does not need it for the status.
 func decodeResult(call controller.Call, msg http1.Message) (controller.Result, error) {
 	decode := decodeServiceAnswer
 	if call.To == controller.ToPeer {
@@ -36,8 +36,8 @@
 	return &response, nil
 }
 
-// decodeServiceAnswer reads the answer of the state service, the cloud or a worker to a
-// request. The body is nil if the controller needs none.
+// decodeServiceAnswer decodes the response of the state service, the cloud or a worker to a
+// request. The result is nil if the controller needs no body.
 func decodeServiceAnswer(request any, msg http1.Message) (any, error) {
 	switch request.(type) {
 	// From the state service.
@@ -72,7 +72,8 @@
 	return nil, nil
 }
 
-// decodeBody reads the body of an answer with one of the statuses into a *T.
+// decodeBody decodes the body of a response into a *T if its status is one of the statuses.
+// Otherwise the result is nil.
 func decodeBody[T any](msg http1.Message, statuses ...int) (any, error) {
 	if !slices.Contains(statuses, msg.Status) {
 		return nil, nil
@@ -84,8 +85,9 @@
 	return body, nil
 }
 
-// decodeRentalAnswer reads the cloud's answer to a rental. The body of a 503 tells a lack of
-// capacity from an outage; one that can't be read counts as an outage.
+// decodeRentalAnswer decodes the cloud's response to a wire.RentalRequest. The body of a 503
+// distinguishes a lack of capacity from an outage. A body that cannot be decoded counts as an
+// outage.
 func decodeRentalAnswer(msg http1.Message) (any, error) {
 	if msg.Status != http.StatusServiceUnavailable {
 		return decodeBody[wire.MachineNames](msg, http.StatusOK)
@@ -100,7 +102,7 @@
 	return controller.RefusedRental, nil
 }
 
-// decodeHeartbeat reads a worker's heartbeat, and checks it.
+// decodeHeartbeat decodes and validates a heartbeat that a worker has sent as a response.
 func decodeHeartbeat(msg http1.Message) (any, error) {
 	if msg.Status != http.StatusOK {
 		return nil, nil
--- a/internal/runtime/answers_test.go
+++ b/internal/runtime/answers_test.go
@@ -11,8 +11,9 @@
 	"garnethitch/internal/wire"
 )
 
-// TestDecodeResult checks that the body is read for the statuses that carry one, into the type that
-// the controller expects; one that cannot be read is an error where the controller needs it.
+// TestDecodeResult checks that the body is decoded into the type that the controller expects, and
+// only for the statuses for which the controller needs it. In that case a body that cannot be
+// decoded is an error.
 func TestDecodeResult(t *testing.T) {
 	heartbeat := wire.Heartbeat{Machine: "vm-1", AgentEpoch: 1}
 	null := wire.Raw{0xf6}
@@ -28,7 +29,7 @@
 		{"transaction", wire.Txn{}, 200, wire.Revision{Revision: 4}, &wire.Revision{Revision: 4}, false},
 		{"transaction, conditions fail", wire.Txn{}, 409, wire.Revision{Failed: []string{"a"}}, &wire.Revision{Failed: []string{"a"}}, false},
 		{"transaction, rejected", wire.Txn{}, 400, "text", nil, false},
-		{"transaction, not readable", wire.Txn{}, 200, "text", nil, true},
+		{"transaction, malformed", wire.Txn{}, 200, "text", nil, true},
 		{"new lease", wire.NewLease{}, 200, wire.Lease{ID: 7}, &wire.Lease{ID: 7}, false},
 		{"lease renewed", statestore.RenewLease{}, 200, "text", nil, false},
 		{"key", statestore.GetKey{}, 200, wire.KeyValue{Key: "a", Value: null}, &wire.KeyValue{Key: "a", Value: null}, false},
@@ -42,9 +43,9 @@
 		{"rental", wire.RentalRequest{}, 200, wire.MachineNames{Machines: []string{"vm-1"}}, &wire.MachineNames{Machines: []string{"vm-1"}}, false},
 		{"rental, no capacity", wire.RentalRequest{}, 503, wire.Refusal{Error: "no capacity"}, controller.RefusedRental, false},
 		{"rental, outage", wire.RentalRequest{}, 503, wire.Refusal{Error: "trouble"}, nil, false},
-		{"rental, unavailable without a readable body", wire.RentalRequest{}, 503, "text", nil, false},
+		{"rental, unavailable with a malformed body", wire.RentalRequest{}, 503, "text", nil, false},
 		{"command", wire.DirectCommand{}, 200, heartbeat, &heartbeat, false},
-		{"command, not a usable heartbeat", wire.DirectCommand{}, 200, withoutMachine, nil, true},
+		{"command, invalid heartbeat", wire.DirectCommand{}, 200, withoutMachine, nil, true},
 		{"command refused", wire.DirectCommand{}, 409, withoutMachine, &withoutMachine, false},
 		{"heartbeat", controller.GetHeartbeat{}, 200, heartbeat, &heartbeat, false},
 		{"heartbeat, worker fails", controller.GetHeartbeat{}, 500, "text", nil, false},
@@ -74,7 +75,7 @@
 		fails  bool
 	}{
 		{"answer", 200, encoded, &response, false},
-		{"not readable", 200, []byte{0xc1}, nil, true},
+		{"malformed", 200, []byte{0xc1}, nil, true},
 		{"refused", 503, encoded, nil, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -91,6 +92,6 @@
 		want = controller.Result{}
 	}
 	if (err != nil) != fails || !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v, %v; want %+v, an error: %v", got, err, want, fails)
+		t.Errorf("got %+v, error %v; want %+v, an error: %v", got, err, want, fails)
 	}
 }
--- a/internal/runtime/calls.go
+++ b/internal/runtime/calls.go
@@ -8,18 +8,20 @@
 	"garnethitch/internal/http1"
 )
 
-// cloudConnsDivisor of the connections to services may be in use for calls to the cloud.
+// cloudConnsDivisor is the divisor of Sizes.ServiceConns that gives the maximum number of calls to
+// the cloud in flight.
 const cloudConnsDivisor = 8
 
-// callsPerWorkerRequest is how many calls there may be to a request that the controller counts: beside
-// those, as many again may still be under way.
+// callsPerWorkerRequest is the ratio of the maximum number of calls to workers in flight to the
+// number of requests that the controller counts. Beside the requests that it counts, as many calls
+// again may still be in flight.
 const callsPerWorkerRequest = 2
 
-// callCounts are numbers of calls by target.
+// callCounts holds the number of calls to each target.
 type callCounts [controller.ToPeer + 1]int
 
-// callLimits bounds the calls under way to each target: one that does not answer must not
-// keep the lease from being renewed.
+// callLimits bounds the calls in flight to each target, so that a target that does not respond
+// cannot prevent the renewal of the lease.
 type callLimits struct {
 	max      callCounts
 	inFlight callCounts
@@ -34,7 +36,8 @@
 	}}
 }
 
-// acquire counts a call to a target as under way, and reports false if it may have none more.
+// acquire counts a call to a target as in flight. It returns false, and does not count the call,
+// if the target has reached its limit.
 func (l *callLimits) acquire(to controller.Target) bool {
 	if l.inFlight[to] >= l.max[to] {
 		return false
@@ -43,10 +46,11 @@
 	return true
 }
 
-// release takes back an acquire.
+// release ends a call that acquire has counted.
 func (l *callLimits) release(to controller.Target) { l.inFlight[to]-- }
 
-// startCall makes a call in the background and feeds its result back.
+// startCall makes a call in a goroutine, which passes the result to the controller. A call beyond
+// the limits fails as not sent. rt.mu must be held.
 func (rt *Runtime) startCall(call controller.Call) {
 	if !rt.limits.acquire(call.To) {
 		go rt.step(controller.Result{ID: call.ID, NotSent: true})
@@ -62,11 +66,11 @@
 	}()
 }
 
-// makeCall makes a call. Anything that is not a well-formed answer counts as none.
+// makeCall makes a call and returns its result. A malformed response counts as no response.
 func (rt *Runtime) makeCall(call controller.Call) controller.Result {
 	request, err := rt.httpRequest(call)
 	if err != nil {
-		rt.log.Error("request not encoded", "error", err)
+		rt.log.Error("request could not be encoded", "error", err)
 		return controller.Result{NotSent: true}
 	}
 	caller := rt.clientFor(call.To)
@@ -77,14 +81,14 @@
 	}
 	result, err := decodeResult(call, msg)
 	if err != nil {
-		rt.log.Error("answer not readable", "method", request.Method, "target", request.Target, "status", msg.Status, "error", err)
+		rt.log.Error("response could not be decoded", "method", request.Method, "target", request.Target, "status", msg.Status, "error", err)
 		return controller.Result{}
 	}
 	return result
 }
 
-// resultOfError is the result of a call without an answer. Idle connections to an address
-// that did not answer are closed, since they may be as dead as the one that was used.
+// resultOfError returns the result of a call that failed without a response. It closes the idle
+// connections to an address that did not respond, because they may be broken as well.
 func resultOfError(caller *client.Client, addr string, err error) controller.Result {
 	if errors.Is(err, http1.ErrBodyTooLarge) {
 		return controller.Result{Status: controller.TooLarge}
@@ -111,6 +115,7 @@
 	}, nil
 }
 
+// clientFor returns the client whose connections are used for calls to a target.
 func (rt *Runtime) clientFor(to controller.Target) *client.Client {
 	if to == controller.ToWorker {
 		return rt.workers
@@ -118,7 +123,7 @@
 	return rt.services
 }
 
-// address is where a call is sent to.
+// address returns the address to which a call is sent.
 func (rt *Runtime) address(call controller.Call) string {
 	switch call.To {
 	case controller.ToState:
--- a/internal/runtime/config.go
+++ b/internal/runtime/config.go
@@ -8,10 +8,11 @@
 
 const bytesPerKiB = 1024
 
-// silentReturnDerived as controller.Config's SilentReturn leaves the value to the controller.
+// silentReturnDerived is the value of controller.Config.SilentReturn with which the controller
+// derives the time itself.
 const silentReturnDerived micros.Micros = -1
 
-// ControllerConfig returns what the controller needs of the settings and options.
+// ControllerConfig returns the controller's configuration for the settings and options.
 func ControllerConfig(settings config.Settings, opt config.Options) controller.Config {
 	cluster := settings.Cluster
 	sizes := SizesOf(settings)
@@ -54,20 +55,21 @@
 	return cfg
 }
 
-// plannedCalls is how many of the calls that a target may have under way the controller
-// plans with: the others are for what can't wait, such as renewing a lease.
+// plannedCalls returns the part of a target's limit of calls in flight that the controller may use
+// for ordinary requests. The rest is reserved for requests that cannot wait, such as the renewal
+// of a lease.
 func plannedCalls(limit int) int { return limit * 3 / 4 }
 
-// Kinds of service-level objectives that the controller works for.
+// Kinds of service-level objectives that the controller supports.
 const (
-	objectiveGuarantee = "guarantee" // time to start of work within a team's guarantee
-	objectiveStart     = "wait"      // time to start of a class of jobs
-	objectiveFinish    = "finished"  // time to the end of a class of jobs
+	objectiveGuarantee = "guarantee" // time until work within a team's guarantee starts
+	objectiveStart     = "wait"      // time until a job of a class starts
+	objectiveFinish    = "finished"  // time until a job of a class is finished
 )
 
-// setObjectives sets the service-level objectives of cfg. Of several for the same thing the
-// shortest time holds; one without a time or, where it is of a class, without a class is
-// passed over.
+// setObjectives sets the service-level objectives of cfg. Of several objectives for the same
+// thing, the one with the shortest time applies. Objectives without a time are ignored, and so
+// are objectives of a class of jobs that do not name the class.
 func setObjectives(cfg *controller.Config, objectives []config.Objective) {
 	cfg.StartWithin = map[string]micros.Micros{}
 	cfg.FinishWithin = map[string]micros.Micros{}
@@ -89,7 +91,7 @@
 	}
 }
 
-// setShortest sets the time of a class unless a shorter one is set already.
+// setShortest sets the time of a class unless a shorter one is already set.
 func setShortest(byClass map[string]micros.Micros, class string, within micros.Micros) {
 	if class == "" {
 		return
@@ -99,8 +101,8 @@
 	}
 }
 
-// silentReturn is the operators' choice of when silent machines are returned, or
-// silentReturnDerived.
+// silentReturn returns the time after which silent machines are returned to the cloud, or
+// silentReturnDerived if the options do not set it.
 func silentReturn(opt config.Options) micros.Micros {
 	if opt.SilentReturnS == nil {
 		return silentReturnDerived
--- a/internal/runtime/meter.go
+++ b/internal/runtime/meter.go
@@ -11,23 +11,23 @@
 	"garnethitch/internal/micros"
 )
 
-// meterInterval is the time between two lines of a meter.
+// meterInterval is the time between two log lines of a meter.
 const meterInterval = 10 * micros.Second
 
-// meter logs at debug what the controller's time goes into: how many inputs of each kind
-// came, and how long their steps took.
+// meter logs, at the debug level, how the controller spends its time: the number of inputs of
+// each kind, and the duration of the steps that handled them.
 type meter struct {
-	since  micros.Micros
+	since  micros.Micros // start of the current interval
 	byKind map[string]stepStats
 }
 
-// stepStats are the number and the duration of the steps of one kind of input.
+// stepStats holds the number and the total duration of the steps for one kind of input.
 type stepStats struct {
 	count    int
 	duration micros.Micros
 }
 
-// add counts a step that began at an instant, and logs the counts once in an interval.
+// add counts a step that began at the time at, and logs the counts once per meterInterval.
 func (m *meter) add(in controller.Input, at, duration micros.Micros, openConns func() int, log *slog.Logger) {
 	if !log.Enabled(context.Background(), slog.LevelDebug) {
 		return
@@ -58,7 +58,7 @@
 	return args
 }
 
-// kindOf returns the log key of an input's kind.
+// kindOf returns the log key for the kind of an input.
 func kindOf(in controller.Input) string {
 	switch in.(type) {
 	case controller.Tick:
--- a/internal/runtime/requests.go
+++ b/internal/runtime/requests.go
@@ -14,7 +14,7 @@
 // ErrUnknownRequest is returned, wrapped, for a call whose request has no HTTP form.
 var ErrUnknownRequest = errors.New("runtime: request of unknown type")
 
-// EncodedCall is the HTTP form of a call without its address.
+// EncodedCall is the HTTP request for a call, without the address.
 type EncodedCall struct {
 	Method      string
 	Target      string // path and query
@@ -22,8 +22,8 @@
 	Body        []byte
 }
 
-// EncodeCall returns the HTTP form of a call. It is a pure function. The error is
-// ErrUnknownRequest, or that of the encoder.
+// EncodeCall returns the HTTP request for a call. It is a pure function. The error wraps
+// ErrUnknownRequest or is an encoding error.
 func EncodeCall(call controller.Call) (EncodedCall, error) {
 	if call.To == controller.ToPeer {
 		return encodePeerCall(call.Req)
@@ -46,13 +46,13 @@
 	return EncodedCall{
 		Method:      http.MethodPost,
 		Target:      peer.Path,
-		ContentType: wire.ContentType, // receivers look at the body alone
+		ContentType: wire.ContentType, // receivers ignore the content type
 		Body:        body,
 	}, err
 }
 
-// EncodeAnswer returns the content type and the encoded form of an answer's body, which
-// may be nil. It is a pure function.
+// EncodeAnswer returns the content type and the encoded form of a response body, which may be
+// nil. It is a pure function.
 func EncodeAnswer(body any) (contentType string, encoded []byte, err error) {
 	if body == nil {
 		return wire.ContentType, nil, nil
@@ -65,11 +65,11 @@
 	return wire.ContentType, encoded, err
 }
 
-// requestForm is a request whose body, if it has one, is not encoded yet.
+// requestForm is an HTTP request whose body is not encoded yet.
 type requestForm struct {
 	method  string
 	target  string
-	payload any
+	payload any // nil: no body
 }
 
 func getForm(target string) requestForm {
@@ -80,8 +80,8 @@
 	return requestForm{method: http.MethodPost, target: target, payload: payload}
 }
 
-// formOf returns the form of a request to the state service, the cloud or a worker. The
-// answers to the same requests stand in decodeServiceAnswer.
+// formOf returns the HTTP request for a request to the state service, the cloud or a worker.
+// decodeServiceAnswer decodes the responses to these requests.
 func formOf(request any) (requestForm, error) {
 	switch r := request.(type) {
 	// To the state service.
@@ -117,8 +117,8 @@
 	return requestForm{}, fmt.Errorf("%w %T", ErrUnknownRequest, request)
 }
 
-// withConditionList returns a transaction whose list of conditions is written as an empty
-// list rather than as null when there are none.
+// withConditionList returns a copy of a transaction whose list of conditions, if it is nil, is
+// replaced by an empty one. A nil list would be encoded as null.
 func withConditionList(txn wire.Txn) wire.Txn {
 	if txn.Conditions == nil {
 		txn.Conditions = []wire.Condition{}
--- a/internal/runtime/requests_test.go
+++ b/internal/runtime/requests_test.go
@@ -10,7 +10,8 @@
 	"garnethitch/internal/wire"
 )
 
-// TestEncodeCall checks that a request with a body names the body's type, one without it has none.
+// TestEncodeCall checks the method, path and body of requests, and that a content type is set only
+// for a request with a body.
 func TestEncodeCall(t *testing.T) {
 	for _, tc := range []struct {
 		name           string
@@ -40,11 +41,11 @@
 				}
 			}
 			if got.Method != tc.method || got.Target != tc.target || got.ContentType != contentType || !bytes.Equal(got.Body, body) {
-				t.Errorf("%+v, want %s %s, %q, %x", got, tc.method, tc.target, contentType, body)
+				t.Errorf("got %+v, want %s %s, content type %q, body %x", got, tc.method, tc.target, contentType, body)
 			}
 		})
 	}
 	if _, err := EncodeCall(controller.Call{Req: "text"}); !errors.Is(err, ErrUnknownRequest) {
-		t.Errorf("a request of unknown type: %v", err)
+		t.Errorf("request of unknown type: error %v, want ErrUnknownRequest", err)
 	}
 }
--- a/internal/runtime/routes.go
+++ b/internal/runtime/routes.go
@@ -9,14 +9,14 @@
 	"garnethitch/internal/wire"
 )
 
-// route is how requests to a path are handled.
+// route is the method and the handler of requests to a path.
 type route struct {
 	method string
 	handle func(rt *Runtime, req server.Request)
 }
 
-// routeOf returns the route of a path at the public address. The protocol's sections are
-// "Users -> controller nodes" and "Workers -> controller nodes".
+// routeOf returns the route of a path at the public address. The protocol describes these paths
+// in "Users -> controller nodes" and "Workers -> controller nodes".
 func routeOf(path string) (route, bool) {
 	switch path {
 	case wire.PathHeartbeat:
@@ -40,7 +40,7 @@
 	return route{http.MethodPost, (*Runtime).handlePeer}, path == peer.Path
 }
 
-// handle routes a request.
+// handle is the server's handler. It routes a request by its address, path and method.
 func (rt *Runtime) handle(req server.Request) {
 	find := routeOf
 	if req.Listener == internalListener {
@@ -58,13 +58,14 @@
 	}
 }
 
-// handleHeartbeat exempts workers' connections from eviction: users find another node at
-// once, but a worker that is turned away from one after the other loses its lease.
+// handleHeartbeat handles a worker's heartbeat. It exempts the worker's connection from eviction:
+// a user whose connection is closed immediately finds another node, but a worker that is refused
+// by one node after the other loses its lease.
 func (rt *Runtime) handleHeartbeat(req server.Request) {
 	req.ExemptFromEviction()
 	heartbeat, err := rt.heartbeats.Parse(req.Message.Body)
 	if err != nil {
-		rt.log.Debug("heartbeat not readable", "error", err)
+		rt.log.Debug("heartbeat could not be decoded", "error", err)
 		req.Reply().Send(server.Response{Status: http.StatusBadRequest})
 		return
 	}
@@ -79,8 +80,8 @@
 	})
 }
 
-// handleSubmission leaves the answer to a malformed submission to the controller: it may
-// know the job already.
+// handleSubmission passes malformed submissions to the controller as well, because the controller
+// may already know the job.
 func (rt *Runtime) handleSubmission(req server.Request) {
 	submission, err := wire.ParseSubmission(req.Message.Body)
 	rt.stepWithReply(req.Reply(), func(id controller.ReplyID) controller.Input {
@@ -105,7 +106,7 @@
 func (rt *Runtime) handlePeer(req server.Request) {
 	var request peer.Request
 	if err := peer.Decode(req.Message.Body, &request); err != nil {
-		rt.log.Debug("peer message not readable", "error", err)
+		rt.log.Debug("peer message could not be decoded", "error", err)
 		req.Reply().Send(server.Response{Status: http.StatusBadRequest})
 		return
 	}
@@ -117,11 +118,11 @@
 // waitingRequest is a request that waits for the controller's answer.
 type waitingRequest struct {
 	reply     *server.Reply
-	heartbeat bool // it is a worker's
+	heartbeat bool // the request is a worker's heartbeat
 }
 
-// stepWithReply feeds the controller the input of a request, made with the id under which
-// the controller is to answer.
+// stepWithReply passes the input for a request to the controller. inputOf makes the input from the
+// ID under which the controller is to answer.
 func (rt *Runtime) stepWithReply(reply *server.Reply, inputOf func(controller.ReplyID) controller.Input) {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
@@ -132,7 +133,7 @@
 	rt.stepLocked(in)
 }
 
-// answer sends the controller's answer to a request.
+// answer sends the controller's answer to the request that waits for it. rt.mu must be held.
 func (rt *Runtime) answer(a controller.Answer) {
 	waiting, ok := rt.replies[a.Reply]
 	if !ok {
@@ -141,7 +142,7 @@
 	delete(rt.replies, a.Reply)
 	contentType, body, err := EncodeAnswer(a.Body)
 	if err != nil {
-		rt.log.Error("answer not encoded", "error", err)
+		rt.log.Error("response could not be encoded", "error", err)
 		waiting.reply.Send(server.Response{Status: http.StatusServiceUnavailable, RetryAfterSeconds: encodingErrorRetryS})
 		return
 	}
--- a/internal/runtime/runtime.go
+++ b/internal/runtime/runtime.go
@@ -1,5 +1,6 @@
-// Package runtime carries out what the controller decides: it feeds requests, results
-// and time into the controller, sends its calls, writes its answers and logs.
+// Package runtime connects the controller, which performs no I/O, to the network and the clock.
+// It passes requests, the results of calls and the passing of time to the controller, and
+// executes the effects that the controller returns: answers, calls, log lines and spans.
 package runtime
 
 import (
@@ -18,23 +19,23 @@
 	"garnethitch/internal/wire"
 )
 
-// Limits of the services that do not depend on the settings.
+// Limits and times that do not depend on the settings.
 const (
-	maxBodyBytes        = 64 << 10 // protocol: the limit for request bodies and workers' answers
-	serviceIdleConns    = 8        // kept per address of a service or controller
+	maxBodyBytes        = 64 << 10 // the protocol's limit for request bodies and workers' responses
+	serviceIdleConns    = 8        // idle connections kept per address of a service or controller
 	serviceIdleTimeout  = 20 * time.Second
-	workerIdleConns     = 1           // kept per worker
+	workerIdleConns     = 1           // idle connections kept per worker
 	workerIdleTimeout   = time.Minute // about as long as a task runs
 	dialTimeout         = 700 * time.Millisecond
-	requestTimeout      = 10 * time.Second // within which a request must arrive whole
+	requestTimeout      = 10 * time.Second // maximum time from the first byte of a request to its last
 	connSweepInterval   = 10 * time.Second
 	firstTimerInterval  = time.Hour // replaced in the first step
 	minTimerInterval    = time.Millisecond
-	steadyClockStart    = micros.Second // of the steady clock: 0 stands for "never"
-	encodingErrorRetryS = 1             // seconds in Retry-After
+	steadyClockStart    = micros.Second // first reading of the steady clock; a time of 0 means "never"
+	encodingErrorRetryS = 1             // Retry-After, in seconds, if a response cannot be encoded
 )
 
-// Listeners, in the order of their addresses in the server's Config.
+// Listeners of the server, as indexes into server.Config.Addrs.
 const (
 	publicListener   server.Listener = iota // users and workers
 	internalListener                        // other controllers and the command line
@@ -44,12 +45,12 @@
 type Runtime struct {
 	settings config.Settings
 	log      *slog.Logger
-	start    time.Time // zero of the steady clock, but for steadyClockStart
+	start    time.Time // when the steady clock read steadyClockStart
 
-	mu               sync.Mutex // guards what follows, down to timer
+	mu               sync.Mutex // guards the fields from controller to timer
 	controller       *controller.Controller
-	wakeAt           micros.Micros // what the timer is set to
-	lastStepDuration micros.Micros
+	wakeAt           micros.Micros // the time for which timer is set
+	lastStepDuration micros.Micros // duration of the latest step with its effects
 	meter            meter
 	replies          map[controller.ReplyID]waitingRequest
 	nextID           controller.ReplyID
@@ -57,15 +58,16 @@
 	timer            *time.Timer
 
 	srv        *server.Server
-	heartbeats *wire.HeartbeatReader // used on the serving goroutine only
-	services   *client.Client        // calls to the state service, the cloud and controllers
-	workers    *client.Client
-	peers      map[string]string // addresses by label
-	ctx        context.Context
-	tracer     *tracing.Tracer // nil: spans are not wanted
+	heartbeats *wire.HeartbeatReader // used on the goroutine of the server's event loop only
+	services   *client.Client        // calls to the state service, the cloud and other controllers
+	workers    *client.Client        // calls to workers
+	peers      map[string]string     // internal addresses of the other controllers, by label
+	ctx        context.Context       // ends all calls; set by Run
+	tracer     *tracing.Tracer       // nil: spans are not exported
 }
 
-// New prepares a controller that draws its random numbers from seed.
+// New returns a Runtime for a controller that takes its random numbers from seed. It does not
+// start the controller; see Run.
 func New(settings config.Settings, opt config.Options, log *slog.Logger, seed uint64) *Runtime {
 	cfg := ControllerConfig(settings, opt)
 	cfg.LogHeartbeats = log != nil && log.Enabled(context.Background(), slog.LevelDebug)
@@ -128,13 +130,13 @@
 	}
 }
 
-// WithTracer has spans exported, and returns rt.
+// WithTracer makes rt export spans through t, and returns rt.
 func (rt *Runtime) WithTracer(t *tracing.Tracer) *Runtime {
 	rt.tracer = t
 	return rt
 }
 
-// Run serves until ctx ends.
+// Run runs the controller until ctx is done. The errors are those of server.Server.Run.
 func (rt *Runtime) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -148,7 +150,8 @@
 	return rt.srv.Run(ctx)
 }
 
-// closeExpiredConns closes outbound connections that were idle for too long, until ctx ends.
+// closeExpiredConns closes outbound connections that have been idle for too long, until ctx is
+// done.
 func (rt *Runtime) closeExpiredConns(ctx context.Context) {
 	ticker := time.NewTicker(connSweepInterval)
 	defer ticker.Stop()
@@ -163,7 +166,7 @@
 	}
 }
 
-// instant reads the steady clock and the time of day.
+// instant returns the current readings of the steady clock and the time of day.
 func (rt *Runtime) instant() controller.Instant {
 	now := time.Now()
 	return controller.Instant{
@@ -172,8 +175,9 @@
 	}
 }
 
-// step feeds one input and carries out what follows. The clock is read under
-// the lock: a process that was frozen must not act on an old reading.
+// step passes one input to the controller and executes the effects. It reads the clock while it
+// holds the lock, so that a process that was suspended while it waited does not act on an old
+// reading.
 func (rt *Runtime) step(in controller.Input) {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
@@ -193,7 +197,7 @@
 	rt.setTimer(end, timerFired)
 }
 
-// execute does what the controller has decided.
+// execute executes an effect that the controller has returned.
 func (rt *Runtime) execute(effect controller.Effect) {
 	switch effect := effect.(type) {
 	case controller.Answer:
@@ -209,9 +213,9 @@
 	}
 }
 
-// setTimer sets the timer to when the controller wants its next Tick. Setting it wakes
-// whoever waits for it, which costs system calls: a timer that has not fired and is right
-// is left alone.
+// setTimer sets the timer to the time at which the controller wants its next Tick. Resetting a
+// timer wakes the thread that waits for it, which costs system calls. setTimer therefore does not
+// reset a timer that has not fired and is set to the right time.
 func (rt *Runtime) setTimer(now micros.Micros, fired bool) {
 	wake := rt.controller.Wake()
 	if rt.timer == nil || !fired && wake == rt.wakeAt {
--- a/internal/runtime/runtime_test.go
+++ b/internal/runtime/runtime_test.go
@@ -9,8 +9,8 @@
 	"garnethitch/internal/server"
 )
 
-// TestControllerConfig checks that of several objectives for a class the strictest counts, and
-// bounds follow the settings at any size.
+// TestControllerConfig checks that the strictest of several objectives for a class applies, and that
+// the bounds follow from the settings for small and large deployments.
 func TestControllerConfig(t *testing.T) {
 	settings := config.Settings{Label: "a"}
 	settings.Cluster.Nodes = 3
@@ -37,7 +37,7 @@
 			t.Errorf("%d sockets: %d requests to workers, silent machines returned after %d", tc.sockets, cfg.MaxWorkerRequests, cfg.SilentReturn)
 		}
 		if cfg.GuaranteeWithin != 150*micros.Second {
-			t.Errorf("work within a guarantee is wanted started within %v", cfg.GuaranteeWithin)
+			t.Errorf("work within a guarantee is to start within %v", cfg.GuaranteeWithin)
 		}
 		if len(cfg.StartWithin) != 1 || cfg.StartWithin["x"] != 6*micros.Second || len(cfg.FinishWithin) != 1 || cfg.FinishWithin["x"] != 250*micros.Second {
 			t.Errorf("objectives: start within %v, finish within %v", cfg.StartWithin, cfg.FinishWithin)
@@ -45,17 +45,18 @@
 	}
 }
 
-// Memory of a machine and of a connection, with a margin: see docs/account.md.
+// Memory in bytes that a machine and a connection take, with a margin; see docs/account.md.
 const (
 	machineBytes = 6 << 10
 	connBytes    = 2 << 10
 )
 
-// TestSizes checks that one controller left alone serves every worker, at half as many machines
-// again as a deployment is planned for, and some users; the connections kept for calls suffice; all
-// of it fits into the sockets and the memory of the settings.
+// TestSizes checks that a single remaining controller can serve all workers, even with half as many
+// machines again as the deployment is planned for, and some users. It also checks that enough
+// connections remain for outbound calls, and that everything fits into the sockets and the memory
+// of the settings.
 func TestSizes(t *testing.T) {
-	const users = 200 // connections of users and probes that come and go
+	const users = 200 // short-lived connections of users and probes
 	for _, tc := range []struct {
 		name     string
 		sockets  int
@@ -80,42 +81,44 @@
 			settings.Cluster.Workers.ReportS = 10
 			sizes := SizesOf(settings)
 			if need := tc.machines*3/2 + users; tc.machines > 0 && sizes.ServedConns < need {
-				t.Errorf("serves %d connections, needs %d", sizes.ServedConns, need)
+				t.Errorf("serves %d connections, must serve %d", sizes.ServedConns, need)
 			}
 			if all := server.MaxSockets(sizes.ServedConns) + sizes.ServiceConns + sizes.WorkerConns; all >= tc.sockets {
-				t.Errorf("%d sockets planned of %d", all, tc.sockets)
+				t.Errorf("%d sockets allocated to connections, only %d available", all, tc.sockets)
 			}
 			if sizes.IdleTimeout < 13*time.Second+4*time.Second || sizes.IdleTimeout > 75*time.Second {
-				t.Errorf("connections without a request end after %v", sizes.IdleTimeout)
+				t.Errorf("idle connections are closed after %v", sizes.IdleTimeout)
 			}
 			if sizes.WorkerCalls > sizes.WorkerConns || sizes.ServedConns < 1 || sizes.ServiceConns < 16 {
-				t.Errorf("no capacity for calls: %+v", sizes)
+				t.Errorf("too few connections for calls or for serving: %+v", sizes)
 			}
-			// Live data stays well below the collector's limit, at the most that it lets in.
+			// With everything at its bound, live data stays well below the memory limit of the
+			// garbage collector.
 			limit := int(tc.ramMB * config.Defaults().MemoryShare * (1 << 20))
 			live := tc.machines*3/2*machineBytes + sizes.OpenJobs*openJobBytes + sizes.FinalJobs*finalJobBytes + sizes.TaskListBytes + int(sizes.BufferedBytes) +
 				sizes.ServedConns*connBytes + sizes.StateBodyBytes
 			if tc.machines > 0 && live > limit*4/5 {
 				t.Errorf("%d bytes of live data, the limit is %d", live, limit)
 			}
-			// Nothing that stands for a number of machines stands below half as many again.
+			// No bound on a number of machines is lower than one and a half times the machines.
 			opt := config.Defaults()
 			cfg := ControllerConfig(settings, opt)
 			if need := tc.machines * 3 / 2; cfg.MaxRegistrations < need || cfg.MaxMachines < need {
-				t.Errorf("%d machines may wait for a record and %d be known, of %d", cfg.MaxRegistrations, cfg.MaxMachines, need)
+				t.Errorf("%d machines may wait for a record and %d may be known, must be at least %d", cfg.MaxRegistrations, cfg.MaxMachines, need)
 			}
 			if tc.machines > 0 && sizes.OpenJobs < 3000 {
-				t.Errorf("%d open jobs at most", sizes.OpenJobs)
+				t.Errorf("at most %d unfinished jobs, want at least 3000", sizes.OpenJobs)
 			}
 			if ram := int(tc.ramMB * (1 << 20)); sizes.StateBodyBytes < 2*statePageBytes || 3*sizes.StateBodyBytes+int(sizes.BufferedBytes) > ram/2 {
-				t.Errorf("answers of %d bytes in %d", sizes.StateBodyBytes, ram)
+				t.Errorf("responses of the state service of up to %d bytes in a memory of %d bytes", sizes.StateBodyBytes, ram)
 			}
 		})
 	}
 }
 
-// TestCallBounds checks that many calls to one target leave the others theirs: each target has a
-// bound of its own, and a call past it fails at once.
+// TestCallBounds checks that calls to one target cannot use up the connections for the others: each
+// target has a separate bound on its calls in flight, and the bounds together do not exceed the
+// connections.
 func TestCallBounds(t *testing.T) {
 	var settings config.Settings
 	settings.Cluster.Resources = config.Resources{Sockets: 4317, RAMMB: 441}
@@ -125,11 +128,11 @@
 	sum := 0
 	for target, most := range rt.limits.max {
 		if most < 2 {
-			t.Errorf("target %d may have %d calls", target, most)
+			t.Errorf("target %d may have %d calls in flight, want at least 2", target, most)
 		}
 		sum += most
 	}
 	if sum > sizes.ServiceConns+sizes.WorkerConns {
-		t.Errorf("%d calls over %d connections", sum, sizes.ServiceConns+sizes.WorkerConns)
+		t.Errorf("%d calls in flight over only %d connections", sum, sizes.ServiceConns+sizes.WorkerConns)
 	}
 }
