--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -45,7 +45,7 @@
 type Client struct {
 	cfg       Config
 	mu        sync.Mutex             // guards the fields below
-	open      int                    // number of connections that are in use, idle or being dialed
+	openConns int                    // number of connections that are in use, idle or being dialed
 	idle      map[string][]*idleConn // by address, the longest idle first
 	idleByAge *list.List             // of *idleConn over all addresses, the longest idle first
 }
--- a/internal/client/pool.go
+++ b/internal/client/pool.go
@@ -51,10 +51,10 @@
 		}
 		c.closeIdle(newest)
 	}
-	if c.open >= c.cfg.MaxConns && !c.evictLongestIdle() {
+	if c.openConns >= c.cfg.MaxConns && !c.evictLongestIdle() {
 		return nil, ErrBusy
 	}
-	c.open++
+	c.openConns++
 	return nil, nil
 }
 
@@ -62,7 +62,7 @@
 func (c *Client) unreserve() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.open--
+	c.openConns--
 }
 
 // release makes a connection idle after a call, or closes it if there are Config.MaxIdle idle
@@ -72,7 +72,7 @@
 	defer c.mu.Unlock()
 	if len(c.idle[addr]) >= c.cfg.MaxIdle {
 		conn.Close()
-		c.open--
+		c.openConns--
 		return
 	}
 	idle := &idleConn{Conn: conn, addr: addr, idleSince: time.Now()}
@@ -107,7 +107,7 @@
 func (c *Client) closeIdle(idle *idleConn) {
 	c.removeIdle(idle)
 	idle.Close()
-	c.open--
+	c.openConns--
 }
 
 // removeIdle removes a connection from the idle connections without closing it. c.mu must be
--- a/internal/client/pool_test.go
+++ b/internal/client/pool_test.go
@@ -21,8 +21,8 @@
 	for i := range 10 {
 		ask(i)
 	}
-	if ask(9); *dials != 10 || c.open != 4 {
-		t.Errorf("%d connections opened, %d open now, want 10 and 4", *dials, c.open)
+	if ask(9); *dials != 10 || c.openConns != 4 {
+		t.Errorf("%d connections opened, %d open now, want 10 and 4", *dials, c.openConns)
 	}
 	if ask(0); *dials != 11 {
 		t.Errorf("%d connections opened, want 11: the longest idle one was to be evicted", *dials)
--- a/internal/controller/first_start_test.go
+++ b/internal/controller/first_start_test.go
@@ -47,7 +47,7 @@
 				running = running[ends:]
 				for _, cmd := range starts(body.Commands) {
 					running = append(running, wire.TaskStatus{Task: cmd.Task, Attempt: cmd.Attempt, State: wire.TaskRunning})
-					if id, _, _ := wire.ParseTask(cmd.Task); id == big.ID {
+					if id, _, _ := wire.ParseTaskName(cmd.Task); id == big.ID {
 						begun++
 					}
 				}
--- a/internal/controller/job_end.go
+++ b/internal/controller/job_end.go
@@ -111,7 +111,7 @@
 // mayBeCancelled reports whether a task that a machine lists is of a job that is cancelled,
 // or that has ended and left memory, so that it may have been cancelled.
 func (c *Controller) mayBeCancelled(s *shard, m *machine, t *wire.TaskStatus) bool {
-	id, _, err := wire.ParseTask(t.Task)
+	id, _, err := wire.ParseTaskName(t.Task)
 	if err != nil || t.State == wire.TaskExited {
 		return false
 	}
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -47,7 +47,7 @@
 
 // newJob returns the job of a record, or nil if this node can't use the record.
 func (c *Controller) newJob(id string, rec wire.JobRecord, modRevision uint64) *job {
-	sub := rec.Job()
+	sub := rec.JobSubmission()
 	if sub == nil || sub.Tasks < 1 || sub.Tasks > wire.MaxTasks {
 		c.log(Error, "job record without a usable submission, ignored", "job", id)
 		return nil
--- a/internal/controller/task_lists.go
+++ b/internal/controller/task_lists.go
@@ -40,7 +40,7 @@
 
 // applyTaskStatus updates the attempt of a listed task, which is added if it is not known.
 func (c *Controller) applyTaskStatus(m *machine, status *wire.TaskStatus) {
-	id, index, err := wire.ParseTask(status.Task)
+	id, index, err := wire.ParseTaskName(status.Task)
 	if err != nil {
 		return
 	}
--- a/internal/controller/unknown_jobs.go
+++ b/internal/controller/unknown_jobs.go
@@ -85,7 +85,7 @@
 func (c *Controller) listsTaskOfUnknownJob(s *shard, heartbeat *wire.Heartbeat) bool {
 	for i := range heartbeat.Tasks {
 		task := &heartbeat.Tasks[i]
-		job, _, err := wire.ParseTask(task.Task)
+		job, _, err := wire.ParseTaskName(task.Task)
 		if err != nil || task.State == wire.TaskExited {
 			continue
 		}
--- a/internal/fakes/task.go
+++ b/internal/fakes/task.go
@@ -167,7 +167,7 @@
 
 // start starts a task, which gets its image first, or exits at once if it can't run.
 func (w *Worker) start(command wire.Command) {
-	name, index, err := wire.ParseTask(command.Task)
+	name, index, err := wire.ParseTaskName(command.Task)
 	job := w.host.Job(name)
 	t := &Task{Name: command.Task, Job: name, Index: index, Attempt: command.Attempt, State: wire.TaskFetching}
 	switch {
--- a/internal/runtime/requests.go
+++ b/internal/runtime/requests.go
@@ -28,16 +28,16 @@
 	if call.To == controller.ToPeer {
 		return encodePeerCall(call.Req)
 	}
-	form, err := formOf(call.Req)
+	unencoded, err := unencodedRequestOf(call.Req)
 	if err != nil {
 		return EncodedCall{}, err
 	}
-	encoded := EncodedCall{Method: form.method, Target: form.target}
-	if form.payload == nil {
+	encoded := EncodedCall{Method: unencoded.method, Target: unencoded.target}
+	if unencoded.payload == nil {
 		return encoded, nil
 	}
 	encoded.ContentType = wire.ContentType
-	encoded.Body, err = wire.Encode(form.payload)
+	encoded.Body, err = wire.Encode(unencoded.payload)
 	return encoded, err
 }
 
@@ -65,56 +65,56 @@
 	return wire.ContentType, encoded, err
 }
 
-// requestForm is an HTTP request whose body is not encoded yet.
-type requestForm struct {
+// unencodedRequest is an HTTP request whose body is not encoded yet.
+type unencodedRequest struct {
 	method  string
 	target  string
 	payload any // nil: no body
 }
 
-func getForm(target string) requestForm {
-	return requestForm{method: http.MethodGet, target: target}
+func newGetRequest(target string) unencodedRequest {
+	return unencodedRequest{method: http.MethodGet, target: target}
 }
 
-func postForm(target string, payload any) requestForm {
-	return requestForm{method: http.MethodPost, target: target, payload: payload}
+func newPostRequest(target string, payload any) unencodedRequest {
+	return unencodedRequest{method: http.MethodPost, target: target, payload: payload}
 }
 
-// formOf returns the HTTP request for a request to the state service, the cloud or a worker.
+// unencodedRequestOf returns the HTTP request for a request to the state service, the cloud or a worker.
 // decodeServiceAnswer decodes the responses to these requests.
-func formOf(request any) (requestForm, error) {
+func unencodedRequestOf(request any) (unencodedRequest, error) {
 	switch r := request.(type) {
 	// To the state service.
 	case wire.Txn:
-		return postForm(wire.PathTxn, withConditionList(r)), nil
+		return newPostRequest(wire.PathTxn, withConditionList(r)), nil
 	case wire.NewLease:
-		return postForm(wire.PathLeases, r), nil
+		return newPostRequest(wire.PathLeases, r), nil
 	case statestore.RenewLease:
-		return postForm(wire.RenewLeasePath(r.Lease), nil), nil
+		return newPostRequest(wire.RenewLeasePath(r.Lease), nil), nil
 	case statestore.GetKey:
-		return getForm(wire.KeyPath(r.Key)), nil
+		return newGetRequest(wire.KeyPath(r.Key)), nil
 	case statestore.ListKeys:
-		return getForm(wire.ListKeysTarget(r.Prefix, r.After, r.Limit)), nil
+		return newGetRequest(wire.ListKeysTarget(r.Prefix, r.After, r.Limit)), nil
 	case statestore.WatchKeys:
-		return getForm(wire.WatchTarget(r.Prefix, r.Since, r.WaitMS)), nil
+		return newGetRequest(wire.WatchTarget(r.Prefix, r.Since, r.WaitMS)), nil
 
 	// To the cloud.
 	case controller.GetTypes:
-		return getForm(wire.PathMachineTypes), nil
+		return newGetRequest(wire.PathMachineTypes), nil
 	case controller.ListMachines:
-		return getForm(wire.ListMachinesTarget(r.After, r.Limit)), nil
+		return newGetRequest(wire.ListMachinesTarget(r.After, r.Limit)), nil
 	case controller.ReturnMachines:
-		return postForm(wire.PathReturnMachines, wire.MachineNames{Machines: r.Machines}), nil
+		return newPostRequest(wire.PathReturnMachines, wire.MachineNames{Machines: r.Machines}), nil
 	case wire.RentalRequest:
-		return postForm(wire.PathMachines, r), nil
+		return newPostRequest(wire.PathMachines, r), nil
 
 	// To a worker.
 	case wire.DirectCommand:
-		return postForm(wire.PathDirectCommand, r), nil
+		return newPostRequest(wire.PathDirectCommand, r), nil
 	case controller.GetHeartbeat:
-		return getForm(wire.PathShowHeartbeat), nil
+		return newGetRequest(wire.PathShowHeartbeat), nil
 	}
-	return requestForm{}, fmt.Errorf("%w %T", ErrUnknownRequest, request)
+	return unencodedRequest{}, fmt.Errorf("%w %T", ErrUnknownRequest, request)
 }
 
 // withConditionList returns a copy of a transaction whose list of conditions, if it is nil, is
--- a/internal/runtime/routes.go
+++ b/internal/runtime/routes.go
@@ -129,17 +129,17 @@
 	rt.nextID++
 	in := inputOf(rt.nextID)
 	_, heartbeat := in.(controller.Heartbeat)
-	rt.replies[rt.nextID] = waitingRequest{reply: reply, heartbeat: heartbeat}
+	rt.waitingRequests[rt.nextID] = waitingRequest{reply: reply, heartbeat: heartbeat}
 	rt.stepLocked(in)
 }
 
 // answer sends the controller's answer to the request that waits for it. rt.mu must be held.
 func (rt *Runtime) answer(a controller.Answer) {
-	waiting, ok := rt.replies[a.Reply]
+	waiting, ok := rt.waitingRequests[a.Reply]
 	if !ok {
 		return
 	}
-	delete(rt.replies, a.Reply)
+	delete(rt.waitingRequests, a.Reply)
 	contentType, body, err := EncodeAnswer(a.Body)
 	if err != nil {
 		rt.log.Error("response could not be encoded", "error", err)
--- a/internal/runtime/runtime.go
+++ b/internal/runtime/runtime.go
@@ -43,16 +43,16 @@
 
 // Runtime is one running controller.
 type Runtime struct {
-	settings config.Settings
-	log      *slog.Logger
-	start    time.Time // when the steady clock read steadyClockStart
+	settings  config.Settings
+	log       *slog.Logger
+	startedAt time.Time // when the steady clock read steadyClockStart
 
 	mu               sync.Mutex // guards the fields from controller to timer
 	controller       *controller.Controller
 	wakeAt           micros.Micros // the time for which timer is set
 	lastStepDuration micros.Micros // duration of the latest step with its effects
 	meter            meter
-	replies          map[controller.ReplyID]waitingRequest
+	waitingRequests  map[controller.ReplyID]waitingRequest
 	nextID           controller.ReplyID
 	limits           callLimits
 	timer            *time.Timer
@@ -73,16 +73,16 @@
 	cfg.LogHeartbeats = log != nil && log.Enabled(context.Background(), slog.LevelDebug)
 	sizes := SizesOf(settings)
 	rt := &Runtime{
-		settings:   settings,
-		log:        log,
-		start:      time.Now(),
-		controller: controller.New(cfg, seed),
-		replies:    map[controller.ReplyID]waitingRequest{},
-		limits:     newCallLimits(sizes),
-		heartbeats: wire.NewHeartbeatReader(sizes.TaskListBytes),
-		services:   newServiceClient(sizes),
-		workers:    newWorkerClient(sizes),
-		peers:      peerAddresses(settings.Seeds),
+		settings:        settings,
+		log:             log,
+		startedAt:       time.Now(),
+		controller:      controller.New(cfg, seed),
+		waitingRequests: map[controller.ReplyID]waitingRequest{},
+		limits:          newCallLimits(sizes),
+		heartbeats:      wire.NewHeartbeatReader(sizes.TaskListBytes),
+		services:        newServiceClient(sizes),
+		workers:         newWorkerClient(sizes),
+		peers:           peerAddresses(settings.Seeds),
 	}
 	rt.srv = server.New(rt.serverConfig(sizes))
 	return rt
@@ -170,7 +170,7 @@
 func (rt *Runtime) instant() controller.Instant {
 	now := time.Now()
 	return controller.Instant{
-		Steady: micros.FromDuration(now.Sub(rt.start)) + steadyClockStart,
+		Steady: micros.FromDuration(now.Sub(rt.startedAt)) + steadyClockStart,
 		Wall:   micros.Micros(now.UnixMicro()),
 	}
 }
--- a/internal/simulation/check_tasks.go
+++ b/internal/simulation/check_tasks.go
@@ -133,7 +133,7 @@
 		if command.Op != wire.OpStart {
 			continue
 		}
-		job, _, err := wire.ParseTask(command.Task)
+		job, _, err := wire.ParseTaskName(command.Task)
 		u := s.userOf(job)
 		if err == nil && u != nil && u.cancelConfirmed != 0 {
 			s.violated("%s sends a start of %s %v s after its cancellation was confirmed", n.label, command.Task, (s.now - u.cancelConfirmed).Seconds())
--- a/internal/wire/heartbeat.go
+++ b/internal/wire/heartbeat.go
@@ -101,7 +101,7 @@
 // parseTasks returns a machine's list of tasks. It decodes and validates the list unless it
 // equals the cached one.
 func (hr *HeartbeatReader) parseTasks(machine string, raw Raw) ([]TaskStatus, error) {
-	last, ok := hr.lookUp(machine)
+	last, ok := hr.cached(machine)
 	if !ok || !bytes.Equal(last.raw, raw) {
 		tasks, err := decodeTasks(raw)
 		if err != nil {
@@ -118,7 +118,7 @@
 		return nil, err
 	}
 	for i := range tasks {
-		if _, _, err := ParseTask(tasks[i].Task); err != nil {
+		if _, _, err := ParseTaskName(tasks[i].Task); err != nil {
 			return nil, err
 		}
 		switch tasks[i].State {
@@ -130,7 +130,7 @@
 	return tasks, nil
 }
 
-func (hr *HeartbeatReader) lookUp(machine string) (list taskList, ok bool) {
+func (hr *HeartbeatReader) cached(machine string) (list taskList, ok bool) {
 	if list, ok = hr.current[machine]; ok {
 		return list, true
 	}
--- a/internal/wire/records.go
+++ b/internal/wire/records.go
@@ -74,8 +74,8 @@
 	return r
 }
 
-// Job returns the submission of an unfinished job, or nil if the record holds none.
-func (r JobRecord) Job() *Submission {
+// JobSubmission returns the submission of an unfinished job, or nil if the record holds none.
+func (r JobRecord) JobSubmission() *Submission {
 	if r.WithDependencies != nil {
 		return r.WithDependencies
 	}
--- a/internal/wire/submission.go
+++ b/internal/wire/submission.go
@@ -285,9 +285,9 @@
 // TaskName returns the name of the task with an index in a job (protocol: "POST /submissions").
 func TaskName(job string, index int) string { return job + "/" + strconv.Itoa(index) }
 
-// ParseTask returns the job and the index that a task's name consists of. The error wraps
+// ParseTaskName returns the job and the index that a task's name consists of. The error wraps
 // ErrTaskName.
-func ParseTask(name string) (job string, index int, err error) {
+func ParseTaskName(name string) (job string, index int, err error) {
 	job, digits, ok := strings.Cut(name, "/")
 	if !ok || !ValidID(job) {
 		return "", 0, fmt.Errorf("%w %q", ErrTaskName, name)
--- a/internal/wire/submission_test.go
+++ b/internal/wire/submission_test.go
@@ -95,7 +95,7 @@
 	}
 }
 
-func TestParseTask(t *testing.T) {
+func TestParseTaskName(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		job   string
@@ -111,7 +111,7 @@
 		{"job-000412", "", 0, false},
 		{"job-1/2", "", 0, false},
 	} {
-		job, index, err := ParseTask(tc.name)
+		job, index, err := ParseTaskName(tc.name)
 		if (err == nil) != tc.ok || job != tc.job || index != tc.index {
 			t.Errorf("%q is parsed as %q, %d, %v", tc.name, job, index, err)
 		}
