--- a/internal/peer/quota.go
+++ b/internal/peer/quota.go
@@ -33,5 +33,5 @@
 	Shard   int    `msgpack:"s"` // the shard that asks for more quota; -1: the work follows from an announced limit
 	TraceID []byte `msgpack:"t"`
 	SpanID  []byte `msgpack:"p"`
-	BeganUS int64  `msgpack:"b"`
+	BeganUS int64  `msgpack:"b"` // Unix time in microseconds at which the trace began
 }
--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -2,7 +2,7 @@
 
 // ControllerState describes the sender of a Status or a StatusAck.
 type ControllerState struct {
-	UptimeUS       int64        `msgpack:"u"`
+	UptimeUS       int64        `msgpack:"u"`           // microseconds since the controller started
 	StateServiceOK bool         `msgpack:"k"`           // the state service has responded recently
 	WithoutWorkers bool         `msgpack:"e,omitempty"` // the controller receives no heartbeats
 	SupportsQuota  bool         `msgpack:"y,omitempty"` // the controller supports groups of teams
--- a/internal/runtime/requests.go
+++ b/internal/runtime/requests.go
@@ -80,8 +80,8 @@
 	return unencodedRequest{method: http.MethodPost, target: target, payload: payload}
 }
 
-// unencodedRequestOf returns the HTTP request for a request to the state service, the cloud or a worker.
-// decodeServiceAnswer decodes the responses to these requests.
+// unencodedRequestOf returns the HTTP request for a request to the state service, the cloud or a
+// worker. decodeServiceAnswer decodes the responses to these requests.
 func unencodedRequestOf(request any) (unencodedRequest, error) {
 	switch r := request.(type) {
 	// To the state service.
--- a/internal/runtime/runtime_test.go
+++ b/internal/runtime/runtime_test.go
@@ -9,8 +9,8 @@
 	"garnethitch/internal/server"
 )
 
-// TestControllerConfig checks that the strictest of several objectives for a class applies, and that
-// the bounds follow from the settings for small and large deployments.
+// TestControllerConfig checks that the strictest of several objectives for a class applies, and
+// that the bounds follow from the settings for small and large deployments.
 func TestControllerConfig(t *testing.T) {
 	settings := config.Settings{Label: "a"}
 	settings.Cluster.Nodes = 3
--- a/internal/wire/heartbeat.go
+++ b/internal/wire/heartbeat.go
@@ -130,6 +130,7 @@
 	return tasks, nil
 }
 
+// cached returns the list that is cached for a machine.
 func (hr *HeartbeatReader) cached(machine string) (list taskList, ok bool) {
 	if list, ok = hr.current[machine]; ok {
 		return list, true
