--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -169,7 +169,7 @@
 		UptimeUS:            int64(c.now - c.startedAt),
 		StateServiceOK:      c.ownership.stateFresh(),
 		WithoutWorkers:      c.contact.lost(),
-		SupportsQuota:       c.quota.ledger != nil,
+		EnforcesQuota:       c.quota.ledger != nil,
 		Claims:              c.ownership.shardClaims(),
 		MisdirectedMachines: c.misdirectedMachinesOf(p),
 	}
@@ -209,8 +209,8 @@
 	p.uptime = micros.Micros(a.UptimeUS)
 	p.stateOK = a.StateServiceOK
 	p.withoutWorkers = a.WithoutWorkers
-	p.quota = a.SupportsQuota
-	if a.SupportsQuota {
+	p.quota = a.EnforcesQuota
+	if a.EnforcesQuota {
 		c.enableQuota()
 	}
 	p.misdirectedHeartbeats = map[string]bool{}
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -130,13 +130,13 @@
 		}
 	}
 	for _, st := range off.statusesSent {
-		if st.SupportsQuota || st.Traces != nil {
+		if st.EnforcesQuota || st.Traces != nil {
 			t.Errorf("without the option, others are sent %+v", st)
 		}
 	}
 	// Another controller shows that it keeps groups: this one follows.
 	off.ask(func(r ReplyID) Input {
-		return PeerRequest{Reply: r, Req: peer.Request{From: "n-1", Status: &peer.Status{ControllerState: peer.ControllerState{StateServiceOK: true, SupportsQuota: true}}}}
+		return PeerRequest{Reply: r, Req: peer.Request{From: "n-1", Status: &peer.Status{ControllerState: peer.ControllerState{StateServiceOK: true, EnforcesQuota: true}}}}
 	})
 	off.run(sec)
 	if resp := off.quotaAsk(peer.QuotaRequest{}); resp.Problem != "" {
@@ -153,7 +153,7 @@
 	})
 	trace, span := [16]byte{1, 2}, [8]byte{3}
 	h.ask(func(r ReplyID) Input {
-		return PeerRequest{Reply: r, Req: peer.Request{From: "n-1", Status: &peer.Status{ControllerState: peer.ControllerState{StateServiceOK: true, SupportsQuota: true},
+		return PeerRequest{Reply: r, Req: peer.Request{From: "n-1", Status: &peer.Status{ControllerState: peer.ControllerState{StateServiceOK: true, EnforcesQuota: true},
 			Traces: []peer.TraceContext{{Group: "all", Shard: 1, TraceID: trace[:], SpanID: span[:], BeganUS: 1}, {Group: "all", Shard: 2, TraceID: []byte("short")}}}}}
 	})
 	h.c.effects = nil
@@ -171,7 +171,7 @@
 // TestOlderVersionsReadStatusWithGroups checks that an older version reads the fields of a message
 // that it knows.
 func TestOlderVersionsReadStatusWithGroups(t *testing.T) {
-	st := &peer.Status{ControllerState: peer.ControllerState{UptimeUS: 5, StateServiceOK: true, Claims: []peer.ShardClaim{{Shard: 1, OwnerEpoch: 7}}, SupportsQuota: true}, ReturnedMachines: []string{"vm-1"},
+	st := &peer.Status{ControllerState: peer.ControllerState{UptimeUS: 5, StateServiceOK: true, Claims: []peer.ShardClaim{{Shard: 1, OwnerEpoch: 7}}, EnforcesQuota: true}, ReturnedMachines: []string{"vm-1"},
 		Traces: []peer.TraceContext{{Group: "all", TraceID: make([]byte, 16), SpanID: make([]byte, 8)}}}
 	sent, err := peer.Encode(peer.Request{From: "n-1", Status: st})
 	if err != nil {
--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -5,7 +5,7 @@
 	UptimeUS       int64        `msgpack:"u"`           // microseconds since the controller started
 	StateServiceOK bool         `msgpack:"k"`           // the state service has responded recently
 	WithoutWorkers bool         `msgpack:"e,omitempty"` // the controller receives no heartbeats
-	SupportsQuota  bool         `msgpack:"y,omitempty"` // the controller supports groups of teams
+	EnforcesQuota  bool         `msgpack:"y,omitempty"` // the controller supports groups of teams
 	Claims         []ShardClaim `msgpack:"o,omitempty"`
 	// MisdirectedMachines are machines in the receiver's shards that recently sent their
 	// heartbeats to the sender instead.
--- a/internal/simulation/release.go
+++ b/internal/simulation/release.go
@@ -51,7 +51,7 @@
 
 // downgradeStatus takes from a status request what the release doesn't know.
 func (r Release) downgradeStatus(status *peer.Status) {
-	status.SupportsQuota = false
+	status.EnforcesQuota = false
 	status.Traces = nil
 	if r != ReleaseWithoutGroups {
 		status.JobsToCancel = nil
@@ -96,7 +96,7 @@
 	}
 	if response, ok := result.Body.(*peer.Response); ok && response.Status != nil {
 		status := *response.Status
-		status.SupportsQuota = false
+		status.EnforcesQuota = false
 		result.Body = &peer.Response{From: response.From, Status: &status, JobResponse: response.JobResponse, OK: response.OK}
 	}
 	if r == ReleaseWithoutDependencies {
