--- a/internal/peer/quota.go
+++ b/internal/peer/quota.go
@@ -21,8 +21,8 @@
 	Problem string              `msgpack:"p,omitempty"` // why the request was refused
 	Epoch   uint64              `msgpack:"e,omitempty"` // epoch of the limit that was set
 	Groups  []quota.GroupStatus `msgpack:"g,omitempty"`
-	// ControllersWithoutQuota lists the controllers that do not support groups and therefore do
-	// not enforce limits.
+	// ControllersWithoutQuota lists the controllers that do not enforce the quota of groups:
+	// their version or their options have no groups.
 	ControllersWithoutQuota []string `msgpack:"w,omitempty"`
 }
 
--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -5,7 +5,7 @@
 	UptimeUS       int64        `msgpack:"u"`           // microseconds since the controller started
 	StateServiceOK bool         `msgpack:"k"`           // the state service has responded recently
 	WithoutWorkers bool         `msgpack:"e,omitempty"` // the controller receives no heartbeats
-	EnforcesQuota  bool         `msgpack:"y,omitempty"` // the controller supports groups of teams
+	EnforcesQuota  bool         `msgpack:"y,omitempty"` // the controller enforces the quota of groups of teams
 	Claims         []ShardClaim `msgpack:"o,omitempty"`
 	// MisdirectedMachines are machines in the receiver's shards that recently sent their
 	// heartbeats to the sender instead.
@@ -27,7 +27,7 @@
 	// ignores it, and the sender then records them itself.
 	JobsToCancel []string `msgpack:"r,omitempty"`
 	// Traces are the trace contexts of work in progress on the quota of groups. They are sent
-	// only to controllers that are known to support groups.
+	// only to controllers that are known to enforce the quota of groups.
 	Traces []TraceContext `msgpack:"t,omitempty"`
 }
 
