--- a/internal/runtime/runtime.go
+++ b/internal/runtime/runtime.go
@@ -184,6 +184,7 @@
 	rt.stepLocked(in)
 }
 
+// stepLocked is step for callers that hold rt.mu.
 func (rt *Runtime) stepLocked(in controller.Input) {
 	at := rt.instant()
 	at.Took = rt.lastStepDuration
--- a/internal/server/connection.go
+++ b/internal/server/connection.go
@@ -216,6 +216,7 @@
 	}
 }
 
+// expired reports whether a connection is to be closed because it has timed out.
 func (s *Server) expired(c *conn, now time.Time) bool {
 	incomplete := len(c.input) > 0 && !c.awaitingReply && now.Sub(c.requestStarted) > s.cfg.RequestTimeout
 	idle := !c.awaitingReply && now.Sub(c.lastUsed) > s.cfg.IdleTimeout
--- a/internal/wire/submission.go
+++ b/internal/wire/submission.go
@@ -147,6 +147,7 @@
 // wrong with the first invalid field; it is empty as long as all are valid.
 type fieldCheck struct{ reason string }
 
+// fail records a reason unless an earlier field was already invalid.
 func (c *fieldCheck) fail(reason string) {
 	if c.reason == "" {
 		c.reason = reason
