--- a/internal/client/client_test.go
+++ b/internal/client/client_test.go
@@ -14,18 +14,18 @@
 
 type dialFunc = func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// answering returns a dialer whose connections answer each request with the next of the
-// texts, over and over, and the number of its dials. An empty text closes the connection
-// without an answer.
-func answering(texts ...string) (dial dialFunc, dials *int) {
+// answeringDialer returns a dial function and the number of its calls. The connections respond to
+// each request with the next of the texts, in a cycle. An empty text closes the connection without
+// a response.
+func answeringDialer(texts ...string) (dial dialFunc, dials *int) {
 	dials = new(int)
 	next := 0
 	return func(context.Context, string, string) (net.Conn, error) {
 		*dials++
-		ours, theirs := net.Pipe()
+		clientEnd, serverEnd := net.Pipe()
 		go func() {
-			defer theirs.Close()
-			in := bufio.NewReader(theirs)
+			defer serverEnd.Close()
+			in := bufio.NewReader(serverEnd)
 			for {
 				if _, err := http.ReadRequest(in); err != nil {
 					return
@@ -35,12 +35,12 @@
 				if text == "" {
 					return
 				}
-				if _, err := theirs.Write([]byte(text)); err != nil {
+				if _, err := serverEnd.Write([]byte(text)); err != nil {
 					return
 				}
 			}
 		}()
-		return ours, nil
+		return clientEnd, nil
 	}, dials
 }
 
@@ -56,10 +56,10 @@
 		{"no answer", []string{"", okResponse}, []bool{true, false}, 2},
 		{"not HTTP", []string{"what?\r\n\r\n", okResponse}, []bool{true, false}, 2},
 		{"body too large", []string{"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n", okResponse}, []bool{true, false}, 2},
-		{"more than was asked for", []string{okResponse + "extra", okResponse}, []bool{false, false}, 2},
+		{"bytes after the response", []string{okResponse + "extra", okResponse}, []bool{false, false}, 2},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			dial, dials := answering(tc.texts...)
+			dial, dials := answeringDialer(tc.texts...)
 			c := New(Config{MaxIdle: 2, MaxConns: 4, MaxBodyBytes: 50, IdleTimeout: time.Hour, DialTimeout: time.Hour, Dial: dial})
 			for i, fails := range tc.fails {
 				_, err := c.Do(t.Context(), Call{Addr: "a:1", Method: "GET", Target: "/", Timeout: time.Hour})
@@ -67,11 +67,11 @@
 					t.Errorf("call %d: %v", i, err)
 				}
 				if errors.Is(err, ErrNotSent) {
-					t.Errorf("call %d was sent, but is said not to be", i)
+					t.Errorf("call %d was sent, but returned ErrNotSent", i)
 				}
 			}
 			if *dials != tc.dials {
-				t.Errorf("%d connections made, want %d", *dials, tc.dials)
+				t.Errorf("%d connections opened, want %d", *dials, tc.dials)
 			}
 		})
 	}
@@ -83,22 +83,22 @@
 	for range 3 {
 		_, err := c.Do(t.Context(), Call{Addr: "a:1", Method: "GET", Target: "/", Timeout: time.Hour})
 		if !errors.Is(err, ErrNotSent) || errors.Is(err, ErrBusy) {
-			t.Errorf("refused: %v, want not sent, and the connection no longer counted", err)
+			t.Errorf("dial refused: %v, want ErrNotSent without ErrBusy: a failed dial must not count as an open connection", err)
 		}
 	}
 	c = New(Config{MaxConns: 0})
 	_, err := c.Do(t.Context(), Call{Addr: "a:1", Timeout: time.Hour})
 	if !errors.Is(err, ErrBusy) || !errors.Is(err, ErrNotSent) {
-		t.Errorf("no connection free: %v, want busy and not sent", err)
+		t.Errorf("no connection free: %v, want ErrBusy and ErrNotSent", err)
 	}
 }
 
-// A deadline ends a call on a silent connection.
+// TestDoDeadline checks that a call on a connection without a response ends at its deadline.
 func TestDoDeadline(t *testing.T) {
-	ours, theirs := net.Pipe()
-	defer theirs.Close()
-	go func() { _, _ = http.ReadRequest(bufio.NewReader(theirs)) }()
-	dial := func(context.Context, string, string) (net.Conn, error) { return ours, nil }
+	clientEnd, serverEnd := net.Pipe()
+	defer serverEnd.Close()
+	go func() { _, _ = http.ReadRequest(bufio.NewReader(serverEnd)) }()
+	dial := func(context.Context, string, string) (net.Conn, error) { return clientEnd, nil }
 	c := New(Config{MaxConns: 1, MaxBodyBytes: 10, DialTimeout: time.Hour, Dial: dial})
 	_, err := c.Do(t.Context(), Call{Addr: "a:1", Method: "GET", Target: "/", Timeout: time.Millisecond})
 	var netErr net.Error
--- a/internal/controller/checkpoint/checkpoint.go
+++ b/internal/controller/checkpoint/checkpoint.go
@@ -48,14 +48,14 @@
 // them again, which is harmless.
 func NewRecord(progress Progress, maxBytes int) (wire.CheckpointRecord, TaskSet) {
 	rec := wire.CheckpointRecord{
-		Steps:      latestSteps(progress.Steps, maxBytes),
-		Recoveries: progress.Recoveries,
+		FinishedTasks: latestSteps(progress.Steps, maxBytes),
+		RecoveriesMS:  progress.Recoveries,
 	}
-	remainingBytes := maxBytes - stepBytes*len(rec.Steps) - otherBytes
+	remainingBytes := maxBytes - stepBytes*len(rec.FinishedTasks) - otherBytes
 	if setIsShorter(progress, remainingBytes) {
-		rec.Set = slices.Clone(progress.Done)
-		rec.Count = progress.DoneCount
-		return rec, TaskSet(rec.Set)
+		rec.DoneBitmap = slices.Clone(progress.Done)
+		rec.DoneCount = progress.DoneCount
+		return rec, TaskSet(rec.DoneBitmap)
 	}
 	maxRanges := max(remainingBytes/rangeBytes, 1)
 	covered := addRanges(&rec, progress, maxRanges)
@@ -105,8 +105,8 @@
 			covered.Add(task)
 			task++
 		}
-		rec.Ranges = append(rec.Ranges, first, task-1)
-		rec.Count += task - first
+		rec.DoneRanges = append(rec.DoneRanges, first, task-1)
+		rec.DoneCount += task - first
 		ranges++
 	}
 	return covered
@@ -116,13 +116,13 @@
 // tasks. Indexes outside the job are ignored.
 func DoneTasks(rec wire.CheckpointRecord, tasks int) TaskSet {
 	done := NewTaskSet(tasks)
-	for i := 0; i+1 < len(rec.Ranges); i += 2 {
-		first, last := rec.Ranges[i], rec.Ranges[i+1]
+	for i := 0; i+1 < len(rec.DoneRanges); i += 2 {
+		first, last := rec.DoneRanges[i], rec.DoneRanges[i+1]
 		for task := max(first, 0); task <= last && task < tasks; task++ {
 			done.Add(task)
 		}
 	}
-	set := TaskSet(rec.Set)
+	set := TaskSet(rec.DoneBitmap)
 	for task := range min(tasks, wordBits*len(set)) {
 		if set.Has(task) {
 			done.Add(task)
--- a/internal/controller/checkpoint_recovery.go
+++ b/internal/controller/checkpoint_recovery.go
@@ -112,6 +112,6 @@
 		}
 		r.checkpoint.recorded.Add(task)
 	}
-	r.finishedTasks = rec.Steps
-	r.checkpoint.recoveries = rec.Recoveries
+	r.finishedTasks = rec.FinishedTasks
+	r.checkpoint.recoveries = rec.RecoveriesMS
 }
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -218,8 +218,8 @@
 	if !free.withinGuarantee {
 		t.Error("a blocked job takes part of its team's guarantee")
 	}
-	if d, _ := c.demandOf(s, maxTotalRowBytes); fleet.WaitingCPUs(&d)+d.Busy > 3+scheduling.Tolerance {
-		t.Errorf("the demand is %v CPUs: it includes a blocked job", fleet.WaitingCPUs(&d)+d.Busy)
+	if d, _ := c.demandOf(s, maxTotalRowBytes); fleet.WaitingCPUs(&d)+d.BusyCPUs > 3+scheduling.Tolerance {
+		t.Errorf("the demand is %v CPUs: it includes a blocked job", fleet.WaitingCPUs(&d)+d.BusyCPUs)
 	}
 	if got := h.jobState("job-000002"); got != wire.StatePending {
 		t.Errorf("the blocked job is in state %q, want pending", got)
--- a/internal/controller/fleet/catalog.go
+++ b/internal/controller/fleet/catalog.go
@@ -78,13 +78,13 @@
 	if group.Zone != "" && group.Zone != kind.Zone || kind.Spot && !group.Spot {
 		return false
 	}
-	return group.Any || slices.Contains(group.Types, kind.Type)
+	return group.AnyType || slices.Contains(group.Types, kind.Type)
 }
 
 // Useful reports whether any task that waits in a shard can run on a machine of a kind.
 func (c Catalog) Useful(demand *peer.Demand, kind Kind) bool {
-	for _, group := range demand.Groups {
-		if group.Waiting > 0 && c.CanRun(group, kind) {
+	for _, group := range demand.WaitingTasks {
+		if group.Count > 0 && c.CanRun(group, kind) {
 			return true
 		}
 	}
--- a/internal/controller/fleet/consolidation.go
+++ b/internal/controller/fleet/consolidation.go
@@ -35,13 +35,13 @@
 // gain returns the benefit of draining the machine, in CPU seconds: the unused capacity saved
 // minus the weighted work that must be repeated.
 func (m DrainCandidate) gain() float64 {
-	return m.unusedWork() - repeatedWorkWeight*micros.Micros(m.LostUS).Seconds()
+	return m.unusedWork() - repeatedWorkWeight*micros.Micros(m.LostWorkUS).Seconds()
 }
 
 // worthDraining reports whether the machine would otherwise stay mostly unused for a long time.
 func (m DrainCandidate) worthDraining() bool {
-	mostlyUnused := 2*m.Busy <= m.CPUs
-	return mostlyUnused && micros.Micros(m.LeftUS) >= minRemainingRunTime && m.gain() > minDrainGain
+	mostlyUnused := 2*m.BusyCPUs <= m.CPUs
+	return mostlyUnused && micros.Micros(m.RemainingUS) >= minRemainingRunTime && m.gain() > minDrainGain
 }
 
 // Consolidation decides which busy machines to drain.
@@ -56,11 +56,11 @@
 func (c *Consolidation) Choose(demand *peer.Demand, candidates []DrainCandidate, draining int) []DrainCandidate {
 	candidates = slices.DeleteFunc(candidates, func(m DrainCandidate) bool { return !m.worthDraining() })
 	slices.SortStableFunc(candidates, func(a, b DrainCandidate) int { return -cmp.Compare(a.gain(), b.gain()) })
-	maxChosen := max(1, demand.All/maxDrainingDivisor) - draining
-	free := demand.CPUs - demand.Busy
+	maxChosen := max(1, demand.TotalMachines/maxDrainingDivisor) - draining
+	free := demand.CPUs - demand.BusyCPUs
 	for i, m := range candidates {
-		freeElsewhere := free - (m.CPUs - m.Busy)
-		if i >= maxChosen || c.Have-m.CPUs < c.Need || freeElsewhere < m.Busy {
+		freeElsewhere := free - (m.CPUs - m.BusyCPUs)
+		if i >= maxChosen || c.Have-m.CPUs < c.Need || freeElsewhere < m.BusyCPUs {
 			return candidates[:i]
 		}
 		c.Have -= m.CPUs
--- a/internal/controller/fleet/demand.go
+++ b/internal/controller/fleet/demand.go
@@ -31,7 +31,7 @@
 func (d Demands) Groups() []peer.WaitingTasks {
 	var groups []peer.WaitingTasks
 	for _, shard := range d.Shards() {
-		groups = append(groups, d[shard].Groups...)
+		groups = append(groups, d[shard].WaitingTasks...)
 	}
 	return groups
 }
@@ -39,8 +39,8 @@
 // WaitingCPUs returns the CPUs that a shard's waiting tasks would use if all of them ran at once.
 func WaitingCPUs(demand *peer.Demand) float64 {
 	cpus := 0.0
-	for _, group := range demand.Groups {
-		cpus += float64(group.Waiting) * group.CPUs
+	for _, group := range demand.WaitingTasks {
+		cpus += float64(group.Count) * group.CPUs
 	}
 	return cpus
 }
@@ -48,8 +48,8 @@
 // UnfinishedWork returns the unfinished work of a shard's running and waiting tasks, in CPU
 // seconds.
 func UnfinishedWork(demand *peer.Demand) float64 {
-	work := micros.Micros(demand.RunLeftUS).Seconds()
-	for _, group := range demand.Groups {
+	work := micros.Micros(demand.RemainingWorkUS).Seconds()
+	for _, group := range demand.WaitingTasks {
 		work += micros.Micros(group.WorkUS).Seconds() * group.CPUs
 	}
 	return work
@@ -60,10 +60,10 @@
 // now and the capacity that becomes free in the meantime, up to what waiting tasks would use.
 func BlockedWork(demand *peer.Demand) float64 {
 	blocked := micros.Micros(demand.BlockedUS).Seconds()
-	unused := (demand.CPUs - demand.Busy) * blocked
-	if demand.Busy > 0 {
-		runLeft := micros.Micros(demand.RunLeftUS).Seconds() / demand.Busy
-		unused += demand.Busy * max(0, blocked-runLeft)
+	unused := (demand.CPUs - demand.BusyCPUs) * blocked
+	if demand.BusyCPUs > 0 {
+		runLeft := micros.Micros(demand.RemainingWorkUS).Seconds() / demand.BusyCPUs
+		unused += demand.BusyCPUs * max(0, blocked-runLeft)
 	}
 	return min(unused, WaitingCPUs(demand)*blocked)
 }
@@ -71,7 +71,7 @@
 // UnusedWork returns how much of a machine with the given number of CPUs remains unused until its
 // tasks end, in CPU seconds.
 func UnusedWork(machine peer.Machine, cpus float64) float64 {
-	return (cpus - machine.Busy) * micros.Micros(machine.LeftUS).Seconds()
+	return (cpus - machine.BusyCPUs) * micros.Micros(machine.RemainingUS).Seconds()
 }
 
 // Totals is the sum of what all shards need and have.
@@ -87,10 +87,10 @@
 // Add adds the demand of a shard.
 func (s *Totals) Add(demand *peer.Demand) {
 	s.Have += demand.CPUs
-	s.Booting += demand.Booting
-	s.Busy += demand.Busy
+	s.Booting += demand.BootingCPUs
+	s.Busy += demand.BusyCPUs
 	s.Work += UnfinishedWork(demand)
-	s.Parallel += demand.Busy + WaitingCPUs(demand)
+	s.Parallel += demand.BusyCPUs + WaitingCPUs(demand)
 	s.Arrival += demand.ArrivalCPUs
 }
 
--- a/internal/controller/fleet/rebalancing.go
+++ b/internal/controller/fleet/rebalancing.go
@@ -77,7 +77,7 @@
 		spare:     map[int]float64{},
 	}
 	for shard, demand := range demands {
-		free := demand.CPUs - demand.Busy
+		free := demand.CPUs - demand.BusyCPUs
 		waiting := WaitingCPUs(demand)
 		r.actual[shard] = demand.CPUs
 		r.shortfall[shard] = max(0, waiting-free)
@@ -107,7 +107,7 @@
 // sorts machines.
 func (r *Rebalancing) Moves(machines []Machine) []Move {
 	slices.SortStableFunc(machines, func(a, b Machine) int {
-		return cmp.Or(cmp.Compare(a.State, b.State), cmp.Compare(a.LeftUS, b.LeftUS), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(a.State, b.State), cmp.Compare(a.RemainingUS, b.RemainingUS), cmp.Compare(a.ID, b.ID))
 	})
 	var moves []Move
 	for _, machine := range machines {
@@ -156,11 +156,11 @@
 	if gain < machine.CPUs/2 || surplus < machine.CPUs/2 {
 		return false
 	}
-	if unused := machine.CPUs - machine.Busy; unused > 0 && r.spare[machine.From] >= unused {
+	if unused := machine.CPUs - machine.BusyCPUs; unused > 0 && r.spare[machine.From] >= unused {
 		r.spare[machine.From] -= unused
 		return true
 	}
-	if micros.Micros(machine.LeftUS) > maxDrainTime || r.draining >= maxDraining {
+	if micros.Micros(machine.RemainingUS) > maxDrainTime || r.draining >= maxDraining {
 		return false
 	}
 	r.draining++
--- a/internal/controller/fleet/scale_out.go
+++ b/internal/controller/fleet/scale_out.go
@@ -37,7 +37,7 @@
 }
 
 // Add counts a rental as existing capacity.
-func (s *ScaleOut) Add(rental wire.Rental) {
+func (s *ScaleOut) Add(rental wire.RentalRequest) {
 	cpus := s.Catalog.CPUs(rental.Type, rental.Count)
 	s.Totals.Have += cpus
 	s.Free[Kind{rental.Type, rental.Zone, rental.Spot}] += cpus
@@ -48,24 +48,24 @@
 // Next returns the next rental. It serves the groups in decreasing order of waiting work, with the
 // cheapest machines that a group can use, as long as the fleet has fewer machines than are worth
 // their price. It returns false if nothing more is to be rented. It sorts Groups.
-func (s *ScaleOut) Next() (wire.Rental, bool) {
+func (s *ScaleOut) Next() (wire.RentalRequest, bool) {
 	slices.SortStableFunc(s.Groups, func(a, b peer.WaitingTasks) int {
 		return cmp.Compare(float64(b.WorkUS)*b.CPUs, float64(a.WorkUS)*a.CPUs)
 	})
 	lowestPrice := s.Catalog.LowestPrice()
 	for _, group := range s.Groups {
-		if group.Waiting == 0 {
+		if group.Count == 0 {
 			continue
 		}
 		if rental, ok := s.rentalFor(group, lowestPrice); ok {
 			return rental, true
 		}
 	}
-	return wire.Rental{}, false
+	return wire.RentalRequest{}, false
 }
 
 // rentalFor returns a rental for a group's tasks. It returns false if none is needed.
-func (s *ScaleOut) rentalFor(group peer.WaitingTasks, lowestPrice float64) (wire.Rental, bool) {
+func (s *ScaleOut) rentalFor(group peer.WaitingTasks, lowestPrice float64) (wire.RentalRequest, bool) {
 	shortfall := s.Totals.Parallel - s.Totals.Have
 	groupShortfall := 0.0
 	fleetSmallerThanTask := s.Totals.Have+scheduling.Tolerance < group.CPUs
@@ -74,7 +74,7 @@
 		shortfall = max(shortfall, groupShortfall)
 	}
 	if shortfall <= 0 {
-		return wire.Rental{}, false
+		return wire.RentalRequest{}, false
 	}
 	for _, candidate := range s.options(group, shortfall) {
 		deficit := max(s.Totals.Need(s.DrainHorizon, max(candidate.cpuPrice/lowestPrice, 1))-s.Totals.Have, groupShortfall)
@@ -82,16 +82,16 @@
 			continue
 		}
 		count := max(1, min(int(math.Ceil(deficit/candidate.cpus-roundingDown)), maxRentalMachines, s.MaxMachines))
-		return wire.Rental{Type: candidate.kind.Type, Zone: candidate.kind.Zone, Spot: candidate.kind.Spot, Count: count}, true
+		return wire.RentalRequest{Type: candidate.kind.Type, Zone: candidate.kind.Zone, Spot: candidate.kind.Spot, Count: count}, true
 	}
-	return wire.Rental{}, false
+	return wire.RentalRequest{}, false
 }
 
 // groupShortfall returns the number of CPUs that a constrained group needs in addition to the free
 // CPUs that it can use. The fleet as a whole may be large enough and still have no machine on
 // which the group's tasks can run.
 func (s *ScaleOut) groupShortfall(group peer.WaitingTasks) float64 {
-	waiting := float64(group.Waiting) * group.CPUs
+	waiting := float64(group.Count) * group.CPUs
 	toDrain := micros.Micros(group.WorkUS).Seconds() * group.CPUs / s.DrainHorizon.Seconds()
 	shortfall := min(waiting, max(toDrain, group.CPUs))
 	for kind, cpus := range s.Free {
--- a/internal/controller/fleet/zones.go
+++ b/internal/controller/fleet/zones.go
@@ -48,8 +48,8 @@
 	for _, demand := range demands {
 		for _, zone := range demand.Zones {
 			count := counts[zone.Name]
-			count.all += zone.All
-			count.silent += zone.Silent
+			count.all += zone.TotalMachines
+			count.silent += zone.SilentMachines
 			counts[zone.Name] = count
 		}
 	}
--- a/internal/controller/machine_maintenance.go
+++ b/internal/controller/machine_maintenance.go
@@ -54,7 +54,7 @@
 
 // sameDestination reports whether machines of the two releases can be released by one transaction.
 func sameDestination(a, b peer.Release) bool {
-	return a.Cordon == b.Cordon && a.Shard == b.Shard
+	return a.Cordon == b.Cordon && a.ToShard == b.ToShard
 }
 
 // maintainMachine maintains one machine, and reports whether it is to be released now.
--- a/internal/controller/machine_records_test.go
+++ b/internal/controller/machine_records_test.go
@@ -31,7 +31,7 @@
 				h.blockedWatchPrefix = wire.PrefixControl
 			}
 			h.c.fleet.nextPlanAt = micros.Never
-			h.c.release(peer.Release{Machines: []string{"vm-1"}, Shard: 1 - from})
+			h.c.release(peer.Release{Machines: []string{"vm-1"}, ToShard: 1 - from})
 			h.step(Tick{})
 			if tc.lose {
 				if v := m.view; !v.releasing {
@@ -165,7 +165,7 @@
 	m.recordSet.nextWriteAt = 0
 	h.c.fleet.nextPlanAt = micros.Never
 	h.delayPrefix = wire.PrefixFleet
-	if h.c.release(peer.Release{Machines: []string{"vm-1"}, Shard: 1 - m.rec.Shard}); !m.view.releasing {
+	if h.c.release(peer.Release{Machines: []string{"vm-1"}, ToShard: 1 - m.rec.Shard}); !m.view.releasing {
 		t.Fatal("setup failed: the machine is not being released")
 	}
 	h.step(Tick{})
--- a/internal/controller/machine_release.go
+++ b/internal/controller/machine_release.go
@@ -23,7 +23,7 @@
 // at once. Others are released when they are empty, if the request allows to drain them. It reports
 // whether it has sent a transaction.
 func (c *Controller) release(r peer.Release) bool {
-	if r.Shard < 0 || r.Shard >= len(c.ownership.shards) {
+	if r.ToShard < 0 || r.ToShard >= len(c.ownership.shards) {
 		return false
 	}
 	var ready []*machine
@@ -48,7 +48,7 @@
 		return false
 	}
 	s := c.ownership.activeShard(m.rec.Shard)
-	return s != nil && (r.Cordon || r.Shard != s.id)
+	return s != nil && (r.Cordon || r.ToShard != s.id)
 }
 
 // planRelease plans to release a machine once it is empty, and has its tasks saved if the request
@@ -152,7 +152,7 @@
 	writes := txn.writes
 	if !r.Cordon {
 		writes = append(writes, recordSetWrite{
-			key:    wire.MachineRecordSetKey(r.Shard, c.machineRecords.newName(recordSetMoved, s.ownerEpoch)),
+			key:    wire.MachineRecordSetKey(r.ToShard, c.machineRecords.newName(recordSetMoved, s.ownerEpoch)),
 			record: recordSetOf(txn.machines, nil, nil),
 		})
 	}
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -174,9 +174,9 @@
 func (c *Controller) controllerStateFor(p *peerView) peer.ControllerState {
 	return peer.ControllerState{
 		UptimeUS:            int64(c.now - c.startedAt),
-		StateOK:             c.ownership.stateReachable(),
+		StateServiceOK:      c.ownership.stateReachable(),
 		WithoutWorkers:      c.workerContact.lost(),
-		Quota:               c.quota.ledger != nil,
+		EnforcesQuota:       c.quota.ledger != nil,
 		Claims:              c.ownership.shardClaims(),
 		MisdirectedMachines: c.misdirectedMachinesOf(p),
 	}
@@ -214,10 +214,10 @@
 func (c *Controller) applyControllerState(p *peerView, state *peer.ControllerState) (quiesced []int) {
 	p.lastContactAt = c.now
 	p.uptime = micros.Micros(state.UptimeUS)
-	p.stateReachable = state.StateOK
+	p.stateReachable = state.StateServiceOK
 	p.withoutWorkers = state.WithoutWorkers
-	p.hasQuota = state.Quota
-	if state.Quota {
+	p.hasQuota = state.EnforcesQuota
+	if state.EnforcesQuota {
 		c.enableQuota()
 	}
 	p.misdirectedHeartbeats = map[string]bool{}
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -78,7 +78,7 @@
 		t.Errorf("writes by the key that they are conditional on: %v", writesByKey)
 	}
 	low := quota.CPULimit(1)
-	if resp := h.quotaRequest(peer.QuotaRequest{Set: &peer.SetLimit{WaitingTasks: "all", Limit: low}}); resp.Problem != "" || resp.Epoch != 2 {
+	if resp := h.quotaRequest(peer.QuotaRequest{Set: &peer.SetLimit{Group: "all", Limit: low}}); resp.Problem != "" || resp.Epoch != 2 {
 		t.Errorf("response to the lower limit: %+v", resp)
 	}
 	h.run(sec)
@@ -93,7 +93,7 @@
 	if got := h.c.jobs.open["job-000002"].run; len(got.active) != 0 {
 		t.Errorf("%d tasks started while cancelled ones may still run, want none", len(got.active))
 	}
-	if resp := h.quotaRequest(peer.QuotaRequest{Set: &peer.SetLimit{WaitingTasks: "all", Clear: true}}); resp.Problem != "" {
+	if resp := h.quotaRequest(peer.QuotaRequest{Set: &peer.SetLimit{Group: "all", Clear: true}}); resp.Problem != "" {
 		t.Error(resp.Problem)
 	}
 	h.run(3 * sec)
@@ -114,8 +114,8 @@
 		name, want string
 		set        peer.SetLimit
 	}{
-		{"an unknown group", "no such group", peer.SetLimit{WaitingTasks: "none", Limit: quota.CPULimit(1)}},
-		{"a negative limit", "limit.cpus = -1", peer.SetLimit{WaitingTasks: "all", Limit: quota.Limit{CPUs: &negative}}},
+		{"an unknown group", "no such group", peer.SetLimit{Group: "none", Limit: quota.CPULimit(1)}},
+		{"a negative limit", "limit.cpus = -1", peer.SetLimit{Group: "all", Limit: quota.Limit{CPUs: &negative}}},
 	} {
 		if resp := h.quotaRequest(peer.QuotaRequest{Set: &tc.set}); !strings.Contains(resp.Problem, tc.want) {
 			t.Errorf("%s: answer %q does not hold the reason", tc.name, resp.Problem)
@@ -136,13 +136,13 @@
 		}
 	}
 	for _, st := range withoutOption.statusesSent {
-		if st.Quota || st.Traces != nil {
+		if st.EnforcesQuota || st.Traces != nil {
 			t.Errorf("without the option, quota fields are sent to other controllers: %+v", st)
 		}
 	}
 	// Once another controller reports that it handles quotas, this one handles them too.
 	withoutOption.request(func(r ReplyID) Input {
-		return PeerRequest{Reply: r, Req: peer.Request{From: "n-1", Status: &peer.Status{ControllerState: peer.ControllerState{StateOK: true, Quota: true}}}}
+		return PeerRequest{Reply: r, Req: peer.Request{From: "n-1", Status: &peer.Status{ControllerState: peer.ControllerState{StateServiceOK: true, EnforcesQuota: true}}}}
 	})
 	withoutOption.run(sec)
 	if resp := withoutOption.quotaRequest(peer.QuotaRequest{}); resp.Problem != "" {
@@ -159,8 +159,8 @@
 	})
 	trace, span := [16]byte{1, 2}, [8]byte{3}
 	h.request(func(r ReplyID) Input {
-		return PeerRequest{Reply: r, Req: peer.Request{From: "n-1", Status: &peer.Status{ControllerState: peer.ControllerState{StateOK: true, Quota: true},
-			Traces: []peer.TraceContext{{WaitingTasks: "all", Shard: 1, Trace: trace[:], Span: span[:], BeganUS: 1}, {WaitingTasks: "all", Shard: 2, Trace: []byte("short")}}}}}
+		return PeerRequest{Reply: r, Req: peer.Request{From: "n-1", Status: &peer.Status{ControllerState: peer.ControllerState{StateServiceOK: true, EnforcesQuota: true},
+			Traces: []peer.TraceContext{{Group: "all", Shard: 1, TraceID: trace[:], SpanID: span[:], BeganUS: 1}, {Group: "all", Shard: 2, TraceID: []byte("short")}}}}}
 	})
 	h.c.effects = nil
 	h.c.quota.traceQuota(quota.Changed{Kind: quota.Shrunk, Group: "all", Shard: 0, From: quota.Amount{CPUs: 2}, To: quota.Amount{CPUs: 1}})
@@ -169,7 +169,7 @@
 	}
 	h.c.quota.traceQuota(quota.Changed{Kind: quota.Asked, Group: "all", Shard: 0})
 	asked := h.c.effects[1].(Span)
-	if contexts := h.c.quota.openTraces(); len(contexts) != 1 || [16]byte(contexts[0].Trace) != asked.Trace || [8]byte(contexts[0].Span) != asked.ID {
+	if contexts := h.c.quota.openTraces(); len(contexts) != 1 || [16]byte(contexts[0].TraceID) != asked.Trace || [8]byte(contexts[0].SpanID) != asked.ID {
 		t.Errorf("trace contexts sent to others: %+v, want that of %+v", contexts, asked)
 	}
 }
@@ -177,8 +177,8 @@
 // TestOlderVersionsReadStatusWithGroups checks that an older version can read the fields that it
 // knows from a status message with quota fields.
 func TestOlderVersionsReadStatusWithGroups(t *testing.T) {
-	st := &peer.Status{ControllerState: peer.ControllerState{UptimeUS: 5, StateOK: true, Claims: []peer.ShardClaim{{Shard: 1, OwnerEpoch: 7}}, Quota: true}, ReturnedMachines: []string{"vm-1"},
-		Traces: []peer.TraceContext{{WaitingTasks: "all", Trace: make([]byte, 16), Span: make([]byte, 8)}}}
+	st := &peer.Status{ControllerState: peer.ControllerState{UptimeUS: 5, StateServiceOK: true, Claims: []peer.ShardClaim{{Shard: 1, OwnerEpoch: 7}}, EnforcesQuota: true}, ReturnedMachines: []string{"vm-1"},
+		Traces: []peer.TraceContext{{Group: "all", TraceID: make([]byte, 16), SpanID: make([]byte, 8)}}}
 	sent, err := peer.Encode(peer.Request{From: "n-1", Status: st})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/controller/replacement.go
+++ b/internal/controller/replacement.go
@@ -78,15 +78,15 @@
 func (c *Controller) unreachableMachines(demand *peer.Demand, partitioned map[string]bool) unreachableMachines {
 	var unreachable unreachableMachines
 	// If most machines are unreachable, the fault is more likely in the owner's network.
-	mostSilent := 2*demand.Silent > demand.All
-	mostUnreconciled := 2*demand.Unreconciled > demand.All
+	mostSilent := 2*demand.SilentMachines > demand.TotalMachines
+	mostUnreconciled := 2*demand.UnreconciledMachines > demand.TotalMachines
 	for _, m := range demand.Machines {
 		onRecord := c.machines[m.ID]
 		if onRecord == nil || c.fleet.returned[m.ID] != 0 || c.fleet.returning[m.ID] {
 			continue
 		}
 		inPartition := partitioned[onRecord.rec.Zone]
-		since := micros.Micros(m.SinceUS)
+		since := micros.Micros(m.InStateUS)
 		switch m.State {
 		case peer.MachineSilent:
 			if since > c.silenceLimit(inPartition) && !mostSilent {
--- a/internal/controller/scale_out.go
+++ b/internal/controller/scale_out.go
@@ -43,7 +43,7 @@
 // scaleOutRequest is a rental request under way. It is sent again under the same request name until
 // the cloud has answered, because an unanswered request may have been carried out.
 type scaleOutRequest struct {
-	rental     wire.Rental
+	rental     wire.RentalRequest
 	nextSendAt micros.Micros // earliest time of the next attempt
 	inFlight   bool
 }
@@ -130,7 +130,7 @@
 		}
 		choice.Add(rental)
 		f.scaleOutSequence++
-		rental.Request = fmt.Sprintf("r-%d-%d", c.ownership.leader.ownerEpoch, f.scaleOutSequence)
+		rental.RequestID = fmt.Sprintf("r-%d-%d", c.ownership.leader.ownerEpoch, f.scaleOutSequence)
 		req := &scaleOutRequest{rental: rental}
 		f.scaleOuts = append(f.scaleOuts, req)
 		c.sendScaleOut(req)
@@ -165,7 +165,7 @@
 	case r.Status == http.StatusBadRequest:
 		f.endScaleOut(req)
 		f.noteRefusal(req.kind())
-		f.log(Error, "rental request called malformed", "request", req.rental.Request)
+		f.log(Error, "rental request called malformed", "request", req.rental.RequestID)
 	default:
 		req.nextSendAt = f.now + f.jitter(scaleOutRetryInterval)
 	}
--- a/internal/controller/scale_test.go
+++ b/internal/controller/scale_test.go
@@ -262,8 +262,8 @@
 		return st, len(b)
 	}
 	st, size := demandStatus()
-	if d := st.Demand[0]; len(d.Machines) < machines-1 || d.All != machines || len(st.MisdirectedMachines) != machines {
-		t.Errorf("%d machines listed, %d misdirected, %d counted, of %d", len(d.Machines), len(st.MisdirectedMachines), d.All, machines)
+	if d := st.Demand[0]; len(d.Machines) < machines-1 || d.TotalMachines != machines || len(st.MisdirectedMachines) != machines {
+		t.Errorf("%d machines listed, %d misdirected, %d counted, of %d", len(d.Machines), len(st.MisdirectedMachines), d.TotalMachines, machines)
 	}
 	if size > peer.MaxMessage*9/10 {
 		t.Errorf("the message has %d bytes, want at most nine tenths of %d", size, peer.MaxMessage)
@@ -272,8 +272,8 @@
 		m.id += strings.Repeat("x", 200-len(m.id))
 	}
 	st, size = demandStatus()
-	if d := st.Demand[0]; len(d.Machines) == 0 || len(d.Machines) == machines || d.All != machines {
-		t.Errorf("beyond the bound, %d machines are listed and %d counted, of %d", len(d.Machines), d.All, machines)
+	if d := st.Demand[0]; len(d.Machines) == 0 || len(d.Machines) == machines || d.TotalMachines != machines {
+		t.Errorf("beyond the bound, %d machines are listed and %d counted, of %d", len(d.Machines), d.TotalMachines, machines)
 	}
 	if size > peer.MaxMessage*9/10 {
 		t.Errorf("beyond the bound, the message has %d bytes, want at most nine tenths of %d", size, peer.MaxMessage)
--- a/internal/runtime/requests.go
+++ b/internal/runtime/requests.go
@@ -14,7 +14,7 @@
 // ErrUnknownRequest is returned, wrapped, for a call whose request has no HTTP form.
 var ErrUnknownRequest = errors.New("runtime: request of unknown type")
 
-// EncodedCall is the HTTP form of a call without its address.
+// EncodedCall is the HTTP request for a call, without the address.
 type EncodedCall struct {
 	Method      string
 	Target      string // path and query
@@ -22,22 +22,22 @@
 	Body        []byte
 }
 
-// EncodeCall returns the HTTP form of a call. It is a pure function. The error is
-// ErrUnknownRequest, or that of the encoder.
+// EncodeCall returns the HTTP request for a call. It is a pure function. The error wraps
+// ErrUnknownRequest or is an encoding error.
 func EncodeCall(call controller.Call) (EncodedCall, error) {
 	if call.To == controller.ToPeer {
 		return encodePeerCall(call.Req)
 	}
-	form, err := formOf(call.Req)
+	unencoded, err := unencodedRequestOf(call.Req)
 	if err != nil {
 		return EncodedCall{}, err
 	}
-	encoded := EncodedCall{Method: form.method, Target: form.target}
-	if form.payload == nil {
+	encoded := EncodedCall{Method: unencoded.method, Target: unencoded.target}
+	if unencoded.payload == nil {
 		return encoded, nil
 	}
 	encoded.ContentType = wire.ContentType
-	encoded.Body, err = wire.Encode(form.payload)
+	encoded.Body, err = wire.Encode(unencoded.payload)
 	return encoded, err
 }
 
@@ -46,13 +46,13 @@
 	return EncodedCall{
 		Method:      http.MethodPost,
 		Target:      peer.Path,
-		ContentType: wire.ContentType, // receivers look at the body alone
+		ContentType: wire.ContentType, // receivers ignore the content type
 		Body:        body,
 	}, err
 }
 
-// EncodeAnswer returns the content type and the encoded form of an answer's body, which
-// may be nil. It is a pure function.
+// EncodeAnswer returns the content type and the encoded form of a response body, which may be
+// nil. It is a pure function.
 func EncodeAnswer(body any) (contentType string, encoded []byte, err error) {
 	if body == nil {
 		return wire.ContentType, nil, nil
@@ -65,60 +65,60 @@
 	return wire.ContentType, encoded, err
 }
 
-// requestForm is a request whose body, if it has one, is not encoded yet.
-type requestForm struct {
+// unencodedRequest is an HTTP request whose body is not encoded yet.
+type unencodedRequest struct {
 	method  string
 	target  string
-	payload any
+	payload any // nil: no body
 }
 
-func getForm(target string) requestForm {
-	return requestForm{method: http.MethodGet, target: target}
+func newGetRequest(target string) unencodedRequest {
+	return unencodedRequest{method: http.MethodGet, target: target}
 }
 
-func postForm(target string, payload any) requestForm {
-	return requestForm{method: http.MethodPost, target: target, payload: payload}
+func newPostRequest(target string, payload any) unencodedRequest {
+	return unencodedRequest{method: http.MethodPost, target: target, payload: payload}
 }
 
-// formOf returns the form of a request to the state service, the cloud or a worker. The
-// answers to the same requests stand in decodeServiceAnswer.
-func formOf(request any) (requestForm, error) {
+// unencodedRequestOf returns the HTTP request for a request to the state service, the cloud or a
+// worker. decodeServiceAnswer decodes the responses to these requests.
+func unencodedRequestOf(request any) (unencodedRequest, error) {
 	switch r := request.(type) {
 	// To the state service.
 	case wire.Txn:
-		return postForm(wire.PathTxn, withConditionList(r)), nil
+		return newPostRequest(wire.PathTxn, withConditionList(r)), nil
 	case wire.NewLease:
-		return postForm(wire.PathLeases, r), nil
+		return newPostRequest(wire.PathLeases, r), nil
 	case statestore.RenewLease:
-		return postForm(wire.RenewLeasePath(r.Lease), nil), nil
+		return newPostRequest(wire.RenewLeasePath(r.Lease), nil), nil
 	case statestore.GetKey:
-		return getForm(wire.KeyPath(r.Key)), nil
+		return newGetRequest(wire.KeyPath(r.Key)), nil
 	case statestore.ListKeys:
-		return getForm(wire.ListKeysTarget(r.Prefix, r.After, r.Limit)), nil
+		return newGetRequest(wire.ListKeysTarget(r.Prefix, r.After, r.Limit)), nil
 	case statestore.WatchKeys:
-		return getForm(wire.WatchTarget(r.Prefix, r.Since, r.WaitMS)), nil
+		return newGetRequest(wire.WatchTarget(r.Prefix, r.Since, r.WaitMS)), nil
 
 	// To the cloud.
 	case controller.GetTypes:
-		return getForm(wire.PathMachineTypes), nil
+		return newGetRequest(wire.PathMachineTypes), nil
 	case controller.ListMachines:
-		return getForm(wire.ListMachinesTarget(r.After, r.Limit)), nil
+		return newGetRequest(wire.ListMachinesTarget(r.After, r.Limit)), nil
 	case controller.ReturnMachines:
-		return postForm(wire.PathReturnMachines, wire.MachineNames{Machines: r.Machines}), nil
-	case wire.Rental:
-		return postForm(wire.PathMachines, r), nil
+		return newPostRequest(wire.PathReturnMachines, wire.MachineNames{Machines: r.Machines}), nil
+	case wire.RentalRequest:
+		return newPostRequest(wire.PathMachines, r), nil
 
 	// To a worker.
 	case wire.DirectCommand:
-		return postForm(wire.PathDirectCommand, r), nil
+		return newPostRequest(wire.PathDirectCommand, r), nil
 	case controller.GetHeartbeat:
-		return getForm(wire.PathShowHeartbeat), nil
+		return newGetRequest(wire.PathShowHeartbeat), nil
 	}
-	return requestForm{}, fmt.Errorf("%w %T", ErrUnknownRequest, request)
+	return unencodedRequest{}, fmt.Errorf("%w %T", ErrUnknownRequest, request)
 }
 
-// withConditionList returns a transaction whose list of conditions is written as an empty
-// list rather than as null when there are none.
+// withConditionList returns a copy of a transaction whose list of conditions, if it is nil, is
+// replaced by an empty one. A nil list would be encoded as null.
 func withConditionList(txn wire.Txn) wire.Txn {
 	if txn.Conditions == nil {
 		txn.Conditions = []wire.Condition{}
--- a/internal/runtime/runtime.go
+++ b/internal/runtime/runtime.go
@@ -1,5 +1,6 @@
-// Package runtime carries out what the controller decides: it feeds requests, results
-// and time into the controller, sends its calls, writes its answers and logs.
+// Package runtime connects the controller, which performs no I/O, to the network and the clock.
+// It passes requests, the results of calls and the passing of time to the controller, and
+// executes the effects that the controller returns: answers, calls, log lines and spans.
 package runtime
 
 import (
@@ -18,23 +19,23 @@
 	"garnethitch/internal/wire"
 )
 
-// Limits of the services that do not depend on the settings.
+// Limits and times that do not depend on the settings.
 const (
-	maxBodyBytes        = 64 << 10 // protocol: the limit for request bodies and workers' answers
-	serviceIdleConns    = 8        // kept per address of a service or controller
+	maxBodyBytes        = 64 << 10 // the protocol's limit for request bodies and workers' responses
+	serviceIdleConns    = 8        // idle connections kept per address of a service or controller
 	serviceIdleTimeout  = 20 * time.Second
-	workerIdleConns     = 1           // kept per worker
+	workerIdleConns     = 1           // idle connections kept per worker
 	workerIdleTimeout   = time.Minute // about as long as a task runs
 	dialTimeout         = 700 * time.Millisecond
-	serveTimeout        = 10 * time.Second // within which a request must arrive whole
+	requestTimeout      = 10 * time.Second // maximum time from the first byte of a request to its last
 	connSweepInterval   = 10 * time.Second
 	firstTimerInterval  = time.Hour // replaced in the first step
-	shortestTimer       = time.Millisecond
-	steadyClockStart    = micros.Second // of the steady clock: 0 stands for "never"
-	encodingErrorRetryS = 1             // seconds in Retry-After
+	minTimerInterval    = time.Millisecond
+	steadyClockStart    = micros.Second // first reading of the steady clock; a time of 0 means "never"
+	encodingErrorRetryS = 1             // Retry-After, in seconds, if a response cannot be encoded
 )
 
-// Listeners, in the order of their addresses in the server's Config.
+// Listeners of the server, as indexes into server.Config.Addrs.
 const (
 	publicListener   server.Listener = iota // users and workers
 	internalListener                        // other controllers and the command line
@@ -42,45 +43,46 @@
 
 // Runtime is one running controller.
 type Runtime struct {
-	set   config.Settings
-	log   *slog.Logger
-	start time.Time // zero of the steady clock, but for steadyClockStart
+	settings  config.Settings
+	log       *slog.Logger
+	startedAt time.Time // when the steady clock read steadyClockStart
 
-	mu               sync.Mutex // guards what follows, down to timer
+	mu               sync.Mutex // guards the fields from controller to timer
 	controller       *controller.Controller
-	wakeAt           micros.Micros // what the timer is set to
-	lastStepDuration micros.Micros
+	wakeAt           micros.Micros // the time for which timer is set
+	lastStepDuration micros.Micros // duration of the latest step with its effects
 	meter            meter
-	replies          map[controller.ReplyID]waitingRequest
+	waitingRequests  map[controller.ReplyID]waitingRequest
 	nextID           controller.ReplyID
 	limits           callLimits
 	timer            *time.Timer
 
 	srv        *server.Server
-	heartbeats *wire.HeartbeatReader // used on the serving goroutine only
-	services   *client.Client        // calls to the state service, the cloud and controllers
-	workers    *client.Client
-	peers      map[string]string // addresses by label
-	ctx        context.Context
-	tracer     *tracing.Tracer // nil: spans are not wanted
+	heartbeats *wire.HeartbeatReader // used on the goroutine of the server's event loop only
+	services   *client.Client        // calls to the state service, the cloud and other controllers
+	workers    *client.Client        // calls to workers
+	peers      map[string]string     // internal addresses of the other controllers, by label
+	ctx        context.Context       // ends all calls; set by Run
+	tracer     *tracing.Tracer       // nil: spans are not exported
 }
 
-// New prepares a controller that draws its random numbers from seed.
-func New(set config.Settings, opt config.Options, log *slog.Logger, seed uint64) *Runtime {
-	cfg := ControllerConfig(set, opt)
+// New returns a Runtime for a controller that takes its random numbers from seed. It does not
+// start the controller; see Run.
+func New(settings config.Settings, opt config.Options, log *slog.Logger, seed uint64) *Runtime {
+	cfg := ControllerConfig(settings, opt)
 	cfg.LogHeartbeats = log != nil && log.Enabled(context.Background(), slog.LevelDebug)
-	sizes := SizesOf(set)
+	sizes := SizesOf(settings)
 	rt := &Runtime{
-		set:        set,
-		log:        log,
-		start:      time.Now(),
-		controller: controller.New(cfg, seed),
-		replies:    map[controller.ReplyID]waitingRequest{},
-		limits:     newCallLimits(sizes),
-		heartbeats: wire.NewHeartbeatReader(sizes.TaskListBytes),
-		services:   newServiceClient(sizes),
-		workers:    newWorkerClient(sizes),
-		peers:      peerAddresses(set.Seeds),
+		settings:        settings,
+		log:             log,
+		startedAt:       time.Now(),
+		controller:      controller.New(cfg, seed),
+		waitingRequests: map[controller.ReplyID]waitingRequest{},
+		limits:          newCallLimits(sizes),
+		heartbeats:      wire.NewHeartbeatReader(sizes.TaskListBytes),
+		services:        newServiceClient(sizes),
+		workers:         newWorkerClient(sizes),
+		peers:           peerAddresses(settings.Seeds),
 	}
 	rt.srv = server.New(rt.serverConfig(sizes))
 	return rt
@@ -116,11 +118,11 @@
 
 func (rt *Runtime) serverConfig(sizes Sizes) server.Config {
 	return server.Config{
-		Addrs:            []string{publicListener: rt.set.ServeOn, internalListener: rt.set.InternalAddr},
+		Addrs:            []string{publicListener: rt.settings.ServeOn, internalListener: rt.settings.InternalAddr},
 		MaxBodyBytes:     []int{publicListener: maxBodyBytes, internalListener: peer.MaxMessage},
 		MaxConns:         sizes.ServedConns,
 		MaxBufferedBytes: sizes.BufferedBytes,
-		RequestTimeout:   serveTimeout,
+		RequestTimeout:   requestTimeout,
 		IdleTimeout:      sizes.IdleTimeout,
 		Log:              rt.log,
 		Now:              time.Now,
@@ -128,13 +130,13 @@
 	}
 }
 
-// WithTracer has spans exported, and returns rt.
+// WithTracer makes rt export spans through t, and returns rt.
 func (rt *Runtime) WithTracer(t *tracing.Tracer) *Runtime {
 	rt.tracer = t
 	return rt
 }
 
-// Run serves until ctx ends.
+// Run runs the controller until ctx is done. The errors are those of server.Server.Run.
 func (rt *Runtime) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -148,7 +150,8 @@
 	return rt.srv.Run(ctx)
 }
 
-// closeExpiredConns closes outbound connections that were idle for too long, until ctx ends.
+// closeExpiredConns closes outbound connections that have been idle for too long, until ctx is
+// done.
 func (rt *Runtime) closeExpiredConns(ctx context.Context) {
 	ticker := time.NewTicker(connSweepInterval)
 	defer ticker.Stop()
@@ -163,28 +166,30 @@
 	}
 }
 
-// instant reads the steady clock and the time of day.
+// instant returns the current readings of the steady clock and the time of day.
 func (rt *Runtime) instant() controller.Instant {
 	now := time.Now()
 	return controller.Instant{
-		Steady: micros.FromDuration(now.Sub(rt.start)) + steadyClockStart,
+		Steady: micros.FromDuration(now.Sub(rt.startedAt)) + steadyClockStart,
 		Wall:   micros.Micros(now.UnixMicro()),
 	}
 }
 
-// step feeds one input and carries out what follows. The clock is read under
-// the lock: a process that was frozen must not act on an old reading.
+// step passes one input to the controller and executes the effects. It reads the clock while it
+// holds the lock, so that a process that was suspended while it waited does not act on an old
+// reading.
 func (rt *Runtime) step(in controller.Input) {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
 	rt.stepLocked(in)
 }
 
+// stepLocked is step for callers that hold rt.mu.
 func (rt *Runtime) stepLocked(in controller.Input) {
 	at := rt.instant()
 	at.PreviousStepDuration = rt.lastStepDuration
 	for _, effect := range rt.controller.Step(at, in) {
-		rt.carryOut(effect)
+		rt.execute(effect)
 	}
 	end := rt.instant().Steady
 	rt.lastStepDuration = end - at.Steady
@@ -193,8 +198,8 @@
 	rt.setTimer(end, timerFired)
 }
 
-// carryOut does what the controller has decided.
-func (rt *Runtime) carryOut(effect controller.Effect) {
+// execute executes an effect that the controller has returned.
+func (rt *Runtime) execute(effect controller.Effect) {
 	switch effect := effect.(type) {
 	case controller.Answer:
 		rt.answer(effect)
@@ -209,16 +214,16 @@
 	}
 }
 
-// setTimer sets the timer to when the controller wants its next Tick. Setting it wakes
-// whoever waits for it, which costs system calls: a timer that has not fired and is right
-// is left alone.
+// setTimer sets the timer to the time at which the controller wants its next Tick. Resetting a
+// timer wakes the thread that waits for it, which costs system calls. setTimer therefore does not
+// reset a timer that has not fired and is set to the right time.
 func (rt *Runtime) setTimer(now micros.Micros, fired bool) {
 	wake := rt.controller.Wake()
 	if rt.timer == nil || !fired && wake == rt.wakeAt {
 		return
 	}
 	rt.wakeAt = wake
-	rt.timer.Reset(max((wake - now).Duration(), shortestTimer))
+	rt.timer.Reset(max((wake - now).Duration(), minTimerInterval))
 }
 
 func (rt *Runtime) logLine(line controller.Log) {
--- a/internal/simulation/check_tasks.go
+++ b/internal/simulation/check_tasks.go
@@ -134,7 +134,7 @@
 		if command.Op != wire.OpStart {
 			continue
 		}
-		job, _, err := wire.ParseTask(command.Task)
+		job, _, err := wire.ParseTaskName(command.Task)
 		u := s.userOf(job)
 		if err == nil && u != nil && u.cancelConfirmedAt != 0 {
 			s.violated("%s sends a start of %s %v s after its job was reported as cancelled", n.label, command.Task, (s.now - u.cancelConfirmedAt).Seconds())
--- a/internal/simulation/groups.go
+++ b/internal/simulation/groups.go
@@ -86,7 +86,7 @@
 // limit that an operator set. A request that fails is repeated at most retries times.
 func (s *Simulation) setLimit(group string, limit *quota.Limit, retries int) {
 	n := s.drawNode()
-	request := peer.QuotaRequest{Set: &peer.SetLimit{WaitingTasks: group, Clear: limit == nil}}
+	request := peer.QuotaRequest{Set: &peer.SetLimit{Group: group, Clear: limit == nil}}
 	if limit != nil {
 		request.Set.Limit = *limit
 	}
--- a/internal/simulation/release.go
+++ b/internal/simulation/release.go
@@ -53,7 +53,7 @@
 
 // downgradeStatus removes the fields of a status message that the release does not have.
 func (r Release) downgradeStatus(status *peer.Status) {
-	status.Quota = false
+	status.EnforcesQuota = false
 	status.Traces = nil
 	if r != ReleaseWithoutGroups {
 		status.JobsToCancel = nil
@@ -98,7 +98,7 @@
 	}
 	if response, ok := result.Body.(*peer.Response); ok && response.Status != nil {
 		status := *response.Status
-		status.Quota = false
+		status.EnforcesQuota = false
 		result.Body = &peer.Response{From: response.From, Status: &status, JobResponse: response.JobResponse, OK: response.OK}
 	}
 	if r == ReleaseWithoutDependencies {
--- a/internal/wire/heartbeat.go
+++ b/internal/wire/heartbeat.go
@@ -8,69 +8,71 @@
 	"strings"
 )
 
-// Errors of ParseHeartbeat. ErrTaskName is returned as well.
+// Errors of ParseHeartbeat, which may also return ErrTaskName or a decoding error.
 var (
-	// ErrWorkerIdentity says that a heartbeat names no usable machine or agent epoch.
-	ErrWorkerIdentity = errors.New("wire: report without a usable machine or session")
-	// ErrTaskState says that a task is in a state that the protocol does not know.
-	ErrTaskState = errors.New("wire: task state")
+	// ErrWorkerIdentity is returned for a heartbeat without a valid machine name or agent epoch.
+	ErrWorkerIdentity = errors.New("wire: heartbeat without a valid machine name or agent epoch")
+	// ErrTaskState is returned, wrapped, for a task state that the protocol does not define.
+	ErrTaskState = errors.New("wire: unknown task state")
 )
 
-// maxMachineName leaves space in a key of the state service for what stands beside the name.
-const maxMachineName = 150 // bytes
+// maxMachineNameBytes bounds the length of a machine's name. It is shorter than maxKeyBytes,
+// so that a key in the state service can hold the name beside a prefix.
+const maxMachineNameBytes = 150
 
-// ParseHeartbeat decodes and checks a worker's heartbeat (protocol: "POST /checkin").
+// ParseHeartbeat decodes and validates a worker's heartbeat (protocol: "POST /checkin").
 func ParseHeartbeat(body []byte) (Heartbeat, error) {
 	var reader HeartbeatReader
 	return reader.Parse(body)
 }
 
-// HeartbeatReader parses heartbeats, and remembers each machine's list of tasks: most
-// heartbeats list the same as the one before, which need not be decoded again. Equal lists
-// in a row are one Tasks slice, which must not be changed. A reader is for one goroutine.
-// The zero value remembers nothing; see NewHeartbeatReader.
+// HeartbeatReader parses heartbeats and caches each machine's list of tasks. Most heartbeats
+// repeat the list of the machine's previous one, which is then not decoded again: consecutive
+// equal lists share one Tasks slice, which must not be modified. A HeartbeatReader must not be
+// used by several goroutines at once. The zero value caches nothing; see NewHeartbeatReader.
 type HeartbeatReader struct {
 	raw rawHeartbeat
-	// Lists are kept in two generations: a list that was not needed while the younger one
-	// filled is dropped with the older one.
-	young, old map[string]taskList // by machine
-	youngBytes int
-	maxBytes   int // of one generation
+	// The cache consists of two generations. When the current generation is full, it
+	// replaces the previous one, so lists that were not used in the meantime are dropped.
+	current, previous  map[string]taskList // by machine
+	currentBytes       int
+	maxGenerationBytes int
 }
 
-// taskList is a list of tasks in both forms.
+// taskList is a list of tasks in its encoded and its decoded form.
 type taskList struct {
 	raw   Raw
 	tasks []TaskStatus
 }
 
-// Memory in bytes that is counted beside texts.
+// Estimated memory in bytes that a list and each of its tasks take beside their strings.
 const (
-	taskListBytes   = 128
-	taskStatusBytes = 64
+	taskListOverheadBytes   = 128
+	taskStatusOverheadBytes = 64
 )
 
-// bytes estimates the memory of a list, whose texts are held in both forms.
+// bytes estimates the memory of a list. The strings are held twice, encoded and decoded.
 func (l taskList) bytes() int {
-	return taskListBytes + 2*len(l.raw) + taskStatusBytes*len(l.tasks)
+	return taskListOverheadBytes + 2*len(l.raw) + taskStatusOverheadBytes*len(l.tasks)
 }
 
-// rawHeartbeat is a Heartbeat whose list of tasks is not decoded.
+// rawHeartbeat is a Heartbeat whose list of tasks is not decoded yet.
 type rawHeartbeat struct {
 	Heartbeat
-	Tasks Raw `cbor:"loads"` // hides Heartbeat's
+	Tasks Raw `cbor:"loads"` // shadows Heartbeat.Tasks
 }
 
-// NewHeartbeatReader makes a reader that remembers lists of at most maxBytes.
+// NewHeartbeatReader returns a HeartbeatReader that caches at most maxBytes of lists.
 func NewHeartbeatReader(maxBytes int) *HeartbeatReader {
 	return &HeartbeatReader{
-		young:    map[string]taskList{},
-		old:      map[string]taskList{},
-		maxBytes: maxBytes / 2,
+		current:            map[string]taskList{},
+		previous:           map[string]taskList{},
+		maxGenerationBytes: maxBytes / 2,
 	}
 }
 
-// Parse decodes and checks a heartbeat. The result does not refer to body.
+// Parse decodes and validates a heartbeat. The result does not refer to body. The errors are
+// those of ParseHeartbeat.
 func (hr *HeartbeatReader) Parse(body []byte) (Heartbeat, error) {
 	raw := &hr.raw
 	*raw = rawHeartbeat{Tasks: raw.Tasks[:0]}
@@ -78,7 +80,7 @@
 		return Heartbeat{}, err
 	}
 	heartbeat := raw.Heartbeat
-	if !usableMachineName(heartbeat.Machine) || heartbeat.AgentEpoch == 0 {
+	if !validMachineName(heartbeat.Machine) || heartbeat.AgentEpoch == 0 {
 		return Heartbeat{}, ErrWorkerIdentity
 	}
 	if heartbeat.NoticeS != nil && !finite(*heartbeat.NoticeS) {
@@ -92,13 +94,14 @@
 	return heartbeat, err
 }
 
-func usableMachineName(name string) bool {
-	return name != "" && len(name) <= maxMachineName && !strings.ContainsAny(name, " \t\r\n")
+func validMachineName(name string) bool {
+	return name != "" && len(name) <= maxMachineNameBytes && !strings.ContainsAny(name, " \t\r\n")
 }
 
-// parseTasks decodes and checks a machine's list of tasks, unless it is the one before.
+// parseTasks returns a machine's list of tasks. It decodes and validates the list unless it
+// equals the cached one.
 func (hr *HeartbeatReader) parseTasks(machine string, raw Raw) ([]TaskStatus, error) {
-	last, ok := hr.lookUp(machine)
+	last, ok := hr.cached(machine)
 	if !ok || !bytes.Equal(last.raw, raw) {
 		tasks, err := decodeTasks(raw)
 		if err != nil {
@@ -106,7 +109,7 @@
 		}
 		last = taskList{raw: bytes.Clone(raw), tasks: tasks}
 	}
-	hr.remember(machine, last)
+	hr.store(machine, last)
 	return last.tasks, nil
 }
 
@@ -115,7 +118,7 @@
 		return nil, err
 	}
 	for i := range tasks {
-		if _, _, err := ParseTask(tasks[i].Task); err != nil {
+		if _, _, err := ParseTaskName(tasks[i].Task); err != nil {
 			return nil, err
 		}
 		switch tasks[i].State {
@@ -127,30 +130,31 @@
 	return tasks, nil
 }
 
-func (hr *HeartbeatReader) lookUp(machine string) (list taskList, ok bool) {
-	if list, ok = hr.young[machine]; ok {
+// cached returns the list that is cached for a machine.
+func (hr *HeartbeatReader) cached(machine string) (list taskList, ok bool) {
+	if list, ok = hr.current[machine]; ok {
 		return list, true
 	}
-	list, ok = hr.old[machine]
+	list, ok = hr.previous[machine]
 	return list, ok
 }
 
-// remember puts a machine's list among the younger ones. A list that would take much of the
-// memory by itself is not remembered.
-func (hr *HeartbeatReader) remember(machine string, list taskList) {
-	if list.bytes() > hr.maxBytes/4 {
+// store puts a machine's list into the current generation of the cache. A list that would take
+// more than a quarter of a generation is not cached.
+func (hr *HeartbeatReader) store(machine string, list taskList) {
+	if list.bytes() > hr.maxGenerationBytes/4 {
 		return
 	}
-	if replaced, ok := hr.young[machine]; ok {
-		hr.youngBytes -= replaced.bytes()
+	if replaced, ok := hr.current[machine]; ok {
+		hr.currentBytes -= replaced.bytes()
 	}
-	hr.youngBytes += list.bytes()
-	if hr.youngBytes > hr.maxBytes {
-		hr.old = hr.young
-		hr.young = map[string]taskList{}
-		hr.youngBytes = list.bytes()
+	hr.currentBytes += list.bytes()
+	if hr.currentBytes > hr.maxGenerationBytes {
+		hr.previous = hr.current
+		hr.current = map[string]taskList{}
+		hr.currentBytes = list.bytes()
 	}
-	hr.young[machine] = list
+	hr.current[machine] = list
 }
 
 func finite(v float64) bool { return !math.IsNaN(v) && !math.IsInf(v, 0) }
