--- a/internal/fakes/cloud.go
+++ b/internal/fakes/cloud.go
@@ -113,7 +113,7 @@
 	case wire.Rental:
 		c.rent(r, reply)
 	case controller.ReturnMachines:
-		c.endRentals(r.Machines)
+		c.returnMachines(r.Machines)
 		reply.status(http.StatusOK)
 	}
 }
@@ -181,7 +181,7 @@
 
 // addMachines adds the machines of a request, up to MaxMachines that run at a time.
 func (c *Cloud) addMachines(request wire.Rental) (names []string) {
-	running := c.running()
+	running := c.countRunning()
 	for len(names) < request.Count && running < c.config.MaxMachines {
 		names = append(names, c.Add(MachineKind{request.Type, request.Zone, request.Spot}, c.config.BootTime()))
 		running++
@@ -189,7 +189,7 @@
 	return names
 }
 
-func (c *Cloud) running() (count int) {
+func (c *Cloud) countRunning() (count int) {
 	for _, m := range c.machines {
 		if !m.Dead {
 			count++
@@ -198,8 +198,8 @@
 	return count
 }
 
-// endRentals ends the machines that are returned.
-func (c *Cloud) endRentals(names []string) {
+// returnMachines ends the machines that are returned.
+func (c *Cloud) returnMachines(names []string) {
 	for _, name := range names {
 		m := c.byID[name]
 		if m == nil {
--- a/internal/fakes/job.go
+++ b/internal/fakes/job.go
@@ -8,10 +8,10 @@
 // Job is the true state of a job, whatever the controllers know of it.
 type Job struct {
 	Submission wire.Submission
-	Runs       []micros.Micros // how long each task runs
+	TaskDurations       []micros.Micros // how long each task runs
 	Progress   []micros.Micros // what a task has saved of that
 	Done       map[int]bool    // tasks that are completed
-	Fails      bool            // its tasks fail everywhere
+	AlwaysFails      bool            // its tasks fail everywhere
 	StartedAt  micros.Micros   // when its first task began; 0: none has
 	DoneAt     micros.Micros   // when a task of it was last completed
 }
@@ -19,5 +19,5 @@
 // Completed reports whether all tasks are done.
 func (j *Job) Completed() bool { return len(j.Done) == j.Submission.Tasks }
 
-// has reports whether the job has a task of an index.
-func (j *Job) has(index int) bool { return index < j.Submission.Tasks }
+// hasTask reports whether the job hasTask a task of an index.
+func (j *Job) hasTask(index int) bool { return index < j.Submission.Tasks }
--- a/internal/fakes/load_worker.go
+++ b/internal/fakes/load_worker.go
@@ -18,12 +18,12 @@
 }
 
 func newLoadWorker(machine FixedMachine, controller *Connection) *loadWorker {
-	return &loadWorker{controller: controller, agent: NewAgent(machine, loadTasks{})}
+	return &loadWorker{controller: controller, agent: NewAgent(machine, loadTaskRunner{})}
 }
 
-// heartbeat sends a heartbeat, with the end of a task if there is one to end, and carries out
+// sendHeartbeat sends a sendHeartbeat, with the end of a task if there is one to end, and carries out
 // the commands of the reply.
-func (w *loadWorker) heartbeat(endTask bool) error {
+func (w *loadWorker) sendHeartbeat(endTask bool) error {
 	body, err := w.encodeHeartbeat(endTask)
 	if err != nil {
 		return fmt.Errorf("heartbeat: %w", err)
@@ -73,16 +73,16 @@
 	return status, w.agent.Heartbeat()
 }
 
-// loadTasks is the TaskRunner of a loadWorker: tasks run until they are ended or stopped.
-type loadTasks struct{}
+// loadTaskRunner is the TaskRunner of a loadWorker: tasks run until they are ended or stopped.
+type loadTaskRunner struct{}
 
 // StartTask implements TaskRunner.
-func (loadTasks) StartTask(command wire.Command) wire.TaskStatus {
+func (loadTaskRunner) StartTask(command wire.Command) wire.TaskStatus {
 	return wire.TaskStatus{Task: command.Task, Attempt: command.Attempt, State: wire.TaskRunning}
 }
 
 // StopTask implements TaskRunner.
-func (loadTasks) StopTask(task *wire.TaskStatus) {
+func (loadTaskRunner) StopTask(task *wire.TaskStatus) {
 	task.State = wire.TaskExited
 	task.ExitReason = wire.ExitStopped
 }
--- a/internal/fakes/server.go
+++ b/internal/fakes/server.go
@@ -44,9 +44,9 @@
 	s.fleet = append(s.fleet, m)
 }
 
-// KeepTime runs due events at each interval, for as long as pause, which waits for a duration,
+// RunDueEvents runs due events at each interval, for as long as pause, which waits for a duration,
 // returns true.
-func (s *Server) KeepTime(interval time.Duration, pause func(time.Duration) bool) {
+func (s *Server) RunDueEvents(interval time.Duration, pause func(time.Duration) bool) {
 	for pause(interval) {
 		s.Clock.Run(func() {})
 	}
@@ -65,7 +65,7 @@
 	case "flavors":
 		WriteAnswer(rw, http.StatusOK, wire.MachineTypes{Types: MachineTypes()})
 	case "rentals":
-		status, answer := s.rentals(rest, query)
+		status, answer := s.serveRentals(rest, query)
 		WriteAnswer(rw, status, answer)
 	default:
 		request, ok := stateRequest(service, rest, query, body)
@@ -94,16 +94,16 @@
 		if rest != "" {
 			return statestore.GetKey{Key: rest}, true
 		}
-		return statestore.ListKeys{Prefix: query.Get("starts"), After: query.Get("since"), Limit: int(number(query.Get("most")))}, true
+		return statestore.ListKeys{Prefix: query.Get("starts"), After: query.Get("since"), Limit: int(parseNumber(query.Get("most")))}, true
 	case "watch":
-		return statestore.WatchKeys{Prefix: query.Get("starts"), Since: number(query.Get("since")), WaitMS: int64(number(query.Get("blockMs")))}, true
+		return statestore.WatchKeys{Prefix: query.Get("starts"), Since: parseNumber(query.Get("since")), WaitMS: int64(parseNumber(query.Get("blockMs")))}, true
 	case "multi":
 		var txn wire.Txn
 		err := wire.Decode(body, &txn)
 		return txn, err == nil
 	case "grants":
 		if id, renewal := strings.CutSuffix(rest, "/extend"); renewal {
-			return statestore.RenewLease{Lease: number(id)}, true
+			return statestore.RenewLease{Lease: parseNumber(id)}, true
 		}
 		var lease wire.NewLease
 		err := wire.Decode(body, &lease)
@@ -112,18 +112,18 @@
 	return nil, false
 }
 
-// number parses a number; what is none counts as 0.
-func number(text string) uint64 {
+// parseNumber parses a parseNumber; what is none counts as 0.
+func parseNumber(text string) uint64 {
 	n, _ := strconv.ParseUint(text, 10, 64)
 	return n
 }
 
-// rentals lists the fleet, and refuses to rent out or to take back machines.
-func (s *Server) rentals(path string, query url.Values) (status int, answer any) {
+// serveRentals lists the fleet, and refuses to rent out or to take back machines.
+func (s *Server) serveRentals(path string, query url.Values) (status int, answer any) {
 	if path == "return" {
 		return http.StatusServiceUnavailable, nil
 	}
-	limit := int(number(query.Get("most")))
+	limit := int(parseNumber(query.Get("most")))
 	if limit == 0 {
 		return http.StatusServiceUnavailable, map[string]string{"error": string(controller.RefusedRental)}
 	}
--- a/internal/fakes/state.go
+++ b/internal/fakes/state.go
@@ -205,13 +205,13 @@
 	slices.Sort(expired)
 	for _, id := range expired {
 		delete(s.leases, id)
-		s.deleteKeysOf(id)
+		s.deleteLeaseKeys(id)
 	}
 	s.notifyWatches()
 	s.scheduler.After(leaseCheckInterval, s.expireLeases)
 }
 
-func (s *State) deleteKeysOf(lease uint64) {
+func (s *State) deleteLeaseKeys(lease uint64) {
 	for _, key := range s.sortedKeys() {
 		if s.keys[key].lease == lease {
 			s.revision++
@@ -222,7 +222,7 @@
 
 // commit carries out a transaction: all of it or nothing.
 func (s *State) commit(txn wire.Txn, reply Reply) {
-	if !s.acceptable(txn) {
+	if !s.isValid(txn) {
 		reply.status(http.StatusBadRequest)
 		return
 	}
@@ -244,8 +244,8 @@
 	s.notifyWatches()
 }
 
-// acceptable reports whether a transaction keeps to the limits and names only leases that exist.
-func (s *State) acceptable(txn wire.Txn) bool {
+// isValid reports whether a transaction keeps to the limits and names only leases that exist.
+func (s *State) isValid(txn wire.Txn) bool {
 	if txn.Writes() > s.limits.TxnOps {
 		return false
 	}
@@ -315,7 +315,7 @@
 func (s *State) deliver(w *pendingWatch) bool {
 	var events []wire.Event
 	for _, event := range s.events {
-		if event.ModRevision > w.watch.Since && concerns(event, w.watch.Prefix) {
+		if event.ModRevision > w.watch.Since && matchesPrefix(event, w.watch.Prefix) {
 			events = append(events, event)
 		}
 	}
@@ -327,8 +327,8 @@
 	return true
 }
 
-// concerns reports whether an event is about a key with a prefix.
-func concerns(event wire.Event, prefix string) bool {
+// matchesPrefix reports whether an event is about a key with a prefix.
+func matchesPrefix(event wire.Event, prefix string) bool {
 	put := event.Put != "" && strings.HasPrefix(event.Put, prefix)
 	deleted := event.Delete != "" && strings.HasPrefix(event.Delete, prefix)
 	return put || deleted
--- a/internal/fakes/task.go
+++ b/internal/fakes/task.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	// A task that fails runs for failFrom to failTo.
-	failFrom = 200 * millisecond
-	failTo   = second
-	// An image is fetched within fetchFrom to fetchTo.
-	fetchFrom = second / 2
-	fetchTo   = 3 * second
+	// A task that fails runs for minFailureDelay to failTo.
+	minFailureDelay = 200 * millisecond
+	maxFailureDelay   = second
+	// An image is fetched within minFetchTime to fetchTo.
+	minFetchTime = second / 2
+	maxFetchTime   = 3 * second
 )
 
 // Task is an attempt of a task on a machine.
@@ -25,7 +25,7 @@
 	Index     int
 	Attempt   uint64
 	State     wire.TaskState
-	Until     micros.Micros // when it changes to its next state
+	StateEndsAt     micros.Micros // when it changes to its next state
 
 	exitReason wire.ExitReason
 	saved      bool
@@ -65,8 +65,8 @@
 	return tasks
 }
 
-// runs reports whether an attempt of a task is on the machine.
-func (w *Worker) runs(name string) bool {
+// isRunning reports whether an attempt of a task is on the machine.
+func (w *Worker) isRunning(name string) bool {
 	for _, t := range w.tasks {
 		if t.Name == name && !t.Exited() {
 			return true
@@ -89,18 +89,18 @@
 			memory -= other.Submission.MemGB
 		}
 	}
-	return cpus+Rounding >= job.Submission.CPUs && memory+Rounding >= job.Submission.MemGB
+	return cpus+RoundingTolerance >= job.Submission.CPUs && memory+RoundingTolerance >= job.Submission.MemGB
 }
 
 // advanceTasks takes tasks whose time has come to their next states.
 func (w *Worker) advanceTasks() {
 	for _, t := range w.Tasks() {
-		if w.now() < t.Until {
+		if w.now() < t.StateEndsAt {
 			continue
 		}
 		switch t.State {
 		case wire.TaskFetching:
-			w.begin(t)
+			w.startRunning(t)
 			w.changed = true
 		case wire.TaskRunning:
 			w.complete(t)
@@ -113,8 +113,8 @@
 	}
 }
 
-// begin lets a task run once it has its image, unless it was completed elsewhere meanwhile.
-func (w *Worker) begin(t *Task) {
+// startRunning lets a task run once it has its image, unless it was completed elsewhere meanwhile.
+func (w *Worker) startRunning(t *Task) {
 	job := w.host.Job(t.Job)
 	w.images[job.Submission.Image] = true
 	if job.Done[t.Index] {
@@ -122,13 +122,13 @@
 		return
 	}
 	t.State = wire.TaskRunning
-	t.Until = w.now() + job.Runs[t.Index] - job.Progress[t.Index]
+	t.StateEndsAt = w.now() + job.TaskDurations[t.Index] - job.Progress[t.Index]
 	if job.StartedAt == 0 {
 		job.StartedAt = w.now()
 	}
 	w.host.TaskStarted(t)
 	if w.failsTasksOf(job) {
-		t.Until = w.now() + w.config.Random.Between(failFrom, failTo)
+		t.StateEndsAt = w.now() + w.config.Random.Between(minFailureDelay, maxFailureDelay)
 	}
 }
 
@@ -146,7 +146,7 @@
 }
 
 // failsTasksOf reports whether the tasks of a job fail on the machine.
-func (w *Worker) failsTasksOf(job *Job) bool { return job.Fails || w.now() < w.FaultyUntil }
+func (w *Worker) failsTasksOf(job *Job) bool { return job.AlwaysFails || w.now() < w.FaultyUntil }
 
 // execute carries commands out. One that does not apply to the state of its task changes nothing.
 func (w *Worker) execute(commands []wire.Command) {
@@ -171,14 +171,14 @@
 	job := w.host.Job(name)
 	t := &Task{Name: command.Task, Job: name, Index: index, Attempt: command.Attempt, State: wire.TaskFetching}
 	switch {
-	case err != nil || job == nil || !job.has(index):
+	case err != nil || job == nil || !job.hasTask(index):
 		t.exit(wire.ExitUnknown)
-	case w.runs(command.Task):
+	case w.isRunning(command.Task):
 		t.exit(wire.ExitInUse)
 	case !w.Fits(job):
 		t.exit(wire.ExitNoCapacity)
 	case !w.images[job.Submission.Image]:
-		t.Until = w.now() + w.config.Random.Between(fetchFrom, fetchTo)
+		t.StateEndsAt = w.now() + w.config.Random.Between(minFetchTime, maxFetchTime)
 	}
 	w.tasks[keyOf(command)] = t
 	w.changed = true
@@ -196,9 +196,9 @@
 	immediate := command.GraceS != nil && *command.GraceS == 0
 	switch {
 	case t.State == wire.TaskRunning && graceful:
-		job.Progress[t.Index] = max(0, job.Runs[t.Index]-(t.Until-w.now()))
+		job.Progress[t.Index] = max(0, job.TaskDurations[t.Index]-(t.StateEndsAt-w.now()))
 		t.State = wire.TaskSaving
-		t.Until = w.now() + micros.FromSeconds(sub.SaveS)
+		t.StateEndsAt = w.now() + micros.FromSeconds(sub.SaveS)
 	case t.State != wire.TaskSaving || immediate:
 		t.exit(wire.ExitStopped)
 	}
--- a/internal/fakes/worker.go
+++ b/internal/fakes/worker.go
@@ -15,12 +15,12 @@
 	// minHeartbeatGap is how long a worker waits at least until a heartbeat that says
 	// something new.
 	minHeartbeatGap = 500 * millisecond
-	// notSentPause is how long a worker takes to notice that it reaches no controller.
-	notSentPause = 300 * millisecond
+	// unreachablePause is how long a worker takes to notice that it reaches no controller.
+	unreachablePause = 300 * millisecond
 	// nextNodePause is how long a worker waits before it sends to another controller.
 	nextNodePause = second
-	// Rounding is by how much sums of CPUs and of memory may be off.
-	Rounding = 1e-6
+	// RoundingTolerance is by how much sums of CPUs and of memory may be off.
+	RoundingTolerance = 1e-6
 )
 
 // WorkerHost is the surroundings of a fake worker: its network, the jobs that there are, and
@@ -55,9 +55,9 @@
 	Random            Random
 	Lease             micros.Micros
 	HeartbeatInterval micros.Micros
-	// TickFrom and TickTo bound the interval between two ticks, at which a worker advances its
+	// MinTickInterval and MaxTickInterval bound the interval between two ticks, at which a worker advances its
 	// tasks.
-	TickFrom, TickTo micros.Micros
+	MinTickInterval, MaxTickInterval micros.Micros
 	Nodes            []string // labels of the controllers
 }
 
@@ -76,7 +76,7 @@
 
 	agentEpoch, sequence, fencingToken uint64
 
-	leaseFrom     micros.Micros // when the agent's epoch began, or the last heartbeat that was answered was sent
+	leaseStart     micros.Micros // when the agent's epoch began, or the last heartbeat that was answered was sent
 	tasks         map[taskKey]*Task
 	images        map[string]bool
 	node          int // the controller that heartbeats go to
@@ -93,7 +93,7 @@
 	w.node = config.Random.IntN(len(config.Nodes))
 	w.clockDrift = config.Random.ClockDrift()
 	config.Scheduler.After(machine.UpAt-w.now(), func() {
-		w.leaseFrom = w.clock()
+		w.leaseStart = w.clock()
 		w.tick()
 	})
 	return w
@@ -106,12 +106,12 @@
 
 // LeaseExpired reports whether the worker's lease has run out by its clock.
 func (w *Worker) LeaseExpired() bool {
-	return w.clock() > w.leaseFrom+w.config.Lease
+	return w.clock() > w.leaseStart+w.config.Lease
 }
 
 // LeaseUntil returns when the worker's lease runs out.
 func (w *Worker) LeaseUntil() micros.Micros {
-	return w.now() + w.leaseFrom + w.config.Lease - w.clock()
+	return w.now() + w.leaseStart + w.config.Lease - w.clock()
 }
 
 // AgentEpoch returns the epoch of the agent, which changes when its lease runs out.
@@ -145,7 +145,7 @@
 		w.config.Scheduler.After(w.HungUntil-w.now(), w.tick)
 		return
 	}
-	w.config.Scheduler.After(w.config.Random.Between(w.config.TickFrom, w.config.TickTo), w.tick)
+	w.config.Scheduler.After(w.config.Random.Between(w.config.MinTickInterval, w.config.MaxTickInterval), w.tick)
 	w.checkLease()
 	w.runDeferred()
 	w.advanceTasks()
@@ -163,8 +163,8 @@
 	w.deferred = nil
 }
 
-// unlessHanging calls f, or has it called once the machine hangs no more.
-func (w *Worker) unlessHanging(f func()) {
+// runUnlessHanging calls f, or has it called once the machine hangs no more.
+func (w *Worker) runUnlessHanging(f func()) {
 	if w.hangs() {
 		w.deferred = append(w.deferred, f)
 		return
@@ -183,7 +183,7 @@
 		w.host.TaskForgotten(t)
 	}
 	w.tasks = map[taskKey]*Task{}
-	w.leaseFrom = w.clock()
+	w.leaseStart = w.clock()
 	w.changed = true
 }
 
@@ -219,10 +219,10 @@
 	w.nextHeartbeat = w.now() + w.config.Random.Between(interval*3/4, interval*5/4)
 	sent := sentHeartbeat{at: w.clock(), agentEpoch: w.agentEpoch}
 	reached := w.host.SendHeartbeat(w.node, w.heartbeat(), func(answer controller.Answer, ok bool) {
-		w.unlessHanging(func() { w.handleAnswer(sent, answer, ok) })
+		w.runUnlessHanging(func() { w.handleAnswer(sent, answer, ok) })
 	})
 	if !reached {
-		w.config.Scheduler.After(notSentPause, func() { w.handleAnswer(sent, controller.Answer{}, false) })
+		w.config.Scheduler.After(unreachablePause, func() { w.handleAnswer(sent, controller.Answer{}, false) })
 	}
 }
 
@@ -234,7 +234,7 @@
 	}
 	w.checkLease()
 	if !ok {
-		w.turnToNextNode()
+		w.switchToNextNode()
 		return
 	}
 	redirect, isRedirect := answer.Body.(wire.Redirect)
@@ -245,7 +245,7 @@
 	case isReply && answer.Status == http.StatusOK:
 		w.handleReply(sent, reply)
 	default:
-		w.turnToNextNode()
+		w.switchToNextNode()
 	}
 }
 
@@ -257,7 +257,7 @@
 		return
 	}
 	w.raiseFencingToken(reply.FencingToken)
-	w.leaseFrom = max(w.leaseFrom, sent.at)
+	w.leaseStart = max(w.leaseStart, sent.at)
 	w.execute(reply.Commands)
 	w.host.LeaseRenewed()
 }
@@ -266,14 +266,14 @@
 func (w *Worker) followRedirect(redirect wire.Redirect) {
 	i := slices.Index(w.config.Nodes, redirect.Controller)
 	if i < 0 || i == w.node {
-		w.turnToNextNode()
+		w.switchToNextNode()
 		return
 	}
 	w.node = i
 	w.nextHeartbeat = w.now()
 }
 
-func (w *Worker) turnToNextNode() {
+func (w *Worker) switchToNextNode() {
 	w.node = (w.node + 1) % len(w.config.Nodes)
 	w.nextHeartbeat = w.now() + nextNodePause
 }
@@ -291,10 +291,10 @@
 	if !w.Up() {
 		return
 	}
-	w.unlessHanging(func() { w.answer(request, reply) })
+	w.runUnlessHanging(func() { w.serveRequest(request, reply) })
 }
 
-func (w *Worker) answer(request any, reply Reply) {
+func (w *Worker) serveRequest(request any, reply Reply) {
 	if w.Dead {
 		return
 	}
--- a/internal/fakes/worker_test.go
+++ b/internal/fakes/worker_test.go
@@ -52,17 +52,17 @@
 	host := &testHost{
 		job: &Job{
 			Submission: wire.Submission{ID: "job-000001", Tasks: 8, CPUs: 1, MemGB: 1, CheckpointS: 1, SaveS: 1},
-			Runs:       make([]micros.Micros, 8), Progress: make([]micros.Micros, 8), Done: map[int]bool{},
+			TaskDurations:       make([]micros.Micros, 8), Progress: make([]micros.Micros, 8), Done: map[int]bool{},
 		},
 		reply: func(_ int, heartbeat *wire.Heartbeat) (controller.Answer, bool) { return renewal(heartbeat), true },
 	}
-	for i := range host.job.Runs {
-		host.job.Runs[i] = 5 * second
+	for i := range host.job.TaskDurations {
+		host.job.TaskDurations[i] = 5 * second
 	}
 	machine := &Machine{ID: "vm-1", MachineKind: MachineKind{Type: "small", Zone: "east"}}
 	w := NewWorker(machine, WorkerConfig{
 		Scheduler: clock, Random: NewRandom(1, 1), Lease: testLease, HeartbeatInterval: 2 * second,
-		TickFrom: 100 * millisecond, TickTo: 100 * millisecond, Nodes: []string{"node-0", "node-1"},
+		MinTickInterval: 100 * millisecond, MaxTickInterval: 100 * millisecond, Nodes: []string{"node-0", "node-1"},
 	}, host)
 	clock.advance(second)
 	return clock, host, w
@@ -178,7 +178,7 @@
 	}
 }
 
-func TestWorkerTurnsToNextNode(t *testing.T) {
+func TestWorkerSwitchesNodes(t *testing.T) {
 	clock, host, _ := newTestWorker()
 	host.reply = func(node int, _ *wire.Heartbeat) (controller.Answer, bool) { return controller.Answer{}, node == 1 }
 	host.nodes = nil
--- a/internal/fakes/world.go
+++ b/internal/fakes/world.go
@@ -14,36 +14,36 @@
 	"garnethitch/internal/wire"
 )
 
-// World is all that one real controller talks to, in real time on the loopback: the services of
+// LoadHarness is all that one real controller talks to, in real time on the loopback: the services of
 // a Server, the workers of its fleet and a user. It is driven by lines of text, so that it can
 // run in a process of its own, and the processor time and the system calls of the controller's
 // process are the controller's alone.
-type World struct {
+type LoadHarness struct {
 	server       *Server
 	workers      []*loadWorker
 	workerByHost map[string]*loadWorker
 	port         string // of the server and of all workers
-	controller   string // its address
-	user         *Connection
-	laneUsers    []*Connection // one for each lane
-	jobs         int           // submitted so far
+	controllerAddress   string // its address
+	submitConnection         *Connection
+	statusConnections    []*Connection // one for each sender
+	submittedJobs         int           // submitted so far
 }
 
 const (
-	// lanes is how many requests of a load are under way at a time.
-	lanes = 8
-	// worldValueBytes and worldTxnOps are what the world's state service takes.
-	worldValueBytes = 64 << 10
-	worldTxnOps     = 8
-	// worldTick is how often due events are run.
-	worldTick = 20 * time.Millisecond
-	// pacedPause is the pause between heartbeats of the command "apart".
-	pacedPause = 5 * time.Millisecond
+	// parallelRequests is how many requests of a load are under way at a time.
+	parallelRequests = 8
+	// maxValueBytes and worldTxnOps are what the world's state service takes.
+	maxValueBytes = 64 << 10
+	maxTxnOps     = 8
+	// eventInterval is how often due events are run.
+	eventInterval = 20 * time.Millisecond
+	// heartbeatPause is the pause between heartbeats of the command "apart".
+	heartbeatPause = 5 * time.Millisecond
 )
 
 var errUsage = errors.New("wrong number of words")
 
-// ServeWorld reads commands from in until it ends, and answers each on out with "ok", unless
+// ServeLoadHarness reads commands from in until it ends, and answers each on out with "ok", unless
 // something else is said here, or "failed:" and the reason:
 //
 //	machines N ADDR   a fleet of N and the controller's address; answers "at ADDR"
@@ -54,9 +54,9 @@
 //	turns N           N heartbeats, each with a task's end
 //	polls N           N requests for the status of the last job
 //	jobs N            N submissions of one task each
-func ServeWorld(in io.Reader, out io.Writer) error {
-	w := &World{
-		server:       NewServer(StateLimits{ValueBytes: worldValueBytes, TxnOps: worldTxnOps}),
+func ServeLoadHarness(in io.Reader, out io.Writer) error {
+	w := &LoadHarness{
+		server:       NewServer(StateLimits{ValueBytes: maxValueBytes, TxnOps: maxTxnOps}),
 		workerByHost: map[string]*loadWorker{},
 	}
 	listener, err := net.Listen("tcp4", "0.0.0.0:0")
@@ -66,7 +66,7 @@
 	defer listener.Close()
 	_, w.port, _ = net.SplitHostPort(listener.Addr().String())
 	go func() { _ = http.Serve(listener, w) }()
-	go w.server.KeepTime(worldTick, func(d time.Duration) bool {
+	go w.server.RunDueEvents(eventInterval, func(d time.Duration) bool {
 		time.Sleep(d)
 		return true
 	})
@@ -74,7 +74,7 @@
 }
 
 // serveCommands carries out one line after the other.
-func (w *World) serveCommands(in io.Reader, out io.Writer) error {
+func (w *LoadHarness) serveCommands(in io.Reader, out io.Writer) error {
 	lines := bufio.NewScanner(in)
 	for lines.Scan() {
 		words := strings.Fields(lines.Text())
@@ -93,7 +93,7 @@
 }
 
 // execute carries out one command line and returns the answer to it.
-func (w *World) execute(name string, arguments []string) (answer string, err error) {
+func (w *LoadHarness) execute(name string, arguments []string) (answer string, err error) {
 	if name == "machines" {
 		return w.startFleet(arguments)
 	}
@@ -101,28 +101,28 @@
 	if len(arguments) > 0 {
 		count, _ = strconv.Atoi(arguments[0])
 	}
-	command := w.commands()[name]
+	command := w.countCommands()[name]
 	if command == nil {
 		return "", fmt.Errorf("unknown command %q", name)
 	}
 	return "ok", command(count)
 }
 
-// commands returns the commands that are about a count.
-func (w *World) commands() map[string]func(count int) error {
+// countCommands returns the countCommands that are about a count.
+func (w *LoadHarness) countCommands() map[string]func(count int) error {
 	return map[string]func(count int) error{
 		"ready":   func(int) error { return w.awaitReady() },
-		"job":     func(tasks int) error { return w.submit(NewConnection(w.controller, 0), tasks) },
+		"job":     func(tasks int) error { return w.submit(NewConnection(w.controllerAddress, 0), tasks) },
 		"reports": w.sendHeartbeats,
 		"apart":   w.sendPacedHeartbeats,
-		"turns":   w.endTasks,
+		"turns":   w.sendTaskEnds,
 		"polls":   w.requestStatus,
 		"jobs":    w.submitJobs,
 	}
 }
 
 // startFleet begins a fleet, given its size and the controller's address.
-func (w *World) startFleet(arguments []string) (answer string, err error) {
+func (w *LoadHarness) startFleet(arguments []string) (answer string, err error) {
 	if len(arguments) != 2 {
 		return "", errUsage
 	}
@@ -130,10 +130,10 @@
 	if err != nil {
 		return "", err
 	}
-	w.controller = arguments[1]
-	w.user = NewConnection(w.controller, 0)
-	for range lanes {
-		w.laneUsers = append(w.laneUsers, NewConnection(w.controller, 0))
+	w.controllerAddress = arguments[1]
+	w.submitConnection = NewConnection(w.controllerAddress, 0)
+	for range parallelRequests {
+		w.statusConnections = append(w.statusConnections, NewConnection(w.controllerAddress, 0))
 	}
 	for i := range count {
 		w.addWorker(i)
@@ -141,9 +141,9 @@
 	return "at 127.0.0.1:" + w.port, nil
 }
 
-func (w *World) addWorker(i int) {
+func (w *LoadHarness) addWorker(i int) {
 	m := LoopbackMachine(i, w.port)
-	worker := newLoadWorker(m, NewConnection(w.controller, 0))
+	worker := newLoadWorker(m, NewConnection(w.controllerAddress, 0))
 	w.workers = append(w.workers, worker)
 	w.workerByHost[m.Address] = worker
 	w.server.AddMachine(m)
@@ -161,7 +161,7 @@
 }
 
 // ServeHTTP serves the workers' direct commands, the state service and the cloud.
-func (w *World) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
+func (w *LoadHarness) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	if !strings.HasPrefix(r.URL.Path, wire.PathDirectCommand) {
 		w.server.ServeHTTP(rw, r)
 		return
@@ -181,14 +181,14 @@
 }
 
 // awaitReady waits until the controller is ready, for a minute at most.
-func (w *World) awaitReady() error {
+func (w *LoadHarness) awaitReady() error {
 	const (
 		attempts = 6000
 		pause    = 10 * time.Millisecond
 	)
 	var last error
 	for range attempts {
-		msg, err := RequestOnce(w.controller, 0, "GET", wire.PathReadiness, nil)
+		msg, err := RequestOnce(w.controllerAddress, 0, "GET", wire.PathReadiness, nil)
 		if err == nil && msg.Status == http.StatusOK {
 			return nil
 		}
@@ -199,12 +199,12 @@
 }
 
 // submit submits a job, and repeats that until it is accepted.
-func (w *World) submit(connection *Connection, tasks int) error {
+func (w *LoadHarness) submit(connection *Connection, tasks int) error {
 	const (
 		attempts = 600
 		pause    = 20 * time.Millisecond
 	)
-	w.jobs++
+	w.submittedJobs++
 	body, err := wire.Encode(wire.Submission{
 		ID: w.lastJob(), Class: "c", Team: "t", Kind: "sweep", Priority: "standard",
 		Tasks: tasks, CPUs: 1, MemGB: 1, Image: "i", ImageGB: 1, Spot: true, EstimateS: 600,
@@ -230,39 +230,39 @@
 }
 
 // lastJob returns the name of the job that was submitted last.
-func (w *World) lastJob() string { return fmt.Sprintf("job-%06d", w.jobs) }
+func (w *LoadHarness) lastJob() string { return fmt.Sprintf("job-%06d", w.submittedJobs) }
 
-func (w *World) submitJobs(count int) error {
+func (w *LoadHarness) submitJobs(count int) error {
 	for range count {
-		if err := w.submit(w.user, 1); err != nil {
+		if err := w.submit(w.submitConnection, 1); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (w *World) sendHeartbeats(count int) error {
-	return w.inLanes(count, func(_ int, worker *loadWorker) error { return worker.heartbeat(false) })
+func (w *LoadHarness) sendHeartbeats(count int) error {
+	return w.requestInParallel(count, func(_ int, worker *loadWorker) error { return worker.sendHeartbeat(false) })
 }
 
-func (w *World) sendPacedHeartbeats(count int) error {
+func (w *LoadHarness) sendPacedHeartbeats(count int) error {
 	for i := range count {
-		if err := w.workers[i%len(w.workers)].heartbeat(false); err != nil {
+		if err := w.workers[i%len(w.workers)].sendHeartbeat(false); err != nil {
 			return err
 		}
-		time.Sleep(pacedPause)
+		time.Sleep(heartbeatPause)
 	}
 	return nil
 }
 
-func (w *World) endTasks(count int) error {
-	return w.inLanes(count, func(_ int, worker *loadWorker) error { return worker.heartbeat(true) })
+func (w *LoadHarness) sendTaskEnds(count int) error {
+	return w.requestInParallel(count, func(_ int, worker *loadWorker) error { return worker.sendHeartbeat(true) })
 }
 
-func (w *World) requestStatus(count int) error {
+func (w *LoadHarness) requestStatus(count int) error {
 	path := wire.JobStatusPath(w.lastJob())
-	return w.inLanes(count, func(lane int, _ *loadWorker) error {
-		msg, err := w.laneUsers[lane].Request("GET", path, nil)
+	return w.requestInParallel(count, func(sender int, _ *loadWorker) error {
+		msg, err := w.statusConnections[sender].Request("GET", path, nil)
 		if err == nil && msg.Status != http.StatusOK {
 			err = fmt.Errorf("job status: status %d", msg.Status)
 		}
@@ -270,15 +270,15 @@
 	})
 }
 
-// inLanes spreads requests over the workers in turn, some at a time; a worker has one under
+// requestInParallel spreads requests over the workers in turn, some at a time; a worker has one under
 // way at most.
-func (w *World) inLanes(count int, request func(lane int, worker *loadWorker) error) error {
-	results := make(chan error, lanes)
-	for lane := range lanes {
-		go func() { results <- w.runLane(lane, count, request) }()
+func (w *LoadHarness) requestInParallel(count int, request func(sender int, worker *loadWorker) error) error {
+	results := make(chan error, parallelRequests)
+	for sender := range parallelRequests {
+		go func() { results <- w.requestInTurn(sender, count, request) }()
 	}
 	var first error
-	for range lanes {
+	for range parallelRequests {
 		if err := <-results; err != nil && first == nil {
 			first = err
 		}
@@ -286,11 +286,11 @@
 	return first
 }
 
-// runLane sends the requests of one lane. A lane has workers of its own.
-func (w *World) runLane(lane, count int, request func(lane int, worker *loadWorker) error) error {
-	inTurn := len(w.workers) / lanes * lanes
-	for i := lane; i < count; i += lanes {
-		if err := request(lane, w.workers[i%inTurn]); err != nil {
+// requestInTurn sends the requests of one sender. A sender has workers of its own.
+func (w *LoadHarness) requestInTurn(sender, count int, request func(sender int, worker *loadWorker) error) error {
+	usedWorkers := len(w.workers) / parallelRequests * parallelRequests
+	for i := sender; i < count; i += parallelRequests {
+		if err := request(sender, w.workers[i%usedWorkers]); err != nil {
 			return err
 		}
 	}
--- a/internal/faulttest/cluster.go
+++ b/internal/faulttest/cluster.go
@@ -64,8 +64,8 @@
 	Groups   []quota.GroupOptions
 	// StateRPS and WriteRPS are what the state service takes by the settings; 0: plenty.
 	StateRPS, WriteRPS float64
-	// LostAnswers is the fraction of the answers to transactions that are lost.
-	LostAnswers float64
+	// LostAnswerFraction is the fraction of the answers to transactions that are lost.
+	LostAnswerFraction float64
 	// Binary has each controller run as a process of its own, that of this file, with its
 	// settings and its log in Dir. The controllers then reach each other through links that
 	// can be cut. Empty: they run in this process.
@@ -76,9 +76,9 @@
 
 // ClusterTimes are the intervals of a cluster's workers; zero values select defaults.
 type ClusterTimes struct {
-	HeartbeatInterval, WorkerLease, Cancel, ControllerLease time.Duration
-	// TaskFrom and TaskTo are how long a task runs.
-	TaskFrom, TaskTo time.Duration
+	HeartbeatInterval, WorkerLease, CancelTimeout, ControllerLease time.Duration
+	// MinTaskDuration and MaxTaskDuration are how long a task runs.
+	MinTaskDuration, MaxTaskDuration time.Duration
 }
 
 // withDefaults returns the intervals with what was left out.
@@ -86,21 +86,21 @@
 	return ClusterTimes{
 		HeartbeatInterval: cmp.Or(t.HeartbeatInterval, 400*time.Millisecond),
 		WorkerLease:       cmp.Or(t.WorkerLease, 3*time.Second),
-		Cancel:            cmp.Or(t.Cancel, 10*time.Second),
+		CancelTimeout:            cmp.Or(t.CancelTimeout, 10*time.Second),
 		ControllerLease:   cmp.Or(t.ControllerLease, time.Second),
-		TaskFrom:          cmp.Or(t.TaskFrom, 40*time.Millisecond),
-		TaskTo:            cmp.Or(t.TaskTo, 120*time.Millisecond),
+		MinTaskDuration:          cmp.Or(t.MinTaskDuration, 40*time.Millisecond),
+		MaxTaskDuration:            cmp.Or(t.MaxTaskDuration, 120*time.Millisecond),
 	}
 }
 
-// clusters counts the clusters of this process, each of which has addresses of its own.
-var clusters atomic.Uint32
+// clusterCount counts the clusterCount of this process, each of which has addresses of its own.
+var clusterCount atomic.Uint32
 
 // NewCluster starts a cluster; Close ends it.
 func NewCluster(plan ClusterPlan) (*Cluster, error) {
 	plan.Times = plan.Times.withDefaults()
 	c := &Cluster{
-		number:        clusters.Add(1),
+		number:        clusterCount.Add(1),
 		plan:          plan,
 		rng:           rand.New(rand.NewPCG(plan.Seed, clusterSeedStream)),
 		machineByHost: map[string]*machine{},
@@ -132,7 +132,7 @@
 	c.wait.Add(1)
 	go func() {
 		defer c.wait.Done()
-		c.server.KeepTime(serverTick, c.pause)
+		c.server.RunDueEvents(serverTick, c.pause)
 	}()
 	for _, n := range c.nodes {
 		n.start()
--- a/internal/faulttest/grants.go
+++ b/internal/faulttest/grants.go
@@ -17,8 +17,8 @@
 	lostGrantAnswers = 0.03
 	// grantJobTasks is how many tasks a job has.
 	grantJobTasks = 40
-	// grantBacklog is how many tasks may wait beyond those that were granted.
-	grantBacklog = 20 * grantJobTasks
+	// maxGrantBacklog is how many tasks may wait beyond those that were granted.
+	maxGrantBacklog = 20 * grantJobTasks
 	// limitRequestTimeout is that of a request to set a limit.
 	limitRequestTimeout = time.Second
 	// grantsCheckInterval is how often the number of grants is checked without faults.
@@ -31,9 +31,9 @@
 type GrantsPlan struct {
 	Seed   uint64
 	Nodes  int
-	Grants int // that are enough
-	// Most is how long it may take.
-	Most time.Duration
+	MinGrants int // that are enough
+	// Timeout is how long it may take.
+	Timeout time.Duration
 	// Faults ends and cuts off controllers, loses answers and changes limits; without,
 	// the limit stays.
 	Faults bool
@@ -41,15 +41,15 @@
 
 // GrantsResult is what came about.
 type GrantsResult struct {
-	Grants, Writes, LimitsSet, Ends, Cuts int
-	Took                                  time.Duration
+	Grants, Writes, LimitsSet, Restarts, Cuts int
+	Duration                                  time.Duration
 	Overshoots                            []string
-	ToInForce                             []time.Duration
+	EnforcementDelays                             []time.Duration
 }
 
 // String returns the figures in a line.
 func (r GrantsResult) String() string {
-	return fmt.Sprintf("%d grants in %.1f s, %d writes, %d limits set, %d ends, %d cuts, %d overshoots", r.Grants, r.Took.Seconds(), r.Writes, r.LimitsSet, r.Ends, r.Cuts, len(r.Overshoots))
+	return fmt.Sprintf("%d grants in %.1f s, %d writes, %d limits set, %d ends, %d cuts, %d overshoots", r.Grants, r.Duration.Seconds(), r.Writes, r.LimitsSet, r.Restarts, r.Cuts, len(r.Overshoots))
 }
 
 // Teams returns the teams that the groups of GrantGroups are made of.
@@ -63,12 +63,12 @@
 	}
 }
 
-// PlayGrants has the controllers of a cluster grant at once until that many tasks were
+// RunGrants has the controllers of a cluster grant at once until that many tasks were
 // started, and checks what was recorded.
-func PlayGrants(p GrantsPlan) (GrantsResult, error) {
+func RunGrants(p GrantsPlan) (GrantsResult, error) {
 	plan := ClusterPlan{Seed: p.Seed, Nodes: p.Nodes, Machines: grantMachines, Teams: Teams(), Groups: GrantGroups()}
 	if p.Faults {
-		plan.LostAnswers = lostGrantAnswers
+		plan.LostAnswerFraction = lostGrantAnswers
 	}
 	c, err := NewCluster(plan)
 	if err != nil {
@@ -76,17 +76,17 @@
 	}
 	defer c.Close()
 	submitted := make(chan error, 1)
-	go func() { submitted <- c.submitAhead(p.Grants) }()
-	result := c.playGrants(p)
+	go func() { submitted <- c.maintainBacklog(p.MinGrants) }()
+	result := c.runUntilGranted(p)
 	c.stop()
 	<-submitted
 	return result, nil
 }
 
-// playGrants injects faults until there are enough grants, and checks the history.
-func (c *Cluster) playGrants(p GrantsPlan) (r GrantsResult) {
+// runUntilGranted injects faults until there are enough grants, and checks the history.
+func (c *Cluster) runUntilGranted(p GrantsPlan) (r GrantsResult) {
 	began := time.Now()
-	for Grants(c.History()) < p.Grants && time.Since(began) < p.Most {
+	for CountGrants(c.History()) < p.MinGrants && time.Since(began) < p.Timeout {
 		if !p.Faults {
 			c.pause(grantsCheckInterval)
 			continue
@@ -94,22 +94,22 @@
 		c.pause(time.Duration(200+c.draw(500)) * time.Millisecond)
 		c.injectGrantFault(&r)
 	}
-	r.Took = time.Since(began)
+	r.Duration = time.Since(began)
 	history := c.History()
-	r.Grants = Grants(history)
-	r.Writes = QuotaWrites(history)
+	r.Grants = CountGrants(history)
+	r.Writes = CountQuotaWrites(history)
 	r.Overshoots = Overshoots(history, c.plan.Groups)
-	r.ToInForce = ToInForce(history)
+	r.EnforcementDelays = EnforcementDelays(history)
 	return r
 }
 
-// submitAhead submits more work than fits, for as long as it is wanted.
-func (c *Cluster) submitAhead(grants int) error {
+// maintainBacklog submits more work than fits, for as long as it is wanted.
+func (c *Cluster) maintainBacklog(grants int) error {
 	for submitted := 0; submitted < 2*grants; submitted += grantJobTasks {
 		if err := c.Submit(grantJobTasks); err != nil {
 			return err
 		}
-		for submitted > Grants(c.History())+grantBacklog {
+		for submitted > CountGrants(c.History())+maxGrantBacklog {
 			if !c.pause(backlogCheckInterval) {
 				return nil
 			}
@@ -124,7 +124,7 @@
 	switch c.draw(10) {
 	case 0:
 		c.Restart(node, time.Duration(c.draw(1500))*time.Millisecond)
-		r.Ends++
+		r.Restarts++
 	case 1:
 		c.CutFromState(node, time.Duration(200+c.draw(2000))*time.Millisecond)
 		r.Cuts++
--- a/internal/faulttest/history.go
+++ b/internal/faulttest/history.go
@@ -73,8 +73,8 @@
 	return found
 }
 
-// Grants counts the starts of a history.
-func Grants(history []HistoryEvent) (count int) {
+// CountGrants counts the starts of a history.
+func CountGrants(history []HistoryEvent) (count int) {
 	for _, event := range history {
 		if event.CPUs > 0 {
 			count++
@@ -83,8 +83,8 @@
 	return count
 }
 
-// QuotaWrites counts the writes of groups' records.
-func QuotaWrites(history []HistoryEvent) (count int) {
+// CountQuotaWrites counts the writes of groups' records.
+func CountQuotaWrites(history []HistoryEvent) (count int) {
 	for _, event := range history {
 		if event.Group != "" {
 			count++
@@ -93,9 +93,9 @@
 	return count
 }
 
-// ToInForce returns, for each limit that was announced and came into force before the next,
+// EnforcementDelays returns, for each limit that was announced and came into force before the next,
 // how long that took.
-func ToInForce(history []HistoryEvent) (durations []time.Duration) {
+func EnforcementDelays(history []HistoryEvent) (durations []time.Duration) {
 	type announcement struct {
 		epoch   uint64
 		at      time.Duration
--- a/internal/faulttest/link.go
+++ b/internal/faulttest/link.go
@@ -48,12 +48,12 @@
 		if err != nil {
 			return
 		}
-		go l.carry(conn)
+		go l.forward(conn)
 	}
 }
 
-// carry passes a connection on, both ways, until one of them ends.
-func (l *link) carry(in net.Conn) {
+// forward passes a connection on, both ways, until one of them ends.
+func (l *link) forward(in net.Conn) {
 	defer in.Close()
 	out, err := net.DialTimeout("tcp4", l.target, linkDialTimeout)
 	if err != nil {
@@ -63,20 +63,20 @@
 	done := make(chan struct{}, 2)
 	for _, direction := range [][2]net.Conn{{in, out}, {out, in}} {
 		go func() {
-			l.pump(direction[0], direction[1])
+			l.copyData(direction[0], direction[1])
 			done <- struct{}{}
 		}()
 	}
 	<-done
 }
 
-// pump passes data on until the connection ends or is broken.
-func (l *link) pump(from, to net.Conn) {
+// copyData passes data on until the connection ends or is broken.
+func (l *link) copyData(from, to net.Conn) {
 	buffer := make([]byte, linkBufferBytes)
 	for {
 		n, err := from.Read(buffer)
 		if n > 0 {
-			if !l.awaitPassage() {
+			if !l.waitWhileHeld() {
 				return
 			}
 			if _, err := to.Write(buffer[:n]); err != nil {
@@ -89,8 +89,8 @@
 	}
 }
 
-// awaitPassage waits while the link holds data back; false: it breaks connections.
-func (l *link) awaitPassage() bool {
+// waitWhileHeld waits while the link holds data back; false: it breaks connections.
+func (l *link) waitWhileHeld() bool {
 	for {
 		l.mu.Lock()
 		held, reset := time.Until(l.heldUntil), time.Until(l.resetUntil)
--- a/internal/faulttest/machine.go
+++ b/internal/faulttest/machine.go
@@ -29,7 +29,7 @@
 
 	mu        sync.Mutex // guards what follows
 	agent     *fakes.Agent
-	leaseFrom time.Time // when the last heartbeat that was answered was sent
+	leaseStart time.Time // when the last heartbeat that was answered was sent
 	runs      map[attempt]*TaskRun
 }
 
@@ -44,7 +44,7 @@
 	m := &machine{
 		FixedMachine: fixed,
 		cluster:      c,
-		leaseFrom:    time.Now(),
+		leaseStart:    time.Now(),
 		wake:         make(chan struct{}, 1),
 		runs:         map[attempt]*TaskRun{},
 	}
@@ -114,7 +114,7 @@
 func (m *machine) run() {
 	defer m.cluster.wait.Done()
 	for m.cluster.ctx.Err() == nil {
-		m.awaitRunning()
+		m.waitWhileHung()
 		m.mu.Lock()
 		sentAt := time.Now()
 		m.checkLease(sentAt)
@@ -132,17 +132,17 @@
 // checkLease ends the agent's epoch and its tasks once the lease has run out. The lock is held.
 func (m *machine) checkLease(now time.Time) {
 	lease := m.cluster.plan.Times.WorkerLease
-	if now.Sub(m.leaseFrom) <= lease {
+	if now.Sub(m.leaseStart) <= lease {
 		return
 	}
-	expiredAt := m.leaseFrom.Add(lease)
+	expiredAt := m.leaseStart.Add(lease)
 	tasks := m.agent.Tasks()
 	for i := range tasks {
 		m.endTask(&tasks[i], "", expiredAt) // also if the machine hung then and notices only now
 	}
 	m.agent.BeginEpoch()
 	clear(m.runs)
-	m.leaseFrom = time.Now()
+	m.leaseStart = time.Now()
 }
 
 // sendHeartbeat sends a heartbeat and carries out the commands of the reply.
@@ -151,15 +151,15 @@
 	if err != nil {
 		return
 	}
-	if m.faults.has(faultSendsNothing) {
-		m.turnTo((m.node + 1) % len(m.nodes))
+	if m.faults.active(faultSendsNothing) {
+		m.switchTo((m.node + 1) % len(m.nodes))
 		return
 	}
-	m.maybeCopyLater(body)
+	m.maybeDuplicateLater(body)
 	msg, err := m.nodes[m.node].Request("POST", wire.PathHeartbeat, body)
-	m.awaitRunning()
+	m.waitWhileHung()
 	tooLate := time.Since(sentAt) > replyTimeout
-	if tooLate || m.faults.has(faultReceivesNothing) {
+	if tooLate || m.faults.active(faultReceivesNothing) {
 		return
 	}
 	var reply wire.HeartbeatReply
@@ -182,11 +182,11 @@
 			m.heartbeatSoon()
 		}
 	}
-	m.turnTo(next)
+	m.switchTo(next)
 }
 
-// turnTo has the next heartbeats go to another controller.
-func (m *machine) turnTo(node int) {
+// switchTo has the next heartbeats go to another controller.
+func (m *machine) switchTo(node int) {
 	m.node = node
 	m.cluster.pause(nextNodePause)
 }
@@ -200,7 +200,7 @@
 	if !m.agent.Accepts(reply.FencingToken, agentEpoch) {
 		return
 	}
-	m.leaseFrom = sentAt
+	m.leaseStart = sentAt
 	m.faults.replyReceived()
 	m.agent.Execute(reply.FencingToken, reply.Commands)
 }
@@ -208,7 +208,7 @@
 // StartTask starts a task of one CPU, if one is free. The lock is held.
 func (m *machine) StartTask(command wire.Command) wire.TaskStatus {
 	status := wire.TaskStatus{Task: command.Task, Attempt: command.Attempt, State: wire.TaskRunning}
-	if m.running() >= machineCPUs {
+	if m.countRunning() >= machineCPUs {
 		status.State = wire.TaskExited
 		status.ExitReason = wire.ExitNoCapacity
 		return status
@@ -216,7 +216,7 @@
 	m.cluster.record(HistoryEvent{Team: m.cluster.teamOf(command.Task), CPUs: 1})
 	m.runs[attempt{command.Task, command.Attempt}] = m.cluster.taskRuns.begin(command.Task, m.ID)
 	agentEpoch := m.agent.Epoch()
-	time.AfterFunc(m.cluster.drawTaskLength(), func() { m.completeTask(command, agentEpoch) })
+	time.AfterFunc(m.cluster.drawTaskDuration(), func() { m.completeTask(command, agentEpoch) })
 	return status
 }
 
@@ -225,8 +225,8 @@
 	m.endTask(task, wire.ExitStopped, time.Now())
 }
 
-// running counts the tasks that run. The lock is held.
-func (m *machine) running() (count int) {
+// countRunning counts the tasks that run. The lock is held.
+func (m *machine) countRunning() (count int) {
 	for _, t := range m.agent.Tasks() {
 		if t.State == wire.TaskRunning {
 			count++
@@ -235,16 +235,16 @@
 	return count
 }
 
-// drawTaskLength draws how long a task runs.
-func (c *Cluster) drawTaskLength() time.Duration {
+// drawTaskDuration draws how long a task runs.
+func (c *Cluster) drawTaskDuration() time.Duration {
 	times := c.plan.Times
-	spread := max((times.TaskTo - times.TaskFrom).Milliseconds(), 1)
-	return times.TaskFrom + time.Duration(c.draw(int(spread)))*time.Millisecond
+	spread := max((times.MaxTaskDuration - times.MinTaskDuration).Milliseconds(), 1)
+	return times.MinTaskDuration + time.Duration(c.draw(int(spread)))*time.Millisecond
 }
 
 // completeTask ends a task that has run its time, unless its lease has run out before.
 func (m *machine) completeTask(command wire.Command, agentEpoch uint64) {
-	m.awaitRunning()
+	m.waitWhileHung()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.checkLease(time.Now())
--- a/internal/faulttest/machine_faults.go
+++ b/internal/faulttest/machine_faults.go
@@ -13,9 +13,9 @@
 	replyTimeout = time.Second
 	// rareReplyInterval is less than a worker's lease in a soak.
 	rareReplyInterval = 3500 * time.Millisecond
-	// copiedFraction of heartbeats arrive again while there are copies, within two leases.
-	copiedFraction   = 0.2
-	copyWithinLeases = 2
+	// duplicatedFraction of heartbeats arrive again while there are copies, within two leases.
+	duplicatedFraction   = 0.2
+	maxDuplicateDelayLeases = 2
 )
 
 // machineFault is a fault of one machine.
@@ -25,7 +25,7 @@
 	faultHangs           machineFault = iota // it executes nothing
 	faultReceivesNothing                     // neither commands nor replies reach it
 	faultSendsNothing                        // it reaches no controller
-	faultCopies                              // copies of its heartbeats arrive late
+	faultDuplicates                              // copies of its heartbeats arrive late
 	faultRarelyReached                       // no command reaches it, and a reply about once in a lease
 	machineFaultCount
 )
@@ -36,15 +36,15 @@
 	until [machineFaultCount]time.Time
 }
 
-// left returns how much longer a fault lasts.
-func (f *machineFaults) left(fault machineFault) time.Duration {
+// remaining returns how much longer a fault lasts.
+func (f *machineFaults) remaining(fault machineFault) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return time.Until(f.until[fault])
 }
 
-// has reports whether the machine has a fault now.
-func (f *machineFaults) has(fault machineFault) bool { return f.left(fault) > 0 }
+// active reports whether the machine active a fault now.
+func (f *machineFaults) active(fault machineFault) bool { return f.remaining(fault) > 0 }
 
 // begin has a fault go on for a while from now on.
 func (f *machineFaults) begin(fault machineFault, d time.Duration) {
@@ -65,10 +65,10 @@
 	}
 }
 
-// awaitRunning waits until the machine does not hang.
-func (m *machine) awaitRunning() {
+// waitWhileHung waits until the machine does not hang.
+func (m *machine) waitWhileHung() {
 	for {
-		left := m.faults.left(faultHangs)
+		left := m.faults.remaining(faultHangs)
 		if left <= 0 || !m.cluster.pause(left) {
 			return
 		}
@@ -78,19 +78,19 @@
 // awaitReachable waits while the machine hangs, as a request in its sockets does, and reports
 // whether the request arrives.
 func (m *machine) awaitReachable() bool {
-	m.awaitRunning()
-	return !m.faults.has(faultReceivesNothing) && !m.faults.has(faultRarelyReached)
+	m.waitWhileHung()
+	return !m.faults.active(faultReceivesNothing) && !m.faults.active(faultRarelyReached)
 }
 
-// maybeCopyLater may have a copy of a heartbeat arrive again, at any controller. The reply to
+// maybeDuplicateLater may have a copy of a heartbeat arrive again, at any controller. The reply to
 // it is lost.
-func (m *machine) maybeCopyLater(body []byte) {
+func (m *machine) maybeDuplicateLater(body []byte) {
 	c := m.cluster
-	if !m.faults.has(faultCopies) || !c.chance(copiedFraction) {
+	if !m.faults.active(faultDuplicates) || !c.chance(duplicatedFraction) {
 		return
 	}
 	to := c.drawNode().settings.ServeOn
-	latest := copyWithinLeases * c.plan.Times.WorkerLease
+	latest := maxDuplicateDelayLeases * c.plan.Times.WorkerLease
 	delay := time.Duration(c.draw(int(latest.Milliseconds()))) * time.Millisecond
 	time.AfterFunc(delay, func() {
 		_, _ = fakes.RequestOnce(to, replyTimeout, "POST", wire.PathHeartbeat, body)
--- a/internal/faulttest/node.go
+++ b/internal/faulttest/node.go
@@ -18,9 +18,9 @@
 	// restartPause is how long a controller that ended by itself waits to be started again.
 	restartPause = 100 * time.Millisecond
 
-	// plentifulStateRPS and plentifulWriteRPS are the limits of a state service that takes plenty.
-	plentifulStateRPS = 2000
-	plentifulWriteRPS = 400
+	// defaultStateRPS and plentifulWriteRPS are the limits of a state service that takes plenty.
+	defaultStateRPS = 2000
+	defaultWriteRPS = 400
 )
 
 // The loopback addresses of controllers: the process's id chooses the second and third byte, the
@@ -30,8 +30,8 @@
 	secondByteValues   = 200
 	thirdByteValues    = 250
 	firstPort          = 18080
-	listenersOfNode    = 2
-	clusterPortStrides = 1000
+	listenersPerNode    = 2
+	clusterPortSlots = 1000
 )
 
 // node is one controller of a cluster.
@@ -76,8 +76,8 @@
 		Label:     fmt.Sprintf("node-%d", id),
 		Endpoints: config.Endpoints{Cloud: cloud, State: state},
 	}
-	n.settings.ServeOn = c.ownAddress(id, 0)
-	n.settings.InternalAddr = c.ownAddress(id, 1)
+	n.settings.ServeOn = c.uniqueAddress(id, 0)
+	n.settings.InternalAddr = c.uniqueAddress(id, 1)
 	c.configure(&n.settings.Cluster)
 	n.options.LeaseMS = c.plan.Times.ControllerLease.Milliseconds()
 	n.options.Quota.Groups = c.plan.Groups
@@ -95,8 +95,8 @@
 	cluster.Nodes = c.plan.Nodes
 	cluster.Zones = fakes.Zones()
 	times := c.plan.Times
-	cluster.Workers = config.Workers{ReportS: times.HeartbeatInterval.Seconds(), LeaseS: times.WorkerLease.Seconds(), CancelS: times.Cancel.Seconds()}
-	cluster.State = config.StateLimits{RPS: cmp.Or(c.plan.StateRPS, plentifulStateRPS), WriteRPS: cmp.Or(c.plan.WriteRPS, plentifulWriteRPS), ValueKB: 8, TxnOps: stateTxnOps}
+	cluster.Workers = config.Workers{ReportS: times.HeartbeatInterval.Seconds(), LeaseS: times.WorkerLease.Seconds(), CancelS: times.CancelTimeout.Seconds()}
+	cluster.State = config.StateLimits{RPS: cmp.Or(c.plan.StateRPS, defaultStateRPS), WriteRPS: cmp.Or(c.plan.WriteRPS, defaultWriteRPS), ValueKB: 8, TxnOps: stateTxnOps}
 	cluster.Cloud = config.CloudLimits{RPS: 10, ListLagS: 0.2}
 	cluster.Resources = config.Resources{CoreShare: 0.5, RAMMB: 128, Sockets: 1024}
 }
@@ -116,13 +116,13 @@
 	return nil
 }
 
-// ownAddress returns a loopback address that no other cluster uses, of this process or another:
+// uniqueAddress returns a loopback address that no other cluster uses, of this process or another:
 // on a port that was free a moment ago a controller of one may meet workers of another.
-func (c *Cluster) ownAddress(node, listener int) string {
+func (c *Cluster) uniqueAddress(node, listener int) string {
 	pid := os.Getpid()
 	second := firstSecondByte + pid%secondByteValues
 	third := 1 + pid/secondByteValues%thirdByteValues
-	port := firstPort + listenersOfNode*int(c.number%clusterPortStrides) + listener
+	port := firstPort + listenersPerNode*int(c.number%clusterPortSlots) + listener
 	return fmt.Sprintf("127.%d.%d.%d:%d", second, third, node+1, port)
 }
 
--- a/internal/faulttest/soak.go
+++ b/internal/faulttest/soak.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// soakUsersMargin is how long before its end users of a soak stop.
-	soakUsersMargin = 4 * time.Second
+	// usersStopMargin is how long before its end users of a soak stop.
+	usersStopMargin = 4 * time.Second
 	// minSoakUsers is the least number of users; there is one for every workersPerUser workers.
 	minSoakUsers   = 6
 	workersPerUser = 6
@@ -23,32 +23,32 @@
 	Nodes   int
 	Workers int
 	Length  time.Duration
-	// Questions is how many times a second users ask all controllers about jobs that nobody
+	// UnknownJobRequestRate is how many times a second users ask all controllers about jobs that nobody
 	// submitted, each of which takes a read; StateRPS and WriteRPS are the limits of the
 	// state service, 0: plenty.
-	Questions, StateRPS, WriteRPS float64
+	UnknownJobRequestRate, StateRPS, WriteRPS float64
 	Binary                        string
 	Dir                           string // for settings and logs
-	// Only, if not empty, are the numbers of the faults that are played.
-	Only []int
+	// OnlyFaults, if not empty, are the numbers of the faults that are played.
+	OnlyFaults []int
 }
 
 // SoakResult is what came about.
 type SoakResult struct {
 	Jobs, Cancelled, Tasks, Answers int
-	Faults                          int
-	// Questions counts those about jobs that nobody submitted, Refused the answers that
+	InjectedFaults                          int
+	// UnknownJobRequests counts those about jobs that nobody submitted, Refused the answers that
 	// could not be given. Unanswered is the longest that requests about a job
 	// went unanswered.
-	Questions, Refused int
-	Unanswered         time.Duration
+	UnknownJobRequests, Refused int
+	LongestUnanswered         time.Duration
 	Violations         []string
 }
 
 // String returns the figures in a line.
 func (r SoakResult) String() string {
 	return fmt.Sprintf("%d jobs, %d called cancelled, %d tasks started, %d answers to users, %.1f s unanswered at most, %d other questions, %d refused, %d faults, %d violations",
-		r.Jobs, r.Cancelled, r.Tasks, r.Answers, r.Unanswered.Seconds(), r.Questions, r.Refused, r.Faults, len(r.Violations))
+		r.Jobs, r.Cancelled, r.Tasks, r.Answers, r.LongestUnanswered.Seconds(), r.UnknownJobRequests, r.Refused, r.InjectedFaults, len(r.Violations))
 }
 
 // SoakTimes returns the intervals of a soak. They keep about the proportions of the real
@@ -56,13 +56,13 @@
 // margin of 3 s that the bounds take.
 func SoakTimes() ClusterTimes {
 	return ClusterTimes{
-		HeartbeatInterval: time.Second, WorkerLease: 6 * time.Second, Cancel: 13 * time.Second, ControllerLease: time.Second,
-		TaskFrom: 2 * time.Second, TaskTo: 40 * time.Second,
+		HeartbeatInterval: time.Second, WorkerLease: 6 * time.Second, CancelTimeout: 13 * time.Second, ControllerLease: time.Second,
+		MinTaskDuration: 2 * time.Second, MaxTaskDuration: 40 * time.Second,
 	}
 }
 
-// PlaySoak plays a soak to its end.
-func PlaySoak(p SoakPlan) (SoakResult, error) {
+// RunSoak plays a soak to its end.
+func RunSoak(p SoakPlan) (SoakResult, error) {
 	c, err := NewCluster(ClusterPlan{
 		Seed: p.Seed, Nodes: p.Nodes, Machines: p.Workers, Teams: Teams(),
 		Binary: p.Binary, Dir: p.Dir, Times: SoakTimes(), StateRPS: p.StateRPS, WriteRPS: p.WriteRPS,
@@ -72,8 +72,8 @@
 	}
 	s := &soak{cluster: c, plan: p}
 	began := time.Now()
-	users := s.startUsers(began.Add(p.Length - soakUsersMargin))
-	faults := s.playFaults(began)
+	users := s.startUsers(began.Add(p.Length - usersStopMargin))
+	faults := s.injectFaults(began)
 	c.pause(time.Until(began.Add(p.Length)))
 	users.Wait()
 	c.Close()
@@ -86,16 +86,16 @@
 	for i := range max(s.plan.Workers/workersPerUser, minSoakUsers) {
 		users.Go(func() { s.runUser(i, until) })
 	}
-	if s.plan.Questions > 0 {
-		users.Go(func() { s.askAboutUnknownJobs(until) })
+	if s.plan.UnknownJobRequestRate > 0 {
+		users.Go(func() { s.requestUnknownJobs(until) })
 	}
 	return users
 }
 
-// playFaults injects the plan's faults, each at its time, and counts them.
-func (s *soak) playFaults(began time.Time) (played int) {
+// injectFaults injects the plan's faults, each at its time, and counts them.
+func (s *soak) injectFaults(began time.Time) (played int) {
 	for i, fault := range s.plan.Faults() {
-		if len(s.plan.Only) > 0 && !slices.Contains(s.plan.Only, i) {
+		if len(s.plan.OnlyFaults) > 0 && !slices.Contains(s.plan.OnlyFaults, i) {
 			continue
 		}
 		s.cluster.pause(time.Until(began.Add(fault.At)))
@@ -113,12 +113,12 @@
 	cancelledAt := s.cancelledAt()
 	runs := s.cluster.taskRuns.all(now)
 	r := SoakResult{
-		Jobs: len(s.jobs), Cancelled: len(cancelledAt), Tasks: len(runs), Answers: s.answers, Faults: faults,
-		Questions: s.questions, Refused: s.refused, Unanswered: s.unanswered,
+		Jobs: len(s.jobs), Cancelled: len(cancelledAt), Tasks: len(runs), Answers: s.answers, InjectedFaults: faults,
+		UnknownJobRequests: s.unknownJobRequests, Refused: s.refused, LongestUnanswered: s.longestUnanswered,
 	}
 	s.cluster.mu.Lock()
 	defer s.cluster.mu.Unlock()
-	r.Violations = slices.Concat(s.violations, CheckTaskRuns(runs, cancelledAt, s.cluster.plan.Times.Cancel), s.cluster.problems)
+	r.Violations = slices.Concat(s.violations, CheckTaskRuns(runs, cancelledAt, s.cluster.plan.Times.CancelTimeout), s.cluster.problems)
 	return r
 }
 
--- a/internal/faulttest/soak_faults.go
+++ b/internal/faulttest/soak_faults.go
@@ -17,8 +17,8 @@
 	// of a soak the last one may.
 	firstFaultAt    = 4 * time.Second
 	faultsEndMargin = 2 * time.Second
-	// ownersInSeries is how many owners end one after the other while machines are rarely reached.
-	ownersInSeries = 6
+	// ownerKillsInSeries is how many owners end one after the other while machines are rarely reached.
+	ownerKillsInSeries = 6
 )
 
 // FaultKind is what goes wrong.
@@ -66,8 +66,8 @@
 	return fmt.Sprintf("%5.1f s: %s, node %d, other %d, fraction %.2f, for %.1f s", f.At.Seconds(), f.Kind, f.Node, f.Other, f.Fraction, f.Duration.Seconds())
 }
 
-// faultDraw draws faults.
-type faultDraw struct {
+// faultGenerator draws faults.
+type faultGenerator struct {
 	rng    *rand.Rand
 	nodes  int
 	faults []Fault
@@ -76,13 +76,13 @@
 // Faults draws what goes wrong, from the seed alone; two or three overlap, and owners end
 // in series.
 func (p SoakPlan) Faults() []Fault {
-	d := &faultDraw{rng: rand.New(rand.NewPCG(p.Seed, soakSeedStream)), nodes: p.Nodes}
-	withoutFaults := SoakTimes().Cancel
-	for at := firstFaultAt; at < p.Length-withoutFaults; at += d.duration(time.Second, 3*time.Second) {
+	d := &faultGenerator{rng: rand.New(rand.NewPCG(p.Seed, soakSeedStream)), nodes: p.Nodes}
+	faultFreeTime := SoakTimes().CancelTimeout
+	for at := firstFaultAt; at < p.Length-faultFreeTime; at += d.drawDuration(time.Second, 3*time.Second) {
 		kind := FaultKind(d.rng.IntN(int(faultKindCount)))
-		d.add(at, kind, d.duration(300*time.Millisecond, 8*time.Second))
+		d.add(at, kind, d.drawDuration(300*time.Millisecond, 8*time.Second))
 		if d.rng.IntN(8) == 0 {
-			d.addOwnersInSeries(at)
+			d.addOwnerKillSeries(at)
 		}
 	}
 	faults := slices.DeleteFunc(d.faults, func(f Fault) bool { return f.At > p.Length-faultsEndMargin })
@@ -90,22 +90,22 @@
 	return faults
 }
 
-// addOwnersInSeries ends owners one after the other while machines are rarely reached.
-func (d *faultDraw) addOwnersInSeries(at time.Duration) {
-	d.add(at, FaultMachinesRarelyReached, d.duration(12*time.Second, 24*time.Second))
-	for i := range time.Duration(ownersInSeries) {
-		d.add(at+i*(rareReplyInterval+500*time.Millisecond), FaultKillOwner, d.duration(50*time.Millisecond, 2*time.Second))
+// addOwnerKillSeries ends owners one after the other while machines are rarely reached.
+func (d *faultGenerator) addOwnerKillSeries(at time.Duration) {
+	d.add(at, FaultMachinesRarelyReached, d.drawDuration(12*time.Second, 24*time.Second))
+	for i := range time.Duration(ownerKillsInSeries) {
+		d.add(at+i*(rareReplyInterval+500*time.Millisecond), FaultKillOwner, d.drawDuration(50*time.Millisecond, 2*time.Second))
 	}
 }
 
-func (d *faultDraw) add(at time.Duration, kind FaultKind, duration time.Duration) {
+func (d *faultGenerator) add(at time.Duration, kind FaultKind, duration time.Duration) {
 	node := d.rng.IntN(d.nodes)
 	other := (node + 1 + d.rng.IntN(d.nodes-1)) % d.nodes
 	fraction := 0.1 + 0.4*d.rng.Float64()
 	d.faults = append(d.faults, Fault{At: at, Duration: duration, Kind: kind, Node: node, Other: other, Fraction: fraction})
 }
 
-func (d *faultDraw) duration(from, to time.Duration) time.Duration {
+func (d *faultGenerator) drawDuration(from, to time.Duration) time.Duration {
 	return from + time.Duration(d.rng.Int64N(int64(to-from)))
 }
 
@@ -176,7 +176,7 @@
 	case FaultStateRefuses:
 		faults.refuseUntil = until
 	case FaultLateWrites:
-		faults.lateUntil = until
+		faults.delayWritesUntil = until
 	case FaultStateRefusesJobs:
 		for _, n := range c.nodes {
 			n.faults.refuseJobsUntil = until
@@ -189,7 +189,7 @@
 		FaultMachinesHang:           faultHangs,
 		FaultMachinesReceiveNothing: faultReceivesNothing,
 		FaultMachinesSendNothing:    faultSendsNothing,
-		FaultLateHeartbeats:         faultCopies,
+		FaultLateHeartbeats:         faultDuplicates,
 		FaultMachinesRarelyReached:  faultRarelyReached,
 	}[f.Kind]
 	for _, m := range c.machines {
--- a/internal/faulttest/soak_users.go
+++ b/internal/faulttest/soak_users.go
@@ -18,15 +18,15 @@
 	userRequestTimeout = 2 * time.Second
 	// submitPause is how long a user waits before a submission is repeated.
 	submitPause = 200 * time.Millisecond
-	// latestCancel is how long after its submission a job may be cancelled.
-	latestCancel = 15 * time.Second
-	// unknownJobs is the number of the first of the jobs that nobody submits.
-	unknownJobs      = 800_000
-	unknownJobsCount = 100_000
+	// maxCancelDelay is how long after its submission a job may be cancelled.
+	maxCancelDelay = 15 * time.Second
+	// firstUnknownJob is the number of the first of the jobs that nobody submits.
+	firstUnknownJob      = 800_000
+	unknownJobCount = 100_000
 	// The streams separate the random numbers of users from others of the same seed.
-	questionsSeedStream  = 99
+	unknownJobsSeedStream  = 99
 	firstUserSeedStream  = 100
-	jobNumbersOfEachUser = 1000
+	jobNumbersPerUser = 1000
 )
 
 // soak is a soak that is being played: its cluster and what its users have seen.
@@ -38,9 +38,9 @@
 	jobs       []*soakJob
 	answers    int
 	violations []string
-	// questions and refused count what askAboutUnknownJobs asked, and what was not answered.
-	questions, refused int
-	unanswered         time.Duration // the longest
+	// unknownJobRequests and refused count what askAboutUnknownJobs asked, and what was not answered.
+	unknownJobRequests, refused int
+	longestUnanswered         time.Duration // the longest
 }
 
 // soakJob is a job as its user knows it.
@@ -53,27 +53,27 @@
 	answeredAt      time.Time     // when a question about it was last answered, or it was accepted
 }
 
-// askAboutUnknownJobs asks all controllers about jobs that nobody submitted, at a pace that
+// requestUnknownJobs asks all controllers about jobs that nobody submitted, at a pace that
 // does not wait for answers.
-func (s *soak) askAboutUnknownJobs(until time.Time) {
-	r := rand.New(rand.NewPCG(s.plan.Seed, questionsSeedStream))
-	interval := time.Duration(float64(time.Second) / s.plan.Questions)
+func (s *soak) requestUnknownJobs(until time.Time) {
+	r := rand.New(rand.NewPCG(s.plan.Seed, unknownJobsSeedStream))
+	interval := time.Duration(float64(time.Second) / s.plan.UnknownJobRequestRate)
 	var wait sync.WaitGroup
 	for time.Now().Before(until) {
-		id := fmt.Sprintf("job-%06d", unknownJobs+r.IntN(unknownJobsCount))
+		id := fmt.Sprintf("job-%06d", firstUnknownJob+r.IntN(unknownJobCount))
 		for node := range s.cluster.nodes {
-			wait.Go(func() { s.askAboutUnknownJob(node, id) })
+			wait.Go(func() { s.requestUnknownJob(node, id) })
 		}
 		s.cluster.pause(interval)
 	}
 	wait.Wait()
 }
 
-func (s *soak) askAboutUnknownJob(node int, id string) {
+func (s *soak) requestUnknownJob(node int, id string) {
 	status, _ := s.send(node, "GET", wire.JobStatusPath(id), nil)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.questions++
+	s.unknownJobRequests++
 	switch status {
 	case http.StatusOK:
 		s.addViolationLocked("invented: %s at node %d", id, node)
@@ -88,18 +88,18 @@
 func (s *soak) runUser(number int, until time.Time) {
 	r := rand.New(rand.NewPCG(s.plan.Seed, uint64(firstUserSeedStream+number)))
 	for n := 0; time.Now().Before(until); n++ {
-		j := &soakJob{id: fmt.Sprintf("job-%06d", number*jobNumbersOfEachUser+n), tasks: 1 + r.IntN(24)}
+		j := &soakJob{id: fmt.Sprintf("job-%06d", number*jobNumbersPerUser+n), tasks: 1 + r.IntN(24)}
 		if s.submit(j, r, until) {
-			s.follow(j, r, until)
+			s.trackJob(j, r, until)
 		}
 	}
 }
 
-// follow asks about a job, and perhaps cancels it, until it has ended.
-func (s *soak) follow(j *soakJob, r *rand.Rand, until time.Time) {
-	cancelAt := time.Now().Add(time.Duration(r.IntN(int(latestCancel.Milliseconds()))) * time.Millisecond)
+// trackJob asks about a job, and perhaps cancels it, until it has ended.
+func (s *soak) trackJob(j *soakJob, r *rand.Rand, until time.Time) {
+	cancelAt := time.Now().Add(time.Duration(r.IntN(int(maxCancelDelay.Milliseconds()))) * time.Millisecond)
 	cancels := r.IntN(4) > 0
-	for time.Now().Before(until) && !s.ended(j) {
+	for time.Now().Before(until) && !s.hasEnded(j) {
 		node := r.IntN(len(s.cluster.nodes))
 		if cancels && time.Now().After(cancelAt) {
 			s.setCancelRequested(j)
@@ -107,14 +107,14 @@
 		} else {
 			s.request(j, node, "GET", wire.JobStatusPath(j.id))
 		}
-		if s.ended(j) || r.IntN(6) == 0 {
-			s.askAll(j)
+		if s.hasEnded(j) || r.IntN(6) == 0 {
+			s.requestFromAll(j)
 		}
 		s.cluster.pause(time.Duration(300+r.IntN(700)) * time.Millisecond)
 	}
 }
 
-func (s *soak) ended(j *soakJob) bool {
+func (s *soak) hasEnded(j *soakJob) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return j.finalState != ""
@@ -169,8 +169,8 @@
 	return msg.Status, answer
 }
 
-// askAll asks all controllers at once, twice.
-func (s *soak) askAll(j *soakJob) {
+// requestFromAll asks all controllers at once, twice.
+func (s *soak) requestFromAll(j *soakJob) {
 	var wait sync.WaitGroup
 	for i := range 2 * len(s.cluster.nodes) {
 		wait.Go(func() {
@@ -205,7 +205,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.answers++
-	s.checkWait(j, time.Now())
+	s.checkAnswerGap(j, time.Now())
 	if before != "" && state != before {
 		s.addViolationLocked("went_back: %s was %s, node %d calls it %s", j.id, before, node, state)
 	}
@@ -223,10 +223,10 @@
 	}
 }
 
-// checkWait checks how long requests about a job went unanswered. The lock is held.
-func (s *soak) checkWait(j *soakJob, now time.Time) {
+// checkAnswerGap checks how long requests about a job went unanswered. The lock is held.
+func (s *soak) checkAnswerGap(j *soakJob, now time.Time) {
 	waited := now.Sub(j.answeredAt)
-	s.unanswered = max(s.unanswered, waited)
+	s.longestUnanswered = max(s.longestUnanswered, waited)
 	if waited > maxUnanswered {
 		s.addViolationLocked("forgotten: no question about %s was answered for %.1f s", j.id, waited.Seconds())
 	}
--- a/internal/faulttest/state_faults.go
+++ b/internal/faulttest/state_faults.go
@@ -16,11 +16,11 @@
 	heldFraction = 0.3
 	// lateFraction of transactions are carried out late.
 	lateFraction = 0.3
-	// A late transaction is carried out lateFrom to lateFrom+lateSpread after it came, and its
+	// A late transaction is carried out minLateDelay to minLateDelay+lateSpread after it came, and its
 	// connection ends after lateAbort.
-	lateFrom   = 200 * time.Millisecond
-	lateSpread = 2000 * time.Millisecond
-	lateAbort  = 2 * time.Second
+	minLateDelay   = 200 * time.Millisecond
+	lateDelaySpread = 2000 * time.Millisecond
+	lateConnectionTimeout  = 2 * time.Second
 )
 
 // stateFaults are how the state service treats one controller; guarded by the cluster's lock.
@@ -28,7 +28,7 @@
 	cutUntil        time.Time // no answer; some requests are carried out afterwards
 	refuseUntil     time.Time // 503 for all but watches, which wait
 	refuseJobsUntil time.Time // 429 for reads and watches of jobs
-	lateUntil       time.Time // a part of its transactions is carried out late, without an answer
+	delayWritesUntil       time.Time // a part of its transactions is carried out late, without an answer
 }
 
 // stateProxy is the state service as one controller reaches it.
@@ -45,8 +45,8 @@
 		p.refuse(rw, r, faults.refuseUntil)
 	case now.Before(faults.refuseJobsUntil) && readsJobs(r):
 		rw.WriteHeader(http.StatusTooManyRequests)
-	case now.Before(faults.lateUntil) && isTransaction(r) && c.chance(lateFraction):
-		p.carryOutLate(r)
+	case now.Before(faults.delayWritesUntil) && isTransaction(r) && c.chance(lateFraction):
+		p.executeLate(r)
 	default:
 		p.serve(rw, r, faults.cutUntil)
 	}
@@ -61,8 +61,8 @@
 	rw.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// carryOutLate carries a request out later, and never answers it.
-func (p *stateProxy) carryOutLate(r *http.Request) {
+// executeLate carries a request out later, and never answers it.
+func (p *stateProxy) executeLate(r *http.Request) {
 	c := p.node.cluster
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -70,16 +70,16 @@
 	}
 	again := r.Clone(c.ctx)
 	again.Body = io.NopCloser(bytes.NewReader(body))
-	delay := lateFrom + time.Duration(c.draw(int(lateSpread.Milliseconds())))*time.Millisecond
-	time.AfterFunc(delay, func() { c.server.ServeHTTP(discard{}, again) })
-	c.pause(lateAbort)
+	delay := minLateDelay + time.Duration(c.draw(int(lateDelaySpread.Milliseconds())))*time.Millisecond
+	time.AfterFunc(delay, func() { c.server.ServeHTTP(discardResponse{}, again) })
+	c.pause(lateConnectionTimeout)
 	panic(http.ErrAbortHandler)
 }
 
 // serve passes a request on, unless it is lost, or its answer is.
 func (p *stateProxy) serve(rw http.ResponseWriter, r *http.Request, cutUntil time.Time) {
 	c := p.node.cluster
-	lost := c.plan.LostAnswers > 0 && isTransaction(r) && c.chance(c.plan.LostAnswers)
+	lost := c.plan.LostAnswerFraction > 0 && isTransaction(r) && c.chance(c.plan.LostAnswerFraction)
 	if cut := time.Until(cutUntil); cut > 0 {
 		held := c.chance(heldFraction) && c.pause(cut)
 		if !held {
@@ -88,7 +88,7 @@
 		lost = true
 	}
 	if lost {
-		c.server.ServeHTTP(discard{}, r)
+		c.server.ServeHTTP(discardResponse{}, r)
 		panic(http.ErrAbortHandler)
 	}
 	c.server.ServeHTTP(rw, r)
@@ -103,9 +103,9 @@
 	return ofKey || ofPrefix
 }
 
-// discard is where a lost answer goes.
-type discard struct{}
+// discardResponse is where a lost answer goes.
+type discardResponse struct{}
 
-func (discard) Header() http.Header         { return http.Header{} }
-func (discard) Write(b []byte) (int, error) { return len(b), nil }
-func (discard) WriteHeader(int)             {}
+func (discardResponse) Header() http.Header         { return http.Header{} }
+func (discardResponse) Write(b []byte) (int, error) { return len(b), nil }
+func (discardResponse) WriteHeader(int)             {}
--- a/internal/measure/grants.go
+++ b/internal/measure/grants.go
@@ -19,11 +19,11 @@
 // Run plays the seeds; an overshoot is an error.
 func (g *grantsCommand) Run() error {
 	play := func(seed uint64) (faulttest.GrantsResult, error) {
-		return faulttest.PlayGrants(faulttest.GrantsPlan{Seed: seed, Nodes: nodesFor(seed), Grants: g.Grants, Most: 3 * time.Minute, Faults: !g.Calm})
+		return faulttest.RunGrants(faulttest.GrantsPlan{Seed: seed, Nodes: nodesFor(seed), MinGrants: g.Grants, Timeout: 3 * time.Minute, Faults: !g.Calm})
 	}
 	var sum faulttest.GrantsResult
 	var rates, inForce []float64
-	err := playSeeds(seedsFrom(g.Seed, g.Seeds), g.Parallel, play, func(seed uint64, r faulttest.GrantsResult) {
+	err := runSeeds(seedsFrom(g.Seed, g.Seeds), g.Parallel, play, func(seed uint64, r faulttest.GrantsResult) {
 		fmt.Printf("seed %d: %s\n", seed, r)
 		for _, line := range r.Overshoots {
 			fmt.Printf("seed %d: overshoot: %s\n", seed, line)
@@ -31,12 +31,12 @@
 		sum.Grants += r.Grants
 		sum.Writes += r.Writes
 		sum.LimitsSet += r.LimitsSet
-		sum.Ends += r.Ends
+		sum.Restarts += r.Restarts
 		sum.Cuts += r.Cuts
-		sum.Took += r.Took
+		sum.Duration += r.Duration
 		sum.Overshoots = append(sum.Overshoots, r.Overshoots...)
-		rates = append(rates, float64(r.Grants)/r.Took.Seconds())
-		for _, d := range r.ToInForce {
+		rates = append(rates, float64(r.Grants)/r.Duration.Seconds())
+		for _, d := range r.EnforcementDelays {
 			inForce = append(inForce, d.Seconds())
 		}
 	})
@@ -44,9 +44,9 @@
 		return err
 	}
 	fmt.Printf("all: %s\n", sum)
-	fmt.Printf("grants a second, by seed: %s\n", figuresOf(rates))
+	fmt.Printf("grants a second, by seed: %s\n", summarize(rates))
 	fmt.Printf("writes per thousand grants: %.1f\n", 1000*float64(sum.Writes)/float64(max(sum.Grants, 1)))
-	fmt.Printf("seconds from announced to in force: %s\n", figuresOf(inForce))
+	fmt.Printf("seconds from announced to in force: %s\n", summarize(inForce))
 	if len(sum.Overshoots) > 0 {
 		return fmt.Errorf("%d overshoots, the first: %s", len(sum.Overshoots), sum.Overshoots[0])
 	}
--- a/internal/measure/main.go
+++ b/internal/measure/main.go
@@ -35,21 +35,21 @@
 	}
 }
 
-// figures are the summary of samples.
-type figures struct {
+// summary are the summary of samples.
+type summary struct {
 	count             int
-	median, p99, most float64
+	median, p99, max float64
 }
 
-func figuresOf(samples []float64) figures {
+func summarize(samples []float64) summary {
 	if len(samples) == 0 {
-		return figures{median: math.NaN(), p99: math.NaN(), most: math.NaN()}
+		return summary{median: math.NaN(), p99: math.NaN(), max: math.NaN()}
 	}
 	s := slices.Sorted(slices.Values(samples))
 	at := func(part float64) float64 { return s[int(part*float64(len(s)-1)+0.5)] }
-	return figures{len(s), at(0.5), at(0.99), s[len(s)-1]}
+	return summary{len(s), at(0.5), at(0.99), s[len(s)-1]}
 }
 
-func (f figures) String() string {
-	return fmt.Sprintf("%d samples, median %.3g, 99 in 100 %.3g, most %.3g", f.count, f.median, f.p99, f.most)
+func (f summary) String() string {
+	return fmt.Sprintf("%d samples, median %.3g, 99 in 100 %.3g, most %.3g", f.count, f.median, f.p99, f.max)
 }
--- a/internal/measure/quota.go
+++ b/internal/measure/quota.go
@@ -21,14 +21,14 @@
 type comparedMechanism struct {
 	name string
 	new  func(*quotaRun) mechanism
-	line color.Color
+	color color.Color
 }
 
 func comparedMechanisms() []comparedMechanism {
 	return []comparedMechanism{
 		{"allowances", newAllowances, color.RGBA{R: 20, G: 90, B: 200, A: 255}},
-		{"one owner", func(r *quotaRun) mechanism { return &oneOwner{run: r, limit: limitBefore} }, color.RGBA{R: 200, G: 80, B: 20, A: 255}},
-		{"a write per grant", func(r *quotaRun) mechanism { return &writePerGrant{run: r, limit: limitBefore} }, color.RGBA{R: 90, G: 140, B: 60, A: 255}},
+		{"one owner", func(r *quotaRun) mechanism { return &oneOwner{run: r, limit: initialLimit} }, color.RGBA{R: 200, G: 80, B: 20, A: 255}},
+		{"a write per grant", func(r *quotaRun) mechanism { return &writePerGrant{run: r, limit: initialLimit} }, color.RGBA{R: 90, G: 140, B: 60, A: 255}},
 	}
 }
 
@@ -41,7 +41,7 @@
 		if err != nil {
 			return fmt.Errorf("plot: %w", err)
 		}
-		line.Color = m.line
+		line.Color = m.color
 		chart.Add(line)
 		chart.Legend.Add(m.name, line)
 	}
@@ -68,22 +68,22 @@
 	for i := range q.Repeats {
 		seed := q.Seed + uint64(i)
 		run := newQuotaRun(seed, m.new)
-		run.play(false)
+		run.simulate(false)
 		rate = append(rate, float64(run.grants)/runLength.Seconds())
 		writes = append(writes, 1000*float64(run.mechanism.writes())/float64(run.grants))
-		for _, fraction := range run.unused {
+		for _, fraction := range run.unusedFractions {
 			unused = append(unused, 100*fraction)
 		}
-		longestStall = append(longestStall, run.stalled.Seconds())
-		inForce = append(inForce, toInForce(run))
+		longestStall = append(longestStall, run.longestStall.Seconds())
+		inForce = append(inForce, enforcementDelay(run))
 		runWithCut := newQuotaRun(seed, m.new)
-		runWithCut.play(true)
-		inForceCut = append(inForceCut, toInForce(runWithCut))
+		runWithCut.simulate(true)
+		inForceCut = append(inForceCut, enforcementDelay(runWithCut))
 		if i == 0 {
-			first = run.points
+			first = run.usage
 		}
 	}
 	fmt.Printf("%s\n  grants a second: %s\n  writes per thousand grants: %s\n  unused of the limit, in 100: %s\n  longest without a grant, s: %s\n  announced to in force, s: %s\n  the same, one controller cut off for %g s: %s\n",
-		m.name, figuresOf(rate), figuresOf(writes), figuresOf(unused), figuresOf(longestStall), figuresOf(inForce), cutFor.Seconds(), figuresOf(inForceCut))
+		m.name, summarize(rate), summarize(writes), summarize(unused), summarize(longestStall), summarize(inForce), cutDuration.Seconds(), summarize(inForceCut))
 	return first
 }
--- a/internal/measure/quota_mechanisms.go
+++ b/internal/measure/quota_mechanisms.go
@@ -22,8 +22,8 @@
 type mechanism interface {
 	// request asks for a start by a controller; start is called if and when it is granted.
 	request(node int, start func())
-	// ended is called when a task has ended.
-	ended(node int)
+	// taskEnded is called when a task has taskEnded.
+	taskEnded(node int)
 	// controllerReplaced is called when the controller that had ended is replaced.
 	controllerReplaced()
 	// lowerLimit lowers the limit.
@@ -50,7 +50,7 @@
 }
 
 func (o *oneOwner) grant() {
-	for o.run.dead != 0 && len(o.queue) > 0 && o.used < o.limit {
+	for o.run.downNode != 0 && len(o.queue) > 0 && o.used < o.limit {
 		start := o.queue[0]
 		o.queue = o.queue[1:]
 		o.used++
@@ -58,7 +58,7 @@
 	}
 }
 
-func (o *oneOwner) ended(int) {
+func (o *oneOwner) taskEnded(int) {
 	o.run.after(o.run.between(shortestMessage, longestMessage), func() {
 		o.used--
 		o.grant()
@@ -76,10 +76,10 @@
 	run    *quotaRun
 	limit  float64
 	used   float64
-	count  int
+	writeCount  int
 	queues [controllers][]func()
-	ends   [controllers]int
-	busy   [controllers]bool
+	pendingEnds   [controllers]int
+	writing   [controllers]bool
 }
 
 func (w *writePerGrant) request(node int, start func()) {
@@ -87,20 +87,20 @@
 	w.write(node)
 }
 
-func (w *writePerGrant) ended(node int) {
-	w.ends[node]++
+func (w *writePerGrant) taskEnded(node int) {
+	w.pendingEnds[node]++
 	w.write(node)
 }
 
 // write sends the next write of a controller, unless one is under way.
 func (w *writePerGrant) write(node int) {
-	if w.busy[node] {
+	if w.writing[node] {
 		return
 	}
-	w.busy[node] = true
+	w.writing[node] = true
 	w.run.after(w.run.between(shortestWrite, longestWrite), func() {
 		pause := w.commit(node)
-		w.busy[node] = false
+		w.writing[node] = false
 		w.run.after(pause, func() { w.write(node) })
 	})
 }
@@ -110,17 +110,17 @@
 func (w *writePerGrant) commit(node int) (pause micros.Micros) {
 	mayStart := len(w.queues[node]) > 0 && w.used < w.limit
 	switch {
-	case w.ends[node] == 0 && !mayStart:
+	case w.pendingEnds[node] == 0 && !mayStart:
 		return idlePause
-	case w.run.dead == node || w.run.cut == node:
+	case w.run.downNode == node || w.run.cutNode == node:
 		return unreachablePause
-	case !w.run.mayWrite():
+	case !w.run.takeWriteToken():
 		return w.run.between(refusedPauseFrom, refusedPauseTo)
 	}
-	w.count++
-	if w.ends[node] > 0 {
-		w.used -= float64(w.ends[node])
-		w.ends[node] = 0
+	w.writeCount++
+	if w.pendingEnds[node] > 0 {
+		w.used -= float64(w.pendingEnds[node])
+		w.pendingEnds[node] = 0
 		return 0
 	}
 	start := w.queues[node][0]
@@ -134,14 +134,14 @@
 
 func (w *writePerGrant) lowerLimit(limit float64) { w.limit = limit }
 func (w *writePerGrant) inForce() bool            { return w.used <= w.limit }
-func (w *writePerGrant) writes() int              { return w.count }
+func (w *writePerGrant) writes() int              { return w.writeCount }
 
 // allowances is package quota over a simulated store.
 type allowances struct {
 	run         *quotaRun
-	rec         quota.Record
+	record         quota.Record
 	modRevision uint64
-	count       int
+	writeCount       int
 	ledgers     [controllers]*quota.Ledger
 	queues      [controllers][]func()
 	used        [controllers]float64
@@ -151,11 +151,11 @@
 
 func newAllowances(run *quotaRun) mechanism {
 	a := &allowances{run: run, modRevision: 1}
-	a.rec = quota.Record{Definition: quota.Definition{Name: group, Teams: []string{"t"}, Limit: quota.CPULimit(limitBefore)}, Epoch: 1}
+	a.record = quota.Record{Definition: quota.Definition{Name: group, Teams: []string{"t"}, Limit: quota.CPULimit(initialLimit)}, Epoch: 1}
 	for i := range a.ledgers {
 		a.ledgers[i] = quota.NewLedger(quota.Config{Shards: controllers, Timing: quota.DefaultTiming()})
 		a.step(i, quota.Held{Shard: i})
-		a.step(i, quota.Learned{Group: group, Record: a.rec, ModRevision: a.modRevision})
+		a.step(i, quota.Learned{Group: group, Record: a.record, ModRevision: a.modRevision})
 		a.step(i, quota.Refreshed{Shard: i})
 		a.reportUsage(i)
 	}
@@ -167,14 +167,14 @@
 	a.grant(node)
 }
 
-func (a *allowances) ended(node int) {
+func (a *allowances) taskEnded(node int) {
 	a.used[node]--
 	a.grant(node)
 }
 
 // grant starts what waits at a controller, up to its allowance.
 func (a *allowances) grant(node int) {
-	for a.run.dead != node && len(a.queues[node]) > 0 && a.used[node] < a.ledgers[node].Allowed(node, group).CPUs {
+	for a.run.downNode != node && len(a.queues[node]) > 0 && a.used[node] < a.ledgers[node].Allowed(node, group).CPUs {
 		start := a.queues[node][0]
 		a.queues[node] = a.queues[node][1:]
 		a.used[node]++
@@ -186,7 +186,7 @@
 // reportUsage gives a controller's ledger the usage, and repeats that four times a second.
 func (a *allowances) reportUsage(node int) {
 	a.run.after(250*ms, func() { a.reportUsage(node) })
-	if a.run.dead == node {
+	if a.run.downNode == node {
 		return
 	}
 	team := quota.TeamDemand{Groups: []string{group}, Used: quota.Amount{CPUs: a.used[node]}}
@@ -214,12 +214,12 @@
 	a.run.after(a.run.between(shortestWrite, longestWrite), func() {
 		out := quota.Wrote{ID: w.ID, Outcome: quota.Refused}
 		switch {
-		case a.run.dead == node || a.run.cut == node || !a.run.mayWrite():
+		case a.run.downNode == node || a.run.cutNode == node || !a.run.takeWriteToken():
 			out.Outcome = quota.NotSent
 		case a.modRevision == w.ModRevision:
 			a.modRevision++
-			a.count++
-			a.rec = w.Record
+			a.writeCount++
+			a.record = w.Record
 			out.Outcome = quota.Applied
 			out.ModRevision = a.modRevision
 			for other := range a.ledgers {
@@ -232,9 +232,9 @@
 
 // deliver brings the record by a read or a watch.
 func (a *allowances) deliver(node int) {
-	rec, modRevision := a.rec, a.modRevision
+	rec, modRevision := a.record, a.modRevision
 	a.run.after(a.run.between(5*ms, 100*ms), func() {
-		if a.run.cut == node || a.run.dead == node {
+		if a.run.cutNode == node || a.run.downNode == node {
 			a.run.after(500*ms, func() { a.deliver(node) })
 			return
 		}
@@ -250,7 +250,7 @@
 }
 
 func (a *allowances) inForce() bool {
-	return a.rec.Limit.Equal(quota.CPULimit(limitAfter)) && a.rec.InForce(controllers)
+	return a.record.Limit.Equal(quota.CPULimit(loweredLimit)) && a.record.InForce(controllers)
 }
 
-func (a *allowances) writes() int { return a.count }
+func (a *allowances) writes() int { return a.writeCount }
--- a/internal/measure/quota_run.go
+++ b/internal/measure/quota_run.go
@@ -17,15 +17,15 @@
 // What all runs have in common.
 const (
 	controllers = 3
-	limitBefore = 300.0
-	limitAfter  = 150.0
-	taskMean    = 4 * sec
+	initialLimit = 300.0
+	loweredLimit  = 150.0
+	meanTaskDuration    = 4 * sec
 	// writeRate is the store's, for all controllers together.
 	writeRate    = 40.0
-	ownerEndsAt  = 40 * sec // and is replaced after failoverTime
+	ownerFailsAt  = 40 * sec // and is replaced after failoverTime
 	failoverTime = 6 * sec
-	lowerAt      = 80 * sec
-	cutFor       = 10 * sec
+	limitLoweredAt      = 80 * sec
+	cutDuration       = 10 * sec
 	runLength    = 120 * sec
 )
 
@@ -36,16 +36,16 @@
 	queue     eventqueue.Queue
 	mechanism mechanism
 	running   [controllers]int
-	dead      int           // the controller that has ended; -1: none
-	cut       int           // the one that does not reach the store; -1: none
-	tokens    float64       // of the store's write budget
-	filled    micros.Micros // when they were last added to
+	downNode      int           // the controller that has ended; -1: none
+	cutNode       int           // the one that does not reach the store; -1: none
+	writeTokens    float64       // of the store's write budget
+	tokensUpdatedAt    micros.Micros // when they were last added to
 	grants    int
-	unused    []float64
-	stalled   micros.Micros // the longest without a grant
-	lastAt    micros.Micros
-	lowered   micros.Micros // when the lowered limit was in force; 0: not yet
-	points    plotter.XYs
+	unusedFractions    []float64
+	longestStall   micros.Micros // the longest without a grant
+	lastGrantAt    micros.Micros
+	enforcedAt   micros.Micros // when the lowered limit was in force; 0: not yet
+	usage    plotter.XYs
 }
 
 func (r *quotaRun) after(d micros.Micros, f func()) {
@@ -57,30 +57,30 @@
 	return from + micros.Micros(r.rng.Int64N(int64(to-from)+1))
 }
 
-// mayWrite reports whether the store takes a write now, and counts it.
-func (r *quotaRun) mayWrite() bool {
-	r.tokens = min(writeRate, r.tokens+writeRate*(r.now-r.filled).Seconds())
-	r.filled = r.now
-	if r.tokens < 1 {
+// takeWriteToken reports whether the store takes a write now, and counts it.
+func (r *quotaRun) takeWriteToken() bool {
+	r.writeTokens = min(writeRate, r.writeTokens+writeRate*(r.now-r.tokensUpdatedAt).Seconds())
+	r.tokensUpdatedAt = r.now
+	if r.writeTokens < 1 {
 		return false
 	}
-	r.tokens--
+	r.writeTokens--
 	return true
 }
 
-// demand keeps work waiting at every controller.
-const demand = 400
+// requestsPerController keeps work waiting at every controller.
+const requestsPerController = 400
 
 // request asks for a task by a controller, and for the next once it has ended.
 func (r *quotaRun) request(node int) {
 	r.mechanism.request(node, func() {
 		r.running[node]++
 		r.grants++
-		r.stalled = max(r.stalled, r.now-r.lastAt)
-		r.lastAt = r.now
-		r.after(r.between(taskMean/2, taskMean*3/2), func() {
+		r.longestStall = max(r.longestStall, r.now-r.lastGrantAt)
+		r.lastGrantAt = r.now
+		r.after(r.between(meanTaskDuration/2, meanTaskDuration*3/2), func() {
 			r.running[node]--
-			r.mechanism.ended(node)
+			r.mechanism.taskEnded(node)
 			r.request(node)
 		})
 	})
@@ -93,33 +93,33 @@
 	for _, n := range r.running {
 		used += n
 	}
-	r.points = append(r.points, plotter.XY{X: r.now.Seconds(), Y: float64(used)})
+	r.usage = append(r.usage, plotter.XY{X: r.now.Seconds(), Y: float64(used)})
 	switch {
-	case r.now > 10*sec && r.now < ownerEndsAt:
-		r.unused = append(r.unused, (limitBefore-float64(used))/limitBefore)
-	case r.now > lowerAt && r.lowered == 0 && r.mechanism.inForce():
-		r.lowered = r.now
+	case r.now > 10*sec && r.now < ownerFailsAt:
+		r.unusedFractions = append(r.unusedFractions, (initialLimit-float64(used))/initialLimit)
+	case r.now > limitLoweredAt && r.enforcedAt == 0 && r.mechanism.inForce():
+		r.enforcedAt = r.now
 	}
 }
 
-// play runs a mechanism; cut: a controller is cut off just before the limit is lowered.
-func (r *quotaRun) play(cut bool) {
-	for range demand {
+// simulate runs a mechanism; cut: a controller is cut off just before the limit is lowered.
+func (r *quotaRun) simulate(cut bool) {
+	for range requestsPerController {
 		for node := range controllers {
 			r.request(node)
 		}
 	}
 	r.sample()
-	r.after(ownerEndsAt, func() { r.dead = 0 })
-	r.after(ownerEndsAt+failoverTime, func() {
-		r.dead = -1
+	r.after(ownerFailsAt, func() { r.downNode = 0 })
+	r.after(ownerFailsAt+failoverTime, func() {
+		r.downNode = -1
 		r.mechanism.controllerReplaced()
 	})
 	if cut {
-		r.after(lowerAt-sec, func() { r.cut = 2 })
-		r.after(lowerAt-sec+cutFor, func() { r.cut = -1 })
+		r.after(limitLoweredAt-sec, func() { r.cutNode = 2 })
+		r.after(limitLoweredAt-sec+cutDuration, func() { r.cutNode = -1 })
 	}
-	r.after(lowerAt, func() { r.mechanism.lowerLimit(limitAfter) })
+	r.after(limitLoweredAt, func() { r.mechanism.lowerLimit(loweredLimit) })
 	for r.now < runLength {
 		var f func()
 		r.now, f = r.queue.Take() // there is always a sample to take
@@ -128,15 +128,15 @@
 }
 
 func newQuotaRun(seed uint64, newMechanism func(*quotaRun) mechanism) *quotaRun {
-	r := &quotaRun{rng: rand.New(rand.NewPCG(seed, 3)), dead: -1, cut: -1, tokens: writeRate}
+	r := &quotaRun{rng: rand.New(rand.NewPCG(seed, 3)), downNode: -1, cutNode: -1, writeTokens: writeRate}
 	r.mechanism = newMechanism(r)
 	return r
 }
 
-// toInForce returns how long a lowered limit took to hold, in seconds.
-func toInForce(r *quotaRun) float64 {
-	if r.lowered == 0 {
-		return (runLength - lowerAt).Seconds()
+// enforcementDelay returns how long a lowered limit took to hold, in seconds.
+func enforcementDelay(r *quotaRun) float64 {
+	if r.enforcedAt == 0 {
+		return (runLength - limitLoweredAt).Seconds()
 	}
-	return (r.lowered - lowerAt).Seconds()
+	return (r.enforcedAt - limitLoweredAt).Seconds()
 }
--- a/internal/measure/seeds.go
+++ b/internal/measure/seeds.go
@@ -13,9 +13,9 @@
 // nodesFor returns how many controllers a seed is played with by default.
 func nodesFor(seed uint64) int { return []int{3, 2, 5}[seed%3] }
 
-// playSeeds plays seeds, at most parallel at a time, and calls each with every result as soon as
+// runSeeds plays seeds, at most parallel at a time, and calls each with every result as soon as
 // there is one. It returns the first error.
-func playSeeds[T any](seeds []uint64, parallel int, play func(seed uint64) (T, error), each func(seed uint64, result T)) error {
+func runSeeds[T any](seeds []uint64, parallel int, play func(seed uint64) (T, error), each func(seed uint64, result T)) error {
 	type outcome struct {
 		seed   uint64
 		result T
--- a/internal/measure/soak.go
+++ b/internal/measure/soak.go
@@ -42,7 +42,7 @@
 	if err := s.build(); err != nil {
 		return err
 	}
-	return s.playAll(seeds)
+	return s.runAll(seeds)
 }
 
 // printFaults prints the faults of seeds, with the numbers that Only takes.
@@ -54,12 +54,12 @@
 	}
 }
 
-// playAll plays seeds and prints their figures; a violation is an error.
-func (s *soakCommand) playAll(seeds []uint64) error {
+// runAll plays seeds and prints their figures; a violation is an error.
+func (s *soakCommand) runAll(seeds []uint64) error {
 	violations := 0
 	cancelled := 0
 	tasks := 0
-	err := playSeeds(seeds, s.Parallel, s.play, func(seed uint64, r faulttest.SoakResult) {
+	err := runSeeds(seeds, s.Parallel, s.runSeed, func(seed uint64, r faulttest.SoakResult) {
 		fmt.Printf("seed %d, %d controllers: %s\n", seed, s.plan(seed).Nodes, r)
 		for _, line := range r.Violations {
 			fmt.Printf("seed %d: %s\n", seed, line)
@@ -82,13 +82,13 @@
 func (s *soakCommand) plan(seed uint64) faulttest.SoakPlan {
 	return faulttest.SoakPlan{
 		Seed: seed, Nodes: cmp.Or(s.Nodes, nodesFor(seed)), Workers: s.Workers, Length: time.Duration(s.Minutes * float64(time.Minute)),
-		Questions: s.Questions, StateRPS: s.StateRPS, WriteRPS: s.WriteRPS,
-		Binary: s.Binary, Dir: filepath.Join(s.Dir, fmt.Sprintf("seed-%d", seed)), Only: s.Only,
+		UnknownJobRequestRate: s.Questions, StateRPS: s.StateRPS, WriteRPS: s.WriteRPS,
+		Binary: s.Binary, Dir: filepath.Join(s.Dir, fmt.Sprintf("seed-%d", seed)), OnlyFaults: s.Only,
 	}
 }
 
-// play plays one seed; what an earlier play left in its directory goes.
-func (s *soakCommand) play(seed uint64) (faulttest.SoakResult, error) {
+// runSeed plays one seed; what an earlier runSeed left in its directory goes.
+func (s *soakCommand) runSeed(seed uint64) (faulttest.SoakResult, error) {
 	p := s.plan(seed)
 	if err := os.RemoveAll(p.Dir); err != nil {
 		return faulttest.SoakResult{}, err
@@ -96,7 +96,7 @@
 	if err := os.MkdirAll(p.Dir, 0o755); err != nil {
 		return faulttest.SoakResult{}, err
 	}
-	return faulttest.PlaySoak(p)
+	return faulttest.RunSoak(p)
 }
 
 // build builds the program that is to be tried, unless one was named.
--- a/internal/simulation/cascade.go
+++ b/internal/simulation/cascade.go
@@ -102,7 +102,7 @@
 // addMembers adds the users of the jobs, the one that all depend on first.
 func (c *cascade) addMembers() {
 	first := c.add()
-	first.Runs[0] = 5 * micros.Minute // it is not done before it is cancelled
+	first.TaskDurations[0] = 5 * micros.Minute // it is not done before it is cancelled
 	for last := first; len(c.members) <= c.Dependents; {
 		switch c.Shape {
 		case Wide:
@@ -129,9 +129,9 @@
 	u.Submission.Spread = false
 	u.Submission.Types = nil
 	u.Submission.Spot = true
-	u.Fails = false
+	u.AlwaysFails = false
 	u.willCancel = false
-	u.Runs = []micros.Micros{4 * sec}
+	u.TaskDurations = []micros.Micros{4 * sec}
 	u.Progress = make([]micros.Micros, 1)
 	u.dependOn(dependencies)
 	s.addUser(u)
--- a/internal/simulation/check_service.go
+++ b/internal/simulation/check_service.go
@@ -110,7 +110,7 @@
 		return
 	}
 	for _, u := range s.users {
-		if u.accepted && !u.mayBeCancelled() && !u.Fails && u.finalState == "" {
+		if u.accepted && !u.mayBeCancelled() && !u.AlwaysFails && u.finalState == "" {
 			u.checkWaiting()
 		}
 	}
@@ -220,5 +220,5 @@
 			}
 		}
 	}
-	return used <= s.plan.Teams[i].CPUsMax+fakes.Rounding
+	return used <= s.plan.Teams[i].CPUsMax+fakes.RoundingTolerance
 }
--- a/internal/simulation/check_tasks.go
+++ b/internal/simulation/check_tasks.go
@@ -75,7 +75,7 @@
 		if team.Name != name || team.CPUsMax <= 0 {
 			continue
 		}
-		if used := s.usageOf(name); used > team.CPUsMax+fakes.Rounding {
+		if used := s.usageOf(name); used > team.CPUsMax+fakes.RoundingTolerance {
 			s.violated("quota: %s uses %v CPUs of %v", team.Name, used, team.CPUsMax)
 		}
 	}
--- a/internal/simulation/concurrent_users.go
+++ b/internal/simulation/concurrent_users.go
@@ -57,7 +57,7 @@
 // minRemaining.
 func (s *Simulation) machinesRunning(u *user, minRemaining micros.Micros) (machines []string) {
 	for t, w := range s.tasksByJob[u.Submission.ID] {
-		if t.OnMachine() && !w.Dead && t.Until > s.now+minRemaining {
+		if t.OnMachine() && !w.Dead && t.StateEndsAt > s.now+minRemaining {
 			machines = append(machines, w.ID)
 		}
 	}
--- a/internal/simulation/dags.go
+++ b/internal/simulation/dags.go
@@ -61,12 +61,12 @@
 // addDependent adds a user whose job depends on others.
 func (s *Simulation) addDependent(at micros.Micros, dependencies ...*user) *user {
 	u := newUser(s, len(s.users))
-	u.Fails = false
+	u.AlwaysFails = false
 	u.willCancel = false
 	u.Submission.Tasks = min(u.Submission.Tasks, 3)
-	u.Runs = u.Runs[:u.Submission.Tasks]
-	for i := range u.Runs {
-		u.Runs[i] = s.between(2*sec, 6*sec) // a chain has to be done within RecoveryTime
+	u.TaskDurations = u.TaskDurations[:u.Submission.Tasks]
+	for i := range u.TaskDurations {
+		u.TaskDurations[i] = s.between(2*sec, 6*sec) // a chain has to be done within RecoveryTime
 	}
 	if u.Submission.Class == "rush" && len(dependencies) < 2 {
 		u.Submission.Priority = "best_effort"
--- a/internal/simulation/jobs.go
+++ b/internal/simulation/jobs.go
@@ -34,7 +34,7 @@
 	u := &user{sim: s, Job: fakes.Job{Submission: s.drawSubmission(i), Done: map[int]bool{}}}
 	u.willCancel = s.rng.IntN(6) == 0
 	if s.rng.IntN(12) == 0 {
-		u.Fails = true
+		u.AlwaysFails = true
 		u.willCancel = true
 	}
 	if s.plan.Churn {
@@ -42,7 +42,7 @@
 	}
 	shortest, longest := u.drawTaskLengths()
 	for range u.Submission.Tasks {
-		u.Runs = append(u.Runs, s.between(shortest, longest))
+		u.TaskDurations = append(u.TaskDurations, s.between(shortest, longest))
 	}
 	u.Progress = make([]micros.Micros, u.Submission.Tasks)
 	return u
@@ -98,7 +98,7 @@
 	u.Submission.CPUs = 1
 	u.Submission.SameZone = false
 	u.Submission.Spread = false
-	u.Fails = false
+	u.AlwaysFails = false
 	u.willCancel = i%4 == 0
 }
 
@@ -121,7 +121,7 @@
 		// A task that is left running has to outlast its cancellation.
 		shortest = s.cfg.Cancel + 15*sec
 		longest = s.cfg.Cancel + 40*sec
-		u.Fails = false
+		u.AlwaysFails = false
 		u.willCancel = false
 		u.Submission.Tasks = min(u.Submission.Tasks, 2)
 		u.Submission.CPUs = 1
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -37,10 +37,10 @@
 	config := fakes.WorkerConfig{
 		Scheduler: scheduler{s}, Random: s.rng,
 		Lease: s.cfg.WorkerLease, HeartbeatInterval: s.cfg.HeartbeatInterval,
-		TickFrom: 80 * ms, TickTo: 120 * ms,
+		MinTickInterval: 80 * ms, MaxTickInterval: 120 * ms,
 	}
 	if s.plan.Large {
-		config.TickFrom, config.TickTo = 300*ms, 500*ms
+		config.MinTickInterval, config.MaxTickInterval = 300*ms, 500*ms
 	}
 	for _, n := range s.nodes {
 		config.Nodes = append(config.Nodes, n.label)
--- a/path_test.go
+++ b/path_test.go
@@ -22,7 +22,7 @@
 
 func TestMain(m *testing.M) {
 	if os.Getenv(worldVar) != "" {
-		if err := fakes.ServeWorld(os.Stdin, os.Stdout); err != nil {
+		if err := fakes.ServeLoadHarness(os.Stdin, os.Stdout); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
