--- a/internal/fakes/agent.go
+++ b/internal/fakes/agent.go
@@ -11,7 +11,7 @@
 type TaskRunner interface {
 	// StartTask starts a task that the agent does not have, and returns its status.
 	StartTask(command wire.Command) wire.TaskStatus
-	// StopTask stops a task of the agent, which may have exited before.
+	// StopTask stops a task of the agent. The task may have exited already.
 	StopTask(task *wire.TaskStatus)
 }
 
@@ -40,7 +40,7 @@
 // command is executed.
 func (a *Agent) Tasks() []wire.TaskStatus { return a.tasks }
 
-// Task returns the task that a command is about; nil if the agent does not have it.
+// Task returns the task that a command refers to, or nil if the agent does not have it.
 func (a *Agent) Task(command wire.Command) *wire.TaskStatus {
 	if i := a.indexOf(command); i >= 0 {
 		return &a.tasks[i]
@@ -65,14 +65,14 @@
 	return heartbeat
 }
 
-// Accepts reports whether a message with a fencing token, to an epoch of the agent, is neither
-// of an earlier owner nor to another epoch.
+// Accepts reports whether a message with the given fencing token and agent epoch is valid: it is
+// neither from an earlier owner nor for another epoch of the agent.
 func (a *Agent) Accepts(fencingToken, epoch uint64) bool {
 	return fencingToken >= a.fencingToken && epoch == a.epoch
 }
 
-// HandleDirectCommand executes a direct command if it is accepted, and returns the HTTP status
-// to answer it with.
+// HandleDirectCommand executes a direct command if it is valid, and returns the HTTP status of
+// the answer.
 func (a *Agent) HandleDirectCommand(command wire.DirectCommand) (status int) {
 	if !a.Accepts(command.FencingToken, command.AgentEpoch) {
 		return http.StatusConflict
@@ -81,8 +81,8 @@
 	return http.StatusOK
 }
 
-// Execute raises the fencing token and carries commands out. A command that has been carried
-// out before changes nothing.
+// Execute raises the fencing token and executes commands. Commands are idempotent: a repeated
+// one has no effect.
 func (a *Agent) Execute(fencingToken uint64, commands []wire.Command) {
 	a.fencingToken = max(a.fencingToken, fencingToken)
 	for _, command := range commands {
@@ -98,7 +98,7 @@
 	}
 }
 
-// indexOf returns the index of the task that a command is about; -1 if the agent does not
+// indexOf returns the index of the task that a command refers to, or -1 if the agent does not
 // have it.
 func (a *Agent) indexOf(command wire.Command) int {
 	return slices.IndexFunc(a.tasks, func(t wire.TaskStatus) bool {
--- a/internal/fakes/agent_test.go
+++ b/internal/fakes/agent_test.go
@@ -83,7 +83,7 @@
 				t.Errorf("fencing token %d, want %d", after.FencingToken, want)
 			}
 			if after.Sequence != before.Sequence+1 {
-				t.Errorf("heartbeat %d after %d", after.Sequence, before.Sequence)
+				t.Errorf("sequence number %d after %d", after.Sequence, before.Sequence)
 			}
 		})
 	}
@@ -95,6 +95,6 @@
 	agent.BeginEpoch()
 	heartbeat := agent.Heartbeat()
 	if heartbeat.AgentEpoch != 2 || len(heartbeat.Tasks) != 0 {
-		t.Errorf("epoch %d with %d tasks, want 2 without any", heartbeat.AgentEpoch, len(heartbeat.Tasks))
+		t.Errorf("epoch %d with %d tasks, want epoch 2 without tasks", heartbeat.AgentEpoch, len(heartbeat.Tasks))
 	}
 }
--- a/internal/fakes/cloud.go
+++ b/internal/fakes/cloud.go
@@ -11,9 +11,10 @@
 )
 
 const (
-	// snapshotInterval is how often the cloud records the machines that its lists are made from.
+	// snapshotInterval is how often the cloud takes a snapshot of its machines. Lists come from
+	// the snapshots.
 	snapshotInterval = 500 * millisecond
-	// maxSnapshots is how many snapshots are kept; each list is made from any one of them.
+	// maxSnapshots is how many snapshots are kept. Each list comes from a random one of them.
 	maxSnapshots = 10
 )
 
@@ -26,7 +27,7 @@
 // MachineTypes returns the types that the cloud offers.
 func MachineTypes() []wire.MachineType { return slices.Clone(machineTypes) }
 
-// MachineType returns the type of a name; ok is false if the cloud offers none.
+// MachineType returns the type with the given name; ok is false if the cloud does not offer it.
 func MachineType(name string) (machineType wire.MachineType, ok bool) {
 	i := slices.IndexFunc(machineTypes, func(t wire.MachineType) bool { return t.Name == name })
 	if i < 0 {
@@ -38,7 +39,7 @@
 // Zones returns the cloud's zones.
 func Zones() []string { return []string{"east", "west"} }
 
-// MachineKind is what a rental asks for.
+// MachineKind is the kind of machine that a rental asks for.
 type MachineKind struct {
 	Type, Zone string
 	Spot       bool
@@ -50,31 +51,31 @@
 	MachineKind
 	RentedAt  micros.Micros
 	UpAt      micros.Micros // when it has booted
-	Dead      bool          // it runs no more
+	Dead      bool          // it no longer runs
 	Returned  bool          // by the controllers
 	Reclaimed bool          // by the cloud
 }
 
-// CloudConfig is what a Cloud is made of.
+// CloudConfig configures a Cloud.
 type CloudConfig struct {
 	Scheduler   Scheduler
 	Random      Random
-	MaxMachines int // that run at a time
-	// BootTime draws how long a rented machine takes to boot.
+	MaxMachines int // limit of running machines
+	// BootTime returns how long a newly rented machine takes to boot.
 	BootTime func() micros.Micros
 	// OnRent is called with each new machine.
 	OnRent func(*Machine)
-	// OnReturn is called with each machine that is returned, before it ends.
+	// OnReturn is called with each machine that is returned, before it is stopped.
 	OnReturn func(*Machine)
 }
 
-// Cloud is a fake of the cloud, which rents out machines. Its lists are stale
-// by up to maxSnapshots snapshots.
+// Cloud is a fake of the cloud, which rents out machines. Its lists may be stale by up to
+// maxSnapshots snapshots.
 type Cloud struct {
 	config      CloudConfig
 	machines    []*Machine
 	byID        map[string]*Machine
-	rentals     map[string][]string // names of machines by request
+	rentals     map[string][]string // machine names by the ID of the rental request
 	snapshots   [][]wire.ListedMachine
 	outageUntil micros.Micros
 }
@@ -86,10 +87,10 @@
 	return c
 }
 
-// SetOutage has the cloud answer nothing but 503 until a time.
+// SetOutage makes the cloud answer every request with status 503 until the given time.
 func (c *Cloud) SetOutage(until micros.Micros) { c.outageUntil = until }
 
-// Add adds a machine, and returns its name.
+// Add adds a machine with the given boot time, and returns its name.
 func (c *Cloud) Add(kind MachineKind, boot micros.Micros) string {
 	now := c.config.Scheduler.Now()
 	m := &Machine{ID: fmt.Sprintf("vm-%06d", len(c.machines)), MachineKind: kind, RentedAt: now, UpAt: now + boot}
@@ -99,7 +100,7 @@
 	return m.ID
 }
 
-// Serve answers a request of a controller.
+// Serve answers a request from a controller.
 func (c *Cloud) Serve(request any, reply Reply) {
 	if c.config.Scheduler.Now() < c.outageUntil {
 		reply.status(http.StatusServiceUnavailable)
@@ -134,13 +135,13 @@
 	c.config.Scheduler.After(snapshotInterval, c.takeSnapshot)
 }
 
-// listed reports whether the cloud lists a machine.
+// listed reports whether the cloud lists a machine: not if it was returned or reclaimed.
 func (m *Machine) listed() bool {
 	reclaimed := m.Dead && m.Reclaimed
 	return !m.Returned && !reclaimed
 }
 
-// state returns a machine's state as the cloud calls it.
+// state returns a machine's state as the cloud reports it.
 func (m *Machine) state(now micros.Micros) wire.RentalState {
 	switch {
 	case m.Dead:
@@ -151,7 +152,7 @@
 	return wire.MachineRunning
 }
 
-// list returns the machines after a name, by any of the snapshots.
+// list returns the machines whose names come after the given one, from a random snapshot.
 func (c *Cloud) list(after string) *wire.MachineList {
 	list := &wire.MachineList{}
 	if len(c.snapshots) == 0 {
@@ -165,7 +166,8 @@
 	return list
 }
 
-// rent answers a rental request; a repeated one gets the answer of the first.
+// rent answers a rental request. Requests are idempotent: a repeated one gets the machines of the
+// first.
 func (c *Cloud) rent(request wire.Rental, reply Reply) {
 	names, repeated := c.rentals[request.Request]
 	if !repeated {
@@ -179,7 +181,7 @@
 	reply.body(http.StatusOK, &wire.MachineNames{Machines: names})
 }
 
-// addMachines adds the machines of a request, up to MaxMachines that run at a time.
+// addMachines adds the machines of a request, as long as at most MaxMachines run.
 func (c *Cloud) addMachines(request wire.Rental) (names []string) {
 	running := c.countRunning()
 	for len(names) < request.Count && running < c.config.MaxMachines {
@@ -198,7 +200,7 @@
 	return count
 }
 
-// returnMachines ends the machines that are returned.
+// returnMachines stops the machines that are returned. It ignores unknown names.
 func (c *Cloud) returnMachines(names []string) {
 	for _, name := range names {
 		m := c.byID[name]
--- a/internal/fakes/cloud_test.go
+++ b/internal/fakes/cloud_test.go
@@ -11,7 +11,8 @@
 
 const testBootTime = 2 * second
 
-// newTestCloud returns a cloud of three machines at most, and the machines that are returned.
+// newTestCloud returns a cloud with at most three running machines, and the names of the machines
+// that are returned to it.
 func newTestCloud() (clock *manualClock, cloud *Cloud, returned *[]string) {
 	clock = &manualClock{}
 	returned = &[]string{}
@@ -36,7 +37,7 @@
 	}
 	rental.Request = "r2"
 	if names := mustAnswer(t, cloud, rental, 200).(*wire.MachineNames).Machines; len(names) != 1 {
-		t.Errorf("%v beyond the number of machines", names)
+		t.Errorf("rented %v, want only the one machine that the limit leaves", names)
 	}
 	rental.Request = "r3"
 	if body := mustAnswer(t, cloud, rental, 503); body != controller.RefusedRental {
--- a/internal/fakes/connection.go
+++ b/internal/fakes/connection.go
@@ -8,36 +8,38 @@
 	"garnethitch/internal/wire"
 )
 
-// Bounds of what a Connection reads.
+// Sizes in bytes: the largest head and body of a response that a Connection accepts, and how
+// much it reads at a time.
 const (
 	maxResponseHead = 8 << 10
 	maxResponseBody = 64 << 10
 	readChunk       = 8 << 10
 )
 
-// Connection is a connection to a controller that is kept between requests, and made anew
-// after an error.
+// Connection is a connection to a controller that is kept open between requests. After an error
+// the next request opens a new one.
 type Connection struct {
 	address string
-	timeout time.Duration // of a whole request; 0: none
+	timeout time.Duration // of dialing, and of a whole request; 0: none
 	conn    net.Conn
 	buffer  []byte
 }
 
-// NewConnection returns a connection to an address, which is made with the first request.
-// The timeout is that of a whole request; 0 is none.
+// NewConnection returns a connection to an address. The first request opens it. The timeout
+// applies to dialing, and to each request with its response; 0 means no timeout.
 func NewConnection(address string, timeout time.Duration) *Connection {
 	return &Connection{address: address, timeout: timeout}
 }
 
-// RequestOnce sends one request on a connection of its own.
+// RequestOnce sends one request on a new connection, and closes the connection.
 func RequestOnce(address string, timeout time.Duration, method, path string, body []byte) (http1.Message, error) {
 	c := NewConnection(address, timeout)
 	defer c.close()
 	return c.Request(method, path, body)
 }
 
-// Request sends a request and returns the answer to it.
+// Request sends a request and returns the response. It closes the connection after an error, or
+// if the response asks for that.
 func (c *Connection) Request(method, path string, body []byte) (http1.Message, error) {
 	msg, err := c.exchange(method, path, body)
 	if err != nil || msg.Close {
--- a/internal/fakes/fakes.go
+++ b/internal/fakes/fakes.go
@@ -1,7 +1,8 @@
-// Package fakes holds fakes of the services that a controller talks to: the state service,
-// the cloud and the workers. They exchange typed messages and run by a Scheduler, which is
-// that of a simulation or the wall clock. Server serves the state service and a cloud
-// over HTTP, and ServeWorld runs all that one controller talks to in a process of its own.
+// Package fakes implements in-memory fakes of the services that a controller talks to: the
+// state service, the cloud and the workers. The fakes exchange typed messages and take the time
+// from a Scheduler, which is either a simulation or the wall clock. Server serves the state
+// service and a cloud over HTTP. ServeLoadHarness serves everything that one controller needs
+// from a separate process.
 package fakes
 
 import (
@@ -14,15 +15,16 @@
 	second      = micros.Second
 )
 
-// Scheduler is the clock that a fake runs by.
+// Scheduler provides the time and the timers of a fake.
 type Scheduler interface {
-	// Now returns the present time.
+	// Now returns the current time.
 	Now() micros.Micros
-	// After calls f once the duration has passed, not concurrently with other calls.
+	// After calls f once d has passed, never concurrently with other calls of the fake.
 	After(d micros.Micros, f func())
 }
 
-// Reply receives the answer to a request, at once or later; it is called once at most.
+// Reply receives the answer to a request. A fake calls it at most once, either immediately or
+// later.
 type Reply func(controller.Result)
 
 func (r Reply) status(code int) { r(controller.Result{Status: code}) }
--- a/internal/fakes/load_worker.go
+++ b/internal/fakes/load_worker.go
@@ -9,7 +9,7 @@
 	"garnethitch/internal/wire"
 )
 
-// loadWorker is a worker that sends heartbeats when it is asked to, as a load for a controller.
+// loadWorker is a worker that sends heartbeats on request, to put load on a controller.
 type loadWorker struct {
 	controller *Connection
 
@@ -21,8 +21,8 @@
 	return &loadWorker{controller: controller, agent: NewAgent(machine, loadTaskRunner{})}
 }
 
-// sendHeartbeat sends a sendHeartbeat, with the end of a task if there is one to end, and carries out
-// the commands of the reply.
+// sendHeartbeat sends a heartbeat and executes the commands of the reply. If endTask is set, it
+// first ends a running task, if there is one.
 func (w *loadWorker) sendHeartbeat(endTask bool) error {
 	body, err := w.encodeHeartbeat(endTask)
 	if err != nil {
@@ -33,7 +33,7 @@
 		return err
 	}
 	if msg.Status != http.StatusOK {
-		return nil // another controller's machine, or not on record yet
+		return nil // the controller does not own the machine, or has no record of it yet
 	}
 	var reply wire.HeartbeatReply
 	if err := wire.Decode(msg.Body, &reply); err != nil {
@@ -54,7 +54,7 @@
 	return wire.Encode(w.agent.Heartbeat())
 }
 
-// endTask ends the first task that runs. The lock is held.
+// endTask ends the first running task, if there is one. The caller holds the lock.
 func (w *loadWorker) endTask() {
 	tasks := w.agent.Tasks()
 	i := slices.IndexFunc(tasks, func(t wire.TaskStatus) bool { return t.State == wire.TaskRunning })
@@ -64,8 +64,8 @@
 	}
 }
 
-// handleDirectCommand carries a direct command out, unless it is of an earlier owner or for an
-// earlier epoch of the agent. It is answered with a heartbeat.
+// handleDirectCommand executes a direct command, unless it is from an earlier owner or for
+// another epoch of the agent. The answer to it is a heartbeat.
 func (w *loadWorker) handleDirectCommand(command wire.DirectCommand) (status int, heartbeat wire.Heartbeat) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/fakes/scheduler_test.go
+++ b/internal/fakes/scheduler_test.go
@@ -8,7 +8,7 @@
 	"garnethitch/internal/micros"
 )
 
-// manualClock is a Scheduler whose time a test moves.
+// manualClock is a Scheduler whose time the test advances.
 type manualClock struct {
 	now   micros.Micros
 	queue eventqueue.Queue
@@ -18,7 +18,7 @@
 
 func (c *manualClock) After(d micros.Micros, f func()) { c.queue.Add(c.now+d, f) }
 
-// advance moves the time, and has what is due happen.
+// advance moves the time on by d and calls the timers that become due, each at its time.
 func (c *manualClock) advance(d micros.Micros) {
 	until := c.now + d
 	for at, more := c.queue.Due(); more && at <= until; at, more = c.queue.Due() {
@@ -34,14 +34,15 @@
 	Serve(request any, reply Reply)
 }
 
-// send sends a request, and returns a function that gives the answer, or nil if there is none yet.
+// send sends a request. The function that it returns gives the answer, or nil if there is none yet.
 func send(s server, request any) func() *controller.Result {
 	var answer *controller.Result
 	s.Serve(request, func(r controller.Result) { answer = &r })
 	return func() *controller.Result { return answer }
 }
 
-// mustAnswer sends a request, and expects an answer of a status at once.
+// mustAnswer sends a request and returns the body of the answer. The answer has to come at once and
+// with the given status.
 func mustAnswer(t *testing.T, s server, request any, status int) any {
 	t.Helper()
 	answer := send(s, request)()
--- a/internal/fakes/server.go
+++ b/internal/fakes/server.go
@@ -14,12 +14,13 @@
 	"garnethitch/internal/wire"
 )
 
-// FixedMachine is a machine of a fleet that does not change.
+// FixedMachine is a machine of a fixed fleet.
 type FixedMachine struct {
 	ID, Address string
 }
 
-// Heartbeat returns what a machine of a fixed fleet says of itself, without its tasks.
+// Heartbeat returns a heartbeat with the machine's name, address, type and zone, and nothing
+// else.
 func (m FixedMachine) Heartbeat() wire.Heartbeat {
 	offered := machineTypes[0]
 	return wire.Heartbeat{Machine: m.ID, Addr: m.Address, Type: offered.Name, Zone: offered.Zones[0]}
@@ -28,7 +29,7 @@
 // Server serves the state service and a cloud with a fixed fleet over HTTP, in real time.
 type Server struct {
 	Clock *WallClock
-	// State may be used within Clock.Run only.
+	// State may only be used within Clock.Run.
 	State *State
 	fleet []FixedMachine
 }
@@ -39,13 +40,13 @@
 	return &Server{Clock: clock, State: NewState(clock, limits)}
 }
 
-// AddMachine adds a machine to the fleet, before the server is used.
+// AddMachine adds a machine to the fleet. It must not be called once the server is in use.
 func (s *Server) AddMachine(m FixedMachine) {
 	s.fleet = append(s.fleet, m)
 }
 
-// RunDueEvents runs due events at each interval, for as long as pause, which waits for a duration,
-// returns true.
+// RunDueEvents runs due events at every interval until pause returns false. pause has to wait for
+// the given duration.
 func (s *Server) RunDueEvents(interval time.Duration, pause func(time.Duration) bool) {
 	for pause(interval) {
 		s.Clock.Run(func() {})
@@ -78,7 +79,7 @@
 	}
 }
 
-// serveState waits for the state service's answer to a request.
+// serveState passes a request to the state service and waits for the answer.
 func (s *Server) serveState(request any) controller.Result {
 	answered := make(chan controller.Result, 1)
 	s.Clock.Run(func() {
@@ -87,7 +88,7 @@
 	return <-answered
 }
 
-// stateRequest decodes a request to the state service; ok is false if it is none.
+// stateRequest decodes a request to the state service; ok is false if it is not a valid one.
 func stateRequest(service, rest string, query url.Values, body []byte) (request any, ok bool) {
 	switch service {
 	case "keys":
@@ -112,13 +113,13 @@
 	return nil, false
 }
 
-// parseNumber parses a parseNumber; what is none counts as 0.
+// parseNumber parses a decimal number. It returns 0 for any other text.
 func parseNumber(text string) uint64 {
 	n, _ := strconv.ParseUint(text, 10, 64)
 	return n
 }
 
-// serveRentals lists the fleet, and refuses to rent out or to take back machines.
+// serveRentals lists the fleet. It refuses to rent out machines or to take them back.
 func (s *Server) serveRentals(path string, query url.Values) (status int, answer any) {
 	if path == "return" {
 		return http.StatusServiceUnavailable, nil
@@ -130,7 +131,7 @@
 	return http.StatusOK, s.listFleet(query.Get("since"), limit)
 }
 
-// listFleet lists at most limit machines after a name.
+// listFleet returns at most limit machines whose names come after the given one.
 func (s *Server) listFleet(after string, limit int) wire.MachineList {
 	list := wire.MachineList{}
 	age := time.Since(s.Clock.Began()).Seconds()
@@ -148,7 +149,7 @@
 	return list
 }
 
-// WriteAnswer writes an answer; one that is nil has no body.
+// WriteAnswer writes a response with the encoded answer. If the answer is nil, the body is empty.
 func WriteAnswer(rw http.ResponseWriter, status int, answer any) {
 	var body []byte
 	if answer != nil {
--- a/internal/fakes/server_test.go
+++ b/internal/fakes/server_test.go
@@ -12,7 +12,8 @@
 	"garnethitch/internal/wire"
 )
 
-// TestServer checks that calls as a controller encodes them are answered as the fakes do.
+// TestServer checks that the server decodes calls as a controller encodes them, and gives the
+// answers of the fakes.
 func TestServer(t *testing.T) {
 	s := NewServer(StateLimits{ValueBytes: 100, TxnOps: 2})
 	for i := range 3 {
--- a/internal/fakes/state.go
+++ b/internal/fakes/state.go
@@ -12,24 +12,24 @@
 )
 
 const (
-	// leaseCheckInterval is how often leases are checked for their end.
+	// leaseCheckInterval is how often leases are checked for expiry.
 	leaseCheckInterval = 50 * millisecond
-	// maxPageItems keeps pages of lists short, so that controllers have to ask for further ones.
+	// maxPageItems keeps pages of lists short, so that controllers have to request further pages.
 	maxPageItems = 7
 )
 
-// StateLimits bound what a State takes.
+// StateLimits are the limits that a State enforces.
 type StateLimits struct {
-	ValueBytes      int     // of a stored value; larger ones get 400
-	TxnOps          int     // changes in a transaction; more get 400
-	WritesPerSecond float64 // changes in a second; more get 429; 0: any number
+	ValueBytes      int     // size of a stored value; a larger one is refused with status 400
+	TxnOps          int     // changes in a transaction; more are refused with status 400
+	WritesPerSecond float64 // changes per second; more are refused with status 429; 0: no limit
 }
 
 // State is a fake of the state service: keys with revisions, leases, transactions and watches.
 type State struct {
 	scheduler   Scheduler
 	limits      StateLimits
-	writes      *writeLimit // nil: any number
+	writes      *writeLimit // nil: no limit
 	revision    uint64
 	keys        map[string]*storedKey
 	leases      map[uint64]*lease
@@ -82,14 +82,14 @@
 // Limits returns the limits.
 func (s *State) Limits() StateLimits { return s.limits }
 
-// SetOutage has the service answer nothing but 503 until a time. Leases last their full time
-// after an outage.
+// SetOutage makes the service answer every request with status 503 until the given time. After
+// an outage all leases last their full TTL.
 func (s *State) SetOutage(until micros.Micros) { s.outageUntil = until }
 
 // Revision returns the revision of the last change.
 func (s *State) Revision() uint64 { return s.revision }
 
-// Value returns the value of a key; ok is false if there is none.
+// Value returns the value of a key; ok is false if the key does not exist.
 func (s *State) Value(key string) (value wire.Raw, ok bool) {
 	stored := s.keys[key]
 	if stored == nil {
@@ -98,7 +98,7 @@
 	return stored.value, true
 }
 
-// LocksByController counts the locks that each controller holds, by its label.
+// LocksByController returns the number of locks that each controller holds, by controller label.
 func (s *State) LocksByController() map[string]int {
 	locks := map[string]int{}
 	for key, stored := range s.keys {
@@ -110,12 +110,12 @@
 	return locks
 }
 
-// IsLock reports whether a key is that of the leader's or a shard's lock.
+// IsLock reports whether a key is the leader lock or the lock of a shard.
 func IsLock(key string) bool {
 	return key == wire.KeyLeader || strings.HasPrefix(key, wire.PrefixOwner)
 }
 
-// Serve answers a request of a controller.
+// Serve answers a request from a controller.
 func (s *State) Serve(request any, reply Reply) {
 	if s.unavailable() {
 		reply.status(http.StatusServiceUnavailable)
@@ -188,7 +188,7 @@
 	reply.status(http.StatusOK)
 }
 
-// expireLeases deletes the keys of leases that have run out, and schedules the next check.
+// expireLeases deletes the keys of leases that have expired, and schedules the next check.
 func (s *State) expireLeases() {
 	now := s.scheduler.Now()
 	if s.unavailable() {
@@ -220,7 +220,7 @@
 	}
 }
 
-// commit carries out a transaction: all of it or nothing.
+// commit applies a transaction if all its conditions hold: all its changes or none.
 func (s *State) commit(txn wire.Txn, reply Reply) {
 	if !s.isValid(txn) {
 		reply.status(http.StatusBadRequest)
@@ -244,7 +244,7 @@
 	s.notifyWatches()
 }
 
-// isValid reports whether a transaction keeps to the limits and names only leases that exist.
+// isValid reports whether a transaction is within the limits and names only leases that exist.
 func (s *State) isValid(txn wire.Txn) bool {
 	if txn.Writes() > s.limits.TxnOps {
 		return false
@@ -260,7 +260,7 @@
 	return true
 }
 
-// modRevision returns the revision of a key's last change; 0: there is no such key.
+// modRevision returns the revision of a key's last change, or 0 if the key does not exist.
 func (s *State) modRevision(key string) uint64 {
 	if stored := s.keys[key]; stored != nil {
 		return stored.modRevision
@@ -287,8 +287,8 @@
 	}
 }
 
-// watch answers with the events after a revision, as soon as there are some, or without any
-// once the request's time is over.
+// watch answers with the events after a revision as soon as there are any, or with no events
+// once the request's wait time has passed.
 func (s *State) watch(request statestore.WatchKeys, reply Reply) {
 	w := &pendingWatch{watch: request, reply: reply}
 	if s.deliver(w) {
@@ -303,7 +303,7 @@
 	})
 }
 
-// notifyWatches answers the watches that have events.
+// notifyWatches answers the pending watches that have events, unless there is an outage.
 func (s *State) notifyWatches() {
 	if s.unavailable() {
 		return
@@ -311,7 +311,7 @@
 	s.watches = slices.DeleteFunc(s.watches, func(w *pendingWatch) bool { return w.done || s.deliver(w) })
 }
 
-// deliver answers a watch if there are events for it, and reports whether there are.
+// deliver answers a watch if there are events for it, and reports whether it did.
 func (s *State) deliver(w *pendingWatch) bool {
 	var events []wire.Event
 	for _, event := range s.events {
@@ -327,7 +327,7 @@
 	return true
 }
 
-// matchesPrefix reports whether an event is about a key with a prefix.
+// matchesPrefix reports whether an event is about a key with the prefix.
 func matchesPrefix(event wire.Event, prefix string) bool {
 	put := event.Put != "" && strings.HasPrefix(event.Put, prefix)
 	deleted := event.Delete != "" && strings.HasPrefix(event.Delete, prefix)
--- a/internal/fakes/state_test.go
+++ b/internal/fakes/state_test.go
@@ -14,7 +14,7 @@
 	return clock, NewState(clock, StateLimits{ValueBytes: 100, TxnOps: 2})
 }
 
-// put returns a transaction that puts a value of some bytes.
+// put returns a transaction that stores the encoding of size bytes under a key.
 func put(t *testing.T, key string, size int) wire.Txn {
 	t.Helper()
 	value, err := wire.Encode(bytes.Repeat([]byte{1}, size))
@@ -92,7 +92,7 @@
 	waiting := send(state, statestore.WatchKeys{Prefix: "a/", Since: 1, WaitMS: 1000})
 	mustAnswer(t, state, put(t, "b/1", 1), 200)
 	if waiting() != nil {
-		t.Fatal("a watch is answered with another prefix's event")
+		t.Fatal("a watch is answered with an event of another prefix")
 	}
 	mustAnswer(t, state, wire.Txn{Changes: []wire.Change{{Delete: "a/1"}}}, 200)
 	answer := waiting()
@@ -107,7 +107,7 @@
 	clock.advance(second)
 	answer = idle()
 	if answer == nil || len(answer.Body.(*wire.Events).Events) != 0 {
-		t.Errorf("after its time a watch is answered with %+v, want no events", answer)
+		t.Errorf("after its wait time a watch is answered with %+v, want no events", answer)
 	}
 }
 
--- a/internal/fakes/task.go
+++ b/internal/fakes/task.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	// A task that fails runs for minFailureDelay to failTo.
+	// A failing task runs for minFailureDelay to maxFailureDelay.
 	minFailureDelay = 200 * millisecond
-	maxFailureDelay   = second
-	// An image is fetched within minFetchTime to fetchTo.
+	maxFailureDelay = second
+	// Fetching an image takes minFetchTime to maxFetchTime.
 	minFetchTime = second / 2
-	maxFetchTime   = 3 * second
+	maxFetchTime = 3 * second
 )
 
-// Task is an attempt of a task on a machine.
+// Task is one attempt of a task on a machine.
 type Task struct {
-	Name, Job string
-	Index     int
-	Attempt   uint64
-	State     wire.TaskState
-	StateEndsAt     micros.Micros // when it changes to its next state
+	Name, Job   string
+	Index       int
+	Attempt     uint64
+	State       wire.TaskState
+	StateEndsAt micros.Micros // when it moves to its next state
 
 	exitReason wire.ExitReason
 	saved      bool
@@ -42,12 +42,12 @@
 	t.exitReason = reason
 }
 
-// status returns what a heartbeat says of the task.
+// status returns the status of the task that a heartbeat reports.
 func (t *Task) status() wire.TaskStatus {
 	return wire.TaskStatus{Task: t.Name, Attempt: t.Attempt, State: t.State, ExitReason: t.exitReason, Saved: t.saved}
 }
 
-// taskKey names an attempt of a task: the task's name, and the attempt in decimal.
+// taskKey identifies an attempt of a task: the task's name, and the attempt in decimal.
 type taskKey string
 
 func keyOf(command wire.Command) taskKey {
@@ -56,7 +56,7 @@
 
 func (k taskKey) compare(other taskKey) int { return cmp.Compare(k, other) }
 
-// Tasks returns the tasks in an order that is always the same.
+// Tasks returns the tasks in a deterministic order.
 func (w *Worker) Tasks() (tasks []*Task) {
 	keys := slices.SortedFunc(maps.Keys(w.tasks), taskKey.compare)
 	for _, key := range keys {
@@ -65,7 +65,7 @@
 	return tasks
 }
 
-// isRunning reports whether an attempt of a task is on the machine.
+// isRunning reports whether the machine has an attempt of the task that has not exited.
 func (w *Worker) isRunning(name string) bool {
 	for _, t := range w.tasks {
 		if t.Name == name && !t.Exited() {
@@ -75,7 +75,7 @@
 	return false
 }
 
-// Fits reports whether the machine has the CPUs and the memory for one more task of a job.
+// Fits reports whether the machine has enough free CPUs and memory for one more task of a job.
 func (w *Worker) Fits(job *Job) bool {
 	machineType, ok := MachineType(w.Type)
 	if !ok {
@@ -92,7 +92,7 @@
 	return cpus+RoundingTolerance >= job.Submission.CPUs && memory+RoundingTolerance >= job.Submission.MemGB
 }
 
-// advanceTasks takes tasks whose time has come to their next states.
+// advanceTasks moves tasks whose current state has ended to their next state.
 func (w *Worker) advanceTasks() {
 	for _, t := range w.Tasks() {
 		if w.now() < t.StateEndsAt {
@@ -113,7 +113,8 @@
 	}
 }
 
-// startRunning lets a task run once it has its image, unless it was completed elsewhere meanwhile.
+// startRunning starts a task that has its image, or ends it if it was completed elsewhere in the
+// meantime.
 func (w *Worker) startRunning(t *Task) {
 	job := w.host.Job(t.Job)
 	w.images[job.Submission.Image] = true
@@ -132,7 +133,7 @@
 	}
 }
 
-// complete ends a task that has run its time.
+// complete ends a task that has run for its time, as failed if tasks of its job fail here.
 func (w *Worker) complete(t *Task) {
 	job := w.host.Job(t.Job)
 	if w.failsTasksOf(job) {
@@ -148,7 +149,7 @@
 // failsTasksOf reports whether the tasks of a job fail on the machine.
 func (w *Worker) failsTasksOf(job *Job) bool { return job.AlwaysFails || w.now() < w.FaultyUntil }
 
-// execute carries commands out. One that does not apply to the state of its task changes nothing.
+// execute executes commands. A command that does not apply to the state of its task has no effect.
 func (w *Worker) execute(commands []wire.Command) {
 	for _, command := range commands {
 		w.host.Trace("%s %s %s attempt %x", w.ID, command.Op, command.Task, command.Attempt)
@@ -165,7 +166,7 @@
 	}
 }
 
-// start starts a task, which gets its image first, or exits at once if it can't run.
+// start adds a task. It fetches its image first, or exits at once if it cannot run.
 func (w *Worker) start(command wire.Command) {
 	name, index, err := wire.ParseTask(command.Task)
 	job := w.host.Job(name)
@@ -185,7 +186,7 @@
 	w.host.TaskAdded(t)
 }
 
-// stop stops a task at once, or has it save its progress first if the command leaves time for it.
+// stop stops a task at once, or lets it save its progress first if the command leaves enough time.
 func (w *Worker) stop(t *Task, command wire.Command) {
 	if t.Exited() {
 		return
--- a/internal/fakes/wall_clock.go
+++ b/internal/fakes/wall_clock.go
@@ -8,10 +8,10 @@
 	"garnethitch/internal/micros"
 )
 
-// clockOrigin is the time at which a WallClock begins.
+// clockOrigin is the time that a new WallClock shows.
 const clockOrigin = second
 
-// WallClock is a Scheduler in real time. What is due happens within Run, one call at a time.
+// WallClock is a Scheduler in real time. Timers are called from Run, one call at a time.
 type WallClock struct {
 	began time.Time
 	mu    sync.Mutex
@@ -19,23 +19,23 @@
 	queue eventqueue.Queue
 }
 
-// NewWallClock returns a clock that begins now.
+// NewWallClock returns a clock that starts now.
 func NewWallClock() *WallClock {
 	return &WallClock{began: time.Now(), now: clockOrigin}
 }
 
-// Began returns when the clock began.
+// Began returns the wall time at which the clock started.
 func (c *WallClock) Began() time.Time { return c.began }
 
-// Now returns the time of the present call to Run. It may be called within Run only.
+// Now returns the time of the current call to Run. It may only be called within Run.
 func (c *WallClock) Now() micros.Micros { return c.now }
 
-// After calls f once the duration has passed. It may be called within Run only.
+// After has Run call f once d has passed. It may only be called within Run.
 func (c *WallClock) After(d micros.Micros, f func()) {
 	c.queue.Add(c.now+max(d, 0), f)
 }
 
-// Run calls f at the present time, after what is due by then.
+// Run calls the timers that are due by now, and then f.
 func (c *WallClock) Run(f func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/fakes/worker.go
+++ b/internal/fakes/worker.go
@@ -12,56 +12,56 @@
 const (
 	// HeartbeatTimeout is how long a worker waits for the reply to a heartbeat.
 	HeartbeatTimeout = 4 * second
-	// minHeartbeatGap is how long a worker waits at least until a heartbeat that says
-	// something new.
+	// minHeartbeatGap is the shortest time between a heartbeat and the next one if that is sent
+	// early because something has changed.
 	minHeartbeatGap = 500 * millisecond
-	// unreachablePause is how long a worker takes to notice that it reaches no controller.
+	// unreachablePause is how long a worker takes to notice that it cannot reach a controller.
 	unreachablePause = 300 * millisecond
 	// nextNodePause is how long a worker waits before it sends to another controller.
 	nextNodePause = second
-	// RoundingTolerance is by how much sums of CPUs and of memory may be off.
+	// RoundingTolerance is the rounding error that sums of CPUs and of memory may have.
 	RoundingTolerance = 1e-6
 )
 
-// WorkerHost is the surroundings of a fake worker: its network, the jobs that there are, and
-// the
+// WorkerHost is the environment of a fake worker: its network, the submitted jobs, and an
 // observer of its tasks.
 type WorkerHost interface {
-	// SendHeartbeat sends a heartbeat to a controller, and calls done once with the answer, or
-	// with ok false if there is none in time. It reports false, and does not call done, if the
-	// machine reaches no controller.
+	// SendHeartbeat sends a heartbeat to a controller. It calls done once, with the answer, or
+	// with ok false if there is no answer in time. It returns false without calling done if the
+	// machine cannot reach a controller.
 	SendHeartbeat(node int, heartbeat *wire.Heartbeat, done func(answer controller.Answer, ok bool)) (sent bool)
-	// Job returns a job by its name; nil: nobody submitted it.
+	// Job returns the job with the given name, or nil if nobody submitted it.
 	Job(name string) *Job
-	// TaskAdded is called with a task that the worker knows of, also if it exited at once.
+	// TaskAdded is called when a worker has added a task, even if the task exited at once.
 	TaskAdded(*Task)
-	// TaskStarted is called with a task that has its image.
+	// TaskStarted is called when a task has its image and begins to run.
 	TaskStarted(*Task)
-	// TaskCompleted is called with a task that has run its time.
+	// TaskCompleted is called when a task has run to completion.
 	TaskCompleted(*Task)
-	// TaskForgotten is called with a task that the worker knows of no more.
+	// TaskForgotten is called when a worker has removed a task.
 	TaskForgotten(*Task)
-	// LeaseRenewed is called when a reply has renewed the lease and its commands are carried out.
+	// LeaseRenewed is called when a reply has renewed the lease and its commands are executed.
 	LeaseRenewed()
-	// Ticked is called at each tick, when tasks have been advanced.
+	// Ticked is called at each tick, after the tasks have been advanced.
 	Ticked()
-	// Trace is called with a line for each event.
+	// Trace is called with one line for each event.
 	Trace(format string, args ...any)
 }
 
-// WorkerConfig is what a Worker is made of.
+// WorkerConfig configures a Worker.
 type WorkerConfig struct {
 	Scheduler         Scheduler
 	Random            Random
 	Lease             micros.Micros
 	HeartbeatInterval micros.Micros
-	// MinTickInterval and MaxTickInterval bound the interval between two ticks, at which a worker advances its
-	// tasks.
+	// MinTickInterval and MaxTickInterval bound the interval between two ticks. At each tick a
+	// worker advances its tasks.
 	MinTickInterval, MaxTickInterval micros.Micros
-	Nodes            []string // labels of the controllers
+	Nodes                            []string // labels of the controllers
 }
 
-// Worker is a machine and the worker on it. Its faults are set from outside.
+// Worker is a machine and the worker on it. Whoever drives it injects faults by setting the
+// exported fields.
 type Worker struct {
 	*Machine
 	// HungUntil is when the machine stops hanging.
@@ -72,22 +72,22 @@
 	config     WorkerConfig
 	host       WorkerHost
 	clockDrift ClockDrift
-	reclaimAt  micros.Micros // when the cloud takes it back; 0: it has not announced that
+	reclaimAt  micros.Micros // when the cloud reclaims the machine; 0: not announced
 
 	agentEpoch, sequence, fencingToken uint64
 
-	leaseStart     micros.Micros // when the agent's epoch began, or the last heartbeat that was answered was sent
+	leaseStart    micros.Micros // when the last answered heartbeat was sent, or the agent's epoch began
 	tasks         map[taskKey]*Task
 	images        map[string]bool
-	node          int // the controller that heartbeats go to
+	node          int // index of the controller that heartbeats go to
 	awaitingReply bool
 	nextHeartbeat micros.Micros
 	lastHeartbeat micros.Micros
-	changed       bool     // since the last heartbeat
-	deferred      []func() // until it hangs no more
+	changed       bool     // whether a heartbeat would report something new
+	deferred      []func() // calls to make once the machine stops hanging
 }
 
-// NewWorker returns the worker of a machine, which begins when that is up.
+// NewWorker returns the worker of a machine. It starts when the machine has booted.
 func NewWorker(machine *Machine, config WorkerConfig, host WorkerHost) *Worker {
 	w := &Worker{Machine: machine, config: config, host: host, agentEpoch: 1, tasks: map[taskKey]*Task{}, images: map[string]bool{}}
 	w.node = config.Random.IntN(len(config.Nodes))
@@ -101,20 +101,20 @@
 
 func (w *Worker) now() micros.Micros { return w.config.Scheduler.Now() }
 
-// clock returns what the worker's steady clock shows.
+// clock returns the time of the worker's monotonic clock, which drifts.
 func (w *Worker) clock() micros.Micros { return w.clockDrift.Apply(w.now()) }
 
-// LeaseExpired reports whether the worker's lease has run out by its clock.
+// LeaseExpired reports whether the worker's lease has expired by the worker's clock.
 func (w *Worker) LeaseExpired() bool {
 	return w.clock() > w.leaseStart+w.config.Lease
 }
 
-// LeaseUntil returns when the worker's lease runs out.
+// LeaseUntil returns when the worker's lease expires.
 func (w *Worker) LeaseUntil() micros.Micros {
 	return w.now() + w.leaseStart + w.config.Lease - w.clock()
 }
 
-// AgentEpoch returns the epoch of the agent, which changes when its lease runs out.
+// AgentEpoch returns the epoch of the agent, which increases when its lease expires.
 func (w *Worker) AgentEpoch() uint64 { return w.agentEpoch }
 
 // Up reports whether the machine is up.
@@ -122,10 +122,11 @@
 
 func (w *Worker) hangs() bool { return w.now() < w.HungUntil }
 
-// ReclaimAnnounced reports whether the cloud has announced that it takes the machine back.
+// ReclaimAnnounced reports whether the cloud has announced that it reclaims the machine.
 func (w *Worker) ReclaimAnnounced() bool { return w.reclaimAt != 0 }
 
-// AnnounceReclaim announces that the cloud takes the machine back, and has it do so.
+// AnnounceReclaim announces that the cloud reclaims the machine, and stops the machine when the
+// notice period has passed.
 func (w *Worker) AnnounceReclaim(notice micros.Micros) {
 	if w.Dead || w.ReclaimAnnounced() {
 		return
@@ -163,7 +164,7 @@
 	w.deferred = nil
 }
 
-// runUnlessHanging calls f, or has it called once the machine hangs no more.
+// runUnlessHanging calls f now, or once the machine stops hanging.
 func (w *Worker) runUnlessHanging(f func()) {
 	if w.hangs() {
 		w.deferred = append(w.deferred, f)
@@ -172,7 +173,7 @@
 	f()
 }
 
-// checkLease ends the agent's epoch and its tasks once the lease has run out.
+// checkLease begins a new epoch of the agent, without tasks, if the lease has expired.
 func (w *Worker) checkLease() {
 	if !w.LeaseExpired() {
 		return
@@ -210,7 +211,8 @@
 	agentEpoch uint64
 }
 
-// sendHeartbeat sends a heartbeat, and handles the reply once the machine doesn't hang.
+// sendHeartbeat sends a heartbeat. If the machine hangs when the reply arrives, the reply is
+// handled once the machine stops hanging.
 func (w *Worker) sendHeartbeat() {
 	interval := w.config.HeartbeatInterval
 	w.awaitingReply = true
@@ -249,8 +251,8 @@
 	}
 }
 
-// handleReply renews the lease and carries commands out, unless the reply is that of an
-// earlier owner, late, or to an earlier epoch of the agent.
+// handleReply renews the lease and executes the commands. It ignores a reply that is late, that
+// comes from an earlier owner, or that answers a heartbeat of an earlier epoch of the agent.
 func (w *Worker) handleReply(sent sentHeartbeat, reply wire.HeartbeatReply) {
 	late := w.now()-w.lastHeartbeat > HeartbeatTimeout
 	if late || sent.agentEpoch != w.agentEpoch || reply.FencingToken < w.fencingToken {
@@ -262,7 +264,8 @@
 	w.host.LeaseRenewed()
 }
 
-// followRedirect turns to the controller that another one named.
+// followRedirect switches to the controller that a redirect names. If that one is unknown, or is
+// the one that sent the redirect, it switches to the next controller.
 func (w *Worker) followRedirect(redirect wire.Redirect) {
 	i := slices.Index(w.config.Nodes, redirect.Controller)
 	if i < 0 || i == w.node {
@@ -285,8 +288,9 @@
 	}
 }
 
-// Serve answers a direct command or a question of a controller. While the machine hangs, it is
-// held in its sockets, and the order in which requests are then answered is not defined.
+// Serve answers a direct command or a request for a heartbeat from a controller. While the
+// machine hangs, requests wait as they would in its sockets; the order in which they are
+// answered afterwards is undefined.
 func (w *Worker) Serve(request any, reply Reply) {
 	if !w.Up() {
 		return
@@ -306,8 +310,8 @@
 	reply.body(status, w.heartbeat())
 }
 
-// handleDirectCommand carries a direct command out, unless it is of an earlier owner or for an
-// earlier epoch of the agent, and returns the status to answer.
+// handleDirectCommand executes a direct command and returns the HTTP status of the answer. It
+// rejects a command from an earlier owner, or for another epoch of the agent.
 func (w *Worker) handleDirectCommand(command wire.DirectCommand) int {
 	if command.FencingToken < w.fencingToken || command.AgentEpoch != w.agentEpoch {
 		return http.StatusConflict
--- a/internal/fakes/worker_test.go
+++ b/internal/fakes/worker_test.go
@@ -10,14 +10,14 @@
 
 const testLease = 10 * second
 
-// testHost is a WorkerHost with one job, which answers heartbeats with reply.
+// testHost is a WorkerHost with one job. It answers heartbeats with the result of reply.
 type testHost struct {
 	job       *Job
 	reply     func(node int, heartbeat *wire.Heartbeat) (answer controller.Answer, ok bool)
 	started   int
 	completed int
 	renewed   int
-	nodes     []int // that heartbeats went to
+	nodes     []int // controllers that heartbeats were sent to
 }
 
 func (h *testHost) SendHeartbeat(node int, heartbeat *wire.Heartbeat, done func(controller.Answer, bool)) bool {
@@ -41,18 +41,18 @@
 func (h *testHost) Ticked()              {}
 func (h *testHost) Trace(string, ...any) {}
 
-// renewal is the answer to a heartbeat that renews the lease.
+// renewal returns the answer to a heartbeat that renews the lease.
 func renewal(heartbeat *wire.Heartbeat) controller.Answer {
 	return controller.Answer{Status: 200, Body: wire.HeartbeatReply{FencingToken: heartbeat.FencingToken}}
 }
 
-// newTestWorker returns a worker that is up, whose heartbeats are answered.
+// newTestWorker returns a worker on a booted machine. Its heartbeats are answered.
 func newTestWorker() (*manualClock, *testHost, *Worker) {
 	clock := &manualClock{}
 	host := &testHost{
 		job: &Job{
-			Submission: wire.Submission{ID: "job-000001", Tasks: 8, CPUs: 1, MemGB: 1, CheckpointS: 1, SaveS: 1},
-			TaskDurations:       make([]micros.Micros, 8), Progress: make([]micros.Micros, 8), Done: map[int]bool{},
+			Submission:    wire.Submission{ID: "job-000001", Tasks: 8, CPUs: 1, MemGB: 1, CheckpointS: 1, SaveS: 1},
+			TaskDurations: make([]micros.Micros, 8), Progress: make([]micros.Micros, 8), Done: map[int]bool{},
 		},
 		reply: func(_ int, heartbeat *wire.Heartbeat) (controller.Answer, bool) { return renewal(heartbeat), true },
 	}
@@ -94,7 +94,7 @@
 	}
 	forget := wire.Command{Op: wire.OpForget, Task: "job-000001/0", Attempt: 1}
 	if heartbeat := command(t, w, 200, 1, forget); len(heartbeat.Tasks) != 0 {
-		t.Errorf("tasks %+v after it was forgotten", heartbeat.Tasks)
+		t.Errorf("tasks %+v after the task was forgotten", heartbeat.Tasks)
 	}
 }
 
@@ -157,9 +157,9 @@
 	}
 }
 
-// TestWorkerLease checks that the lease is counted from when a heartbeat was sent that was
-// answered; when it runs out, tasks end and the agent's epoch changes, after a hang as soon as it
-// is over.
+// TestWorkerLease checks that a lease begins when the last answered heartbeat was sent. When the
+// lease expires, the tasks end and the agent's epoch increases; if the machine hangs then, this
+// happens as soon as the hang is over.
 func TestWorkerLease(t *testing.T) {
 	clock, host, w := newTestWorker()
 	clock.advance(3 * testLease)
--- a/internal/fakes/world.go
+++ b/internal/fakes/world.go
@@ -14,46 +14,47 @@
 	"garnethitch/internal/wire"
 )
 
-// LoadHarness is all that one real controller talks to, in real time on the loopback: the services of
-// a Server, the workers of its fleet and a user. It is driven by lines of text, so that it can
-// run in a process of its own, and the processor time and the system calls of the controller's
-// process are the controller's alone.
+// LoadHarness provides everything that one real controller talks to, in real time on the loopback
+// interface: the services of a Server, the workers of its fleet and a user. Text commands drive
+// it, so that it can run in a separate process. The CPU time and the system calls of the
+// controller's process are then the controller's alone.
 type LoadHarness struct {
-	server       *Server
-	workers      []*loadWorker
-	workerByHost map[string]*loadWorker
-	port         string // of the server and of all workers
-	controllerAddress   string // its address
-	submitConnection         *Connection
-	statusConnections    []*Connection // one for each sender
-	submittedJobs         int           // submitted so far
+	server            *Server
+	workers           []*loadWorker
+	workerByHost      map[string]*loadWorker
+	port              string // of the server and of all workers
+	controllerAddress string
+	submitConnection  *Connection
+	statusConnections []*Connection // one for each sender
+	submittedJobs     int
 }
 
 const (
-	// parallelRequests is how many requests of a load are under way at a time.
+	// parallelRequests is how many senders a load has, each with one request in flight.
 	parallelRequests = 8
-	// maxValueBytes and worldTxnOps are what the world's state service takes.
+	// maxValueBytes and maxTxnOps are limits of the state service.
 	maxValueBytes = 64 << 10
 	maxTxnOps     = 8
-	// eventInterval is how often due events are run.
+	// eventInterval is how often the due events of the services run.
 	eventInterval = 20 * time.Millisecond
 	// heartbeatPause is the pause between heartbeats of the command "apart".
 	heartbeatPause = 5 * time.Millisecond
 )
 
-var errUsage = errors.New("wrong number of words")
+var errUsage = errors.New("wrong number of arguments")
 
-// ServeLoadHarness reads commands from in until it ends, and answers each on out with "ok", unless
-// something else is said here, or "failed:" and the reason:
+// ServeLoadHarness reads commands from in until it ends. It answers each command on out with "ok",
+// or with "failed: " and the reason. "machines" answers with the address of the services instead
+// of "ok". The commands are:
 //
-//	machines N ADDR   a fleet of N and the controller's address; answers "at ADDR"
-//	ready             waits until the controller says so
-//	job N             submits an array of N tasks
-//	reports N         N heartbeats that say nothing new, over all machines in turn
-//	apart N           the same, one at a time with pauses
-//	turns N           N heartbeats, each with a task's end
-//	polls N           N requests for the status of the last job
-//	jobs N            N submissions of one task each
+//	machines N ADDR   create a fleet of N machines for the controller at ADDR; answers "at ADDR"
+//	ready             wait until the controller reports that it is ready
+//	job N             submit a job of N tasks
+//	reports N         send N unchanged heartbeats, from all machines in turn
+//	apart N           the same, one heartbeat at a time with pauses
+//	turns N           send N heartbeats, each with the end of a running task
+//	polls N           send N requests for the status of the last job
+//	jobs N            submit N jobs of one task each
 func ServeLoadHarness(in io.Reader, out io.Writer) error {
 	w := &LoadHarness{
 		server:       NewServer(StateLimits{ValueBytes: maxValueBytes, TxnOps: maxTxnOps}),
@@ -61,7 +62,7 @@
 	}
 	listener, err := net.Listen("tcp4", "0.0.0.0:0")
 	if err != nil {
-		return fmt.Errorf("fake world: %w", err)
+		return fmt.Errorf("load harness: %w", err)
 	}
 	defer listener.Close()
 	_, w.port, _ = net.SplitHostPort(listener.Addr().String())
@@ -73,7 +74,7 @@
 	return w.serveCommands(in, out)
 }
 
-// serveCommands carries out one line after the other.
+// serveCommands executes the commands in order and writes their answers.
 func (w *LoadHarness) serveCommands(in io.Reader, out io.Writer) error {
 	lines := bufio.NewScanner(in)
 	for lines.Scan() {
@@ -86,13 +87,13 @@
 			answer = "failed: " + err.Error()
 		}
 		if _, err := fmt.Fprintln(out, answer); err != nil {
-			return fmt.Errorf("fake world: %w", err)
+			return fmt.Errorf("load harness: %w", err)
 		}
 	}
 	return nil
 }
 
-// execute carries out one command line and returns the answer to it.
+// execute executes one command and returns the answer to it.
 func (w *LoadHarness) execute(name string, arguments []string) (answer string, err error) {
 	if name == "machines" {
 		return w.startFleet(arguments)
@@ -108,7 +109,7 @@
 	return "ok", command(count)
 }
 
-// countCommands returns the countCommands that are about a count.
+// countCommands returns the commands whose argument is a count, and "ready", which has none.
 func (w *LoadHarness) countCommands() map[string]func(count int) error {
 	return map[string]func(count int) error{
 		"ready":   func(int) error { return w.awaitReady() },
@@ -121,7 +122,7 @@
 	}
 }
 
-// startFleet begins a fleet, given its size and the controller's address.
+// startFleet creates the fleet. The arguments are its size and the controller's address.
 func (w *LoadHarness) startFleet(arguments []string) (answer string, err error) {
 	if len(arguments) != 2 {
 		return "", errUsage
@@ -149,10 +150,11 @@
 	w.server.AddMachine(m)
 }
 
-// machinesPerSubnet is how many machines have addresses that differ in the last byte alone.
+// machinesPerSubnet is how many machines have addresses that differ only in the last byte.
 const machinesPerSubnet = 200
 
-// LoopbackMachine returns a machine with an address of its own on the loopback.
+// LoopbackMachine returns machine number i of a fleet, with a loopback address that no other
+// machine of the fleet has.
 func LoopbackMachine(i int, port string) FixedMachine {
 	return FixedMachine{
 		ID:      fmt.Sprintf("vm-%06d", i),
@@ -180,7 +182,7 @@
 	WriteAnswer(rw, status, heartbeat)
 }
 
-// awaitReady waits until the controller is ready, for a minute at most.
+// awaitReady waits until the controller is ready, for about a minute at most.
 func (w *LoadHarness) awaitReady() error {
 	const (
 		attempts = 6000
@@ -198,7 +200,7 @@
 	return fmt.Errorf("not ready: %w", last)
 }
 
-// submit submits a job, and repeats that until it is accepted.
+// submit submits a job, with retries while the controller refuses it for the time being.
 func (w *LoadHarness) submit(connection *Connection, tasks int) error {
 	const (
 		attempts = 600
@@ -229,7 +231,7 @@
 	return errors.New("submission: not accepted")
 }
 
-// lastJob returns the name of the job that was submitted last.
+// lastJob returns the ID of the job that was submitted last.
 func (w *LoadHarness) lastJob() string { return fmt.Sprintf("job-%06d", w.submittedJobs) }
 
 func (w *LoadHarness) submitJobs(count int) error {
@@ -270,8 +272,8 @@
 	})
 }
 
-// requestInParallel spreads requests over the workers in turn, some at a time; a worker has one under
-// way at most.
+// requestInParallel spreads requests over the workers in turn, with parallelRequests senders. A
+// worker has at most one request in flight. It returns the first error.
 func (w *LoadHarness) requestInParallel(count int, request func(sender int, worker *loadWorker) error) error {
 	results := make(chan error, parallelRequests)
 	for sender := range parallelRequests {
@@ -286,7 +288,8 @@
 	return first
 }
 
-// requestInTurn sends the requests of one sender. A sender has workers of its own.
+// requestInTurn sends the requests of one sender, one after the other. No two senders share a
+// worker.
 func (w *LoadHarness) requestInTurn(sender, count int, request func(sender int, worker *loadWorker) error) error {
 	usedWorkers := len(w.workers) / parallelRequests * parallelRequests
 	for i := sender; i < count; i += parallelRequests {
--- a/internal/fakes/write_limit.go
+++ b/internal/fakes/write_limit.go
@@ -2,7 +2,8 @@
 
 import "garnethitch/internal/micros"
 
-// writeLimit is a token bucket of changes, which holds those of one second.
+// writeLimit is a token bucket that limits the changes per second. It holds at most the tokens
+// of one second.
 type writeLimit struct {
 	rate, tokens float64
 	updatedAt    micros.Micros
@@ -10,7 +11,8 @@
 
 func newWriteLimit(rate float64) *writeLimit { return &writeLimit{rate: rate, tokens: rate} }
 
-// take reports whether a number of changes is within the limit now, and counts them if so.
+// take reports whether the given number of writes is within the limit now, and consumes their
+// tokens if so.
 func (l *writeLimit) take(now micros.Micros, writes int) bool {
 	l.tokens = min(l.rate, l.tokens+l.rate*(now-l.updatedAt).Seconds())
 	l.updatedAt = now
--- a/internal/faulttest/cluster.go
+++ b/internal/faulttest/cluster.go
@@ -1,7 +1,7 @@
-// Package faulttest runs real controllers on loopback sockets, in this process or as processes
-// of their own, against fakes of the state service, the cloud and the workers, through faults.
-// What workers run, what the state service stores and what users are answered is recorded;
-// checkers that know nothing of the controllers' code read the records.
+// Package faulttest tests real controllers under injected faults. The controllers run on loopback
+// sockets, in this process or as separate processes, with fakes of the state service, the cloud
+// and the workers. The package records what workers run, what the state service stores and what
+// users are answered. Checkers that are independent of the controllers' code verify the records.
 package faulttest
 
 import (
@@ -26,15 +26,15 @@
 	// stateValueBytes and stateTxnOps are the limits of the cluster's state service.
 	stateValueBytes = 64 << 10
 	stateTxnOps     = 8
-	// serverTick is how often the services' due events are run.
+	// serverTick is how often the due events of the services run.
 	serverTick = 10 * time.Millisecond
 	// clusterSeedStream separates a cluster's random numbers from others of the same seed.
 	clusterSeedStream = 5
 )
 
-// Cluster is several real controllers with fakes for the state service, the cloud and the
-// workers, in real time. Each controller reaches the state service by an address of its own,
-// so that it alone can be cut off, or lose answers.
+// Cluster runs several real controllers in real time, with fakes of the state service, the cloud
+// and the workers. Each controller reaches the state service through a separate address, so that
+// a single controller can be cut off, or lose answers.
 type Cluster struct {
 	server        *fakes.Server
 	number        uint32
@@ -46,57 +46,59 @@
 	stop          context.CancelFunc
 	wait          sync.WaitGroup
 	taskRuns      taskRuns
-	links         []*link // between controllers that are processes
+	links         []*link // between controllers that run as processes
 
-	mu       sync.Mutex // guards what follows, and the nodes' faults
+	mu       sync.Mutex // guards the fields below, and the nodes' faults
 	rng      *rand.Rand
 	history  []HistoryEvent
-	jobs     int      // submitted
-	problems []string // errors of the test bench itself
+	jobs     int      // submitted so far
+	problems []string // errors of the test cluster itself
 }
 
-// ClusterPlan says what a cluster is made of.
+// ClusterPlan configures a cluster.
 type ClusterPlan struct {
 	Seed     uint64
 	Nodes    int
-	Machines int // of 4 CPUs
+	Machines int // with 4 CPUs each
 	Teams    []string
 	Groups   []quota.GroupOptions
-	// StateRPS and WriteRPS are what the state service takes by the settings; 0: plenty.
+	// StateRPS and WriteRPS are the limits of the state service that the settings state, in
+	// requests and writes per second; 0 selects high defaults.
 	StateRPS, WriteRPS float64
 	// LostAnswerFraction is the fraction of the answers to transactions that are lost.
 	LostAnswerFraction float64
-	// Binary has each controller run as a process of its own, that of this file, with its
-	// settings and its log in Dir. The controllers then reach each other through links that
-	// can be cut. Empty: they run in this process.
+	// Binary is the program that each controller runs as a separate process, with its settings
+	// and its log in Dir. The controllers then reach each other through links that can be cut.
+	// If Binary is empty, the controllers run in this process.
 	Binary, Dir string
 	// Times are the intervals of workers and tasks.
 	Times ClusterTimes
 }
 
-// ClusterTimes are the intervals of a cluster's workers; zero values select defaults.
+// ClusterTimes are the intervals, leases and timeouts of a cluster; zero values select defaults.
 type ClusterTimes struct {
 	HeartbeatInterval, WorkerLease, CancelTimeout, ControllerLease time.Duration
-	// MinTaskDuration and MaxTaskDuration are how long a task runs.
+	// MinTaskDuration and MaxTaskDuration bound how long a task runs.
 	MinTaskDuration, MaxTaskDuration time.Duration
 }
 
-// withDefaults returns the intervals with what was left out.
+// withDefaults returns t with its zero values replaced by defaults.
 func (t ClusterTimes) withDefaults() ClusterTimes {
 	return ClusterTimes{
 		HeartbeatInterval: cmp.Or(t.HeartbeatInterval, 400*time.Millisecond),
 		WorkerLease:       cmp.Or(t.WorkerLease, 3*time.Second),
-		CancelTimeout:            cmp.Or(t.CancelTimeout, 10*time.Second),
+		CancelTimeout:     cmp.Or(t.CancelTimeout, 10*time.Second),
 		ControllerLease:   cmp.Or(t.ControllerLease, time.Second),
-		MinTaskDuration:          cmp.Or(t.MinTaskDuration, 40*time.Millisecond),
-		MaxTaskDuration:            cmp.Or(t.MaxTaskDuration, 120*time.Millisecond),
+		MinTaskDuration:   cmp.Or(t.MinTaskDuration, 40*time.Millisecond),
+		MaxTaskDuration:   cmp.Or(t.MaxTaskDuration, 120*time.Millisecond),
 	}
 }
 
-// clusterCount counts the clusterCount of this process, each of which has addresses of its own.
+// clusterCount is how many clusters this process has started. It gives each cluster a number, and
+// thereby addresses that the others do not have.
 var clusterCount atomic.Uint32
 
-// NewCluster starts a cluster; Close ends it.
+// NewCluster starts a cluster. The caller stops it with Close.
 func NewCluster(plan ClusterPlan) (*Cluster, error) {
 	plan.Times = plan.Times.withDefaults()
 	c := &Cluster{
@@ -144,7 +146,8 @@
 	}
 }
 
-// listen serves a handler on a loopback port until the cluster ends.
+// listen serves a handler on a free port until the cluster stops, and returns its loopback
+// address.
 func (c *Cluster) listen(h http.Handler) (address string, err error) {
 	ln, err := net.Listen("tcp4", "0.0.0.0:0")
 	if err != nil {
@@ -157,7 +160,7 @@
 	return "127.0.0.1:" + port, nil
 }
 
-// Close ends everything.
+// Close stops the controllers, the workers and the services.
 func (c *Cluster) Close() {
 	for _, n := range c.nodes {
 		n.end()
@@ -166,7 +169,7 @@
 	c.wait.Wait()
 }
 
-// pause waits, and reports whether the cluster still runs.
+// pause waits for d, or until the cluster stops, and reports whether the cluster still runs.
 func (c *Cluster) pause(d time.Duration) bool {
 	select {
 	case <-c.ctx.Done():
@@ -176,24 +179,24 @@
 	}
 }
 
-// draw draws a number below n.
+// draw returns a random number below n.
 func (c *Cluster) draw(n int) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.rng.IntN(n)
 }
 
-// drawNode draws one of the controllers.
+// drawNode returns a random controller.
 func (c *Cluster) drawNode() *node { return c.nodes[c.draw(len(c.nodes))] }
 
-// chance reports true with a probability.
+// chance returns true with the given probability.
 func (c *Cluster) chance(probability float64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.rng.Float64() < probability
 }
 
-// record adds to the history.
+// record adds an event to the history, with the current time.
 func (c *Cluster) record(event HistoryEvent) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -201,7 +204,7 @@
 	c.history = append(c.history, event)
 }
 
-// recordPut records a group's record that the state service stores.
+// recordPut adds the record of a quota group that the state service stores to the history.
 func (c *Cluster) recordPut(key string, value wire.Raw, modRevision uint64) {
 	name, ok := strings.CutPrefix(key, wire.PrefixQuota)
 	if !ok {
@@ -213,14 +216,14 @@
 	}
 }
 
-// History returns what has happened so far.
+// History returns the events that were recorded so far.
 func (c *Cluster) History() []HistoryEvent {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.history)
 }
 
-// addProblem records an error of the test bench itself.
+// addProblem records an error of the test cluster itself.
 func (c *Cluster) addProblem(format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -240,7 +243,7 @@
 	return addresses
 }
 
-// Restart ends a controller's process, and starts it again after a while.
+// Restart stops a controller, and starts it again after the given time.
 func (c *Cluster) Restart(node int, after time.Duration) {
 	n := c.nodes[node]
 	n.end()
@@ -251,14 +254,15 @@
 	})
 }
 
-// CutFromState cuts a controller off from the state service.
+// CutFromState cuts a controller off from the state service for d.
 func (c *Cluster) CutFromState(node int, d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.nodes[node].faults.cutUntil = time.Now().Add(d)
 }
 
-// teamOf returns the team of a job, or of one of its tasks. Jobs go to the teams in turn.
+// teamOf returns the team of a job, given the ID of the job or of one of its tasks. Jobs belong to
+// the teams in turn.
 func (c *Cluster) teamOf(task string) string {
 	id, _, _ := strings.Cut(task, "/")
 	number := 0
@@ -266,7 +270,8 @@
 	return c.plan.Teams[number%len(c.plan.Teams)]
 }
 
-// Submit submits a job of that many tasks of one CPU, to any controller that accepts it.
+// Submit submits a job with the given number of tasks of one CPU each. It tries random controllers
+// until one accepts the job.
 func (c *Cluster) Submit(tasks int) error {
 	const (
 		attempts = 600
@@ -297,7 +302,7 @@
 	return fmt.Sprintf("job-%06d", c.jobs)
 }
 
-// submission returns a job of tasks of one CPU.
+// submission returns a submission of a job whose tasks use one CPU each.
 func (c *Cluster) submission(id string, tasks int, estimateS float64) wire.Submission {
 	return wire.Submission{
 		ID: id, Class: "c", Kind: "sweep", Priority: "standard", Team: c.teamOf(id), Tasks: tasks, CPUs: 1, MemGB: 1,
--- a/internal/faulttest/grants.go
+++ b/internal/faulttest/grants.go
@@ -11,51 +11,53 @@
 )
 
 const (
-	// grantMachines is how many machines controllers grant from.
+	// grantMachines is the number of machines of the cluster.
 	grantMachines = 24
-	// lostGrantAnswers is the fraction of the state service's answers that are lost.
+	// lostGrantAnswers is the fraction of the answers to transactions that are lost.
 	lostGrantAnswers = 0.03
 	// grantJobTasks is how many tasks a job has.
 	grantJobTasks = 40
-	// maxGrantBacklog is how many tasks may wait beyond those that were granted.
+	// maxGrantBacklog is how many submitted tasks may wait to be granted.
 	maxGrantBacklog = 20 * grantJobTasks
-	// limitRequestTimeout is that of a request to set a limit.
+	// limitRequestTimeout is the timeout of a request to set a limit.
 	limitRequestTimeout = time.Second
-	// grantsCheckInterval is how often the number of grants is checked without faults.
+	// grantsCheckInterval is how often the number of grants is checked in a run without faults.
 	grantsCheckInterval = 100 * time.Millisecond
 	// backlogCheckInterval is how often the backlog is checked while it is full.
 	backlogCheckInterval = 50 * time.Millisecond
 )
 
-// GrantsPlan says how controllers are made to grant at once from groups whose limits change.
+// GrantsPlan configures a run in which several controllers grant tasks concurrently, from quota
+// groups whose limits change.
 type GrantsPlan struct {
-	Seed   uint64
-	Nodes  int
-	MinGrants int // that are enough
-	// Timeout is how long it may take.
+	Seed      uint64
+	Nodes     int
+	MinGrants int // the run ends after this many
+	// Timeout is how long the run may take.
 	Timeout time.Duration
-	// Faults ends and cuts off controllers, loses answers and changes limits; without,
-	// the limit stays.
+	// Faults makes the run restart controllers, cut them off, lose answers and change limits.
+	// Without it the limits stay as they are.
 	Faults bool
 }
 
-// GrantsResult is what came about.
+// GrantsResult holds the figures of a run and the overshoots that were found.
 type GrantsResult struct {
 	Grants, Writes, LimitsSet, Restarts, Cuts int
 	Duration                                  time.Duration
-	Overshoots                            []string
-	EnforcementDelays                             []time.Duration
+	Overshoots                                []string
+	EnforcementDelays                         []time.Duration
 }
 
 // String returns the figures in a line.
 func (r GrantsResult) String() string {
-	return fmt.Sprintf("%d grants in %.1f s, %d writes, %d limits set, %d ends, %d cuts, %d overshoots", r.Grants, r.Duration.Seconds(), r.Writes, r.LimitsSet, r.Restarts, r.Cuts, len(r.Overshoots))
+	return fmt.Sprintf("%d grants in %.1f s, %d writes, %d limits set, %d restarts, %d cuts, %d overshoots", r.Grants, r.Duration.Seconds(), r.Writes, r.LimitsSet, r.Restarts, r.Cuts, len(r.Overshoots))
 }
 
-// Teams returns the teams that the groups of GrantGroups are made of.
+// Teams returns the teams of the groups that GrantGroups returns.
 func Teams() []string { return []string{"kigali", "rubavu", "karongi"} }
 
-// GrantGroups returns the groups of PlayGrants: all in one limit, two teams in a narrower one.
+// GrantGroups returns the quota groups of RunGrants: all teams share one limit, and two of them
+// also share a lower one.
 func GrantGroups() []quota.GroupOptions {
 	return []quota.GroupOptions{
 		{Name: "all", Teams: []string{"kigali"}, Limit: quota.CPULimit(60)},
@@ -63,8 +65,8 @@
 	}
 }
 
-// RunGrants has the controllers of a cluster grant at once until that many tasks were
-// started, and checks what was recorded.
+// RunGrants lets the controllers of a cluster grant tasks concurrently until MinGrants tasks were
+// started or the timeout has passed, and checks the recorded history.
 func RunGrants(p GrantsPlan) (GrantsResult, error) {
 	plan := ClusterPlan{Seed: p.Seed, Nodes: p.Nodes, Machines: grantMachines, Teams: Teams(), Groups: GrantGroups()}
 	if p.Faults {
@@ -83,7 +85,8 @@
 	return result, nil
 }
 
-// runUntilGranted injects faults until there are enough grants, and checks the history.
+// runUntilGranted injects faults until there are enough grants or the timeout has passed, and
+// checks the history.
 func (c *Cluster) runUntilGranted(p GrantsPlan) (r GrantsResult) {
 	began := time.Now()
 	for CountGrants(c.History()) < p.MinGrants && time.Since(began) < p.Timeout {
@@ -103,7 +106,8 @@
 	return r
 }
 
-// maintainBacklog submits more work than fits, for as long as it is wanted.
+// maintainBacklog submits jobs ahead of the grants, so that tasks are always waiting, until twice
+// the given number of tasks are submitted or the cluster stops.
 func (c *Cluster) maintainBacklog(grants int) error {
 	for submitted := 0; submitted < 2*grants; submitted += grantJobTasks {
 		if err := c.Submit(grantJobTasks); err != nil {
@@ -118,7 +122,7 @@
 	return nil
 }
 
-// injectGrantFault injects one drawn fault, mostly a change of a limit.
+// injectGrantFault injects one random fault, in most cases a change of a limit.
 func (c *Cluster) injectGrantFault(r *GrantsResult) {
 	node := c.draw(len(c.nodes))
 	switch c.draw(10) {
@@ -133,7 +137,7 @@
 	}
 }
 
-// changeLimit sets a group's limit, and sometimes again before the first is in force.
+// changeLimit sets a group's limit, and sometimes sets it again before the first one is in force.
 func (c *Cluster) changeLimit(r *GrantsResult) {
 	group := GrantGroups()[c.draw(2)]
 	for range 1 + c.draw(2) {
@@ -144,7 +148,8 @@
 	}
 }
 
-// SetLimit sets a group's limit at a controller, as the command line does; nil clears it.
+// SetLimit sets a group's limit through a controller, as the command line does. A nil limit clears
+// it.
 func (c *Cluster) SetLimit(node int, group string, limit *quota.Limit) error {
 	set := peer.SetLimit{WaitingTasks: group, Clear: limit == nil}
 	if limit != nil {
--- a/internal/faulttest/grants_test.go
+++ b/internal/faulttest/grants_test.go
@@ -16,8 +16,9 @@
 	return n
 }
 
-// TestClusterGrants has real controllers grant at once over loopback sockets, through
-// limits that change, ends, cuts and lost answers. A longer run: go run ./internal/measure grants.
+// TestClusterGrants checks that real controllers which grant concurrently never exceed a limit,
+// while limits change, controllers are restarted or cut off, and answers are lost. They use
+// loopback sockets and real time. For a longer run: go run ./internal/measure grants.
 func TestClusterGrants(t *testing.T) {
 	for seed := range uint64(seeds(2)) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -31,7 +32,7 @@
 				t.Error(o)
 			}
 			if r.Grants < 200 || r.LimitsSet == 0 || r.Writes < 10 {
-				t.Errorf("too little happened: %s", r)
+				t.Errorf("too little activity: %s", r)
 			}
 			t.Log(r)
 		})
--- a/internal/faulttest/history.go
+++ b/internal/faulttest/history.go
@@ -8,26 +8,27 @@
 	"garnethitch/quota"
 )
 
-// HistoryEvent is a task's start or end, or a group's record as it was stored.
+// HistoryEvent is the start or the end of a task, or a quota group's record that was stored.
 type HistoryEvent struct {
 	At   time.Duration
 	Team string  // of a task
-	CPUs float64 // of a task: above 0 where it starts, below where it ends
-	// Group, and its record; empty: the event is about a task.
+	CPUs float64 // of a task: positive at its start, negative at its end
+	// Group is the name of the group whose record was stored; empty if the event is about a task.
 	Group       string
 	Record      quota.Record
 	ModRevision uint64
 }
 
-// usage is what a history has come to.
+// usage is the state of the teams and limits after a part of a history.
 type usage struct {
 	groups []quota.GroupOptions
-	teams  map[string]float64 // CPUs in use
-	limits map[string]*quota.Limit
+	teams  map[string]float64      // CPUs in use
+	limits map[string]*quota.Limit // limits in force, by group
 }
 
-// Overshoots lists the instants at which a group's tasks used more than the limit in
-// force, and those at which the allowances of a record did. groups are the definitions.
+// Overshoots describes the instants at which a group's tasks used more than the limit in force,
+// and those at which the allowances of a record added up to more. groups are the definitions of
+// the groups.
 func Overshoots(history []HistoryEvent, groups []quota.GroupOptions) (found []string) {
 	u := &usage{groups: groups, teams: map[string]float64{}, limits: map[string]*quota.Limit{}}
 	for _, event := range history {
@@ -45,17 +46,17 @@
 	return found
 }
 
-// allowanceOvershoots reports a record whose allowances are more than the limit in force.
+// allowanceOvershoots describes a record whose allowances add up to more than the limit in force.
 func allowanceOvershoots(event HistoryEvent) []string {
 	limit := event.Record.Applied
 	sum := event.Record.Allowed()
 	if limit == nil || sum.Within(limit.Amount()) {
 		return nil
 	}
-	return []string{fmt.Sprintf("%v: allowances of %s add up to %g CPUs, in force is %s", event.At, event.Group, sum.CPUs, limit)}
+	return []string{fmt.Sprintf("%v: allowances of %s add up to %g CPUs, the limit in force is %s", event.At, event.Group, sum.CPUs, limit)}
 }
 
-// overshoots lists the groups that use more than their limits.
+// overshoots describes the groups that use more than their limits in force.
 func (u *usage) overshoots(at time.Duration) (found []string) {
 	for _, g := range u.groups {
 		limit := u.limits[g.Name]
@@ -67,13 +68,13 @@
 			sum += u.teams[team]
 		}
 		if !(quota.Amount{CPUs: sum}).Within(limit.Amount()) {
-			found = append(found, fmt.Sprintf("%v: %s uses %g CPUs, in force is %s", at, g.Name, sum, limit))
+			found = append(found, fmt.Sprintf("%v: %s uses %g CPUs, the limit in force is %s", at, g.Name, sum, limit))
 		}
 	}
 	return found
 }
 
-// CountGrants counts the starts of a history.
+// CountGrants counts the task starts in a history.
 func CountGrants(history []HistoryEvent) (count int) {
 	for _, event := range history {
 		if event.CPUs > 0 {
@@ -83,7 +84,7 @@
 	return count
 }
 
-// CountQuotaWrites counts the writes of groups' records.
+// CountQuotaWrites counts the writes of quota groups' records in a history.
 func CountQuotaWrites(history []HistoryEvent) (count int) {
 	for _, event := range history {
 		if event.Group != "" {
@@ -93,8 +94,8 @@
 	return count
 }
 
-// EnforcementDelays returns, for each limit that was announced and came into force before the next,
-// how long that took.
+// EnforcementDelays returns how long limits took from their announcement until they were in force.
+// A limit is left out if the next one was announced before it came into force.
 func EnforcementDelays(history []HistoryEvent) (durations []time.Duration) {
 	type announcement struct {
 		epoch   uint64
--- a/internal/faulttest/history_test.go
+++ b/internal/faulttest/history_test.go
@@ -6,8 +6,8 @@
 	"garnethitch/quota"
 )
 
-// TestOvershoots checks that the checker finds uses and allowances above the limit in force, and no
-// others.
+// TestOvershoots checks that the checker finds usage and allowances above the limit in force, and
+// nothing else.
 func TestOvershoots(t *testing.T) {
 	groups := GrantGroups()
 	limit := quota.CPULimit(2)
--- a/internal/faulttest/link.go
+++ b/internal/faulttest/link.go
@@ -11,21 +11,22 @@
 const (
 	linkDialTimeout = time.Second
 	linkBufferBytes = 32 << 10
-	// linkPollInterval is how often a link that holds data back checks whether it still has to.
+	// linkPollInterval is how often a link that holds data back checks whether to go on with it.
 	linkPollInterval = 50 * time.Millisecond
 )
 
-// link is a proxy from one controller to another, which can hold back what is sent, or break
+// link is a TCP proxy from one controller to another. It can hold data back and break
 // connections.
 type link struct {
-	from, to   int // controllers
+	from, to   int // indexes of controllers
 	target     string
 	mu         sync.Mutex
 	heldUntil  time.Time
 	resetUntil time.Time
 }
 
-// addressFor returns where one controller reaches another: itself, or by a link.
+// addressFor returns the address at which one controller reaches another. If controllers run as
+// separate processes, this is the address of a link.
 func (c *Cluster) addressFor(from, to *node) (string, error) {
 	if c.plan.Binary == "" {
 		return to.settings.InternalAddr, nil
@@ -41,7 +42,7 @@
 	return ln.Addr().String(), nil
 }
 
-// accept carries connections until the listener is closed.
+// accept forwards connections until the listener is closed.
 func (l *link) accept(ln net.Listener) {
 	for {
 		conn, err := ln.Accept()
@@ -52,7 +53,7 @@
 	}
 }
 
-// forward passes a connection on, both ways, until one of them ends.
+// forward forwards a connection to the target, in both directions, until one direction ends.
 func (l *link) forward(in net.Conn) {
 	defer in.Close()
 	out, err := net.DialTimeout("tcp4", l.target, linkDialTimeout)
@@ -70,7 +71,7 @@
 	<-done
 }
 
-// copyData passes data on until the connection ends or is broken.
+// copyData copies data until the connection ends or the link breaks it.
 func (l *link) copyData(from, to net.Conn) {
 	buffer := make([]byte, linkBufferBytes)
 	for {
@@ -89,7 +90,8 @@
 	}
 }
 
-// waitWhileHeld waits while the link holds data back; false: it breaks connections.
+// waitWhileHeld waits while the link holds data back. It returns false if the link breaks
+// connections.
 func (l *link) waitWhileHeld() bool {
 	for {
 		l.mu.Lock()
@@ -105,14 +107,14 @@
 	}
 }
 
-// hold holds data back for a while.
+// hold makes the link hold data back for d.
 func (l *link) hold(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.heldUntil = time.Now().Add(d)
 }
 
-// reset breaks connections for a while.
+// reset makes the link break connections for d.
 func (l *link) reset(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/faulttest/machine.go
+++ b/internal/faulttest/machine.go
@@ -14,7 +14,7 @@
 
 const (
 	machineCPUs = 4
-	// nextNodePause is how long a worker waits before it turns to another controller.
+	// nextNodePause is how long a worker pauses when it switches to another controller.
 	nextNodePause = 100 * time.Millisecond
 )
 
@@ -22,29 +22,29 @@
 type machine struct {
 	fakes.FixedMachine
 	cluster *Cluster
-	nodes   []*fakes.Connection // to the controllers
-	node    int                 // that it sends heartbeats to
-	wake    chan struct{}       // has the next heartbeat not wait for its time
+	nodes   []*fakes.Connection // one for each controller
+	node    int                 // index of the controller that heartbeats go to
+	wake    chan struct{}       // triggers the next heartbeat before its time
 	faults  machineFaults
 
-	mu        sync.Mutex // guards what follows
-	agent     *fakes.Agent
-	leaseStart time.Time // when the last heartbeat that was answered was sent
-	runs      map[attempt]*TaskRun
+	mu         sync.Mutex // guards the fields below
+	agent      *fakes.Agent
+	leaseStart time.Time // when the last answered heartbeat was sent
+	runs       map[attempt]*TaskRun
 }
 
-// attempt names an attempt of a task.
+// attempt identifies an attempt of a task.
 type attempt struct {
 	task   string
 	number uint64
 }
 
-// addMachine adds a machine to the cluster, before that starts.
+// addMachine adds a machine to the cluster. The cluster must not have started.
 func (c *Cluster) addMachine(fixed fakes.FixedMachine) {
 	m := &machine{
 		FixedMachine: fixed,
 		cluster:      c,
-		leaseStart:    time.Now(),
+		leaseStart:   time.Now(),
 		wake:         make(chan struct{}, 1),
 		runs:         map[attempt]*TaskRun{},
 	}
@@ -54,7 +54,7 @@
 	c.server.AddMachine(fixed)
 }
 
-// connect has a machine know of the controllers.
+// connect gives the machine connections to the controllers, and has it begin with a random one.
 func (m *machine) connect(nodes []*node) {
 	for _, n := range nodes {
 		m.nodes = append(m.nodes, fakes.NewConnection(n.settings.ServeOn, replyTimeout))
@@ -62,7 +62,8 @@
 	m.node = m.cluster.draw(len(nodes))
 }
 
-// serveWorker serves direct commands and questions to the machines.
+// serveWorker serves direct commands and requests for heartbeats, which controllers send to the
+// machines.
 func (c *Cluster) serveWorker(rw http.ResponseWriter, r *http.Request) {
 	m := c.machineByHost[r.Host]
 	body, err := io.ReadAll(r.Body)
@@ -77,8 +78,8 @@
 	fakes.WriteAnswer(rw, status, heartbeat)
 }
 
-// handleRequest carries a direct command out, unless it is of an earlier owner or for an
-// earlier epoch of the agent. Any request is answered with a heartbeat.
+// handleRequest executes a direct command, unless it is from an earlier owner or for another
+// epoch of the agent. The answer to any request is a heartbeat.
 func (m *machine) handleRequest(path string, body []byte) (status int, heartbeat wire.Heartbeat) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -90,8 +91,8 @@
 	return status, m.heartbeat()
 }
 
-// handleDirectCommand returns the status to answer an encoded direct command with. The lock is
-// held.
+// handleDirectCommand executes an encoded direct command and returns the HTTP status of the
+// answer. The caller holds the lock.
 func (m *machine) handleDirectCommand(body []byte) (status int) {
 	var command wire.DirectCommand
 	if err := wire.Decode(body, &command); err != nil {
@@ -100,8 +101,8 @@
 	return m.agent.HandleDirectCommand(command)
 }
 
-// heartbeat returns the next heartbeat. An empty list of tasks is always sent as null here: a
-// controller has to take that as well as an empty array. The lock is held.
+// heartbeat returns the next heartbeat. It encodes an empty list of tasks as null, which a
+// controller has to accept as well as an empty array. The caller holds the lock.
 func (m *machine) heartbeat() wire.Heartbeat {
 	heartbeat := m.agent.Heartbeat()
 	if len(heartbeat.Tasks) == 0 {
@@ -110,7 +111,7 @@
 	return heartbeat
 }
 
-// run sends heartbeats until the cluster ends, and ends tasks with the lease.
+// run sends heartbeats until the cluster stops, and ends the tasks when the lease expires.
 func (m *machine) run() {
 	defer m.cluster.wait.Done()
 	for m.cluster.ctx.Err() == nil {
@@ -129,7 +130,8 @@
 	}
 }
 
-// checkLease ends the agent's epoch and its tasks once the lease has run out. The lock is held.
+// checkLease ends the tasks and begins a new epoch of the agent if the lease has expired. The
+// caller holds the lock.
 func (m *machine) checkLease(now time.Time) {
 	lease := m.cluster.plan.Times.WorkerLease
 	if now.Sub(m.leaseStart) <= lease {
@@ -138,14 +140,14 @@
 	expiredAt := m.leaseStart.Add(lease)
 	tasks := m.agent.Tasks()
 	for i := range tasks {
-		m.endTask(&tasks[i], "", expiredAt) // also if the machine hung then and notices only now
+		m.endTask(&tasks[i], "", expiredAt) // even if the machine hung then and notices it only now
 	}
 	m.agent.BeginEpoch()
 	clear(m.runs)
 	m.leaseStart = time.Now()
 }
 
-// sendHeartbeat sends a heartbeat and carries out the commands of the reply.
+// sendHeartbeat sends a heartbeat and executes the commands of the reply.
 func (m *machine) sendHeartbeat(heartbeat wire.Heartbeat, sentAt time.Time) {
 	body, err := wire.Encode(heartbeat)
 	if err != nil {
@@ -170,7 +172,7 @@
 	m.handleReply(reply, heartbeat.AgentEpoch, sentAt)
 }
 
-// handleRefusal turns to the controller that was named, or else to the next one.
+// handleRefusal switches to the controller that a redirect names, or else to the next one.
 func (m *machine) handleRefusal(msg http1.Message, err error) {
 	next := (m.node + 1) % len(m.nodes)
 	var redirect wire.Redirect
@@ -185,14 +187,14 @@
 	m.switchTo(next)
 }
 
-// switchTo has the next heartbeats go to another controller.
+// switchTo makes the next heartbeats go to another controller, after a pause.
 func (m *machine) switchTo(node int) {
 	m.node = node
 	m.cluster.pause(nextNodePause)
 }
 
-// handleReply renews the lease and carries commands out, unless the reply is that of an earlier
-// owner or to an earlier epoch of the agent.
+// handleReply renews the lease and executes the commands, unless the reply is from an earlier
+// owner or answers a heartbeat of an earlier epoch of the agent.
 func (m *machine) handleReply(reply wire.HeartbeatReply, agentEpoch uint64, sentAt time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -205,7 +207,7 @@
 	m.agent.Execute(reply.FencingToken, reply.Commands)
 }
 
-// StartTask starts a task of one CPU, if one is free. The lock is held.
+// StartTask starts a task of one CPU, or refuses it if no CPU is free. The caller holds the lock.
 func (m *machine) StartTask(command wire.Command) wire.TaskStatus {
 	status := wire.TaskStatus{Task: command.Task, Attempt: command.Attempt, State: wire.TaskRunning}
 	if m.countRunning() >= machineCPUs {
@@ -220,12 +222,12 @@
 	return status
 }
 
-// StopTask stops a task at once. The lock is held.
+// StopTask stops a task at once. The caller holds the lock.
 func (m *machine) StopTask(task *wire.TaskStatus) {
 	m.endTask(task, wire.ExitStopped, time.Now())
 }
 
-// countRunning counts the tasks that run. The lock is held.
+// countRunning counts the running tasks. The caller holds the lock.
 func (m *machine) countRunning() (count int) {
 	for _, t := range m.agent.Tasks() {
 		if t.State == wire.TaskRunning {
@@ -235,14 +237,14 @@
 	return count
 }
 
-// drawTaskDuration draws how long a task runs.
+// drawTaskDuration returns a random run time for a task.
 func (c *Cluster) drawTaskDuration() time.Duration {
 	times := c.plan.Times
 	spread := max((times.MaxTaskDuration - times.MinTaskDuration).Milliseconds(), 1)
 	return times.MinTaskDuration + time.Duration(c.draw(int(spread)))*time.Millisecond
 }
 
-// completeTask ends a task that has run its time, unless its lease has run out before.
+// completeTask ends a task that has run for its time, unless the lease expired before.
 func (m *machine) completeTask(command wire.Command, agentEpoch uint64) {
 	m.waitWhileHung()
 	m.mu.Lock()
@@ -255,7 +257,7 @@
 	}
 }
 
-// heartbeatSoon has the next heartbeat not wait for its time.
+// heartbeatSoon triggers the next heartbeat before its time.
 func (m *machine) heartbeatSoon() {
 	select {
 	case m.wake <- struct{}{}:
@@ -263,7 +265,7 @@
 	}
 }
 
-// endTask ends a task, if it runs, and records the end. The lock is held.
+// endTask ends a task if it is running, and records the end. The caller holds the lock.
 func (m *machine) endTask(task *wire.TaskStatus, exitReason wire.ExitReason, at time.Time) {
 	if task.State != wire.TaskRunning {
 		return
--- a/internal/faulttest/machine_faults.go
+++ b/internal/faulttest/machine_faults.go
@@ -11,10 +11,12 @@
 const (
 	// replyTimeout is how long a worker waits for the reply to a heartbeat.
 	replyTimeout = time.Second
-	// rareReplyInterval is less than a worker's lease in a soak.
+	// rareReplyInterval is how long a rarely reached machine is cut off after each reply. It is
+	// less than a worker's lease in a soak.
 	rareReplyInterval = 3500 * time.Millisecond
-	// duplicatedFraction of heartbeats arrive again while there are copies, within two leases.
-	duplicatedFraction   = 0.2
+	// duplicatedFraction of the heartbeats of a machine with faultDuplicates arrive a second
+	// time, at most maxDuplicateDelayLeases worker leases later.
+	duplicatedFraction      = 0.2
 	maxDuplicateDelayLeases = 2
 )
 
@@ -22,39 +24,39 @@
 type machineFault int
 
 const (
-	faultHangs           machineFault = iota // it executes nothing
-	faultReceivesNothing                     // neither commands nor replies reach it
-	faultSendsNothing                        // it reaches no controller
-	faultDuplicates                              // copies of its heartbeats arrive late
-	faultRarelyReached                       // no command reaches it, and a reply about once in a lease
+	faultHangs           machineFault = iota // the machine executes nothing
+	faultReceivesNothing                     // neither commands nor replies reach the machine
+	faultSendsNothing                        // the machine cannot reach any controller
+	faultDuplicates                          // some heartbeats arrive a second time, late
+	faultRarelyReached                       // no command reaches the machine, and about one reply per lease does
 	machineFaultCount
 )
 
-// machineFaults say until when a machine has which fault.
+// machineFaults holds the end of each fault of a machine.
 type machineFaults struct {
 	mu    sync.Mutex
 	until [machineFaultCount]time.Time
 }
 
-// remaining returns how much longer a fault lasts.
+// remaining returns how much longer a fault lasts; zero or less if it is over.
 func (f *machineFaults) remaining(fault machineFault) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return time.Until(f.until[fault])
 }
 
-// active reports whether the machine active a fault now.
+// active reports whether a fault is active now.
 func (f *machineFaults) active(fault machineFault) bool { return f.remaining(fault) > 0 }
 
-// begin has a fault go on for a while from now on.
+// begin starts a fault that lasts for d.
 func (f *machineFaults) begin(fault machineFault, d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.until[fault] = time.Now().Add(d)
 }
 
-// replyReceived notes that a heartbeat was answered. A machine that is rarely reached then
-// neither sends nor receives anything for a while.
+// replyReceived is called when a reply to a heartbeat was received. A rarely reached machine then
+// neither sends nor receives anything for rareReplyInterval.
 func (f *machineFaults) replyReceived() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -65,7 +67,7 @@
 	}
 }
 
-// waitWhileHung waits until the machine does not hang.
+// waitWhileHung waits until the machine no longer hangs, or the cluster stops.
 func (m *machine) waitWhileHung() {
 	for {
 		left := m.faults.remaining(faultHangs)
@@ -75,15 +77,15 @@
 	}
 }
 
-// awaitReachable waits while the machine hangs, as a request in its sockets does, and reports
-// whether the request arrives.
+// awaitReachable waits while the machine hangs, as a request in the machine's sockets would, and
+// reports whether the request arrives.
 func (m *machine) awaitReachable() bool {
 	m.waitWhileHung()
 	return !m.faults.active(faultReceivesNothing) && !m.faults.active(faultRarelyReached)
 }
 
-// maybeDuplicateLater may have a copy of a heartbeat arrive again, at any controller. The reply to
-// it is lost.
+// maybeDuplicateLater sends some heartbeats a second time, later and to a random controller. The
+// replies to these duplicates are lost.
 func (m *machine) maybeDuplicateLater(body []byte) {
 	c := m.cluster
 	if !m.faults.active(faultDuplicates) || !c.chance(duplicatedFraction) {
--- a/internal/faulttest/node.go
+++ b/internal/faulttest/node.go
@@ -15,22 +15,23 @@
 )
 
 const (
-	// restartPause is how long a controller that ended by itself waits to be started again.
+	// restartPause is the time until a controller that exited by itself is restarted.
 	restartPause = 100 * time.Millisecond
 
-	// defaultStateRPS and plentifulWriteRPS are the limits of a state service that takes plenty.
+	// defaultStateRPS and defaultWriteRPS are the limits of the state service if the plan sets
+	// none. They are higher than a cluster needs.
 	defaultStateRPS = 2000
 	defaultWriteRPS = 400
 )
 
-// The loopback addresses of controllers: the process's id chooses the second and third byte, the
-// cluster's number the ports.
+// Parameters of the controllers' loopback addresses. The process ID selects the second and third
+// byte, and the cluster's number selects the ports.
 const (
-	firstSecondByte    = 32
-	secondByteValues   = 200
-	thirdByteValues    = 250
-	firstPort          = 18080
-	listenersPerNode    = 2
+	firstSecondByte  = 32
+	secondByteValues = 200
+	thirdByteValues  = 250
+	firstPort        = 18080
+	listenersPerNode = 2
 	clusterPortSlots = 1000
 )
 
@@ -42,14 +43,14 @@
 	options  config.Options
 	faults   stateFaults // guarded by the cluster's lock
 
-	// Where controllers run in this process; guarded by the cluster's lock.
-	cancel context.CancelFunc // nil: it doesn't run
+	// Used if controllers run in this process; guarded by the cluster's lock.
+	cancel context.CancelFunc // nil: the controller is not running
 	ended  chan struct{}
-	// Where controllers are processes.
+	// Used if controllers run as separate processes.
 	process *process
 }
 
-// addNodes makes the controllers, and has them know of each other.
+// addNodes creates the controllers and enters them in each other's settings.
 func (c *Cluster) addNodes(cloud string) error {
 	for i := range c.plan.Nodes {
 		n, err := c.newNode(i, cloud)
@@ -87,7 +88,7 @@
 	return n, nil
 }
 
-// configure fills in the settings that all controllers have in common.
+// configure fills in the settings that all controllers share.
 func (c *Cluster) configure(cluster *config.Cluster) {
 	for _, name := range c.plan.Teams {
 		cluster.Teams = append(cluster.Teams, config.Team{Name: name})
@@ -101,7 +102,7 @@
 	cluster.Resources = config.Resources{CoreShare: 0.5, RAMMB: 128, Sockets: 1024}
 }
 
-// addPeers has a controller know of the others.
+// addPeers enters the other controllers in the settings of this one.
 func (n *node) addPeers() error {
 	for _, peer := range n.cluster.nodes {
 		if peer == n {
@@ -116,8 +117,9 @@
 	return nil
 }
 
-// uniqueAddress returns a loopback address that no other cluster uses, of this process or another:
-// on a port that was free a moment ago a controller of one may meet workers of another.
+// uniqueAddress returns a loopback address that no other cluster uses, in this process or in
+// another. A port that merely was free a moment ago is not enough: a controller that listens on
+// it may receive requests from the workers of another cluster.
 func (c *Cluster) uniqueAddress(node, listener int) string {
 	pid := os.Getpid()
 	second := firstSecondByte + pid%secondByteValues
@@ -126,7 +128,7 @@
 	return fmt.Sprintf("127.%d.%d.%d:%d", second, third, node+1, port)
 }
 
-// start starts a controller that doesn't run.
+// start starts the controller unless it is running.
 func (n *node) start() {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
@@ -148,8 +150,8 @@
 	}()
 }
 
-// runUntil runs a controller in this process. One that ends by itself, since the port of its
-// former run is still taken, is started again, as a platform would.
+// runUntil runs the controller in this process until ctx ends. A controller exits by itself if the
+// port of its previous run is still in use; runUntil restarts it then, as a platform would.
 func (n *node) runUntil(ctx context.Context, seed uint64) {
 	logger := slog.New(slog.NewTextHandler(io.Discard, nil))
 	for ctx.Err() == nil {
@@ -158,7 +160,7 @@
 	}
 }
 
-// end ends a controller, and waits until it has ended.
+// end stops the controller and waits until it has stopped.
 func (n *node) end() {
 	if n.process != nil {
 		n.process.kill()
--- a/internal/faulttest/process.go
+++ b/internal/faulttest/process.go
@@ -13,10 +13,10 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// filePermissions are those of the files of a cluster.
+// filePermissions are the permissions of a cluster's options and log files.
 const filePermissions = 0o600
 
-// process is a controller that runs as a process of its own.
+// process is a controller that runs as a separate process.
 type process struct {
 	mu     sync.Mutex
 	cmd    *exec.Cmd
@@ -24,12 +24,13 @@
 	killed bool
 }
 
-// processOptions is the options file of a cluster's controllers.
+// processOptions is the content of the controllers' options files.
 type processOptions struct {
 	LeaseMS int64 `yaml:"lease_ms"`
 }
 
-// startProcess starts the controller's program; the cluster's lock is held.
+// startProcess starts the controller's program unless it is running. The caller holds the
+// cluster's lock.
 func (n *node) startProcess() {
 	if n.process == nil {
 		n.process = &process{}
@@ -45,7 +46,7 @@
 		err = cmd.Start()
 	}
 	if err != nil {
-		n.cluster.addProblemLocked("%s does not start: %v", n.settings.Label, err)
+		n.cluster.addProblemLocked("%s did not start: %v", n.settings.Label, err)
 		return
 	}
 	p.cmd = cmd
@@ -54,7 +55,7 @@
 	go n.await(cmd, p.ended)
 }
 
-// command writes the controller's settings and options, and returns what starts it.
+// command writes the controller's settings and options, and returns the command that starts it.
 func (n *node) command() (*exec.Cmd, error) {
 	path := filepath.Join(n.cluster.plan.Dir, n.settings.Label)
 	settings := path + ".toml"
@@ -92,8 +93,8 @@
 	return os.WriteFile(path, text, filePermissions)
 }
 
-// await waits for the end of a process. One that ends by itself is started again, as a
-// platform would, and counted.
+// await waits for the end of a process. A process that exits by itself is recorded as a problem and
+// restarted, as a platform would do.
 func (n *node) await(cmd *exec.Cmd, ended chan struct{}) {
 	err := cmd.Wait()
 	p := n.process
@@ -105,13 +106,13 @@
 	if killed || n.cluster.ctx.Err() != nil {
 		return
 	}
-	n.cluster.addProblem("%s ended by itself: %v", n.settings.Label, err)
+	n.cluster.addProblem("%s exited by itself: %v", n.settings.Label, err)
 	if n.cluster.pause(restartPause) {
 		n.start()
 	}
 }
 
-// kill ends the process at once, also one that is frozen.
+// kill kills the process, even if it is frozen, and waits for its end.
 func (p *process) kill() {
 	p.mu.Lock()
 	cmd, ended := p.cmd, p.ended
@@ -123,7 +124,7 @@
 	}
 }
 
-// freeze stops the process for a while, during which its clocks run on.
+// freeze suspends the process for d. Its clocks keep running.
 func (p *process) freeze(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/faulttest/soak.go
+++ b/internal/faulttest/soak.go
@@ -8,52 +8,53 @@
 )
 
 const (
-	// usersStopMargin is how long before its end users of a soak stop.
+	// usersStopMargin is how long before the end of a soak its users stop.
 	usersStopMargin = 4 * time.Second
-	// minSoakUsers is the least number of users; there is one for every workersPerUser workers.
+	// minSoakUsers is the least number of users. There is one user for every workersPerUser
+	// workers if that is more.
 	minSoakUsers   = 6
 	workersPerUser = 6
 )
 
-// SoakPlan says what a soak is made of. A soak runs controllers as real processes beside
-// users who cancel, ask and repeat all the time, through faults drawn from a seed. Its checks
-// read only what workers and users saw.
+// SoakPlan configures a soak. A soak runs controllers as real processes under faults that are drawn
+// from a seed. Meanwhile users constantly submit and cancel jobs, request their status and repeat
+// requests. The checks use only what workers and users observed.
 type SoakPlan struct {
 	Seed    uint64
 	Nodes   int
 	Workers int
 	Length  time.Duration
-	// UnknownJobRequestRate is how many times a second users ask all controllers about jobs that nobody
-	// submitted, each of which takes a read; StateRPS and WriteRPS are the limits of the
-	// state service, 0: plenty.
+	// UnknownJobRequestRate is how many times per second users ask all controllers for the status
+	// of a job that nobody submitted. Each such request costs a read. StateRPS and WriteRPS are
+	// the limits of the state service per second; 0 selects high defaults.
 	UnknownJobRequestRate, StateRPS, WriteRPS float64
-	Binary                        string
-	Dir                           string // for settings and logs
-	// OnlyFaults, if not empty, are the numbers of the faults that are played.
+	Binary                                    string
+	Dir                                       string // for settings and logs
+	// OnlyFaults, if not empty, holds the numbers of the faults that are injected.
 	OnlyFaults []int
 }
 
-// SoakResult is what came about.
+// SoakResult holds the figures of a soak and the violations that were found.
 type SoakResult struct {
 	Jobs, Cancelled, Tasks, Answers int
-	InjectedFaults                          int
-	// UnknownJobRequests counts those about jobs that nobody submitted, Refused the answers that
-	// could not be given. Unanswered is the longest that requests about a job
-	// went unanswered.
+	InjectedFaults                  int
+	// UnknownJobRequests counts the requests about jobs that nobody submitted, and Refused those
+	// of them that got no proper answer. LongestUnanswered is the longest time that requests
+	// about a job went unanswered.
 	UnknownJobRequests, Refused int
-	LongestUnanswered         time.Duration
-	Violations         []string
+	LongestUnanswered           time.Duration
+	Violations                  []string
 }
 
 // String returns the figures in a line.
 func (r SoakResult) String() string {
-	return fmt.Sprintf("%d jobs, %d called cancelled, %d tasks started, %d answers to users, %.1f s unanswered at most, %d other questions, %d refused, %d faults, %d violations",
+	return fmt.Sprintf("%d jobs, %d reported as cancelled, %d tasks started, %d answers to users, %.1f s unanswered at most, %d requests about unknown jobs, %d refused, %d faults, %d violations",
 		r.Jobs, r.Cancelled, r.Tasks, r.Answers, r.LongestUnanswered.Seconds(), r.UnknownJobRequests, r.Refused, r.InjectedFaults, len(r.Violations))
 }
 
-// SoakTimes returns the intervals of a soak. They keep about the proportions of the real
-// settings (leases of 4 and 45 s, 70 s to cancel, a heartbeat every 10 s), with the fixed
-// margin of 3 s that the bounds take.
+// SoakTimes returns the intervals of a soak. They have about the proportions of the real settings
+// (leases of 4 and 45 s, 70 s to cancel, a heartbeat every 10 s), plus the fixed margin of 3 s
+// that the bounds include.
 func SoakTimes() ClusterTimes {
 	return ClusterTimes{
 		HeartbeatInterval: time.Second, WorkerLease: 6 * time.Second, CancelTimeout: 13 * time.Second, ControllerLease: time.Second,
@@ -61,7 +62,7 @@
 	}
 }
 
-// RunSoak plays a soak to its end.
+// RunSoak runs a soak to its end and checks it.
 func RunSoak(p SoakPlan) (SoakResult, error) {
 	c, err := NewCluster(ClusterPlan{
 		Seed: p.Seed, Nodes: p.Nodes, Machines: p.Workers, Teams: Teams(),
@@ -80,7 +81,7 @@
 	return s.result(faults), nil
 }
 
-// startUsers starts the users; they are done soon after a time.
+// startUsers starts the users, which stop soon after the given time.
 func (s *soak) startUsers(until time.Time) *sync.WaitGroup {
 	users := &sync.WaitGroup{}
 	for i := range max(s.plan.Workers/workersPerUser, minSoakUsers) {
@@ -92,7 +93,7 @@
 	return users
 }
 
-// injectFaults injects the plan's faults, each at its time, and counts them.
+// injectFaults injects the plan's faults, each at its time, and returns how many there were.
 func (s *soak) injectFaults(began time.Time) (played int) {
 	for i, fault := range s.plan.Faults() {
 		if len(s.plan.OnlyFaults) > 0 && !slices.Contains(s.plan.OnlyFaults, i) {
@@ -105,7 +106,7 @@
 	return played
 }
 
-// result sums a soak up and checks it.
+// result checks a soak and returns its result.
 func (s *soak) result(faults int) SoakResult {
 	now := time.Now()
 	s.mu.Lock()
@@ -122,7 +123,8 @@
 	return r
 }
 
-// cancelledAt returns when jobs were first reported as cancelled. The lock is held.
+// cancelledAt returns when each cancelled job was first reported as cancelled, by job ID. The
+// caller holds the lock.
 func (s *soak) cancelledAt() map[string]time.Time {
 	at := map[string]time.Time{}
 	for _, j := range s.jobs {
--- a/internal/faulttest/soak_faults.go
+++ b/internal/faulttest/soak_faults.go
@@ -13,18 +13,19 @@
 const (
 	// soakSeedStream separates the random numbers of a soak's faults from others of the same seed.
 	soakSeedStream = 11
-	// firstFaultAt is when the first fault may come, faultsEndMargin how long before the end
-	// of a soak the last one may.
+	// firstFaultAt is when the first fault begins, and faultsEndMargin is how long before the
+	// end of a soak the last one may begin.
 	firstFaultAt    = 4 * time.Second
 	faultsEndMargin = 2 * time.Second
-	// ownerKillsInSeries is how many owners end one after the other while machines are rarely reached.
+	// ownerKillsInSeries is how many owners are killed one after the other while machines are
+	// rarely reached.
 	ownerKillsInSeries = 6
 )
 
-// FaultKind is what goes wrong.
+// FaultKind is a kind of fault.
 type FaultKind int
 
-// Kinds of faults. Their order is part of what a seed means.
+// Kinds of faults. A seed selects them by number: in another order it would give other faults.
 const (
 	FaultKill FaultKind = iota
 	FaultKillOwner
@@ -53,12 +54,12 @@
 	return names[k]
 }
 
-// Fault is one thing that goes wrong.
+// Fault is one fault of a soak.
 type Fault struct {
 	At, Duration time.Duration
 	Kind         FaultKind
-	Node, Other  int     // controllers
-	Fraction     float64 // of the machines
+	Node, Other  int     // indexes of controllers
+	Fraction     float64 // of the machines that are affected
 }
 
 // String returns the fault in a line.
@@ -66,15 +67,15 @@
 	return fmt.Sprintf("%5.1f s: %s, node %d, other %d, fraction %.2f, for %.1f s", f.At.Seconds(), f.Kind, f.Node, f.Other, f.Fraction, f.Duration.Seconds())
 }
 
-// faultGenerator draws faults.
+// faultGenerator generates random faults.
 type faultGenerator struct {
 	rng    *rand.Rand
 	nodes  int
 	faults []Fault
 }
 
-// Faults draws what goes wrong, from the seed alone; two or three overlap, and owners end
-// in series.
+// Faults returns the faults of the soak in order of time. The plan alone determines them. Two or
+// three faults overlap, and at times owners are killed one after the other.
 func (p SoakPlan) Faults() []Fault {
 	d := &faultGenerator{rng: rand.New(rand.NewPCG(p.Seed, soakSeedStream)), nodes: p.Nodes}
 	faultFreeTime := SoakTimes().CancelTimeout
@@ -90,7 +91,7 @@
 	return faults
 }
 
-// addOwnerKillSeries ends owners one after the other while machines are rarely reached.
+// addOwnerKillSeries kills owners one after the other while machines are rarely reached.
 func (d *faultGenerator) addOwnerKillSeries(at time.Duration) {
 	d.add(at, FaultMachinesRarelyReached, d.drawDuration(12*time.Second, 24*time.Second))
 	for i := range time.Duration(ownerKillsInSeries) {
@@ -140,7 +141,7 @@
 	}
 }
 
-// nodeWithMostLocks returns the controller that holds the most locks by the state service.
+// nodeWithMostLocks returns the controller that holds the most locks in the state service.
 func (c *Cluster) nodeWithMostLocks() (node int) {
 	var locks map[string]int
 	c.server.Clock.Run(func() { locks = c.server.State.LocksByController() })
--- a/internal/faulttest/soak_faults_test.go
+++ b/internal/faulttest/soak_faults_test.go
@@ -6,14 +6,15 @@
 	"time"
 )
 
-// TestSoakFaults checks that a soak's faults come of its seed alone, and are of every kind.
+// TestSoakFaults checks that a plan always gives the same faults, and that faults of every kind
+// occur.
 func TestSoakFaults(t *testing.T) {
 	kinds := map[FaultKind]int{}
 	for seed := range uint64(20) {
 		p := SoakPlan{Seed: seed, Nodes: 3, Workers: 60, Length: time.Minute}
 		list := p.Faults()
 		if again := p.Faults(); !slices.Equal(list, again) {
-			t.Fatalf("seed %d: two plans differ", seed)
+			t.Fatalf("seed %d: the same plan gives different faults", seed)
 		}
 		for _, fault := range list {
 			kinds[fault.Kind]++
@@ -23,6 +24,6 @@
 		}
 	}
 	if len(kinds) != int(faultKindCount) {
-		t.Errorf("%d kinds of %d", len(kinds), faultKindCount)
+		t.Errorf("%d kinds of faults occur, want %d", len(kinds), faultKindCount)
 	}
 }
--- a/internal/faulttest/soak_users.go
+++ b/internal/faulttest/soak_users.go
@@ -14,47 +14,50 @@
 const (
 	// maxUnanswered is how long requests about a job may go unanswered.
 	maxUnanswered = 75 * time.Second
-	// userRequestTimeout is that of a user's request.
+	// userRequestTimeout is the timeout of a user's request.
 	userRequestTimeout = 2 * time.Second
-	// submitPause is how long a user waits before a submission is repeated.
+	// submitPause is how long a user waits before a submission is retried.
 	submitPause = 200 * time.Millisecond
-	// maxCancelDelay is how long after its submission a job may be cancelled.
+	// maxCancelDelay is the longest time that a user waits before it cancels a submitted job.
 	maxCancelDelay = 15 * time.Second
-	// firstUnknownJob is the number of the first of the jobs that nobody submits.
-	firstUnknownJob      = 800_000
+	// firstUnknownJob is the number of the first of the unknownJobCount jobs that nobody
+	// submits.
+	firstUnknownJob = 800_000
 	unknownJobCount = 100_000
 	// The streams separate the random numbers of users from others of the same seed.
-	unknownJobsSeedStream  = 99
-	firstUserSeedStream  = 100
-	jobNumbersPerUser = 1000
+	// jobNumbersPerUser is how many job numbers each user has.
+	unknownJobsSeedStream = 99
+	firstUserSeedStream   = 100
+	jobNumbersPerUser     = 1000
 )
 
-// soak is a soak that is being played: its cluster and what its users have seen.
+// soak is a running soak: its cluster and what its users have observed.
 type soak struct {
 	cluster *Cluster
 	plan    SoakPlan
 
-	mu         sync.Mutex // guards what follows, and the jobs' fields
+	mu         sync.Mutex // guards the fields below, and the jobs' fields
 	jobs       []*soakJob
 	answers    int
 	violations []string
-	// unknownJobRequests and refused count what askAboutUnknownJobs asked, and what was not answered.
+	// unknownJobRequests counts the requests of requestUnknownJobs, and refused those of them
+	// that got no proper answer.
 	unknownJobRequests, refused int
-	longestUnanswered         time.Duration // the longest
+	longestUnanswered           time.Duration // about a job that was accepted
 }
 
-// soakJob is a job as its user knows it.
+// soakJob is a job as seen by its user.
 type soakJob struct {
 	id              string
 	tasks           int
 	cancelRequested bool
 	finalState      wire.JobState // empty: none was reported
 	cancelledAt     time.Time     // when it was first reported as cancelled
-	answeredAt      time.Time     // when a question about it was last answered, or it was accepted
+	answeredAt      time.Time     // when a request about it was last answered, or it was accepted
 }
 
-// requestUnknownJobs asks all controllers about jobs that nobody submitted, at a pace that
-// does not wait for answers.
+// requestUnknownJobs requests the status of jobs that nobody submitted from all controllers, at a
+// fixed rate that does not depend on the answers.
 func (s *soak) requestUnknownJobs(until time.Time) {
 	r := rand.New(rand.NewPCG(s.plan.Seed, unknownJobsSeedStream))
 	interval := time.Duration(float64(time.Second) / s.plan.UnknownJobRequestRate)
@@ -76,15 +79,15 @@
 	s.unknownJobRequests++
 	switch status {
 	case http.StatusOK:
-		s.addViolationLocked("invented: %s at node %d", id, node)
+		s.addViolationLocked("invented: %s, which nobody submitted, is known at node %d", id, node)
 	case http.StatusNotFound:
 	default:
 		s.refused++
 	}
 }
 
-// runUser submits one job after the other until the end; the user cancels most, asks all
-// controllers within milliseconds, and repeats.
+// runUser is one user, who submits one job after the other until the given time, cancels most of
+// them, and now and then requests a job's status from all controllers within milliseconds, twice.
 func (s *soak) runUser(number int, until time.Time) {
 	r := rand.New(rand.NewPCG(s.plan.Seed, uint64(firstUserSeedStream+number)))
 	for n := 0; time.Now().Before(until); n++ {
@@ -95,7 +98,7 @@
 	}
 }
 
-// trackJob asks about a job, and perhaps cancels it, until it has ended.
+// trackJob requests the status of a job until the job has ended, and may cancel it.
 func (s *soak) trackJob(j *soakJob, r *rand.Rand, until time.Time) {
 	cancelAt := time.Now().Add(time.Duration(r.IntN(int(maxCancelDelay.Milliseconds()))) * time.Millisecond)
 	cancels := r.IntN(4) > 0
@@ -126,7 +129,7 @@
 	j.cancelRequested = true
 }
 
-// submit submits a job until it is accepted, and reports whether it was.
+// submit submits a job, with retries, and reports whether it was accepted.
 func (s *soak) submit(j *soakJob, r *rand.Rand, until time.Time) bool {
 	body, err := wire.Encode(s.cluster.submission(j.id, j.tasks, 20))
 	if err != nil {
@@ -140,7 +143,7 @@
 			s.addJob(j)
 			return true
 		case http.StatusBadRequest, http.StatusUnprocessableEntity:
-			s.addViolation("a good submission of %s got %d", j.id, status)
+			s.addViolation("a valid submission of %s got status %d", j.id, status)
 			return false
 		}
 		s.cluster.pause(submitPause)
@@ -155,7 +158,7 @@
 	s.jobs = append(s.jobs, j)
 }
 
-// send sends one request to a controller. Status 0 is no answer, or none that can be read.
+// send sends one request to a controller. Status 0 means no answer, or one that cannot be decoded.
 func (s *soak) send(node int, method, path string, body []byte) (status int, answer wire.JobAnswer) {
 	msg, err := fakes.RequestOnce(s.cluster.nodes[node].settings.ServeOn, userRequestTimeout, method, path, body)
 	if err != nil {
@@ -169,7 +172,7 @@
 	return msg.Status, answer
 }
 
-// requestFromAll asks all controllers at once, twice.
+// requestFromAll requests a job's status from all controllers twice, within milliseconds.
 func (s *soak) requestFromAll(j *soakJob) {
 	var wait sync.WaitGroup
 	for i := range 2 * len(s.cluster.nodes) {
@@ -181,14 +184,14 @@
 	wait.Wait()
 }
 
-// request asks a controller about a job, or to cancel it, and checks the answer. Only what was
-// reported before the request was sent binds the answer to it.
+// request sends a controller a request for a job's status, or to cancel the job, and checks the
+// answer. The answer has to agree only with what was reported before the request was sent.
 func (s *soak) request(j *soakJob, node int, method, path string) {
 	before := s.finalState(j)
 	status, answer := s.send(node, method, path, nil)
 	switch status {
 	case http.StatusNotFound:
-		s.addViolation("forgotten: %s got 404 from node %d", j.id, node)
+		s.addViolation("forgotten: %s got status 404 from node %d", j.id, node)
 	case http.StatusOK:
 		s.checkAnswer(j, node, before, answer.State)
 	}
@@ -200,19 +203,19 @@
 	return j.finalState
 }
 
-// checkAnswer checks a job's state against the final state that was reported before.
+// checkAnswer checks a job's state in an answer against the final state that was reported before.
 func (s *soak) checkAnswer(j *soakJob, node int, before, state wire.JobState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.answers++
 	s.checkAnswerGap(j, time.Now())
 	if before != "" && state != before {
-		s.addViolationLocked("went_back: %s was %s, node %d calls it %s", j.id, before, node, state)
+		s.addViolationLocked("went_back: %s was %s, node %d reports %s", j.id, before, node, state)
 	}
 	switch state {
 	case wire.StateCancelled:
 		if !j.cancelRequested {
-			s.addViolationLocked("went_back: %s is called cancelled, nobody asked for it", j.id)
+			s.addViolationLocked("went_back: %s is reported as cancelled, but nobody requested that", j.id)
 		}
 		if j.cancelledAt.IsZero() {
 			j.cancelledAt = time.Now()
@@ -223,12 +226,12 @@
 	}
 }
 
-// checkAnswerGap checks how long requests about a job went unanswered. The lock is held.
+// checkAnswerGap checks how long requests about a job went unanswered. The caller holds the lock.
 func (s *soak) checkAnswerGap(j *soakJob, now time.Time) {
 	waited := now.Sub(j.answeredAt)
 	s.longestUnanswered = max(s.longestUnanswered, waited)
 	if waited > maxUnanswered {
-		s.addViolationLocked("forgotten: no question about %s was answered for %.1f s", j.id, waited.Seconds())
+		s.addViolationLocked("forgotten: no request about %s was answered for %.1f s", j.id, waited.Seconds())
 	}
 	j.answeredAt = now
 }
--- a/internal/faulttest/state_faults.go
+++ b/internal/faulttest/state_faults.go
@@ -11,27 +11,28 @@
 )
 
 const (
-	// heldFraction of the requests of a controller that is cut off are carried out after the
-	// cut; the others are lost.
+	// heldFraction of the requests of a controller that is cut off are executed after the cut.
+	// The others are lost.
 	heldFraction = 0.3
-	// lateFraction of transactions are carried out late.
+	// lateFraction of a controller's transactions are executed late during that fault.
 	lateFraction = 0.3
-	// A late transaction is carried out minLateDelay to minLateDelay+lateSpread after it came, and its
-	// connection ends after lateAbort.
-	minLateDelay   = 200 * time.Millisecond
-	lateDelaySpread = 2000 * time.Millisecond
-	lateConnectionTimeout  = 2 * time.Second
+	// A late transaction is executed minLateDelay to minLateDelay+lateDelaySpread after it
+	// arrived. Its connection is closed after lateConnectionTimeout.
+	minLateDelay          = 200 * time.Millisecond
+	lateDelaySpread       = 2000 * time.Millisecond
+	lateConnectionTimeout = 2 * time.Second
 )
 
-// stateFaults are how the state service treats one controller; guarded by the cluster's lock.
+// stateFaults are the faults of the state service that one controller sees, with their ends. The
+// cluster's lock guards them.
 type stateFaults struct {
-	cutUntil        time.Time // no answer; some requests are carried out afterwards
-	refuseUntil     time.Time // 503 for all but watches, which wait
-	refuseJobsUntil time.Time // 429 for reads and watches of jobs
-	delayWritesUntil       time.Time // a part of its transactions is carried out late, without an answer
+	cutUntil         time.Time // no answers; some requests are executed afterwards
+	refuseUntil      time.Time // status 503 for all requests but watches, which wait
+	refuseJobsUntil  time.Time // status 429 for reads and watches of jobs
+	delayWritesUntil time.Time // some transactions are executed late, without an answer
 }
 
-// stateProxy is the state service as one controller reaches it.
+// stateProxy serves the state service to one controller, with that controller's faults.
 type stateProxy struct{ node *node }
 
 func (p *stateProxy) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
@@ -52,7 +53,7 @@
 	}
 }
 
-// refuse answers 503. Watches wait, as in an outage.
+// refuse answers with status 503. Watches wait and get no answer, as in an outage.
 func (p *stateProxy) refuse(rw http.ResponseWriter, r *http.Request, until time.Time) {
 	if strings.HasPrefix(r.URL.Path, wire.PathWatch) {
 		p.node.cluster.pause(time.Until(until))
@@ -61,7 +62,7 @@
 	rw.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// executeLate carries a request out later, and never answers it.
+// executeLate executes a request after a delay, and never answers it.
 func (p *stateProxy) executeLate(r *http.Request) {
 	c := p.node.cluster
 	body, err := io.ReadAll(r.Body)
@@ -76,7 +77,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-// serve passes a request on, unless it is lost, or its answer is.
+// serve passes a request on to the state service, unless the request or its answer is lost.
 func (p *stateProxy) serve(rw http.ResponseWriter, r *http.Request, cutUntil time.Time) {
 	c := p.node.cluster
 	lost := c.plan.LostAnswerFraction > 0 && isTransaction(r) && c.chance(c.plan.LostAnswerFraction)
@@ -103,7 +104,7 @@
 	return ofKey || ofPrefix
 }
 
-// discardResponse is where a lost answer goes.
+// discardResponse is a ResponseWriter that discards a lost answer.
 type discardResponse struct{}
 
 func (discardResponse) Header() http.Header         { return http.Header{} }
--- a/internal/faulttest/task_runs.go
+++ b/internal/faulttest/task_runs.go
@@ -9,19 +9,19 @@
 	"time"
 )
 
-// TaskRun is the time that a task was on a machine.
+// TaskRun is the time during which a task ran on a machine.
 type TaskRun struct {
 	Task, Machine string
-	From, To      time.Time // To is zero while it lasts
+	From, To      time.Time // To is zero while the task runs
 }
 
-// job returns the job that the task is of.
+// job returns the ID of the task's job.
 func (r TaskRun) job() string {
 	job, _, _ := strings.Cut(r.Task, "/")
 	return job
 }
 
-// taskRuns records where tasks were, and when.
+// taskRuns records where and when tasks ran.
 type taskRuns struct {
 	mu   sync.Mutex
 	list []*TaskRun
@@ -35,7 +35,7 @@
 	return run
 }
 
-// end records the end of a run. Only the first end counts; nil is no run.
+// end records the end of a run. Only the first end of a run counts. A nil run is ignored.
 func (r *taskRuns) end(run *TaskRun, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -44,7 +44,7 @@
 	}
 }
 
-// all returns the runs by task and start; those that last end now.
+// all returns the runs in order of task and start. Runs that have not ended get now as their end.
 func (r *taskRuns) all(now time.Time) []TaskRun {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -62,20 +62,20 @@
 	return runs
 }
 
-// CheckTaskRuns finds tasks that ran on for longer than cancel after their job was reported as
-// cancelled, and tasks that started on one machine while they were on another. The runs are
-// by task and start; cancelledAt is by job.
+// CheckTaskRuns describes tasks that ran for longer than cancel after their job was reported as
+// cancelled, and tasks that started on one machine while they ran on another. The runs are in
+// order of task and start; cancelledAt is keyed by job ID.
 func CheckTaskRuns(runs []TaskRun, cancelledAt map[string]time.Time, cancel time.Duration) (violations []string) {
 	for i, run := range runs {
 		if at, ok := cancelledAt[run.job()]; ok && run.To.Sub(at) > cancel {
-			violations = append(violations, fmt.Sprintf("ran_cancelled: %s was on %s until %.1f s after its job was called cancelled", run.Task, run.Machine, run.To.Sub(at).Seconds()))
+			violations = append(violations, fmt.Sprintf("ran_cancelled: %s ran on %s until %.1f s after its job was reported as cancelled", run.Task, run.Machine, run.To.Sub(at).Seconds()))
 		}
 		for _, later := range runs[i+1:] {
 			if later.Task != run.Task {
 				break
 			}
 			if later.Machine != run.Machine && later.From.Before(run.To) {
-				violations = append(violations, fmt.Sprintf("ran_twice: %s started on %s while it was on %s for another %.1f s", run.Task, later.Machine, run.Machine, run.To.Sub(later.From).Seconds()))
+				violations = append(violations, fmt.Sprintf("ran_twice: %s started on %s while it ran on %s for another %.1f s", run.Task, later.Machine, run.Machine, run.To.Sub(later.From).Seconds()))
 			}
 		}
 	}
--- a/internal/measure/cluster.go
+++ b/internal/measure/cluster.go
@@ -7,13 +7,13 @@
 	"garnethitch/internal/faulttest"
 )
 
-// clusterCommand runs a cluster to try the command line on.
+// clusterCommand runs a cluster on which the command line can be tried.
 type clusterCommand struct {
 	Nodes int           `default:"3" help:"Controllers."`
 	For   time.Duration `default:"1m" help:"How long it runs."`
 }
 
-// Run prints the controllers' internal addresses, and submits work until the end.
+// Run prints the controllers' internal addresses, and submits jobs until the time is over.
 func (c *clusterCommand) Run() error {
 	cluster, err := faulttest.NewCluster(faulttest.ClusterPlan{
 		Seed: 1, Nodes: c.Nodes, Machines: 24, Teams: faulttest.Teams(), Groups: faulttest.GrantGroups(),
--- a/internal/measure/digest.go
+++ b/internal/measure/digest.go
@@ -7,15 +7,14 @@
 	"garnethitch/internal/simulation"
 )
 
-// digestCommand plays the plans of the simulation's rules and prints a hash of all
-// messages of each run.
+// digestCommand runs the simulation's rule plans and prints a hash of all messages of each run.
 type digestCommand struct {
 	Seeds    int    `help:"How many seeds of each plan; 0: two, and one of plans with hundreds of machines."`
 	Plan     string `help:"Only plans whose names contain this."`
 	Parallel int    `default:"4" help:"How many runs at a time."`
 }
 
-// Run plays the plans and prints one line per run, in an order that is always the same.
+// Run runs the plans and prints one line per run, in a deterministic order.
 func (d *digestCommand) Run() error {
 	runs := digest.Runs(simulation.RulePlans(), d.Plan, d.Seeds)
 	if len(runs) == 0 {
--- a/internal/measure/grants.go
+++ b/internal/measure/grants.go
@@ -7,7 +7,7 @@
 	"garnethitch/internal/faulttest"
 )
 
-// grantsCommand plays many seeds of concurrent grants.
+// grantsCommand tests concurrent grants with many seeds.
 type grantsCommand struct {
 	Seed     uint64 `default:"1" help:"The first seed."`
 	Seeds    int    `default:"50" help:"How many seeds."`
@@ -16,14 +16,14 @@
 	Calm     bool   `help:"No faults, and limits that stay."`
 }
 
-// Run plays the seeds; an overshoot is an error.
+// Run runs the seeds and prints their figures. It returns an error if a limit is exceeded.
 func (g *grantsCommand) Run() error {
-	play := func(seed uint64) (faulttest.GrantsResult, error) {
+	run := func(seed uint64) (faulttest.GrantsResult, error) {
 		return faulttest.RunGrants(faulttest.GrantsPlan{Seed: seed, Nodes: nodesFor(seed), MinGrants: g.Grants, Timeout: 3 * time.Minute, Faults: !g.Calm})
 	}
 	var sum faulttest.GrantsResult
 	var rates, inForce []float64
-	err := runSeeds(seedsFrom(g.Seed, g.Seeds), g.Parallel, play, func(seed uint64, r faulttest.GrantsResult) {
+	err := runSeeds(seedsFrom(g.Seed, g.Seeds), g.Parallel, run, func(seed uint64, r faulttest.GrantsResult) {
 		fmt.Printf("seed %d: %s\n", seed, r)
 		for _, line := range r.Overshoots {
 			fmt.Printf("seed %d: overshoot: %s\n", seed, line)
--- a/internal/measure/main.go
+++ b/internal/measure/main.go
@@ -35,9 +35,9 @@
 	}
 }
 
-// summary are the summary of samples.
+// summary holds the number, the median, the 99th percentile and the maximum of samples.
 type summary struct {
-	count             int
+	count            int
 	median, p99, max float64
 }
 
@@ -46,10 +46,10 @@
 		return summary{median: math.NaN(), p99: math.NaN(), max: math.NaN()}
 	}
 	s := slices.Sorted(slices.Values(samples))
-	at := func(part float64) float64 { return s[int(part*float64(len(s)-1)+0.5)] }
-	return summary{len(s), at(0.5), at(0.99), s[len(s)-1]}
+	quantile := func(q float64) float64 { return s[int(q*float64(len(s)-1)+0.5)] }
+	return summary{len(s), quantile(0.5), quantile(0.99), s[len(s)-1]}
 }
 
 func (f summary) String() string {
-	return fmt.Sprintf("%d samples, median %.3g, 99 in 100 %.3g, most %.3g", f.count, f.median, f.p99, f.max)
+	return fmt.Sprintf("%d samples, median %.3g, p99 %.3g, max %.3g", f.count, f.median, f.p99, f.max)
 }
--- a/internal/measure/quota.go
+++ b/internal/measure/quota.go
@@ -9,18 +9,19 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// quotaCommand compares three ways to keep a limit across controllers, in a simulation
-// with full demand: allowances (package quota), one owner that all ask, a write per grant.
+// quotaCommand compares three ways to enforce a limit across controllers, in a simulation with
+// full demand: allowances (package quota), one owner that grants for all controllers, and a write
+// per grant.
 type quotaCommand struct {
 	Seed    uint64 `default:"1" help:"The first seed."`
 	Repeats int    `default:"9" help:"Seeds, for the noise."`
 	Plot    string `default:"docs/img/quota.png" help:"Where the plot goes."`
 }
 
-// comparedMechanism is a mechanism with its line in the plot.
+// comparedMechanism is a mechanism with its name and its color in the plot.
 type comparedMechanism struct {
-	name string
-	new  func(*quotaRun) mechanism
+	name  string
+	new   func(*quotaRun) mechanism
 	color color.Color
 }
 
@@ -32,7 +33,7 @@
 	}
 }
 
-// Run plays the mechanisms, prints their figures and saves the plot of the first seed.
+// Run simulates the mechanisms, prints their figures and saves the plot of the first seed.
 func (q *quotaCommand) Run() error {
 	chart := newChart()
 	for _, m := range comparedMechanisms() {
@@ -53,7 +54,7 @@
 
 func newChart() *plot.Plot {
 	chart := plot.New()
-	chart.Title.Text = "CPUs used of a limit of 300, lowered to 150 at 80 s; a controller ends from 40 to 46 s"
+	chart.Title.Text = "CPUs used of a limit of 300, lowered to 150 at 80 s; a controller is down from 40 to 46 s"
 	chart.X.Label.Text = "seconds"
 	chart.Y.Label.Text = "CPUs used"
 	chart.Y.Min = 0
@@ -61,8 +62,8 @@
 	return chart
 }
 
-// compare plays a mechanism with each seed, prints its figures, and returns the CPUs in use
-// with the first.
+// compare simulates a mechanism with each seed, prints its figures, and returns the CPUs in use
+// with the first seed.
 func (q *quotaCommand) compare(m comparedMechanism) (first plotter.XYs) {
 	var rate, writes, unused, longestStall, inForce, inForceCut []float64
 	for i := range q.Repeats {
@@ -83,7 +84,7 @@
 			first = run.usage
 		}
 	}
-	fmt.Printf("%s\n  grants a second: %s\n  writes per thousand grants: %s\n  unused of the limit, in 100: %s\n  longest without a grant, s: %s\n  announced to in force, s: %s\n  the same, one controller cut off for %g s: %s\n",
+	fmt.Printf("%s\n  grants a second: %s\n  writes per thousand grants: %s\n  unused part of the limit, percent: %s\n  longest time without a grant, s: %s\n  announced to in force, s: %s\n  the same, one controller cut off for %g s: %s\n",
 		m.name, summarize(rate), summarize(writes), summarize(unused), summarize(longestStall), summarize(inForce), cutDuration.Seconds(), summarize(inForceCut))
 	return first
 }
--- a/internal/measure/quota_mechanisms.go
+++ b/internal/measure/quota_mechanisms.go
@@ -5,8 +5,9 @@
 	"garnethitch/quota"
 )
 
-// How long messages and writes take, and how long a controller of writePerGrant waits until its
-// next write: idle without one, unreachable without the store, refused beyond the store's rate.
+// Durations of messages and writes, and pauses of a writePerGrant controller before its next
+// write: idle if it had nothing to write, unreachable if it did not reach the store, refused if it
+// exceeded the store's write rate.
 const (
 	shortestMessage  = ms
 	longestMessage   = 4 * ms
@@ -18,23 +19,23 @@
 	refusedPauseTo   = 60 * ms
 )
 
-// mechanism is one way to keep a limit.
+// mechanism is one way to enforce a limit.
 type mechanism interface {
-	// request asks for a start by a controller; start is called if and when it is granted.
+	// request asks to start a task at a controller; start is called if and when that is granted.
 	request(node int, start func())
-	// taskEnded is called when a task has taskEnded.
+	// taskEnded is called when a task has ended.
 	taskEnded(node int)
-	// controllerReplaced is called when the controller that had ended is replaced.
+	// controllerReplaced is called when the controller that was down has been replaced.
 	controllerReplaced()
 	// lowerLimit lowers the limit.
 	lowerLimit(limit float64)
-	// inForce reports whether the limit that was lowered to holds.
+	// inForce reports whether the lowered limit is in force.
 	inForce() bool
 	// writes returns how many writes the mechanism has made.
 	writes() int
 }
 
-// oneOwner has controller 0 count for all; the others ask it.
+// oneOwner has controller 0 count the tasks of all controllers. The others ask it for grants.
 type oneOwner struct {
 	run   *quotaRun
 	limit float64
@@ -71,15 +72,15 @@
 func (o *oneOwner) inForce() bool            { return o.used <= o.limit }
 func (o *oneOwner) writes() int              { return 0 }
 
-// writePerGrant makes each start and end a conditional write of one record.
+// writePerGrant records starts and ends by conditional writes of one record.
 type writePerGrant struct {
-	run    *quotaRun
-	limit  float64
-	used   float64
+	run         *quotaRun
+	limit       float64
+	used        float64
 	writeCount  int
-	queues [controllers][]func()
-	pendingEnds   [controllers]int
-	writing   [controllers]bool
+	queues      [controllers][]func()
+	pendingEnds [controllers]int
+	writing     [controllers]bool
 }
 
 func (w *writePerGrant) request(node int, start func()) {
@@ -92,7 +93,7 @@
 	w.write(node)
 }
 
-// write sends the next write of a controller, unless one is under way.
+// write sends the next write of a controller, unless one is in flight.
 func (w *writePerGrant) write(node int) {
 	if w.writing[node] {
 		return
@@ -105,8 +106,8 @@
 	})
 }
 
-// commit carries a controller's write out, if it has one and the store takes it: ends together,
-// starts one by one. It returns how long to wait until the next.
+// commit executes a controller's write if there is one and the store accepts it. All pending ends
+// share a write, and each start has a separate one. It returns the pause before the next write.
 func (w *writePerGrant) commit(node int) (pause micros.Micros) {
 	mayStart := len(w.queues[node]) > 0 && w.used < w.limit
 	switch {
@@ -136,12 +137,12 @@
 func (w *writePerGrant) inForce() bool            { return w.used <= w.limit }
 func (w *writePerGrant) writes() int              { return w.writeCount }
 
-// allowances is package quota over a simulated store.
+// allowances enforces the limit by package quota, over a simulated store.
 type allowances struct {
 	run         *quotaRun
-	record         quota.Record
+	record      quota.Record
 	modRevision uint64
-	writeCount       int
+	writeCount  int
 	ledgers     [controllers]*quota.Ledger
 	queues      [controllers][]func()
 	used        [controllers]float64
@@ -172,7 +173,7 @@
 	a.grant(node)
 }
 
-// grant starts what waits at a controller, up to its allowance.
+// grant starts the tasks that wait at a controller, up to its allowance.
 func (a *allowances) grant(node int) {
 	for a.run.downNode != node && len(a.queues[node]) > 0 && a.used[node] < a.ledgers[node].Allowed(node, group).CPUs {
 		start := a.queues[node][0]
@@ -183,7 +184,7 @@
 	}
 }
 
-// reportUsage gives a controller's ledger the usage, and repeats that four times a second.
+// reportUsage passes a controller's usage to its ledger, four times a second.
 func (a *allowances) reportUsage(node int) {
 	a.run.after(250*ms, func() { a.reportUsage(node) })
 	if a.run.downNode == node {
@@ -196,7 +197,7 @@
 	a.step(node, quota.Used{Shard: node, Groups: a.ledgers[node].Claims(node, true, []quota.TeamDemand{team})})
 }
 
-// step gives a controller's ledger an input, and carries out what it asks for.
+// step passes an input to a controller's ledger and executes the reads and writes that it returns.
 func (a *allowances) step(node int, in quota.Input) {
 	now := quota.Instant{Steady: a.run.now, WallMS: a.run.now.Millis()}
 	for _, e := range a.ledgers[node].Step(now, in) {
@@ -230,7 +231,8 @@
 	})
 }
 
-// deliver brings the record by a read or a watch.
+// deliver passes the record to a controller with the delay of a read or a watch. It retries while
+// the controller is down or cut off.
 func (a *allowances) deliver(node int) {
 	rec, modRevision := a.record, a.modRevision
 	a.run.after(a.run.between(5*ms, 100*ms), func() {
--- a/internal/measure/quota_run.go
+++ b/internal/measure/quota_run.go
@@ -14,50 +14,50 @@
 	sec = micros.Second
 )
 
-// What all runs have in common.
+// Parameters that all runs share.
 const (
-	controllers = 3
-	initialLimit = 300.0
-	loweredLimit  = 150.0
-	meanTaskDuration    = 4 * sec
-	// writeRate is the store's, for all controllers together.
-	writeRate    = 40.0
-	ownerFailsAt  = 40 * sec // and is replaced after failoverTime
-	failoverTime = 6 * sec
-	limitLoweredAt      = 80 * sec
-	cutDuration       = 10 * sec
-	runLength    = 120 * sec
+	controllers      = 3
+	initialLimit     = 300.0
+	loweredLimit     = 150.0
+	meanTaskDuration = 4 * sec
+	// writeRate is the store's limit of writes per second, for all controllers together.
+	writeRate      = 40.0
+	ownerFailsAt   = 40 * sec // the owner is replaced after failoverTime
+	failoverTime   = 6 * sec
+	limitLoweredAt = 80 * sec
+	cutDuration    = 10 * sec
+	runLength      = 120 * sec
 )
 
-// quotaRun is one run of a mechanism.
+// quotaRun is one simulated run of a mechanism.
 type quotaRun struct {
-	rng       *rand.Rand
-	now       micros.Micros
-	queue     eventqueue.Queue
-	mechanism mechanism
-	running   [controllers]int
-	downNode      int           // the controller that has ended; -1: none
-	cutNode       int           // the one that does not reach the store; -1: none
-	writeTokens    float64       // of the store's write budget
-	tokensUpdatedAt    micros.Micros // when they were last added to
-	grants    int
-	unusedFractions    []float64
-	longestStall   micros.Micros // the longest without a grant
-	lastGrantAt    micros.Micros
-	enforcedAt   micros.Micros // when the lowered limit was in force; 0: not yet
-	usage    plotter.XYs
+	rng             *rand.Rand
+	now             micros.Micros
+	queue           eventqueue.Queue
+	mechanism       mechanism
+	running         [controllers]int
+	downNode        int           // the controller that is down; -1: none
+	cutNode         int           // the controller that cannot reach the store; -1: none
+	writeTokens     float64       // of the store's limit of writes
+	tokensUpdatedAt micros.Micros // when tokens were last added
+	grants          int
+	unusedFractions []float64
+	longestStall    micros.Micros // longest time without a grant
+	lastGrantAt     micros.Micros
+	enforcedAt      micros.Micros // when the lowered limit was in force; 0: not yet
+	usage           plotter.XYs
 }
 
 func (r *quotaRun) after(d micros.Micros, f func()) {
 	r.queue.Add(r.now+d, f)
 }
 
-// between draws a duration.
+// between returns a random duration; both bounds are included.
 func (r *quotaRun) between(from, to micros.Micros) micros.Micros {
 	return from + micros.Micros(r.rng.Int64N(int64(to-from)+1))
 }
 
-// takeWriteToken reports whether the store takes a write now, and counts it.
+// takeWriteToken reports whether the store accepts a write now, and consumes a token if it does.
 func (r *quotaRun) takeWriteToken() bool {
 	r.writeTokens = min(writeRate, r.writeTokens+writeRate*(r.now-r.tokensUpdatedAt).Seconds())
 	r.tokensUpdatedAt = r.now
@@ -68,10 +68,11 @@
 	return true
 }
 
-// requestsPerController keeps work waiting at every controller.
+// requestsPerController is how many requests each controller has at a time; with so many, tasks
+// always wait at every controller.
 const requestsPerController = 400
 
-// request asks for a task by a controller, and for the next once it has ended.
+// request asks to start a task at a controller, and asks again when that task has ended.
 func (r *quotaRun) request(node int) {
 	r.mechanism.request(node, func() {
 		r.running[node]++
@@ -102,7 +103,8 @@
 	}
 }
 
-// simulate runs a mechanism; cut: a controller is cut off just before the limit is lowered.
+// simulate runs the mechanism for runLength. If cut is set, a controller is cut off just before
+// the limit is lowered.
 func (r *quotaRun) simulate(cut bool) {
 	for range requestsPerController {
 		for node := range controllers {
@@ -122,7 +124,7 @@
 	r.after(limitLoweredAt, func() { r.mechanism.lowerLimit(loweredLimit) })
 	for r.now < runLength {
 		var f func()
-		r.now, f = r.queue.Take() // there is always a sample to take
+		r.now, f = r.queue.Take() // the queue always holds the next sample
 		f()
 	}
 }
@@ -133,7 +135,8 @@
 	return r
 }
 
-// enforcementDelay returns how long a lowered limit took to hold, in seconds.
+// enforcementDelay returns how long the lowered limit took to come into force, in seconds; if it
+// did not, the time until the end of the run.
 func enforcementDelay(r *quotaRun) float64 {
 	if r.enforcedAt == 0 {
 		return (runLength - limitLoweredAt).Seconds()
--- a/internal/measure/seeds.go
+++ b/internal/measure/seeds.go
@@ -10,12 +10,12 @@
 	return seeds
 }
 
-// nodesFor returns how many controllers a seed is played with by default.
+// nodesFor returns the default number of controllers for a seed.
 func nodesFor(seed uint64) int { return []int{3, 2, 5}[seed%3] }
 
-// runSeeds plays seeds, at most parallel at a time, and calls each with every result as soon as
-// there is one. It returns the first error.
-func runSeeds[T any](seeds []uint64, parallel int, play func(seed uint64) (T, error), each func(seed uint64, result T)) error {
+// runSeeds calls run for each seed, with at most parallel calls at a time, and calls handle with
+// each result as soon as there is one. It returns the first error.
+func runSeeds[T any](seeds []uint64, parallel int, run func(seed uint64) (T, error), handle func(seed uint64, result T)) error {
 	type outcome struct {
 		seed   uint64
 		result T
@@ -29,7 +29,7 @@
 	for range max(parallel, 1) {
 		go func() {
 			for seed := range todo {
-				result, err := play(seed)
+				result, err := run(seed)
 				done <- outcome{seed, result, err}
 			}
 		}()
@@ -39,7 +39,7 @@
 		if o.err != nil {
 			return fmt.Errorf("seed %d: %w", o.seed, o.err)
 		}
-		each(o.seed, o.result)
+		handle(o.seed, o.result)
 	}
 	return nil
 }
--- a/internal/measure/size.go
+++ b/internal/measure/size.go
@@ -8,7 +8,7 @@
 	"garnethitch/internal/simulation"
 )
 
-// sizeCommand plays the simulation at production size, beyond what fits into the tests.
+// sizeCommand runs the simulation at production size, which takes too long for the tests.
 type sizeCommand struct {
 	Seeds     int           `default:"4" help:"How many seeds."`
 	First     uint64        `default:"1" help:"The first seed."`
@@ -21,7 +21,7 @@
 	Fleet     bool          `help:"Faults that hit many machines or all controllers at a time, too."`
 }
 
-// Run plays the seeds; a broken rule is an error.
+// Run runs the simulation for each seed. It returns an error if a rule is violated.
 func (s *sizeCommand) Run() error {
 	violations := 0
 	for _, seed := range seedsFrom(s.First, s.Seeds) {
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// plan returns what a seed is played with.
+// plan returns the plan of a seed's run.
 func (s *sizeCommand) plan(seed uint64) simulation.Plan {
 	return simulation.Plan{
 		Seed: seed, Nodes: 3, Machines: s.Machines, InitialMachines: s.Machines, Jobs: s.Machines / 8, Large: true, StaleJobs: true,
@@ -47,7 +47,7 @@
 
 // print prints the figures and the violations of a run.
 func (s *sizeCommand) print(seed uint64, sim *simulation.Simulation) {
-	fmt.Printf("seed %d: %d tasks started, %d restarts, %d episodes of old knowledge, %d violations\n", seed, sim.Started, sim.Restarts, sim.StaleEpisodes, len(sim.Violations))
+	fmt.Printf("seed %d: %d tasks started, %d restarts, %d episodes of stale knowledge, %d violations\n", seed, sim.Started, sim.Restarts, sim.StaleEpisodes, len(sim.Violations))
 	if s.Questions > 0 {
 		fmt.Printf("seed %d: %d status requests at all controllers, %d answers refused\n", seed, sim.StatusRequests, sim.RefusedRequests)
 	}
--- a/internal/measure/soak.go
+++ b/internal/measure/soak.go
@@ -11,7 +11,7 @@
 	"garnethitch/internal/faulttest"
 )
 
-// soakCommand plays soaks of real processes.
+// soakCommand runs soaks of real processes.
 type soakCommand struct {
 	Seeds     int     `default:"50" help:"How many seeds."`
 	First     uint64  `default:"1" help:"The first seed."`
@@ -29,7 +29,8 @@
 	Plan      bool    `help:"Print the faults and stop."`
 }
 
-// Run plays the seeds, or prints their faults; a violation is an error.
+// Run runs a soak for each seed, or prints its faults. It returns an error if a soak has a
+// violation.
 func (s *soakCommand) Run() error {
 	seeds := []uint64{s.Seed}
 	if s.Seed == 0 {
@@ -54,7 +55,7 @@
 	}
 }
 
-// runAll plays seeds and prints their figures; a violation is an error.
+// runAll runs soaks and prints their figures. It returns an error if a soak has a violation.
 func (s *soakCommand) runAll(seeds []uint64) error {
 	violations := 0
 	cancelled := 0
@@ -71,14 +72,14 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%d seeds of %.1f minutes, %d workers: %d jobs called cancelled, %d tasks started, %d violations; logs in %s\n", len(seeds), s.Minutes, s.Workers, cancelled, tasks, violations, s.Dir)
+	fmt.Printf("%d seeds of %.1f minutes, %d workers: %d jobs reported as cancelled, %d tasks started, %d violations; logs in %s\n", len(seeds), s.Minutes, s.Workers, cancelled, tasks, violations, s.Dir)
 	if violations > 0 {
 		return fmt.Errorf("%d violations", violations)
 	}
 	return nil
 }
 
-// plan returns what a seed is played with.
+// plan returns the plan of a seed's soak.
 func (s *soakCommand) plan(seed uint64) faulttest.SoakPlan {
 	return faulttest.SoakPlan{
 		Seed: seed, Nodes: cmp.Or(s.Nodes, nodesFor(seed)), Workers: s.Workers, Length: time.Duration(s.Minutes * float64(time.Minute)),
@@ -87,7 +88,8 @@
 	}
 }
 
-// runSeed plays one seed; what an earlier runSeed left in its directory goes.
+// runSeed runs the soak of one seed. It first deletes what an earlier run left in the seed's
+// directory.
 func (s *soakCommand) runSeed(seed uint64) (faulttest.SoakResult, error) {
 	p := s.plan(seed)
 	if err := os.RemoveAll(p.Dir); err != nil {
@@ -99,7 +101,7 @@
 	return faulttest.RunSoak(p)
 }
 
-// build builds the program that is to be tried, unless one was named.
+// build builds the controller's program unless Binary names one.
 func (s *soakCommand) build() error {
 	if s.Binary != "" {
 		return nil
