--- a/internal/faulttest/cluster.go
+++ b/internal/faulttest/cluster.go
@@ -44,7 +44,7 @@
 	nodes         []*node
 	ctx           context.Context
 	stop          context.CancelFunc
-	wait          sync.WaitGroup
+	goroutines    sync.WaitGroup
 	taskRuns      taskRuns
 	links         []*link // between controllers that run as processes
 
@@ -131,9 +131,9 @@
 
 // start starts the services, the controllers and the workers.
 func (c *Cluster) start() {
-	c.wait.Add(1)
+	c.goroutines.Add(1)
 	go func() {
-		defer c.wait.Done()
+		defer c.goroutines.Done()
 		c.server.RunDueEvents(serverTick, c.pause)
 	}()
 	for _, n := range c.nodes {
@@ -141,7 +141,7 @@
 	}
 	for _, m := range c.machines {
 		m.connect(c.nodes)
-		c.wait.Add(1)
+		c.goroutines.Add(1)
 		go m.run()
 	}
 }
@@ -166,7 +166,7 @@
 		n.end()
 	}
 	c.stop()
-	c.wait.Wait()
+	c.goroutines.Wait()
 }
 
 // pause waits for d, or until the cluster stops, and reports whether the cluster still runs.
--- a/internal/faulttest/history.go
+++ b/internal/faulttest/history.go
@@ -10,9 +10,9 @@
 
 // HistoryEvent is the start or the end of a task, or a quota group's record that was stored.
 type HistoryEvent struct {
-	At   time.Duration
-	Team string  // of a task
-	CPUs float64 // of a task: positive at its start, negative at its end
+	At   time.Duration // since the cluster's clock began
+	Team string        // of a task
+	CPUs float64       // of a task: positive at its start, negative at its end
 	// Group is the name of the group whose record was stored; empty if the event is about a task.
 	Group       string
 	Record      quota.Record
--- a/internal/faulttest/machine.go
+++ b/internal/faulttest/machine.go
@@ -113,7 +113,7 @@
 
 // run sends heartbeats until the cluster stops, and ends the tasks when the lease expires.
 func (m *machine) run() {
-	defer m.cluster.wait.Done()
+	defer m.cluster.goroutines.Done()
 	for m.cluster.ctx.Err() == nil {
 		m.waitWhileHung()
 		m.mu.Lock()
--- a/internal/faulttest/node.go
+++ b/internal/faulttest/node.go
@@ -27,7 +27,7 @@
 // Parameters of the controllers' loopback addresses. The process ID selects the second and third
 // byte, and the cluster's number selects the ports.
 const (
-	firstSecondByte  = 32
+	minSecondByte    = 32
 	secondByteValues = 200
 	thirdByteValues  = 250
 	firstPort        = 18080
@@ -122,7 +122,7 @@
 // it may receive requests from the workers of another cluster.
 func (c *Cluster) uniqueAddress(node, listener int) string {
 	pid := os.Getpid()
-	second := firstSecondByte + pid%secondByteValues
+	second := minSecondByte + pid%secondByteValues
 	third := 1 + pid/secondByteValues%thirdByteValues
 	port := firstPort + listenersPerNode*int(c.number%clusterPortSlots) + listener
 	return fmt.Sprintf("127.%d.%d.%d:%d", second, third, node+1, port)
