--- a/internal/measure/quota_run.go
+++ b/internal/measure/quota_run.go
@@ -41,11 +41,11 @@
 	writeTokens     float64       // of the store's limit of writes
 	tokensUpdatedAt micros.Micros // when tokens were last added
 	grants          int
-	unusedFractions []float64
+	unusedFractions []float64     // of the limit, one for each sample
 	longestStall    micros.Micros // longest time without a grant
 	lastGrantAt     micros.Micros
 	enforcedAt      micros.Micros // when the lowered limit was in force; 0: not yet
-	usage           plotter.XYs
+	usage           plotter.XYs   // CPUs in use, one point for each sample
 }
 
 func (r *quotaRun) after(d micros.Micros, f func()) {
