--- a/internal/fakes/world.go
+++ b/internal/fakes/world.go
@@ -14,67 +14,68 @@
 	"garnethitch/internal/wire"
 )
 
-// World is all that one real controller talks to, in real time on the loopback: the services of
-// a Server, the workers of its fleet and a user. It is driven by lines of text, so that it can
-// run in a process of its own, and the processor time and the system calls of the controller's
-// process are the controller's alone.
-type World struct {
-	server       *Server
-	workers      []*loadWorker
-	workerByHost map[string]*loadWorker
-	port         string // of the server and of all workers
-	controller   string // its address
-	user         *Connection
-	laneUsers    []*Connection // one for each lane
-	jobs         int           // submitted so far
+// LoadHarness provides everything that one real controller talks to, in real time on the loopback
+// interface: the services of a Server, the workers of its fleet and a user. Text commands drive
+// it, so that it can run in a separate process. The CPU time and the system calls of the
+// controller's process are then the controller's alone.
+type LoadHarness struct {
+	server            *Server
+	workers           []*loadWorker
+	workerByHost      map[string]*loadWorker
+	port              string // of the server and of all workers
+	controllerAddress string
+	submitConnection  *Connection
+	statusConnections []*Connection // one for each sender
+	submittedJobs     int
 }
 
 const (
-	// lanes is how many requests of a load are under way at a time.
-	lanes = 8
-	// worldValueBytes and worldTxnOps are what the world's state service takes.
-	worldValueBytes = 64 << 10
-	worldTxnOps     = 8
-	// worldTick is how often due events are run.
-	worldTick = 20 * time.Millisecond
-	// pacedPause is the pause between heartbeats of the command "apart".
-	pacedPause = 5 * time.Millisecond
+	// parallelRequests is how many senders a load has, each with one request in flight.
+	parallelRequests = 8
+	// maxValueBytes and maxTxnOps are limits of the state service.
+	maxValueBytes = 64 << 10
+	maxTxnOps     = 8
+	// eventInterval is how often the due events of the services run.
+	eventInterval = 20 * time.Millisecond
+	// heartbeatPause is the pause between heartbeats of the command "apart".
+	heartbeatPause = 5 * time.Millisecond
 )
 
-var errUsage = errors.New("wrong number of words")
+var errUsage = errors.New("wrong number of arguments")
 
-// ServeWorld reads commands from in until it ends, and answers each on out with "ok", unless
-// something else is said here, or "failed:" and the reason:
+// ServeLoadHarness reads commands from in until it ends. It answers each command on out with "ok",
+// or with "failed: " and the reason. "machines" answers with the address of the services instead
+// of "ok". The commands are:
 //
-//	machines N ADDR   a fleet of N and the controller's address; answers "at ADDR"
-//	ready             waits until the controller says so
-//	job N             submits an array of N tasks
-//	reports N         N heartbeats that say nothing new, over all machines in turn
-//	apart N           the same, one at a time with pauses
-//	turns N           N heartbeats, each with a task's end
-//	polls N           N requests for the status of the last job
-//	jobs N            N submissions of one task each
-func ServeWorld(in io.Reader, out io.Writer) error {
-	w := &World{
-		server:       NewServer(StateLimits{ValueBytes: worldValueBytes, TxnOps: worldTxnOps}),
+//	machines N ADDR   create a fleet of N machines for the controller at ADDR; answers "at ADDR"
+//	ready             wait until the controller reports that it is ready
+//	job N             submit a job of N tasks
+//	reports N         send N unchanged heartbeats, from all machines in turn
+//	apart N           the same, one heartbeat at a time with pauses
+//	turns N           send N heartbeats, each with the end of a running task
+//	polls N           send N requests for the status of the last job
+//	jobs N            submit N jobs of one task each
+func ServeLoadHarness(in io.Reader, out io.Writer) error {
+	w := &LoadHarness{
+		server:       NewServer(StateLimits{ValueBytes: maxValueBytes, TxnOps: maxTxnOps}),
 		workerByHost: map[string]*loadWorker{},
 	}
 	listener, err := net.Listen("tcp4", "0.0.0.0:0")
 	if err != nil {
-		return fmt.Errorf("fake world: %w", err)
+		return fmt.Errorf("load harness: %w", err)
 	}
 	defer listener.Close()
 	_, w.port, _ = net.SplitHostPort(listener.Addr().String())
 	go func() { _ = http.Serve(listener, w) }()
-	go w.server.KeepTime(worldTick, func(d time.Duration) bool {
+	go w.server.RunDueEvents(eventInterval, func(d time.Duration) bool {
 		time.Sleep(d)
 		return true
 	})
 	return w.serveCommands(in, out)
 }
 
-// serveCommands carries out one line after the other.
-func (w *World) serveCommands(in io.Reader, out io.Writer) error {
+// serveCommands executes the commands in order and writes their answers.
+func (w *LoadHarness) serveCommands(in io.Reader, out io.Writer) error {
 	lines := bufio.NewScanner(in)
 	for lines.Scan() {
 		words := strings.Fields(lines.Text())
@@ -86,14 +87,14 @@
 			answer = "failed: " + err.Error()
 		}
 		if _, err := fmt.Fprintln(out, answer); err != nil {
-			return fmt.Errorf("fake world: %w", err)
+			return fmt.Errorf("load harness: %w", err)
 		}
 	}
 	return nil
 }
 
-// execute carries out one command line and returns the answer to it.
-func (w *World) execute(name string, arguments []string) (answer string, err error) {
+// execute executes one command and returns the answer to it.
+func (w *LoadHarness) execute(name string, arguments []string) (answer string, err error) {
 	if name == "machines" {
 		return w.startFleet(arguments)
 	}
@@ -101,28 +102,28 @@
 	if len(arguments) > 0 {
 		count, _ = strconv.Atoi(arguments[0])
 	}
-	command := w.commands()[name]
+	command := w.countCommands()[name]
 	if command == nil {
 		return "", fmt.Errorf("unknown command %q", name)
 	}
 	return "ok", command(count)
 }
 
-// commands returns the commands that are about a count.
-func (w *World) commands() map[string]func(count int) error {
+// countCommands returns the commands whose argument is a count, and "ready", which has none.
+func (w *LoadHarness) countCommands() map[string]func(count int) error {
 	return map[string]func(count int) error{
 		"ready":   func(int) error { return w.awaitReady() },
-		"job":     func(tasks int) error { return w.submit(NewConnection(w.controller, 0), tasks) },
+		"job":     func(tasks int) error { return w.submit(NewConnection(w.controllerAddress, 0), tasks) },
 		"reports": w.sendHeartbeats,
 		"apart":   w.sendPacedHeartbeats,
-		"turns":   w.endTasks,
+		"turns":   w.sendTaskEnds,
 		"polls":   w.requestStatus,
 		"jobs":    w.submitJobs,
 	}
 }
 
-// startFleet begins a fleet, given its size and the controller's address.
-func (w *World) startFleet(arguments []string) (answer string, err error) {
+// startFleet creates the fleet. The arguments are its size and the controller's address.
+func (w *LoadHarness) startFleet(arguments []string) (answer string, err error) {
 	if len(arguments) != 2 {
 		return "", errUsage
 	}
@@ -130,10 +131,10 @@
 	if err != nil {
 		return "", err
 	}
-	w.controller = arguments[1]
-	w.user = NewConnection(w.controller, 0)
-	for range lanes {
-		w.laneUsers = append(w.laneUsers, NewConnection(w.controller, 0))
+	w.controllerAddress = arguments[1]
+	w.submitConnection = NewConnection(w.controllerAddress, 0)
+	for range parallelRequests {
+		w.statusConnections = append(w.statusConnections, NewConnection(w.controllerAddress, 0))
 	}
 	for i := range count {
 		w.addWorker(i)
@@ -141,18 +142,19 @@
 	return "at 127.0.0.1:" + w.port, nil
 }
 
-func (w *World) addWorker(i int) {
+func (w *LoadHarness) addWorker(i int) {
 	m := LoopbackMachine(i, w.port)
-	worker := newLoadWorker(m, NewConnection(w.controller, 0))
+	worker := newLoadWorker(m, NewConnection(w.controllerAddress, 0))
 	w.workers = append(w.workers, worker)
 	w.workerByHost[m.Address] = worker
 	w.server.AddMachine(m)
 }
 
-// machinesPerSubnet is how many machines have addresses that differ in the last byte alone.
+// machinesPerSubnet is how many machines have addresses that differ only in the last byte.
 const machinesPerSubnet = 200
 
-// LoopbackMachine returns a machine with an address of its own on the loopback.
+// LoopbackMachine returns machine number i of a fleet, with a loopback address that no other
+// machine of the fleet has.
 func LoopbackMachine(i int, port string) FixedMachine {
 	return FixedMachine{
 		ID:      fmt.Sprintf("vm-%06d", i),
@@ -161,7 +163,7 @@
 }
 
 // ServeHTTP serves the workers' direct commands, the state service and the cloud.
-func (w *World) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
+func (w *LoadHarness) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	if !strings.HasPrefix(r.URL.Path, wire.PathDirectCommand) {
 		w.server.ServeHTTP(rw, r)
 		return
@@ -180,15 +182,15 @@
 	WriteAnswer(rw, status, heartbeat)
 }
 
-// awaitReady waits until the controller is ready, for a minute at most.
-func (w *World) awaitReady() error {
+// awaitReady waits until the controller is ready, for about a minute at most.
+func (w *LoadHarness) awaitReady() error {
 	const (
 		attempts = 6000
 		pause    = 10 * time.Millisecond
 	)
 	var last error
 	for range attempts {
-		msg, err := RequestOnce(w.controller, 0, "GET", wire.PathReadiness, nil)
+		msg, err := RequestOnce(w.controllerAddress, 0, "GET", wire.PathReadiness, nil)
 		if err == nil && msg.Status == http.StatusOK {
 			return nil
 		}
@@ -198,13 +200,13 @@
 	return fmt.Errorf("not ready: %w", last)
 }
 
-// submit submits a job, and repeats that until it is accepted.
-func (w *World) submit(connection *Connection, tasks int) error {
+// submit submits a job, with retries while the controller refuses it for the time being.
+func (w *LoadHarness) submit(connection *Connection, tasks int) error {
 	const (
 		attempts = 600
 		pause    = 20 * time.Millisecond
 	)
-	w.jobs++
+	w.submittedJobs++
 	body, err := wire.Encode(wire.Submission{
 		ID: w.lastJob(), Class: "c", Team: "t", Kind: "sweep", Priority: "standard",
 		Tasks: tasks, CPUs: 1, MemGB: 1, Image: "i", ImageGB: 1, Spot: true, EstimateS: 600,
@@ -229,40 +231,40 @@
 	return errors.New("submission: not accepted")
 }
 
-// lastJob returns the name of the job that was submitted last.
-func (w *World) lastJob() string { return fmt.Sprintf("job-%06d", w.jobs) }
+// lastJob returns the ID of the job that was submitted last.
+func (w *LoadHarness) lastJob() string { return fmt.Sprintf("job-%06d", w.submittedJobs) }
 
-func (w *World) submitJobs(count int) error {
+func (w *LoadHarness) submitJobs(count int) error {
 	for range count {
-		if err := w.submit(w.user, 1); err != nil {
+		if err := w.submit(w.submitConnection, 1); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (w *World) sendHeartbeats(count int) error {
-	return w.inLanes(count, func(_ int, worker *loadWorker) error { return worker.heartbeat(false) })
+func (w *LoadHarness) sendHeartbeats(count int) error {
+	return w.requestInParallel(count, func(_ int, worker *loadWorker) error { return worker.sendHeartbeat(false) })
 }
 
-func (w *World) sendPacedHeartbeats(count int) error {
+func (w *LoadHarness) sendPacedHeartbeats(count int) error {
 	for i := range count {
-		if err := w.workers[i%len(w.workers)].heartbeat(false); err != nil {
+		if err := w.workers[i%len(w.workers)].sendHeartbeat(false); err != nil {
 			return err
 		}
-		time.Sleep(pacedPause)
+		time.Sleep(heartbeatPause)
 	}
 	return nil
 }
 
-func (w *World) endTasks(count int) error {
-	return w.inLanes(count, func(_ int, worker *loadWorker) error { return worker.heartbeat(true) })
+func (w *LoadHarness) sendTaskEnds(count int) error {
+	return w.requestInParallel(count, func(_ int, worker *loadWorker) error { return worker.sendHeartbeat(true) })
 }
 
-func (w *World) requestStatus(count int) error {
+func (w *LoadHarness) requestStatus(count int) error {
 	path := wire.JobStatusPath(w.lastJob())
-	return w.inLanes(count, func(lane int, _ *loadWorker) error {
-		msg, err := w.laneUsers[lane].Request("GET", path, nil)
+	return w.requestInParallel(count, func(sender int, _ *loadWorker) error {
+		msg, err := w.statusConnections[sender].Request("GET", path, nil)
 		if err == nil && msg.Status != http.StatusOK {
 			err = fmt.Errorf("job status: status %d", msg.Status)
 		}
@@ -270,15 +272,15 @@
 	})
 }
 
-// inLanes spreads requests over the workers in turn, some at a time; a worker has one under
-// way at most.
-func (w *World) inLanes(count int, request func(lane int, worker *loadWorker) error) error {
-	results := make(chan error, lanes)
-	for lane := range lanes {
-		go func() { results <- w.runLane(lane, count, request) }()
+// requestInParallel spreads requests over the workers in turn, with parallelRequests senders. A
+// worker has at most one request in flight. It returns the first error.
+func (w *LoadHarness) requestInParallel(count int, request func(sender int, worker *loadWorker) error) error {
+	results := make(chan error, parallelRequests)
+	for sender := range parallelRequests {
+		go func() { results <- w.requestInTurn(sender, count, request) }()
 	}
 	var first error
-	for range lanes {
+	for range parallelRequests {
 		if err := <-results; err != nil && first == nil {
 			first = err
 		}
@@ -286,11 +288,12 @@
 	return first
 }
 
-// runLane sends the requests of one lane. A lane has workers of its own.
-func (w *World) runLane(lane, count int, request func(lane int, worker *loadWorker) error) error {
-	inTurn := len(w.workers) / lanes * lanes
-	for i := lane; i < count; i += lanes {
-		if err := request(lane, w.workers[i%inTurn]); err != nil {
+// requestInTurn sends the requests of one sender, one after the other. No two senders share a
+// worker.
+func (w *LoadHarness) requestInTurn(sender, count int, request func(sender int, worker *loadWorker) error) error {
+	usedWorkers := len(w.workers) / parallelRequests * parallelRequests
+	for i := sender; i < count; i += parallelRequests {
+		if err := request(sender, w.workers[i%usedWorkers]); err != nil {
 			return err
 		}
 	}
--- a/internal/faulttest/soak_faults.go
+++ b/internal/faulttest/soak_faults.go
@@ -13,18 +13,19 @@
 const (
 	// soakSeedStream separates the random numbers of a soak's faults from others of the same seed.
 	soakSeedStream = 11
-	// firstFaultAt is when the first fault may come, faultsEndMargin how long before the end
-	// of a soak the last one may.
+	// firstFaultAt is when the first fault begins, and faultsEndMargin is how long before the
+	// end of a soak the last one may begin.
 	firstFaultAt    = 4 * time.Second
 	faultsEndMargin = 2 * time.Second
-	// ownersInSeries is how many owners end one after the other while machines are rarely reached.
-	ownersInSeries = 6
+	// ownerKillsInSeries is how many owners are killed one after the other while machines are
+	// rarely reached.
+	ownerKillsInSeries = 6
 )
 
-// FaultKind is what goes wrong.
+// FaultKind is a kind of fault.
 type FaultKind int
 
-// Kinds of faults. Their order is part of what a seed means.
+// Kinds of faults. A seed selects them by number: in another order it would give other faults.
 const (
 	FaultKill FaultKind = iota
 	FaultKillOwner
@@ -53,12 +54,12 @@
 	return names[k]
 }
 
-// Fault is one thing that goes wrong.
+// Fault is one fault of a soak.
 type Fault struct {
 	At, Duration time.Duration
 	Kind         FaultKind
-	Node, Other  int     // controllers
-	Fraction     float64 // of the machines
+	Node, Other  int     // indexes of controllers
+	Fraction     float64 // of the machines that are affected
 }
 
 // String returns the fault in a line.
@@ -66,23 +67,23 @@
 	return fmt.Sprintf("%5.1f s: %s, node %d, other %d, fraction %.2f, for %.1f s", f.At.Seconds(), f.Kind, f.Node, f.Other, f.Fraction, f.Duration.Seconds())
 }
 
-// faultDraw draws faults.
-type faultDraw struct {
+// faultGenerator generates random faults.
+type faultGenerator struct {
 	rng    *rand.Rand
 	nodes  int
 	faults []Fault
 }
 
-// Faults draws what goes wrong, from the seed alone; two or three overlap, and owners end
-// in series.
+// Faults returns the faults of the soak in order of time. The plan alone determines them. Two or
+// three faults overlap, and at times owners are killed one after the other.
 func (p SoakPlan) Faults() []Fault {
-	d := &faultDraw{rng: rand.New(rand.NewPCG(p.Seed, soakSeedStream)), nodes: p.Nodes}
-	withoutFaults := SoakTimes().Cancel
-	for at := firstFaultAt; at < p.Length-withoutFaults; at += d.duration(time.Second, 3*time.Second) {
+	d := &faultGenerator{rng: rand.New(rand.NewPCG(p.Seed, soakSeedStream)), nodes: p.Nodes}
+	faultFreeTime := SoakTimes().CancelTimeout
+	for at := firstFaultAt; at < p.Length-faultFreeTime; at += d.drawDuration(time.Second, 3*time.Second) {
 		kind := FaultKind(d.rng.IntN(int(faultKindCount)))
-		d.add(at, kind, d.duration(300*time.Millisecond, 8*time.Second))
+		d.add(at, kind, d.drawDuration(300*time.Millisecond, 8*time.Second))
 		if d.rng.IntN(8) == 0 {
-			d.addOwnersInSeries(at)
+			d.addOwnerKillSeries(at)
 		}
 	}
 	faults := slices.DeleteFunc(d.faults, func(f Fault) bool { return f.At > p.Length-faultsEndMargin })
@@ -90,22 +91,22 @@
 	return faults
 }
 
-// addOwnersInSeries ends owners one after the other while machines are rarely reached.
-func (d *faultDraw) addOwnersInSeries(at time.Duration) {
-	d.add(at, FaultMachinesRarelyReached, d.duration(12*time.Second, 24*time.Second))
-	for i := range time.Duration(ownersInSeries) {
-		d.add(at+i*(rareReplyInterval+500*time.Millisecond), FaultKillOwner, d.duration(50*time.Millisecond, 2*time.Second))
+// addOwnerKillSeries kills owners one after the other while machines are rarely reached.
+func (d *faultGenerator) addOwnerKillSeries(at time.Duration) {
+	d.add(at, FaultMachinesRarelyReached, d.drawDuration(12*time.Second, 24*time.Second))
+	for i := range time.Duration(ownerKillsInSeries) {
+		d.add(at+i*(rareReplyInterval+500*time.Millisecond), FaultKillOwner, d.drawDuration(50*time.Millisecond, 2*time.Second))
 	}
 }
 
-func (d *faultDraw) add(at time.Duration, kind FaultKind, duration time.Duration) {
+func (d *faultGenerator) add(at time.Duration, kind FaultKind, duration time.Duration) {
 	node := d.rng.IntN(d.nodes)
 	other := (node + 1 + d.rng.IntN(d.nodes-1)) % d.nodes
 	fraction := 0.1 + 0.4*d.rng.Float64()
 	d.faults = append(d.faults, Fault{At: at, Duration: duration, Kind: kind, Node: node, Other: other, Fraction: fraction})
 }
 
-func (d *faultDraw) duration(from, to time.Duration) time.Duration {
+func (d *faultGenerator) drawDuration(from, to time.Duration) time.Duration {
 	return from + time.Duration(d.rng.Int64N(int64(to-from)))
 }
 
@@ -140,7 +141,7 @@
 	}
 }
 
-// nodeWithMostLocks returns the controller that holds the most locks by the state service.
+// nodeWithMostLocks returns the controller that holds the most locks in the state service.
 func (c *Cluster) nodeWithMostLocks() (node int) {
 	var locks map[string]int
 	c.server.Clock.Run(func() { locks = c.server.State.LocksByController() })
@@ -176,7 +177,7 @@
 	case FaultStateRefuses:
 		faults.refuseUntil = until
 	case FaultLateWrites:
-		faults.lateUntil = until
+		faults.delayWritesUntil = until
 	case FaultStateRefusesJobs:
 		for _, n := range c.nodes {
 			n.faults.refuseJobsUntil = until
@@ -189,7 +190,7 @@
 		FaultMachinesHang:           faultHangs,
 		FaultMachinesReceiveNothing: faultReceivesNothing,
 		FaultMachinesSendNothing:    faultSendsNothing,
-		FaultLateHeartbeats:         faultCopies,
+		FaultLateHeartbeats:         faultDuplicates,
 		FaultMachinesRarelyReached:  faultRarelyReached,
 	}[f.Kind]
 	for _, m := range c.machines {
--- a/internal/faulttest/state_faults.go
+++ b/internal/faulttest/state_faults.go
@@ -11,27 +11,28 @@
 )
 
 const (
-	// heldFraction of the requests of a controller that is cut off are carried out after the
-	// cut; the others are lost.
+	// heldFraction of the requests of a controller that is cut off are executed after the cut.
+	// The others are lost.
 	heldFraction = 0.3
-	// lateFraction of transactions are carried out late.
+	// lateFraction of a controller's transactions are executed late during that fault.
 	lateFraction = 0.3
-	// A late transaction is carried out lateFrom to lateFrom+lateSpread after it came, and its
-	// connection ends after lateAbort.
-	lateFrom   = 200 * time.Millisecond
-	lateSpread = 2000 * time.Millisecond
-	lateAbort  = 2 * time.Second
+	// A late transaction is executed minLateDelay to minLateDelay+lateDelaySpread after it
+	// arrived. Its connection is closed after lateConnectionTimeout.
+	minLateDelay          = 200 * time.Millisecond
+	lateDelaySpread       = 2000 * time.Millisecond
+	lateConnectionTimeout = 2 * time.Second
 )
 
-// stateFaults are how the state service treats one controller; guarded by the cluster's lock.
+// stateFaults are the faults of the state service that one controller sees, with their ends. The
+// cluster's lock guards them.
 type stateFaults struct {
-	cutUntil        time.Time // no answer; some requests are carried out afterwards
-	refuseUntil     time.Time // 503 for all but watches, which wait
-	refuseJobsUntil time.Time // 429 for reads and watches of jobs
-	lateUntil       time.Time // a part of its transactions is carried out late, without an answer
+	cutUntil         time.Time // no answers; some requests are executed afterwards
+	refuseUntil      time.Time // status 503 for all requests but watches, which wait
+	refuseJobsUntil  time.Time // status 429 for reads and watches of jobs
+	delayWritesUntil time.Time // some transactions are executed late, without an answer
 }
 
-// stateProxy is the state service as one controller reaches it.
+// stateProxy serves the state service to one controller, with that controller's faults.
 type stateProxy struct{ node *node }
 
 func (p *stateProxy) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
@@ -45,14 +46,14 @@
 		p.refuse(rw, r, faults.refuseUntil)
 	case now.Before(faults.refuseJobsUntil) && readsJobs(r):
 		rw.WriteHeader(http.StatusTooManyRequests)
-	case now.Before(faults.lateUntil) && isTransaction(r) && c.chance(lateFraction):
-		p.carryOutLate(r)
+	case now.Before(faults.delayWritesUntil) && isTransaction(r) && c.chance(lateFraction):
+		p.executeLate(r)
 	default:
 		p.serve(rw, r, faults.cutUntil)
 	}
 }
 
-// refuse answers 503. Watches wait, as in an outage.
+// refuse answers with status 503. Watches wait and get no answer, as in an outage.
 func (p *stateProxy) refuse(rw http.ResponseWriter, r *http.Request, until time.Time) {
 	if strings.HasPrefix(r.URL.Path, wire.PathWatch) {
 		p.node.cluster.pause(time.Until(until))
@@ -61,8 +62,8 @@
 	rw.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// carryOutLate carries a request out later, and never answers it.
-func (p *stateProxy) carryOutLate(r *http.Request) {
+// executeLate executes a request after a delay, and never answers it.
+func (p *stateProxy) executeLate(r *http.Request) {
 	c := p.node.cluster
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -70,16 +71,16 @@
 	}
 	again := r.Clone(c.ctx)
 	again.Body = io.NopCloser(bytes.NewReader(body))
-	delay := lateFrom + time.Duration(c.draw(int(lateSpread.Milliseconds())))*time.Millisecond
-	time.AfterFunc(delay, func() { c.server.ServeHTTP(discard{}, again) })
-	c.pause(lateAbort)
+	delay := minLateDelay + time.Duration(c.draw(int(lateDelaySpread.Milliseconds())))*time.Millisecond
+	time.AfterFunc(delay, func() { c.server.ServeHTTP(discardResponse{}, again) })
+	c.pause(lateConnectionTimeout)
 	panic(http.ErrAbortHandler)
 }
 
-// serve passes a request on, unless it is lost, or its answer is.
+// serve passes a request on to the state service, unless the request or its answer is lost.
 func (p *stateProxy) serve(rw http.ResponseWriter, r *http.Request, cutUntil time.Time) {
 	c := p.node.cluster
-	lost := c.plan.LostAnswers > 0 && isTransaction(r) && c.chance(c.plan.LostAnswers)
+	lost := c.plan.LostAnswerFraction > 0 && isTransaction(r) && c.chance(c.plan.LostAnswerFraction)
 	if cut := time.Until(cutUntil); cut > 0 {
 		held := c.chance(heldFraction) && c.pause(cut)
 		if !held {
@@ -88,7 +89,7 @@
 		lost = true
 	}
 	if lost {
-		c.server.ServeHTTP(discard{}, r)
+		c.server.ServeHTTP(discardResponse{}, r)
 		panic(http.ErrAbortHandler)
 	}
 	c.server.ServeHTTP(rw, r)
@@ -103,9 +104,9 @@
 	return ofKey || ofPrefix
 }
 
-// discard is where a lost answer goes.
-type discard struct{}
+// discardResponse is a ResponseWriter that discards a lost answer.
+type discardResponse struct{}
 
-func (discard) Header() http.Header         { return http.Header{} }
-func (discard) Write(b []byte) (int, error) { return len(b), nil }
-func (discard) WriteHeader(int)             {}
+func (discardResponse) Header() http.Header         { return http.Header{} }
+func (discardResponse) Write(b []byte) (int, error) { return len(b), nil }
+func (discardResponse) WriteHeader(int)             {}
--- a/internal/measure/quota_mechanisms.go
+++ b/internal/measure/quota_mechanisms.go
@@ -5,8 +5,9 @@
 	"garnethitch/quota"
 )
 
-// How long messages and writes take, and how long a controller of writePerGrant waits until its
-// next write: idle without one, unreachable without the store, refused beyond the store's rate.
+// Durations of messages and writes, and pauses of a writePerGrant controller before its next
+// write: idle if it had nothing to write, unreachable if it did not reach the store, refused if it
+// exceeded the store's write rate.
 const (
 	shortestMessage  = ms
 	longestMessage   = 4 * ms
@@ -18,23 +19,23 @@
 	refusedPauseTo   = 60 * ms
 )
 
-// mechanism is one way to keep a limit.
+// mechanism is one way to enforce a limit.
 type mechanism interface {
-	// request asks for a start by a controller; start is called if and when it is granted.
+	// request asks to start a task at a controller; start is called if and when that is granted.
 	request(node int, start func())
-	// ended is called when a task has ended.
-	ended(node int)
-	// controllerReplaced is called when the controller that had ended is replaced.
+	// taskEnded is called when a task has ended.
+	taskEnded(node int)
+	// controllerReplaced is called when the controller that was down has been replaced.
 	controllerReplaced()
 	// lowerLimit lowers the limit.
 	lowerLimit(limit float64)
-	// inForce reports whether the limit that was lowered to holds.
+	// inForce reports whether the lowered limit is in force.
 	inForce() bool
 	// writes returns how many writes the mechanism has made.
 	writes() int
 }
 
-// oneOwner has controller 0 count for all; the others ask it.
+// oneOwner has controller 0 count the tasks of all controllers. The others ask it for grants.
 type oneOwner struct {
 	run   *quotaRun
 	limit float64
@@ -50,7 +51,7 @@
 }
 
 func (o *oneOwner) grant() {
-	for o.run.dead != 0 && len(o.queue) > 0 && o.used < o.limit {
+	for o.run.downNode != 0 && len(o.queue) > 0 && o.used < o.limit {
 		start := o.queue[0]
 		o.queue = o.queue[1:]
 		o.used++
@@ -58,7 +59,7 @@
 	}
 }
 
-func (o *oneOwner) ended(int) {
+func (o *oneOwner) taskEnded(int) {
 	o.run.after(o.run.between(shortestMessage, longestMessage), func() {
 		o.used--
 		o.grant()
@@ -71,15 +72,15 @@
 func (o *oneOwner) inForce() bool            { return o.used <= o.limit }
 func (o *oneOwner) writes() int              { return 0 }
 
-// writePerGrant makes each start and end a conditional write of one record.
+// writePerGrant records starts and ends by conditional writes of one record.
 type writePerGrant struct {
-	run    *quotaRun
-	limit  float64
-	used   float64
-	count  int
-	queues [controllers][]func()
-	ends   [controllers]int
-	busy   [controllers]bool
+	run         *quotaRun
+	limit       float64
+	used        float64
+	writeCount  int
+	queues      [controllers][]func()
+	pendingEnds [controllers]int
+	writing     [controllers]bool
 }
 
 func (w *writePerGrant) request(node int, start func()) {
@@ -87,40 +88,40 @@
 	w.write(node)
 }
 
-func (w *writePerGrant) ended(node int) {
-	w.ends[node]++
+func (w *writePerGrant) taskEnded(node int) {
+	w.pendingEnds[node]++
 	w.write(node)
 }
 
-// write sends the next write of a controller, unless one is under way.
+// write sends the next write of a controller, unless one is in flight.
 func (w *writePerGrant) write(node int) {
-	if w.busy[node] {
+	if w.writing[node] {
 		return
 	}
-	w.busy[node] = true
+	w.writing[node] = true
 	w.run.after(w.run.between(shortestWrite, longestWrite), func() {
 		pause := w.commit(node)
-		w.busy[node] = false
+		w.writing[node] = false
 		w.run.after(pause, func() { w.write(node) })
 	})
 }
 
-// commit carries a controller's write out, if it has one and the store takes it: ends together,
-// starts one by one. It returns how long to wait until the next.
+// commit executes a controller's write if there is one and the store accepts it. All pending ends
+// share a write, and each start has a separate one. It returns the pause before the next write.
 func (w *writePerGrant) commit(node int) (pause micros.Micros) {
 	mayStart := len(w.queues[node]) > 0 && w.used < w.limit
 	switch {
-	case w.ends[node] == 0 && !mayStart:
+	case w.pendingEnds[node] == 0 && !mayStart:
 		return idlePause
-	case w.run.dead == node || w.run.cut == node:
+	case w.run.downNode == node || w.run.cutNode == node:
 		return unreachablePause
-	case !w.run.mayWrite():
+	case !w.run.takeWriteToken():
 		return w.run.between(refusedPauseFrom, refusedPauseTo)
 	}
-	w.count++
-	if w.ends[node] > 0 {
-		w.used -= float64(w.ends[node])
-		w.ends[node] = 0
+	w.writeCount++
+	if w.pendingEnds[node] > 0 {
+		w.used -= float64(w.pendingEnds[node])
+		w.pendingEnds[node] = 0
 		return 0
 	}
 	start := w.queues[node][0]
@@ -134,14 +135,14 @@
 
 func (w *writePerGrant) lowerLimit(limit float64) { w.limit = limit }
 func (w *writePerGrant) inForce() bool            { return w.used <= w.limit }
-func (w *writePerGrant) writes() int              { return w.count }
+func (w *writePerGrant) writes() int              { return w.writeCount }
 
-// allowances is package quota over a simulated store.
+// allowances enforces the limit by package quota, over a simulated store.
 type allowances struct {
 	run         *quotaRun
-	rec         quota.Record
+	record      quota.Record
 	modRevision uint64
-	count       int
+	writeCount  int
 	ledgers     [controllers]*quota.Ledger
 	queues      [controllers][]func()
 	used        [controllers]float64
@@ -151,11 +152,11 @@
 
 func newAllowances(run *quotaRun) mechanism {
 	a := &allowances{run: run, modRevision: 1}
-	a.rec = quota.Record{Definition: quota.Definition{Name: group, Teams: []string{"t"}, Limit: quota.CPULimit(limitBefore)}, Epoch: 1}
+	a.record = quota.Record{Definition: quota.Definition{Name: group, Teams: []string{"t"}, Limit: quota.CPULimit(initialLimit)}, Epoch: 1}
 	for i := range a.ledgers {
 		a.ledgers[i] = quota.NewLedger(quota.Config{Shards: controllers, Timing: quota.DefaultTiming()})
 		a.step(i, quota.Held{Shard: i})
-		a.step(i, quota.Learned{Group: group, Record: a.rec, ModRevision: a.modRevision})
+		a.step(i, quota.Learned{Group: group, Record: a.record, ModRevision: a.modRevision})
 		a.step(i, quota.Refreshed{Shard: i})
 		a.reportUsage(i)
 	}
@@ -167,14 +168,14 @@
 	a.grant(node)
 }
 
-func (a *allowances) ended(node int) {
+func (a *allowances) taskEnded(node int) {
 	a.used[node]--
 	a.grant(node)
 }
 
-// grant starts what waits at a controller, up to its allowance.
+// grant starts the tasks that wait at a controller, up to its allowance.
 func (a *allowances) grant(node int) {
-	for a.run.dead != node && len(a.queues[node]) > 0 && a.used[node] < a.ledgers[node].Allowed(node, group).CPUs {
+	for a.run.downNode != node && len(a.queues[node]) > 0 && a.used[node] < a.ledgers[node].Allowed(node, group).CPUs {
 		start := a.queues[node][0]
 		a.queues[node] = a.queues[node][1:]
 		a.used[node]++
@@ -183,10 +184,10 @@
 	}
 }
 
-// reportUsage gives a controller's ledger the usage, and repeats that four times a second.
+// reportUsage passes a controller's usage to its ledger, four times a second.
 func (a *allowances) reportUsage(node int) {
 	a.run.after(250*ms, func() { a.reportUsage(node) })
-	if a.run.dead == node {
+	if a.run.downNode == node {
 		return
 	}
 	team := quota.TeamDemand{Groups: []string{group}, Used: quota.Amount{CPUs: a.used[node]}}
@@ -196,7 +197,7 @@
 	a.step(node, quota.Used{Shard: node, Groups: a.ledgers[node].Claims(node, true, []quota.TeamDemand{team})})
 }
 
-// step gives a controller's ledger an input, and carries out what it asks for.
+// step passes an input to a controller's ledger and executes the reads and writes that it returns.
 func (a *allowances) step(node int, in quota.Input) {
 	now := quota.Instant{Steady: a.run.now, WallMS: a.run.now.Millis()}
 	for _, e := range a.ledgers[node].Step(now, in) {
@@ -214,12 +215,12 @@
 	a.run.after(a.run.between(shortestWrite, longestWrite), func() {
 		out := quota.Wrote{ID: w.ID, Outcome: quota.Refused}
 		switch {
-		case a.run.dead == node || a.run.cut == node || !a.run.mayWrite():
+		case a.run.downNode == node || a.run.cutNode == node || !a.run.takeWriteToken():
 			out.Outcome = quota.NotSent
 		case a.modRevision == w.ModRevision:
 			a.modRevision++
-			a.count++
-			a.rec = w.Record
+			a.writeCount++
+			a.record = w.Record
 			out.Outcome = quota.Applied
 			out.ModRevision = a.modRevision
 			for other := range a.ledgers {
@@ -230,11 +231,12 @@
 	})
 }
 
-// deliver brings the record by a read or a watch.
+// deliver passes the record to a controller with the delay of a read or a watch. It retries while
+// the controller is down or cut off.
 func (a *allowances) deliver(node int) {
-	rec, modRevision := a.rec, a.modRevision
+	rec, modRevision := a.record, a.modRevision
 	a.run.after(a.run.between(5*ms, 100*ms), func() {
-		if a.run.cut == node || a.run.dead == node {
+		if a.run.cutNode == node || a.run.downNode == node {
 			a.run.after(500*ms, func() { a.deliver(node) })
 			return
 		}
@@ -250,7 +252,7 @@
 }
 
 func (a *allowances) inForce() bool {
-	return a.rec.Limit.Equal(quota.CPULimit(limitAfter)) && a.rec.InForce(controllers)
+	return a.record.Limit.Equal(quota.CPULimit(loweredLimit)) && a.record.InForce(controllers)
 }
 
-func (a *allowances) writes() int { return a.count }
+func (a *allowances) writes() int { return a.writeCount }
--- a/internal/simulation/cascade.go
+++ b/internal/simulation/cascade.go
@@ -104,7 +104,7 @@
 // addMembers adds the users of the jobs, beginning with the job that all others depend on.
 func (c *cascade) addMembers() {
 	first := c.addMember()
-	first.Runs[0] = 5 * micros.Minute // so that it is not done before it is cancelled
+	first.TaskDurations[0] = 5 * micros.Minute // so that it is not done before it is cancelled
 	for last := first; len(c.members) <= c.Dependents; {
 		switch c.Shape {
 		case Wide:
@@ -131,9 +131,9 @@
 	u.Submission.Spread = false
 	u.Submission.Types = nil
 	u.Submission.Spot = true
-	u.Fails = false
+	u.AlwaysFails = false
 	u.willCancel = false
-	u.Runs = []micros.Micros{4 * sec}
+	u.TaskDurations = []micros.Micros{4 * sec}
 	u.Progress = make([]micros.Micros, 1)
 	u.dependOn(dependencies)
 	s.addUser(u)
