--- a/dependencies_test.go
+++ b/dependencies_test.go
@@ -82,16 +82,16 @@
 // in order, and others are cancelled with the one that they depend on.
 func TestDependencies(t *testing.T) {
 	serve, internal := freeAddr(t), freeAddr(t)
-	w, services := startWorld(t, 16, serve)
+	p, services := startFakes(t, 16, serve)
 	controller, err := garnethitch.New(garnethitch.Config{SettingsPath: writeSettings(t, serve, internal, services)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	run(t, controller)
-	w.say("ready")
+	startController(t, controller)
+	p.send("ready")
 	u := user{t, serve}
 	checkDependentSubmissions(u)
-	checkRunsInOrder(u, w)
+	checkRunsInOrder(u, p)
 	checkCancellationCascade(u)
 	if status, state := u.cancel(503); status != 200 || state != wire.StateDone {
 		t.Errorf("cancellation of a job that is done: %d %q", status, state)
@@ -123,14 +123,14 @@
 
 // checkRunsInOrder checks that until the last of the three jobs is done, none has started before
 // the one that it depends on is done.
-func checkRunsInOrder(u user, w *world) {
+func checkRunsInOrder(u user, p *fakesProcess) {
 	u.t.Helper()
 	deadline := time.Now().Add(30 * time.Second)
 	for last := wire.JobState(""); last != wire.StateDone; {
 		if time.Now().After(deadline) {
 			u.t.Fatalf("the last job is called %q after 30 s", last)
 		}
-		w.say("turns 16")
+		p.send("turns 16")
 		var states [3]wire.JobState
 		for i := 2; i >= 0; i-- { // the last first, so that a job before it can only be further
 			_, states[i] = u.status(501 + i)
--- a/docs_test.go
+++ b/docs_test.go
@@ -31,10 +31,10 @@
 	// declared are functions, types, constants and variables as package.Name, and methods
 	// and fields as package.Type.Name, with the files that declare them, tests left out.
 	declared map[string][]string
-	// words are all identifiers, those of tests included.
-	words map[string]bool
-	// texts are all string literals outside tests.
-	texts map[string]bool
+	// identifiers are all identifiers, those of tests included.
+	identifiers map[string]bool
+	// literals are all string literals outside tests.
+	literals map[string]bool
 	// files are the names of all Go files without their directories, those at the root also
 	// with "./" before them.
 	files map[string]bool
@@ -44,11 +44,11 @@
 func parseModule(t *testing.T) *codeNames {
 	t.Helper()
 	names := &codeNames{
-		packages: map[string]map[string]bool{},
-		declared: map[string][]string{},
-		words:    map[string]bool{},
-		texts:    map[string]bool{},
-		files:    map[string]bool{},
+		packages:    map[string]map[string]bool{},
+		declared:    map[string][]string{},
+		identifiers: map[string]bool{},
+		literals:    map[string]bool{},
+		files:       map[string]bool{},
 	}
 	fset := token.NewFileSet()
 	err := filepath.WalkDir(".", func(name string, entry fs.DirEntry, err error) error {
@@ -92,10 +92,10 @@
 	ast.Inspect(file, func(node ast.Node) bool {
 		switch node := node.(type) {
 		case *ast.Ident:
-			n.words[node.Name] = true
+			n.identifiers[node.Name] = true
 		case *ast.BasicLit:
 			if text, err := strconv.Unquote(node.Value); err == nil && node.Kind == token.STRING && !isTest {
-				n.texts[text] = true
+				n.literals[text] = true
 			}
 		}
 		return true
@@ -184,18 +184,18 @@
 	qualifiedName = regexp.MustCompile(`^[a-z][a-z0-9]*(\.[A-Za-z_]\w*){1,2}$`)
 	// typeMember is Type.Name.
 	typeMember = regexp.MustCompile(`^[A-Z]\w*\.[A-Za-z_]\w*$`)
-	// goWord is an identifier that only code can mean: it has both cases inside.
-	goWord = regexp.MustCompile(`^[A-Za-z]*[a-z][A-Z][A-Za-z]*$`)
+	// mixedCaseName is an identifier that only code can mean: it has both cases inside.
+	mixedCaseName = regexp.MustCompile(`^[A-Za-z]*[a-z][A-Z][A-Za-z]*$`)
 	// goFile is the name of a Go file, perhaps with its directory.
 	goFile = regexp.MustCompile(`^[\w/]+\.go$`)
-	// edge is a line of the page's diagram: a package and those that it imports.
-	edge = regexp.MustCompile(`(?m)^ {4}([\w/]+) +-> (.+)$`)
+	// diagramEdge is a line of the page's diagram: a package and those that it imports.
+	diagramEdge = regexp.MustCompile(`(?m)^ {4}([\w/]+) +-> (.+)$`)
 	// tableRow is a row of a table: its first column.
 	tableRow = regexp.MustCompile(`(?m)^\| (.+?) \|`)
 	// questionRow is a row of the table of questions: its second and third columns.
 	questionRow = regexp.MustCompile(`(?m)^\| (?:an? |the |old |users |heartbeats |machines )[^|]+ \| ([^|]+) \| ([^|]+) \|$`)
-	// filePlace is the name of a file with the names that it is said to declare.
-	filePlace = regexp.MustCompile("`([\\w/]+\\.go)`(?: \\(at the root\\))?: ((?:`[\\w.]+`(?:, )?)+)")
+	// fileWithNames is the name of a file with the names that it is said to declare.
+	fileWithNames = regexp.MustCompile("`([\\w/]+\\.go)`(?: \\(at the root\\))?: ((?:`[\\w.]+`(?:, )?)+)")
 	// testName is the name of a test.
 	testName = regexp.MustCompile(`^(Test|Benchmark|Fuzz)\w+$`)
 )
@@ -224,39 +224,39 @@
 func TestArchitecturePage(t *testing.T) {
 	names := parseModule(t)
 	page := readPage(t, architecturePage)
-	for _, wrong := range names.wrongNames(page) {
+	for _, wrong := range names.missingNames(page) {
 		t.Errorf("%s names %s, which is not in the code", architecturePage, wrong)
 	}
-	drawn := map[string]map[string]bool{}
-	for _, match := range edge.FindAllStringSubmatch(page, -1) {
+	diagram := map[string]map[string]bool{}
+	for _, match := range diagramEdge.FindAllStringSubmatch(page, -1) {
 		imports := map[string]bool{}
 		if match[2] != "(none)" {
 			for _, name := range strings.Fields(match[2]) {
 				imports[name] = true
 			}
 		}
-		drawn[match[1]] = imports
+		diagram[match[1]] = imports
 	}
-	inCode := names.drawnPackages()
+	inCode := names.diagramPackages()
 	for _, name := range slices.Sorted(maps.Keys(inCode)) {
-		if _, ok := drawn[name]; !ok {
+		if _, ok := diagram[name]; !ok {
 			t.Errorf("%s: the diagram leaves out %s", architecturePage, name)
-		} else if !maps.Equal(drawn[name], inCode[name]) {
+		} else if !maps.Equal(diagram[name], inCode[name]) {
 			t.Errorf("%s: %s imports %q by the diagram, %q by the code", architecturePage, name,
-				slices.Sorted(maps.Keys(drawn[name])), slices.Sorted(maps.Keys(inCode[name])))
+				slices.Sorted(maps.Keys(diagram[name])), slices.Sorted(maps.Keys(inCode[name])))
 		}
 	}
-	for name := range drawn {
+	for name := range diagram {
 		if _, ok := inCode[name]; !ok {
 			t.Errorf("%s: the diagram has %s, which is no package", architecturePage, name)
 		}
 	}
 }
 
-// drawnPackages returns the packages that the diagram is to show, with their imports, under
+// diagramPackages returns the packages that the diagram is to show, with their imports, under
 // the names that it has for them. The package micros is left out: nearly all import it.
-func (n *codeNames) drawnPackages() map[string]map[string]bool {
-	drawn := map[string]map[string]bool{}
+func (n *codeNames) diagramPackages() map[string]map[string]bool {
+	diagram := map[string]map[string]bool{}
 	for name, imports := range n.packages {
 		if name == "internal/micros" || strings.HasPrefix(name, "tools") {
 			continue
@@ -267,9 +267,9 @@
 				out[diagramName(imported)] = true
 			}
 		}
-		drawn[diagramName(name)] = out
+		diagram[diagramName(name)] = out
 	}
-	return drawn
+	return diagram
 }
 
 // diagramName returns the name of a package in the diagram.
@@ -280,9 +280,9 @@
 	return strings.TrimPrefix(packagePath, "internal/")
 }
 
-// wrongNames returns the packages, functions, types, tests and files that a page names in
+// missingNames returns the packages, functions, types, tests and files that a page names in
 // backticks and that are not in the code, foreignWords left out.
-func (n *codeNames) wrongNames(page string) (wrong []string) {
+func (n *codeNames) missingNames(page string) (wrong []string) {
 	packageNames := map[string]bool{}
 	for name := range n.declared {
 		packageName, _, _ := strings.Cut(name, ".")
@@ -301,7 +301,7 @@
 		case qualifiedName.MatchString(span):
 			first, rest, _ := strings.Cut(span, ".")
 			if testName.MatchString(rest) {
-				if !n.words[rest] {
+				if !n.identifiers[rest] {
 					wrong = append(wrong, span)
 				}
 			} else if packageNames[first] && n.declared[span] == nil {
@@ -313,8 +313,8 @@
 			if n.lacksMember(span) {
 				wrong = append(wrong, span)
 			}
-		case testName.MatchString(span), goWord.MatchString(span):
-			if !n.words[span] && !foreignWords[span] {
+		case testName.MatchString(span), mixedCaseName.MatchString(span):
+			if !n.identifiers[span] && !protocolWords[span] {
 				wrong = append(wrong, span)
 			}
 		}
@@ -338,9 +338,9 @@
 	return typeFound
 }
 
-// foreignWords are words in backticks that look like identifiers of ours and are the
+// protocolWords are words in backticks that look like identifiers of ours and are the
 // protocol's.
-var foreignWords = map[string]bool{"oneZone": true, "dueS": true}
+var protocolWords = map[string]bool{"oneZone": true, "dueS": true}
 
 // TestPagesNameCode checks that functions, types, tests and files that the pages name stand in the
 // code.
@@ -350,7 +350,7 @@
 		"docs/dependencies.md", "docs/quota.md", "docs/quota-operations.md", "docs/account.md"}
 	for _, name := range pages {
 		t.Run(name, func(t *testing.T) {
-			for _, wrong := range names.wrongNames(readPage(t, name)) {
+			for _, wrong := range names.missingNames(readPage(t, name)) {
 				t.Errorf("%s names %s, which is not in the code", name, wrong)
 			}
 		})
@@ -370,7 +370,7 @@
 	for _, row := range tableRow.FindAllStringSubmatch(section, -1) {
 		for _, line := range codeSpans(row[1]) {
 			lines++
-			if !names.hasText(line) {
+			if !names.hasLiteral(line) {
 				t.Errorf("%s names the log line %q, which is not in the code", operationsPage, line)
 			}
 		}
@@ -394,14 +394,14 @@
 		questions++
 		for _, line := range codeSpans(row[1]) {
 			isCommand := strings.HasPrefix(line, "garnethitch ") || strings.HasPrefix(line, "GET ")
-			if strings.Contains(line, " ") && !isCommand && !names.hasText(line) {
+			if strings.Contains(line, " ") && !isCommand && !names.hasLiteral(line) {
 				t.Errorf("%s names the log line %q, which is not in the code", operationsPage, line)
 			}
 		}
 		if len(codeSpans(row[2])) == 0 {
 			t.Errorf("%s names no function for %q", operationsPage, row[0])
 		}
-		for _, wrong := range names.notInFile(row[2]) {
+		for _, wrong := range names.undeclaredInFile(row[2]) {
 			t.Errorf("%s: %s", operationsPage, wrong)
 		}
 	}
@@ -410,10 +410,10 @@
 	}
 }
 
-// notInFile returns the names that a text gives after a file, as in "file.go: package.Name"
+// undeclaredInFile returns the names that a text gives after a file, as in "file.go: package.Name"
 // with both in backticks, and that the file does not declare. A file without a directory is one of internal/controller.
-func (n *codeNames) notInFile(text string) (wrong []string) {
-	for _, place := range filePlace.FindAllStringSubmatch(text, -1) {
+func (n *codeNames) undeclaredInFile(text string) (wrong []string) {
+	for _, place := range fileWithNames.FindAllStringSubmatch(text, -1) {
 		fileName := place[1]
 		if !strings.Contains(fileName, "/") && !n.files["./"+fileName] {
 			fileName = "internal/controller/" + fileName
@@ -427,14 +427,14 @@
 	return wrong
 }
 
-// hasText reports whether a text stands in the code, or one that begins with it if it ends
+// hasLiteral reports whether a text stands in the code, or one that begins with it if it ends
 // with "...".
-func (n *codeNames) hasText(text string) bool {
+func (n *codeNames) hasLiteral(text string) bool {
 	start, shortened := strings.CutSuffix(text, "...")
 	if !shortened {
-		return n.texts[text]
+		return n.literals[text]
 	}
-	for candidate := range n.texts {
+	for candidate := range n.literals {
 		if strings.HasPrefix(candidate, strings.TrimSpace(start)) {
 			return true
 		}
--- a/garnethitch.go
+++ b/garnethitch.go
@@ -26,9 +26,9 @@
 	// gcPercent makes collections rare: memory is plenty and a fraction of a core is not.
 	// The memory limit makes them more frequent when memory runs short.
 	gcPercent = 400
-	// runningThreads is how many threads run at a time. On a fraction of a core a second
+	// maxProcs is how many threads run at a time. On a fraction of a core a second
 	// one would be woken by each event for nothing; docs/account.md has the counts.
-	runningThreads = 1
+	maxProcs = 1
 	// traceCloseTimeout bounds the export of buffered spans at the end.
 	traceCloseTimeout = time.Second
 
@@ -47,26 +47,26 @@
 
 // Controller is one controller node, ready to run.
 type Controller struct {
-	rt     *service.Runtime
-	set    config.Settings
-	opt    config.Options
-	tracer *tracing.Tracer // nil: no spans are exported
+	rt       *service.Runtime
+	settings config.Settings
+	options  config.Options
+	tracer   *tracing.Tracer // nil: no spans are exported
 }
 
 // New reads and checks the settings and options, and starts nothing yet.
 func New(cfg Config) (*Controller, error) {
-	set, err := config.LoadSettings(cfg.SettingsPath)
+	settings, err := config.LoadSettings(cfg.SettingsPath)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	opt, err := config.LoadOptions(cfg.OptionsPath)
+	options, err := config.LoadOptions(cfg.OptionsPath)
 	if err != nil {
 		return nil, fmt.Errorf("options: %w", err)
 	}
-	if err := opt.BuildGroups(cfg.OptionsPath, set); err != nil {
+	if err := options.BuildGroups(cfg.OptionsPath, settings); err != nil {
 		return nil, fmt.Errorf("options: %w", err)
 	}
-	tracer, err := tracing.New(opt.Trace, set.Label)
+	tracer, err := tracing.New(options.Trace, settings.Label)
 	if err != nil {
 		return nil, fmt.Errorf("options: %s: %w", cfg.OptionsPath, err)
 	}
@@ -74,20 +74,20 @@
 	if log == nil {
 		log = slog.New(slog.NewTextHandler(io.Discard, nil))
 	}
-	rt := service.New(set, opt, log, rand.Uint64()).WithTracer(tracer)
-	return &Controller{rt: rt, set: set, opt: opt, tracer: tracer}, nil
+	rt := service.New(settings, options, log, rand.Uint64()).WithTracer(tracer)
+	return &Controller{rt: rt, settings: settings, options: options, tracer: tracer}, nil
 }
 
 // Run serves until ctx ends, when it returns nil, or until serving becomes impossible. It sets
 // the memory limit, the rate of garbage collection and the number of running threads of the
 // process.
 func (c *Controller) Run(ctx context.Context) error {
-	memoryLimit := c.set.Cluster.Resources.RAMMB * c.opt.MemoryShare * bytesPerMiB
+	memoryLimit := c.settings.Cluster.Resources.RAMMB * c.options.MemoryShare * bytesPerMiB
 	debug.SetMemoryLimit(int64(memoryLimit))
 	debug.SetGCPercent(gcPercent)
-	runtime.GOMAXPROCS(runningThreads)
+	runtime.GOMAXPROCS(maxProcs)
 	err := c.rt.Run(ctx)
-	closing, cancel := context.WithTimeout(context.Background(), traceCloseTimeout)
+	closeCtx, cancel := context.WithTimeout(context.Background(), traceCloseTimeout)
 	defer cancel()
-	return errors.Join(err, c.tracer.Close(closing))
+	return errors.Join(err, c.tracer.Close(closeCtx))
 }
--- a/garnethitch_test.go
+++ b/garnethitch_test.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	run(t, controller)
+	startController(t, controller)
 	waitUntilListening(serve)
 	for _, tc := range []struct {
 		method, path string
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -57,10 +57,10 @@
 			t.Errorf("no %q in\n%s", want, &table)
 		}
 	}
-	var back struct {
+	var decoded struct {
 		Groups []quota.GroupStatus `json:"groups"`
 	}
-	if err := json.Unmarshal(text.Bytes(), &back); err != nil || len(back.Groups) != 2 || *back.Groups[1].Limit.CPUs != 7 {
+	if err := json.Unmarshal(text.Bytes(), &decoded); err != nil || len(decoded.Groups) != 2 || *decoded.Groups[1].Limit.CPUs != 7 {
 		t.Errorf("%v in\n%s", err, &text)
 	}
 	if _, err := admin.RequestQuota(ctx, addrs[0], peer.QuotaRequest{Set: &peer.SetLimit{WaitingTasks: "none", Limit: quota.CPULimit(7)}}); !errors.Is(err, admin.ErrRefused) {
--- a/internal/config/options.go
+++ b/internal/config/options.go
@@ -89,7 +89,7 @@
 		return o, nil // decoding an empty document would clear the defaults
 	}
 	if err := yaml.Unmarshal(text, &o); err != nil {
-		return o, fmt.Errorf("%s: %s%s", name, undecodable(values), firstLine(err))
+		return o, fmt.Errorf("%s: %s%s", name, decodeErrorPrefix(values), firstLine(err))
 	}
 	if key := unknownKey("", values, reflect.TypeFor[Options]()); key != "" {
 		return o, &FieldError{File: name, Field: key, Value: "...", Want: "no such key: garnethitch options schema lists them"}
@@ -100,9 +100,9 @@
 	return o, o.check(name)
 }
 
-// undecodable returns the beginning of an error message that names the key whose value
+// decodeErrorPrefix returns the beginning of an error message that names the key whose value
 // does not decode, found by decoding each by itself; empty if there is none.
-func undecodable(values map[string]any) string {
+func decodeErrorPrefix(values map[string]any) string {
 	prefix := ""
 	for key, value := range values {
 		text, err := yaml.Marshal(map[string]any{key: value})
--- a/internal/joblog/joblog.go
+++ b/internal/joblog/joblog.go
@@ -86,8 +86,8 @@
 	return l.value(keyJob) == f.job || strings.HasPrefix(l.value(keyTask), f.job+"/")
 }
 
-// learn adds the machine and the shard of a line about the job.
-func (f *filter) learn(l line) {
+// collectRelated adds the machine and the shard of a line about the job.
+func (f *filter) collectRelated(l line) {
 	if !f.aboutJob(l) {
 		return
 	}
@@ -99,9 +99,9 @@
 	}
 }
 
-// selects reports whether the line matters to the job. Every line must have been learned
+// matches reports whether the line matters to the job. Every line must have been learned
 // before.
-func (f *filter) selects(l line) bool {
+func (f *filter) matches(l line) bool {
 	switch l.message {
 	case messageEntitlement:
 		return f.shards[l.value(keyShard)]
@@ -142,13 +142,13 @@
 func selectLines(job, machine string, logs []Log) (selected []line, err error) {
 	f := &filter{job: job, onlyMachine: machine, machines: map[string]bool{}, shards: map[string]bool{}}
 	for _, log := range logs {
-		if err := read(log, f.learn); err != nil {
+		if err := forEachLine(log, f.collectRelated); err != nil {
 			return nil, err
 		}
 	}
 	for _, log := range logs {
-		err := read(log, func(l line) {
-			if f.selects(l) {
+		err := forEachLine(log, func(l line) {
+			if f.matches(l) {
 				selected = append(selected, l)
 			}
 		})
@@ -159,8 +159,8 @@
 	return selected, nil
 }
 
-// read calls each for the lines of a log that have a time. Others are not a controller's.
-func read(log Log, each func(line)) error {
+// forEachLine calls each for the lines of a log that have a time. Others are not a controller's.
+func forEachLine(log Log, visit func(line)) error {
 	in, err := log.Open()
 	if err != nil {
 		return fmt.Errorf("log of %s: %w", log.Controller, err)
@@ -170,10 +170,10 @@
 	for dec.ScanRecord() {
 		l := line{controller: log.Controller}
 		for dec.ScanKeyval() {
-			l.set(string(dec.Key()), string(dec.Value()))
+			l.setField(string(dec.Key()), string(dec.Value()))
 		}
 		if !l.at.IsZero() {
-			each(l)
+			visit(l)
 		}
 	}
 	if err := dec.Err(); err != nil {
@@ -182,8 +182,8 @@
 	return nil
 }
 
-// set sets what a key of the log stands for. A time that cannot be read is left zero.
-func (l *line) set(key, value string) {
+// setField sets what a key of the log stands for. A time that cannot be read is left zero.
+func (l *line) setField(key, value string) {
 	switch key {
 	case slog.TimeKey:
 		l.at, _ = time.Parse(time.RFC3339Nano, value)
--- a/internal/sourcecheck/docs.go
+++ b/internal/sourcecheck/docs.go
@@ -6,9 +6,9 @@
 	"slices"
 )
 
-// selfExplanatory are methods of interfaces of the standard library, whose doc says what they
+// standardMethods are methods of interfaces of the standard library, whose doc says what they
 // do.
-var selfExplanatory = []string{"Error", "String", "Unwrap", "Len", "Less", "Swap", "Push", "Pop"}
+var standardMethods = []string{"Error", "String", "Unwrap", "Len", "Less", "Swap", "Push", "Pop"}
 
 // missingDocs finds exported items outside test files, and packages, without a doc comment.
 // Whether a comment begins with the name is for the linter.
@@ -46,7 +46,7 @@
 	if d.Doc != nil || !d.Name.IsExported() {
 		return nil
 	}
-	if d.Recv != nil && (!receiverIsExported(d.Recv) || slices.Contains(selfExplanatory, d.Name.Name)) {
+	if d.Recv != nil && (!receiverIsExported(d.Recv) || slices.Contains(standardMethods, d.Name.Name)) {
 		return nil
 	}
 	return []*ast.Ident{d.Name}
--- a/internal/sourcecheck/errors.go
+++ b/internal/sourcecheck/errors.go
@@ -7,10 +7,10 @@
 	"strings"
 )
 
-// negligible are prefixes of the full names of functions whose error may be ignored:
+// ignorableErrorPrefixes are prefixes of the full names of functions whose error may be ignored:
 // their doc says that it is always nil, they print for a person, or they end a connection
 // that is not used any more.
-var negligible = []string{
+var ignorableErrorPrefixes = []string{
 	"fmt.Print",
 	"fmt.Fprint",
 	"(*bytes.Buffer).Write",
@@ -19,15 +19,15 @@
 	"(net.Listener).Close",
 }
 
-// cleanups are functions whose error may be ignored where the call is deferred: they
+// cleanupNames are functions whose error may be ignored where the call is deferred: they
 // release what was only read, or temporary files.
-var cleanups = []string{"Close", "RemoveAll"}
+var cleanupNames = []string{"Close", "RemoveAll"}
 
 // droppedErrors finds calls whose error is dropped without a trace. One that is assigned to _
 // is dropped on purpose.
 func droppedErrors(p sourcePackage) (findings []finding) {
 	report := func(call *ast.CallExpr) {
-		if name := nameOfCalled(p.info, call); returnsError(p.info, call) && !isNegligible(name) {
+		if name := calleeName(p.info, call); returnsError(p.info, call) && !isIgnorable(name) {
 			findings = append(findings, finding{p.fset.Position(call.Pos()), "error of " + name + " is dropped"})
 		}
 	}
@@ -69,8 +69,8 @@
 	}
 }
 
-// nameOfCalled returns the full name of a called function or method, or its expression.
-func nameOfCalled(info *types.Info, call *ast.CallExpr) string {
+// calleeName returns the full name of a called function or method, or its expression.
+func calleeName(info *types.Info, call *ast.CallExpr) string {
 	called := ast.Unparen(call.Fun)
 	identifier, _ := called.(*ast.Ident)
 	if selector, ok := called.(*ast.SelectorExpr); ok {
@@ -84,11 +84,11 @@
 	return types.ExprString(call.Fun)
 }
 
-func isNegligible(name string) bool {
-	return slices.ContainsFunc(negligible, func(prefix string) bool { return strings.HasPrefix(name, prefix) })
+func isIgnorable(name string) bool {
+	return slices.ContainsFunc(ignorableErrorPrefixes, func(prefix string) bool { return strings.HasPrefix(name, prefix) })
 }
 
 func isCleanup(call *ast.CallExpr) bool {
 	selector, ok := call.Fun.(*ast.SelectorExpr)
-	return ok && slices.Contains(cleanups, selector.Sel.Name)
+	return ok && slices.Contains(cleanupNames, selector.Sel.Name)
 }
--- a/internal/sourcecheck/functions.go
+++ b/internal/sourcecheck/functions.go
@@ -35,7 +35,7 @@
 			if !ok {
 				continue
 			}
-			if f := measure(p.fset, d); f.lines > lines || f.branches > branches {
+			if f := measureFunction(p.fset, d); f.lines > lines || f.branches > branches {
 				found = append(found, f)
 			}
 		}
@@ -43,7 +43,7 @@
 	return found
 }
 
-func measure(fset *token.FileSet, d *ast.FuncDecl) function {
+func measureFunction(fset *token.FileSet, d *ast.FuncDecl) function {
 	start := fset.Position(d.Pos())
 	end := fset.Position(d.End())
 	return function{
--- a/internal/sourcecheck/sourcecheck_test.go
+++ b/internal/sourcecheck/sourcecheck_test.go
@@ -12,13 +12,13 @@
 	"testing"
 )
 
-// standardLibrary imports packages from source, each once.
-var standardLibrary = sync.OnceValue(func() types.Importer {
+// standardLibraryImporter imports packages from source, each once.
+var standardLibraryImporter = sync.OnceValue(func() types.Importer {
 	return importer.ForCompiler(token.NewFileSet(), "source", nil)
 })
 
-// parse makes a package of one file.
-func parse(t *testing.T, path, text string) sourcePackage {
+// parsePackage makes a package of one file.
+func parsePackage(t *testing.T, path, text string) sourcePackage {
 	t.Helper()
 	p := sourcePackage{name: "sample", fset: token.NewFileSet(), source: map[*ast.File]string{}}
 	file, err := parser.ParseFile(p.fset, path, text, parser.ParseComments|parser.SkipObjectResolution)
@@ -27,7 +27,7 @@
 	}
 	p.files = []*ast.File{file}
 	p.source[file] = path
-	if err := p.resolveTypes("sample", standardLibrary()); err != nil {
+	if err := p.resolveTypes("sample", standardLibraryImporter()); err != nil {
 		t.Fatal(err)
 	}
 	return p
@@ -74,7 +74,7 @@
 		{"always nil", `builder.WriteString("x")`, ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			p := parse(t, "sample.go", declarations+"func f() {\n"+tc.body+"\n}\n")
+			p := parsePackage(t, "sample.go", declarations+"func f() {\n"+tc.body+"\n}\n")
 			got := strings.Join(textsOf(droppedErrors(p)), "; ")
 			if got != tc.want {
 				t.Errorf("found %q, want %q", got, tc.want)
@@ -104,7 +104,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var names []string
-			for _, text := range textsOf(missingDocs(parse(t, tc.path, tc.text))) {
+			for _, text := range textsOf(missingDocs(parsePackage(t, tc.path, tc.text))) {
 				name, _, _ := strings.Cut(text, " ")
 				names = append(names, name)
 			}
@@ -138,7 +138,7 @@
 	}
 }
 `
-	p := parse(t, "a.go", text)
+	p := parsePackage(t, "a.go", text)
 	var got []function
 	for _, f := range functionsOver(p, 0, 0) {
 		f.at = token.Position{}
@@ -151,7 +151,7 @@
 	if got := functionsOver(p, 15, 7); len(got) != 0 {
 		t.Errorf("%v are listed at their own size", got)
 	}
-	if got := functionsOver(parse(t, "a_test.go", text), 0, 0); len(got) != 0 {
+	if got := functionsOver(parsePackage(t, "a_test.go", text), 0, 0); len(got) != 0 {
 		t.Errorf("%v of a test file are listed", got)
 	}
 }
--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -46,14 +46,14 @@
 
 // Check returns ErrOptions if the options cannot be used.
 func (o Options) Check() error {
-	good := false
+	valid := false
 	switch o.Exporter {
 	case "", ExporterNone, ExporterStderr:
-		good = o.File == ""
+		valid = o.File == ""
 	case ExporterFile:
-		good = o.File != ""
+		valid = o.File != ""
 	}
-	if !good {
+	if !valid {
 		return ErrOptions
 	}
 	return nil
--- a/path_test.go
+++ b/path_test.go
@@ -16,12 +16,12 @@
 	"garnethitch/internal/fakes"
 )
 
-// worldVar makes a test binary the world around a controller: every other side of its
+// fakesProcessVar makes a test binary the world around a controller: every other side of its
 // protocols.
-const worldVar = "GARNETHITCH_WORLD"
+const fakesProcessVar = "GARNETHITCH_WORLD"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(worldVar) != "" {
+	if os.Getenv(fakesProcessVar) != "" {
 		if err := fakes.ServeWorld(os.Stdin, os.Stdout); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
@@ -31,39 +31,39 @@
 	os.Exit(m.Run())
 }
 
-// world is the other process, which plays every side but the controller.
-type world struct {
+// fakesProcess is the other process, which plays every side but the controller.
+type fakesProcess struct {
 	tb  testing.TB
 	in  io.WriteCloser
 	out *bufio.Reader
 }
 
-// say sends a command and returns the answer.
-func (w *world) say(format string, args ...any) string {
-	w.tb.Helper()
-	fmt.Fprintf(w.in, format+"\n", args...)
-	line, err := w.out.ReadString('\n')
+// send sends a command and returns the answer.
+func (p *fakesProcess) send(format string, args ...any) string {
+	p.tb.Helper()
+	fmt.Fprintf(p.in, format+"\n", args...)
+	line, err := p.out.ReadString('\n')
 	if line = strings.TrimSpace(line); err != nil || strings.HasPrefix(line, "failed") {
-		w.tb.Fatalf(format+": %s %v", append(args, line, err)...)
+		p.tb.Fatalf(format+": %s %v", append(args, line, err)...)
 	}
 	return line
 }
 
-// startWorld starts a world with machines that send their heartbeats to serve, and returns the
+// startFakes starts a world with machines that send their heartbeats to serve, and returns the
 // address of its cloud and state service.
-func startWorld(tb testing.TB, machines int, serve string) (w *world, services string) {
+func startFakes(tb testing.TB, machines int, serve string) (p *fakesProcess, services string) {
 	tb.Helper()
 	self, err := os.Executable()
 	if err != nil {
 		tb.Fatal(err)
 	}
 	cmd := exec.Command(self)
-	cmd.Env = append(os.Environ(), worldVar+"=1")
+	cmd.Env = append(os.Environ(), fakesProcessVar+"=1")
 	cmd.Stderr = os.Stderr
-	w = &world{tb: tb}
+	p = &fakesProcess{tb: tb}
 	out, err := cmd.StdoutPipe()
 	if err == nil {
-		w.in, err = cmd.StdinPipe()
+		p.in, err = cmd.StdinPipe()
 	}
 	if err == nil {
 		err = cmd.Start()
@@ -71,37 +71,37 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	w.out = bufio.NewReader(out)
+	p.out = bufio.NewReader(out)
 	tb.Cleanup(func() {
-		_ = w.in.Close()
+		_ = p.in.Close()
 		_ = cmd.Wait()
 	})
-	return w, strings.TrimPrefix(w.say("machines %d %s", machines, serve), "at ")
+	return p, strings.TrimPrefix(p.send("machines %d %s", machines, serve), "at ")
 }
 
-// startPath starts a controller in this process and a world in another, and submits a job
+// startLoadedController starts a controller in this process and a world in another, and submits a job
 // that fills every machine.
-func startPath(tb testing.TB, machines int) *world {
+func startLoadedController(tb testing.TB, machines int) *fakesProcess {
 	tb.Helper()
 	serve, internal := freeAddr(tb), freeAddr(tb)
-	w, services := startWorld(tb, machines, serve)
+	p, services := startFakes(tb, machines, serve)
 	path := writeSettings(tb, serve, internal, services)
-	liftStateLimits(tb, path)
+	raiseStateLimits(tb, path)
 	controller, err := garnethitch.New(garnethitch.Config{SettingsPath: path})
 	if err != nil {
 		tb.Fatal(err)
 	}
 	procs := runtime.GOMAXPROCS(0)
 	tb.Cleanup(func() { runtime.GOMAXPROCS(procs) })
-	run(tb, controller)
-	w.say("ready")
-	w.say("job 100000")
-	return w
+	startController(tb, controller)
+	p.send("ready")
+	p.send("job 100000")
+	return p
 }
 
-// liftStateLimits raises the state service's limits in settings, which are not what is
+// raiseStateLimits raises the state service's limits in settings, which are not what is
 // measured.
-func liftStateLimits(tb testing.TB, path string) {
+func raiseStateLimits(tb testing.TB, path string) {
 	tb.Helper()
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -113,8 +113,8 @@
 	}
 }
 
-// used returns the processor time of this process, and its numbers of reads and writes.
-func used(tb testing.TB) (cpu time.Duration, reads, writes int) {
+// resourceUsage returns the processor time of this process, and its numbers of reads and writes.
+func resourceUsage(tb testing.TB) (cpu time.Duration, reads, writes int) {
 	tb.Helper()
 	var ru syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &ru); err != nil {
@@ -133,12 +133,12 @@
 // TestSystemCallsPerHeartbeat checks that a heartbeat is read and answered by one system call each.
 // An answer in two writes would be two packets.
 func TestSystemCallsPerHeartbeat(t *testing.T) {
-	w := startPath(t, 24)
-	w.say("reports 480") // until all are on record and full
+	p := startLoadedController(t, 24)
+	p.send("reports 480") // until all are on record and full
 	const n = 2400
-	_, reads, writes := used(t)
-	w.say("reports %d", n)
-	_, reads2, writes2 := used(t)
+	_, reads, writes := resourceUsage(t)
+	p.send("reports %d", n)
+	_, reads2, writes2 := resourceUsage(t)
 	if reads2 == 0 || writes2 == 0 {
 		t.Fatal("reads and writes are not counted here")
 	}
@@ -153,15 +153,15 @@
 func BenchmarkPath(b *testing.B) {
 	for _, load := range []string{"reports", "apart", "turns", "polls", "jobs"} {
 		b.Run(load, func(b *testing.B) {
-			w := startPath(b, 200)
-			w.say("reports 2000") // until all are on record and full
+			p := startLoadedController(b, 200)
+			p.send("reports 2000") // until all are on record and full
 			time.Sleep(2 * time.Second)
-			w.say("reports 2000")
+			p.send("reports 2000")
 			b.ReportAllocs()
 			b.ResetTimer()
-			cpu, reads, writes := used(b)
-			w.say("%s %d", load, b.N)
-			cpu2, reads2, writes2 := used(b)
+			cpu, reads, writes := resourceUsage(b)
+			p.send("%s %d", load, b.N)
+			cpu2, reads2, writes2 := resourceUsage(b)
 			b.StopTimer()
 			n := float64(b.N)
 			b.ReportMetric(float64((cpu2-cpu).Nanoseconds())/1000/n, "cpu-us/op")
--- a/settings_test.go
+++ b/settings_test.go
@@ -87,8 +87,8 @@
 	return path
 }
 
-// run runs a controller until the test ends.
-func run(tb testing.TB, controller *garnethitch.Controller) {
+// startController runs a controller until the test ends.
+func startController(tb testing.TB, controller *garnethitch.Controller) {
 	tb.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
