--- a/cmd/garnethitch/main.go
+++ b/cmd/garnethitch/main.go
@@ -1,5 +1,5 @@
-// Command garnethitch runs a controller of the cluster scheduler, and sends operators'
-// requests to running ones.
+// Command garnethitch runs a controller of the cluster scheduler. Its other subcommands show
+// and set limits of groups, print the schema of the options file and merge controller logs.
 package main
 
 import (
@@ -30,15 +30,15 @@
 	Check   bool   `help:"Check the settings and stop, without starting."`
 }
 
-// Exit statuses. kong has others of its own for arguments that it cannot parse.
+// Exit statuses. kong exits with other statuses for arguments that it cannot parse.
 const (
 	exitOK       = 0
 	exitFailure  = 1
-	exitBadInput = 2 // settings, options or arguments cannot be used
+	exitBadInput = 2 // settings, options or arguments are invalid
 )
 
-// exitError ends the program with an exit status other than exitFailure. Without an err
-// the failure has been logged already.
+// exitError is an error that determines the exit status of the program. A nil err means that
+// the failure has already been logged.
 type exitError struct {
 	status int
 	err    error
@@ -68,7 +68,8 @@
 	return exit.status
 }
 
-// Run runs a controller until the process is interrupted or terminated.
+// Run runs a controller until the process receives SIGINT or SIGTERM. With --check it only
+// validates the settings and options.
 func (r *runCommand) Run() error {
 	log := newLogger()
 	controller, err := garnethitch.New(garnethitch.Config{SettingsPath: r.Config, OptionsPath: r.Options, Log: log})
@@ -76,7 +77,7 @@
 		return exitError{exitBadInput, err}
 	}
 	if r.Check {
-		fmt.Println("settings are good")
+		fmt.Println("settings are valid")
 		return nil
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
@@ -88,7 +89,8 @@
 	return nil
 }
 
-// newLogger returns a logger to standard error of the level that LOG_LEVEL names.
+// newLogger returns a logger that writes to standard error at the level given by the environment
+// variable LOG_LEVEL. An unknown level is logged and replaced by info.
 func newLogger() *slog.Logger {
 	name := os.Getenv("LOG_LEVEL")
 	level, known := logLevel(name)
@@ -99,7 +101,7 @@
 	return log
 }
 
-// logLevel returns the level with a name, slog.LevelInfo for an unknown one.
+// logLevel returns the level with the given name, and slog.LevelInfo for an unknown name.
 func logLevel(name string) (level slog.Level, known bool) {
 	switch name {
 	case "error":
--- a/cmd/garnethitch/quota.go
+++ b/cmd/garnethitch/quota.go
@@ -17,7 +17,7 @@
 	Set  quotaSet  `cmd:"" help:"Set a group's limit by hand, until it is cleared."`
 }
 
-// controllerFlags name the controller to which a request goes.
+// controllerFlags select the controller that receives a request.
 type controllerFlags struct {
 	Config  string `placeholder:"PATH" help:"Settings file of the controller to ask (TOML)."`
 	Address string `placeholder:"HOST:PORT" help:"Internal address of the controller to ask, in place of --config."`
@@ -25,8 +25,9 @@
 
 var errNoController = errors.New("address: want --config or --address")
 
-// resolve returns the controller's internal address, and its settings if --config names
-// them.
+// resolve returns the internal address of the controller. It also returns the controller's
+// settings if --config is given, otherwise zero settings. --address overrides the address in
+// the settings.
 func (f controllerFlags) resolve() (addr string, settings config.Settings, err error) {
 	if f.Config == "" && f.Address == "" {
 		return "", config.Settings{}, errNoController
@@ -49,7 +50,7 @@
 	JSON bool `name:"json" help:"Write JSON."`
 }
 
-// Run prints the groups as one controller knows them.
+// Run prints the state of all groups as reported by the selected controller.
 func (q *quotaShow) Run() error {
 	addr, _, err := q.resolve()
 	if err != nil {
@@ -74,7 +75,8 @@
 	Options string   `placeholder:"PATH" env:"GARNETHITCH_OPTIONS" help:"The controllers' options (YAML), to check the group by."`
 }
 
-// Run has one controller announce the limit.
+// Run asks the selected controller to announce the new limit, or to clear the one that was
+// set by an operator.
 func (q *quotaSet) Run() error {
 	addr, settings, err := q.resolve()
 	if err != nil {
@@ -88,6 +90,6 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("announced as epoch %d; \"garnethitch quota show\" tells when it is in force\n", resp.Epoch)
+	fmt.Printf("announced as epoch %d; \"garnethitch quota show\" shows when it is in force\n", resp.Epoch)
 	return nil
 }
--- a/cmd/garnethitch/timeline.go
+++ b/cmd/garnethitch/timeline.go
@@ -15,7 +15,7 @@
 	Logs    []string `arg:"" type:"existingfile" help:"Log files, one for each controller; a file's name is taken for the controller's."`
 }
 
-// Run prints the course of a job, merged from the logs of several controllers.
+// Run prints the log lines about a job, merged from the logs of several controllers.
 func (t *timelineCommand) Run() error {
 	var logs []joblog.Log
 	for _, path := range t.Logs {
--- a/garnethitch.go
+++ b/garnethitch.go
@@ -1,6 +1,6 @@
 // Package garnethitch is a cluster scheduler that survives the loss of its
-// controllers, machines and services. A program embeds it with New and Run;
-// cmd/garnethitch is such a program.
+// controllers, machines and services. Programs embed a controller with New and
+// Run; cmd/garnethitch is an example.
 package garnethitch
 
 import (
@@ -23,29 +23,30 @@
 const Version = "0.1.0"
 
 const (
-	// gcPercent makes collections rare: memory is plenty and a fraction of a core is not.
-	// The memory limit makes them more frequent when memory runs short.
+	// gcPercent is the garbage collector's GOGC value. A high value makes collections rare,
+	// which saves processor time: the controller has ample memory but only a fraction of a
+	// core. The memory limit makes collections more frequent when memory runs short.
 	gcPercent = 400
-	// maxProcs is how many threads run at a time. On a fraction of a core a second
-	// one would be woken by each event for nothing; docs/account.md has the counts.
+	// maxProcs is the value of GOMAXPROCS. On a fraction of a core a second thread would be
+	// woken by each event without any benefit; docs/account.md has the counts.
 	maxProcs = 1
-	// traceCloseTimeout bounds the export of buffered spans at the end.
+	// traceCloseTimeout limits the export of buffered spans at shutdown.
 	traceCloseTimeout = time.Second
 
 	bytesPerMiB = 1 << 20
 )
 
-// Config names the files and the log of a controller.
+// Config holds the file paths and the logger of a controller.
 type Config struct {
-	// SettingsPath names the platform's settings file (TOML).
+	// SettingsPath is the path of the platform's settings file (TOML).
 	SettingsPath string
-	// OptionsPath names the operators' file (YAML); empty for the defaults.
+	// OptionsPath is the path of the operators' options file (YAML). Empty: the defaults apply.
 	OptionsPath string
-	// Log receives the log; nil discards it.
+	// Log is the logger. nil discards all log lines.
 	Log *slog.Logger
 }
 
-// Controller is one controller node, ready to run.
+// Controller is one controller node. Create it with New.
 type Controller struct {
 	rt       *service.Runtime
 	settings config.Settings
@@ -53,7 +54,8 @@
 	tracer   *tracing.Tracer // nil: no spans are exported
 }
 
-// New reads and checks the settings and options, and starts nothing yet.
+// New reads and validates the settings and options and returns a controller that is not yet
+// running. Errors name the file and the invalid field.
 func New(cfg Config) (*Controller, error) {
 	settings, err := config.LoadSettings(cfg.SettingsPath)
 	if err != nil {
@@ -78,9 +80,9 @@
 	return &Controller{rt: rt, settings: settings, options: options, tracer: tracer}, nil
 }
 
-// Run serves until ctx ends, when it returns nil, or until serving becomes impossible. It sets
-// the memory limit, the rate of garbage collection and the number of running threads of the
-// process.
+// Run runs the controller until ctx ends, and then returns nil, or until the controller cannot
+// continue, and then returns the error. It sets the process-wide memory limit, GOGC value and
+// GOMAXPROCS.
 func (c *Controller) Run(ctx context.Context) error {
 	memoryLimit := c.settings.Cluster.Resources.RAMMB * c.options.MemoryShare * bytesPerMiB
 	debug.SetMemoryLimit(int64(memoryLimit))
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin is the client side of the operators' commands: it sends requests to a
-// running controller, at its internal address, and shows the answers.
+// Package admin implements the client side of the operators' commands: it sends requests to
+// the internal address of a running controller and prints the responses.
 package admin
 
 import (
@@ -19,14 +19,15 @@
 	"garnethitch/quota"
 )
 
-// timeout bounds a request to a controller.
+// timeout limits a request to a controller.
 const timeout = 6 * time.Second
 
-// ErrRefused says that the controller has answered, but has not done what it was asked.
+// ErrRefused is returned when the controller responds but does not carry out the request.
 var ErrRefused = errors.New("refused")
 
 // RequestQuota sends a request about groups to the controller at an address (IP:port). The error
-// is ErrRefused if the controller answers that it cannot do it.
+// wraps ErrRefused if the controller responds that it cannot carry out the request, or does not
+// support groups.
 func RequestQuota(ctx context.Context, addr string, req peer.QuotaRequest) (*peer.QuotaResponse, error) {
 	body, err := peer.Encode(peer.Request{Quota: &req})
 	if err != nil {
@@ -41,7 +42,7 @@
 		err = peer.Decode(msg.Body, &resp)
 	}
 	if err != nil || resp.Quota == nil {
-		return nil, fmt.Errorf("controller at %s: status %d, it does not know groups: %w", addr, msg.Status, ErrRefused)
+		return nil, fmt.Errorf("controller at %s: status %d, groups are not supported: %w", addr, msg.Status, ErrRefused)
 	}
 	if resp.Quota.Problem != "" {
 		return nil, fmt.Errorf("%s: %w", resp.Quota.Problem, ErrRefused)
@@ -68,7 +69,8 @@
 	})
 }
 
-// WriteJSON writes the groups as JSON.
+// WriteJSON writes the groups, and the names of the controllers that do not support groups, as
+// JSON.
 func WriteJSON(w io.Writer, resp *peer.QuotaResponse) error {
 	enc := json.NewEncoder(w)
 	enc.SetIndent("", "  ")
@@ -76,14 +78,14 @@
 		Groups  []quota.GroupStatus `json:"groups"`
 		Without []string            `json:"controllers_without_groups"`
 	}{
-		// Concat makes an empty list of a nil one, which would be written as null.
+		// Concat turns a nil list into an empty one. A nil list would be written as null.
 		Groups:  slices.Concat([]quota.GroupStatus{}, resp.Groups),
 		Without: slices.Concat([]string{}, resp.ControllersWithoutQuota),
 	})
 }
 
-// WriteTable writes the groups as tables, followed by a line for each thing that keeps a
-// limit from being in force.
+// WriteTable writes a table of groups and a table of their shards, followed by one line for
+// each reason why a limit is not in force.
 func WriteTable(w io.Writer, resp *peer.QuotaResponse) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	writeGroups(t, resp.Groups)
@@ -117,6 +119,8 @@
 	}
 }
 
+// writeObstacles writes a line for each shard that holds up a limit and for each controller that
+// does not support groups.
 func writeObstacles(w io.Writer, resp *peer.QuotaResponse) {
 	for _, g := range resp.Groups {
 		for _, h := range g.HeldUp {
@@ -124,7 +128,7 @@
 		}
 	}
 	for _, label := range resp.ControllersWithoutQuota {
-		fmt.Fprintf(w, "controller %s does not keep groups: limits do not bind it\n", label)
+		fmt.Fprintf(w, "controller %s does not support groups: limits do not apply to it\n", label)
 	}
 }
 
@@ -135,6 +139,7 @@
 	return fmt.Sprintf("%g CPUs, %g GPUs", a.CPUs, a.GPUs)
 }
 
+// orDash returns s, or "-" if s is empty.
 func orDash(s string) string {
 	if s == "" {
 		return "-"
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -18,8 +18,8 @@
 	"garnethitch/quota"
 )
 
-// TestShowAndSet checks that a limit that an operator sets at one running controller is shown by
-// another.
+// TestShowAndSet checks that a limit set through one running controller is shown by another one,
+// and that setting the limit of an unknown group is refused.
 func TestShowAndSet(t *testing.T) {
 	c, err := faulttest.NewCluster(faulttest.ClusterPlan{Seed: 1, Nodes: 2, Machines: 4, Teams: []string{"kigali", "rubavu", "karongi"}, Groups: faulttest.GrantGroups()})
 	if err != nil {
@@ -38,12 +38,12 @@
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
-		t.Fatalf("%s: not within 10 s: %+v, %v", what, resp, err)
+		t.Fatalf("%s: not reached within 10 s: response %+v, error %v", what, resp, err)
 	}
 	wait("the options' limit in force", func(g quota.GroupStatus) bool { return g.State == quota.StateInForce && *g.Limit.CPUs == 40 })
 	set, err := admin.RequestQuota(ctx, addrs[0], peer.QuotaRequest{Set: &peer.SetLimit{WaitingTasks: "lake", Limit: quota.CPULimit(7)}})
 	if err != nil || set.Epoch < 2 {
-		t.Fatalf("%+v, %v", set, err)
+		t.Fatalf("setting a limit: response %+v, error %v, want epoch 2 or higher", set, err)
 	}
 	wait("the operator's limit in force", func(g quota.GroupStatus) bool {
 		return g.Source == quota.FromOperator && g.Applied != nil && *g.Applied.CPUs == 7
@@ -54,21 +54,22 @@
 	}
 	for _, want := range []string{"GROUP", "lake", "7 CPUs", "in force", "operator", "node-0"} {
 		if !strings.Contains(table.String(), want) {
-			t.Errorf("no %q in\n%s", want, &table)
+			t.Errorf("the table does not contain %q:\n%s", want, &table)
 		}
 	}
 	var decoded struct {
 		Groups []quota.GroupStatus `json:"groups"`
 	}
 	if err := json.Unmarshal(text.Bytes(), &decoded); err != nil || len(decoded.Groups) != 2 || *decoded.Groups[1].Limit.CPUs != 7 {
-		t.Errorf("%v in\n%s", err, &text)
+		t.Errorf("JSON: error %v, want 2 groups, the second with a limit of 7 CPUs, in\n%s", err, &text)
 	}
 	if _, err := admin.RequestQuota(ctx, addrs[0], peer.QuotaRequest{Set: &peer.SetLimit{WaitingTasks: "none", Limit: quota.CPULimit(7)}}); !errors.Is(err, admin.ErrRefused) {
-		t.Errorf("an unknown group: %v", err)
+		t.Errorf("an unknown group: error %v, want ErrRefused", err)
 	}
 }
 
-// TestCheckSet checks that a request that no controller would grant is refused with the reason.
+// TestCheckSet checks that a request that no controller would accept fails before it is sent, with
+// the reason in the error.
 func TestCheckSet(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "options.yaml")
 	if err := os.WriteFile(path, []byte("quota:\n  groups:\n    - {name: lake, teams: [rubavu], limit: {cpus: 5}}\n"), 0o600); err != nil {
@@ -79,7 +80,7 @@
 		name    string
 		set     peer.SetLimit
 		options string
-		want    string // text of the error; empty: none
+		want    string // text contained in the error; empty: no error
 	}{
 		{"good", peer.SetLimit{WaitingTasks: "lake", Limit: quota.CPULimit(3)}, path, ""},
 		{"without options", peer.SetLimit{WaitingTasks: "any", Clear: true}, "", ""},
--- a/internal/admin/checkset.go
+++ b/internal/admin/checkset.go
@@ -10,12 +10,13 @@
 	"garnethitch/quota"
 )
 
-// ErrNoLimit says that a request names no limit to set and does not clear one.
+// ErrNoLimit is returned for a request that neither sets a limit nor clears one.
 var ErrNoLimit = errors.New("cpus: want --cpus, --gpus or --clear")
 
-// CheckSetLimit checks a request to set a limit before it is sent. With the path of the
-// controllers' options file it also checks that the group is one of the file's; settings
-// give the teams, and may be zero if only a controller's address is known.
+// CheckSetLimit validates a request to set a limit before it is sent. If optionsPath names the
+// controllers' options file, it also checks that the file defines the group. The teams are taken
+// from settings; zero settings (only the address of a controller is known) accept every team that
+// the options file names.
 func CheckSetLimit(set peer.SetLimit, optionsPath string, settings config.Settings) error {
 	if !set.Clear && !set.Limit.Bounded() {
 		return ErrNoLimit
@@ -38,12 +39,12 @@
 	}
 	if !options.Groups.Has(set.WaitingTasks) {
 		names := strings.Join(options.Groups.Names(), ", ")
-		return fmt.Errorf("%s: group %q: want one of the file's: %s", optionsPath, set.WaitingTasks, names)
+		return fmt.Errorf("%s: group %q is not defined, want one of: %s", optionsPath, set.WaitingTasks, names)
 	}
 	return nil
 }
 
-// teamsOf returns the teams that the groups name.
+// teamsOf returns the teams that are listed in the groups.
 func teamsOf(groups []quota.GroupOptions) (teams []config.Team) {
 	for _, g := range groups {
 		for _, name := range g.Teams {
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -6,26 +6,26 @@
 	"net/netip"
 )
 
-// FieldError names a field and a value that it cannot have.
+// FieldError reports a field with an invalid value.
 type FieldError struct {
 	File  string
-	Field string // full name, such as cluster.teams[0].cpus
+	Field string // full path, such as cluster.teams[0].cpus
 	Value any
-	Want  string // the values that it can have
+	Want  string // description of the valid values
 }
 
-// Error returns file, field, value and what is wanted, on one line.
+// Error returns the file, the field, its value and the valid values on one line.
 func (e *FieldError) Error() string {
 	return fmt.Sprintf("%s: %s = %v: want %s", e.File, e.Field, e.Value, e.Want)
 }
 
-// checker checks the fields of a file and keeps the error of the first bad one.
+// checker validates the fields of a file and keeps the error of the first invalid one.
 type checker struct {
 	file string
 	err  error
 }
 
-// require records that a field cannot have its value unless ok.
+// require records an error for the field if ok is false and no error was recorded before.
 func (c *checker) require(ok bool, field string, value any, want string) {
 	if !ok && c.err == nil {
 		c.err = &FieldError{File: c.file, Field: field, Value: value, Want: want}
@@ -45,8 +45,8 @@
 	c.require(err == nil && addr.Port() != 0, field, quoted(value), "an IP address with a port")
 }
 
-// requireUnique records an empty name, or one that is among those seen, to which it adds
-// the name.
+// requireUnique records an error if the name is empty or already in seen. It adds the name
+// to seen.
 func (c *checker) requireUnique(field, name string, seen map[string]bool) {
 	c.require(name != "" && !seen[name], field, quoted(name), "a name used once")
 	seen[name] = true
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,7 @@
-// Package config reads the configuration of a controller: the platform's settings (TOML)
-// and, if there is one, the operators' options (YAML). Unknown settings are ignored,
-// unknown options are not. Errors name the file, the field and its value on one line.
+// Package config reads the configuration of a controller: the platform's settings file
+// (TOML) and the optional options file of the operators (YAML). Unknown settings are ignored;
+// unknown options are errors. Each error is one line that names the file, the field and its
+// value.
 package config
 
 import (
@@ -9,9 +10,10 @@
 	"os"
 )
 
-// maxFileBytes bounds a configuration file.
+// maxFileBytes is the largest accepted size of a configuration file, in bytes.
 const maxFileBytes = 1 << 20
 
+// readFile returns the content of a file of at most maxFileBytes bytes.
 func readFile(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
--- a/internal/config/options.go
+++ b/internal/config/options.go
@@ -18,36 +18,37 @@
 	maxMemoryShare = 0.95
 )
 
-// Options are the operators' own settings. LoadOptions and ParseOptions fill in the
-// Defaults of those that the file leaves out.
+// Options holds the settings that operators choose. LoadOptions and ParseOptions set the
+// options that the file omits to their Defaults.
 type Options struct {
 	// LeaseMS is the lifetime of a controller's lease in the state service, in
 	// milliseconds.
 	LeaseMS int64 `yaml:"lease_ms"`
 	// SilentReturnS is the number of seconds without a heartbeat after which a machine is
-	// returned to the cloud. 0 keeps silent machines until their lease expires; nil has it
-	// follow from the interval of heartbeats.
+	// returned to the cloud. 0 keeps silent machines until their lease expires; nil derives
+	// the time from the heartbeat interval.
 	SilentReturnS *float64 `yaml:"silent_return_s"`
-	// DrainHorizonS is the number of seconds in which the waiting work should be done:
-	// machines are added while it would take longer.
+	// DrainHorizonS is the target time in seconds to work off the backlog: machines are added
+	// while the backlog would take longer.
 	DrainHorizonS float64 `yaml:"drain_horizon_s"`
-	// IdleReturnS is the number of idle seconds after which a machine is returned.
+	// IdleReturnS is the idle time in seconds after which a machine is returned to the cloud.
 	IdleReturnS float64 `yaml:"idle_return_s"`
 	// BeginS is the longest time in seconds that a job should wait for the start of its
-	// first task, however short of machines the fleet is; 0: no limit.
+	// first task, even while the fleet is short of machines. 0: no limit.
 	BeginS float64 `yaml:"begin_s"`
-	// MaxMachines bounds the fleet.
+	// MaxMachines is the maximum number of machines in the fleet.
 	MaxMachines int `yaml:"max_machines"`
-	// MemoryShare is the part of ram_mb that becomes Go's memory limit, up to 0.95.
+	// MemoryShare is the fraction of ram_mb that is set as Go's memory limit, above 0 and at
+	// most 0.95.
 	MemoryShare float64 `yaml:"memory_share"`
-	// QuarantineS is the number of seconds for which a machine that fails tasks gets no
-	// new ones.
+	// QuarantineS is the time in seconds during which a machine that fails tasks is assigned
+	// no new ones.
 	QuarantineS float64 `yaml:"quarantine_s"`
-	// Quota holds the groups above teams.
+	// Quota holds the groups of teams and their limits.
 	Quota quota.Options `yaml:"quota"`
-	// Groups is made from Quota by CheckQuota; nil: there are no groups.
+	// Groups is set from Quota by BuildGroups. nil: there are no groups.
 	Groups *quota.Tree `yaml:"-"`
-	// Trace chooses the exporter of spans.
+	// Trace selects the exporter of spans.
 	Trace tracing.Options `yaml:"trace"`
 }
 
@@ -64,7 +65,7 @@
 	}
 }
 
-// LoadOptions reads and checks an options file. An empty path gives the Defaults.
+// LoadOptions reads and validates an options file. For an empty path it returns the Defaults.
 func LoadOptions(path string) (Options, error) {
 	if path == "" {
 		return Defaults(), nil
@@ -76,9 +77,9 @@
 	return ParseOptions(path, text)
 }
 
-// ParseOptions parses and checks the text of an options file. name is the file's name in
-// errors; an unknown key, or a value that a key cannot have, is a *FieldError. Groups are
-// left to CheckQuota.
+// ParseOptions parses and validates the text of an options file. name is the file name used
+// in errors. An unknown key or an invalid value is reported as a *FieldError. Groups are not
+// validated here but by BuildGroups, which knows the teams.
 func ParseOptions(name string, text []byte) (Options, error) {
 	o := Defaults()
 	var values map[string]any
@@ -86,13 +87,13 @@
 		return o, fmt.Errorf("%s: %s", name, firstLine(err))
 	}
 	if len(values) == 0 {
-		return o, nil // decoding an empty document would clear the defaults
+		return o, nil // decoding an empty document would reset the defaults to zero
 	}
 	if err := yaml.Unmarshal(text, &o); err != nil {
 		return o, fmt.Errorf("%s: %s%s", name, decodeErrorPrefix(values), firstLine(err))
 	}
 	if key := unknownKey("", values, reflect.TypeFor[Options]()); key != "" {
-		return o, &FieldError{File: name, Field: key, Value: "...", Want: "no such key: garnethitch options schema lists them"}
+		return o, &FieldError{File: name, Field: key, Value: "...", Want: "a known key, as listed by \"garnethitch options schema\""}
 	}
 	if err := o.Trace.Check(); err != nil {
 		return o, fmt.Errorf("%s: %w", name, err)
@@ -100,8 +101,8 @@
 	return o, o.check(name)
 }
 
-// decodeErrorPrefix returns the beginning of an error message that names the key whose value
-// does not decode, found by decoding each by itself; empty if there is none.
+// decodeErrorPrefix returns "key = value: " for a top-level key whose value cannot be
+// decoded, or "" if there is none. It finds the key by decoding each one separately.
 func decodeErrorPrefix(values map[string]any) string {
 	prefix := ""
 	for key, value := range values {
@@ -117,14 +118,14 @@
 	return prefix
 }
 
-// firstLine returns an error's message without the excerpt of the file that goccy/go-yaml
-// adds below it.
+// firstLine returns the first line of an error's message. goccy/go-yaml appends an excerpt of
+// the file in further lines.
 func firstLine(err error) string {
 	line, _, _ := strings.Cut(err.Error(), "\n")
 	return line
 }
 
-// check returns a *FieldError for the first option whose value cannot be used.
+// check returns a *FieldError for the first option with an invalid value.
 func (o *Options) check(file string) error {
 	c := &checker{file: file}
 	c.require(o.LeaseMS >= minLeaseMS && o.LeaseMS <= maxLeaseMS, "lease_ms", o.LeaseMS, fmt.Sprintf("%d to %d", minLeaseMS, maxLeaseMS))
@@ -140,8 +141,8 @@
 	return c.err
 }
 
-// BuildGroups checks the groups against the teams of the settings and sets Groups. file is
-// the options file's name in errors.
+// BuildGroups validates the groups in Quota against the teams in the settings and sets
+// Groups. file is the name of the options file used in errors.
 func (o *Options) BuildGroups(file string, settings Settings) error {
 	if len(o.Quota.Groups) == 0 {
 		return nil
--- a/internal/config/options_test.go
+++ b/internal/config/options_test.go
@@ -17,7 +17,7 @@
 		{"long lease", "lease_ms: 700000", "lease_ms = 700000"},
 		{"no time to drain", "drain_horizon_s: 0", "drain_horizon_s = 0"},
 		{"infinite", "quarantine_s: .inf", "options.yaml"},
-		{"more machines than there may be", "max_machines: 100001", "max_machines = 100001"},
+		{"more machines than allowed", "max_machines: 100001", "max_machines = 100001"},
 		{"short lease", "lease_ms: 10", "lease_ms = 10"},
 		{"share of memory", "memory_share: 1.5", "memory_share = 1.5"},
 		{"negative", "idle_return_s: -1", "idle_return_s = -1"},
@@ -34,7 +34,7 @@
 			o, err := ParseOptions("options.yaml", []byte(tc.text))
 			if tc.want == "" {
 				if err != nil || o.DrainHorizonS != Defaults().DrainHorizonS {
-					t.Errorf("%+v, %v", o, err)
+					t.Errorf("options %+v, error %v, want the default drain horizon and no error", o, err)
 				}
 				return
 			}
@@ -43,8 +43,8 @@
 	}
 }
 
-// The file that documents every option has the defaults, and its example of groups, which
-// is commented out, is good.
+// TestDeployOptions checks that deploy/options.yaml, which documents every option, holds the
+// defaults, and that its commented-out example of groups is valid.
 func TestDeployOptions(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/options.yaml")
 	if err != nil {
@@ -57,7 +57,7 @@
 	want := Defaults()
 	want.Trace.Exporter = tracing.ExporterNone
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v, the defaults are %+v", got, want)
+		t.Errorf("deploy/options.yaml holds %+v, the defaults are %+v", got, want)
 	}
 	_, example, _ := strings.Cut(string(text), "# quota:\n")
 	example, _, _ = strings.Cut(example, "\n\n")
@@ -72,6 +72,6 @@
 	}
 	err = got.BuildGroups("options.yaml", settings)
 	if err != nil || len(got.Groups.Names()) != 2 {
-		t.Errorf("%v: %v", got.Groups.Names(), err)
+		t.Errorf("example of groups: names %v, error %v, want 2 names and no error", got.Groups.Names(), err)
 	}
 }
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -10,14 +10,15 @@
 )
 
 // OptionsSchema is the JSON Schema of the options file, for editors and other programs.
-// A controller checks the file without it, since a validator would prolong every start.
+// A controller validates the file in Go instead, because a schema validator would make every
+// start slower.
 //
 //go:embed options.schema.json
 var OptionsSchema []byte
 
-// unknownKey returns the path of the first key in a decoded document for which a type has
-// no field, by the names in its yaml tags; empty if there is none. path is that of value.
-// Unknown keys are errors because a misspelt limit would bound nothing.
+// unknownKey returns the path of the first key in a decoded document that is not the yaml tag
+// of a field of typ, or "" if there is none. path is the path of value in the document.
+// Unknown keys are errors because a limit with a misspelt key would have no effect.
 func unknownKey(path string, value any, typ reflect.Type) string {
 	for typ.Kind() == reflect.Pointer {
 		typ = typ.Elem()
@@ -61,7 +62,7 @@
 	return ""
 }
 
-// yamlFieldType returns the type of a struct's field by its name in YAML.
+// yamlFieldType returns the type of the struct field with the given YAML key.
 func yamlFieldType(structType reflect.Type, key string) (reflect.Type, bool) {
 	for i := range structType.NumField() {
 		field := structType.Field(i)
--- a/internal/config/schema_test.go
+++ b/internal/config/schema_test.go
@@ -12,6 +12,7 @@
 	"github.com/santhosh-tekuri/jsonschema/v6"
 )
 
+// compileSchema compiles OptionsSchema.
 func compileSchema(t *testing.T) *jsonschema.Schema {
 	t.Helper()
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(OptionsSchema))
@@ -29,7 +30,7 @@
 	return schema
 }
 
-// validate checks a YAML document by the schema.
+// validate validates a YAML document against the schema.
 func validate(t *testing.T, schema *jsonschema.Schema, text string) error {
 	t.Helper()
 	asJSON, err := yaml.YAMLToJSON([]byte(text))
@@ -43,7 +44,7 @@
 	return schema.Validate(value)
 }
 
-// parseAndCheckQuota checks a YAML document as a controller does.
+// parseAndCheckQuota validates a YAML document in the way a controller does at startup.
 func parseAndCheckQuota(text string) error {
 	options, err := ParseOptions("options.yaml", []byte(text))
 	if err != nil {
@@ -52,7 +53,8 @@
 	return options.BuildGroups("options.yaml", Settings{Cluster: Cluster{Teams: []Team{{Name: "t"}}}})
 }
 
-// The schema accepts the values that a controller accepts, and no others.
+// TestOptionsSchema checks that the schema accepts exactly the documents that a controller
+// accepts.
 func TestOptionsSchema(t *testing.T) {
 	schema := compileSchema(t)
 	group := "quota: {groups: [{name: a, teams: [t], limit: {cpus: 4}, guarantee: {gpus: 1}, parent: b, schedule: [{rule: FREQ=DAILY, from: '06:00', to: '12:00', zone: UTC, limit: {cpus: 1}}]}, {name: b}]}"
@@ -76,16 +78,16 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if err := validate(t, schema, tc.text); (err == nil) != tc.good {
-				t.Errorf("%s: by the schema %v, want good %v", tc.text, err, tc.good)
+				t.Errorf("%s: schema validation returns %v, want valid: %v", tc.text, err, tc.good)
 			}
 			if err := parseAndCheckQuota(tc.text); (err == nil) != tc.good {
-				t.Errorf("%s: by a controller %v, want good %v", tc.text, err, tc.good)
+				t.Errorf("%s: a controller returns %v, want valid: %v", tc.text, err, tc.good)
 			}
 		})
 	}
 }
 
-// The schema names the keys that the types have, and no others.
+// TestOptionsSchemaKeys checks that the schema has exactly the keys that the Go types have.
 func TestOptionsSchemaKeys(t *testing.T) {
 	type object struct{ Properties map[string]any }
 	var schema struct {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -8,9 +8,9 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Settings is the file that the platform hands to a controller.
+// Settings is the content of the settings file that the platform gives to a controller.
 type Settings struct {
-	Label        string    `toml:"label"` // the controller's name
+	Label        string    `toml:"label"` // unique name of this controller
 	Site         string    `toml:"site"`
 	ServeOn      string    `toml:"serve_on"`      // IP:port for users and workers
 	InternalAddr string    `toml:"internal_addr"` // IP:port for other controllers
@@ -19,11 +19,11 @@
 	Cluster      Cluster   `toml:"cluster"`
 }
 
-// Seed is another controller.
+// Seed is another controller of the deployment.
 type Seed struct {
 	Label   string `toml:"label"`
 	Site    string `toml:"site"`
-	Address string `toml:"address"` // IP:port, its internal address
+	Address string `toml:"address"` // IP:port of its internal listener
 }
 
 // Endpoints are the addresses (IP:port) of the regional services.
@@ -34,7 +34,7 @@
 
 // Cluster describes the deployment.
 type Cluster struct {
-	Nodes        int         `toml:"nodes"` // controllers
+	Nodes        int         `toml:"nodes"` // number of controllers
 	Zones        []string    `toml:"zones"`
 	ClockErrorMS float64     `toml:"clock_error_ms"`
 	Teams        []Team      `toml:"teams"`
@@ -45,7 +45,8 @@
 	Resources    Resources   `toml:"resources"`
 }
 
-// Team has a guarantee and a limit; a limit of 0 means none.
+// Team is a team with its guaranteed CPUs and GPUs and its limits (CPUsMax, GPUsMax). A limit
+// of 0 means no limit.
 type Team struct {
 	Name    string  `toml:"name"`
 	CPUs    float64 `toml:"cpus"`
@@ -54,32 +55,34 @@
 	GPUsMax float64 `toml:"gpus_max"`
 }
 
-// Objective is a service-level objective of a class of jobs.
+// Objective is a service-level objective for a class of jobs.
 type Objective struct {
 	Kind    string  `toml:"kind"`
 	Class   string  `toml:"class"`
 	WithinS float64 `toml:"within_s"` // seconds
-	Share   float64 `toml:"share"`    // part of the jobs, 0 to 1
+	Share   float64 `toml:"share"`    // fraction of the jobs, 0 to 1
 }
 
-// Workers are the workers' intervals, in seconds.
+// Workers holds the workers' intervals, in seconds.
 type Workers struct {
 	ReportS float64 `toml:"report_s"` // between heartbeats
 	LeaseS  float64 `toml:"lease_s"`
 	CancelS float64 `toml:"cancel_s"`
 }
 
-// StateLimits bound the use of the state service.
+// StateLimits limits the use of the state service.
 type StateLimits struct {
 	RPS      float64 `toml:"rps"`       // requests per second
-	WriteRPS float64 `toml:"write_rps"` // writing requests per second
+	WriteRPS float64 `toml:"write_rps"` // write requests per second
 	ValueKB  float64 `toml:"value_kb"`
-	TxnOps   int     `toml:"txn_ops"` // operations in a transaction
-	// Next are limits that take effect at some later time, without notice.
+	TxnOps   int     `toml:"txn_ops"` // operations per transaction
+	// Next holds limits that take effect at an unknown later time, without notice. nil: there
+	// are none.
 	Next *NextLimits `toml:"next"`
 }
 
-// NextLimits are limits to come. A field of 0 leaves the limit as it is.
+// NextLimits holds limits that take effect later. A field of 0 leaves the current limit
+// unchanged.
 type NextLimits struct {
 	RPS      float64 `toml:"rps"`
 	WriteRPS float64 `toml:"write_rps"`
@@ -87,9 +90,10 @@
 	TxnOps   int     `toml:"txn_ops"`
 }
 
-// Strictest returns the smaller of each limit and the one to come. They are kept to from the
-// start, since nothing tells when those to come take effect, and a value written larger
-// could not be rewritten then.
+// Strictest returns the smaller of each current limit and its value in Next. The controller
+// observes the smaller limits from the start, because it is not told when Next takes effect,
+// and a value that was written while it was larger than the new limit could not be rewritten
+// afterwards.
 func (l StateLimits) Strictest() StateLimits {
 	if l.Next == nil {
 		return l
@@ -101,6 +105,7 @@
 	return l
 }
 
+// lowerLimit returns the smaller of the two limits. A next limit of 0 is ignored.
 func lowerLimit[N int | float64](now, next N) N {
 	if next > 0 {
 		return min(now, next)
@@ -108,20 +113,20 @@
 	return now
 }
 
-// CloudLimits bound the use of the cloud.
+// CloudLimits limits the use of the cloud service.
 type CloudLimits struct {
 	RPS      float64 `toml:"rps"`        // requests per second
-	ListLagS float64 `toml:"list_lag_s"` // seconds by which a list of machines may be late
+	ListLagS float64 `toml:"list_lag_s"` // maximum delay of a list of machines, in seconds
 }
 
-// Resources are what the process may use.
+// Resources holds the resources that the process may use.
 type Resources struct {
-	CoreShare float64 `toml:"core_share"` // part of a core
+	CoreShare float64 `toml:"core_share"` // fraction of a core
 	RAMMB     float64 `toml:"ram_mb"`
 	Sockets   int     `toml:"sockets"`
 }
 
-// LoadSettings reads and checks a settings file.
+// LoadSettings reads and validates a settings file.
 func LoadSettings(path string) (Settings, error) {
 	text, err := readFile(path)
 	if err != nil {
@@ -130,8 +135,8 @@
 	return ParseSettings(path, text)
 }
 
-// ParseSettings parses and checks the text of a settings file. name is the file's name in
-// errors; a value that a field cannot have is a *FieldError.
+// ParseSettings parses and validates the text of a settings file. name is the file name used
+// in errors. An invalid value is reported as a *FieldError.
 func ParseSettings(name string, text []byte) (Settings, error) {
 	var s Settings
 	err := toml.Unmarshal(text, &s)
@@ -146,7 +151,8 @@
 	return s, s.check(name)
 }
 
-// tomlField returns the full name and the value of the field on a line, counted from 1.
+// tomlField returns "table.key = value" for the field on the given line, counted from 1, or
+// "syntax" if the line holds no field.
 func tomlField(text string, row int) string {
 	const notAField = "syntax"
 	lines := strings.Split(text, "\n")
--- a/internal/config/settings_check.go
+++ b/internal/config/settings_check.go
@@ -8,14 +8,14 @@
 const (
 	maxControllers = 64
 	minTxnOps      = 2
-	// Below these a controller could not start, or only after minutes.
+	// With less than these resources a controller fails to start or takes minutes to start.
 	minCoreShare = 0.001
 	minRAMMB     = 24
 	minSockets   = 128
 )
 
-// check returns a *FieldError for the first field whose value cannot be used. It sorts the
-// zones and drops repeated ones.
+// check returns a *FieldError for the first field with an invalid value. It also sorts the
+// zones and removes duplicates.
 func (s *Settings) check(file string) error {
 	c := &checker{file: file}
 	s.checkAddresses(c)
@@ -39,7 +39,7 @@
 
 func (cl *Cluster) check(c *checker, seeds int) {
 	c.require(cl.Nodes >= 1 && cl.Nodes <= maxControllers, "cluster.nodes", cl.Nodes, fmt.Sprintf("1 to %d", maxControllers))
-	c.require(seeds < cl.Nodes || cl.Nodes < 1, "cluster.nodes", cl.Nodes, "at least one more than there are seeds")
+	c.require(seeds < cl.Nodes || cl.Nodes < 1, "cluster.nodes", cl.Nodes, "more than the number of seeds")
 	slices.Sort(cl.Zones)
 	cl.Zones = slices.Compact(cl.Zones)
 	c.requireNotNegative("cluster.clock_error_ms", cl.ClockErrorMS)
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// settings is a file that is good as it is; the tests alter it.
+// settings is a valid settings file. Each test case replaces a part of it.
 const settings = `
 label = "n-0"
 site = "a"
@@ -44,11 +44,11 @@
 sockets = 5000
 `
 
-// requireError ends the test unless the error names the file and contains the text.
+// requireError fails the test unless the error contains the file name and the text.
 func requireError(t *testing.T, err error, file, text string) {
 	t.Helper()
 	if err == nil || !strings.Contains(err.Error(), file) || !strings.Contains(err.Error(), text) {
-		t.Fatalf("error %v, want one with %s and %s", err, file, text)
+		t.Fatalf("error %v, want one that contains %s and %s", err, file, text)
 	}
 }
 
@@ -58,7 +58,7 @@
 		{"unknown fields", "[cluster.cloud]", "new_thing = 1\n[cluster.cloud]\nother = \"x\"", ""},
 		{"no label", `label = "n-0"`, "", "label"},
 		{"bad address", "127.0.0.1:8080", "localhost:http", `serve_on = "localhost:http"`},
-		{"a seed with our label", `label = "n-1"`, `label = "n-0"`, "seeds[0].label"},
+		{"a seed with the label of this controller", `label = "n-1"`, `label = "n-0"`, "seeds[0].label"},
 		{"no nodes", "nodes = 2", "nodes = 0", "cluster.nodes = 0"},
 		{"more seeds than nodes", "nodes = 2", "nodes = 1", "cluster.nodes = 1"},
 		{"no teams", "[[cluster.teams]]\nname = \"t\"\ncpus = 1.0\ncpus_max = 2.0", "", "cluster.teams"},
@@ -76,7 +76,7 @@
 			if tc.old != "" {
 				text = strings.Replace(text, tc.old, tc.new, 1)
 				if text == settings {
-					t.Fatal("the case changes nothing")
+					t.Fatal("the text to replace is not in the settings")
 				}
 			}
 			s, err := ParseSettings("file.toml", []byte(text))
@@ -85,7 +85,7 @@
 					t.Fatal(err)
 				}
 				if len(s.Cluster.Zones) != 2 {
-					t.Errorf("zones %v, want each once", s.Cluster.Zones)
+					t.Errorf("zones %v, want no duplicates", s.Cluster.Zones)
 				}
 				return
 			}
@@ -97,8 +97,8 @@
 	}
 }
 
-// Limits to come hold from the start where they are lower; a field that is missing, or all
-// of them, leaves the limits as they are.
+// TestLimitsToCome checks that planned limits apply from the start where they are lower, and
+// that missing fields leave the current limits unchanged.
 func TestLimitsToCome(t *testing.T) {
 	today := StateLimits{RPS: 150, WriteRPS: 25, ValueKB: 8, TxnOps: 8}
 	for _, tc := range []struct {
@@ -109,7 +109,7 @@
 		{"none", "", today, ""},
 		{"empty", "[cluster.state.next]", today, ""},
 		{"all", "[cluster.state.next]\nrps = 100.0\nwrite_rps = 18.0\nvalue_kb = 2.0\ntxn_ops = 4", StateLimits{RPS: 100, WriteRPS: 18, ValueKB: 2, TxnOps: 4}, ""},
-		{"a part", "[cluster.state.next]\nvalue_kb = 2.0", StateLimits{RPS: 150, WriteRPS: 25, ValueKB: 2, TxnOps: 8}, ""},
+		{"only some", "[cluster.state.next]\nvalue_kb = 2.0", StateLimits{RPS: 150, WriteRPS: 25, ValueKB: 2, TxnOps: 8}, ""},
 		{"higher ones", "[cluster.state.next]\nvalue_kb = 64.0\ntxn_ops = 100", today, ""},
 		{"unknown fields", "[cluster.state.next]\ncolour = 1\ntxn_ops = 4", StateLimits{RPS: 150, WriteRPS: 25, ValueKB: 8, TxnOps: 4}, ""},
 		{"negative", "[cluster.state.next]\nvalue_kb = -1.0", today, "cluster.state.next.value_kb"},
--- a/internal/joblog/joblog.go
+++ b/internal/joblog/joblog.go
@@ -1,6 +1,6 @@
-// Package joblog merges what the logs of several controllers hold about one job: the
-// decisions about it, the machines that had its tasks, and which controller might issue
-// commands to these.
+// Package joblog merges the log lines of several controllers that concern one job: decisions
+// about the job, events of the machines that ran its tasks, and changes in which controller was
+// entitled to issue commands to these machines.
 package joblog
 
 import (
@@ -17,20 +17,20 @@
 
 // Log is the log of one controller.
 type Log struct {
-	Controller string                        // its name
-	Open       func() (io.ReadCloser, error) // called twice
+	Controller string                        // name of the controller
+	Open       func() (io.ReadCloser, error) // called twice, since the log is read twice
 }
 
-// timeFormat is the form in which a line's time is printed.
+// timeFormat is the layout in which the time of a line is printed.
 const timeFormat = "15:04:05.000"
 
-// field is a key of a line with its value.
+// field is a key-value pair of a line.
 type field struct {
 	key   string
 	value string
 }
 
-// line is a line of a log.
+// line is a parsed log line.
 type line struct {
 	at         time.Time
 	controller string
@@ -38,7 +38,7 @@
 	fields     []field
 }
 
-// value returns the value of a key, or "" if the line does not have it.
+// value returns the value of a key, or "" if the line does not contain the key.
 func (l line) value(key string) string {
 	for _, f := range l.fields {
 		if f.key == key {
@@ -48,7 +48,7 @@
 	return ""
 }
 
-// String returns the line as it is printed.
+// String returns the line in the output format.
 func (l line) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s  %s  %s", l.at.UTC().Format(timeFormat), l.controller, l.message)
@@ -58,14 +58,14 @@
 	return b.String()
 }
 
-// Messages that belong to a shard or to a whole controller.
+// Messages that concern a whole shard or a whole controller.
 const (
 	messageEntitlement = "shard entitlement"
 	messageLeaseGrant  = "lease granted"
 	messageLeaseLoss   = "lease lost, giving up all locks"
 )
 
-// Keys of a line that select it.
+// Keys by which lines are selected.
 const (
 	keyJob     = "job"
 	keyTask    = "task"
@@ -73,12 +73,12 @@
 	keyShard   = "shard"
 )
 
-// filter selects the lines that matter to a job.
+// filter selects the lines that are relevant to a job.
 type filter struct {
 	job         string
-	onlyMachine string          // empty: all of the job's
-	machines    map[string]bool // that the job's lines name
-	shards      map[string]bool // that the job's lines name
+	onlyMachine string          // empty: all machines of the job
+	machines    map[string]bool // machines named in lines about the job
+	shards      map[string]bool // shards named in lines about the job
 }
 
 // aboutJob reports whether the line is about the job itself or one of its tasks.
@@ -86,7 +86,8 @@
 	return l.value(keyJob) == f.job || strings.HasPrefix(l.value(keyTask), f.job+"/")
 }
 
-// collectRelated adds the machine and the shard of a line about the job.
+// collectRelated adds the machine and the shard named in a line about the job to the filter.
+// It ignores lines that are not about the job.
 func (f *filter) collectRelated(l line) {
 	if !f.aboutJob(l) {
 		return
@@ -99,8 +100,8 @@
 	}
 }
 
-// matches reports whether the line matters to the job. Every line must have been learned
-// before.
+// matches reports whether the line is relevant to the job. collectRelated must have been called
+// with all lines of all logs before.
 func (f *filter) matches(l line) bool {
 	switch l.message {
 	case messageEntitlement:
@@ -119,8 +120,8 @@
 	return f.machines[machine] && !aboutOtherJob
 }
 
-// Write writes the lines that matter to a job in order of time. If a machine is named, lines
-// about the job's other machines are left out.
+// Write writes the lines that are relevant to a job, ordered by time. If machine is not empty,
+// lines about the job's other machines are omitted.
 func Write(out io.Writer, job, machine string, logs []Log) error {
 	lines, err := selectLines(job, machine, logs)
 	if err != nil {
@@ -131,14 +132,14 @@
 	})
 	for _, l := range lines {
 		if _, err := fmt.Fprintln(out, l); err != nil {
-			return fmt.Errorf("course of %s: %w", job, err)
+			return fmt.Errorf("timeline of %s: %w", job, err)
 		}
 	}
 	return nil
 }
 
-// selectLines reads the logs twice: a line may name a machine of the job only after others
-// that are about the machine.
+// selectLines returns the lines that are relevant to a job. It reads the logs twice, because
+// lines about a machine may precede the first line that links the machine to the job.
 func selectLines(job, machine string, logs []Log) (selected []line, err error) {
 	f := &filter{job: job, onlyMachine: machine, machines: map[string]bool{}, shards: map[string]bool{}}
 	for _, log := range logs {
@@ -159,7 +160,8 @@
 	return selected, nil
 }
 
-// forEachLine calls each for the lines of a log that have a time. Others are not a controller's.
+// forEachLine calls visit for each line of a log that has a time. Lines without a time were not
+// written by a controller.
 func forEachLine(log Log, visit func(line)) error {
 	in, err := log.Open()
 	if err != nil {
@@ -182,7 +184,8 @@
 	return nil
 }
 
-// setField sets what a key of the log stands for. A time that cannot be read is left zero.
+// setField stores the value of a key: the time, the message or a further field. The level is
+// ignored. A time that cannot be parsed leaves the line's time zero.
 func (l *line) setField(key, value string) {
 	switch key {
 	case slog.TimeKey:
--- a/internal/joblog/joblog_test.go
+++ b/internal/joblog/joblog_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// TestWrite checks that the output holds what all controllers logged about the job, the heartbeats
-// of machines that had its tasks, and who might issue commands to them; nothing of other jobs.
+// TestWrite checks that the output contains all lines about the job from all controllers, lines
+// about machines that ran its tasks, and lines about which controller was entitled to issue
+// commands to them, and that it contains no lines about other jobs.
 func TestWrite(t *testing.T) {
 	logs := map[string]string{
 		"n-0": `time=2026-12-03T10:00:01.000Z level=INFO msg="lease granted" lease=4
@@ -46,6 +47,6 @@
 		t.Fatal(err)
 	}
 	if strings.Contains(out.String(), "vm-1") || !strings.Contains(out.String(), "job cancelled") {
-		t.Errorf("with another machine named:\n%s", out.String())
+		t.Errorf("restricted to vm-9, want lines about the job but none about vm-1:\n%s", out.String())
 	}
 }
--- a/internal/micros/micros.go
+++ b/internal/micros/micros.go
@@ -1,5 +1,5 @@
-// Package micros is the unit of time that garnethitch computes with: whole microseconds.
-// Seconds and milliseconds are converted where they are read and written.
+// Package micros defines the unit of time used in garnethitch: whole microseconds. Values in
+// seconds and milliseconds are converted where they are read and written.
 package micros
 
 import (
@@ -7,20 +7,21 @@
 	"time"
 )
 
-// Micros is a point on a clock, or a span, in whole microseconds.
+// Micros is a point in time or a duration in whole microseconds.
 type Micros int64
 
-// Common spans.
+// Common durations.
 const (
 	Millisecond Micros = 1_000
 	Second      Micros = 1_000_000
 	Minute      Micros = 60 * Second
-	// Never lies beyond any reachable time but leaves room for sums.
+	// Never is later than any reachable time. It is a quarter of the maximum, so that
+	// sums of a few such values do not overflow.
 	Never Micros = math.MaxInt64 / 4
 )
 
-// FromSeconds converts seconds, rounded to the nearest microsecond and clamped to ±Never. NaN
-// becomes 0.
+// FromSeconds converts seconds to Micros, rounded to the nearest microsecond and clamped to
+// ±Never. NaN is converted to 0.
 func FromSeconds(s float64) Micros {
 	v := s * float64(Second)
 	switch {
@@ -34,14 +35,14 @@
 	return Micros(math.Round(v))
 }
 
-// FromDuration converts a time.Duration, rounded toward zero.
+// FromDuration converts a time.Duration to Micros, rounded toward zero.
 func FromDuration(d time.Duration) Micros { return Micros(d / time.Microsecond) }
 
-// Seconds returns the span in seconds.
+// Seconds returns m in seconds.
 func (m Micros) Seconds() float64 { return float64(m) / float64(Second) }
 
-// Millis returns the span in whole milliseconds, rounded down.
+// Millis returns m in whole milliseconds, rounded toward zero.
 func (m Micros) Millis() int64 { return int64(m / Millisecond) }
 
-// Duration returns the span as a time.Duration.
+// Duration returns m as a time.Duration.
 func (m Micros) Duration() time.Duration { return time.Duration(m) * time.Microsecond }
--- a/internal/sourcecheck/docs.go
+++ b/internal/sourcecheck/docs.go
@@ -6,12 +6,12 @@
 	"slices"
 )
 
-// standardMethods are methods of interfaces of the standard library, whose doc says what they
-// do.
+// standardMethods are methods of standard library interfaces. They need no doc comment, since
+// the interface documents them.
 var standardMethods = []string{"Error", "String", "Unwrap", "Len", "Less", "Swap", "Push", "Pop"}
 
-// missingDocs finds exported items outside test files, and packages, without a doc comment.
-// Whether a comment begins with the name is for the linter.
+// missingDocs finds packages, and exported items outside test files, without a doc comment.
+// It does not check that a comment begins with the name; the linter does.
 func missingDocs(p sourcePackage) (findings []finding) {
 	packageHasDoc := false
 	for _, file := range p.files {
@@ -26,6 +26,7 @@
 	return findings
 }
 
+// missingDocsOf returns the findings of one file.
 func missingDocsOf(p sourcePackage, file *ast.File) (findings []finding) {
 	for _, declaration := range file.Decls {
 		var undocumented []*ast.Ident
@@ -52,6 +53,7 @@
 	return []*ast.Ident{d.Name}
 }
 
+// receiverIsExported reports whether the type of a method's receiver is exported.
 func receiverIsExported(receiver *ast.FieldList) bool {
 	expr := receiver.List[0].Type
 	if pointer, ok := expr.(*ast.StarExpr); ok {
@@ -67,9 +69,9 @@
 	return ok && name.IsExported()
 }
 
-// undocumentedSpecs returns the exported names of a declaration without a doc comment. That
-// of a group holds for its constants and variables, as does a comment at the end of a line,
-// but not for its types.
+// undocumentedSpecs returns the exported names in a declaration that have no doc comment.
+// Constants and variables are also documented by the comment of their group or by a comment at
+// the end of their line. Types are not.
 func undocumentedSpecs(d *ast.GenDecl) (names []*ast.Ident) {
 	for _, spec := range d.Specs {
 		switch s := spec.(type) {
--- a/internal/sourcecheck/errors.go
+++ b/internal/sourcecheck/errors.go
@@ -8,8 +8,8 @@
 )
 
 // ignorableErrorPrefixes are prefixes of the full names of functions whose error may be ignored:
-// their doc says that it is always nil, they print for a person, or they end a connection
-// that is not used any more.
+// the error is documented to be always nil, the function prints text for people, or it closes
+// a connection that is no longer used.
 var ignorableErrorPrefixes = []string{
 	"fmt.Print",
 	"fmt.Fprint",
@@ -19,12 +19,12 @@
 	"(net.Listener).Close",
 }
 
-// cleanupNames are functions whose error may be ignored where the call is deferred: they
-// release what was only read, or temporary files.
+// cleanupNames are names of functions whose error may be ignored in a deferred call: they close
+// files that were only read, or remove temporary files.
 var cleanupNames = []string{"Close", "RemoveAll"}
 
-// droppedErrors finds calls whose error is dropped without a trace. One that is assigned to _
-// is dropped on purpose.
+// droppedErrors finds calls whose error result is not used. An error that is assigned to _ is
+// ignored on purpose and not reported.
 func droppedErrors(p sourcePackage) (findings []finding) {
 	report := func(call *ast.CallExpr) {
 		if name := calleeName(p.info, call); returnsError(p.info, call) && !isIgnorable(name) {
@@ -51,7 +51,7 @@
 	return findings
 }
 
-// returnsError reports whether one of a call's results is an error.
+// returnsError reports whether one of the results of a call has type error.
 func returnsError(info *types.Info, call *ast.CallExpr) bool {
 	errorType := types.Universe.Lookup("error").Type()
 	switch result := info.Types[call].Type.(type) {
@@ -69,7 +69,8 @@
 	}
 }
 
-// calleeName returns the full name of a called function or method, or its expression.
+// calleeName returns the full name of the called function or method. If the callee has no name,
+// it returns the source text of the expression.
 func calleeName(info *types.Info, call *ast.CallExpr) string {
 	called := ast.Unparen(call.Fun)
 	identifier, _ := called.(*ast.Ident)
--- a/internal/sourcecheck/functions.go
+++ b/internal/sourcecheck/functions.go
@@ -7,7 +7,7 @@
 	"go/token"
 )
 
-// function is a function with its size.
+// function is a function of the source with its position and size.
 type function struct {
 	at       token.Position
 	name     string
@@ -19,12 +19,14 @@
 	return fmt.Sprintf("%s:%d: %s: %d lines, %d branches", f.at.Filename, f.at.Line, f.name, f.lines, f.branches)
 }
 
-// compareFunctions puts the longest first.
+// compareFunctions orders functions by lines and then branches, both descending, and then by
+// position.
 func compareFunctions(a, b function) int {
 	return cmp.Or(cmp.Compare(b.lines, a.lines), cmp.Compare(b.branches, a.branches), comparePositions(a.at, b.at))
 }
 
-// functionsOver returns the functions outside test files that have more lines or branches.
+// functionsOver returns the functions outside test files that exceed the given number of lines or
+// branches.
 func functionsOver(p sourcePackage, lines, branches int) (found []function) {
 	for _, file := range p.files {
 		if isTestFile(p.source[file]) {
@@ -43,6 +45,7 @@
 	return found
 }
 
+// measureFunction returns the size of a declared function.
 func measureFunction(fset *token.FileSet, d *ast.FuncDecl) function {
 	start := fset.Position(d.Pos())
 	end := fset.Position(d.End())
@@ -54,8 +57,8 @@
 	}
 }
 
-// countBranches returns the cyclomatic complexity of a function, with that of the function
-// literals in it: one, and one more for each condition, loop, case and logical operator.
+// countBranches returns the cyclomatic complexity of a function, including the function literals
+// in it: one plus the number of conditions, loops, cases and logical operators.
 func countBranches(d *ast.FuncDecl) int {
 	branches := 1
 	ast.Inspect(d, func(node ast.Node) bool {
--- a/internal/sourcecheck/load.go
+++ b/internal/sourcecheck/load.go
@@ -17,30 +17,32 @@
 	"strings"
 )
 
-// sourcePackage is a package of the repository, parsed and with types.
+// sourcePackage is a parsed and type-checked package of the repository.
 type sourcePackage struct {
 	name   string
 	fset   *token.FileSet
 	files  []*ast.File
-	source map[*ast.File]string // paths of the files, from the working directory
+	source map[*ast.File]string // path of each file, relative to the working directory
 	info   *types.Info
 }
 
-// listedPackage is what `go list` says of a package.
+// listedPackage is the information about a package in the JSON output of `go list`.
 type listedPackage struct {
 	Dir        string
 	ImportPath string
 	Name       string
-	Export     string // file of export data
+	Export     string // path of the export data file
 	GoFiles    []string
 	ImportMap  map[string]string
 	DepOnly    bool
 }
 
-// testMainSuffix ends the import path of the generated program that runs a package's tests.
+// testMainSuffix is the suffix of the import path of the generated main package that runs a
+// package's tests.
 const testMainSuffix = ".test"
 
-// loadPackages loads the packages that match the patterns, and their variants with test files.
+// loadPackages loads the packages that match the patterns and their test variants, which include
+// the test files.
 func loadPackages(patterns []string) ([]sourcePackage, error) {
 	listed, err := listPackages(patterns)
 	if err != nil {
@@ -64,7 +66,8 @@
 	return packages, nil
 }
 
-// listPackages runs `go list`, which also builds the export data.
+// listPackages runs `go list` for the patterns, with dependencies and test variants. This also
+// builds the export data.
 func listPackages(patterns []string) ([]listedPackage, error) {
 	args := []string{"list", "-deps", "-test", "-export", "-json=Dir,ImportPath,Name,Export,GoFiles,ImportMap,DepOnly", "--"}
 	cmd := exec.Command("go", append(args, patterns...)...)
@@ -87,7 +90,7 @@
 	}
 }
 
-// checkTypes parses a package and finds the types of its expressions.
+// checkTypes parses and type-checks a package. exports maps import paths to export data files.
 func checkTypes(l listedPackage, exports map[string]string) (sourcePackage, error) {
 	paths := make([]string, len(l.GoFiles))
 	for i, file := range l.GoFiles {
@@ -112,6 +115,7 @@
 	return p, err
 }
 
+// resolveTypes type-checks the parsed files and sets info.
 func (p *sourcePackage) resolveTypes(importPath string, dependencies types.Importer) error {
 	p.info = &types.Info{
 		Types: map[ast.Expr]types.TypeAndValue{},
@@ -122,7 +126,8 @@
 	return err
 }
 
-// relativePath returns a path from the working directory, or the path itself if there is none.
+// relativePath returns a path relative to the working directory, or the path unchanged if that is
+// not possible.
 func relativePath(path string) string {
 	wd, err := os.Getwd()
 	if err != nil {
--- a/internal/sourcecheck/main.go
+++ b/internal/sourcecheck/main.go
@@ -1,6 +1,6 @@
-// Command sourcecheck checks the repository's source for what the linter passes over: errors
-// that are dropped, and exported items without a doc comment. It also lists functions that
-// are long or have many branches.
+// Command sourcecheck reports problems in the repository's source that the linter does not
+// report: dropped errors, and exported items without a doc comment. It also lists functions
+// that are long or have many branches.
 package main
 
 import (
@@ -19,10 +19,10 @@
 	Functions functionsCommand `cmd:"" help:"List functions that are long or have many branches."`
 }
 
-// errFindings says that the source has been checked and is not good.
-var errFindings = errors.New("the source has findings")
+// errFindings is returned when the check was completed and has found problems.
+var errFindings = errors.New("problems found")
 
-// finding is what is wrong at a place.
+// finding is a problem at a position in the source.
 type finding struct {
 	at   token.Position
 	text string
@@ -32,6 +32,7 @@
 	return fmt.Sprintf("%s:%d: %s", f.at.Filename, f.at.Line, f.text)
 }
 
+// comparePositions orders positions by file, line and column.
 func comparePositions(a, b token.Position) int {
 	return cmp.Or(cmp.Compare(a.Filename, b.Filename), cmp.Compare(a.Line, b.Line), cmp.Compare(a.Column, b.Column))
 }
@@ -40,7 +41,7 @@
 	Packages []string `arg:"" optional:"" default:"./..." help:"Patterns of packages, as go list takes them."`
 }
 
-// Run prints the findings.
+// Run prints the findings, ordered by position. It returns errFindings if there are any.
 func (c *checkCommand) Run() error {
 	packages, err := loadPackages(c.Packages)
 	if err != nil {
@@ -51,7 +52,7 @@
 		findings = append(findings, droppedErrors(p)...)
 		findings = append(findings, missingDocs(p)...)
 	}
-	// A package and its variant for tests have files in common.
+	// A package and its test variant share files, so findings occur twice.
 	slices.SortFunc(findings, func(a, b finding) int {
 		return cmp.Or(comparePositions(a.at, b.at), cmp.Compare(a.text, b.text))
 	})
@@ -71,7 +72,7 @@
 	Packages []string `arg:"" optional:"" default:"./..." help:"Patterns of packages, as go list takes them."`
 }
 
-// Run prints the functions, the longest first. Those of test files are left out.
+// Run prints the functions that exceed a limit, the longest first. Test files are skipped.
 func (c *functionsCommand) Run() error {
 	packages, err := loadPackages(c.Packages)
 	if err != nil {
@@ -86,7 +87,7 @@
 	for _, f := range found {
 		fmt.Println(f)
 	}
-	fmt.Printf("%d functions of more than %d lines or %d branches\n", len(found), c.Lines, c.Branches)
+	fmt.Printf("%d functions with more than %d lines or %d branches\n", len(found), c.Lines, c.Branches)
 	return nil
 }
 
--- a/internal/sourcecheck/sourcecheck_test.go
+++ b/internal/sourcecheck/sourcecheck_test.go
@@ -12,12 +12,13 @@
 	"testing"
 )
 
-// standardLibraryImporter imports packages from source, each once.
+// standardLibraryImporter imports packages of the standard library from source. It is shared by
+// the tests so that each package is type-checked only once.
 var standardLibraryImporter = sync.OnceValue(func() types.Importer {
 	return importer.ForCompiler(token.NewFileSet(), "source", nil)
 })
 
-// parsePackage makes a package of one file.
+// parsePackage returns a type-checked package that consists of one file with the given text.
 func parsePackage(t *testing.T, path, text string) sourcePackage {
 	t.Helper()
 	p := sourcePackage{name: "sample", fset: token.NewFileSet(), source: map[*ast.File]string{}}
@@ -33,6 +34,7 @@
 	return p
 }
 
+// textsOf returns the texts of the findings.
 func textsOf(findings []finding) (texts []string) {
 	for _, f := range findings {
 		texts = append(texts, f.text)
@@ -40,6 +42,7 @@
 	return texts
 }
 
+// TestDroppedErrors checks which calls with an error result are reported.
 func TestDroppedErrors(t *testing.T) {
 	const declarations = `package sample
 
@@ -83,9 +86,10 @@
 	}
 }
 
+// TestMissingDocs checks which items without a doc comment are reported.
 func TestMissingDocs(t *testing.T) {
 	for _, tc := range []struct {
-		name, path, text, want string // want: names
+		name, path, text, want string // want: names of the reported items
 	}{
 		{"all documented", "a.go", "// Package sample.\npackage sample\n\n// F does.\nfunc F() {}\n", ""},
 		{"package", "a.go", "package sample\n", "package"},
@@ -98,7 +102,7 @@
 		{"String", "a.go", "// Package sample.\npackage sample\n\n// T is.\ntype T struct{}\n\nfunc (T) String() string { return \"\" }\n", ""},
 		{"constant", "a.go", "// Package sample.\npackage sample\n\nconst C = 1\n", "C"},
 		{"constants of a documented group", "a.go", "// Package sample.\npackage sample\n\n// Constants.\nconst (\n\tC = 1\n\tD = 2\n)\n", ""},
-		{"constant with a comment behind", "a.go", "// Package sample.\npackage sample\n\nconst (\n\tC = 1 // one\n\tD = 2\n)\n", "D"},
+		{"constant with a comment at the end of the line", "a.go", "// Package sample.\npackage sample\n\nconst (\n\tC = 1 // one\n\tD = 2\n)\n", "D"},
 		{"variable", "a.go", "// Package sample.\npackage sample\n\nvar V int\n", "V"},
 		{"test file", "a_test.go", "package sample\n\nfunc F() {}\n", ""},
 	} {
@@ -109,12 +113,14 @@
 				names = append(names, name)
 			}
 			if got := strings.Join(names, " "); got != tc.want {
-				t.Errorf("without doc: %q, want %q", got, tc.want)
+				t.Errorf("reported as undocumented: %q, want %q", got, tc.want)
 			}
 		})
 	}
 }
 
+// TestMeasureFunctions checks that lines and branches are counted, that only functions that exceed
+// a limit are listed, and that test files are skipped.
 func TestMeasureFunctions(t *testing.T) {
 	const text = `package sample
 
@@ -149,14 +155,14 @@
 		t.Errorf("measured %v, want %v", got, want)
 	}
 	if got := functionsOver(p, 15, 7); len(got) != 0 {
-		t.Errorf("%v are listed at their own size", got)
+		t.Errorf("functions that do not exceed the limits are listed: %v", got)
 	}
 	if got := functionsOver(parsePackage(t, "a_test.go", text), 0, 0); len(got) != 0 {
-		t.Errorf("%v of a test file are listed", got)
+		t.Errorf("functions of a test file are listed: %v", got)
 	}
 }
 
-// TestLoadPackages checks that the variant of a package with its test files is loaded as well.
+// TestLoadPackages checks that test files are loaded together with the files of a package.
 func TestLoadPackages(t *testing.T) {
 	packages, err := loadPackages([]string{"."})
 	if err != nil {
--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -1,4 +1,4 @@
-// Package tracing exports the spans of a controller through OpenTelemetry.
+// Package tracing exports the spans of a controller through the OpenTelemetry SDK.
 package tracing
 
 import (
@@ -22,29 +22,29 @@
 // Exporter is the destination of spans.
 type Exporter string
 
-// Exporters. An empty Exporter is None.
+// Exporters. An empty Exporter means ExporterNone.
 const (
 	ExporterNone   Exporter = "none"   // no spans
 	ExporterStderr Exporter = "stderr" // standard error
-	ExporterFile   Exporter = "file"   // the file that Options names
+	ExporterFile   Exporter = "file"   // the file named in Options.File
 )
 
-// newFileMode is the mode of a file that is created for spans.
+// newFileMode is the permission mode of a newly created span file.
 const newFileMode = 0o644
 
-// Options choose the exporter.
+// Options selects the exporter.
 type Options struct {
 	Exporter Exporter `yaml:"exporter"`
-	// File is the path of the file to which exporter File appends a line of JSON for each
-	// span. The other exporters have none.
+	// File is the path of the file to which ExporterFile appends one line of JSON per span. It
+	// must be empty for the other exporters.
 	File string `yaml:"file"`
 }
 
-// ErrOptions says that the exporter is unknown, or that it and the file contradict each
-// other.
+// ErrOptions is returned if the exporter is unknown, or if a file is missing for ExporterFile or
+// given for another exporter.
 var ErrOptions = errors.New("trace.exporter: want none, stderr, or file with trace.file")
 
-// Check returns ErrOptions if the options cannot be used.
+// Check returns ErrOptions if the options are invalid.
 func (o Options) Check() error {
 	valid := false
 	switch o.Exporter {
@@ -59,18 +59,18 @@
 	return nil
 }
 
-// Enabled reports whether spans are exported at all.
+// Enabled reports whether spans are exported.
 func (o Options) Enabled() bool { return o.Exporter == ExporterStderr || o.Exporter == ExporterFile }
 
-// Tracer exports spans. New makes one.
+// Tracer exports spans. Create it with New.
 type Tracer struct {
 	provider *sdktrace.TracerProvider
 	tracer   trace.Tracer
-	file     io.Closer // nil if the exporter is not File
+	file     io.Closer // nil unless the exporter is ExporterFile
 }
 
-// New returns the tracer of the controller with the given label, or nil if no spans are
-// to be exported.
+// New returns a tracer for the controller with the given label, or nil if the options disable
+// the export of spans.
 func New(o Options, label string) (*Tracer, error) {
 	if !o.Enabled() {
 		return nil, nil
@@ -98,8 +98,8 @@
 	return t, nil
 }
 
-// Close exports the spans that are still buffered and ends the export. A nil Tracer has
-// none.
+// Close exports the buffered spans, stops the exporter and closes the file. It does nothing for
+// a nil Tracer.
 func (t *Tracer) Close(ctx context.Context) error {
 	if t == nil {
 		return nil
@@ -111,7 +111,7 @@
 	return err
 }
 
-// Export queues a span for export, without waiting.
+// Export queues a span for export. It does not wait for the export.
 func (t *Tracer) Export(s controller.Span) {
 	ctx := context.WithValue(context.Background(), spanIDsKey{}, spanIDs{s.Trace, s.ID})
 	if s.Parent != [8]byte{} {
@@ -136,10 +136,11 @@
 
 func wallTime(t micros.Micros) time.Time { return time.UnixMicro(int64(t)) }
 
-// contextIDs is an ID generator that takes the IDs from the context. The controller chooses
-// them, so that equal seeds give equal traces.
+// contextIDs is an ID generator that takes the IDs from the context. The controller generates
+// the IDs itself so that runs with equal seeds produce equal traces.
 type contextIDs struct{}
 
+// spanIDsKey is the context key of the spanIDs.
 type spanIDsKey struct{}
 
 type spanIDs struct {
@@ -147,13 +148,13 @@
 	span  trace.SpanID
 }
 
-// NewIDs returns the IDs of a span without a parent.
+// NewIDs returns the trace ID and the span ID of a span without a parent.
 func (contextIDs) NewIDs(ctx context.Context) (trace.TraceID, trace.SpanID) {
 	ids, _ := ctx.Value(spanIDsKey{}).(spanIDs)
 	return ids.trace, ids.span
 }
 
-// NewSpanID returns the ID of a span in its parent's trace.
+// NewSpanID returns the span ID of a span with a parent, whose trace ID it shares.
 func (contextIDs) NewSpanID(ctx context.Context, _ trace.TraceID) trace.SpanID {
 	ids, _ := ctx.Value(spanIDsKey{}).(spanIDs)
 	return ids.span
--- a/internal/tracing/tracing_test.go
+++ b/internal/tracing/tracing_test.go
@@ -10,7 +10,8 @@
 	"garnethitch/internal/controller"
 )
 
-// TestExport checks that a span is written with the controller's IDs and times, under its parent.
+// TestExport checks that a span is written with the name, the trace and span IDs and the parent ID
+// that the controller chose.
 func TestExport(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "spans.json")
 	tracer, err := New(Options{Exporter: ExporterFile, File: path}, "n-0")
@@ -35,11 +36,11 @@
 		t.Fatalf("%v in %s", err, text)
 	}
 	if got.Name != "quota.growing" || got.SpanContext != (spanContext{"ab000000000000000000000000000000", "cd00000000000000"}) || got.Parent.SpanID != "ef00000000000000" {
-		t.Errorf("written as %+v", got)
+		t.Errorf("unexpected span %+v", got)
 	}
 }
 
-// TestOptions checks that options that contradict themselves are refused.
+// TestOptions checks that unknown exporters, and files that contradict the exporter, are rejected.
 func TestOptions(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
@@ -56,7 +57,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if err := tc.options.Check(); (err == nil) != tc.good {
-				t.Errorf("error %v, want good %v", err, tc.good)
+				t.Errorf("error %v, want valid: %v", err, tc.good)
 			}
 		})
 	}
