--- a/ci_test.go
+++ b/ci_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// knownRedModule is a module with tests of every kind that the list of known failures may name.
+// knownRedModule is the source of a test file with failing, passing and skipped tests, to which the
+// entries of a list of known failures refer.
 const knownRedModule = `package sample
 
 import "testing"
@@ -22,8 +23,8 @@
 }
 `
 
-// TestKnownRed checks that an entry of KNOWN-RED.txt is taken only in its form, and only for a test
-// that fails; one that is listed as failing at times may pass.
+// TestKnownRed checks that .ci/known-red accepts an entry of KNOWN-RED.txt only if it has the
+// required form and names a test that fails. A test listed as failing at times may also pass.
 func TestKnownRed(t *testing.T) {
 	script, err := filepath.Abs(".ci/known-red")
 	if err != nil {
@@ -33,7 +34,7 @@
 	for _, tc := range []struct {
 		name, list, source string
 		ok                 bool
-		want               string // in what is printed
+		want               string // contained in the output
 	}{
 		{"fails", "TestFails" + rest, knownRedModule, true, "^TestFails$\n"},
 		{"two, no seed", "TestFails" + rest + "TestParts: go test .; no seed; seen; issue 1\n", knownRedModule, true, "^TestFails$|^TestParts$\n"},
@@ -62,7 +63,7 @@
 			cmd.Dir = dir
 			out, err := cmd.CombinedOutput()
 			if (err == nil) != tc.ok || !strings.Contains(string(out), tc.want) {
-				t.Errorf("error %v, printed %q, want ok %v and %q", err, out, tc.ok, tc.want)
+				t.Errorf("error %v, output %q, want success: %v and output with %q", err, out, tc.ok, tc.want)
 			}
 		})
 	}
--- a/docs_test.go
+++ b/docs_test.go
@@ -23,24 +23,24 @@
 	operationsPage   = "docs/operations.md"
 )
 
-// codeNames are the names that stand in the code of the module.
+// codeNames holds the names and string literals that occur in the code of the module.
 type codeNames struct {
-	// packages are the imports within the module of each package, by its path below the
-	// module's root, tests left out.
+	// packages maps the path of each package, relative to the module's root, to the packages of
+	// the module that it imports. Tests are excluded.
 	packages map[string]map[string]bool
-	// declared are functions, types, constants and variables as package.Name, and methods
-	// and fields as package.Type.Name, with the files that declare them, tests left out.
+	// declared maps functions, types, constants and variables as package.Name, and methods and
+	// fields as package.Type.Name, to the files that declare them. Tests are excluded.
 	declared map[string][]string
-	// identifiers are all identifiers, those of tests included.
+	// identifiers holds all identifiers, including those in tests.
 	identifiers map[string]bool
-	// literals are all string literals outside tests.
+	// literals holds the values of all string literals outside tests.
 	literals map[string]bool
-	// files are the names of all Go files without their directories, those at the root also
-	// with "./" before them.
+	// files holds the names of all Go files without their directories. Files at the root are
+	// also held with the prefix "./".
 	files map[string]bool
 }
 
-// parseModule reads all Go files of the module. It holds no other module's code, tools aside.
+// parseModule parses all Go files below the module's root, including those in tools.
 func parseModule(t *testing.T) *codeNames {
 	t.Helper()
 	names := &codeNames{
@@ -77,12 +77,12 @@
 	return names
 }
 
-// skippedDirectory reports whether a directory holds nothing of the module's own code.
+// skippedDirectory reports whether a directory contains none of the module's code.
 func skippedDirectory(name, base string) bool {
 	return base == "testdata" || base == "target" || name != "." && strings.HasPrefix(base, ".")
 }
 
-// addFile adds the names of one file.
+// addFile adds the names and literals in a file.
 func (n *codeNames) addFile(name string, file *ast.File) {
 	n.files[path.Base(name)] = true
 	if path.Dir(name) == "." {
@@ -116,12 +116,12 @@
 	}
 }
 
-// declare adds a name that a file declares.
+// declare records that a file declares a name.
 func (n *codeNames) declare(fileName, name string) {
 	n.declared[name] = append(n.declared[name], fileName)
 }
 
-// addImports adds the imports of a file of a package to those of the package.
+// addImports adds the module's packages that a file imports to the imports of its package.
 func (n *codeNames) addImports(packagePath string, file *ast.File) {
 	if n.packages[packagePath] == nil {
 		n.packages[packagePath] = map[string]bool{}
@@ -139,7 +139,7 @@
 	}
 }
 
-// addSpec adds the names that a type, constant or variable declaration declares.
+// addSpec records the names that a type, constant or variable specification declares.
 func (n *codeNames) addSpec(fileName, packageName string, spec ast.Spec) {
 	switch spec := spec.(type) {
 	case *ast.ValueSpec:
@@ -159,7 +159,8 @@
 	}
 }
 
-// receiverPrefix returns the receiver's type of a method with a dot, nothing for a function.
+// receiverPrefix returns the name of a method's receiver type followed by a dot, or "" for a
+// function.
 func receiverPrefix(function *ast.FuncDecl) string {
 	if function.Recv == nil {
 		return ""
@@ -178,29 +179,31 @@
 }
 
 var (
-	// codeSpan is a text in backticks.
+	// codeSpan matches a text in backticks.
 	codeSpan = regexp.MustCompile("`([^`\n]+)`")
-	// qualifiedName is package.Name or package.Type.Name.
+	// qualifiedName matches package.Name and package.Type.Name.
 	qualifiedName = regexp.MustCompile(`^[a-z][a-z0-9]*(\.[A-Za-z_]\w*){1,2}$`)
-	// typeMember is Type.Name.
+	// typeMember matches Type.Name.
 	typeMember = regexp.MustCompile(`^[A-Z]\w*\.[A-Za-z_]\w*$`)
-	// mixedCaseName is an identifier that only code can mean: it has both cases inside.
+	// mixedCaseName matches a word with an upper-case letter after a lower-case one. Such a word
+	// can only be an identifier.
 	mixedCaseName = regexp.MustCompile(`^[A-Za-z]*[a-z][A-Z][A-Za-z]*$`)
-	// goFile is the name of a Go file, perhaps with its directory.
+	// goFile matches the name of a Go file, with or without its directory.
 	goFile = regexp.MustCompile(`^[\w/]+\.go$`)
-	// diagramEdge is a line of the page's diagram: a package and those that it imports.
+	// diagramEdge matches a line of the architecture diagram: a package and its imports.
 	diagramEdge = regexp.MustCompile(`(?m)^ {4}([\w/]+) +-> (.+)$`)
-	// tableRow is a row of a table: its first column.
+	// tableRow matches a row of a table and captures its first column.
 	tableRow = regexp.MustCompile(`(?m)^\| (.+?) \|`)
-	// questionRow is a row of the table of questions: its second and third columns.
+	// questionRow matches a row of the table of questions and captures its second and third
+	// columns.
 	questionRow = regexp.MustCompile(`(?m)^\| (?:an? |the |old |users |heartbeats |machines )[^|]+ \| ([^|]+) \| ([^|]+) \|$`)
-	// fileWithNames is the name of a file with the names that it is said to declare.
+	// fileWithNames matches the name of a file followed by names that the file should declare.
 	fileWithNames = regexp.MustCompile("`([\\w/]+\\.go)`(?: \\(at the root\\))?: ((?:`[\\w.]+`(?:, )?)+)")
-	// testName is the name of a test.
+	// testName matches the name of a test, benchmark or fuzz test.
 	testName = regexp.MustCompile(`^(Test|Benchmark|Fuzz)\w+$`)
 )
 
-// codeSpans returns the texts in backticks on a page.
+// codeSpans returns the texts in backticks in a page.
 func codeSpans(page string) (spans []string) {
 	for _, match := range codeSpan.FindAllStringSubmatch(page, -1) {
 		spans = append(spans, match[1])
@@ -208,7 +211,7 @@
 	return spans
 }
 
-// readPage returns the text of a page.
+// readPage returns the text of a page without carriage returns.
 func readPage(t *testing.T, name string) string {
 	t.Helper()
 	text, err := os.ReadFile(name)
@@ -219,8 +222,7 @@
 }
 
 // TestArchitecturePage checks that each package, function and type that the page names in backticks
-// stands in the code, its diagram shows imports that are there, and all of those, and it
-// leaves out no package.
+// exists in the code, and that its diagram contains every package with exactly its imports.
 func TestArchitecturePage(t *testing.T) {
 	names := parseModule(t)
 	page := readPage(t, architecturePage)
@@ -240,21 +242,22 @@
 	inCode := names.diagramPackages()
 	for _, name := range slices.Sorted(maps.Keys(inCode)) {
 		if _, ok := diagram[name]; !ok {
-			t.Errorf("%s: the diagram leaves out %s", architecturePage, name)
+			t.Errorf("%s: the diagram does not contain %s", architecturePage, name)
 		} else if !maps.Equal(diagram[name], inCode[name]) {
-			t.Errorf("%s: %s imports %q by the diagram, %q by the code", architecturePage, name,
+			t.Errorf("%s: %s imports %q according to the diagram, %q according to the code", architecturePage, name,
 				slices.Sorted(maps.Keys(diagram[name])), slices.Sorted(maps.Keys(inCode[name])))
 		}
 	}
 	for name := range diagram {
 		if _, ok := inCode[name]; !ok {
-			t.Errorf("%s: the diagram has %s, which is no package", architecturePage, name)
+			t.Errorf("%s: the diagram contains %s, which is not a package", architecturePage, name)
 		}
 	}
 }
 
-// diagramPackages returns the packages that the diagram is to show, with their imports, under
-// the names that it has for them. The package micros is left out: nearly all import it.
+// diagramPackages returns the packages that the diagram must contain and their imports, under
+// their names in the diagram. The package micros is excluded because nearly all packages import
+// it, and so are the tools.
 func (n *codeNames) diagramPackages() map[string]map[string]bool {
 	diagram := map[string]map[string]bool{}
 	for name, imports := range n.packages {
@@ -281,7 +284,7 @@
 }
 
 // missingNames returns the packages, functions, types, tests and files that a page names in
-// backticks and that are not in the code, foreignWords left out.
+// backticks but that do not exist in the code. protocolWords are excepted.
 func (n *codeNames) missingNames(page string) (wrong []string) {
 	packageNames := map[string]bool{}
 	for name := range n.declared {
@@ -323,8 +326,8 @@
 	return slices.Compact(wrong)
 }
 
-// lacksMember reports whether the first part of Type.Name is a type of the module, of whatever
-// package, none of which has such a method or field.
+// lacksMember reports whether the module has types with the name before the dot in Type.Name, in
+// any package, but none of them has such a method or field.
 func (n *codeNames) lacksMember(span string) bool {
 	typeName, _, _ := strings.Cut(span, ".")
 	typeFound := false
@@ -338,12 +341,12 @@
 	return typeFound
 }
 
-// protocolWords are words in backticks that look like identifiers of ours and are the
-// protocol's.
+// protocolWords are words of the wire protocol that look like identifiers of the code when they
+// stand in backticks.
 var protocolWords = map[string]bool{"oneZone": true, "dueS": true}
 
-// TestPagesNameCode checks that functions, types, tests and files that the pages name stand in the
-// code.
+// TestPagesNameCode checks that the functions, types, tests and files that the pages name exist in
+// the code.
 func TestPagesNameCode(t *testing.T) {
 	names := parseModule(t)
 	pages := []string{"README.md", operationsPage, "docs/design.md", "docs/concurrent-faults.md",
@@ -357,13 +360,14 @@
 	}
 }
 
-// TestOperationsPageLogLines checks that each log line that the first column of the page's table of
-// lines names stands in the code as it is named, or begins so where the page ends it with "...".
+// TestOperationsPageLogLines checks that each log line in the first column of the page's table of
+// log lines is a string literal in the code. A line that ends with "..." must be the beginning of a
+// literal.
 func TestOperationsPageLogLines(t *testing.T) {
 	names := parseModule(t)
 	_, rest, found := strings.Cut(readPage(t, operationsPage), "\n## Logs at info\n")
 	if !found {
-		t.Fatalf("%s has no section on logs", operationsPage)
+		t.Fatalf("%s has no section \"Logs at info\"", operationsPage)
 	}
 	section, _, _ := strings.Cut(rest, "\n## ")
 	lines := 0
@@ -380,13 +384,14 @@
 	}
 }
 
-// TestOperationsPageQuestions checks that the lines that "Where do I look when ..." sends its
-// reader to stand in the code, in the order of the page's columns: question, lines, functions.
+// TestOperationsPageQuestions checks the table in the section "Where do I look when ...", whose
+// columns are question, log lines and functions: the log lines must be string literals in the code,
+// and the functions must be declared in the files that the table names.
 func TestOperationsPageQuestions(t *testing.T) {
 	names := parseModule(t)
 	_, rest, found := strings.Cut(readPage(t, operationsPage), "\n## Where do I look when ...\n")
 	if !found {
-		t.Fatalf("%s does not say where to look", operationsPage)
+		t.Fatalf("%s has no section \"Where do I look when ...\"", operationsPage)
 	}
 	section, _, _ := strings.Cut(rest, "\n## ")
 	questions := 0
@@ -410,8 +415,9 @@
 	}
 }
 
-// undeclaredInFile returns the names that a text gives after a file, as in "file.go: package.Name"
-// with both in backticks, and that the file does not declare. A file without a directory is one of internal/controller.
+// undeclaredInFile returns the names that a text attributes to a file, as in
+// "file.go: package.Name" with both in backticks, but that the file does not declare. A file name
+// without a directory means a file at the root, or else one in internal/controller.
 func (n *codeNames) undeclaredInFile(text string) (wrong []string) {
 	for _, place := range fileWithNames.FindAllStringSubmatch(text, -1) {
 		fileName := place[1]
@@ -427,8 +433,8 @@
 	return wrong
 }
 
-// hasLiteral reports whether a text stands in the code, or one that begins with it if it ends
-// with "...".
+// hasLiteral reports whether a text is a string literal in the code. For a text that ends with
+// "..." it reports whether a literal begins with the part before.
 func (n *codeNames) hasLiteral(text string) bool {
 	start, shortened := strings.CutSuffix(text, "...")
 	if !shortened {
--- a/example_test.go
+++ b/example_test.go
@@ -10,8 +10,8 @@
 	"garnethitch"
 )
 
-// settingsFile writes the settings of a controller alone, beside services that nobody runs: it
-// starts, is not ready, and stops.
+// settingsFile writes the settings of a single controller whose cloud and state services do not
+// exist. Such a controller starts, never becomes ready, and stops.
 func settingsFile(folder string) (path string, err error) {
 	serve, err := freeAddress()
 	if err != nil {
@@ -24,8 +24,8 @@
 	return writeSettingsFile(folder, serve, internal, "127.0.0.1:1")
 }
 
-// A program embeds a controller, learns of unusable settings before anything is
-// started, and runs it until a context ends.
+// This example embeds a controller in a program. New reports invalid settings before anything is
+// started; Run runs the controller until the context ends.
 func Example() {
 	folder, err := os.MkdirTemp("", "garnethitch")
 	if err != nil {
--- a/garnethitch.go
+++ b/garnethitch.go
@@ -55,7 +55,7 @@
 }
 
 // New reads and validates the settings and options and returns a controller that is not yet
-// running. Errors name the file and the invalid field.
+// running. Errors name the file.
 func New(cfg Config) (*Controller, error) {
 	settings, err := config.LoadSettings(cfg.SettingsPath)
 	if err != nil {
--- a/garnethitch_test.go
+++ b/garnethitch_test.go
@@ -13,8 +13,8 @@
 	"garnethitch"
 )
 
-// TestControllerWithoutServices runs a controller that reaches neither the state service nor
-// the cloud: it must answer everything at once, and nothing wrongly.
+// TestControllerWithoutServices runs a controller that can reach neither the state service nor the
+// cloud. The controller must still respond to every request at once, with the right status.
 func TestControllerWithoutServices(t *testing.T) {
 	serve, internal := freeAddr(t), freeAddr(t)
 	controller, err := garnethitch.New(garnethitch.Config{SettingsPath: writeSettings(t, serve, internal, freeAddr(t))})
@@ -58,7 +58,7 @@
 				t.Errorf("status %d, want %d", resp.StatusCode, tc.want)
 			}
 			if tc.path == "/submissions" && tc.want == 503 && resp.Header.Get("Retry-After") == "" {
-				t.Error("no Retry-After")
+				t.Error("the 503 response has no Retry-After header")
 			}
 		})
 	}
@@ -68,10 +68,11 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != 400 {
-		t.Errorf("garbage from a peer: %d, want 400", resp.StatusCode)
+		t.Errorf("malformed request from a peer: status %d, want 400", resp.StatusCode)
 	}
 }
 
+// waitUntilListening returns when the address accepts connections.
 func waitUntilListening(addr string) {
 	for {
 		if conn, err := net.Dial("tcp4", addr); err == nil {
@@ -81,11 +82,11 @@
 	}
 }
 
-// wellFormedSubmission is a submission with all fields, encoded in CBOR by hand.
+// wellFormedSubmission returns a submission with all fields except dependencies, encoded in CBOR by hand.
 func wellFormedSubmission() []byte {
 	const (
 		mapOf20    = 0xb4
-		textByte   = 0x78 // a text whose length is one byte
+		textByte   = 0x78 // a text string whose length follows in one byte
 		one        = 0x01
 		null       = 0xf6
 		falseValue = 0xf4
@@ -113,13 +114,15 @@
 	return body
 }
 
+// TestUnusableSettings checks that New fails for a missing settings file and for an invalid field,
+// and names the file or the field.
 func TestUnusableSettings(t *testing.T) {
 	missing := filepath.Join(t.TempDir(), "none.toml")
 	if _, err := garnethitch.New(garnethitch.Config{SettingsPath: missing}); err == nil || !strings.Contains(err.Error(), "none.toml") {
-		t.Errorf("a missing file: %v", err)
+		t.Errorf("a missing file: error %v, want one that names it", err)
 	}
 	path := writeSettings(t, "127.0.0.1:1", "nonsense", "127.0.0.1:2")
 	if _, err := garnethitch.New(garnethitch.Config{SettingsPath: path}); err == nil || !strings.Contains(err.Error(), "internal_addr") {
-		t.Errorf("a bad address: %v", err)
+		t.Errorf("an invalid address: error %v, want one that names the field", err)
 	}
 }
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -68,9 +68,9 @@
 	}
 }
 
-// TestCheckSet checks that a request that no controller would accept fails before it is sent, with
+// TestCheckSetLimit checks that a request that no controller would accept fails before it is sent, with
 // the reason in the error.
-func TestCheckSet(t *testing.T) {
+func TestCheckSetLimit(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "options.yaml")
 	if err := os.WriteFile(path, []byte("quota:\n  groups:\n    - {name: lake, teams: [rubavu], limit: {cpus: 5}}\n"), 0o600); err != nil {
 		t.Fatal(err)
--- a/path_test.go
+++ b/path_test.go
@@ -16,10 +16,11 @@
 	"garnethitch/internal/fakes"
 )
 
-// fakesProcessVar makes a test binary the world around a controller: every other side of its
-// protocols.
+// fakesProcessVar is the environment variable that makes the test binary serve the fakes of a
+// controller's environment (services, workers and users) instead of running tests.
 const fakesProcessVar = "GARNETHITCH_WORLD"
 
+// TestMain runs the tests, or serves the fakes if fakesProcessVar is set.
 func TestMain(m *testing.M) {
 	if os.Getenv(fakesProcessVar) != "" {
 		if err := fakes.ServeWorld(os.Stdin, os.Stdout); err != nil {
@@ -31,14 +32,16 @@
 	os.Exit(m.Run())
 }
 
-// fakesProcess is the other process, which plays every side but the controller.
+// fakesProcess is a child process that plays every party of the protocols except the controller.
+// It runs separately so that its resource usage is not counted as the controller's.
 type fakesProcess struct {
 	tb  testing.TB
 	in  io.WriteCloser
 	out *bufio.Reader
 }
 
-// send sends a command and returns the answer.
+// send sends a command to the process and returns its reply. A reply that begins with "failed"
+// fails the test.
 func (p *fakesProcess) send(format string, args ...any) string {
 	p.tb.Helper()
 	fmt.Fprintf(p.in, format+"\n", args...)
@@ -49,8 +52,8 @@
 	return line
 }
 
-// startFakes starts a world with machines that send their heartbeats to serve, and returns the
-// address of its cloud and state service.
+// startFakes starts a fakesProcess with the given number of machines, which send their heartbeats
+// to serve, and returns the address of its cloud and state services.
 func startFakes(tb testing.TB, machines int, serve string) (p *fakesProcess, services string) {
 	tb.Helper()
 	self, err := os.Executable()
@@ -79,8 +82,8 @@
 	return p, strings.TrimPrefix(p.send("machines %d %s", machines, serve), "at ")
 }
 
-// startLoadedController starts a controller in this process and a world in another, and submits a job
-// that fills every machine.
+// startLoadedController starts a controller in this process and the fakes in another, and submits a
+// job that fills every machine.
 func startLoadedController(tb testing.TB, machines int) *fakesProcess {
 	tb.Helper()
 	serve, internal := freeAddr(tb), freeAddr(tb)
@@ -99,8 +102,8 @@
 	return p
 }
 
-// raiseStateLimits raises the state service's limits in settings, which are not what is
-// measured.
+// raiseStateLimits raises the request rates that a settings file allows at the state service, so
+// that they do not limit the measurement.
 func raiseStateLimits(tb testing.TB, path string) {
 	tb.Helper()
 	text, err := os.ReadFile(path)
@@ -113,7 +116,8 @@
 	}
 }
 
-// resourceUsage returns the processor time of this process, and its numbers of reads and writes.
+// resourceUsage returns the processor time of this process and its numbers of read and write system
+// calls. The numbers are 0 where /proc/self/io cannot be read.
 func resourceUsage(tb testing.TB) (cpu time.Duration, reads, writes int) {
 	tb.Helper()
 	var ru syscall.Rusage
@@ -130,31 +134,31 @@
 	return time.Duration(ru.Utime.Nano() + ru.Stime.Nano()), reads, writes
 }
 
-// TestSystemCallsPerHeartbeat checks that a heartbeat is read and answered by one system call each.
-// An answer in two writes would be two packets.
+// TestSystemCallsPerHeartbeat checks that the controller reads a heartbeat with one system call and
+// writes the response with one. A response in two writes would be sent as two packets.
 func TestSystemCallsPerHeartbeat(t *testing.T) {
 	p := startLoadedController(t, 24)
-	p.send("reports 480") // until all are on record and full
+	p.send("reports 480") // until all machines are registered and fully occupied
 	const n = 2400
 	_, reads, writes := resourceUsage(t)
 	p.send("reports %d", n)
 	_, reads2, writes2 := resourceUsage(t)
 	if reads2 == 0 || writes2 == 0 {
-		t.Fatal("reads and writes are not counted here")
+		t.Fatal("the system does not count reads and writes in /proc/self/io")
 	}
 	if r, w := float64(reads2-reads)/n, float64(writes2-writes)/n; r > 1.5 || w > 1.5 {
-		t.Errorf("%.2f reads and %.2f writes a heartbeat", r, w)
+		t.Errorf("%.2f reads and %.2f writes per heartbeat, want at most 1.5 each", r, w)
 	}
 }
 
-// BenchmarkPath measures the whole path of a request in a running controller, from socket to
-// socket: processor time, allocations, reads and writes per request; the time per operation
-// means little. docs/account.md says how to get the parts.
+// BenchmarkPath measures the complete handling of a request by a running controller, from socket
+// to socket: processor time, allocations, reads and writes per request. The time per operation is
+// not meaningful. docs/account.md describes how to break the numbers down.
 func BenchmarkPath(b *testing.B) {
 	for _, load := range []string{"reports", "apart", "turns", "polls", "jobs"} {
 		b.Run(load, func(b *testing.B) {
 			p := startLoadedController(b, 200)
-			p.send("reports 2000") // until all are on record and full
+			p.send("reports 2000") // until all machines are registered and fully occupied
 			time.Sleep(2 * time.Second)
 			p.send("reports 2000")
 			b.ReportAllocs()
--- a/settings_test.go
+++ b/settings_test.go
@@ -11,8 +11,8 @@
 	"garnethitch"
 )
 
-// settingsTemplate are the settings of a controller without others. It takes the public and
-// the internal address, and those of the cloud and the state service.
+// settingsTemplate is the settings file of a single controller. Its parameters are the public and
+// the internal address, and the addresses of the cloud and the state service.
 const settingsTemplate = `
 label = "n-0"
 site = "a"
@@ -51,15 +51,15 @@
 sockets = 5000
 `
 
-// writeSettingsFile writes settings into a folder. services is the address of the cloud and
-// the state service.
+// writeSettingsFile writes a settings file into a folder and returns its path. services is the
+// address of both the cloud and the state service.
 func writeSettingsFile(folder, serve, internal, services string) (path string, err error) {
 	path = filepath.Join(folder, "settings.toml")
 	text := fmt.Appendf(nil, settingsTemplate, serve, internal, services, services)
 	return path, os.WriteFile(path, text, 0o600)
 }
 
-// freeAddress returns an address on which nothing listens.
+// freeAddress returns a local address (IP:port) on which nothing listens.
 func freeAddress() (string, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -69,6 +69,7 @@
 	return listener.Addr().String(), nil
 }
 
+// freeAddr is freeAddress for tests: an error fails the test.
 func freeAddr(tb testing.TB) string {
 	tb.Helper()
 	addr, err := freeAddress()
@@ -78,6 +79,8 @@
 	return addr
 }
 
+// writeSettings is writeSettingsFile for tests: it writes into a temporary folder, and an error
+// fails the test.
 func writeSettings(tb testing.TB, serve, internal, services string) string {
 	tb.Helper()
 	path, err := writeSettingsFile(tb.TempDir(), serve, internal, services)
@@ -87,7 +90,8 @@
 	return path
 }
 
-// startController runs a controller until the test ends.
+// startController runs a controller in the background until the test ends. An error from Run fails
+// the test.
 func startController(tb testing.TB, controller *garnethitch.Controller) {
 	tb.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
