--- a/docs_test.go
+++ b/docs_test.go
@@ -131,8 +131,8 @@
 		if err != nil {
 			continue
 		}
-		if below, ok := strings.CutPrefix(imported, moduleName+"/"); ok {
-			n.packages[packagePath][below] = true
+		if relative, ok := strings.CutPrefix(imported, moduleName+"/"); ok {
+			n.packages[packagePath][relative] = true
 		} else if imported == moduleName {
 			n.packages[packagePath]["."] = true
 		}
@@ -332,11 +332,11 @@
 	typeName, _, _ := strings.Cut(span, ".")
 	typeFound := false
 	for name := range n.declared {
-		_, below, _ := strings.Cut(name, ".")
-		if below == span {
+		_, member, _ := strings.Cut(name, ".")
+		if member == span {
 			return false
 		}
-		typeFound = typeFound || below == typeName
+		typeFound = typeFound || member == typeName
 	}
 	return typeFound
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -106,11 +106,11 @@
 }
 
 // lowerLimit returns the smaller of the two limits. A next limit of 0 is ignored.
-func lowerLimit[N int | float64](now, next N) N {
+func lowerLimit[N int | float64](current, next N) N {
 	if next > 0 {
-		return min(now, next)
+		return min(current, next)
 	}
-	return now
+	return current
 }
 
 // CloudLimits limits the use of the cloud service.
--- a/internal/config/settings_check.go
+++ b/internal/config/settings_check.go
@@ -29,9 +29,9 @@
 	c.requireAddress("internal_addr", s.InternalAddr)
 	labels := map[string]bool{s.Label: true}
 	for i, seed := range s.Seeds {
-		field := fmt.Sprintf("seeds[%d].", i)
-		c.requireUnique(field+"label", seed.Label, labels)
-		c.requireAddress(field+"address", seed.Address)
+		prefix := fmt.Sprintf("seeds[%d].", i)
+		c.requireUnique(prefix+"label", seed.Label, labels)
+		c.requireAddress(prefix+"address", seed.Address)
 	}
 	c.requireAddress("endpoints.cloud", s.Endpoints.Cloud)
 	c.requireAddress("endpoints.state", s.Endpoints.State)
@@ -60,12 +60,12 @@
 	c.require(len(teams) > 0, "cluster.teams", "[]", "at least one team")
 	names := map[string]bool{}
 	for i, team := range teams {
-		field := fmt.Sprintf("cluster.teams[%d].", i)
-		c.requireUnique(field+"name", team.Name, names)
-		c.requireNotNegative(field+"cpus", team.CPUs)
-		c.requireNotNegative(field+"cpus_max", team.CPUsMax)
-		c.requireNotNegative(field+"gpus", team.GPUs)
-		c.requireNotNegative(field+"gpus_max", team.GPUsMax)
+		prefix := fmt.Sprintf("cluster.teams[%d].", i)
+		c.requireUnique(prefix+"name", team.Name, names)
+		c.requireNotNegative(prefix+"cpus", team.CPUs)
+		c.requireNotNegative(prefix+"cpus_max", team.CPUsMax)
+		c.requireNotNegative(prefix+"gpus", team.GPUs)
+		c.requireNotNegative(prefix+"gpus_max", team.GPUsMax)
 	}
 }
 
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -100,20 +100,20 @@
 // TestLimitsToCome checks that planned limits apply from the start where they are lower, and
 // that missing fields leave the current limits unchanged.
 func TestLimitsToCome(t *testing.T) {
-	today := StateLimits{RPS: 150, WriteRPS: 25, ValueKB: 8, TxnOps: 8}
+	current := StateLimits{RPS: 150, WriteRPS: 25, ValueKB: 8, TxnOps: 8}
 	for _, tc := range []struct {
 		name, next string
 		want       StateLimits
 		bad        string
 	}{
-		{"none", "", today, ""},
-		{"empty", "[cluster.state.next]", today, ""},
+		{"none", "", current, ""},
+		{"empty", "[cluster.state.next]", current, ""},
 		{"all", "[cluster.state.next]\nrps = 100.0\nwrite_rps = 18.0\nvalue_kb = 2.0\ntxn_ops = 4", StateLimits{RPS: 100, WriteRPS: 18, ValueKB: 2, TxnOps: 4}, ""},
 		{"only some", "[cluster.state.next]\nvalue_kb = 2.0", StateLimits{RPS: 150, WriteRPS: 25, ValueKB: 2, TxnOps: 8}, ""},
-		{"higher ones", "[cluster.state.next]\nvalue_kb = 64.0\ntxn_ops = 100", today, ""},
+		{"higher ones", "[cluster.state.next]\nvalue_kb = 64.0\ntxn_ops = 100", current, ""},
 		{"unknown fields", "[cluster.state.next]\ncolour = 1\ntxn_ops = 4", StateLimits{RPS: 150, WriteRPS: 25, ValueKB: 8, TxnOps: 4}, ""},
-		{"negative", "[cluster.state.next]\nvalue_kb = -1.0", today, "cluster.state.next.value_kb"},
-		{"too few", "[cluster.state.next]\ntxn_ops = 1", today, "cluster.state.next.txn_ops"},
+		{"negative", "[cluster.state.next]\nvalue_kb = -1.0", current, "cluster.state.next.value_kb"},
+		{"too few", "[cluster.state.next]\ntxn_ops = 1", current, "cluster.state.next.txn_ops"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			text := strings.Replace(settings, "[cluster.cloud]", tc.next+"\n[cluster.cloud]", 1)
--- a/internal/sourcecheck/docs.go
+++ b/internal/sourcecheck/docs.go
@@ -16,11 +16,11 @@
 	packageHasDoc := false
 	for _, file := range p.files {
 		packageHasDoc = packageHasDoc || file.Doc != nil
-		if !isTestFile(p.source[file]) {
+		if !isTestFile(p.paths[file]) {
 			findings = append(findings, missingDocsOf(p, file)...)
 		}
 	}
-	if !packageHasDoc && !isTestFile(p.source[p.files[0]]) {
+	if !packageHasDoc && !isTestFile(p.paths[p.files[0]]) {
 		findings = append(findings, finding{p.fset.Position(p.files[0].Name.Pos()), "package " + p.name + " has no doc comment"})
 	}
 	return findings
--- a/internal/sourcecheck/functions.go
+++ b/internal/sourcecheck/functions.go
@@ -9,27 +9,27 @@
 
 // function is a function of the source with its position and size.
 type function struct {
-	at       token.Position
+	position token.Position
 	name     string
 	lines    int
 	branches int // cyclomatic complexity
 }
 
 func (f function) String() string {
-	return fmt.Sprintf("%s:%d: %s: %d lines, %d branches", f.at.Filename, f.at.Line, f.name, f.lines, f.branches)
+	return fmt.Sprintf("%s:%d: %s: %d lines, %d branches", f.position.Filename, f.position.Line, f.name, f.lines, f.branches)
 }
 
 // compareFunctions orders functions by lines and then branches, both descending, and then by
 // position.
 func compareFunctions(a, b function) int {
-	return cmp.Or(cmp.Compare(b.lines, a.lines), cmp.Compare(b.branches, a.branches), comparePositions(a.at, b.at))
+	return cmp.Or(cmp.Compare(b.lines, a.lines), cmp.Compare(b.branches, a.branches), comparePositions(a.position, b.position))
 }
 
 // functionsOver returns the functions outside test files that exceed the given number of lines or
 // branches.
 func functionsOver(p sourcePackage, lines, branches int) (found []function) {
 	for _, file := range p.files {
-		if isTestFile(p.source[file]) {
+		if isTestFile(p.paths[file]) {
 			continue
 		}
 		for _, declaration := range file.Decls {
@@ -50,7 +50,7 @@
 	start := fset.Position(d.Pos())
 	end := fset.Position(d.End())
 	return function{
-		at:       start,
+		position: start,
 		name:     d.Name.Name,
 		lines:    end.Line - start.Line + 1,
 		branches: countBranches(d),
--- a/internal/sourcecheck/load.go
+++ b/internal/sourcecheck/load.go
@@ -19,11 +19,11 @@
 
 // sourcePackage is a parsed and type-checked package of the repository.
 type sourcePackage struct {
-	name   string
-	fset   *token.FileSet
-	files  []*ast.File
-	source map[*ast.File]string // path of each file, relative to the working directory
-	info   *types.Info
+	name  string
+	fset  *token.FileSet
+	files []*ast.File
+	paths map[*ast.File]string // path of each file, relative to the working directory
+	info  *types.Info
 }
 
 // listedPackage is the information about a package in the JSON output of `go list`.
@@ -48,16 +48,16 @@
 	if err != nil {
 		return nil, err
 	}
-	exports := map[string]string{}
+	exportFiles := map[string]string{}
 	for _, l := range listed {
-		exports[l.ImportPath] = l.Export
+		exportFiles[l.ImportPath] = l.Export
 	}
 	var packages []sourcePackage
 	for _, l := range listed {
 		if l.DepOnly || strings.HasSuffix(l.ImportPath, testMainSuffix) {
 			continue
 		}
-		p, err := checkTypes(l, exports)
+		p, err := checkTypes(l, exportFiles)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", l.ImportPath, err)
 		}
@@ -90,26 +90,26 @@
 	}
 }
 
-// checkTypes parses and type-checks a package. exports maps import paths to export data files.
-func checkTypes(l listedPackage, exports map[string]string) (sourcePackage, error) {
+// checkTypes parses and type-checks a package. exportFiles maps import paths to export data files.
+func checkTypes(l listedPackage, exportFiles map[string]string) (sourcePackage, error) {
 	paths := make([]string, len(l.GoFiles))
 	for i, file := range l.GoFiles {
 		paths[i] = relativePath(filepath.Join(l.Dir, file))
 	}
-	p := sourcePackage{name: l.Name, fset: token.NewFileSet(), source: map[*ast.File]string{}}
+	p := sourcePackage{name: l.Name, fset: token.NewFileSet(), paths: map[*ast.File]string{}}
 	for _, path := range paths {
 		file, err := parser.ParseFile(p.fset, path, nil, parser.ParseComments|parser.SkipObjectResolution)
 		if err != nil {
 			return sourcePackage{}, err
 		}
 		p.files = append(p.files, file)
-		p.source[file] = path
+		p.paths[file] = path
 	}
 	openExport := func(path string) (io.ReadCloser, error) {
 		if mapped, ok := l.ImportMap[path]; ok {
 			path = mapped
 		}
-		return os.Open(exports[path])
+		return os.Open(exportFiles[path])
 	}
 	err := p.resolveTypes(l.ImportPath, importer.ForCompiler(p.fset, "gc", openExport))
 	return p, err
--- a/internal/sourcecheck/main.go
+++ b/internal/sourcecheck/main.go
@@ -24,12 +24,12 @@
 
 // finding is a problem at a position in the source.
 type finding struct {
-	at   token.Position
-	text string
+	position token.Position
+	text     string
 }
 
 func (f finding) String() string {
-	return fmt.Sprintf("%s:%d: %s", f.at.Filename, f.at.Line, f.text)
+	return fmt.Sprintf("%s:%d: %s", f.position.Filename, f.position.Line, f.text)
 }
 
 // comparePositions orders positions by file, line and column.
@@ -54,7 +54,7 @@
 	}
 	// A package and its test variant share files, so findings occur twice.
 	slices.SortFunc(findings, func(a, b finding) int {
-		return cmp.Or(comparePositions(a.at, b.at), cmp.Compare(a.text, b.text))
+		return cmp.Or(comparePositions(a.position, b.position), cmp.Compare(a.text, b.text))
 	})
 	findings = slices.Compact(findings)
 	for _, f := range findings {
--- a/internal/sourcecheck/sourcecheck_test.go
+++ b/internal/sourcecheck/sourcecheck_test.go
@@ -21,13 +21,13 @@
 // parsePackage returns a type-checked package that consists of one file with the given text.
 func parsePackage(t *testing.T, path, text string) sourcePackage {
 	t.Helper()
-	p := sourcePackage{name: "sample", fset: token.NewFileSet(), source: map[*ast.File]string{}}
+	p := sourcePackage{name: "sample", fset: token.NewFileSet(), paths: map[*ast.File]string{}}
 	file, err := parser.ParseFile(p.fset, path, text, parser.ParseComments|parser.SkipObjectResolution)
 	if err != nil {
 		t.Fatal(err)
 	}
 	p.files = []*ast.File{file}
-	p.source[file] = path
+	p.paths[file] = path
 	if err := p.resolveTypes("sample", standardLibraryImporter()); err != nil {
 		t.Fatal(err)
 	}
@@ -147,7 +147,7 @@
 	p := parsePackage(t, "a.go", text)
 	var got []function
 	for _, f := range functionsOver(p, 0, 0) {
-		f.at = token.Position{}
+		f.position = token.Position{}
 		got = append(got, f)
 	}
 	want := []function{{name: "straight", lines: 3, branches: 1}, {name: "branched", lines: 15, branches: 7}}
@@ -171,7 +171,7 @@
 	var paths []string
 	for _, p := range packages {
 		for _, file := range p.files {
-			paths = append(paths, p.source[file])
+			paths = append(paths, p.paths[file])
 		}
 	}
 	for _, want := range []string{"main.go", "sourcecheck_test.go"} {
--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -90,7 +90,7 @@
 	}
 	t.provider = sdktrace.NewTracerProvider(
 		sdktrace.WithBatcher(exporter),
-		sdktrace.WithIDGenerator(contextIDs{}),
+		sdktrace.WithIDGenerator(contextIDGenerator{}),
 		sdktrace.WithResource(resource.NewSchemaless(
 			attribute.String("service.name", "garnethitch"),
 			attribute.String("service.instance.id", label))))
@@ -136,9 +136,9 @@
 
 func wallTime(t micros.Micros) time.Time { return time.UnixMicro(int64(t)) }
 
-// contextIDs is an ID generator that takes the IDs from the context. The controller generates
+// contextIDGenerator is an ID generator that takes the IDs from the context. The controller generates
 // the IDs itself so that runs with equal seeds produce equal traces.
-type contextIDs struct{}
+type contextIDGenerator struct{}
 
 // spanIDsKey is the context key of the spanIDs.
 type spanIDsKey struct{}
@@ -149,13 +149,13 @@
 }
 
 // NewIDs returns the trace ID and the span ID of a span without a parent.
-func (contextIDs) NewIDs(ctx context.Context) (trace.TraceID, trace.SpanID) {
+func (contextIDGenerator) NewIDs(ctx context.Context) (trace.TraceID, trace.SpanID) {
 	ids, _ := ctx.Value(spanIDsKey{}).(spanIDs)
 	return ids.trace, ids.span
 }
 
 // NewSpanID returns the span ID of a span with a parent, whose trace ID it shares.
-func (contextIDs) NewSpanID(ctx context.Context, _ trace.TraceID) trace.SpanID {
+func (contextIDGenerator) NewSpanID(ctx context.Context, _ trace.TraceID) trace.SpanID {
 	ids, _ := ctx.Value(spanIDsKey{}).(spanIDs)
 	return ids.span
 }
