--- a/internal/config/settings_check.go
+++ b/internal/config/settings_check.go
@@ -8,14 +8,14 @@
 const (
 	maxControllers = 64
 	minTxnOps      = 2
-	// Below these a controller could not start, or only after minutes.
+	// With less than these resources a controller fails to start or takes minutes to start.
 	minCoreShare = 0.001
 	minRAMMB     = 24
 	minSockets   = 128
 )
 
-// check returns a *FieldError for the first field whose value cannot be used. It sorts the
-// zones and drops repeated ones.
+// check returns a *FieldError for the first field with an invalid value. It also sorts the
+// zones and removes duplicates.
 func (s *Settings) check(file string) error {
 	c := &checker{file: file}
 	s.checkAddresses(c)
@@ -29,9 +29,9 @@
 	c.requireAddress("internal_addr", s.InternalAddr)
 	labels := map[string]bool{s.Label: true}
 	for i, seed := range s.Seeds {
-		field := fmt.Sprintf("seeds[%d].", i)
-		c.requireUnique(field+"label", seed.Label, labels)
-		c.requireAddress(field+"address", seed.Address)
+		prefix := fmt.Sprintf("seeds[%d].", i)
+		c.requireUnique(prefix+"label", seed.Label, labels)
+		c.requireAddress(prefix+"address", seed.Address)
 	}
 	c.requireAddress("endpoints.cloud", s.Endpoints.Cloud)
 	c.requireAddress("endpoints.state", s.Endpoints.State)
@@ -39,7 +39,7 @@
 
 func (cl *Cluster) check(c *checker, seeds int) {
 	c.require(cl.Nodes >= 1 && cl.Nodes <= maxControllers, "cluster.nodes", cl.Nodes, fmt.Sprintf("1 to %d", maxControllers))
-	c.require(seeds < cl.Nodes || cl.Nodes < 1, "cluster.nodes", cl.Nodes, "at least one more than there are seeds")
+	c.require(seeds < cl.Nodes || cl.Nodes < 1, "cluster.nodes", cl.Nodes, "more than the number of seeds")
 	slices.Sort(cl.Zones)
 	cl.Zones = slices.Compact(cl.Zones)
 	c.requireNotNegative("cluster.clock_error_ms", cl.ClockErrorMS)
@@ -60,12 +60,12 @@
 	c.require(len(teams) > 0, "cluster.teams", "[]", "at least one team")
 	names := map[string]bool{}
 	for i, team := range teams {
-		field := fmt.Sprintf("cluster.teams[%d].", i)
-		c.requireUnique(field+"name", team.Name, names)
-		c.requireNotNegative(field+"cpus", team.CPUs)
-		c.requireNotNegative(field+"cpus_max", team.CPUsMax)
-		c.requireNotNegative(field+"gpus", team.GPUs)
-		c.requireNotNegative(field+"gpus_max", team.GPUsMax)
+		prefix := fmt.Sprintf("cluster.teams[%d].", i)
+		c.requireUnique(prefix+"name", team.Name, names)
+		c.requireNotNegative(prefix+"cpus", team.CPUs)
+		c.requireNotNegative(prefix+"cpus_max", team.CPUsMax)
+		c.requireNotNegative(prefix+"gpus", team.GPUs)
+		c.requireNotNegative(prefix+"gpus_max", team.GPUsMax)
 	}
 }
 
--- a/internal/sourcecheck/docs.go
+++ b/internal/sourcecheck/docs.go
@@ -6,26 +6,27 @@
 	"slices"
 )
 
-// selfExplanatory are methods of interfaces of the standard library, whose doc says what they
-// do.
-var selfExplanatory = []string{"Error", "String", "Unwrap", "Len", "Less", "Swap", "Push", "Pop"}
+// standardMethods are methods of standard library interfaces. They need no doc comment, since
+// the interface documents them.
+var standardMethods = []string{"Error", "String", "Unwrap", "Len", "Less", "Swap", "Push", "Pop"}
 
-// missingDocs finds exported items outside test files, and packages, without a doc comment.
-// Whether a comment begins with the name is for the linter.
+// missingDocs finds packages, and exported items outside test files, without a doc comment.
+// It does not check that a comment begins with the name; the linter does.
 func missingDocs(p sourcePackage) (findings []finding) {
 	packageHasDoc := false
 	for _, file := range p.files {
 		packageHasDoc = packageHasDoc || file.Doc != nil
-		if !isTestFile(p.source[file]) {
+		if !isTestFile(p.paths[file]) {
 			findings = append(findings, missingDocsOf(p, file)...)
 		}
 	}
-	if !packageHasDoc && !isTestFile(p.source[p.files[0]]) {
+	if !packageHasDoc && !isTestFile(p.paths[p.files[0]]) {
 		findings = append(findings, finding{p.fset.Position(p.files[0].Name.Pos()), "package " + p.name + " has no doc comment"})
 	}
 	return findings
 }
 
+// missingDocsOf returns the findings of one file.
 func missingDocsOf(p sourcePackage, file *ast.File) (findings []finding) {
 	for _, declaration := range file.Decls {
 		var undocumented []*ast.Ident
@@ -46,12 +47,13 @@
 	if d.Doc != nil || !d.Name.IsExported() {
 		return nil
 	}
-	if d.Recv != nil && (!receiverIsExported(d.Recv) || slices.Contains(selfExplanatory, d.Name.Name)) {
+	if d.Recv != nil && (!receiverIsExported(d.Recv) || slices.Contains(standardMethods, d.Name.Name)) {
 		return nil
 	}
 	return []*ast.Ident{d.Name}
 }
 
+// receiverIsExported reports whether the type of a method's receiver is exported.
 func receiverIsExported(receiver *ast.FieldList) bool {
 	expr := receiver.List[0].Type
 	if pointer, ok := expr.(*ast.StarExpr); ok {
@@ -67,9 +69,9 @@
 	return ok && name.IsExported()
 }
 
-// undocumentedSpecs returns the exported names of a declaration without a doc comment. That
-// of a group holds for its constants and variables, as does a comment at the end of a line,
-// but not for its types.
+// undocumentedSpecs returns the exported names in a declaration that have no doc comment.
+// Constants and variables are also documented by the comment of their group or by a comment at
+// the end of their line. Types are not.
 func undocumentedSpecs(d *ast.GenDecl) (names []*ast.Ident) {
 	for _, spec := range d.Specs {
 		switch s := spec.(type) {
--- a/internal/sourcecheck/errors.go
+++ b/internal/sourcecheck/errors.go
@@ -7,10 +7,10 @@
 	"strings"
 )
 
-// negligible are prefixes of the full names of functions whose error may be ignored:
-// their doc says that it is always nil, they print for a person, or they end a connection
-// that is not used any more.
-var negligible = []string{
+// ignorableErrorPrefixes are prefixes of the full names of functions whose error may be ignored:
+// the error is documented to be always nil, the function prints text for people, or it closes
+// a connection that is no longer used.
+var ignorableErrorPrefixes = []string{
 	"fmt.Print",
 	"fmt.Fprint",
 	"(*bytes.Buffer).Write",
@@ -19,15 +19,15 @@
 	"(net.Listener).Close",
 }
 
-// cleanups are functions whose error may be ignored where the call is deferred: they
-// release what was only read, or temporary files.
-var cleanups = []string{"Close", "RemoveAll"}
+// cleanupNames are names of functions whose error may be ignored in a deferred call: they close
+// files that were only read, or remove temporary files.
+var cleanupNames = []string{"Close", "RemoveAll"}
 
-// droppedErrors finds calls whose error is dropped without a trace. One that is assigned to _
-// is dropped on purpose.
+// droppedErrors finds calls whose error result is not used. An error that is assigned to _ is
+// ignored on purpose and not reported.
 func droppedErrors(p sourcePackage) (findings []finding) {
 	report := func(call *ast.CallExpr) {
-		if name := nameOfCalled(p.info, call); returnsError(p.info, call) && !isNegligible(name) {
+		if name := calleeName(p.info, call); returnsError(p.info, call) && !isIgnorable(name) {
 			findings = append(findings, finding{p.fset.Position(call.Pos()), "error of " + name + " is dropped"})
 		}
 	}
@@ -51,7 +51,7 @@
 	return findings
 }
 
-// returnsError reports whether one of a call's results is an error.
+// returnsError reports whether one of the results of a call has type error.
 func returnsError(info *types.Info, call *ast.CallExpr) bool {
 	errorType := types.Universe.Lookup("error").Type()
 	switch result := info.Types[call].Type.(type) {
@@ -69,8 +69,9 @@
 	}
 }
 
-// nameOfCalled returns the full name of a called function or method, or its expression.
-func nameOfCalled(info *types.Info, call *ast.CallExpr) string {
+// calleeName returns the full name of the called function or method. If the callee has no name,
+// it returns the source text of the expression.
+func calleeName(info *types.Info, call *ast.CallExpr) string {
 	called := ast.Unparen(call.Fun)
 	identifier, _ := called.(*ast.Ident)
 	if selector, ok := called.(*ast.SelectorExpr); ok {
@@ -84,11 +85,11 @@
 	return types.ExprString(call.Fun)
 }
 
-func isNegligible(name string) bool {
-	return slices.ContainsFunc(negligible, func(prefix string) bool { return strings.HasPrefix(name, prefix) })
+func isIgnorable(name string) bool {
+	return slices.ContainsFunc(ignorableErrorPrefixes, func(prefix string) bool { return strings.HasPrefix(name, prefix) })
 }
 
 func isCleanup(call *ast.CallExpr) bool {
 	selector, ok := call.Fun.(*ast.SelectorExpr)
-	return ok && slices.Contains(cleanups, selector.Sel.Name)
+	return ok && slices.Contains(cleanupNames, selector.Sel.Name)
 }
--- a/internal/sourcecheck/functions.go
+++ b/internal/sourcecheck/functions.go
@@ -7,27 +7,29 @@
 	"go/token"
 )
 
-// function is a function with its size.
+// function is a function of the source with its position and size.
 type function struct {
-	at       token.Position
+	position token.Position
 	name     string
 	lines    int
 	branches int // cyclomatic complexity
 }
 
 func (f function) String() string {
-	return fmt.Sprintf("%s:%d: %s: %d lines, %d branches", f.at.Filename, f.at.Line, f.name, f.lines, f.branches)
+	return fmt.Sprintf("%s:%d: %s: %d lines, %d branches", f.position.Filename, f.position.Line, f.name, f.lines, f.branches)
 }
 
-// compareFunctions puts the longest first.
+// compareFunctions orders functions by lines and then branches, both descending, and then by
+// position.
 func compareFunctions(a, b function) int {
-	return cmp.Or(cmp.Compare(b.lines, a.lines), cmp.Compare(b.branches, a.branches), comparePositions(a.at, b.at))
+	return cmp.Or(cmp.Compare(b.lines, a.lines), cmp.Compare(b.branches, a.branches), comparePositions(a.position, b.position))
 }
 
-// functionsOver returns the functions outside test files that have more lines or branches.
+// functionsOver returns the functions outside test files that exceed the given number of lines or
+// branches.
 func functionsOver(p sourcePackage, lines, branches int) (found []function) {
 	for _, file := range p.files {
-		if isTestFile(p.source[file]) {
+		if isTestFile(p.paths[file]) {
 			continue
 		}
 		for _, declaration := range file.Decls {
@@ -35,7 +37,7 @@
 			if !ok {
 				continue
 			}
-			if f := measure(p.fset, d); f.lines > lines || f.branches > branches {
+			if f := measureFunction(p.fset, d); f.lines > lines || f.branches > branches {
 				found = append(found, f)
 			}
 		}
@@ -43,19 +45,20 @@
 	return found
 }
 
-func measure(fset *token.FileSet, d *ast.FuncDecl) function {
+// measureFunction returns the size of a declared function.
+func measureFunction(fset *token.FileSet, d *ast.FuncDecl) function {
 	start := fset.Position(d.Pos())
 	end := fset.Position(d.End())
 	return function{
-		at:       start,
+		position: start,
 		name:     d.Name.Name,
 		lines:    end.Line - start.Line + 1,
 		branches: countBranches(d),
 	}
 }
 
-// countBranches returns the cyclomatic complexity of a function, with that of the function
-// literals in it: one, and one more for each condition, loop, case and logical operator.
+// countBranches returns the cyclomatic complexity of a function, including the function literals
+// in it: one plus the number of conditions, loops, cases and logical operators.
 func countBranches(d *ast.FuncDecl) int {
 	branches := 1
 	ast.Inspect(d, func(node ast.Node) bool {
--- a/path_test.go
+++ b/path_test.go
@@ -16,12 +16,13 @@
 	"garnethitch/internal/fakes"
 )
 
-// worldVar makes a test binary the world around a controller: every other side of its
-// protocols.
-const worldVar = "GARNETHITCH_WORLD"
+// fakesProcessVar is the environment variable that makes the test binary serve the fakes of a
+// controller's environment (services, workers and users) instead of running tests.
+const fakesProcessVar = "GARNETHITCH_WORLD"
 
+// TestMain runs the tests, or serves the fakes if fakesProcessVar is set.
 func TestMain(m *testing.M) {
-	if os.Getenv(worldVar) != "" {
+	if os.Getenv(fakesProcessVar) != "" {
 		if err := fakes.ServeLoadHarness(os.Stdin, os.Stdout); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
@@ -31,39 +32,41 @@
 	os.Exit(m.Run())
 }
 
-// world is the other process, which plays every side but the controller.
-type world struct {
+// fakesProcess is a child process that plays every party of the protocols except the controller.
+// It runs separately so that its resource usage is not counted as the controller's.
+type fakesProcess struct {
 	tb  testing.TB
 	in  io.WriteCloser
 	out *bufio.Reader
 }
 
-// say sends a command and returns the answer.
-func (w *world) say(format string, args ...any) string {
-	w.tb.Helper()
-	fmt.Fprintf(w.in, format+"\n", args...)
-	line, err := w.out.ReadString('\n')
+// send sends a command to the process and returns its reply. A reply that begins with "failed"
+// fails the test.
+func (p *fakesProcess) send(format string, args ...any) string {
+	p.tb.Helper()
+	fmt.Fprintf(p.in, format+"\n", args...)
+	line, err := p.out.ReadString('\n')
 	if line = strings.TrimSpace(line); err != nil || strings.HasPrefix(line, "failed") {
-		w.tb.Fatalf(format+": %s %v", append(args, line, err)...)
+		p.tb.Fatalf(format+": %s %v", append(args, line, err)...)
 	}
 	return line
 }
 
-// startWorld starts a world with machines that send their heartbeats to serve, and returns the
-// address of its cloud and state service.
-func startWorld(tb testing.TB, machines int, serve string) (w *world, services string) {
+// startFakes starts a fakesProcess with the given number of machines, which send their heartbeats
+// to serve, and returns the address of its cloud and state services.
+func startFakes(tb testing.TB, machines int, serve string) (p *fakesProcess, services string) {
 	tb.Helper()
 	self, err := os.Executable()
 	if err != nil {
 		tb.Fatal(err)
 	}
 	cmd := exec.Command(self)
-	cmd.Env = append(os.Environ(), worldVar+"=1")
+	cmd.Env = append(os.Environ(), fakesProcessVar+"=1")
 	cmd.Stderr = os.Stderr
-	w = &world{tb: tb}
+	p = &fakesProcess{tb: tb}
 	out, err := cmd.StdoutPipe()
 	if err == nil {
-		w.in, err = cmd.StdinPipe()
+		p.in, err = cmd.StdinPipe()
 	}
 	if err == nil {
 		err = cmd.Start()
@@ -71,37 +74,37 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	w.out = bufio.NewReader(out)
+	p.out = bufio.NewReader(out)
 	tb.Cleanup(func() {
-		_ = w.in.Close()
+		_ = p.in.Close()
 		_ = cmd.Wait()
 	})
-	return w, strings.TrimPrefix(w.say("machines %d %s", machines, serve), "at ")
+	return p, strings.TrimPrefix(p.send("machines %d %s", machines, serve), "at ")
 }
 
-// startPath starts a controller in this process and a world in another, and submits a job
-// that fills every machine.
-func startPath(tb testing.TB, machines int) *world {
+// startLoadedController starts a controller in this process and the fakes in another, and submits a
+// job that fills every machine.
+func startLoadedController(tb testing.TB, machines int) *fakesProcess {
 	tb.Helper()
 	serve, internal := freeAddr(tb), freeAddr(tb)
-	w, services := startWorld(tb, machines, serve)
+	p, services := startFakes(tb, machines, serve)
 	path := writeSettings(tb, serve, internal, services)
-	liftStateLimits(tb, path)
+	raiseStateLimits(tb, path)
 	controller, err := garnethitch.New(garnethitch.Config{SettingsPath: path})
 	if err != nil {
 		tb.Fatal(err)
 	}
 	procs := runtime.GOMAXPROCS(0)
 	tb.Cleanup(func() { runtime.GOMAXPROCS(procs) })
-	run(tb, controller)
-	w.say("ready")
-	w.say("job 100000")
-	return w
+	startController(tb, controller)
+	p.send("ready")
+	p.send("job 100000")
+	return p
 }
 
-// liftStateLimits raises the state service's limits in settings, which are not what is
-// measured.
-func liftStateLimits(tb testing.TB, path string) {
+// raiseStateLimits raises the request rates that a settings file allows at the state service, so
+// that they do not limit the measurement.
+func raiseStateLimits(tb testing.TB, path string) {
 	tb.Helper()
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -113,8 +116,9 @@
 	}
 }
 
-// used returns the processor time of this process, and its numbers of reads and writes.
-func used(tb testing.TB) (cpu time.Duration, reads, writes int) {
+// resourceUsage returns the processor time of this process and its numbers of read and write system
+// calls. The numbers are 0 where /proc/self/io cannot be read.
+func resourceUsage(tb testing.TB) (cpu time.Duration, reads, writes int) {
 	tb.Helper()
 	var ru syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &ru); err != nil {
@@ -130,38 +134,38 @@
 	return time.Duration(ru.Utime.Nano() + ru.Stime.Nano()), reads, writes
 }
 
-// TestSystemCallsPerHeartbeat checks that a heartbeat is read and answered by one system call each.
-// An answer in two writes would be two packets.
+// TestSystemCallsPerHeartbeat checks that the controller reads a heartbeat with one system call and
+// writes the response with one. A response in two writes would be sent as two packets.
 func TestSystemCallsPerHeartbeat(t *testing.T) {
-	w := startPath(t, 24)
-	w.say("reports 480") // until all are on record and full
+	p := startLoadedController(t, 24)
+	p.send("reports 480") // until all machines are registered and fully occupied
 	const n = 2400
-	_, reads, writes := used(t)
-	w.say("reports %d", n)
-	_, reads2, writes2 := used(t)
+	_, reads, writes := resourceUsage(t)
+	p.send("reports %d", n)
+	_, reads2, writes2 := resourceUsage(t)
 	if reads2 == 0 || writes2 == 0 {
-		t.Fatal("reads and writes are not counted here")
+		t.Fatal("the system does not count reads and writes in /proc/self/io")
 	}
 	if r, w := float64(reads2-reads)/n, float64(writes2-writes)/n; r > 1.5 || w > 1.5 {
-		t.Errorf("%.2f reads and %.2f writes a heartbeat", r, w)
+		t.Errorf("%.2f reads and %.2f writes per heartbeat, want at most 1.5 each", r, w)
 	}
 }
 
-// BenchmarkPath measures the whole path of a request in a running controller, from socket to
-// socket: processor time, allocations, reads and writes per request; the time per operation
-// means little. docs/account.md says how to get the parts.
+// BenchmarkPath measures the complete handling of a request by a running controller, from socket
+// to socket: processor time, allocations, reads and writes per request. The time per operation is
+// not meaningful. docs/account.md describes how to break the numbers down.
 func BenchmarkPath(b *testing.B) {
 	for _, load := range []string{"reports", "apart", "turns", "polls", "jobs"} {
 		b.Run(load, func(b *testing.B) {
-			w := startPath(b, 200)
-			w.say("reports 2000") // until all are on record and full
+			p := startLoadedController(b, 200)
+			p.send("reports 2000") // until all machines are registered and fully occupied
 			time.Sleep(2 * time.Second)
-			w.say("reports 2000")
+			p.send("reports 2000")
 			b.ReportAllocs()
 			b.ResetTimer()
-			cpu, reads, writes := used(b)
-			w.say("%s %d", load, b.N)
-			cpu2, reads2, writes2 := used(b)
+			cpu, reads, writes := resourceUsage(b)
+			p.send("%s %d", load, b.N)
+			cpu2, reads2, writes2 := resourceUsage(b)
 			b.StopTimer()
 			n := float64(b.N)
 			b.ReportMetric(float64((cpu2-cpu).Nanoseconds())/1000/n, "cpu-us/op")
