--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -99,8 +99,8 @@
 	fmt.Fprintln(w, "GROUP\tPARENT\tLIMIT\tSTATE\tIN FORCE\tSOURCE\tEPOCH\tGUARANTEE\tLENT\tFREE")
 	for _, g := range groups {
 		inForce := "none"
-		if g.Applied != nil {
-			inForce = g.Applied.String()
+		if g.LastInForce != nil {
+			inForce = g.LastInForce.String()
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\t%s\n", g.Name, orDash(g.Parent), g.Limit, g.State, inForce, g.Source, g.Epoch,
 			formatAmount(g.Guarantee), formatAmount(g.Lent), formatAmount(g.Free))
@@ -112,14 +112,14 @@
 	for _, g := range groups {
 		for _, s := range g.Shards {
 			fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\t%d\n", g.Name, s.Shard, orDash(s.Owner),
-				formatAmount(s.Allowance), formatAmount(s.Used), formatAmount(s.Want), s.Seen)
+				formatAmount(s.Allowance), formatAmount(s.Used), formatAmount(s.Want), s.SeenEpoch)
 		}
 	}
 }
 
 func writeObstacles(w io.Writer, resp *peer.QuotaResponse) {
 	for _, g := range resp.Groups {
-		for _, h := range g.HeldUp {
+		for _, h := range g.Blockers {
 			fmt.Fprintf(w, "%s is held up by share %d (%s): %s\n", g.Name, h.Shard, orDash(h.Owner), h.Reason)
 		}
 	}
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -46,7 +46,7 @@
 		t.Fatalf("%+v, %v", set, err)
 	}
 	wait("the operator's limit in force", func(g quota.GroupStatus) bool {
-		return g.Source == quota.FromOperator && g.Applied != nil && *g.Applied.CPUs == 7
+		return g.Source == quota.FromOperator && g.LastInForce != nil && *g.LastInForce.CPUs == 7
 	})
 	var table, text bytes.Buffer
 	if err := errors.Join(admin.WriteTable(&table, resp), admin.WriteJSON(&text, resp)); err != nil {
--- a/internal/controller/quota_limits.go
+++ b/internal/controller/quota_limits.go
@@ -57,9 +57,9 @@
 	groups := q.paths[j.team]
 	for _, g := range groups {
 		if _, known := h[g]; !known {
-			h[g] = q.ledger.Part(s.id, g).Minus(q.groupUsage(s, g))
+			h[g] = q.ledger.ExpectedAllowance(s.id, g).Minus(q.groupUsage(s, g))
 		}
-		count = min(count, task.Fits(h[g]))
+		count = min(count, task.CountFitting(h[g]))
 	}
 	for _, g := range groups {
 		h[g] = h[g].Minus(task.Times(count))
@@ -73,7 +73,7 @@
 	if c.ownership.activeShard(s.id) == nil {
 		return
 	}
-	over := e.Over
+	over := e.Excess
 	stopped := 0
 	for _, att := range c.quota.reclaimable(s, e.Group) {
 		if over.IsZero() {
@@ -88,7 +88,7 @@
 		over = over.Minus(quotaAmountOf(att.job.sub))
 		stopped++
 	}
-	c.log(Info, "tasks stopped for a guarantee that was lent", "group", e.Group, "shard", s.id, "tasks", stopped, "cpus", e.Over.CPUs)
+	c.log(Info, "tasks stopped for a guarantee that was lent", "group", e.Group, "shard", s.id, "tasks", stopped, "cpus", e.Excess.CPUs)
 }
 
 // reclaimable returns the attempts of a group that may be stopped for a guarantee, the first to
--- a/internal/controller/quota_records.go
+++ b/internal/controller/quota_records.go
@@ -48,7 +48,7 @@
 	if c.quota.ledger == nil {
 		return
 	}
-	c.stepQuota(quota.Held{Shard: s.id})
+	c.stepQuota(quota.ShardAcquired{Shard: s.id})
 	c.refreshQuota(s, s.ownerEpoch, "")
 }
 
@@ -73,14 +73,14 @@
 			c.refreshQuota(s, ownerEpoch, after)
 			return
 		}
-		c.stepQuota(quota.Refreshed{Shard: s.id})
+		c.stepQuota(quota.RecordsRead{Shard: s.id})
 		c.quota.nextUsageAt = 0
 		c.schedulingDue = true
 	})
 }
 
 // dropQuota has the ledger drop a shard that this controller no longer owns.
-func (c *Controller) dropQuota(s *shard) { c.stepQuota(quota.Dropped{Shard: s.id}) }
+func (c *Controller) dropQuota(s *shard) { c.stepQuota(quota.ShardReleased{Shard: s.id}) }
 
 // rereadQuotas reads the records anew that the ledger has asked for, or that could not be read.
 func (c *Controller) rereadQuotas() {
@@ -106,7 +106,7 @@
 // writeQuota sends a record, under the keys by which this controller may write it.
 func (c *Controller) writeQuota(w quota.Write) {
 	done := func(o quota.Outcome, modRevision uint64) {
-		c.stepQuota(quota.Wrote{ID: w.ID, Outcome: o, ModRevision: modRevision})
+		c.stepQuota(quota.WriteResult{ID: w.ID, Outcome: o, ModRevision: modRevision})
 	}
 	value, err := wire.Encode(w.Record)
 	if err != nil || !c.storable(value) {
--- a/internal/controller/quota_requests.go
+++ b/internal/controller/quota_requests.go
@@ -36,7 +36,7 @@
 		return
 	}
 	q := &c.quota
-	in := quota.Set{Token: q.nextSetToken, Group: set.WaitingTasks}
+	in := quota.SetLimit{Token: q.nextSetToken, Group: set.WaitingTasks}
 	if !set.Clear {
 		in.Limit = &set.Limit
 	}
@@ -87,8 +87,8 @@
 		for k := range g.Shards {
 			g.Shards[k].Owner = c.ownership.ownerLabel(g.Shards[k].Shard)
 		}
-		for k := range g.HeldUp {
-			g.HeldUp[k].Owner = c.ownership.ownerLabel(g.HeldUp[k].Shard)
+		for k := range g.Blockers {
+			g.Blockers[k].Owner = c.ownership.ownerLabel(g.Blockers[k].Shard)
 		}
 	}
 	return groups
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -60,8 +60,8 @@
 	if len(started) != 3 {
 		t.Fatalf("%d tasks started, the group's limit is 3", len(started))
 	}
-	if rec := h.group(); rec.Applied == nil || *rec.Applied.CPUs != 3 {
-		t.Errorf("in force is %v", rec.Applied)
+	if rec := h.group(); rec.LastInForce == nil || *rec.LastInForce.CPUs != 3 {
+		t.Errorf("in force is %v", rec.LastInForce)
 	}
 	// Rows are written under the shard's owner key, definitions under the leader's.
 	under := map[string]int{}
@@ -79,7 +79,7 @@
 	}
 	h.run(sec)
 	st := h.quotaAsk(peer.QuotaRequest{})
-	if g := st.Groups[0]; g.State != quota.StateAnnounced || len(g.HeldUp) != 1 || g.HeldUp[0].Owner != "n-0" || g.HeldUp[0].Reason != quota.StillUsed || g.Source != quota.FromOperator {
+	if g := st.Groups[0]; g.State != quota.StateAnnounced || len(g.Blockers) != 1 || g.Blockers[0].Owner != "n-0" || g.Blockers[0].Reason != quota.StillUsed || g.Source != quota.FromOperator {
 		t.Errorf("shown as %+v", g)
 	}
 	// The job is cancelled, its machine says nothing: what could run there counts.
@@ -161,7 +161,7 @@
 	if s, ok := h.c.effects[0].(Span); !ok || s.Trace != trace || s.Parent != span || s.Name != "quota.shrinking" {
 		t.Errorf("%+v", h.c.effects)
 	}
-	h.c.quota.traceQuota(quota.Changed{Kind: quota.Asked, Group: "all", Shard: 0})
+	h.c.quota.traceQuota(quota.Changed{Kind: quota.ClaimChanged, Group: "all", Shard: 0})
 	asked := h.c.effects[1].(Span)
 	if contexts := h.c.quota.openTraces(); len(contexts) != 1 || [16]byte(contexts[0].Trace) != asked.Trace || [8]byte(contexts[0].Span) != asked.ID {
 		t.Errorf("others are sent %+v of %+v", contexts, asked)
--- a/internal/controller/quota_trace.go
+++ b/internal/controller/quota_trace.go
@@ -81,7 +81,7 @@
 	switch e.Kind {
 	case quota.Announced:
 		q.beginTrace(traceKey{e.Group, announcementShard}, &span)
-	case quota.Asked:
+	case quota.ClaimChanged:
 		q.beginTrace(traceKey{e.Group, e.Shard}, &span)
 	case quota.Grown:
 		key := traceKey{e.Group, e.Shard}
--- a/internal/controller/quota_usage.go
+++ b/internal/controller/quota_usage.go
@@ -78,7 +78,7 @@
 	}
 	c.refresh(s)
 	teams := c.quotaDemands(s)
-	c.stepQuota(quota.Used{Shard: s.id, Groups: c.quota.ledger.Claims(s.id, knowledge == usageExact, teams)})
+	c.stepQuota(quota.UsageReport{Shard: s.id, Groups: c.quota.ledger.Claims(s.id, knowledge == usageExact, teams)})
 }
 
 // quotaDemands returns what each team uses and wants in a shard.
--- a/internal/faulttest/history.go
+++ b/internal/faulttest/history.go
@@ -32,7 +32,7 @@
 	u := &usage{groups: groups, teams: map[string]float64{}, limits: map[string]*quota.Limit{}}
 	for _, event := range history {
 		if event.Group != "" {
-			u.limits[event.Group] = event.Record.Applied
+			u.limits[event.Group] = event.Record.LastInForce
 			found = append(found, allowanceOvershoots(event)...)
 			found = append(found, u.overshoots(event.At)...)
 			continue
@@ -47,8 +47,8 @@
 
 // allowanceOvershoots reports a record whose allowances are more than the limit in force.
 func allowanceOvershoots(event HistoryEvent) []string {
-	limit := event.Record.Applied
-	sum := event.Record.Allowed()
+	limit := event.Record.LastInForce
+	sum := event.Record.TotalAllowance()
 	if limit == nil || sum.Within(limit.Amount()) {
 		return nil
 	}
@@ -111,7 +111,7 @@
 			last = &announcement{epoch: event.Record.Epoch, at: event.At}
 			announced[event.Group] = last
 		}
-		applied := event.Record.Applied
+		applied := event.Record.LastInForce
 		if !last.inForce && applied != nil && applied.Equal(event.Record.Limit) {
 			durations = append(durations, event.At-last.at)
 			last.inForce = true
--- a/internal/faulttest/history_test.go
+++ b/internal/faulttest/history_test.go
@@ -11,7 +11,7 @@
 func TestOvershoots(t *testing.T) {
 	groups := GrantGroups()
 	limit := quota.CPULimit(2)
-	inForce := HistoryEvent{Group: "all", Record: quota.Record{Applied: &limit}}
+	inForce := HistoryEvent{Group: "all", Record: quota.Record{LastInForce: &limit}}
 	start := HistoryEvent{Team: "rubavu", CPUs: 1}
 	end := HistoryEvent{Team: "rubavu", CPUs: -1}
 	for _, tc := range []struct {
@@ -23,7 +23,7 @@
 		{"one too many, in a group within", []HistoryEvent{inForce, start, start, start}, 1},
 		{"lowered below what runs", []HistoryEvent{start, start, start, inForce}, 1},
 		{"not in force", []HistoryEvent{{Group: "all"}, start, start, start}, 0},
-		{"allowances above it", []HistoryEvent{{Group: "all", Record: quota.Record{Applied: &limit, Rows: []quota.Row{{Allowance: quota.Amount{CPUs: 3}}}}}}, 1},
+		{"allowances above it", []HistoryEvent{{Group: "all", Record: quota.Record{LastInForce: &limit, Rows: []quota.Row{{Allowance: quota.Amount{CPUs: 3}}}}}}, 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if got := Overshoots(tc.history, groups); len(got) != tc.found {
--- a/internal/measure/quota_mechanisms.go
+++ b/internal/measure/quota_mechanisms.go
@@ -154,9 +154,9 @@
 	a.rec = quota.Record{Definition: quota.Definition{Name: group, Teams: []string{"t"}, Limit: quota.CPULimit(limitBefore)}, Epoch: 1}
 	for i := range a.ledgers {
 		a.ledgers[i] = quota.NewLedger(quota.Config{Shards: controllers, Timing: quota.DefaultTiming()})
-		a.step(i, quota.Held{Shard: i})
+		a.step(i, quota.ShardAcquired{Shard: i})
 		a.step(i, quota.Learned{Group: group, Record: a.rec, ModRevision: a.modRevision})
-		a.step(i, quota.Refreshed{Shard: i})
+		a.step(i, quota.RecordsRead{Shard: i})
 		a.reportUsage(i)
 	}
 	return a
@@ -193,7 +193,7 @@
 	if n := len(a.queues[node]); n > 0 {
 		team.Waiting = []quota.WaitingTasks{{Size: quota.Amount{CPUs: 1}, Count: n, SinceMS: 1}}
 	}
-	a.step(node, quota.Used{Shard: node, Groups: a.ledgers[node].Claims(node, true, []quota.TeamDemand{team})})
+	a.step(node, quota.UsageReport{Shard: node, Groups: a.ledgers[node].Claims(node, true, []quota.TeamDemand{team})})
 }
 
 // step gives a controller's ledger an input, and carries out what it asks for.
@@ -212,7 +212,7 @@
 
 func (a *allowances) write(node int, w quota.Write) {
 	a.run.after(a.run.between(shortestWrite, longestWrite), func() {
-		out := quota.Wrote{ID: w.ID, Outcome: quota.Refused}
+		out := quota.WriteResult{ID: w.ID, Outcome: quota.Refused}
 		switch {
 		case a.run.dead == node || a.run.cut == node || !a.run.mayWrite():
 			out.Outcome = quota.NotSent
@@ -246,7 +246,7 @@
 
 func (a *allowances) lowerLimit(limit float64) {
 	l := quota.CPULimit(limit)
-	a.step(1, quota.Set{Token: 1, Group: group, Limit: &l})
+	a.step(1, quota.SetLimit{Token: 1, Group: group, Limit: &l})
 }
 
 func (a *allowances) inForce() bool {
--- a/internal/simulation/groups.go
+++ b/internal/simulation/groups.go
@@ -123,11 +123,11 @@
 // know no groups are not bound by one.
 func (s *Simulation) checkGroup(name string) {
 	record := s.groups[name]
-	if record.Applied == nil || record.Removed || s.plan.UpgradeFrom != ReleaseCurrent {
+	if record.LastInForce == nil || record.Removed || s.plan.UpgradeFrom != ReleaseCurrent {
 		return
 	}
-	if used := s.groupUsage(name); !used.Within(record.Applied.Amount()) {
-		s.violated("group: %s uses %g CPUs, in force is %s", name, used.CPUs, record.Applied)
+	if used := s.groupUsage(name); !used.Within(record.LastInForce.Amount()) {
+		s.violated("group: %s uses %g CPUs, in force is %s", name, used.CPUs, record.LastInForce)
 	}
 }
 
--- a/quota/allowance.go
+++ b/quota/allowance.go
@@ -10,25 +10,25 @@
 		return Amount{} // a former owner may have given up more than is known here
 	}
 	g := l.groups[group]
-	if g == nil || !g.binds() {
+	if g == nil || !g.hasLimit() {
 		return Unlimited
 	}
 	return g.allowed[shard]
 }
 
-// Part returns what a shard may use of a group, or should have once other shards have given
+// ExpectedAllowance returns what a shard may use of a group, or should have once other shards have given
 // it up, whichever is more.
-func (l *Ledger) Part(shard int, group string) Amount {
+func (l *Ledger) ExpectedAllowance(shard int, group string) Amount {
 	allowed := l.Allowed(shard, group)
 	g := l.groups[group]
 	if g == nil || allowed == Unlimited || l.owned[shard] == nil {
 		return allowed
 	}
-	i := g.record.Row(shard)
-	if i < 0 || i >= len(g.parts) {
+	i := g.record.RowIndex(shard)
+	if i < 0 || i >= len(g.fairShares) {
 		return allowed
 	}
-	return allowed.Max(g.parts[i])
+	return allowed.Max(g.fairShares[i])
 }
 
 // Granted records that a task of a shard was started that uses size of a group. It must be
@@ -44,7 +44,7 @@
 		return // the next Used includes it
 	}
 	used := use.Used.Plus(size)
-	if g := l.groups[group]; g != nil && g.binds() {
+	if g := l.groups[group]; g != nil && g.hasLimit() {
 		// Tasks may have ended since the last Used, but grants alone never use more than
 		// the allowance.
 		if allowance, ok := g.record.allowance(shard); ok {
@@ -56,9 +56,9 @@
 	s.usage[group] = use
 }
 
-// allowedNow returns what a shard may use: its allowance, less what any write in doubt
+// effectiveAllowance returns what a shard may use: its allowance, less what any write in doubt
 // gives up, and no more than its part where a limit is exceeded or others lack theirs.
-func (l *Ledger) allowedNow(g *groupState, shard int) Amount {
+func (l *Ledger) effectiveAllowance(g *groupState, shard int) Amount {
 	allowed, ok := g.record.allowance(shard)
 	if !ok {
 		return Amount{}
@@ -68,7 +68,7 @@
 			allowed = allowed.Min(written)
 		}
 	}
-	return g.record.Limit.unboundedOr(g.part(shard, allowed))
+	return g.record.Limit.unlimitedWhereUnbounded(g.cappedAllowance(shard, allowed))
 }
 
 // reductionInDoubt reports whether a write in doubt leaves a shard less than the record
@@ -81,19 +81,19 @@
 	})
 }
 
-// part returns how much of what it has a shard should keep: no more than its part of each
+// cappedAllowance returns how much of what it has a shard should keep: no more than its cappedAllowance of each
 // resource of which others lack theirs or more than the limit is allowed.
-func (g *groupState) part(shard int, has Amount) Amount {
-	i := g.record.Row(shard)
+func (g *groupState) cappedAllowance(shard int, has Amount) Amount {
+	i := g.record.RowIndex(shard)
 	if i < 0 {
 		return Amount{}
 	}
 	excess := g.record.Excess()
-	if g.short.cpus || excess.CPUs > epsilon {
-		has.CPUs = min(has.CPUs, g.parts[i].CPUs)
+	if g.shortage.cpus || excess.CPUs > epsilon {
+		has.CPUs = min(has.CPUs, g.fairShares[i].CPUs)
 	}
-	if g.short.gpus || excess.GPUs > epsilon {
-		has.GPUs = min(has.GPUs, g.parts[i].GPUs)
+	if g.shortage.gpus || excess.GPUs > epsilon {
+		has.GPUs = min(has.GPUs, g.fairShares[i].GPUs)
 	}
 	return has
 }
--- a/quota/amount.go
+++ b/quota/amount.go
@@ -35,8 +35,8 @@
 // Times returns what n tasks of size a use.
 func (a Amount) Times(n int) Amount { return Amount{a.CPUs * float64(n), a.GPUs * float64(n)} }
 
-// Fits returns how many tasks of size a fit into what is available, at most math.MaxInt32.
-func (a Amount) Fits(available Amount) int {
+// CountFitting returns how many tasks of size a fit into what is available, at most math.MaxInt32.
+func (a Amount) CountFitting(available Amount) int {
 	n := float64(math.MaxInt32)
 	if a.CPUs > 0 {
 		n = min(n, (available.CPUs+epsilon)/a.CPUs)
@@ -82,8 +82,8 @@
 	return a
 }
 
-// bounded returns a with zero for each resource that the limit does not bound.
-func (l Limit) bounded(a Amount) Amount {
+// zeroWhereUnbounded returns a with zero for each resource that the limit does not bound.
+func (l Limit) zeroWhereUnbounded(a Amount) Amount {
 	if l.CPUs == nil {
 		a.CPUs = 0
 	}
@@ -93,8 +93,8 @@
 	return a
 }
 
-// unboundedOr returns a with Unlimited for each resource that the limit does not bound.
-func (l Limit) unboundedOr(a Amount) Amount {
+// unlimitedWhereUnbounded returns a with Unlimited for each resource that the limit does not bound.
+func (l Limit) unlimitedWhereUnbounded(a Amount) Amount {
 	if l.CPUs == nil {
 		a.CPUs = Unlimited.CPUs
 	}
@@ -104,8 +104,8 @@
 	return a
 }
 
-// boundsMoreThan reports whether l bounds a resource that o does not.
-func (l Limit) boundsMoreThan(o Limit) bool {
+// boundsNewResource reports whether l bounds a resource that o does not.
+func (l Limit) boundsNewResource(o Limit) bool {
 	return o.CPUs == nil && l.CPUs != nil || o.GPUs == nil && l.GPUs != nil
 }
 
--- a/quota/announce.go
+++ b/quota/announce.go
@@ -11,7 +11,7 @@
 		if !l.mayWrite(g) {
 			continue
 		}
-		if record, changed := announced(g, d); changed {
+		if record, changed := announcedRecord(g, d); changed {
 			l.sendAnnouncement(g, record)
 		}
 	}
@@ -19,7 +19,7 @@
 		g := l.groups[name]
 		defined := slices.ContainsFunc(definitions, func(d Definition) bool { return d.Name == name })
 		if !defined && g.exists() && l.mayWrite(g) {
-			l.sendAnnouncement(g, removed(g))
+			l.sendAnnouncement(g, removedRecord(g))
 		}
 	}
 }
@@ -54,9 +54,9 @@
 	}
 }
 
-// announced returns the record that a definition leads to, and whether it differs from the
+// announcedRecord returns the record that a definition leads to, and whether it differs from the
 // known one.
-func announced(g *groupState, d Definition) (record Record, changed bool) {
+func announcedRecord(g *groupState, d Definition) (record Record, changed bool) {
 	if g.modRevision == 0 {
 		return Record{Definition: d, Epoch: 1, Source: d.source()}, true
 	}
@@ -82,8 +82,8 @@
 	return record, true
 }
 
-// removed returns the record of a group that is no longer in the options.
-func removed(g *groupState) Record {
+// removedRecord returns the record of a group that is no longer in the options.
+func removedRecord(g *groupState) Record {
 	record := g.record.clone()
 	record.setLimit(Limit{}, record.Source)
 	record.Removed = true
--- a/quota/announce_test.go
+++ b/quota/announce_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-// TestMembersJoin checks that a group's record says by itself whom it binds, also before the record
+// TestMembersOfNestedGroups checks that a group's record says by itself whom it binds, also before the record
 // of a group within it is known; and what a team used before it joined is registered anew before
 // the limit counts as in force.
-func TestMembersJoin(t *testing.T) {
+func TestMembersOfNestedGroups(t *testing.T) {
 	all := Definition{Name: "all", Teams: []string{"a"}, Limit: CPULimit(4)}
 	lake := Definition{Name: "lake", Parent: "all", Teams: []string{"b"}}
 	definitions := withMembers([]Definition{all, lake})
@@ -30,7 +30,7 @@
 			joined = &w.Record
 		}
 	}
-	if joined == nil || joined.Applied != nil || len(joined.Rows) != 0 || joined.Epoch != 2 {
+	if joined == nil || joined.LastInForce != nil || len(joined.Rows) != 0 || joined.Epoch != 2 {
 		t.Errorf("after team c joined: %+v", joined)
 	}
 }
@@ -43,14 +43,14 @@
 	}
 }
 
-// writeAll is a ledger whose writes are all carried out at once.
-type writeAll struct {
+// synchronousLedger is a ledger whose writes are all carried out at once.
+type synchronousLedger struct {
 	ledger *Ledger
 	now    Instant
 	store  map[string]storedRecord
 }
 
-func (d *writeAll) step(in Input) {
+func (d *synchronousLedger) step(in Input) {
 	d.now.Steady += stepInterval
 	pending := d.ledger.Step(d.now, in)
 	for len(pending) > 0 {
@@ -61,20 +61,20 @@
 		}
 		modRevision := d.store[w.Group].modRevision + 1
 		d.store[w.Group] = storedRecord{w.Record, modRevision}
-		pending = append(pending, d.ledger.Step(d.now, Wrote{ID: w.ID, Outcome: Applied, ModRevision: modRevision})...)
+		pending = append(pending, d.ledger.Step(d.now, WriteResult{ID: w.ID, Outcome: Applied, ModRevision: modRevision})...)
 	}
 }
 
 // announce announces one group of team t.
-func (d *writeAll) announce(group string, cpus float64) {
+func (d *synchronousLedger) announce(group string, cpus float64) {
 	definition := Definition{Name: group, Teams: []string{"t"}, Limit: CPULimit(cpus)}
 	d.step(Announce{Definitions: []Definition{definition}})
 }
 
 // reportUsage reports that team t uses some CPUs of shard 0.
-func (d *writeAll) reportUsage(cpus float64) {
+func (d *synchronousLedger) reportUsage(cpus float64) {
 	team := TeamDemand{Groups: d.ledger.Path("t"), Used: Amount{CPUs: cpus}}
-	d.step(Used{Shard: 0, Groups: d.ledger.Claims(0, true, []TeamDemand{team})})
+	d.step(UsageReport{Shard: 0, Groups: d.ledger.Claims(0, true, []TeamDemand{team})})
 }
 
 // TestRenamedGroup checks that a group that is renamed is one that is removed and one that is new:
@@ -82,9 +82,9 @@
 // nobody.
 func TestRenamedGroup(t *testing.T) {
 	l := NewLedger(Config{Shards: 1, Timing: DefaultTiming()})
-	d := writeAll{ledger: l, store: map[string]storedRecord{}}
-	d.step(Held{Shard: 0})
-	d.step(Refreshed{Shard: 0})
+	d := synchronousLedger{ledger: l, store: map[string]storedRecord{}}
+	d.step(ShardAcquired{Shard: 0})
+	d.step(RecordsRead{Shard: 0})
 	if got := l.Allowed(0, "old"); got != Unlimited {
 		t.Errorf("an unknown group allows %v", got)
 	}
@@ -97,7 +97,7 @@
 		t.Errorf("the old name allows %v", got)
 	}
 	d.reportUsage(4)
-	if st := l.Status(); len(st) != 2 || st[0].State != StateAnnounced || st[0].Applied != nil || st[1].State != StateRemoved {
+	if st := l.Status(); len(st) != 2 || st[0].State != StateAnnounced || st[0].LastInForce != nil || st[1].State != StateRemoved {
 		t.Errorf("while more than the limit is used: %+v", st)
 	}
 	if got := l.Allowed(0, "new"); got.CPUs > 3 {
--- a/quota/claims.go
+++ b/quota/claims.go
@@ -61,11 +61,11 @@
 // what the teams use is exact. Of an outer group only the tasks for which the shard has
 // quota of the inner ones are wanted: otherwise two owners that each hold what the other
 // waits for would wait forever.
-func (l *Ledger) Claims(shard int, exact bool, teams []TeamDemand) map[string]Use {
+func (l *Ledger) Claims(shard int, exact bool, teams []TeamDemand) map[string]Usage {
 	b := claimBuilder{
 		ledger:    l,
 		shard:     shard,
-		uses:      map[string]*Use{},
+		usages:    map[string]*Usage{},
 		available: map[string]Amount{},
 	}
 	b.addUsed(teams, exact)
@@ -73,8 +73,8 @@
 		b.addWaiting(team)
 	}
 	b.addGuaranteed(teams)
-	out := map[string]Use{}
-	for group, use := range b.uses {
+	out := map[string]Usage{}
+	for group, use := range b.usages {
 		out[group] = *use
 	}
 	return out
@@ -84,16 +84,16 @@
 type claimBuilder struct {
 	ledger    *Ledger
 	shard     int
-	uses      map[string]*Use
+	usages    map[string]*Usage
 	available map[string]Amount // what the shard may grant beside what it uses and wants
 }
 
-// use returns the use of a group, which is added if there is none.
-func (b *claimBuilder) use(group string) *Use {
-	u := b.uses[group]
+// usage returns the usage of a group, which is added if there is none.
+func (b *claimBuilder) usage(group string) *Usage {
+	u := b.usages[group]
 	if u == nil {
-		u = &Use{}
-		b.uses[group] = u
+		u = &Usage{}
+		b.usages[group] = u
 	}
 	return u
 }
@@ -102,12 +102,12 @@
 func (b *claimBuilder) addUsed(teams []TeamDemand, exact bool) {
 	for _, team := range teams {
 		for _, group := range team.Groups {
-			u := b.use(group)
+			u := b.usage(group)
 			u.Used = u.Used.Plus(team.Used)
 			u.Exact = exact
 		}
 	}
-	for group, u := range b.uses {
+	for group, u := range b.usages {
 		u.Want = u.Used
 		b.available[group] = b.ledger.Allowed(b.shard, group).Minus(u.Used)
 	}
@@ -118,8 +118,8 @@
 	for _, tasks := range team.Waiting {
 		count := tasks.Count
 		for _, group := range team.Groups {
-			b.use(group).addWaiting(tasks, count)
-			count = min(count, tasks.Size.Fits(b.available[group]))
+			b.usage(group).addWaiting(tasks, count)
+			count = min(count, tasks.Size.CountFitting(b.available[group]))
 			if count <= 0 {
 				break
 			}
@@ -132,8 +132,8 @@
 func (c *Claim) addWaiting(tasks WaitingTasks, count int) {
 	c.Want = c.Want.Plus(tasks.Size.Times(count))
 	c.SmallestTask = smallerTask(c.SmallestTask, tasks.Size)
-	if c.SinceMS == 0 || tasks.SinceMS < c.SinceMS {
-		c.SinceMS = tasks.SinceMS
+	if c.WaitingSinceMS == 0 || tasks.SinceMS < c.WaitingSinceMS {
+		c.WaitingSinceMS = tasks.SinceMS
 	}
 }
 
@@ -151,7 +151,7 @@
 func (b *claimBuilder) addGuaranteed(teams []TeamDemand) {
 	b.addTeamGuarantees(teams)
 	b.addGroupGuarantees(teams)
-	for _, u := range b.uses {
+	for _, u := range b.usages {
 		u.Guaranteed = u.Guaranteed.Min(u.Want)
 	}
 }
@@ -162,7 +162,7 @@
 		if len(team.Groups) == 0 {
 			continue
 		}
-		u := b.use(team.Groups[0])
+		u := b.usage(team.Groups[0])
 		u.Guaranteed = u.Guaranteed.Plus(team.want().Min(team.Guarantee))
 	}
 }
@@ -178,9 +178,9 @@
 			}
 			name := team.Groups[depth]
 			done[name] = true
-			inner := b.use(name)
-			outer := b.use(team.Groups[depth+1])
-			part := b.ledger.guaranteePart(name, b.shard, inner.Claim)
+			inner := b.usage(name)
+			outer := b.usage(team.Groups[depth+1])
+			part := b.ledger.guaranteeShare(name, b.shard, inner.Claim)
 			guaranteed := inner.Want.Min(part.Max(inner.Guaranteed))
 			outer.Guaranteed = outer.Guaranteed.Plus(guaranteed)
 		}
@@ -195,9 +195,9 @@
 	return longest
 }
 
-// guaranteePart returns a shard's part of a group's guarantee, which is divided by what the
+// guaranteeShare returns a shard's part of a group's guarantee, which is divided by what the
 // shards want, without regard to the sizes of tasks.
-func (l *Ledger) guaranteePart(group string, shard int, own Claim) Amount {
+func (l *Ledger) guaranteeShare(group string, shard int, own Claim) Amount {
 	g := l.groups[group]
 	if g == nil || g.record.Guarantee.IsZero() {
 		return Amount{}
@@ -206,7 +206,7 @@
 	for _, row := range g.record.Rows {
 		claims = append(claims, Claim{Want: row.Claim.Want})
 	}
-	i := g.record.Row(shard)
+	i := g.record.RowIndex(shard)
 	if i < 0 {
 		i = len(claims)
 		claims = append(claims, Claim{})
--- a/quota/divide.go
+++ b/quota/divide.go
@@ -17,17 +17,17 @@
 	Guaranteed Amount `cbor:"u"`
 	// SmallestTask is what the smallest waiting task uses; less is of no use to the shard.
 	SmallestTask Amount `cbor:"p"`
-	// SinceMS is since when tasks have waited with none started, by the time of day of the
+	// WaitingSinceMS is since when tasks have waited with none started, by the time of day of the
 	// shard's owner, in milliseconds since 1970; 0: none waits.
-	SinceMS int64 `cbor:"t,omitempty"`
+	WaitingSinceMS int64 `cbor:"t,omitempty"`
 }
 
-// boundedBy returns the claim with zero for each resource that the limit does not bound.
-func (c Claim) boundedBy(limit Limit) Claim {
-	c.Used = limit.bounded(c.Used)
-	c.Want = limit.bounded(c.Want)
-	c.Guaranteed = limit.bounded(c.Guaranteed)
-	c.SmallestTask = limit.bounded(c.SmallestTask)
+// zeroWhereUnbounded returns the claim with zero for each resource that the limit does not bound.
+func (c Claim) zeroWhereUnbounded(limit Limit) Claim {
+	c.Used = limit.zeroWhereUnbounded(c.Used)
+	c.Want = limit.zeroWhereUnbounded(c.Want)
+	c.Guaranteed = limit.zeroWhereUnbounded(c.Guaranteed)
+	c.SmallestTask = limit.zeroWhereUnbounded(c.SmallestTask)
 	return c
 }
 
@@ -37,8 +37,8 @@
 // running gets its smallest task ahead of what is not guaranteed, the one that has waited
 // for longest first.
 func Divide(limit Amount, claims []Claim) []Amount {
-	cpus := divideOne(limit.CPUs, claims, func(a Amount) float64 { return a.CPUs })
-	gpus := divideOne(limit.GPUs, claims, func(a Amount) float64 { return a.GPUs })
+	cpus := divideResource(limit.CPUs, claims, func(a Amount) float64 { return a.CPUs })
+	gpus := divideResource(limit.GPUs, claims, func(a Amount) float64 { return a.GPUs })
 	out := make([]Amount, len(claims))
 	for i := range out {
 		out[i] = Amount{CPUs: cpus[i], GPUs: gpus[i]}
@@ -52,8 +52,8 @@
 	sinceMS                  int64
 }
 
-// divideOne divides one resource, which of selects.
-func divideOne(limit float64, all []Claim, of func(Amount) float64) []float64 {
+// divideResource divides one resource, which of selects.
+func divideResource(limit float64, all []Claim, of func(Amount) float64) []float64 {
 	want := make([]float64, len(all))
 	for i, c := range all {
 		want[i] = of(c.Want)
@@ -68,7 +68,7 @@
 			used:         of(c.Used),
 			want:         want[i],
 			smallestTask: of(c.SmallestTask),
-			sinceMS:      c.SinceMS,
+			sinceMS:      c.WaitingSinceMS,
 		}
 		reserved[i] = min(of(c.Guaranteed), want[i])
 	}
--- a/quota/divide_test.go
+++ b/quota/divide_test.go
@@ -7,11 +7,11 @@
 func TestDivide(t *testing.T) {
 	claim := func(used, want, guaranteed, task float64, sinceMS int64) Claim {
 		return Claim{
-			Used:         Amount{CPUs: used},
-			Want:         Amount{CPUs: want},
-			Guaranteed:   Amount{CPUs: guaranteed},
-			SmallestTask: Amount{CPUs: task},
-			SinceMS:      sinceMS,
+			Used:           Amount{CPUs: used},
+			Want:           Amount{CPUs: want},
+			Guaranteed:     Amount{CPUs: guaranteed},
+			SmallestTask:   Amount{CPUs: task},
+			WaitingSinceMS: sinceMS,
 		}
 	}
 	for _, tc := range []struct {
--- a/quota/example_test.go
+++ b/quota/example_test.go
@@ -48,10 +48,10 @@
 		for shard, ledger := range ledgers {
 			now.Steady += timing.WriteInterval
 			for _, in := range []quota.Input{
-				quota.Held{Shard: shard},
+				quota.ShardAcquired{Shard: shard},
 				quota.Learned{Group: "build", Record: store.record, ModRevision: store.modRevision},
-				quota.Refreshed{Shard: shard},
-				quota.Used{Shard: shard, Groups: ledger.Claims(shard, true, []quota.TeamDemand{demand})},
+				quota.RecordsRead{Shard: shard},
+				quota.UsageReport{Shard: shard, Groups: ledger.Claims(shard, true, []quota.TeamDemand{demand})},
 			} {
 				if _, err := ledger.Sync(now, in, store); err != nil {
 					fmt.Println(err)
--- a/quota/harness_test.go
+++ b/quota/harness_test.go
@@ -23,12 +23,12 @@
 // the outer one if given.
 func newHarness(inner Record, outer ...Record) *harness {
 	h := &harness{ledger: NewLedger(Config{Shards: 2, Timing: DefaultTiming()})}
-	h.step(Held{Shard: 0})
+	h.step(ShardAcquired{Shard: 0})
 	h.learn(innerGroup, inner, 10)
 	for _, record := range outer {
 		h.learn(outerGroup, record, 10)
 	}
-	h.step(Refreshed{Shard: 0})
+	h.step(RecordsRead{Shard: 0})
 	return h
 }
 
@@ -50,7 +50,7 @@
 
 // claims returns what the shard claims if a team uses some CPUs of the inner group and has
 // some tasks of one CPU waiting.
-func (h *harness) claims(used, waiting int) map[string]Use {
+func (h *harness) claims(used, waiting int) map[string]Usage {
 	team := TeamDemand{Groups: h.ledger.Path("t"), Used: Amount{CPUs: float64(used)}}
 	if waiting > 0 {
 		team.Waiting = []WaitingTasks{{Size: Amount{CPUs: 1}, Count: waiting, SinceMS: 1}}
@@ -59,7 +59,7 @@
 }
 
 func (h *harness) reportUsage(used, waiting int) {
-	h.step(Used{Shard: 0, Groups: h.claims(used, waiting)})
+	h.step(UsageReport{Shard: 0, Groups: h.claims(used, waiting)})
 }
 
 // requireAllowed fails the test if the shard may use something else of the inner group.
@@ -84,7 +84,7 @@
 		Shard:     shard,
 		Allowance: Amount{CPUs: allowance},
 		Claim:     Claim{Want: Amount{CPUs: want}, SmallestTask: Amount{CPUs: 1}},
-		Seen:      seen,
+		SeenEpoch: seen,
 	}
 }
 
@@ -92,9 +92,9 @@
 func recordInForce(cpus float64, rows ...Row) Record {
 	limit := CPULimit(cpus)
 	return Record{
-		Definition: Definition{Teams: []string{"t"}, Members: []string{"t"}, Limit: limit},
-		Epoch:      1,
-		Applied:    &limit,
-		Rows:       rows,
+		Definition:  Definition{Teams: []string{"t"}, Members: []string{"t"}, Limit: limit},
+		Epoch:       1,
+		LastInForce: &limit,
+		Rows:        rows,
 	}
 }
--- a/quota/ledger.go
+++ b/quota/ledger.go
@@ -72,11 +72,11 @@
 	// recordsRead is set once every record has been read after the shard was claimed, so
 	// that no write of a former owner can change its allowances any more.
 	recordsRead bool
-	usage       map[string]Use // by group
+	usage       map[string]Usage // by group
 }
 
-// Use is what a shard's tasks use and want of a group.
-type Use struct {
+// Usage is what a shard's tasks use and want of a group.
+type Usage struct {
 	// Exact is set if Claim.Used is exact. Otherwise some tasks may run on machines that
 	// are not known, and Used is an upper bound.
 	Exact bool
@@ -98,8 +98,8 @@
 	inDoubt     []sentWrite
 	setRequests []*setRequest // in the order of their arrival
 
-	parts         []Amount // what the shard of each row should have, by Divide
-	short         shortage
+	fairShares    []Amount // what the shard of each row should have, by Divide
+	shortage      shortage
 	guaranteeWait waitingTime
 	reclaimedAt   Micros         // when a Reclaim was last emitted
 	allowed       map[int]Amount // what each owned shard may use
@@ -124,7 +124,7 @@
 	l.handle(in)
 	for _, name := range l.names() {
 		g := l.groups[name]
-		l.sendSet(g)
+		l.processSetRequests(g)
 		l.plan(g)
 	}
 	effects := l.effects
@@ -137,24 +137,24 @@
 	switch v := in.(type) {
 	case Learned:
 		l.learn(v.Group, v.Record, v.ModRevision)
-	case Held:
-		l.owned[v.Shard] = &ownedShard{usage: map[string]Use{}}
-	case Refreshed:
+	case ShardAcquired:
+		l.owned[v.Shard] = &ownedShard{usage: map[string]Usage{}}
+	case RecordsRead:
 		if s := l.owned[v.Shard]; s != nil {
 			s.recordsRead = true
 		}
-	case Dropped:
+	case ShardReleased:
 		delete(l.owned, v.Shard)
-	case Used:
+	case UsageReport:
 		if s := l.owned[v.Shard]; s != nil {
 			s.usage = v.Groups
 		}
-	case Wrote:
+	case WriteResult:
 		l.handleWriteOutcome(v)
 	case Announce:
 		l.announce(v.Definitions)
-	case Set:
-		l.set(v)
+	case SetLimit:
+		l.queueSetRequest(v)
 	}
 }
 
@@ -182,5 +182,5 @@
 // exists reports whether the group has a record and was not removed.
 func (g *groupState) exists() bool { return g.modRevision != 0 && !g.record.Removed }
 
-// binds reports whether the group exists and bounds any resource.
-func (g *groupState) binds() bool { return g.exists() && g.record.Limit.Bounded() }
+// hasLimit reports whether the group exists and bounds any resource.
+func (g *groupState) hasLimit() bool { return g.exists() && g.record.Limit.Bounded() }
--- a/quota/messages.go
+++ b/quota/messages.go
@@ -16,20 +16,20 @@
 		Record      Record
 		ModRevision uint64
 	}
-	// Held says that this controller has become the owner of a shard.
-	Held struct{ Shard int }
-	// Refreshed says that all records have been read since the shard was claimed.
-	Refreshed struct{ Shard int }
-	// Dropped says that this controller no longer owns a shard.
-	Dropped struct{ Shard int }
-	// Used is what a shard uses and wants, by group; see Ledger.Claims. The ledger keeps
+	// ShardAcquired says that this controller has become the owner of a shard.
+	ShardAcquired struct{ Shard int }
+	// RecordsRead says that all records have been read since the shard was claimed.
+	RecordsRead struct{ Shard int }
+	// ShardReleased says that this controller no longer owns a shard.
+	ShardReleased struct{ Shard int }
+	// UsageReport is what a shard uses and wants, by group; see Ledger.Claims. The ledger keeps
 	// the map.
-	Used struct {
+	UsageReport struct {
 		Shard  int
-		Groups map[string]Use
+		Groups map[string]Usage
 	}
-	// Wrote is the outcome of a Write.
-	Wrote struct {
+	// WriteResult is the outcome of a Write.
+	WriteResult struct {
 		ID      uint64
 		Outcome Outcome
 		// ModRevision is the record's new one if the outcome is Applied.
@@ -37,8 +37,8 @@
 	}
 	// Announce makes the records agree with the options. Only the leader may send it.
 	Announce struct{ Definitions []Definition }
-	// Set sets a group's limit by hand; a nil Limit clears it. SetDone answers it.
-	Set struct {
+	// SetLimit sets a group's limit by hand; a nil Limit clears it. SetDone answers it.
+	SetLimit struct {
 		Token uint64
 		Group string
 		Limit *Limit
@@ -99,9 +99,9 @@
 	// Reclaim asks for tasks of a shard to be stopped, since a guaranteed claim has waited
 	// and the shard uses more of the group than its part. Over is by how much.
 	Reclaim struct {
-		Shard int
-		Group string
-		Over  Amount
+		Shard  int
+		Group  string
+		Excess Amount
 	}
 	// Changed reports a change of a group, for logs and traces.
 	Changed struct {
@@ -126,8 +126,8 @@
 
 // Kinds of changes.
 const (
-	// Asked means that the claim of an own shard has changed, but not its allowance.
-	Asked ChangeKind = "asking"
+	// ClaimChanged means that the claim of an own shard has changed, but not its allowance.
+	ClaimChanged ChangeKind = "asking"
 	// Grown means that an allowance has grown.
 	Grown ChangeKind = "growing"
 	// Shrunk means that an allowance has been reduced.
--- a/quota/plan.go
+++ b/quota/plan.go
@@ -8,8 +8,8 @@
 // shortage names the resources of which some shards lack more of their parts than is free.
 type shortage struct{ cpus, gpus bool }
 
-// of returns a with zero for each resource of which there is no shortage.
-func (s shortage) of(a Amount) Amount {
+// zeroUnlessShort returns a with zero for each resource zeroUnlessShort which there is no shortage.
+func (s shortage) zeroUnlessShort(a Amount) Amount {
 	if !s.cpus {
 		a.CPUs = 0
 	}
@@ -32,12 +32,12 @@
 // rows that have to change.
 func (l *Ledger) plan(g *groupState) {
 	clear(g.allowed)
-	if !g.binds() {
+	if !g.hasLimit() {
 		return
 	}
-	l.divide(g)
+	l.computeFairShares(g)
 	next := g.record.clone()
-	changed := l.planShards(g, &next)
+	changed := l.updateRows(g, &next)
 	l.updateAllowed(g)
 	if len(changed) == 0 || !l.mayWrite(g) || len(g.setRequests) > 0 {
 		return
@@ -45,20 +45,20 @@
 	l.sendRows(g, next, changed)
 	for _, shard := range changed {
 		g.publishedAt[shard] = l.now.Steady
-		g.allowed[shard] = l.allowedNow(g, shard) // a reduction counts from now on
+		g.allowed[shard] = l.effectiveAllowance(g, shard) // a reduction counts from now on
 	}
 }
 
-// planShards updates the rows of own shards in the next record, and returns the shards
+// updateRows updates the rows of own shards in the next record, and returns the shards
 // that are worth a write.
-func (l *Ledger) planShards(g *groupState, next *Record) (changed []int) {
+func (l *Ledger) updateRows(g *groupState, next *Record) (changed []int) {
 	for _, shard := range slices.Sorted(maps.Keys(l.owned)) {
-		use, known := l.currentUse(g, shard)
+		use, known := l.currentUsage(g, shard)
 		if !known {
 			continue
 		}
 		l.reclaim(g, shard, use)
-		update := l.planShard(g, shard, use, next)
+		update := l.updateRow(g, shard, use, next)
 		// While a reduction is in doubt, nobody can use what it gives up. Any newer write
 		// ends the doubt.
 		if update || g.reductionInDoubt(shard) {
@@ -72,35 +72,35 @@
 func (l *Ledger) updateAllowed(g *groupState) {
 	for shard, s := range l.owned {
 		if s.recordsRead {
-			g.allowed[shard] = l.allowedNow(g, shard)
+			g.allowed[shard] = l.effectiveAllowance(g, shard)
 		}
 	}
 }
 
-// currentUse returns what an own shard uses of a group; known is false before the shard's
+// currentUsage returns what an own shard uses of a group; known is false before the shard's
 // use and all records are known, and for shards of others.
-func (l *Ledger) currentUse(g *groupState, shard int) (use Use, known bool) {
+func (l *Ledger) currentUsage(g *groupState, shard int) (use Usage, known bool) {
 	s := l.owned[shard]
 	if s == nil || !s.recordsRead {
-		return Use{}, false
+		return Usage{}, false
 	}
 	use, known = s.usage[g.name]
 	return use, known
 }
 
-// divide computes the part of each row, and what is short.
-func (l *Ledger) divide(g *groupState) {
+// computeFairShares computes the part of each row, and what is short.
+func (l *Ledger) computeFairShares(g *groupState) {
 	limit := g.record.Limit.Amount()
-	claims := l.claims(g)
-	g.parts = Divide(limit, claims)
+	claims := l.currentClaims(g)
+	g.fairShares = Divide(limit, claims)
 	var lacking, lackingGuaranteed Amount
 	for i, row := range g.record.Rows {
-		guaranteedPart := g.parts[i].Min(claims[i].Guaranteed)
-		lacking = lacking.Plus(g.parts[i].Minus(row.Allowance))
+		guaranteedPart := g.fairShares[i].Min(claims[i].Guaranteed)
+		lacking = lacking.Plus(g.fairShares[i].Minus(row.Allowance))
 		lackingGuaranteed = lackingGuaranteed.Plus(guaranteedPart.Minus(row.Allowance))
 	}
 	free := g.record.Free()
-	g.short = shortage{
+	g.shortage = shortage{
 		cpus: lacking.CPUs > free.CPUs+epsilon,
 		gpus: lacking.GPUs > free.GPUs+epsilon,
 	}
@@ -112,14 +112,14 @@
 	}
 }
 
-// claims returns the claim of each row: the present one of own shards, the recorded one of
+// currentClaims returns the claim of each row: the present one of own shards, the recorded one of
 // others, within the limit.
-func (l *Ledger) claims(g *groupState) []Claim {
+func (l *Ledger) currentClaims(g *groupState) []Claim {
 	limit := g.record.Limit.Amount()
 	claims := make([]Claim, len(g.record.Rows))
 	for i, row := range g.record.Rows {
 		claims[i] = row.Claim
-		if use, known := l.currentUse(g, row.Shard); known {
+		if use, known := l.currentUsage(g, row.Shard); known {
 			claims[i] = use.Claim
 		}
 		claims[i].Want = claims[i].Want.Min(limit)
@@ -127,11 +127,11 @@
 	return claims
 }
 
-// planShard updates a shard's row in the next record, and reports whether it is worth a
+// updateRow updates a shard's row in the next record, and reports whether it is worth a
 // write.
-func (l *Ledger) planShard(g *groupState, shard int, use Use, next *Record) bool {
-	claim := use.Claim.boundedBy(g.record.Limit)
-	i := next.Row(shard)
+func (l *Ledger) updateRow(g *groupState, shard int, use Usage, next *Record) bool {
+	claim := use.Claim.zeroWhereUnbounded(g.record.Limit)
+	i := next.RowIndex(shard)
 	if i < 0 {
 		if !use.Exact {
 			return false
@@ -141,13 +141,13 @@
 	}
 	row := &next.Rows[i]
 	before := *row
-	row.Allowance = l.allowance(g, shard, claim, use.Exact, next)
+	row.Allowance = l.targetAllowance(g, shard, claim, use.Exact, next)
 	exceeded := use.Exact && !claim.Used.Within(before.Allowance)
 	if exceeded && !row.Allowance.Within(before.Allowance) {
-		next.Applied = nil // a controller that does not know of groups has granted more
+		next.LastInForce = nil // a controller that does not know of groups has granted more
 	}
 	row.Claim = claim
-	row.Seen = next.Epoch
+	row.SeenEpoch = next.Epoch
 	if l.worthWriting(g, before, *row) {
 		return true
 	}
@@ -157,23 +157,23 @@
 
 // register adds the row of a shard that has none to the next record.
 func (g *groupState) register(shard int, claim Claim, next *Record) {
-	next.Rows = append(next.Rows, Row{Shard: shard, Allowance: claim.Used, Claim: claim, Seen: next.Epoch})
+	next.Rows = append(next.Rows, Row{Shard: shard, Allowance: claim.Used, Claim: claim, SeenEpoch: next.Epoch})
 	if !claim.Used.Within(g.record.Free()) {
-		next.Applied = nil // it uses what others may have been granted
+		next.LastInForce = nil // it uses what others may have been granted
 	}
 }
 
-// allowance returns what a shard's allowance should be. It never leaves less than what is
+// targetAllowance returns what a shard's targetAllowance should be. It never leaves less than what is
 // in use, and grows within what is free in the next record only, unless the shard uses
-// more than its allowance already.
-func (l *Ledger) allowance(g *groupState, shard int, claim Claim, exact bool, next *Record) Amount {
-	i := g.record.Row(shard)
-	has := next.Rows[next.Row(shard)].Allowance
+// more than its targetAllowance already.
+func (l *Ledger) targetAllowance(g *groupState, shard int, claim Claim, exact bool, next *Record) Amount {
+	i := g.record.RowIndex(shard)
+	has := next.Rows[next.RowIndex(shard)].Allowance
 	if exact && !claim.Used.Within(has) {
 		return has.Max(claim.Used)
 	}
 	used := claim.Used.Min(has)
-	part := g.part(shard, has)
+	part := g.cappedAllowance(shard, has)
 	if excess := next.Excess(); !excess.IsZero() {
 		if l.now.Steady >= g.epochSeenAt+l.cfg.Timing.ExcessTimeout {
 			part = part.Min(has.Minus(excess)) // others have not given up theirs
@@ -183,7 +183,7 @@
 	if !part.Equal(has) {
 		return part.Max(used)
 	}
-	growth := g.parts[i].Minus(has).Min(next.Free())
+	growth := g.fairShares[i].Minus(has).Min(next.Free())
 	grown := has.Plus(growth)
 	if !growth.IsZero() && claim.SmallestTask.Within(grown.Minus(used)) {
 		return grown
@@ -211,17 +211,17 @@
 
 // reclaim asks for tasks of a shard to be stopped where it uses more than its part, beyond
 // what is guaranteed to it, and a guaranteed claim has waited for long enough.
-func (l *Ledger) reclaim(g *groupState, shard int, use Use) {
-	i := g.record.Row(shard)
+func (l *Ledger) reclaim(g *groupState, shard int, use Usage) {
+	i := g.record.RowIndex(shard)
 	delay := l.cfg.Timing.ReclaimDelay
 	if i < 0 || !g.guaranteeWait.longerThan(delay, l.now.Steady) || l.now.Steady < g.reclaimedAt+delay {
 		return
 	}
-	over := use.Used.Minus(g.parts[i].Max(use.Guaranteed))
-	over = g.short.of(g.record.Limit.bounded(over))
+	over := use.Used.Minus(g.fairShares[i].Max(use.Guaranteed))
+	over = g.shortage.zeroUnlessShort(g.record.Limit.zeroWhereUnbounded(over))
 	if over.IsZero() {
 		return
 	}
 	g.reclaimedAt = l.now.Steady
-	l.emit(Reclaim{Shard: shard, Group: g.name, Over: over})
+	l.emit(Reclaim{Shard: shard, Group: g.name, Excess: over})
 }
--- a/quota/plan_test.go
+++ b/quota/plan_test.go
@@ -2,20 +2,20 @@
 
 import "testing"
 
-// TestExcessOfOthersIsGivenUp checks that where others don't give up their part of a lowered limit,
+// TestCompensatesForExcessOfOthers checks that where others don't give up their part of a lowered limit,
 // this shard gives up more after a while, as far as it is unused.
-func TestExcessOfOthersIsGivenUp(t *testing.T) {
+func TestCompensatesForExcessOfOthers(t *testing.T) {
 	record := recordInForce(10, row(0, 10, 10, 1), row(1, 10, 10, 1))
 	before := CPULimit(20)
-	record.Applied = &before
+	record.LastInForce = &before
 	record.Epoch = 2
 	h := newHarness(record)
 	h.reportUsage(2, 8)
 	h.requireWrites(t, "once the epoch is seen", 1)
-	if own := h.writes[0].Record.Rows[0]; own.Allowance.CPUs != 5 || own.Seen != 2 {
+	if own := h.writes[0].Record.Rows[0]; own.Allowance.CPUs != 5 || own.SeenEpoch != 2 {
 		t.Fatalf("once the epoch is seen: %+v, want an allowance of 5", own)
 	}
-	h.step(Wrote{ID: h.writes[0].ID, Outcome: Applied, ModRevision: 11})
+	h.step(WriteResult{ID: h.writes[0].ID, Outcome: Applied, ModRevision: 11})
 	for range 6 {
 		h.reportUsage(2, 8)
 	}
--- a/quota/publish.go
+++ b/quota/publish.go
@@ -8,18 +8,18 @@
 // epoch that its owner has seen, or, at intervals of Timing.PublishInterval, a claim that
 // would change how the limit is divided.
 func (l *Ledger) worthWriting(g *groupState, before, after Row) bool {
-	if !after.Allowance.Equal(before.Allowance) || after.Seen != before.Seen {
+	if !after.Allowance.Equal(before.Allowance) || after.SeenEpoch != before.SeenEpoch {
 		return true
 	}
 	if l.now.Steady < g.publishedAt[after.Shard]+l.cfg.Timing.PublishInterval {
 		return false
 	}
-	return claimChanged(g.record.Limit.Amount(), before, after)
+	return claimAffectsDivision(g.record.Limit.Amount(), before, after)
 }
 
-// claimChanged reports whether a row's claim has changed enough to change how the limit is
+// claimAffectsDivision reports whether a row's claim has changed enough to change how the limit is
 // divided. The claim of a shard that has what it wants changes nothing.
-func claimChanged(limit Amount, before, after Row) bool {
+func claimAffectsDivision(limit Amount, before, after Row) bool {
 	lacks := !after.Claim.Want.Min(limit).Within(after.Allowance)
 	lacked := !before.Claim.Want.Min(limit).Within(before.Allowance)
 	if lacks != lacked {
@@ -34,7 +34,7 @@
 		!after.Claim.SmallestTask.Equal(before.Claim.SmallestTask) ||
 		differByStep(limit, after.Claim.Guaranteed, before.Claim.Guaranteed) ||
 		idle != wasIdle ||
-		idle && after.Claim.SinceMS != before.Claim.SinceMS
+		idle && after.Claim.WaitingSinceMS != before.Claim.WaitingSinceMS
 }
 
 // differByStep reports whether two amounts, cut to a limit, differ by more than one step of
--- a/quota/record.go
+++ b/quota/record.go
@@ -42,9 +42,9 @@
 	Allowance Amount `cbor:"a"`
 	// Claim is what the owner of the shard claimed at its last write.
 	Claim Claim `cbor:"w"`
-	// Seen is the latest epoch that the owner has seen. It grants nothing above the limit
+	// SeenEpoch is the latest epoch that the owner has seen. It grants nothing above the limit
 	// of that epoch.
-	Seen uint64 `cbor:"e,omitempty"`
+	SeenEpoch uint64 `cbor:"e,omitempty"`
 }
 
 // Record is the state of a group in the store.
@@ -52,9 +52,9 @@
 	Definition `cbor:"d"`
 	// Epoch increases with every change of the limit or the definition.
 	Epoch uint64 `cbor:"e"`
-	// Applied is the limit that was last in force. It is nil if none has been yet, or if a
+	// LastInForce is the limit that was last in force. It is nil if none has been yet, or if a
 	// shard has used more than its allowance, as an owner that does not know of groups may.
-	Applied *Limit `cbor:"f,omitempty"`
+	LastInForce *Limit `cbor:"f,omitempty"`
 	// Override is a limit that an operator has set by hand. It takes precedence over the
 	// options until it is cleared; nil: there is none.
 	Override *Limit `cbor:"o,omitempty"`
@@ -67,22 +67,22 @@
 	Rows        []Row `cbor:"r,omitempty"`
 }
 
-// Row returns the index in Rows of a shard's row, or -1.
-func (r *Record) Row(shard int) int {
+// RowIndex returns the index in Rows of a shard's row, or -1.
+func (r *Record) RowIndex(shard int) int {
 	return slices.IndexFunc(r.Rows, func(row Row) bool { return row.Shard == shard })
 }
 
 // allowance returns the allowance of a shard; ok is false if it has no row.
 func (r *Record) allowance(shard int) (allowance Amount, ok bool) {
-	i := r.Row(shard)
+	i := r.RowIndex(shard)
 	if i < 0 {
 		return Amount{}, false
 	}
 	return r.Rows[i].Allowance, true
 }
 
-// Allowed returns the sum of all allowances.
-func (r *Record) Allowed() Amount {
+// TotalAllowance returns the sum of all allowances.
+func (r *Record) TotalAllowance() Amount {
 	var sum Amount
 	for _, row := range r.Rows {
 		sum = sum.Plus(row.Allowance)
@@ -91,20 +91,20 @@
 }
 
 // Free returns what of the limit is in no allowance.
-func (r *Record) Free() Amount { return r.Limit.Amount().Minus(r.Allowed()) }
+func (r *Record) Free() Amount { return r.Limit.Amount().Minus(r.TotalAllowance()) }
 
 // Exceeded reports whether the sum of the allowances exceeds the limit: it has been
 // lowered and is not in force yet.
 func (r *Record) Exceeded() bool { return !r.Excess().IsZero() }
 
 // Excess returns by how much the sum of the allowances exceeds the limit.
-func (r *Record) Excess() Amount { return r.Allowed().Minus(r.Limit.Amount()) }
+func (r *Record) Excess() Amount { return r.TotalAllowance().Minus(r.Limit.Amount()) }
 
 // Complete reports whether each of that many shards has a row. The use of one without a
 // row is not known.
 func (r *Record) Complete(shards int) bool {
 	for s := range shards {
-		if r.Row(s) < 0 {
+		if r.RowIndex(s) < 0 {
 			return false
 		}
 	}
@@ -114,22 +114,22 @@
 // InForce reports whether the limit is in force in a cluster of that many shards.
 func (r *Record) InForce(shards int) bool { return r.Complete(shards) && !r.Exceeded() }
 
-// updateApplied sets Applied to the limit if it is in force.
-func (r *Record) updateApplied(shards int) {
+// updateLastInForce sets Applied to the limit if it is in force.
+func (r *Record) updateLastInForce(shards int) {
 	if r.InForce(shards) {
 		limit := r.Limit
-		r.Applied = &limit
+		r.LastInForce = &limit
 	}
 }
 
 // dropRows removes all rows: what each shard uses has to be registered again before the
 // limit can be in force.
-func (r *Record) dropRows() { r.Rows, r.Applied = nil, nil }
+func (r *Record) dropRows() { r.Rows, r.LastInForce = nil, nil }
 
 // setLimit begins a new epoch with a limit. Grants of a resource that becomes bounded have
 // not been checked against any allowance so far, so all rows are dropped.
 func (r *Record) setLimit(limit Limit, source Source) {
-	if limit.boundsMoreThan(r.Limit) {
+	if limit.boundsNewResource(r.Limit) {
 		r.dropRows()
 	}
 	r.Limit = limit
--- a/quota/schedule.go
+++ b/quota/schedule.go
@@ -111,7 +111,7 @@
 		if len(w.rule.Between(day, day, true)) == 0 {
 			continue
 		}
-		begin, end := w.on(day)
+		begin, end := w.startingOn(day)
 		if !t.Before(begin) && t.Before(end) {
 			return true
 		}
@@ -119,8 +119,8 @@
 	return false
 }
 
-// on returns the beginning and end of the window that begins on a day.
-func (w *window) on(day time.Time) (begin, end time.Time) {
+// startingOn returns the beginning and end of the window that begins startingOn a day.
+func (w *window) startingOn(day time.Time) (begin, end time.Time) {
 	lastDay := day
 	if w.to.minutes() <= w.from.minutes() {
 		lastDay = day.AddDate(0, 0, 1)
--- a/quota/set.go
+++ b/quota/set.go
@@ -4,10 +4,10 @@
 
 // setRequest is an operator's Set that has no outcome yet.
 type setRequest struct {
-	Set
-	attemptsLeft int
-	epoch        uint64 // of the record when the request came
-	expiresAt    Micros
+	SetLimit
+	attemptsLeft   int
+	epochAtArrival uint64 // of the record when the request came
+	expiresAt      Micros
 }
 
 const (
@@ -19,25 +19,25 @@
 	setTimeout = 4 * micros.Second
 )
 
-// set takes an operator's request.
-func (l *Ledger) set(v Set) {
+// queueSetRequest takes an operator's request.
+func (l *Ledger) queueSetRequest(v SetLimit) {
 	g := l.groups[v.Group]
 	if g == nil || !g.exists() {
 		l.emit(SetDone{Token: v.Token, Status: SetNoGroup})
 		return
 	}
 	g.setRequests = append(g.setRequests, &setRequest{
-		Set:          v,
-		attemptsLeft: maxSetAttempts,
-		epoch:        g.record.Epoch,
-		expiresAt:    l.now.Steady + setTimeout,
+		SetLimit:       v,
+		attemptsLeft:   maxSetAttempts,
+		epochAtArrival: g.record.Epoch,
+		expiresAt:      l.now.Steady + setTimeout,
 	})
 }
 
-// sendSet answers the operators' requests of a group that have an outcome, and writes the
+// processSetRequests answers the operators' requests of a group that have an outcome, and writes the
 // next one. A limit that the record has already is written as well: a write in doubt may
 // say something else, and is void after it.
-func (l *Ledger) sendSet(g *groupState) {
+func (l *Ledger) processSetRequests(g *groupState) {
 	for len(g.setRequests) > 0 && !g.writeInFlight {
 		r := g.setRequests[0]
 		status, done := l.setStatus(g, r)
@@ -47,7 +47,7 @@
 		g.setRequests = g.setRequests[1:]
 		if !done {
 			r.attemptsLeft--
-			l.writeSet(g, r)
+			l.sendSetRequest(g, r)
 			return
 		}
 		l.emit(SetDone{Token: r.Token, Status: status, Epoch: g.record.Epoch})
@@ -62,9 +62,9 @@
 	switch {
 	case g.record.Removed:
 		return SetNoGroup, true
-	case g.record.Epoch != r.epoch && attempted && r.standsIn(&g.record):
+	case g.record.Epoch != r.epochAtArrival && attempted && r.matches(&g.record):
 		return SetAnnounced, true
-	case g.record.Epoch != r.epoch:
+	case g.record.Epoch != r.epochAtArrival:
 		return SetConflict, true
 	case l.now.Steady >= r.expiresAt || r.attemptsLeft <= 0:
 		return SetBusy, true
@@ -72,17 +72,17 @@
 	return SetBusy, false
 }
 
-// standsIn reports whether a record has the limit of the request.
-func (r *setRequest) standsIn(record *Record) bool {
+// matches reports whether a record has the limit of the request.
+func (r *setRequest) matches(record *Record) bool {
 	if record.Override == nil || r.Limit == nil {
 		return record.Override == nil && r.Limit == nil
 	}
 	return record.Override.Equal(*r.Limit)
 }
 
-// writeSet writes the limit of a request. Where it clears an override, the limit stays until
+// sendSetRequest writes the limit of a request. Where it clears an override, the limit stays until
 // the leader announces that of the options.
-func (l *Ledger) writeSet(g *groupState, r *setRequest) {
+func (l *Ledger) sendSetRequest(g *groupState, r *setRequest) {
 	record := g.record.clone()
 	record.Override = r.Limit
 	limit := record.Limit
@@ -99,7 +99,7 @@
 // back at the head of the queue.
 func (l *Ledger) handleSetOutcome(g *groupState, r *setRequest, outcome Outcome) {
 	if outcome == Applied {
-		l.emit(SetDone{Token: r.Token, Status: SetAnnounced, Epoch: r.epoch + 1})
+		l.emit(SetDone{Token: r.Token, Status: SetAnnounced, Epoch: r.epochAtArrival + 1})
 		return
 	}
 	g.setRequests = append([]*setRequest{r}, g.setRequests...)
--- a/quota/set_test.go
+++ b/quota/set_test.go
@@ -23,7 +23,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			record := recordInForce(10, row(0, 5, 5, 1), row(1, 5, 5, 1))
 			h := newHarness(record)
-			h.step(Set{Token: 1, Group: innerGroup, Limit: &limit})
+			h.step(SetLimit{Token: 1, Group: innerGroup, Limit: &limit})
 			h.requireWrites(t, "after the request", 1)
 			if override := h.writes[0].Record.Override; !override.Equal(limit) {
 				t.Fatalf("the write sets %v", override)
@@ -34,7 +34,7 @@
 				record.Epoch = tc.epoch
 				h.learn(innerGroup, record, 11)
 			}
-			h.step(Wrote{ID: h.writes[0].ID, Outcome: Unknown})
+			h.step(WriteResult{ID: h.writes[0].ID, Outcome: Unknown})
 			h.step(Tick{})
 			if len(h.done) != 1 || h.done[0].Status != tc.want {
 				t.Errorf("done %+v, want status %v", h.done, tc.want)
--- a/quota/simulated_controller_test.go
+++ b/quota/simulated_controller_test.go
@@ -28,7 +28,7 @@
 	c.incarnation++
 	c.ledger = NewLedger(c.world.config)
 	c.shards = map[int]uint64{}
-	c.leaseUntil = c.world.now + simulatedLease
+	c.leaseUntil = c.world.now + leaseDuration
 	for shard := range c.world.owners {
 		if owner := &c.world.owners[shard]; owner.controller == c.id {
 			owner.controller = noOwner // the former process has ended
@@ -36,9 +36,9 @@
 	}
 }
 
-// end ends the process, and begins another after a time. Its shards are claimed once its
+// stop ends the process, and begins another after a time. Its shards are claimed once its
 // lease is over.
-func (c *simulatedController) end(restartAfter Micros) {
+func (c *simulatedController) stop(restartAfter Micros) {
 	c.incarnation++
 	c.ledger = nil
 	c.world.after(restartAfter, c.start)
@@ -53,7 +53,7 @@
 	if c.world.now >= c.leaseUntil {
 		c.releaseShards()
 	}
-	c.leaseUntil = c.world.now + simulatedLease
+	c.leaseUntil = c.world.now + leaseDuration
 }
 
 // releaseShards releases all shards, whatever is on its way.
@@ -66,14 +66,14 @@
 		if owner := &c.world.owners[shard]; owner.modRevision == modRevision {
 			owner.controller = noOwner
 		}
-		c.drop(shard)
+		c.dropShard(shard)
 	}
 }
 
-// drop has the ledger drop a shard.
-func (c *simulatedController) drop(shard int) {
+// dropShard has the ledger dropShard a shard.
+func (c *simulatedController) dropShard(shard int) {
 	delete(c.shards, shard)
-	c.step(Dropped{Shard: shard})
+	c.step(ShardReleased{Shard: shard})
 }
 
 // readAllRecords is the end of a claim: all records are read, or the shard is dropped if
@@ -81,13 +81,13 @@
 func (c *simulatedController) readAllRecords(shard int) {
 	if c.cutOff() {
 		c.world.owners[shard].controller = noOwner
-		c.drop(shard)
+		c.dropShard(shard)
 		return
 	}
 	for _, group := range c.world.storedGroups() {
 		c.learn(group, c.world.store[group])
 	}
-	c.step(Refreshed{Shard: shard})
+	c.step(RecordsRead{Shard: shard})
 }
 
 // learn has the ledger learn a record.
@@ -104,7 +104,7 @@
 	for shard, modRevision := range c.shards {
 		replaced := w.owners[shard].modRevision != modRevision
 		if replaced && w.now >= c.watchStalledUntil {
-			c.drop(shard)
+			c.dropShard(shard)
 		}
 	}
 	leaseValid := w.now < c.leaseUntil
@@ -152,9 +152,9 @@
 // mayStart reports whether a task is within the allowances of all groups around it.
 func (c *simulatedController) mayStart(t *simulatedTask) bool {
 	fits := true
-	for _, group := range c.world.path(t.group) {
+	for _, group := range c.world.enclosingGroups(t.group) {
 		allowed := c.ledger.Allowed(t.shard, group)
-		used := Amount{CPUs: c.world.used(t.shard, group) + t.size}
+		used := Amount{CPUs: c.world.usedCPUs(t.shard, group) + t.size}
 		fits = fits && used.Within(allowed)
 	}
 	return fits
@@ -164,13 +164,13 @@
 	w := c.world
 	t.running = true
 	t.since = w.now
-	for _, group := range w.path(t.group) {
+	for _, group := range w.enclosingGroups(t.group) {
 		c.ledger.Granted(t.shard, group, Amount{CPUs: t.size})
 	}
 	w.grants++
 	w.check()
 	w.checkAcknowledged(t)
-	w.after(w.taskLength(), func() { w.finish(t) })
+	w.after(w.randomTaskDuration(), func() { w.finish(t) })
 }
 
 // reportUsage reports to the ledger what a shard uses and wants. Each group has a team of
@@ -180,12 +180,12 @@
 	for _, d := range c.world.definitions {
 		teams = append(teams, c.teamDemand(shard, d.Name))
 	}
-	c.step(Used{Shard: shard, Groups: c.ledger.Claims(shard, true, teams)})
+	c.step(UsageReport{Shard: shard, Groups: c.ledger.Claims(shard, true, teams)})
 }
 
 // teamDemand returns what the team of a group uses and wants in a shard.
 func (c *simulatedController) teamDemand(shard int, group string) TeamDemand {
-	team := TeamDemand{Groups: c.world.path(group)}
+	team := TeamDemand{Groups: c.world.enclosingGroups(group)}
 	for _, t := range c.world.tasks {
 		switch {
 		case t.shard != shard || t.group != group:
--- a/quota/simulated_faults_test.go
+++ b/quota/simulated_faults_test.go
@@ -5,12 +5,12 @@
 // startFaults has faults happen from one time to another, and ends all of them at a third.
 func (w *world) startFaults(from, to, allEndAt Micros) {
 	definitions := w.definitions
-	for at := from; at < to; at += w.between(500*ms, 4*sec) {
+	for at := from; at < to; at += w.randomDuration(500*ms, 4*sec) {
 		w.after(at, w.injectFault)
 	}
 	w.after(allEndAt, func() {
 		w.definitions = definitions
-		w.plan.faults = false
+		w.plan.storeFaults = false
 		for _, c := range w.controllers {
 			c.cutOffUntil = 0
 			c.watchStalledUntil = 0
@@ -25,12 +25,12 @@
 	switch w.rng.IntN(kinds) {
 	case 0:
 		if c.ledger != nil {
-			c.end(w.between(10*ms, 6*sec))
+			c.stop(w.randomDuration(10*ms, 6*sec))
 		}
 	case 1:
-		c.cutOffUntil = w.now + w.between(500*ms, 8*sec)
+		c.cutOffUntil = w.now + w.randomDuration(500*ms, 8*sec)
 	case 2:
-		c.watchStalledUntil = w.now + w.between(sec, 10*sec)
+		c.watchStalledUntil = w.now + w.randomDuration(sec, 10*sec)
 	case 3:
 		w.cutOffAll()
 	case 4:
@@ -46,7 +46,7 @@
 
 // cutOffAll cuts all controllers off from the store, mostly for longer than a lease.
 func (w *world) cutOffAll() {
-	until := w.now + w.between(sec, 6*sec)
+	until := w.now + w.randomDuration(sec, 6*sec)
 	for _, c := range w.controllers {
 		c.cutOffUntil = until
 	}
@@ -59,7 +59,7 @@
 	c.definitions = slices.Clone(w.definitions)
 	c.definitions[0].Limit = CPULimit(5)
 	c.definitions = c.definitions[:1+w.rng.IntN(len(c.definitions))]
-	w.after(w.between(sec, 10*sec), func() { c.definitions = nil })
+	w.after(w.randomDuration(sec, 10*sec), func() { c.definitions = nil })
 }
 
 // changeLimit draws another limit for a group, and possibly one more before that is in
@@ -72,6 +72,6 @@
 	}
 	setAnother()
 	if w.chance(0.4) {
-		w.after(w.between(0, 300*ms), setAnother)
+		w.after(w.randomDuration(0, 300*ms), setAnother)
 	}
 }
--- a/quota/simulated_store_test.go
+++ b/quota/simulated_store_test.go
@@ -21,25 +21,25 @@
 	incarnation := c.incarnation
 	done := func(outcome Outcome, modRevision uint64) {
 		if c.incarnation == incarnation {
-			c.step(Wrote{ID: e.ID, Outcome: outcome, ModRevision: modRevision})
+			c.step(WriteResult{ID: e.ID, Outcome: outcome, ModRevision: modRevision})
 		}
 	}
 	timeOut := func() { w.after(writeTimeout, func() { done(Unknown, 0) }) }
 	if c.cutOff() {
 		if w.chance(0.3) { // carried out after the cut
-			w.after(c.cutOffUntil-w.now+w.between(0, 4*sec), func() { w.apply(sent) })
+			w.after(c.cutOffUntil-w.now+w.randomDuration(0, 4*sec), func() { w.apply(sent) })
 		}
 		timeOut()
 		return
 	}
-	w.after(w.between(ms, 15*ms), func() {
-		if w.plan.faults && w.chance(0.05) { // carried out late
-			w.after(w.between(0, 5*sec), func() { w.apply(sent) })
+	w.after(w.randomDuration(ms, 15*ms), func() {
+		if w.plan.storeFaults && w.chance(0.05) { // carried out late
+			w.after(w.randomDuration(0, 5*sec), func() { w.apply(sent) })
 			timeOut()
 			return
 		}
 		modRevision, applied := w.apply(sent)
-		if w.plan.faults && w.chance(0.05) { // the answer is lost
+		if w.plan.storeFaults && w.chance(0.05) { // the answer is lost
 			timeOut()
 			return
 		}
@@ -47,7 +47,7 @@
 		if applied {
 			outcome = Applied
 		}
-		w.after(w.between(ms, 15*ms), func() { done(outcome, modRevision) })
+		w.after(w.randomDuration(ms, 15*ms), func() { done(outcome, modRevision) })
 	})
 }
 
@@ -78,12 +78,12 @@
 func (c *simulatedController) watch(group string) {
 	w := c.world
 	stored := w.store[group]
-	delay := w.between(ms, 120*ms)
+	delay := w.randomDuration(ms, 120*ms)
 	if w.now < c.watchStalledUntil {
 		delay += c.watchStalledUntil - w.now
 	}
 	if c.cutOff() {
-		delay = max(delay, c.cutOffUntil-w.now+w.between(ms, 100*ms))
+		delay = max(delay, c.cutOffUntil-w.now+w.randomDuration(ms, 100*ms))
 	}
 	incarnation := c.incarnation
 	w.after(delay, func() {
@@ -97,7 +97,7 @@
 func (c *simulatedController) read(group string) {
 	w := c.world
 	incarnation := c.incarnation
-	delay := max(w.between(ms, 20*ms), c.cutOffUntil-w.now)
+	delay := max(w.randomDuration(ms, 20*ms), c.cutOffUntil-w.now)
 	w.after(delay, func() {
 		stored := w.store[group]
 		if c.incarnation == incarnation && stored.modRevision != 0 {
--- a/quota/simulated_tasks_test.go
+++ b/quota/simulated_tasks_test.go
@@ -14,14 +14,14 @@
 
 // inGroup reports whether a task counts in a group.
 func (w *world) inGroup(t *simulatedTask, group string) bool {
-	return slices.Contains(w.path(t.group), group)
+	return slices.Contains(w.enclosingGroups(t.group), group)
 }
 
 // allShards has used sum over all of them.
 const allShards = -1
 
-// used returns what the tasks of a shard use of a group, in CPUs.
-func (w *world) used(shard int, group string) (sum float64) {
+// usedCPUs returns what the tasks of a shard use of a group, in CPUs.
+func (w *world) usedCPUs(shard int, group string) (sum float64) {
 	for _, t := range w.tasks {
 		if t.running && (shard == allShards || t.shard == shard) && w.inGroup(t, group) {
 			sum += t.size
@@ -38,7 +38,7 @@
 			waiting++
 		}
 	}
-	for ; waiting < w.plan.demand && w.now < w.plan.length-demandEnds; waiting++ {
+	for ; waiting < w.plan.waitingPerShard && w.now < w.plan.duration-demandEndsBeforeEnd; waiting++ {
 		groups := w.definedGroups()
 		if w.plan.wantedGroups != nil {
 			groups = w.plan.wantedGroups(shard, w.now)
@@ -55,13 +55,13 @@
 	}
 }
 
-// taskLength draws how long a task runs.
-func (w *world) taskLength() Micros {
-	longest := defaultLongestTask
-	if w.plan.longestTask != 0 {
-		longest = w.plan.longestTask
+// randomTaskDuration draws how long a task runs.
+func (w *world) randomTaskDuration() Micros {
+	longest := defaultMaxTaskDuration
+	if w.plan.maxTaskDuration != 0 {
+		longest = w.plan.maxTaskDuration
 	}
-	return w.between(100*ms, longest)
+	return w.randomDuration(100*ms, longest)
 }
 
 // finish ends a task, unless it has ended.
@@ -73,11 +73,11 @@
 
 // stopTasks stops what a Reclaim asks for.
 func (w *world) stopTasks(e Reclaim) {
-	over := e.Over.CPUs
+	over := e.Excess.CPUs
 	for _, t := range slices.Clone(w.tasks) {
 		if over > epsilon && t.running && t.shard == e.Shard && w.inGroup(t, e.Group) {
 			over -= t.size
-			w.after(w.between(10*ms, 300*ms), func() { w.finish(t) })
+			w.after(w.randomDuration(10*ms, 300*ms), func() { w.finish(t) })
 		}
 	}
 }
--- a/quota/simulated_world_test.go
+++ b/quota/simulated_world_test.go
@@ -13,8 +13,8 @@
 	sec = micros.Second
 )
 
-// simulatedLease is how long a controller may grant after it last reached the store.
-const simulatedLease = 3 * sec
+// leaseDuration is how long a controller may grant after it last reached the store.
+const leaseDuration = 3 * sec
 
 // world is a simulation of several controllers that grant from groups over one store,
 // through losses, delays, ends and changes of limits. check is called after every change,
@@ -44,22 +44,22 @@
 // worldPlan is what a world consists of, and for how long.
 type worldPlan struct {
 	controllers int // and as many shards
-	length      Micros
-	// faults has writes delayed and answers lost.
-	faults bool
+	duration    Micros
+	// storeFaults has writes delayed and answers lost.
+	storeFaults bool
 	// taskSizes are the CPUs that tasks use; each is as likely.
 	taskSizes []float64
-	// demand is how many tasks wait in each shard, until demandEnds before the end.
-	demand int
-	// longestTask is how long a task runs at most; 0: defaultLongestTask.
-	longestTask Micros
+	// waitingPerShard is how many tasks wait in each shard, until demandEnds before the end.
+	waitingPerShard int
+	// maxTaskDuration is how long a task runs at most; 0: defaultLongestTask.
+	maxTaskDuration Micros
 	// wantedGroups are those in which a shard has tasks; nil: all.
 	wantedGroups func(shard int, now Micros) []string
 }
 
 const (
-	demandEnds         = 60 * sec
-	defaultLongestTask = 2 * sec
+	demandEndsBeforeEnd    = 60 * sec
+	defaultMaxTaskDuration = 2 * sec
 )
 
 // storedRecord is a record in the store. Its revision is 0 if there is none.
@@ -104,8 +104,8 @@
 // after calls f once d has passed.
 func (w *world) after(d Micros, f func()) { w.events.Add(w.now+d, f) }
 
-// between draws a span of time.
-func (w *world) between(from, to Micros) Micros {
+// randomDuration draws a span of time.
+func (w *world) randomDuration(from, to Micros) Micros {
 	return from + Micros(w.rng.Int64N(int64(to-from)+1))
 }
 
@@ -114,7 +114,7 @@
 
 // run runs the world until its end, or until a check fails.
 func (w *world) run() {
-	for w.now < w.plan.length && len(w.violations) == 0 {
+	for w.now < w.plan.duration && len(w.violations) == 0 {
 		at, f := w.events.Take() // there is always a tick
 		w.now = max(w.now, at)
 		f()
@@ -123,7 +123,7 @@
 
 // tick lets the controllers renew their leases, claim, grant and report what they use.
 func (w *world) tick() {
-	w.after(w.between(40*ms, 60*ms), w.tick)
+	w.after(w.randomDuration(40*ms, 60*ms), w.tick)
 	for _, c := range w.controllers {
 		c.renewLease()
 	}
@@ -133,7 +133,7 @@
 			owner.controller = noOwner
 		}
 		if owner.controller == noOwner {
-			w.claim(shard)
+			w.acquireShard(shard)
 		}
 	}
 	if leader := w.controllers[w.leader]; leader.ledger == nil || w.now >= leader.leaseUntil {
@@ -145,8 +145,8 @@
 	w.check()
 }
 
-// claim gives a shard to a controller, if it reaches the store.
-func (w *world) claim(shard int) {
+// acquireShard gives a shard to a controller, if it reaches the store.
+func (w *world) acquireShard(shard int) {
 	c := w.controllers[w.rng.IntN(len(w.controllers))]
 	if w.chance(0.7) {
 		c = w.controllers[shard]
@@ -157,9 +157,9 @@
 	w.revision++
 	w.owners[shard] = simulatedOwner{controller: c.id, modRevision: w.revision}
 	c.shards[shard] = w.revision
-	c.step(Held{Shard: shard})
+	c.step(ShardAcquired{Shard: shard})
 	incarnation := c.incarnation
-	w.after(w.between(ms, 80*ms), func() {
+	w.after(w.randomDuration(ms, 80*ms), func() {
 		if c.incarnation == incarnation {
 			c.readAllRecords(shard)
 		}
@@ -184,8 +184,8 @@
 	return groups
 }
 
-// path returns a group and all around it.
-func (w *world) path(group string) (path []string) {
+// enclosingGroups returns a group and all around it.
+func (w *world) enclosingGroups(group string) (path []string) {
 	for group != "" {
 		path = append(path, group)
 		parent := ""
--- a/quota/simulation_checks_test.go
+++ b/quota/simulation_checks_test.go
@@ -5,25 +5,25 @@
 	"testing"
 )
 
-// violated records that a check has failed.
-func (w *world) violated(format string, args ...any) {
+// recordViolation records that a check has failed.
+func (w *world) recordViolation(format string, args ...any) {
 	w.violations = append(w.violations, fmt.Sprintf("%.3f s: ", w.now.Seconds())+fmt.Sprintf(format, args...))
 }
 
 // check checks what runs against the limits in force and the allowances.
 func (w *world) check() {
 	for group, s := range w.store {
-		if s.record.Applied == nil || s.record.Removed {
+		if s.record.LastInForce == nil || s.record.Removed {
 			continue
 		}
-		used := w.used(allShards, group)
-		if !(Amount{CPUs: used}).Within(s.record.Applied.Amount()) {
-			w.violated("%s uses %g, in force is %s", group, used, s.record.Applied)
+		used := w.usedCPUs(allShards, group)
+		if !(Amount{CPUs: used}).Within(s.record.LastInForce.Amount()) {
+			w.recordViolation("%s uses %g, in force is %s", group, used, s.record.LastInForce)
 		}
 		for _, row := range s.record.Rows {
-			used := w.used(row.Shard, group)
+			used := w.usedCPUs(row.Shard, group)
 			if !(Amount{CPUs: used}).Within(row.Allowance) {
-				w.violated("shard %d uses %g of %s, its allowance is %g", row.Shard, used, group, row.Allowance.CPUs)
+				w.recordViolation("shard %d uses %g of %s, its allowance is %g", row.Shard, used, group, row.Allowance.CPUs)
 			}
 		}
 	}
@@ -33,15 +33,15 @@
 // checkAcknowledged checks that the owner of a task's shard has not granted the task above
 // a limit whose epoch it has acknowledged.
 func (w *world) checkAcknowledged(t *simulatedTask) {
-	for _, group := range w.path(t.group) {
+	for _, group := range w.enclosingGroups(t.group) {
 		record := w.store[group].record
-		i := record.Row(t.shard)
-		if i < 0 || record.Rows[i].Seen != record.Epoch || record.Removed {
+		i := record.RowIndex(t.shard)
+		if i < 0 || record.Rows[i].SeenEpoch != record.Epoch || record.Removed {
 			continue
 		}
-		used := w.used(t.shard, group)
+		used := w.usedCPUs(t.shard, group)
 		if !(Amount{CPUs: used}).Within(record.Limit.Amount()) {
-			w.violated("shard %d grants %g of %s, its owner has acknowledged %s", t.shard, used, group, record.Limit)
+			w.recordViolation("shard %d grants %g of %s, its owner has acknowledged %s", t.shard, used, group, record.Limit)
 		}
 	}
 }
@@ -53,9 +53,9 @@
 		if _, fenced := e.owned[row.Shard]; fenced {
 			continue
 		}
-		i := before.Row(row.Shard)
+		i := before.RowIndex(row.Shard)
 		if i < 0 || before.Rows[i] != row {
-			w.violated("a write of %s changes the row of shard %d, and does not name it", e.Group, row.Shard)
+			w.recordViolation("a write of %s changes the row of shard %d, and does not name it", e.Group, row.Shard)
 		}
 	}
 }
@@ -80,10 +80,10 @@
 	if t.running || w.owners[t.shard].controller == noOwner {
 		return false
 	}
-	for _, group := range w.path(t.group) {
+	for _, group := range w.enclosingGroups(t.group) {
 		s := w.store[group]
-		inForce := s.modRevision != 0 && s.record.Applied != nil && !s.record.Exceeded()
-		used := Amount{CPUs: w.used(allShards, group) + t.size}
+		inForce := s.modRevision != 0 && s.record.LastInForce != nil && !s.record.Exceeded()
+		used := Amount{CPUs: w.usedCPUs(allShards, group) + t.size}
 		if !inForce || !used.Within(s.record.Limit.Amount()) {
 			return false
 		}
--- a/quota/simulation_test.go
+++ b/quota/simulation_test.go
@@ -26,38 +26,38 @@
 	}{
 		{
 			name:        "two, one group",
-			plan:        worldPlan{controllers: 2, taskSizes: []float64{1}, demand: 30},
+			plan:        worldPlan{controllers: 2, taskSizes: []float64{1}, waitingPerShard: 30},
 			definitions: single,
 			seeds:       6,
 		},
 		{
 			name:        "three, tasks of several sizes",
-			plan:        worldPlan{controllers: 3, taskSizes: []float64{1, 2, 4}, demand: 20},
+			plan:        worldPlan{controllers: 3, taskSizes: []float64{1, 2, 4}, waitingPerShard: 20},
 			definitions: single,
 			seeds:       6,
 		},
 		{
 			name:        "three, one guaranteed",
-			plan:        worldPlan{controllers: 3, taskSizes: []float64{1, 2}, demand: 20},
+			plan:        worldPlan{controllers: 3, taskSizes: []float64{1, 2}, waitingPerShard: 20},
 			definitions: guaranteed,
 			seeds:       6,
 		},
 		{
 			name:        "three, nested",
-			plan:        worldPlan{controllers: 3, taskSizes: []float64{1, 4}, demand: 20},
+			plan:        worldPlan{controllers: 3, taskSizes: []float64{1, 4}, waitingPerShard: 20},
 			definitions: nested,
 			seeds:       10,
 		},
 		{
 			name:        "five, nested",
-			plan:        worldPlan{controllers: 5, taskSizes: []float64{1, 2, 8}, demand: 12},
+			plan:        worldPlan{controllers: 5, taskSizes: []float64{1, 2, 8}, waitingPerShard: 12},
 			definitions: nested,
 			seeds:       10,
 		},
 	} {
 		plan := tc.plan
-		plan.faults = true
-		plan.length = 160 * sec
+		plan.storeFaults = true
+		plan.duration = 160 * sec
 		for seed := range tc.seeds {
 			t.Run(fmt.Sprintf("%s/%d", tc.name, seed), func(t *testing.T) {
 				t.Parallel()
@@ -88,9 +88,9 @@
 	}
 }
 
-// TestGathered checks that without faults, no task waits for long beside free quota that it fits
+// TestScatteredQuotaIsUsed checks that without faults, no task waits for long beside free quota that it fits
 // into, however it is spread over owners, and few writes are needed.
-func TestGathered(t *testing.T) {
+func TestScatteredQuotaIsUsed(t *testing.T) {
 	const longestWait = 4 * sec
 	for _, tc := range []struct {
 		name               string
@@ -100,32 +100,32 @@
 	}{
 		{
 			name:               "tasks of several sizes",
-			plan:               worldPlan{controllers: 3, taskSizes: []float64{1, 3, 7}, demand: 10},
+			plan:               worldPlan{controllers: 3, taskSizes: []float64{1, 3, 7}, waitingPerShard: 10},
 			limit:              11,
 			mostWritesPerGrant: 2,
 		},
 		{
 			name:               "a task takes nearly all",
-			plan:               worldPlan{controllers: 3, taskSizes: []float64{9}, demand: 2},
+			plan:               worldPlan{controllers: 3, taskSizes: []float64{9}, waitingPerShard: 2},
 			limit:              10,
 			mostWritesPerGrant: 4,
 		},
 		{
 			name:               "two tasks fit",
-			plan:               worldPlan{controllers: 5, taskSizes: []float64{5}, demand: 3},
+			plan:               worldPlan{controllers: 5, taskSizes: []float64{5}, waitingPerShard: 3},
 			limit:              12,
 			mostWritesPerGrant: 3,
 		},
 		{
 			name:               "plenty of small ones",
-			plan:               worldPlan{controllers: 3, taskSizes: []float64{1}, demand: 40},
+			plan:               worldPlan{controllers: 3, taskSizes: []float64{1}, waitingPerShard: 40},
 			limit:              80,
 			mostWritesPerGrant: 0.05,
 		},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			plan := tc.plan
-			plan.length = 110 * sec
+			plan.duration = 110 * sec
 			w := newWorld(1, plan, []Definition{{Name: "all", Limit: CPULimit(tc.limit)}})
 			w.run()
 			w.requireNoViolation(t)
@@ -141,9 +141,9 @@
 	}
 }
 
-// TestGuarantee checks that what a group's guarantee has lent out is there within the stated time
+// TestLentGuaranteeIsReturned checks that what a group's guarantee has lent out is there within the stated time
 // when its tasks come, also where the lender's owner is slow, cut off or ended.
-func TestGuarantee(t *testing.T) {
+func TestLentGuaranteeIsReturned(t *testing.T) {
 	const (
 		tasksComeAt = 20 * sec
 		guarantee   = 15
@@ -178,23 +178,23 @@
 			second.cutOffUntil = second.world.now + 8*sec
 		}, 14 * sec},
 		{"the lenders end", func(first, second *simulatedController) {
-			first.end(60 * sec)
-			second.end(60 * sec)
+			first.stop(60 * sec)
+			second.stop(60 * sec)
 		}, 12 * sec},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			w := newWorld(3, worldPlan{
-				controllers:  3,
-				length:       90 * sec,
-				taskSizes:    []float64{1},
-				demand:       60,
-				longestTask:  300 * sec,
-				wantedGroups: wantedGroups,
+				controllers:     3,
+				duration:        90 * sec,
+				taskSizes:       []float64{1},
+				waitingPerShard: 60,
+				maxTaskDuration: 300 * sec,
+				wantedGroups:    wantedGroups,
 			}, definitions)
 			lent, received := 0.0, 0.0
 			w.after(tasksComeAt-sec, func() { tc.fault(w.controllers[1], w.controllers[2]) })
-			w.after(tasksComeAt-2*sec, func() { lent = w.used(allShards, "hill") })
-			w.after(tasksComeAt+tc.within, func() { received = w.used(allShards, "lake") })
+			w.after(tasksComeAt-2*sec, func() { lent = w.usedCPUs(allShards, "hill") })
+			w.after(tasksComeAt+tc.within, func() { received = w.usedCPUs(allShards, "lake") })
 			w.run()
 			w.requireNoViolation(t)
 			if lent < leastLent {
--- a/quota/status.go
+++ b/quota/status.go
@@ -7,17 +7,17 @@
 	Teams    []string `json:"teams,omitempty" msgpack:"t,omitempty"`
 	Limit    Limit    `json:"limit" msgpack:"l"`
 	Override *Limit   `json:"override,omitempty" msgpack:"o,omitempty"`
-	// Applied is the limit that was last in force; nil: none. See Record.
-	Applied   *Limit `json:"in_force,omitempty" msgpack:"f,omitempty"`
-	Source    Source `json:"source" msgpack:"y"`
-	Epoch     uint64 `json:"epoch" msgpack:"e"`
-	State     State  `json:"state" msgpack:"s"`
-	Guarantee Amount `json:"guarantee" msgpack:"u"`
+	// LastInForce is the limit that was last in force; nil: none. See Record.
+	LastInForce *Limit `json:"in_force,omitempty" msgpack:"f,omitempty"`
+	Source      Source `json:"source" msgpack:"y"`
+	Epoch       uint64 `json:"epoch" msgpack:"e"`
+	State       State  `json:"state" msgpack:"s"`
+	Guarantee   Amount `json:"guarantee" msgpack:"u"`
 	// Lent is the part of the guarantee that other groups have at present.
-	Lent   Amount        `json:"lent" msgpack:"b"`
-	Free   Amount        `json:"free" msgpack:"r"`
-	HeldUp []HeldUp      `json:"held_up_by,omitempty" msgpack:"h,omitempty"`
-	Shards []ShardStatus `json:"shares" msgpack:"w,omitempty"`
+	Lent     Amount        `json:"lent" msgpack:"b"`
+	Free     Amount        `json:"free" msgpack:"r"`
+	Blockers []Blocker     `json:"held_up_by,omitempty" msgpack:"h,omitempty"`
+	Shards   []ShardStatus `json:"shares" msgpack:"w,omitempty"`
 }
 
 // State is the state of a group's limit.
@@ -30,21 +30,21 @@
 	StateRemoved   State = "removed"   // the group is no longer in the options
 )
 
-// HeldUp names a shard that keeps a limit from being in force.
-type HeldUp struct {
-	Shard  int          `json:"share" msgpack:"s"`
-	Owner  string       `json:"owner,omitempty" msgpack:"o,omitempty"`
-	Reason HeldUpReason `json:"reason" msgpack:"r"`
+// Blocker names a shard that keeps a limit from being in force.
+type Blocker struct {
+	Shard  int           `json:"share" msgpack:"s"`
+	Owner  string        `json:"owner,omitempty" msgpack:"o,omitempty"`
+	Reason BlockerReason `json:"reason" msgpack:"r"`
 }
 
-// HeldUpReason is why a shard keeps a limit from being in force, for operators to read.
-type HeldUpReason string
+// BlockerReason is why a shard keeps a limit from being in force, for operators to read.
+type BlockerReason string
 
 // Reasons of a HeldUp.
 const (
-	NotRegistered   HeldUpReason = "its use is not known yet"
-	NotAcknowledged HeldUpReason = "its owner has not seen the limit yet"
-	StillUsed       HeldUpReason = "its tasks use more than its part"
+	NotRegistered   BlockerReason = "its use is not known yet"
+	NotAcknowledged BlockerReason = "its owner has not seen the limit yet"
+	StillUsed       BlockerReason = "its tasks use more than its part"
 )
 
 // ShardStatus is the status of one shard of a group. Seen is the latest epoch that its owner
@@ -55,7 +55,7 @@
 	Allowance Amount `json:"allowance" msgpack:"a"`
 	Used      Amount `json:"used" msgpack:"x"`
 	Want      Amount `json:"want" msgpack:"w"`
-	Seen      uint64 `json:"seen_epoch" msgpack:"e"`
+	SeenEpoch uint64 `json:"seen_epoch" msgpack:"e"`
 }
 
 // Status returns the status of all groups that have a record, by name.
@@ -63,46 +63,46 @@
 	var out []GroupStatus
 	for _, name := range l.names() {
 		if g := l.groups[name]; g.modRevision != 0 {
-			out = append(out, l.status(g))
+			out = append(out, l.groupStatus(g))
 		}
 	}
 	return out
 }
 
-func (l *Ledger) status(g *groupState) GroupStatus {
+func (l *Ledger) groupStatus(g *groupState) GroupStatus {
 	r := &g.record
 	st := GroupStatus{
-		Name:      g.name,
-		Parent:    r.Parent,
-		Teams:     r.Teams,
-		Limit:     r.Limit,
-		Override:  r.Override,
-		Applied:   r.Applied,
-		Source:    r.Source,
-		Epoch:     r.Epoch,
-		State:     l.state(r),
-		Guarantee: r.Guarantee,
-		Lent:      l.lent(r),
-		Free:      boundedOnly(r.Free()),
+		Name:        g.name,
+		Parent:      r.Parent,
+		Teams:       r.Teams,
+		Limit:       r.Limit,
+		Override:    r.Override,
+		LastInForce: r.LastInForce,
+		Source:      r.Source,
+		Epoch:       r.Epoch,
+		State:       l.limitState(r),
+		Guarantee:   r.Guarantee,
+		Lent:        l.lent(r),
+		Free:        zeroUnlimited(r.Free()),
 	}
 	for shard := range l.cfg.Shards {
-		i := r.Row(shard)
+		i := r.RowIndex(shard)
 		if i < 0 {
-			st.HeldUp = append(st.HeldUp, HeldUp{Shard: shard, Reason: NotRegistered})
+			st.Blockers = append(st.Blockers, Blocker{Shard: shard, Reason: NotRegistered})
 			continue
 		}
 		st.Shards = append(st.Shards, l.shardStatus(g, r.Rows[i]))
 		if st.State != StateAnnounced || !r.Exceeded() {
 			continue
 		}
-		if reason, heldUp := g.heldUpBy(i); heldUp {
-			st.HeldUp = append(st.HeldUp, HeldUp{Shard: shard, Reason: reason})
+		if reason, heldUp := g.blockerReason(i); heldUp {
+			st.Blockers = append(st.Blockers, Blocker{Shard: shard, Reason: reason})
 		}
 	}
 	return st
 }
 
-func (l *Ledger) state(r *Record) State {
+func (l *Ledger) limitState(r *Record) State {
 	switch {
 	case r.Removed:
 		return StateRemoved
@@ -119,7 +119,7 @@
 	if parent == nil || parent.modRevision == 0 {
 		return Amount{}
 	}
-	return r.Guarantee.Minus(r.Allowed()).Minus(parent.record.Free())
+	return r.Guarantee.Minus(r.TotalAllowance()).Minus(parent.record.Free())
 }
 
 // shardStatus returns the status of a row, with the present use of a shard that is owned
@@ -136,25 +136,25 @@
 		Allowance: row.Allowance,
 		Used:      claim.Used,
 		Want:      claim.Want,
-		Seen:      row.Seen,
+		SeenEpoch: row.SeenEpoch,
 	}
 }
 
-// heldUpBy returns why the shard of row i keeps the limit from being in force, if it does.
-func (g *groupState) heldUpBy(i int) (reason HeldUpReason, heldUp bool) {
+// blockerReason returns why the shard of row i keeps the limit from being in force, if it does.
+func (g *groupState) blockerReason(i int) (reason BlockerReason, heldUp bool) {
 	row := g.record.Rows[i]
 	switch {
-	case row.Seen < g.record.Epoch:
+	case row.SeenEpoch < g.record.Epoch:
 		return NotAcknowledged, true
-	case i < len(g.parts) && !row.Allowance.Within(g.parts[i]):
+	case i < len(g.fairShares) && !row.Allowance.Within(g.fairShares[i]):
 		return StillUsed, true
 	}
 	return "", false
 }
 
-// boundedOnly returns a with zero for each resource that is unlimited, which JSON can't
+// zeroUnlimited returns a with zero for each resource that is unlimited, which JSON can't
 // represent.
-func boundedOnly(a Amount) Amount {
+func zeroUnlimited(a Amount) Amount {
 	if a.CPUs == Unlimited.CPUs {
 		a.CPUs = 0
 	}
--- a/quota/store.go
+++ b/quota/store.go
@@ -41,13 +41,13 @@
 }
 
 // writeTo carries a write out on a store and returns its outcome.
-func writeTo(store Store, w Write) Wrote {
+func writeTo(store Store, w Write) WriteResult {
 	modRevision, ok, err := store.Write(w)
 	switch {
 	case err != nil:
-		return Wrote{ID: w.ID, Outcome: Unknown}
+		return WriteResult{ID: w.ID, Outcome: Unknown}
 	case !ok:
-		return Wrote{ID: w.ID, Outcome: Refused}
+		return WriteResult{ID: w.ID, Outcome: Refused}
 	}
-	return Wrote{ID: w.ID, Outcome: Applied, ModRevision: modRevision}
+	return WriteResult{ID: w.ID, Outcome: Applied, ModRevision: modRevision}
 }
--- a/quota/tree.go
+++ b/quota/tree.go
@@ -10,12 +10,12 @@
 
 // Tree is a valid set of groups.
 type Tree struct {
-	groups []*group
-	byName map[string]*group
+	groups []*configuredGroup
+	byName map[string]*configuredGroup
 }
 
-// group is a group of the options.
-type group struct {
+// configuredGroup is a configuredGroup of the options.
+type configuredGroup struct {
 	GroupOptions
 	windows []*window
 }
@@ -26,7 +26,7 @@
 // NewTree checks the options and returns the groups. teams are the teams that exist. It
 // returns an OptionError for the first option that can't be used.
 func NewTree(options Options, teams []string) (*Tree, error) {
-	t := &Tree{byName: map[string]*group{}}
+	t := &Tree{byName: map[string]*configuredGroup{}}
 	for i, o := range options.Groups {
 		if err := t.add(groupKey(i), o); err != nil {
 			return nil, err
@@ -62,7 +62,7 @@
 	if err := o.Guarantee.check(key + ".guarantee"); err != nil {
 		return err
 	}
-	g := &group{GroupOptions: o}
+	g := &configuredGroup{GroupOptions: o}
 	for i, s := range o.Schedule {
 		w, err := newWindow(fmt.Sprintf("%s.schedule[%d].", key, i), s)
 		if err != nil {
@@ -137,7 +137,7 @@
 }
 
 // inCycle reports whether a group is within itself or within such a group.
-func (t *Tree) inCycle(g *group) bool {
+func (t *Tree) inCycle(g *configuredGroup) bool {
 	ancestor := g
 	for range t.groups {
 		ancestor = t.byName[ancestor.Parent]
@@ -172,7 +172,7 @@
 }
 
 // limits returns the group's limit and those of its schedule.
-func (g *group) limits() []Limit {
+func (g *configuredGroup) limits() []Limit {
 	out := []Limit{g.Limit}
 	for _, s := range g.Schedule {
 		out = append(out, s.Limit)
@@ -215,7 +215,7 @@
 
 // definition returns the group with its limit at a time of day: that of the first window
 // that contains it, or else the group's own.
-func (g *group) definition(at time.Time) Definition {
+func (g *configuredGroup) definition(at time.Time) Definition {
 	d := Definition{
 		Name:      g.Name,
 		Parent:    g.Parent,
--- a/quota/writes.go
+++ b/quota/writes.go
@@ -53,7 +53,7 @@
 	w.id = l.lastWriteID
 	w.group = g.name
 	w.modRevision = g.modRevision
-	w.record.updateApplied(l.cfg.Shards)
+	w.record.updateLastInForce(l.cfg.Shards)
 	l.writes[w.id] = w
 	g.inDoubt = append(g.inDoubt, w)
 	g.writeInFlight = true
@@ -68,7 +68,7 @@
 }
 
 // handleWriteOutcome takes the outcome of a write.
-func (l *Ledger) handleWriteOutcome(v Wrote) {
+func (l *Ledger) handleWriteOutcome(v WriteResult) {
 	w, ok := l.writes[v.ID]
 	if !ok {
 		return
@@ -115,7 +115,7 @@
 	g.record = record
 	g.modRevision = modRevision
 	g.inDoubt = slices.DeleteFunc(g.inDoubt, func(w sentWrite) bool { return w.modRevision < modRevision })
-	if record.Applied != nil && (before.Applied == nil || !record.Applied.Equal(*before.Applied)) {
+	if record.LastInForce != nil && (before.LastInForce == nil || !record.LastInForce.Equal(*before.LastInForce)) {
 		l.emit(Changed{Kind: InForce, Group: name, Epoch: record.Epoch, Limit: record.Limit, Source: record.Source})
 	}
 }
@@ -138,10 +138,10 @@
 // own shards only.
 func (l *Ledger) reportRowChange(g *groupState, record *Record, row Row) {
 	var before Row
-	if i := g.record.Row(row.Shard); i >= 0 {
+	if i := g.record.RowIndex(row.Shard); i >= 0 {
 		before = g.record.Rows[i]
 	}
-	kind := Asked
+	kind := ClaimChanged
 	switch {
 	case row.Allowance.Equal(before.Allowance):
 		if l.owned[row.Shard] == nil || row.Claim == before.Claim {
--- a/quota/writes_test.go
+++ b/quota/writes_test.go
@@ -12,13 +12,13 @@
 	h.requireWrites(t, "once part has been unused", 1)
 	h.requireAllowed(t, "while a write gives up 6", 2)
 
-	h.step(Wrote{ID: h.writes[0].ID, Outcome: Unknown})
+	h.step(WriteResult{ID: h.writes[0].ID, Outcome: Unknown})
 	h.reportUsage(2, 6) // wanted again, and the record still says 8
 	h.requireAllowed(t, "while a write that gives up 6 is in doubt", 2)
 	h.reportUsage(2, 6)
 	h.requireWrites(t, "after a write of unknown outcome", 2)
 
-	h.step(Wrote{ID: h.writes[1].ID, Outcome: Applied, ModRevision: 11})
+	h.step(WriteResult{ID: h.writes[1].ID, Outcome: Applied, ModRevision: 11})
 	h.requireAllowed(t, "after a newer write", 8)
 	h.learn(innerGroup, h.writes[0].Record, 9)
 	h.requireAllowed(t, "after an older record", 8)
