--- a/quota/allowance.go
+++ b/quota/allowance.go
@@ -39,21 +39,21 @@
 	if s == nil {
 		return
 	}
-	use, known := s.usage[group]
+	usage, known := s.usage[group]
 	if !known {
 		return // the next Used includes it
 	}
-	used := use.Used.Plus(size)
+	used := usage.Used.Plus(size)
 	if g := l.groups[group]; g != nil && g.hasLimit() {
 		// Tasks may have ended since the last Used, but grants alone never use more than
 		// the allowance.
 		if allowance, ok := g.record.allowance(shard); ok {
-			used = used.Min(use.Used.Max(allowance))
+			used = used.Min(usage.Used.Max(allowance))
 		}
 	}
-	use.Used = used
-	use.Want = use.Want.Max(used)
-	s.usage[group] = use
+	usage.Used = used
+	usage.Want = usage.Want.Max(used)
+	s.usage[group] = usage
 }
 
 // effectiveAllowance returns what a shard may use: its allowance, less what any write in doubt
@@ -83,17 +83,17 @@
 
 // cappedAllowance returns how much of what it has a shard should keep: no more than its cappedAllowance of each
 // resource of which others lack theirs or more than the limit is allowed.
-func (g *groupState) cappedAllowance(shard int, has Amount) Amount {
+func (g *groupState) cappedAllowance(shard int, current Amount) Amount {
 	i := g.record.RowIndex(shard)
 	if i < 0 {
 		return Amount{}
 	}
 	excess := g.record.Excess()
 	if g.shortage.cpus || excess.CPUs > epsilon {
-		has.CPUs = min(has.CPUs, g.fairShares[i].CPUs)
+		current.CPUs = min(current.CPUs, g.fairShares[i].CPUs)
 	}
 	if g.shortage.gpus || excess.GPUs > epsilon {
-		has.GPUs = min(has.GPUs, g.fairShares[i].GPUs)
+		current.GPUs = min(current.GPUs, g.fairShares[i].GPUs)
 	}
-	return has
+	return current
 }
--- a/quota/claims.go
+++ b/quota/claims.go
@@ -74,8 +74,8 @@
 	}
 	b.addGuaranteed(teams)
 	out := map[string]Usage{}
-	for group, use := range b.usages {
-		out[group] = *use
+	for group, usage := range b.usages {
+		out[group] = *usage
 	}
 	return out
 }
@@ -180,8 +180,8 @@
 			done[name] = true
 			inner := b.usage(name)
 			outer := b.usage(team.Groups[depth+1])
-			part := b.ledger.guaranteeShare(name, b.shard, inner.Claim)
-			guaranteed := inner.Want.Min(part.Max(inner.Guaranteed))
+			share := b.ledger.guaranteeShare(name, b.shard, inner.Claim)
+			guaranteed := inner.Want.Min(share.Max(inner.Guaranteed))
 			outer.Guaranteed = outer.Guaranteed.Plus(guaranteed)
 		}
 	}
--- a/quota/divide.go
+++ b/quota/divide.go
@@ -53,10 +53,10 @@
 }
 
 // divideResource divides one resource, which of selects.
-func divideResource(limit float64, all []Claim, of func(Amount) float64) []float64 {
+func divideResource(limit float64, all []Claim, quantity func(Amount) float64) []float64 {
 	want := make([]float64, len(all))
 	for i, c := range all {
-		want[i] = of(c.Want)
+		want[i] = quantity(c.Want)
 	}
 	if sum(want) <= limit+epsilon {
 		return want
@@ -65,38 +65,38 @@
 	reserved := make([]float64, len(all))
 	for i, c := range all {
 		claims[i] = resourceClaim{
-			used:         of(c.Used),
+			used:         quantity(c.Used),
 			want:         want[i],
-			smallestTask: of(c.SmallestTask),
+			smallestTask: quantity(c.SmallestTask),
 			sinceMS:      c.WaitingSinceMS,
 		}
-		reserved[i] = min(of(c.Guaranteed), want[i])
+		reserved[i] = min(quantity(c.Guaranteed), want[i])
 	}
 	maxMinFair(limit, reserved)
-	parts := addEvenly(limit, reserved, want)
-	if i := longestWithoutTask(claims, parts); i >= 0 {
+	shares := addEvenly(limit, reserved, want)
+	if i := longestWithoutTask(claims, shares); i >= 0 {
 		task := claims[i].smallestTask
 		if sum(reserved)-reserved[i]+task <= limit+epsilon {
 			reserved[i] = task
-			parts = addEvenly(limit, reserved, want)
+			shares = addEvenly(limit, reserved, want)
 		}
 	}
-	roundToTasks(limit, claims, parts)
-	return parts
+	roundToTasks(limit, claims, shares)
+	return shares
 }
 
 // addEvenly adds to what is reserved for each an even part of what remains of a limit, up to
 // what each wants.
 func addEvenly(limit float64, reserved, want []float64) []float64 {
-	parts := make([]float64, len(reserved))
-	for i := range parts {
-		parts[i] = want[i] - reserved[i]
+	shares := make([]float64, len(reserved))
+	for i := range shares {
+		shares[i] = want[i] - reserved[i]
 	}
-	maxMinFair(limit-sum(reserved), parts)
-	for i := range parts {
-		parts[i] += reserved[i]
+	maxMinFair(limit-sum(reserved), shares)
+	for i := range shares {
+		shares[i] += reserved[i]
 	}
-	return parts
+	return shares
 }
 
 // maxMinFair divides an amount evenly, nobody getting more than it wants. It replaces what
@@ -108,26 +108,26 @@
 	}
 	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(wants[a], wants[b]) })
 	for n, i := range order {
-		even := max(0, amount) / float64(len(order)-n)
-		wants[i] = min(wants[i], even)
+		evenShare := max(0, amount) / float64(len(order)-n)
+		wants[i] = min(wants[i], evenShare)
 		amount -= wants[i]
 	}
 }
 
-func sum(parts []float64) (total float64) {
-	for _, p := range parts {
-		total += p
+func sum(shares []float64) (total float64) {
+	for _, share := range shares {
+		total += share
 	}
 	return total
 }
 
 // longestWithoutTask returns the index of the claim that has waited for longest of those that
 // neither run a task of their smallest size nor have a part for one; -1: there is none.
-func longestWithoutTask(claims []resourceClaim, parts []float64) int {
+func longestWithoutTask(claims []resourceClaim, shares []float64) int {
 	longest := -1
 	for i, c := range claims {
 		waits := c.sinceMS != 0 && c.want+epsilon >= c.smallestTask
-		served := c.used+epsilon >= c.smallestTask || parts[i]+epsilon >= c.smallestTask
+		served := c.used+epsilon >= c.smallestTask || shares[i]+epsilon >= c.smallestTask
 		if !waits || served {
 			continue
 		}
@@ -141,27 +141,27 @@
 // roundToTasks rounds the parts of claims that want more down to what they use and whole
 // tasks beside it. What that leaves goes to those that have least, and of these to those
 // that have waited for longest, again in whole tasks.
-func roundToTasks(limit float64, claims []resourceClaim, parts []float64) {
+func roundToTasks(limit float64, claims []resourceClaim, shares []float64) {
 	var order []int
 	for i, c := range claims {
-		if c.smallestTask <= 0 || parts[i]+epsilon >= c.want {
+		if c.smallestTask <= 0 || shares[i]+epsilon >= c.want {
 			continue
 		}
-		used := min(c.used, parts[i])
-		tasks := math.Floor((parts[i] - used + epsilon) / c.smallestTask)
-		parts[i] = used + tasks*c.smallestTask
+		used := min(c.used, shares[i])
+		tasks := math.Floor((shares[i] - used + epsilon) / c.smallestTask)
+		shares[i] = used + tasks*c.smallestTask
 		order = append(order, i)
 	}
 	slices.SortStableFunc(order, func(a, b int) int {
-		return cmp.Or(cmp.Compare(parts[a], parts[b]), cmp.Compare(claims[a].sinceMS, claims[b].sinceMS))
+		return cmp.Or(cmp.Compare(shares[a], shares[b]), cmp.Compare(claims[a].sinceMS, claims[b].sinceMS))
 	})
-	rest := limit - sum(parts)
+	rest := limit - sum(shares)
 	for given := true; given; {
 		given = false
 		for _, i := range order {
 			task := claims[i].smallestTask
-			if task <= rest+epsilon && parts[i]+task <= claims[i].want+epsilon {
-				parts[i] += task
+			if task <= rest+epsilon && shares[i]+task <= claims[i].want+epsilon {
+				shares[i] += task
 				rest -= task
 				given = true
 			}
--- a/quota/plan.go
+++ b/quota/plan.go
@@ -53,12 +53,12 @@
 // that are worth a write.
 func (l *Ledger) updateRows(g *groupState, next *Record) (changed []int) {
 	for _, shard := range slices.Sorted(maps.Keys(l.owned)) {
-		use, known := l.currentUsage(g, shard)
+		usage, known := l.currentUsage(g, shard)
 		if !known {
 			continue
 		}
-		l.reclaim(g, shard, use)
-		update := l.updateRow(g, shard, use, next)
+		l.reclaim(g, shard, usage)
+		update := l.updateRow(g, shard, usage, next)
 		// While a reduction is in doubt, nobody can use what it gives up. Any newer write
 		// ends the doubt.
 		if update || g.reductionInDoubt(shard) {
@@ -79,13 +79,13 @@
 
 // currentUsage returns what an own shard uses of a group; known is false before the shard's
 // use and all records are known, and for shards of others.
-func (l *Ledger) currentUsage(g *groupState, shard int) (use Usage, known bool) {
+func (l *Ledger) currentUsage(g *groupState, shard int) (usage Usage, known bool) {
 	s := l.owned[shard]
 	if s == nil || !s.recordsRead {
 		return Usage{}, false
 	}
-	use, known = s.usage[g.name]
-	return use, known
+	usage, known = s.usage[g.name]
+	return usage, known
 }
 
 // computeFairShares computes the part of each row, and what is short.
@@ -95,9 +95,9 @@
 	g.fairShares = Divide(limit, claims)
 	var lacking, lackingGuaranteed Amount
 	for i, row := range g.record.Rows {
-		guaranteedPart := g.fairShares[i].Min(claims[i].Guaranteed)
+		guaranteedShare := g.fairShares[i].Min(claims[i].Guaranteed)
 		lacking = lacking.Plus(g.fairShares[i].Minus(row.Allowance))
-		lackingGuaranteed = lackingGuaranteed.Plus(guaranteedPart.Minus(row.Allowance))
+		lackingGuaranteed = lackingGuaranteed.Plus(guaranteedShare.Minus(row.Allowance))
 	}
 	free := g.record.Free()
 	g.shortage = shortage{
@@ -119,8 +119,8 @@
 	claims := make([]Claim, len(g.record.Rows))
 	for i, row := range g.record.Rows {
 		claims[i] = row.Claim
-		if use, known := l.currentUsage(g, row.Shard); known {
-			claims[i] = use.Claim
+		if usage, known := l.currentUsage(g, row.Shard); known {
+			claims[i] = usage.Claim
 		}
 		claims[i].Want = claims[i].Want.Min(limit)
 	}
@@ -129,11 +129,11 @@
 
 // updateRow updates a shard's row in the next record, and reports whether it is worth a
 // write.
-func (l *Ledger) updateRow(g *groupState, shard int, use Usage, next *Record) bool {
-	claim := use.Claim.zeroWhereUnbounded(g.record.Limit)
+func (l *Ledger) updateRow(g *groupState, shard int, usage Usage, next *Record) bool {
+	claim := usage.Claim.zeroWhereUnbounded(g.record.Limit)
 	i := next.RowIndex(shard)
 	if i < 0 {
-		if !use.Exact {
+		if !usage.Exact {
 			return false
 		}
 		g.register(shard, claim, next)
@@ -141,8 +141,8 @@
 	}
 	row := &next.Rows[i]
 	before := *row
-	row.Allowance = l.targetAllowance(g, shard, claim, use.Exact, next)
-	exceeded := use.Exact && !claim.Used.Within(before.Allowance)
+	row.Allowance = l.targetAllowance(g, shard, claim, usage.Exact, next)
+	exceeded := usage.Exact && !claim.Used.Within(before.Allowance)
 	if exceeded && !row.Allowance.Within(before.Allowance) {
 		next.LastInForce = nil // a controller that does not know of groups has granted more
 	}
@@ -168,60 +168,60 @@
 // more than its targetAllowance already.
 func (l *Ledger) targetAllowance(g *groupState, shard int, claim Claim, exact bool, next *Record) Amount {
 	i := g.record.RowIndex(shard)
-	has := next.Rows[next.RowIndex(shard)].Allowance
-	if exact && !claim.Used.Within(has) {
-		return has.Max(claim.Used)
+	current := next.Rows[next.RowIndex(shard)].Allowance
+	if exact && !claim.Used.Within(current) {
+		return current.Max(claim.Used)
 	}
-	used := claim.Used.Min(has)
-	part := g.cappedAllowance(shard, has)
+	used := claim.Used.Min(current)
+	capped := g.cappedAllowance(shard, current)
 	if excess := next.Excess(); !excess.IsZero() {
 		if l.now.Steady >= g.epochSeenAt+l.cfg.Timing.ExcessTimeout {
-			part = part.Min(has.Minus(excess)) // others have not given up theirs
+			capped = capped.Min(current.Minus(excess)) // others have not given up theirs
 		}
-		return part.Max(used)
+		return capped.Max(used)
 	}
-	if !part.Equal(has) {
-		return part.Max(used)
+	if !capped.Equal(current) {
+		return capped.Max(used)
 	}
-	growth := g.fairShares[i].Minus(has).Min(next.Free())
-	grown := has.Plus(growth)
+	growth := g.fairShares[i].Minus(current).Min(next.Free())
+	grown := current.Plus(growth)
 	if !growth.IsZero() && claim.SmallestTask.Within(grown.Minus(used)) {
 		return grown
 	}
-	return l.withoutUnused(g, shard, has, used.Max(claim.Want))
+	return l.withoutUnused(g, shard, current, used.Max(claim.Want))
 }
 
 // withoutUnused returns what a shard has, without what it has not needed for
 // Timing.UnusedTimeout.
-func (l *Ledger) withoutUnused(g *groupState, shard int, has, needed Amount) Amount {
-	if has.Minus(needed).IsZero() {
+func (l *Ledger) withoutUnused(g *groupState, shard int, current, needed Amount) Amount {
+	if current.Minus(needed).IsZero() {
 		delete(g.unusedSince, shard)
-		return has
+		return current
 	}
 	since, ok := g.unusedSince[shard]
 	if !ok {
 		g.unusedSince[shard] = l.now.Steady
-		return has
+		return current
 	}
 	if l.now.Steady < since+l.cfg.Timing.UnusedTimeout {
-		return has
+		return current
 	}
-	return has.Min(needed)
+	return current.Min(needed)
 }
 
 // reclaim asks for tasks of a shard to be stopped where it uses more than its part, beyond
 // what is guaranteed to it, and a guaranteed claim has waited for long enough.
-func (l *Ledger) reclaim(g *groupState, shard int, use Usage) {
+func (l *Ledger) reclaim(g *groupState, shard int, usage Usage) {
 	i := g.record.RowIndex(shard)
 	delay := l.cfg.Timing.ReclaimDelay
 	if i < 0 || !g.guaranteeWait.longerThan(delay, l.now.Steady) || l.now.Steady < g.reclaimedAt+delay {
 		return
 	}
-	over := use.Used.Minus(g.fairShares[i].Max(use.Guaranteed))
-	over = g.shortage.zeroUnlessShort(g.record.Limit.zeroWhereUnbounded(over))
-	if over.IsZero() {
+	excess := usage.Used.Minus(g.fairShares[i].Max(usage.Guaranteed))
+	excess = g.shortage.zeroUnlessShort(g.record.Limit.zeroWhereUnbounded(excess))
+	if excess.IsZero() {
 		return
 	}
 	g.reclaimedAt = l.now.Steady
-	l.emit(Reclaim{Shard: shard, Group: g.name, Excess: over})
+	l.emit(Reclaim{Shard: shard, Group: g.name, Excess: excess})
 }
--- a/quota/set.go
+++ b/quota/set.go
@@ -20,14 +20,14 @@
 )
 
 // queueSetRequest takes an operator's request.
-func (l *Ledger) queueSetRequest(v SetLimit) {
-	g := l.groups[v.Group]
+func (l *Ledger) queueSetRequest(in SetLimit) {
+	g := l.groups[in.Group]
 	if g == nil || !g.exists() {
-		l.emit(SetDone{Token: v.Token, Status: SetNoGroup})
+		l.emit(SetDone{Token: in.Token, Status: SetNoGroup})
 		return
 	}
 	g.setRequests = append(g.setRequests, &setRequest{
-		SetLimit:       v,
+		SetLimit:       in,
 		attemptsLeft:   maxSetAttempts,
 		epochAtArrival: g.record.Epoch,
 		expiresAt:      l.now.Steady + setTimeout,
--- a/quota/status.go
+++ b/quota/status.go
@@ -127,8 +127,8 @@
 func (l *Ledger) shardStatus(g *groupState, row Row) ShardStatus {
 	claim := row.Claim
 	if s := l.owned[row.Shard]; s != nil {
-		if use, ok := s.usage[g.name]; ok {
-			claim = use.Claim
+		if usage, ok := s.usage[g.name]; ok {
+			claim = usage.Claim
 		}
 	}
 	return ShardStatus{
--- a/quota/writes.go
+++ b/quota/writes.go
@@ -68,31 +68,31 @@
 }
 
 // handleWriteOutcome takes the outcome of a write.
-func (l *Ledger) handleWriteOutcome(v WriteResult) {
-	w, ok := l.writes[v.ID]
+func (l *Ledger) handleWriteOutcome(result WriteResult) {
+	w, ok := l.writes[result.ID]
 	if !ok {
 		return
 	}
-	delete(l.writes, v.ID)
+	delete(l.writes, result.ID)
 	g := l.group(w.group)
 	g.writeInFlight = false
 	g.nextWriteAt = l.now.Steady + l.cfg.Timing.WriteInterval
-	switch v.Outcome {
+	switch result.Outcome {
 	case Applied:
 		g.removeInDoubt(w.id)
 		l.reportChanges(g, w)
-		l.learn(w.group, w.record, v.ModRevision) // ignored if a newer one has come first
+		l.learn(w.group, w.record, result.ModRevision) // ignored if a newer one has come first
 	case Refused, NotSent:
 		const retriesPerInterval = 4
 		g.removeInDoubt(w.id)
 		g.nextWriteAt = l.now.Steady + l.cfg.Timing.WriteInterval/retriesPerInterval
 	case Unknown:
 	}
-	if v.Outcome == Refused || v.Outcome == Unknown {
+	if result.Outcome == Refused || result.Outcome == Unknown {
 		l.emit(Read{Group: w.group})
 	}
 	if w.request != nil {
-		l.handleSetOutcome(g, w.request, v.Outcome)
+		l.handleSetOutcome(g, w.request, result.Outcome)
 	}
 }
 
