--- a/internal/quotatest/quotatest.go
+++ b/internal/quotatest/quotatest.go
@@ -1,6 +1,6 @@
 // Package quotatest tells, for checks of quotas, which teams and groups are within which
-// group. It reads the definitions alone, so that the checks don't depend on package quota's
-// own tree of groups.
+// group. It uses only the configured options, so that the checks do not depend on the tree of
+// groups in package quota.
 package quotatest
 
 import (
--- a/quota/allowance.go
+++ b/quota/allowance.go
@@ -2,12 +2,14 @@
 
 import "slices"
 
-// Allowed returns the most that a shard's tasks may use of a group; everything that they
-// could be using counts. A group that is not known bounds nothing.
+// Allowed returns the most that a shard's tasks may use of a group. Every task that may be
+// running counts against it. Allowed returns zero unless this controller owns the shard and
+// has read all records since it acquired the shard. It returns Unlimited for a group that is
+// unknown, removed or without a limit.
 func (l *Ledger) Allowed(shard int, group string) Amount {
 	s := l.owned[shard]
 	if s == nil || !s.recordsRead {
-		return Amount{} // a former owner may have given up more than is known here
+		return Amount{} // a former owner may have reduced the allowance in a record not read yet
 	}
 	g := l.groups[group]
 	if g == nil || !g.hasLimit() {
@@ -16,8 +18,8 @@
 	return g.allowed[shard]
 }
 
-// ExpectedAllowance returns what a shard may use of a group, or should have once other shards have given
-// it up, whichever is more.
+// ExpectedAllowance returns what a shard may use of a group now, or its fair share where
+// that is more: the shard gets it once other shards have reduced their allowances.
 func (l *Ledger) ExpectedAllowance(shard int, group string) Amount {
 	allowed := l.Allowed(shard, group)
 	g := l.groups[group]
@@ -31,9 +33,9 @@
 	return allowed.Max(g.fairShares[i])
 }
 
-// Granted records that a task of a shard was started that uses size of a group. It must be
-// called for each start at once, since Used comes at intervals and nothing that has been
-// granted since may be given up.
+// Granted records that a task of the given size was started in a shard and counts in a
+// group. It must be called at each start: usage reports come at intervals, and without this
+// call the ledger could give up quota that was granted since the last one.
 func (l *Ledger) Granted(shard int, group string, size Amount) {
 	s := l.owned[shard]
 	if s == nil {
@@ -41,12 +43,12 @@
 	}
 	usage, known := s.usage[group]
 	if !known {
-		return // the next Used includes it
+		return // the next UsageReport includes the task
 	}
 	used := usage.Used.Plus(size)
 	if g := l.groups[group]; g != nil && g.hasLimit() {
-		// Tasks may have ended since the last Used, but grants alone never use more than
-		// the allowance.
+		// The sum counts tasks that have ended since the last UsageReport. Grants are
+		// checked against the allowance, so they alone never raise the use above it.
 		if allowance, ok := g.record.allowance(shard); ok {
 			used = used.Min(usage.Used.Max(allowance))
 		}
@@ -56,8 +58,9 @@
 	s.usage[group] = usage
 }
 
-// effectiveAllowance returns what a shard may use: its allowance, less what any write in doubt
-// gives up, and no more than its part where a limit is exceeded or others lack theirs.
+// effectiveAllowance returns what a shard may use: the smallest of its recorded allowance
+// and those in writes in doubt, and no more than its fair share of a resource whose limit is
+// exceeded or of which other shards lack their fair shares.
 func (l *Ledger) effectiveAllowance(g *groupState, shard int) Amount {
 	allowed, ok := g.record.allowance(shard)
 	if !ok {
@@ -71,8 +74,8 @@
 	return g.record.Limit.unlimitedWhereUnbounded(g.cappedAllowance(shard, allowed))
 }
 
-// reductionInDoubt reports whether a write in doubt leaves a shard less than the record
-// does.
+// reductionInDoubt reports whether a write in doubt gives a shard a smaller allowance than
+// the known record does.
 func (g *groupState) reductionInDoubt(shard int) bool {
 	allowance, ok := g.record.allowance(shard)
 	return ok && slices.ContainsFunc(g.inDoubt, func(w sentWrite) bool {
@@ -81,8 +84,8 @@
 	})
 }
 
-// cappedAllowance returns how much of what it has a shard should keep: no more than its cappedAllowance of each
-// resource of which others lack theirs or more than the limit is allowed.
+// cappedAllowance returns the current allowance of a shard, reduced to its fair share of each
+// resource of which other shards lack their fair shares or the allowances exceed the limit.
 func (g *groupState) cappedAllowance(shard int, current Amount) Amount {
 	i := g.record.RowIndex(shard)
 	if i < 0 {
--- a/quota/amount.go
+++ b/quota/amount.go
@@ -9,7 +9,7 @@
 const epsilon = 1e-6
 
 // Amount is a quantity of each resource that tasks use or may use: CPUs in cores, GPUs in
-// devices, either also in fractions.
+// devices. Either may be a fraction.
 type Amount struct {
 	CPUs float64 `cbor:"c,omitempty" json:"cpus" msgpack:"c,omitempty"`
 	GPUs float64 `cbor:"g,omitempty" json:"gpus" msgpack:"g,omitempty"`
@@ -35,7 +35,8 @@
 // Times returns what n tasks of size a use.
 func (a Amount) Times(n int) Amount { return Amount{a.CPUs * float64(n), a.GPUs * float64(n)} }
 
-// CountFitting returns how many tasks of size a fit into what is available, at most math.MaxInt32.
+// CountFitting returns how many tasks of size a fit into the available amount, at most
+// math.MaxInt32.
 func (a Amount) CountFitting(available Amount) int {
 	n := float64(math.MaxInt32)
 	if a.CPUs > 0 {
@@ -47,15 +48,15 @@
 	return int(n)
 }
 
-// Within reports whether a exceeds b in no resource, but for rounding.
+// Within reports whether a exceeds b in no resource, up to rounding errors.
 func (a Amount) Within(b Amount) bool {
 	return a.CPUs <= b.CPUs+epsilon && a.GPUs <= b.GPUs+epsilon
 }
 
-// Equal reports whether the amounts are the same but for rounding.
+// Equal reports whether the amounts are the same up to rounding errors.
 func (a Amount) Equal(b Amount) bool { return a.Within(b) && b.Within(a) }
 
-// IsZero reports whether there is nothing of any resource, but for rounding.
+// IsZero reports whether a is zero for every resource, up to rounding errors.
 func (a Amount) IsZero() bool { return a.Within(Amount{}) }
 
 // Limit bounds each resource. A resource that is nil is not bounded.
@@ -93,7 +94,8 @@
 	return a
 }
 
-// unlimitedWhereUnbounded returns a with Unlimited for each resource that the limit does not bound.
+// unlimitedWhereUnbounded returns a with the quantity of Unlimited for each resource that
+// the limit does not bound.
 func (l Limit) unlimitedWhereUnbounded(a Amount) Amount {
 	if l.CPUs == nil {
 		a.CPUs = Unlimited.CPUs
--- a/quota/announce.go
+++ b/quota/announce.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// announce makes the records agree with the options: it writes the definitions that differ,
-// and marks the groups as removed that are no longer in the options.
+// announce brings the records into agreement with the options: it writes the definitions that
+// differ, and marks groups that are no longer in the options as removed.
 func (l *Ledger) announce(definitions []Definition) {
 	definitions = withMembers(definitions)
 	for _, d := range definitions {
@@ -24,8 +24,8 @@
 	}
 }
 
-// withMembers returns the definitions with their Members: the teams of each group and of
-// those within it.
+// withMembers returns the definitions with their Members set: the teams of each group and of
+// all groups within it.
 func withMembers(definitions []Definition) []Definition {
 	out := slices.Clone(definitions)
 	for i := range out {
@@ -40,8 +40,8 @@
 	return out
 }
 
-// addToAncestors adds a definition's teams to its own members and those of all groups
-// around it. In a cycle of groups it stops after as many steps as there are groups.
+// addToAncestors adds a definition's teams to its own members and to those of all groups
+// around it. The number of steps is bounded, since the parents may form a cycle.
 func addToAncestors(definitions []Definition, d Definition) {
 	name := d.Name
 	for range len(definitions) + 1 {
@@ -54,8 +54,8 @@
 	}
 }
 
-// announcedRecord returns the record that a definition leads to, and whether it differs from the
-// known one.
+// announcedRecord returns the record that a definition leads to, and whether it differs from
+// the known record.
 func announcedRecord(g *groupState, d Definition) (record Record, changed bool) {
 	if g.modRevision == 0 {
 		return Record{Definition: d, Epoch: 1, Source: d.source()}, true
@@ -72,11 +72,11 @@
 		return record, false
 	}
 	if hasNewMember(record.Members, d.Members) {
-		record.dropRows() // what a team used before it joined is in no row
+		record.dropRows() // no row includes what a team used before it joined
 	}
 	before := record.Limit
 	record.Definition = d
-	record.Limit = before // setLimit compares the two
+	record.Limit = before // setLimit compares it with the new limit
 	record.Removed = false
 	record.setLimit(limit, source)
 	return record, true
@@ -91,12 +91,12 @@
 	return record
 }
 
-// hasNewMember reports whether there is a team in after that is not in before.
+// hasNewMember reports whether after contains a team that before does not.
 func hasNewMember(before, after []string) bool {
 	return slices.ContainsFunc(after, func(team string) bool { return !slices.Contains(before, team) })
 }
 
-// source returns where the definition's limit comes from.
+// source returns the source of the definition's limit.
 func (d Definition) source() Source {
 	if d.Scheduled {
 		return FromSchedule
--- a/quota/claims.go
+++ b/quota/claims.go
@@ -2,17 +2,17 @@
 
 import "slices"
 
-// TeamDemand is what a team's tasks use of a shard, and what waits.
+// TeamDemand is what a team's running tasks use in a shard, and which of its tasks wait.
 type TeamDemand struct {
-	// Groups are the groups that the team is in, the innermost first; see Ledger.Path.
+	// Groups are the groups that the team is in, the innermost first. See Ledger.Path.
 	Groups []string
 	Used   Amount
-	// Guarantee is the team's own.
+	// Guarantee is the guarantee of the team itself, not of a group that it is in.
 	Guarantee Amount
 	Waiting   []WaitingTasks
 }
 
-// want returns what the team's tasks use and would use.
+// want returns what the team's running tasks use and its waiting tasks would use.
 func (d TeamDemand) want() Amount {
 	want := d.Used
 	for _, w := range d.Waiting {
@@ -25,12 +25,12 @@
 type WaitingTasks struct {
 	Size  Amount
 	Count int
-	// SinceMS is since when they have waited with none started, by the time of day, in
+	// SinceMS is when the tasks began to wait with none of them started: a time of day in
 	// milliseconds since 1970.
 	SinceMS int64
 }
 
-// Path returns the groups that a team is in by the records, the innermost first.
+// Path returns the groups that a team is in according to the records, the innermost first.
 func (l *Ledger) Path(team string) []string {
 	var path []string
 	for _, name := range l.names() {
@@ -43,8 +43,8 @@
 	return path
 }
 
-// compareNesting orders a group before its parent, and otherwise the one with fewer members
-// first.
+// compareNesting orders a group before its parent. Of two other groups, the one with fewer
+// members comes first.
 func (l *Ledger) compareNesting(a, b string) int {
 	recordA := &l.groups[a].record
 	recordB := &l.groups[b].record
@@ -57,10 +57,10 @@
 	return len(recordA.Members) - len(recordB.Members)
 }
 
-// Claims returns what a shard uses and wants of each group, for Used. exact says that
-// what the teams use is exact. Of an outer group only the tasks for which the shard has
-// quota of the inner ones are wanted: otherwise two owners that each hold what the other
-// waits for would wait forever.
+// Claims returns what a shard uses and wants of each group, for a UsageReport. exact is set
+// if TeamDemand.Used is exact. Claims wants quota of an outer group only for tasks for which
+// the shard has quota of the inner groups. Otherwise one owner could hold quota of the inner
+// group and another quota of the outer group, each waiting for the other forever.
 func (l *Ledger) Claims(shard int, exact bool, teams []TeamDemand) map[string]Usage {
 	b := claimBuilder{
 		ledger:    l,
@@ -80,15 +80,15 @@
 	return out
 }
 
-// claimBuilder collects the claims of one shard.
+// claimBuilder computes the claims of one shard.
 type claimBuilder struct {
 	ledger    *Ledger
 	shard     int
 	usages    map[string]*Usage
-	available map[string]Amount // what the shard may grant beside what it uses and wants
+	available map[string]Amount // what the shard may grant beyond what it uses and wants
 }
 
-// usage returns the usage of a group, which is added if there is none.
+// usage returns the usage of a group, and adds it if there is none.
 func (b *claimBuilder) usage(group string) *Usage {
 	u := b.usages[group]
 	if u == nil {
@@ -98,7 +98,7 @@
 	return u
 }
 
-// addUsed adds what the teams use.
+// addUsed adds what the running tasks of the teams use.
 func (b *claimBuilder) addUsed(teams []TeamDemand, exact bool) {
 	for _, team := range teams {
 		for _, group := range team.Groups {
@@ -128,7 +128,7 @@
 	}
 }
 
-// addWaiting adds that many of some waiting tasks to a claim.
+// addWaiting adds count of the waiting tasks to a claim.
 func (c *Claim) addWaiting(tasks WaitingTasks, count int) {
 	c.Want = c.Want.Plus(tasks.Size.Times(count))
 	c.SmallestTask = smallerTask(c.SmallestTask, tasks.Size)
@@ -137,8 +137,8 @@
 	}
 }
 
-// smallerTask returns the smaller of two sizes of tasks, by CPUs, then GPUs; a is zero if
-// there is only one.
+// smallerTask returns the smaller of two task sizes, compared by CPUs, then by GPUs. A zero a
+// stands for no size, and b is returned.
 func smallerTask(a, b Amount) Amount {
 	if a.IsZero() || b.CPUs < a.CPUs || b.CPUs == a.CPUs && b.GPUs < a.GPUs {
 		return b
@@ -146,8 +146,8 @@
 	return a
 }
 
-// addGuaranteed computes how much of each claim is guaranteed: within a team's own
-// guarantee, or within the shard's part of the guarantee of a group in this one.
+// addGuaranteed computes how much of each claim is guaranteed: by the guarantees of teams, or
+// by the shard's shares of the guarantees of the groups within the claim's group.
 func (b *claimBuilder) addGuaranteed(teams []TeamDemand) {
 	b.addTeamGuarantees(teams)
 	b.addGroupGuarantees(teams)
@@ -167,8 +167,8 @@
 	}
 }
 
-// addGroupGuarantees adds what is guaranteed of each group to the group around it, once for
-// each group, the innermost first.
+// addGroupGuarantees adds what is guaranteed in each group to its parent, once for each
+// group. Inner groups come first, since the parent's amount depends on theirs.
 func (b *claimBuilder) addGroupGuarantees(teams []TeamDemand) {
 	done := map[string]bool{}
 	for depth := range longestPath(teams) {
@@ -187,7 +187,7 @@
 	}
 }
 
-// longestPath returns how many groups the most deeply nested team is in.
+// longestPath returns the number of groups that the most deeply nested team is in.
 func longestPath(teams []TeamDemand) (longest int) {
 	for _, team := range teams {
 		longest = max(longest, len(team.Groups))
@@ -195,8 +195,8 @@
 	return longest
 }
 
-// guaranteeShare returns a shard's part of a group's guarantee, which is divided by what the
-// shards want, without regard to the sizes of tasks.
+// guaranteeShare returns a shard's share of a group's guarantee. The guarantee is divided by
+// what the shards want, without regard to task sizes.
 func (l *Ledger) guaranteeShare(group string, shard int, own Claim) Amount {
 	g := l.groups[group]
 	if g == nil || g.record.Guarantee.IsZero() {
--- a/quota/divide.go
+++ b/quota/divide.go
@@ -8,17 +8,18 @@
 
 // Claim is what a shard uses and wants of a group.
 type Claim struct {
-	// Used is the most that the shard's tasks could be using.
+	// Used is the most that the shard's tasks may be using.
 	Used Amount `cbor:"x"`
-	// Want is Used and what the waiting tasks would use.
+	// Want is the sum of Used and what the waiting tasks would use.
 	Want Amount `cbor:"w"`
-	// Guaranteed is how much of Want lies within guarantees: those of the teams, and those
-	// of groups within this one.
+	// Guaranteed is how much of Want is within the guarantees of teams and of groups within
+	// this group.
 	Guaranteed Amount `cbor:"u"`
-	// SmallestTask is what the smallest waiting task uses; less is of no use to the shard.
+	// SmallestTask is the size of the smallest waiting task. The shard cannot use a smaller
+	// increase of its allowance.
 	SmallestTask Amount `cbor:"p"`
-	// WaitingSinceMS is since when tasks have waited with none started, by the time of day of the
-	// shard's owner, in milliseconds since 1970; 0: none waits.
+	// WaitingSinceMS is when tasks began to wait with none started: the time of day at the
+	// shard's owner, in milliseconds since 1970. It is 0 if no task waits.
 	WaitingSinceMS int64 `cbor:"t,omitempty"`
 }
 
@@ -31,11 +32,11 @@
 	return c
 }
 
-// Divide returns how much of a limit the shard of each claim should have. Guaranteed claims
-// come first. What remains is divided evenly among those that want more (max-min
-// fairness), in steps of their smallest tasks. A claim that would otherwise have no task
-// running gets its smallest task ahead of what is not guaranteed, the one that has waited
-// for longest first.
+// Divide returns the fair share of each claim in a limit. Guaranteed claims come first. The
+// rest of the limit is divided evenly among the claims that want more (max-min fairness), in
+// whole tasks of their smallest size. If claims would neither run a task nor get a share for
+// one, the one of them that has waited longest gets its smallest task ahead of everything
+// that is not guaranteed.
 func Divide(limit Amount, claims []Claim) []Amount {
 	cpus := divideResource(limit.CPUs, claims, func(a Amount) float64 { return a.CPUs })
 	gpus := divideResource(limit.GPUs, claims, func(a Amount) float64 { return a.GPUs })
@@ -46,13 +47,14 @@
 	return out
 }
 
-// resourceClaim is a claim of one resource.
+// resourceClaim is the part of a Claim that concerns one resource.
 type resourceClaim struct {
 	used, want, smallestTask float64
 	sinceMS                  int64
 }
 
-// divideResource divides one resource, which of selects.
+// divideResource divides the limit of one resource among the claims. quantity selects the
+// resource of an amount.
 func divideResource(limit float64, all []Claim, quantity func(Amount) float64) []float64 {
 	want := make([]float64, len(all))
 	for i, c := range all {
@@ -85,8 +87,8 @@
 	return shares
 }
 
-// addEvenly adds to what is reserved for each an even part of what remains of a limit, up to
-// what each wants.
+// addEvenly returns the shares of all claims: what is reserved for each, plus an even share
+// of the rest of the limit, up to what the claim wants.
 func addEvenly(limit float64, reserved, want []float64) []float64 {
 	shares := make([]float64, len(reserved))
 	for i := range shares {
@@ -99,8 +101,8 @@
 	return shares
 }
 
-// maxMinFair divides an amount evenly, nobody getting more than it wants. It replaces what
-// each wants by what it gets.
+// maxMinFair divides an amount evenly (max-min fairness), with no claim getting more than it
+// wants. It replaces each element of wants by what the claim gets.
 func maxMinFair(amount float64, wants []float64) {
 	order := make([]int, len(wants))
 	for i := range order {
@@ -121,8 +123,8 @@
 	return total
 }
 
-// longestWithoutTask returns the index of the claim that has waited for longest of those that
-// neither run a task of their smallest size nor have a part for one; -1: there is none.
+// longestWithoutTask returns the index of the claim that has waited longest among those that
+// neither run a task of their smallest size nor have a share for one, or -1 if there is none.
 func longestWithoutTask(claims []resourceClaim, shares []float64) int {
 	longest := -1
 	for i, c := range claims {
@@ -138,9 +140,10 @@
 	return longest
 }
 
-// roundToTasks rounds the parts of claims that want more down to what they use and whole
-// tasks beside it. What that leaves goes to those that have least, and of these to those
-// that have waited for longest, again in whole tasks.
+// roundToTasks rounds the share of each claim that wants more down to what it uses plus a
+// whole number of its smallest tasks. It hands out the remainder in whole tasks, in rounds of
+// one task for each claim, beginning with the smallest share and, among equal shares, with
+// the claim that has waited longest.
 func roundToTasks(limit float64, claims []resourceClaim, shares []float64) {
 	var order []int
 	for i, c := range claims {
--- a/quota/doc.go
+++ b/quota/doc.go
@@ -1,28 +1,31 @@
 // Package quota enforces resource limits and guarantees of groups whose work is spread over
-// several controllers, without a write for each grant.
+// several controllers. A grant needs no write to a store.
 //
-// A group is a set of teams and of other groups, with a limit on what its tasks may use
+// A group is a set of teams and of other groups. It has a limit on what its tasks may use
 // together and, within the limit of its parent, a guarantee. The work is divided into
-// shards; each shard has one owner at a time, a controller, which alone starts its tasks.
+// shards. Each shard has one owner at a time: the only controller that starts its tasks.
 //
 // The limit of a group is divided into allowances, one for each shard (escrow). An owner
-// grants from the allowance of its shard without asking anybody. All allowances of a group
-// stand in one record in a store that the program provides, and change by conditional
-// writes of it: an increase counts once its write is confirmed, a reduction from the
-// moment that its write is sent. Their sum never grows beyond the limit.
+// grants from the allowance of its shard without asking any other controller. All
+// allowances of a group are stored in one record in a store that the program provides, and
+// change by conditional writes of that record. An owner uses an increased allowance only
+// after the write has been confirmed, and a reduced one from the moment that it sends the
+// write. The sum of the allowances never grows beyond the limit.
 //
-// Beside its allowance each owner publishes a claim: what its shard uses and wants, and
-// which part of that is guaranteed. From the claims Divide computes the part of the limit
-// that each shard should have, guaranteed claims first. Owners move their allowances
-// towards these parts. Claims steer; no limit depends on them, nor on any clock.
+// Beside the allowance of its shard, each owner publishes a claim: what the shard uses and
+// wants, and how much of that is guaranteed. From the claims, Divide computes the fair
+// share of each shard in the limit, guaranteed claims first. Owners move their allowances
+// towards the fair shares. Claims only affect how a limit is divided. That a limit is kept
+// depends neither on claims nor on clocks.
 //
 // Every change of a limit or of a definition begins a new epoch of the group. A limit is
-// announced once it stands in the record. It is in force once every shard has a row in
-// the record and the sum of the allowances is within the limit. Nothing that is in use is
-// given up for a lowered limit, but an owner that has seen the epoch grants no more than its
-// part. Only a guaranteed claim that has waited for some time has tasks of others stopped.
+// announced once it is stored in the record. It is in force once every shard has a row in
+// the record and the sum of the allowances is within the limit. A lowered limit does not
+// stop running tasks, but an owner that has seen the new epoch grants no more than the fair
+// share of its shard. Tasks are stopped only for a guaranteed claim of another shard that
+// has waited for Timing.ReclaimDelay.
 //
-// Ledger is the state machine of one controller: Step takes the time and one input and
-// returns what to write and read. It does no I/O, reads no clock and starts no goroutine.
-// Ledger.Sync drives it over a Store.
+// Ledger is the state machine of one controller. Step takes the time and one input, and
+// returns the writes and reads to carry out. It does no I/O, reads no clock and starts no
+// goroutine. Ledger.Sync carries out the writes and reads of Step on a Store.
 package quota
--- a/quota/ledger.go
+++ b/quota/ledger.go
@@ -10,29 +10,30 @@
 // Micros is a span of time, or a point on a steady clock, in whole microseconds.
 type Micros = micros.Micros
 
-// Instant is a reading of both clocks of a controller.
+// Instant is a reading of the two clocks of a controller.
 type Instant struct {
-	// Steady is the time by a clock that is never set.
+	// Steady is the time by a monotonic clock.
 	Steady Micros
-	// WallMS is the time of day in milliseconds since 1970. It orders claims by age and
-	// stands in records for people to read; no limit depends on it.
+	// WallMS is the time of day in milliseconds since 1970. It orders claims by age and is
+	// stored in records for people to read. That a limit is kept does not depend on it.
 	WallMS int64
 }
 
-// Timing holds the intervals of a Ledger. No limit depends on them.
+// Timing holds the intervals of a Ledger. That a limit is kept does not depend on them.
 type Timing struct {
-	// WriteInterval is the least time between two writes of one group's record.
+	// WriteInterval is the minimum time between two writes of one group's record.
 	WriteInterval Micros
-	// PublishInterval is the least time between two writes of a row that change its claim
-	// only.
+	// PublishInterval is the minimum time between two writes of a row that change only its
+	// claim.
 	PublishInterval Micros
-	// UnusedTimeout is how long an allowance may be unused before it is given up.
+	// UnusedTimeout is how long part of an allowance may be unused before it is given up.
 	UnusedTimeout Micros
-	// ExcessTimeout is how long after a lowered limit was first seen the other owners have
-	// to bring it into force, before this one gives up what they have not.
+	// ExcessTimeout is how long the other owners have, after a lowered limit was first
+	// seen, to reduce their allowances. After that this owner gives up the remaining excess
+	// from its own allowance, as far as it is unused.
 	ExcessTimeout Micros
 	// ReclaimDelay is how long a guaranteed claim waits before tasks are stopped for it,
-	// and the least time between two such stops.
+	// and the minimum time between two such stops.
 	ReclaimDelay Micros
 }
 
@@ -50,35 +51,35 @@
 
 // Config configures a Ledger.
 type Config struct {
-	// Shards is how many shards there are, numbered from 0.
+	// Shards is the number of shards, which are numbered from 0.
 	Shards int
 	Timing Timing
 }
 
-// Ledger is what one controller knows of all groups, and decides for the shards that it
-// owns. It is not safe for concurrent use.
+// Ledger holds what one controller knows of all groups, and decides on the allowances of the
+// shards that it owns. It is not safe for concurrent use.
 type Ledger struct {
 	cfg         Config
 	now         Instant
 	groups      map[string]*groupState
 	owned       map[int]*ownedShard
 	lastWriteID uint64
-	writes      map[uint64]sentWrite // without an outcome yet, by their ids
-	effects     []Effect             // of the present Step
+	writes      map[uint64]sentWrite // writes without an outcome yet, by ID
+	effects     []Effect             // of the current Step
 }
 
-// ownedShard is a shard whose owner this controller is.
+// ownedShard is a shard that this controller owns.
 type ownedShard struct {
-	// recordsRead is set once every record has been read after the shard was claimed, so
-	// that no write of a former owner can change its allowances any more.
+	// recordsRead is set once every record has been read after the shard was acquired. From
+	// then on no write of a former owner can change the shard's allowances.
 	recordsRead bool
 	usage       map[string]Usage // by group
 }
 
 // Usage is what a shard's tasks use and want of a group.
 type Usage struct {
-	// Exact is set if Claim.Used is exact. Otherwise some tasks may run on machines that
-	// are not known, and Used is an upper bound.
+	// Exact is set if Claim.Used is exact. Otherwise Used is an upper bound, since some
+	// tasks may run on machines whose state is not known.
 	Exact bool
 	Claim
 }
@@ -87,23 +88,23 @@
 type groupState struct {
 	name        string
 	record      Record
-	modRevision uint64 // of the record; 0: there is none
+	modRevision uint64 // of the record; 0 if there is none
 	epochSeenAt Micros // when the record's epoch was first seen
 
-	writeInFlight bool // a write has no outcome yet
+	writeInFlight bool // a write has been sent and has no outcome yet
 	nextWriteAt   Micros
-	// inDoubt are the writes that may have been carried out, or may be yet: those in flight
-	// and those of unknown outcome. Each is void once a record is known that is newer
-	// than the one that it was conditional on.
+	// inDoubt holds the writes that may have been carried out, or may still be: those in
+	// flight and those of unknown outcome. A write is no longer in doubt once a record is
+	// known that is newer than the one that the write was conditional on.
 	inDoubt     []sentWrite
-	setRequests []*setRequest // in the order of their arrival
+	setRequests []*setRequest // in the order of arrival
 
-	fairShares    []Amount // what the shard of each row should have, by Divide
+	fairShares    []Amount // of each row of the record, by Divide
 	shortage      shortage
 	guaranteeWait waitingTime
 	reclaimedAt   Micros         // when a Reclaim was last emitted
-	allowed       map[int]Amount // what each owned shard may use
-	unusedSince   map[int]Micros // since when part of a shard's allowance is unused
+	allowed       map[int]Amount // what each owned shard may use now
+	unusedSince   map[int]Micros // when part of a shard's allowance became unused
 	publishedAt   map[int]Micros // when a shard's row was last written
 }
 
@@ -117,8 +118,8 @@
 	}
 }
 
-// Step takes one input at an instant and returns its effects, in the order in which they
-// are to be carried out.
+// Step applies one input at an instant and returns the effects, in the order in which the
+// caller must carry them out.
 func (l *Ledger) Step(now Instant, in Input) []Effect {
 	l.now = now
 	l.handle(in)
@@ -158,13 +159,13 @@
 	}
 }
 
-// emit adds an effect to those of the present Step.
+// emit adds an effect to those of the current Step.
 func (l *Ledger) emit(e Effect) { l.effects = append(l.effects, e) }
 
 // names returns the names of all known groups, sorted.
 func (l *Ledger) names() []string { return slices.Sorted(maps.Keys(l.groups)) }
 
-// group returns the state of a group, which is made if there is none.
+// group returns the state of a group, and creates it if there is none.
 func (l *Ledger) group(name string) *groupState {
 	g := l.groups[name]
 	if g == nil {
@@ -179,8 +180,8 @@
 	return g
 }
 
-// exists reports whether the group has a record and was not removed.
+// exists reports whether the group has a record and has not been removed.
 func (g *groupState) exists() bool { return g.modRevision != 0 && !g.record.Removed }
 
-// hasLimit reports whether the group exists and bounds any resource.
+// hasLimit reports whether the group exists and its limit bounds any resource.
 func (g *groupState) hasLimit() bool { return g.exists() && g.record.Limit.Bounded() }
--- a/quota/messages.go
+++ b/quota/messages.go
@@ -7,37 +7,38 @@
 
 // Inputs of Ledger.Step.
 type (
-	// Tick passes the time only.
+	// Tick only lets the ledger act on the time that has passed.
 	Tick struct{}
-	// Learned is a group's record as a read or a watch returned it. A record that is older
-	// than the known one is ignored.
+	// Learned is a group's record as a read or a watch returned it. A record that is older than
+	// the known one is ignored.
 	Learned struct {
 		Group       string
 		Record      Record
 		ModRevision uint64
 	}
-	// ShardAcquired says that this controller has become the owner of a shard.
+	// ShardAcquired reports that this controller has become the owner of a shard.
 	ShardAcquired struct{ Shard int }
-	// RecordsRead says that all records have been read since the shard was claimed.
+	// RecordsRead reports that all records have been read since the shard was acquired.
 	RecordsRead struct{ Shard int }
-	// ShardReleased says that this controller no longer owns a shard.
+	// ShardReleased reports that this controller no longer owns a shard, for whatever reason.
 	ShardReleased struct{ Shard int }
-	// UsageReport is what a shard uses and wants, by group; see Ledger.Claims. The ledger keeps
-	// the map.
+	// UsageReport reports what a shard uses and wants, by group. Ledger.Claims computes it. The
+	// ledger keeps the map.
 	UsageReport struct {
 		Shard  int
 		Groups map[string]Usage
 	}
-	// WriteResult is the outcome of a Write.
+	// WriteResult reports the outcome of a Write.
 	WriteResult struct {
 		ID      uint64
 		Outcome Outcome
-		// ModRevision is the record's new one if the outcome is Applied.
+		// ModRevision is the new revision of the record if the outcome is Applied.
 		ModRevision uint64
 	}
-	// Announce makes the records agree with the options. Only the leader may send it.
+	// Announce brings the records into agreement with the options. Only the leader may send it.
 	Announce struct{ Definitions []Definition }
-	// SetLimit sets a group's limit by hand; a nil Limit clears it. SetDone answers it.
+	// SetLimit overrides a group's limit at an operator's request. A nil Limit clears the
+	// override. SetDone answers it.
 	SetLimit struct {
 		Token uint64
 		Group string
@@ -50,13 +51,13 @@
 
 // Outcomes of a Write.
 const (
-	// Unknown means that it may have been carried out, or may be yet.
+	// Unknown means that the write may have been carried out, or may still be.
 	Unknown Outcome = iota
-	// Applied means that it was carried out.
+	// Applied means that the write was carried out.
 	Applied
-	// Refused means that its conditions were not met.
+	// Refused means that the conditions of the write were not met.
 	Refused
-	// NotSent means that it was not carried out and never will be.
+	// NotSent means that the write was not carried out and never will be.
 	NotSent
 )
 
@@ -79,16 +80,15 @@
 
 // Effects of Ledger.Step.
 type (
-	// Write asks for a conditional write of a group's record. Its outcome must be returned
-	// exactly once, as Wrote.
+	// Write asks for a conditional write of a group's record. The caller must return its outcome
+	// exactly once, as a WriteResult.
 	Write struct {
 		ID    uint64
 		Group string
 		// ModRevision is the revision that the record must have when the write is carried
-		// out; 0: there must be no record.
+		// out. It is 0 if there must be no record.
 		ModRevision uint64
-		// Shards are the shards whose owner this controller must be when the write is
-		// carried out.
+		// Shards are the shards that this controller must own when the write is carried out.
 		Shards []int
 		// Leader is set if this controller must be the leader when the write is carried out.
 		Leader bool
@@ -96,8 +96,8 @@
 	}
 	// Read asks for a group's record to be read again.
 	Read struct{ Group string }
-	// Reclaim asks for tasks of a shard to be stopped, since a guaranteed claim has waited
-	// and the shard uses more of the group than its part. Over is by how much.
+	// Reclaim asks for tasks of a shard to be stopped, since a guaranteed claim has waited and
+	// the shard uses more of the group than its fair share. Excess is how much more.
 	Reclaim struct {
 		Shard  int
 		Group  string
@@ -107,7 +107,7 @@
 	Changed struct {
 		Kind     ChangeKind
 		Group    string
-		Shard    int // of Asked, Grown and Shrunk
+		Shard    int // of ClaimChanged, Grown and Shrunk
 		From, To Amount
 		Epoch    uint64
 		Limit    Limit
@@ -126,31 +126,32 @@
 
 // Kinds of changes.
 const (
-	// ClaimChanged means that the claim of an own shard has changed, but not its allowance.
+	// ClaimChanged means that the claim of an owned shard has changed, but not its allowance.
 	ClaimChanged ChangeKind = "asking"
 	// Grown means that an allowance has grown.
 	Grown ChangeKind = "growing"
 	// Shrunk means that an allowance has been reduced.
 	Shrunk ChangeKind = "shrinking"
-	// Announced means that a limit or a definition stands in the record.
+	// Announced means that a new limit or definition is stored in the record.
 	Announced ChangeKind = "announcing"
-	// InForce means that another limit is in force.
+	// InForce means that a different limit is now in force.
 	InForce ChangeKind = "in force"
 )
 
-// SetStatus is the outcome of a Set.
+// SetStatus is the outcome of a SetLimit.
 type SetStatus int
 
-// Outcomes of a Set.
+// Outcomes of a SetLimit.
 const (
-	// SetAnnounced means that the limit stands in the record.
+	// SetAnnounced means that the limit is stored in the record.
 	SetAnnounced SetStatus = iota
 	// SetNoGroup means that there is no such group.
 	SetNoGroup
-	// SetConflict means that the group was changed meanwhile, by the leader or another operator.
+	// SetConflict means that the leader or another operator changed the group after the request
+	// came.
 	SetConflict
-	// SetBusy means that the limit was not written, since the store did not answer in time or other
-	// writes came first again and again.
+	// SetBusy means that the limit was not written in time, because the store did not answer or
+	// other writes kept coming first.
 	SetBusy
 )
 
--- a/quota/plan.go
+++ b/quota/plan.go
@@ -5,10 +5,11 @@
 	"slices"
 )
 
-// shortage names the resources of which some shards lack more of their parts than is free.
+// shortage holds the resources for which the shards together lack more of their fair shares
+// than is free.
 type shortage struct{ cpus, gpus bool }
 
-// zeroUnlessShort returns a with zero for each resource zeroUnlessShort which there is no shortage.
+// zeroUnlessShort returns a with zero for each resource that is not short.
 func (s shortage) zeroUnlessShort(a Amount) Amount {
 	if !s.cpus {
 		a.CPUs = 0
@@ -19,17 +20,17 @@
 	return a
 }
 
-// waitingTime says whether something waits, and since when.
+// waitingTime tells whether a claim waits, and since when.
 type waitingTime struct {
 	waits bool
 	since Micros
 }
 
-// longerThan reports whether it has waited for at least d.
+// longerThan reports whether the claim has waited for at least d.
 func (w waitingTime) longerThan(d, now Micros) bool { return w.waits && now >= w.since+d }
 
-// plan updates what this controller's shards may use of a group, and writes those of their
-// rows that have to change.
+// plan updates what this controller's shards may use of a group, and sends a write of the
+// shards' rows if any has changed enough.
 func (l *Ledger) plan(g *groupState) {
 	clear(g.allowed)
 	if !g.hasLimit() {
@@ -45,12 +46,12 @@
 	l.sendRows(g, next, changed)
 	for _, shard := range changed {
 		g.publishedAt[shard] = l.now.Steady
-		g.allowed[shard] = l.effectiveAllowance(g, shard) // a reduction counts from now on
+		g.allowed[shard] = l.effectiveAllowance(g, shard) // a reduction applies once its write is sent
 	}
 }
 
-// updateRows updates the rows of own shards in the next record, and returns the shards
-// that are worth a write.
+// updateRows updates the rows of owned shards in the next record. It returns the shards for
+// which the record must be written.
 func (l *Ledger) updateRows(g *groupState, next *Record) (changed []int) {
 	for _, shard := range slices.Sorted(maps.Keys(l.owned)) {
 		usage, known := l.currentUsage(g, shard)
@@ -59,8 +60,8 @@
 		}
 		l.reclaim(g, shard, usage)
 		update := l.updateRow(g, shard, usage, next)
-		// While a reduction is in doubt, nobody can use what it gives up. Any newer write
-		// ends the doubt.
+		// While a reduction is in doubt, no shard can use the amount that it gives up. Any
+		// newer write resolves the doubt.
 		if update || g.reductionInDoubt(shard) {
 			changed = append(changed, shard)
 		}
@@ -68,7 +69,7 @@
 	return changed
 }
 
-// updateAllowed computes what each own shard may use.
+// updateAllowed computes what each owned shard may use.
 func (l *Ledger) updateAllowed(g *groupState) {
 	for shard, s := range l.owned {
 		if s.recordsRead {
@@ -77,8 +78,8 @@
 	}
 }
 
-// currentUsage returns what an own shard uses of a group; known is false before the shard's
-// use and all records are known, and for shards of others.
+// currentUsage returns what an owned shard uses of a group. known is false for a shard that is
+// not owned, before its use has been reported, and before all records have been read.
 func (l *Ledger) currentUsage(g *groupState, shard int) (usage Usage, known bool) {
 	s := l.owned[shard]
 	if s == nil || !s.recordsRead {
@@ -88,7 +89,8 @@
 	return usage, known
 }
 
-// computeFairShares computes the part of each row, and what is short.
+// computeFairShares computes the fair share of each row, the shortage, and whether a
+// guaranteed claim waits.
 func (l *Ledger) computeFairShares(g *groupState) {
 	limit := g.record.Limit.Amount()
 	claims := l.currentClaims(g)
@@ -112,8 +114,8 @@
 	}
 }
 
-// currentClaims returns the claim of each row: the present one of own shards, the recorded one of
-// others, within the limit.
+// currentClaims returns the claim of each row, with Want cut to the limit: the current claim
+// of an owned shard, and the recorded one of any other.
 func (l *Ledger) currentClaims(g *groupState) []Claim {
 	limit := g.record.Limit.Amount()
 	claims := make([]Claim, len(g.record.Rows))
@@ -127,8 +129,8 @@
 	return claims
 }
 
-// updateRow updates a shard's row in the next record, and reports whether it is worth a
-// write.
+// updateRow updates a shard's row in the next record, and reports whether the row has changed
+// enough for a write.
 func (l *Ledger) updateRow(g *groupState, shard int, usage Usage, next *Record) bool {
 	claim := usage.Claim.zeroWhereUnbounded(g.record.Limit)
 	i := next.RowIndex(shard)
@@ -144,28 +146,28 @@
 	row.Allowance = l.targetAllowance(g, shard, claim, usage.Exact, next)
 	exceeded := usage.Exact && !claim.Used.Within(before.Allowance)
 	if exceeded && !row.Allowance.Within(before.Allowance) {
-		next.LastInForce = nil // a controller that does not know of groups has granted more
+		next.LastInForce = nil // a controller of a release without groups has granted more
 	}
 	row.Claim = claim
 	row.SeenEpoch = next.Epoch
 	if l.worthWriting(g, before, *row) {
 		return true
 	}
-	*row = before // the write of another shard's row must not change this one
+	*row = before // a write for another shard must leave this row as it is
 	return false
 }
 
-// register adds the row of a shard that has none to the next record.
+// register adds a row to the next record for a shard that has none.
 func (g *groupState) register(shard int, claim Claim, next *Record) {
 	next.Rows = append(next.Rows, Row{Shard: shard, Allowance: claim.Used, Claim: claim, SeenEpoch: next.Epoch})
 	if !claim.Used.Within(g.record.Free()) {
-		next.LastInForce = nil // it uses what others may have been granted
+		next.LastInForce = nil // it uses quota that may be in the allowances of other shards
 	}
 }
 
-// targetAllowance returns what a shard's targetAllowance should be. It never leaves less than what is
-// in use, and grows within what is free in the next record only, unless the shard uses
-// more than its targetAllowance already.
+// targetAllowance returns what a shard's allowance should become. It is never less than what
+// is in use. It grows only by what is free in the next record, unless the shard already uses
+// more than its allowance.
 func (l *Ledger) targetAllowance(g *groupState, shard int, claim Claim, exact bool, next *Record) Amount {
 	i := g.record.RowIndex(shard)
 	current := next.Rows[next.RowIndex(shard)].Allowance
@@ -176,7 +178,7 @@
 	capped := g.cappedAllowance(shard, current)
 	if excess := next.Excess(); !excess.IsZero() {
 		if l.now.Steady >= g.epochSeenAt+l.cfg.Timing.ExcessTimeout {
-			capped = capped.Min(current.Minus(excess)) // others have not given up theirs
+			capped = capped.Min(current.Minus(excess)) // other owners have not reduced theirs in time
 		}
 		return capped.Max(used)
 	}
@@ -191,8 +193,8 @@
 	return l.withoutUnused(g, shard, current, used.Max(claim.Want))
 }
 
-// withoutUnused returns what a shard has, without what it has not needed for
-// Timing.UnusedTimeout.
+// withoutUnused returns a shard's current allowance, reduced to what the shard needs once
+// part of the allowance has been unused for Timing.UnusedTimeout.
 func (l *Ledger) withoutUnused(g *groupState, shard int, current, needed Amount) Amount {
 	if current.Minus(needed).IsZero() {
 		delete(g.unusedSince, shard)
@@ -209,8 +211,9 @@
 	return current.Min(needed)
 }
 
-// reclaim asks for tasks of a shard to be stopped where it uses more than its part, beyond
-// what is guaranteed to it, and a guaranteed claim has waited for long enough.
+// reclaim asks for tasks of a shard to be stopped if a guaranteed claim has waited for
+// Timing.ReclaimDelay and the shard uses more of a short resource than both its fair share
+// and what is guaranteed to it.
 func (l *Ledger) reclaim(g *groupState, shard int, usage Usage) {
 	i := g.record.RowIndex(shard)
 	delay := l.cfg.Timing.ReclaimDelay
--- a/quota/publish.go
+++ b/quota/publish.go
@@ -1,12 +1,12 @@
 package quota
 
-// claimSteps is the number of steps into which a group's limit of CPUs is divided; claims
-// that differ by less than one step are not distinguished.
+// claimSteps is the number of steps into which a group's CPU limit is divided. A claim that
+// changes by no more than one step is not written again, which saves writes.
 const claimSteps = 20
 
-// worthWriting reports whether a row has changed enough for a write: its allowance, the
-// epoch that its owner has seen, or, at intervals of Timing.PublishInterval, a claim that
-// would change how the limit is divided.
+// worthWriting reports whether a row has changed enough for a write: its allowance or the
+// epoch that its owner has seen has changed, or the claim has changed in a way that affects
+// how the limit is divided. The last counts only once Timing.PublishInterval has passed.
 func (l *Ledger) worthWriting(g *groupState, before, after Row) bool {
 	if !after.Allowance.Equal(before.Allowance) || after.SeenEpoch != before.SeenEpoch {
 		return true
@@ -17,8 +17,8 @@
 	return claimAffectsDivision(g.record.Limit.Amount(), before, after)
 }
 
-// claimAffectsDivision reports whether a row's claim has changed enough to change how the limit is
-// divided. The claim of a shard that has what it wants changes nothing.
+// claimAffectsDivision reports whether a row's claim has changed enough to affect how the
+// limit is divided. While a shard has all that it wants, changes of its claim do not.
 func claimAffectsDivision(limit Amount, before, after Row) bool {
 	lacks := !after.Claim.Want.Min(limit).Within(after.Allowance)
 	lacked := !before.Claim.Want.Min(limit).Within(before.Allowance)
@@ -38,7 +38,8 @@
 }
 
 // differByStep reports whether two amounts, cut to a limit, differ by more than one step of
-// its CPUs, or at all in GPUs. Of CPUs that are not bounded no difference counts.
+// its CPUs, or at all in GPUs. If the limit does not bound CPUs, differences in CPUs are
+// ignored.
 func differByStep(limit, a, b Amount) bool {
 	a = a.Min(limit)
 	b = b.Min(limit)
--- a/quota/record.go
+++ b/quota/record.go
@@ -2,22 +2,23 @@
 
 import "slices"
 
-// Definition is what operators configure of a group: its members and what they may use.
+// Definition is what operators configure for a group: its members, its guarantee and its
+// limit.
 type Definition struct {
 	Name   string   `cbor:"-"`
 	Parent string   `cbor:"p,omitempty"`
 	Teams  []string `cbor:"t,omitempty"`
-	// Members are the teams of the group and of all groups within it, sorted. A record
-	// names all whom it binds, since the records of other groups may be read later or not
-	// at all.
+	// Members are the teams of the group and of all groups within it, sorted. A record lists
+	// all teams that it binds, since a controller may read the records of other groups later or
+	// not at all.
 	Members   []string `cbor:"n,omitempty"`
 	Guarantee Amount   `cbor:"u"`
 	Limit     Limit    `cbor:"l"`
-	// Scheduled is set while Limit follows from a schedule.
+	// Scheduled is set while Limit comes from a schedule.
 	Scheduled bool `cbor:"-"`
 }
 
-// equalExceptLimit reports whether two definitions differ in their limits at most.
+// equalExceptLimit reports whether two definitions are equal apart from their limits.
 func (d Definition) equalExceptLimit(o Definition) bool {
 	return d.Parent == o.Parent &&
 		slices.Equal(d.Teams, o.Teams) &&
@@ -25,7 +26,7 @@
 		d.Guarantee == o.Guarantee
 }
 
-// Source is where a limit comes from.
+// Source tells where a limit comes from.
 type Source string
 
 // Sources of a limit.
@@ -40,10 +41,10 @@
 	Shard int `cbor:"s"`
 	// Allowance is the most that the shard's tasks may use.
 	Allowance Amount `cbor:"a"`
-	// Claim is what the owner of the shard claimed at its last write.
+	// Claim is what the shard's owner claimed at the last write of the row.
 	Claim Claim `cbor:"w"`
-	// SeenEpoch is the latest epoch that the owner has seen. It grants nothing above the limit
-	// of that epoch.
+	// SeenEpoch is the latest epoch that the owner has seen. The owner grants nothing above the
+	// limit of that epoch.
 	SeenEpoch uint64 `cbor:"e,omitempty"`
 }
 
@@ -53,26 +54,26 @@
 	// Epoch increases with every change of the limit or the definition.
 	Epoch uint64 `cbor:"e"`
 	// LastInForce is the limit that was last in force. It is nil if none has been yet, or if a
-	// shard has used more than its allowance, as an owner that does not know of groups may.
+	// shard has used more than its allowance, which an owner of a release without groups may do.
 	LastInForce *Limit `cbor:"f,omitempty"`
-	// Override is a limit that an operator has set by hand. It takes precedence over the
-	// options until it is cleared; nil: there is none.
+	// Override is a limit that an operator has set. It takes precedence over the options until
+	// it is cleared. It is nil if there is none.
 	Override *Limit `cbor:"o,omitempty"`
 	Source   Source `cbor:"y"`
-	// Removed is set for a group that is no longer in the options and bounds nothing.
+	// Removed is set for a group that is no longer in the options. It bounds nothing.
 	Removed bool `cbor:"x,omitempty"`
-	// AnnouncedMS is when the epoch began, by the time of day of its writer, in
+	// AnnouncedMS is when the epoch began: the time of day at the controller that wrote it, in
 	// milliseconds since 1970.
 	AnnouncedMS int64 `cbor:"m"`
 	Rows        []Row `cbor:"r,omitempty"`
 }
 
-// RowIndex returns the index in Rows of a shard's row, or -1.
+// RowIndex returns the index in Rows of a shard's row, or -1 if there is none.
 func (r *Record) RowIndex(shard int) int {
 	return slices.IndexFunc(r.Rows, func(row Row) bool { return row.Shard == shard })
 }
 
-// allowance returns the allowance of a shard; ok is false if it has no row.
+// allowance returns the allowance of a shard. ok is false if the shard has no row.
 func (r *Record) allowance(shard int) (allowance Amount, ok bool) {
 	i := r.RowIndex(shard)
 	if i < 0 {
@@ -90,18 +91,18 @@
 	return sum
 }
 
-// Free returns what of the limit is in no allowance.
+// Free returns the part of the limit that is in no allowance.
 func (r *Record) Free() Amount { return r.Limit.Amount().Minus(r.TotalAllowance()) }
 
-// Exceeded reports whether the sum of the allowances exceeds the limit: it has been
-// lowered and is not in force yet.
+// Exceeded reports whether the sum of the allowances exceeds the limit, as it may after the
+// limit has been lowered. The limit is not in force then.
 func (r *Record) Exceeded() bool { return !r.Excess().IsZero() }
 
 // Excess returns by how much the sum of the allowances exceeds the limit.
 func (r *Record) Excess() Amount { return r.TotalAllowance().Minus(r.Limit.Amount()) }
 
-// Complete reports whether each of that many shards has a row. The use of one without a
-// row is not known.
+// Complete reports whether each of the given number of shards has a row. What a shard
+// without a row uses is not known.
 func (r *Record) Complete(shards int) bool {
 	for s := range shards {
 		if r.RowIndex(s) < 0 {
@@ -111,10 +112,10 @@
 	return true
 }
 
-// InForce reports whether the limit is in force in a cluster of that many shards.
+// InForce reports whether the limit is in force in a cluster with the given number of shards.
 func (r *Record) InForce(shards int) bool { return r.Complete(shards) && !r.Exceeded() }
 
-// updateLastInForce sets Applied to the limit if it is in force.
+// updateLastInForce sets LastInForce to the limit if the limit is in force.
 func (r *Record) updateLastInForce(shards int) {
 	if r.InForce(shards) {
 		limit := r.Limit
@@ -122,12 +123,13 @@
 	}
 }
 
-// dropRows removes all rows: what each shard uses has to be registered again before the
-// limit can be in force.
+// dropRows removes all rows. The use of each shard must be registered again before the limit
+// can be in force.
 func (r *Record) dropRows() { r.Rows, r.LastInForce = nil, nil }
 
-// setLimit begins a new epoch with a limit. Grants of a resource that becomes bounded have
-// not been checked against any allowance so far, so all rows are dropped.
+// setLimit sets the limit and begins a new epoch. If the limit bounds a resource that the old
+// one did not, it drops all rows: earlier grants of that resource have not been checked
+// against any allowance.
 func (r *Record) setLimit(limit Limit, source Source) {
 	if limit.boundsNewResource(r.Limit) {
 		r.dropRows()
@@ -137,7 +139,7 @@
 	r.Epoch++
 }
 
-// clone returns a copy whose slices can be changed.
+// clone returns a copy that shares no Rows, Teams or Members with the original.
 func (r Record) clone() Record {
 	c := r
 	c.Rows = slices.Clone(r.Rows)
--- a/quota/schedule.go
+++ b/quota/schedule.go
@@ -4,34 +4,36 @@
 	"fmt"
 	"strings"
 	"time"
-	_ "time/tzdata" // zones by name on machines without a list of them
+	_ "time/tzdata" // for machines without a time zone database
 
 	"github.com/teambition/rrule-go"
 )
 
-// window is a recurring window of time in which a limit replaces the group's own.
+// window is a recurring time window in which a limit replaces the group's own.
 //
-// It begins and ends at times on a wall clock. A time that is skipped as clocks are put
-// forward is taken as if they had not been: 02:30 in a skipped hour is half an hour after
-// the skip. Of a time that comes twice, the first instant is taken for a beginning and the
-// second for an end, so that a window is never shorter than its operator wrote.
+// A window begins and ends at times on a wall clock. A time that is skipped because clocks are
+// put forward is read by the offset from before the change: 02:30 in a skipped hour is half an
+// hour after the change. If a time occurs twice because clocks are put back, the window begins
+// at its first occurrence and ends at its second, so that a window is never shorter than the
+// operator specified.
 type window struct {
-	rule     *rrule.RRule // the days on which it begins, as dates in UTC
+	rule     *rrule.RRule // the days on which the window begins, at midnight UTC
 	zone     *time.Location
 	from, to clockTime
 	limit    Limit
 }
 
-// clockTime is a time of the day.
+// clockTime is a time of day.
 type clockTime struct{ hour, minute int }
 
-// minutes returns the time in minutes since midnight.
+// minutes returns the time of day in minutes since midnight.
 func (c clockTime) minutes() int { return c.hour*60 + c.minute }
 
-// shownAt reports whether a clock shows this time at t, in the zone of t.
+// shownAt reports whether a clock in the time zone of t shows this time of day at t.
 func (c clockTime) shownAt(t time.Time) bool { return t.Hour() == c.hour && t.Minute() == c.minute }
 
-// newWindow checks the options of a schedule, whose keys begin with key.
+// newWindow checks the options of a schedule and returns its window. key is the prefix of the
+// options' names in an OptionError.
 func newWindow(key string, o ScheduleOptions) (*window, error) {
 	if err := CheckLimit(key+"limit", o.Limit); err != nil {
 		return nil, err
@@ -55,7 +57,8 @@
 	return &window{rule: rule, zone: zone, from: from, to: to, limit: o.Limit}, nil
 }
 
-// parseZone returns a zone by its name. The zone of the machine has none.
+// parseZone returns a time zone by its name. It refuses the local zone of the machine, which
+// may differ between controllers.
 func parseZone(key, name string) (*time.Location, error) {
 	zone, err := time.LoadLocation(name)
 	if err != nil || name == "" || name == "Local" {
@@ -72,10 +75,10 @@
 	return clockTime{t.Hour(), t.Minute()}, nil
 }
 
-// scheduleStart is the first day of a rule that names none.
+// scheduleStart is the first day of a rule without a DTSTART.
 var scheduleStart = time.Date(2020, time.January, 1, 0, 0, 0, 0, time.UTC)
 
-// parseRule returns a recurrence rule (RFC 5545) of days, which are dates in UTC.
+// parseRule returns a recurrence rule (RFC 5545) of days. A day is a date at midnight UTC.
 func parseRule(key, text string) (*rrule.RRule, error) {
 	quoted := fmt.Sprintf("%q", text)
 	option, err := rrule.StrToROption(text)
@@ -96,14 +99,14 @@
 	return rule, nil
 }
 
-// dateOf returns the date of t as midnight UTC.
+// dateOf returns the date of t, in the zone of t, as midnight UTC.
 func dateOf(t time.Time) time.Time {
 	y, m, d := t.Date()
 	return time.Date(y, m, d, 0, 0, 0, 0, time.UTC)
 }
 
-// contains reports whether t lies in the window: it has begun on the day of t or the day
-// before, and has not ended.
+// contains reports whether t is in the window. A window that contains t begins on the day of t
+// or on the day before.
 func (w *window) contains(t time.Time) bool {
 	today := dateOf(t.In(w.zone))
 	yesterday := today.AddDate(0, 0, -1)
@@ -119,7 +122,7 @@
 	return false
 }
 
-// startingOn returns the beginning and end of the window that begins startingOn a day.
+// startingOn returns the beginning and the end of the window that begins on a day.
 func (w *window) startingOn(day time.Time) (begin, end time.Time) {
 	lastDay := day
 	if w.to.minutes() <= w.from.minutes() {
@@ -130,7 +133,8 @@
 	return begin, end
 }
 
-// instants returns the first and the last instant at which clocks show a time on a day.
+// instants returns the first and the last instant at which clocks show a time of day on a day.
+// Both are the same unless the time occurs twice.
 func (w *window) instants(day time.Time, c clockTime) (first, last time.Time) {
 	y, m, d := day.Date()
 	t := time.Date(y, m, d, c.hour, c.minute, 0, 0, w.zone)
@@ -139,7 +143,7 @@
 		return skipped, skipped
 	}
 	first, last = t, t
-	// Clocks are put back by an hour nearly everywhere, by half of one on Lord Howe.
+	// Clocks are put back by one hour nearly everywhere, and by half an hour on Lord Howe Island.
 	for _, shift := range []time.Duration{-time.Hour, -30 * time.Minute, 30 * time.Minute, time.Hour} {
 		other := t.Add(shift)
 		if !c.shownAt(other.In(w.zone)) {
@@ -155,8 +159,8 @@
 	return first, last
 }
 
-// skippedInstant returns the instant for a time that is skipped on a day, by the offset of
-// the zone before the skip. near is within an hour or so of it.
+// skippedInstant returns the instant of a time of day that is skipped on a day, by the zone's
+// offset before clocks were put forward. near is an instant within about an hour of it.
 func (w *window) skippedInstant(day time.Time, c clockTime, near time.Time) time.Time {
 	const beforeSkip = -6 * time.Hour
 	_, offsetSeconds := near.Add(beforeSkip).Zone()
--- a/quota/set.go
+++ b/quota/set.go
@@ -2,24 +2,24 @@
 
 import "garnethitch/internal/micros"
 
-// setRequest is an operator's Set that has no outcome yet.
+// setRequest is a SetLimit that has no outcome yet.
 type setRequest struct {
 	SetLimit
 	attemptsLeft   int
-	epochAtArrival uint64 // of the record when the request came
+	epochAtArrival uint64 // epoch of the record when the request came
 	expiresAt      Micros
 }
 
 const (
-	// maxSetAttempts is how often the limit of a Set is written if writes of allowances
+	// maxSetAttempts is how often the limit of a SetLimit is written while writes of allowances
 	// come first.
 	maxSetAttempts = 20
-	// setTimeout is how long a Set may wait. It is shorter than its operator's time-out, so
-	// that none is carried out after a later one.
+	// setTimeout is how long a SetLimit may wait. It is shorter than the timeout of the operator
+	// who sent it, so that a request is never carried out after a later one.
 	setTimeout = 4 * micros.Second
 )
 
-// queueSetRequest takes an operator's request.
+// queueSetRequest queues an operator's request, or answers it at once if there is no such group.
 func (l *Ledger) queueSetRequest(in SetLimit) {
 	g := l.groups[in.Group]
 	if g == nil || !g.exists() {
@@ -34,9 +34,9 @@
 	})
 }
 
-// processSetRequests answers the operators' requests of a group that have an outcome, and writes the
-// next one. A limit that the record has already is written as well: a write in doubt may
-// say something else, and is void after it.
+// processSetRequests answers the queued requests of a group that have an outcome, and writes
+// the limit of the first that has none. It also writes a limit that the record already has: a
+// write in doubt may set another limit, and can no longer be carried out after this one.
 func (l *Ledger) processSetRequests(g *groupState) {
 	for len(g.setRequests) > 0 && !g.writeInFlight {
 		r := g.setRequests[0]
@@ -54,9 +54,9 @@
 	}
 }
 
-// setStatus returns the outcome of a request, if it has one without another write. If the
-// group has changed since the request came, the request fails, unless the change is its
-// own: a write whose answer was lost.
+// setStatus returns the outcome of a request that needs no further write; done is false if it
+// needs one. A request fails if the group has changed since it came, unless the change is an
+// earlier write of the request itself whose answer was lost.
 func (l *Ledger) setStatus(g *groupState, r *setRequest) (status SetStatus, done bool) {
 	attempted := r.attemptsLeft < maxSetAttempts
 	switch {
@@ -72,7 +72,7 @@
 	return SetBusy, false
 }
 
-// matches reports whether a record has the limit of the request.
+// matches reports whether a record has the override that the request asks for.
 func (r *setRequest) matches(record *Record) bool {
 	if record.Override == nil || r.Limit == nil {
 		return record.Override == nil && r.Limit == nil
@@ -80,8 +80,8 @@
 	return record.Override.Equal(*r.Limit)
 }
 
-// sendSetRequest writes the limit of a request. Where it clears an override, the limit stays until
-// the leader announces that of the options.
+// sendSetRequest sends a write of the request's limit. If the request clears an override, the
+// limit stays as it is until the leader announces the limit of the options.
 func (l *Ledger) sendSetRequest(g *groupState, r *setRequest) {
 	record := g.record.clone()
 	record.Override = r.Limit
@@ -95,8 +95,8 @@
 	l.sendOverride(g, record, r)
 }
 
-// handleSetOutcome answers a request whose write was carried out, and puts any other
-// back at the head of the queue.
+// handleSetOutcome answers a request whose write was carried out. A request whose write had
+// another outcome returns to the head of the queue.
 func (l *Ledger) handleSetOutcome(g *groupState, r *setRequest, outcome Outcome) {
 	if outcome == Applied {
 		l.emit(SetDone{Token: r.Token, Status: SetAnnounced, Epoch: r.epochAtArrival + 1})
--- a/quota/status.go
+++ b/quota/status.go
@@ -1,13 +1,13 @@
 package quota
 
-// GroupStatus is the status of a group, for operators.
+// GroupStatus is the status of a group, as shown to operators.
 type GroupStatus struct {
 	Name     string   `json:"name" msgpack:"n"`
 	Parent   string   `json:"parent,omitempty" msgpack:"p,omitempty"`
 	Teams    []string `json:"teams,omitempty" msgpack:"t,omitempty"`
 	Limit    Limit    `json:"limit" msgpack:"l"`
 	Override *Limit   `json:"override,omitempty" msgpack:"o,omitempty"`
-	// LastInForce is the limit that was last in force; nil: none. See Record.
+	// LastInForce is the limit that was last in force, or nil. See Record.LastInForce.
 	LastInForce *Limit `json:"in_force,omitempty" msgpack:"f,omitempty"`
 	Source      Source `json:"source" msgpack:"y"`
 	Epoch       uint64 `json:"epoch" msgpack:"e"`
@@ -26,29 +26,29 @@
 // States of a limit.
 const (
 	StateInForce   State = "in force"
-	StateAnnounced State = "announced" // stands in the record, but is not in force yet
+	StateAnnounced State = "announced" // stored in the record, but not in force yet
 	StateRemoved   State = "removed"   // the group is no longer in the options
 )
 
-// Blocker names a shard that keeps a limit from being in force.
+// Blocker is a shard that keeps a limit from coming into force.
 type Blocker struct {
 	Shard  int           `json:"share" msgpack:"s"`
 	Owner  string        `json:"owner,omitempty" msgpack:"o,omitempty"`
 	Reason BlockerReason `json:"reason" msgpack:"r"`
 }
 
-// BlockerReason is why a shard keeps a limit from being in force, for operators to read.
+// BlockerReason is why a shard keeps a limit from coming into force, as shown to operators.
 type BlockerReason string
 
-// Reasons of a HeldUp.
+// Reasons of a Blocker.
 const (
 	NotRegistered   BlockerReason = "its use is not known yet"
 	NotAcknowledged BlockerReason = "its owner has not seen the limit yet"
 	StillUsed       BlockerReason = "its tasks use more than its part"
 )
 
-// ShardStatus is the status of one shard of a group. Seen is the latest epoch that its owner
-// has seen. Ledger leaves Owner empty, here and in HeldUp.
+// ShardStatus is the status of one shard of a group. SeenEpoch is the latest epoch that the
+// shard's owner has seen. Ledger leaves Owner empty, here and in Blocker.
 type ShardStatus struct {
 	Shard     int    `json:"share" msgpack:"s"`
 	Owner     string `json:"owner,omitempty" msgpack:"o,omitempty"`
@@ -58,7 +58,7 @@
 	SeenEpoch uint64 `json:"seen_epoch" msgpack:"e"`
 }
 
-// Status returns the status of all groups that have a record, by name.
+// Status returns the status of all groups that have a record, sorted by name.
 func (l *Ledger) Status() []GroupStatus {
 	var out []GroupStatus
 	for _, name := range l.names() {
@@ -112,7 +112,7 @@
 	return StateAnnounced
 }
 
-// lent returns the part of a group's guarantee that is neither in its own allowances nor
+// lent returns the part of a group's guarantee that is neither in the group's allowances nor
 // free in its parent.
 func (l *Ledger) lent(r *Record) Amount {
 	parent := l.groups[r.Parent]
@@ -122,8 +122,8 @@
 	return r.Guarantee.Minus(r.TotalAllowance()).Minus(parent.record.Free())
 }
 
-// shardStatus returns the status of a row, with the present use of a shard that is owned
-// here and the recorded one of another.
+// shardStatus returns the status of a row. If this controller owns the shard and its use has
+// been reported, the status has the current use, otherwise the recorded one.
 func (l *Ledger) shardStatus(g *groupState, row Row) ShardStatus {
 	claim := row.Claim
 	if s := l.owned[row.Shard]; s != nil {
@@ -140,7 +140,8 @@
 	}
 }
 
-// blockerReason returns why the shard of row i keeps the limit from being in force, if it does.
+// blockerReason returns why the shard of row i keeps the limit from coming into force. heldUp
+// is false if the shard does not.
 func (g *groupState) blockerReason(i int) (reason BlockerReason, heldUp bool) {
 	row := g.record.Rows[i]
 	switch {
@@ -152,8 +153,8 @@
 	return "", false
 }
 
-// zeroUnlimited returns a with zero for each resource that is unlimited, which JSON can't
-// represent.
+// zeroUnlimited returns a with zero for each resource that is unlimited, since JSON cannot
+// represent infinity.
 func zeroUnlimited(a Amount) Amount {
 	if a.CPUs == Unlimited.CPUs {
 		a.CPUs = 0
--- a/quota/store.go
+++ b/quota/store.go
@@ -2,19 +2,21 @@
 
 import "fmt"
 
-// Store holds the records of groups. A write is carried out only if the record has the
-// revision that it names, and its writer owns the shards, or is the leader, as it says.
+// Store holds the records of groups. It carries out a write only if the record has the revision
+// that the write names, and the writer owns the shards that the write names and, if Write.Leader
+// is set, is the leader.
 type Store interface {
-	// Read returns a group's record and its revision; 0: there is none.
+	// Read returns a group's record and its revision, which is 0 if there is no record.
 	Read(group string) (record Record, modRevision uint64, err error)
-	// Write carries a write out and returns the record's new revision; ok is false if its
-	// conditions are not met. After an error it may have been carried out or not.
+	// Write carries out a write and returns the record's new revision. ok is false if the
+	// conditions of the write are not met. After an error the write may or may not have been
+	// carried out.
 	Write(Write) (modRevision uint64, ok bool, err error)
 }
 
-// Sync takes one input and carries its effects out on a store, as well as those that
-// follow from them. It returns the effects that are left to the caller: Reclaim, Changed
-// and SetDone. An error is that of a read; those of writes count as outcome Unknown.
+// Sync applies one input and carries out the effects on a store, including those that follow
+// from the results. It returns the effects that are left to the caller: Reclaim, Changed and
+// SetDone. The error is that of a failed read. A failed write counts as outcome Unknown.
 func (l *Ledger) Sync(now Instant, in Input, store Store) ([]Effect, error) {
 	var rest []Effect
 	pending := l.Step(now, in)
@@ -40,7 +42,7 @@
 	return rest, nil
 }
 
-// writeTo carries a write out on a store and returns its outcome.
+// writeTo carries out a write on a store and returns its outcome.
 func writeTo(store Store, w Write) WriteResult {
 	modRevision, ok, err := store.Write(w)
 	switch {
--- a/quota/tree.go
+++ b/quota/tree.go
@@ -8,23 +8,24 @@
 	"time"
 )
 
-// Tree is a valid set of groups.
+// Tree is a valid set of groups, as configured.
 type Tree struct {
 	groups []*configuredGroup
 	byName map[string]*configuredGroup
 }
 
-// configuredGroup is a configuredGroup of the options.
+// configuredGroup is a group of the options with its parsed schedule.
 type configuredGroup struct {
 	GroupOptions
 	windows []*window
 }
 
-// maxNameLength bounds a group's name, in bytes; it is part of a key of the store.
+// maxNameLength bounds the length of a group's name in bytes, since the name is part of a key
+// of the store.
 const maxNameLength = 60
 
-// NewTree checks the options and returns the groups. teams are the teams that exist. It
-// returns an OptionError for the first option that can't be used.
+// NewTree checks the options and returns the groups. teams are the names of all existing teams.
+// The error is an *OptionError for the first invalid option.
 func NewTree(options Options, teams []string) (*Tree, error) {
 	t := &Tree{byName: map[string]*configuredGroup{}}
 	for i, o := range options.Groups {
@@ -44,10 +45,10 @@
 	return t, nil
 }
 
-// groupKey returns the key of the group at index i of the options.
+// groupKey returns the key, in errors, of the group at index i of the options.
 func groupKey(i int) string { return fmt.Sprintf("quota.groups[%d]", i) }
 
-// add checks what concerns one group alone, and adds it.
+// add checks the options of one group apart from its relations to others, and adds the group.
 func (t *Tree) add(key string, o GroupOptions) error {
 	if !validName(o.Name) {
 		want := fmt.Sprintf("letters, digits, '-', '_' or '.', %d at most", maxNameLength)
@@ -104,7 +105,7 @@
 	return &OptionError{key, v, "a finite number of at least 0"}
 }
 
-// checkTeams checks that each team exists and is in one group at most.
+// checkTeams checks that each team exists and is in at most one group.
 func (t *Tree) checkTeams(teams []string) error {
 	groupOf := map[string]string{}
 	for i, g := range t.groups {
@@ -122,7 +123,7 @@
 	return nil
 }
 
-// checkParents checks that the parents exist and that no group is within itself.
+// checkParents checks that each parent exists and that the parents form no cycle.
 func (t *Tree) checkParents() error {
 	for i, g := range t.groups {
 		key := groupKey(i) + ".parent"
@@ -136,7 +137,8 @@
 	return nil
 }
 
-// inCycle reports whether a group is within itself or within such a group.
+// inCycle reports whether following the parents of a group never ends: the group or one around
+// it is within itself.
 func (t *Tree) inCycle(g *configuredGroup) bool {
 	ancestor := g
 	for range t.groups {
@@ -148,8 +150,8 @@
 	return true
 }
 
-// checkGuarantees checks that each group's guarantee is a part of a parent's limit and within
-// its own limit, and that its limit is at least the guarantees of the groups in it.
+// checkGuarantees checks that only groups with a parent have a guarantee, that each guarantee is
+// within the group's own limits, and that each limit covers the guarantees of the groups in it.
 func (t *Tree) checkGuarantees() error {
 	for i, g := range t.groups {
 		guarantee := Amount(g.Guarantee)
@@ -171,7 +173,7 @@
 	return nil
 }
 
-// limits returns the group's limit and those of its schedule.
+// limits returns the group's own limit and the limits of its schedule.
 func (g *configuredGroup) limits() []Limit {
 	out := []Limit{g.Limit}
 	for _, s := range g.Schedule {
@@ -190,10 +192,10 @@
 	return sum
 }
 
-// Has reports whether a group is in the options. A nil Tree has none.
+// Has reports whether a group is configured. A nil Tree has no groups.
 func (t *Tree) Has(name string) bool { return t != nil && t.byName[name] != nil }
 
-// Names returns the names of the groups, in the order of the options. A nil Tree has none.
+// Names returns the names of the groups, in the order of the options. A nil Tree has no groups.
 func (t *Tree) Names() (names []string) {
 	if t == nil {
 		return nil
@@ -204,7 +206,7 @@
 	return names
 }
 
-// Definitions returns the groups with the limits that they have at a time of day.
+// Definitions returns the groups with the limits that apply at a time.
 func (t *Tree) Definitions(at time.Time) []Definition {
 	var out []Definition
 	for _, g := range t.groups {
@@ -213,8 +215,8 @@
 	return out
 }
 
-// definition returns the group with its limit at a time of day: that of the first window
-// that contains it, or else the group's own.
+// definition returns the group with the limit that applies at a time: that of the first window
+// that contains the time, or else the group's own.
 func (g *configuredGroup) definition(at time.Time) Definition {
 	d := Definition{
 		Name:      g.Name,
--- a/quota/writes.go
+++ b/quota/writes.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// sentWrite is a write that was sent.
+// sentWrite is a write that has been sent.
 type sentWrite struct {
 	id          uint64
 	group       string
@@ -12,15 +12,15 @@
 	request     *setRequest // of a writeOverride
 }
 
-// writeKind is what a write of a record is for.
+// writeKind is the purpose of a write.
 type writeKind int
 
 const (
-	// writeRows changes rows of own shards.
+	// writeRows changes the rows of owned shards.
 	writeRows writeKind = iota
-	// writeAnnouncement changes the definition or the limit, by the options of the leader.
+	// writeAnnouncement changes the definition or the limit to that of the leader's options.
 	writeAnnouncement
-	// writeOverride changes the limit, by the request of an operator.
+	// writeOverride changes the limit at the request of an operator.
 	writeOverride
 )
 
@@ -34,20 +34,22 @@
 	l.send(g, sentWrite{kind: writeRows, record: record}, shards)
 }
 
-// sendAnnouncement sends a record whose definition or limit has changed by the options.
+// sendAnnouncement sends a record whose definition or limit has been changed to that of the
+// options.
 func (l *Ledger) sendAnnouncement(g *groupState, record Record) {
 	record.AnnouncedMS = l.now.WallMS
 	l.send(g, sentWrite{kind: writeAnnouncement, record: record}, nil)
 }
 
-// sendOverride sends a record whose limit has changed by the request of an operator.
+// sendOverride sends a record whose limit or override has been changed at the request of an
+// operator.
 func (l *Ledger) sendOverride(g *groupState, record Record, request *setRequest) {
 	record.AnnouncedMS = l.now.WallMS
 	l.send(g, sentWrite{kind: writeOverride, record: record, request: request}, nil)
 }
 
-// send sends a write of a group's record, on the condition that the known one stands and
-// this controller owns the given shards.
+// send sends a write of a group's record, on the condition that the known record is still the
+// stored one and that this controller owns the given shards.
 func (l *Ledger) send(g *groupState, w sentWrite, shards []int) {
 	l.lastWriteID++
 	w.id = l.lastWriteID
@@ -67,7 +69,7 @@
 	})
 }
 
-// handleWriteOutcome takes the outcome of a write.
+// handleWriteOutcome applies the outcome of a write.
 func (l *Ledger) handleWriteOutcome(result WriteResult) {
 	w, ok := l.writes[result.ID]
 	if !ok {
@@ -81,7 +83,7 @@
 	case Applied:
 		g.removeInDoubt(w.id)
 		l.reportChanges(g, w)
-		l.learn(w.group, w.record, result.ModRevision) // ignored if a newer one has come first
+		l.learn(w.group, w.record, result.ModRevision) // ignored if a newer record is known already
 	case Refused, NotSent:
 		const retriesPerInterval = 4
 		g.removeInDoubt(w.id)
@@ -100,8 +102,8 @@
 	g.inDoubt = slices.DeleteFunc(g.inDoubt, func(w sentWrite) bool { return w.id == id })
 }
 
-// learn takes a group's record, unless a newer one is known. A write that was conditional
-// on an older record has been carried out by now or never will be.
+// learn takes over a group's record, unless a newer one is known. A write that was conditional
+// on an older record has been carried out by now or never will be, so it leaves inDoubt.
 func (l *Ledger) learn(name string, record Record, modRevision uint64) {
 	g := l.group(name)
 	if modRevision <= g.modRevision {
@@ -120,22 +122,22 @@
 	}
 }
 
-// reportChanges emits what a write that was carried out has changed.
+// reportChanges emits the changes that a write has made.
 func (l *Ledger) reportChanges(g *groupState, w sentWrite) {
 	if w.kind != writeRows {
 		l.emit(Changed{Kind: Announced, Group: g.name, Epoch: w.record.Epoch, Limit: w.record.Limit, Source: w.record.Source})
 		return
 	}
 	if w.modRevision != g.modRevision {
-		return // the record that it has replaced is not known any more
+		return // the record that the write replaced is no longer known
 	}
 	for _, row := range w.record.Rows {
 		l.reportRowChange(g, &w.record, row)
 	}
 }
 
-// reportRowChange emits what has changed of a shard's row. Another claim is reported for
-// own shards only.
+// reportRowChange emits what has changed in a shard's row. A change of the claim alone is
+// reported for owned shards only.
 func (l *Ledger) reportRowChange(g *groupState, record *Record, row Row) {
 	var before Row
 	if i := g.record.RowIndex(row.Shard); i >= 0 {
