--- a/quota/publish.go
+++ b/quota/publish.go
@@ -1,7 +1,7 @@
 package quota
 
 // claimSteps is the number of steps into which a group's CPU limit is divided. A claim that
-// changes by no more than one step is not written again, which saves writes.
+// changes by no more than one step is not written again.
 const claimSteps = 20
 
 // worthWriting reports whether a row has changed enough for a write: its allowance or the
--- a/quota/schedule.go
+++ b/quota/schedule.go
@@ -58,7 +58,7 @@
 }
 
 // parseZone returns a time zone by its name. It refuses the local zone of the machine, which
-// may differ between controllers.
+// has no name of its own.
 func parseZone(key, name string) (*time.Location, error) {
 	zone, err := time.LoadLocation(name)
 	if err != nil || name == "" || name == "Local" {
@@ -70,7 +70,7 @@
 func parseClock(key, text string) (clockTime, error) {
 	t, err := time.Parse("15:04", text)
 	if err != nil {
-		return clockTime{}, &OptionError{key, fmt.Sprintf("%q", text), "a time of the day, HH:MM"}
+		return clockTime{}, &OptionError{key, fmt.Sprintf("%q", text), "a time of day, HH:MM"}
 	}
 	return clockTime{t.Hour(), t.Minute()}, nil
 }
@@ -86,7 +86,7 @@
 		return nil, &OptionError{key, quoted, "a recurrence rule (RFC 5545), such as FREQ=MONTHLY;BYMONTHDAY=1"}
 	}
 	if option.Freq > rrule.DAILY {
-		return nil, &OptionError{key, quoted, "days: FREQ=DAILY, WEEKLY, MONTHLY or YEARLY"}
+		return nil, &OptionError{key, quoted, "a rule for days: FREQ=DAILY, WEEKLY, MONTHLY or YEARLY"}
 	}
 	if option.Dtstart.IsZero() {
 		option.Dtstart = scheduleStart
--- a/quota/status.go
+++ b/quota/status.go
@@ -95,7 +95,7 @@
 		if st.State != StateAnnounced || !r.Exceeded() {
 			continue
 		}
-		if reason, heldUp := g.blockerReason(i); heldUp {
+		if reason, blocks := g.blockerReason(i); blocks {
 			st.Blockers = append(st.Blockers, Blocker{Shard: shard, Reason: reason})
 		}
 	}
@@ -140,9 +140,9 @@
 	}
 }
 
-// blockerReason returns why the shard of row i keeps the limit from coming into force. heldUp
+// blockerReason returns why the shard of row i keeps the limit from coming into force. blocks
 // is false if the shard does not.
-func (g *groupState) blockerReason(i int) (reason BlockerReason, heldUp bool) {
+func (g *groupState) blockerReason(i int) (reason BlockerReason, blocks bool) {
 	row := g.record.Rows[i]
 	switch {
 	case row.SeenEpoch < g.record.Epoch:
--- a/quota/tree.go
+++ b/quota/tree.go
@@ -51,11 +51,11 @@
 // add checks the options of one group apart from its relations to others, and adds the group.
 func (t *Tree) add(key string, o GroupOptions) error {
 	if !validName(o.Name) {
-		want := fmt.Sprintf("letters, digits, '-', '_' or '.', %d at most", maxNameLength)
+		want := fmt.Sprintf("letters, digits, '-', '_' or '.', at most %d characters", maxNameLength)
 		return &OptionError{key + ".name", fmt.Sprintf("%q", o.Name), want}
 	}
 	if t.byName[o.Name] != nil {
-		return &OptionError{key + ".name", o.Name, "a name used once"}
+		return &OptionError{key + ".name", o.Name, "a name that no other group has"}
 	}
 	if err := CheckLimit(key+".limit", o.Limit); err != nil {
 		return err
@@ -112,10 +112,10 @@
 		for k, team := range g.Teams {
 			key := fmt.Sprintf("%s.teams[%d]", groupKey(i), k)
 			if !slices.Contains(teams, team) {
-				return &OptionError{key, team, "a team of the settings"}
+				return &OptionError{key, team, "a team that exists in the settings"}
 			}
 			if other, ok := groupOf[team]; ok {
-				return &OptionError{key, team, "a team in one group; it is in " + other + " already"}
+				return &OptionError{key, team, "a team that is listed only once; it is in " + other + " already"}
 			}
 			groupOf[team] = g.Name
 		}
@@ -128,10 +128,10 @@
 	for i, g := range t.groups {
 		key := groupKey(i) + ".parent"
 		if g.Parent != "" && t.byName[g.Parent] == nil {
-			return &OptionError{key, g.Parent, "a group of this file"}
+			return &OptionError{key, g.Parent, "the name of a group in this file"}
 		}
 		if t.inCycle(g) {
-			return &OptionError{key, g.Parent, "no group that is within this one"}
+			return &OptionError{key, g.Parent, "a group that is not within this one"}
 		}
 	}
 	return nil
@@ -157,7 +157,7 @@
 		guarantee := Amount(g.Guarantee)
 		text := fmt.Sprintf("%g CPUs, %g GPUs", guarantee.CPUs, guarantee.GPUs)
 		if g.Parent == "" && !guarantee.IsZero() {
-			return &OptionError{groupKey(i) + ".guarantee", text, "none for a group without a parent: there is no limit to have a part of"}
+			return &OptionError{groupKey(i) + ".guarantee", text, "no guarantee for a group without a parent, since there is no limit to guarantee a part of"}
 		}
 		inner := t.guaranteedIn(g.Name)
 		for _, limit := range g.limits() {
@@ -165,7 +165,7 @@
 				return &OptionError{groupKey(i) + ".guarantee", text, "at most the group's own limit, " + limit.String()}
 			}
 			if !inner.Within(limit.Amount()) {
-				want := fmt.Sprintf("at least the guarantees of the groups in it, %g CPUs and %g GPUs", inner.CPUs, inner.GPUs)
+				want := fmt.Sprintf("at least the sum of the guarantees of the groups in it, %g CPUs and %g GPUs", inner.CPUs, inner.GPUs)
 				return &OptionError{groupKey(i) + ".limit", limit.String(), want}
 			}
 		}
