--- a/quota/harness_test.go
+++ b/quota/harness_test.go
@@ -5,13 +5,13 @@
 // stepInterval is how much time passes before each input of a test.
 const stepInterval = sec
 
-// The groups of a harness; inner may have outer as its parent.
+// The groups of a harness. The parent of inner may be outer.
 const (
 	innerGroup = "inner"
 	outerGroup = "outer"
 )
 
-// harness is a ledger that owns shard 0 of two, and records what it writes and answers.
+// harness is a ledger that owns shard 0 of two shards, and records the effects of its steps.
 type harness struct {
 	ledger *Ledger
 	now    Instant
@@ -19,8 +19,8 @@
 	done   []SetDone
 }
 
-// newHarness returns a harness whose ledger has read the record of the inner group, and of
-// the outer one if given.
+// newHarness returns a harness whose ledger has read the record of the inner group and, if
+// given, of the outer group.
 func newHarness(inner Record, outer ...Record) *harness {
 	h := &harness{ledger: NewLedger(Config{Shards: 2, Timing: DefaultTiming()})}
 	h.step(ShardAcquired{Shard: 0})
@@ -49,7 +49,7 @@
 }
 
 // claims returns what the shard claims if a team uses some CPUs of the inner group and has
-// some tasks of one CPU waiting.
+// some tasks of one CPU each waiting.
 func (h *harness) claims(used, waiting int) map[string]Usage {
 	team := TeamDemand{Groups: h.ledger.Path("t"), Used: Amount{CPUs: float64(used)}}
 	if waiting > 0 {
@@ -62,7 +62,8 @@
 	h.step(UsageReport{Shard: 0, Groups: h.claims(used, waiting)})
 }
 
-// requireAllowed fails the test if the shard may use something else of the inner group.
+// requireAllowed fails the test unless the shard may use exactly the given CPUs of the inner
+// group.
 func (h *harness) requireAllowed(t *testing.T, when string, cpus float64) {
 	t.Helper()
 	if got := h.ledger.Allowed(0, innerGroup).CPUs; got != cpus {
@@ -70,7 +71,7 @@
 	}
 }
 
-// requireWrites stops the test if another number of writes has been sent.
+// requireWrites stops the test unless exactly count writes have been sent.
 func (h *harness) requireWrites(t *testing.T, when string, count int) {
 	t.Helper()
 	if len(h.writes) != count {
@@ -78,7 +79,7 @@
 	}
 }
 
-// row returns the row of a shard whose tasks need one CPU.
+// row returns the row of a shard whose tasks use one CPU each.
 func row(shard int, allowance, want float64, seen uint64) Row {
 	return Row{
 		Shard:     shard,
@@ -88,7 +89,7 @@
 	}
 }
 
-// recordInForce returns the record of a group of team t whose limit is in force.
+// recordInForce returns the record of a group whose only team is t and whose limit is in force.
 func recordInForce(cpus float64, rows ...Row) Record {
 	limit := CPULimit(cpus)
 	return Record{
--- a/quota/simulated_controller_test.go
+++ b/quota/simulated_controller_test.go
@@ -1,24 +1,25 @@
 package quota
 
-// simulatedController is one controller of a world.
+// simulatedController is one controller of a simulated world.
 type simulatedController struct {
 	world *world
 	id    int
-	// ledger is nil while no process runs; incarnation counts the processes and their ends.
+	// ledger is nil while no process runs. incarnation increases whenever a process starts or
+	// ends, so that callbacks of an earlier process can be recognised.
 	ledger      *Ledger
 	incarnation int
-	shards      map[int]uint64 // that it believes to own, with the revisions of their owner keys
-	definitions []Definition   // its options, where they differ from the others'
+	shards      map[int]uint64 // shards that it believes it owns, with the revisions of their owner keys
+	definitions []Definition   // its options if they differ from those of the others, or nil
 
-	cutOffUntil       Micros // from the store
+	cutOffUntil       Micros // until when it does not reach the store
 	watchStalledUntil Micros
-	leaseUntil        Micros // until then it may grant
+	leaseUntil        Micros // when its right to grant ends
 	nextUsageReportAt Micros
-	clockDriftPPM     int64 // by how much its steady clock runs fast
+	clockDriftPPM     int64 // how fast its steady clock runs
 }
 
-// usageReportInterval is how often a ledger is told what its shards use; grants go on
-// meanwhile.
+// usageReportInterval is the time between two usage reports to a ledger. Grants continue
+// between them.
 const usageReportInterval = 250 * ms
 
 func (c *simulatedController) cutOff() bool { return c.world.now < c.cutOffUntil }
@@ -31,21 +32,21 @@
 	c.leaseUntil = c.world.now + leaseDuration
 	for shard := range c.world.owners {
 		if owner := &c.world.owners[shard]; owner.controller == c.id {
-			owner.controller = noOwner // the former process has ended
+			owner.controller = noOwner // the earlier process has ended
 		}
 	}
 }
 
-// stop ends the process, and begins another after a time. Its shards are claimed once its
-// lease is over.
+// stop ends the process and starts another after restartAfter. If that takes longer than the
+// lease, other controllers acquire its shards once the lease has expired.
 func (c *simulatedController) stop(restartAfter Micros) {
 	c.incarnation++
 	c.ledger = nil
 	c.world.after(restartAfter, c.start)
 }
 
-// renewLease renews the lease of a controller that reaches the store. One that finds that
-// it was over releases its shards.
+// renewLease renews the lease of a controller that reaches the store. A controller that finds
+// its lease expired releases its shards first.
 func (c *simulatedController) renewLease() {
 	if c.ledger == nil || c.cutOff() {
 		return
@@ -56,7 +57,7 @@
 	c.leaseUntil = c.world.now + leaseDuration
 }
 
-// releaseShards releases all shards, whatever is on its way.
+// releaseShards releases all shards, even while writes of the controller are in flight.
 func (c *simulatedController) releaseShards() {
 	for shard := range c.world.owners {
 		modRevision, owned := c.shards[shard]
@@ -70,14 +71,14 @@
 	}
 }
 
-// dropShard has the ledger dropShard a shard.
+// dropShard tells the ledger that the controller no longer owns a shard.
 func (c *simulatedController) dropShard(shard int) {
 	delete(c.shards, shard)
 	c.step(ShardReleased{Shard: shard})
 }
 
-// readAllRecords is the end of a claim: all records are read, or the shard is dropped if
-// the store is not reached.
+// readAllRecords completes the acquisition of a shard: it reads all records, or gives up the
+// shard if the store cannot be reached.
 func (c *simulatedController) readAllRecords(shard int) {
 	if c.cutOff() {
 		c.world.owners[shard].controller = noOwner
@@ -90,12 +91,13 @@
 	c.step(RecordsRead{Shard: shard})
 }
 
-// learn has the ledger learn a record.
+// learn gives a record to the ledger.
 func (c *simulatedController) learn(group string, stored storedRecord) {
 	c.step(Learned{Group: group, Record: stored.record.clone(), ModRevision: stored.modRevision})
 }
 
-// act grants what fits, reports what is used, and announces the options if it leads.
+// act grants waiting tasks that fit, reports usage, and announces the options if the controller
+// is the leader. Without a valid lease it neither grants nor announces.
 func (c *simulatedController) act() {
 	w := c.world
 	if c.ledger == nil {
@@ -138,7 +140,7 @@
 	c.step(Announce{Definitions: definitions})
 }
 
-// grant starts the waiting tasks of a shard that fit.
+// grant starts the waiting tasks of a shard that fit into its allowances.
 func (c *simulatedController) grant(shard int) {
 	w := c.world
 	w.addDemand(shard)
@@ -149,7 +151,7 @@
 	}
 }
 
-// mayStart reports whether a task is within the allowances of all groups around it.
+// mayStart reports whether a task fits into the shard's allowances of all groups around it.
 func (c *simulatedController) mayStart(t *simulatedTask) bool {
 	fits := true
 	for _, group := range c.world.enclosingGroups(t.group) {
@@ -173,8 +175,7 @@
 	w.after(w.randomTaskDuration(), func() { w.finish(t) })
 }
 
-// reportUsage reports to the ledger what a shard uses and wants. Each group has a team of
-// its own.
+// reportUsage reports to the ledger what a shard uses and wants. Each group has one team.
 func (c *simulatedController) reportUsage(shard int) {
 	var teams []TeamDemand
 	for _, d := range c.world.definitions {
@@ -202,14 +203,15 @@
 	return team
 }
 
-// instant returns the controller's clocks.
+// instant returns the time by the controller's clocks.
 func (c *simulatedController) instant() Instant {
 	const million = 1_000_000
 	drift := Micros(int64(c.world.now) * c.clockDriftPPM / million)
 	return Instant{Steady: c.world.now + drift, WallMS: c.world.now.Millis()}
 }
 
-// step gives the ledger an input, and carries its effects out with delays and losses.
+// step gives an input to the ledger and carries out the effects, with the delays and losses of
+// the simulation.
 func (c *simulatedController) step(in Input) {
 	if c.ledger == nil {
 		return
--- a/quota/simulated_faults_test.go
+++ b/quota/simulated_faults_test.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// startFaults has faults happen from one time to another, and ends all of them at a third.
+// startFaults injects faults at random times between from and to. At allEndAt it ends all faults
+// and restores the options.
 func (w *world) startFaults(from, to, allEndAt Micros) {
 	definitions := w.definitions
 	for at := from; at < to; at += w.randomDuration(500*ms, 4*sec) {
@@ -18,10 +19,10 @@
 	})
 }
 
-// injectFault draws one fault, or a change of a limit, and causes it.
+// injectFault injects a random fault or changes a limit.
 func (w *world) injectFault() {
 	c := w.controllers[w.rng.IntN(len(w.controllers))]
-	const kinds = 8 // the last ones change a limit
+	const kinds = 8 // the kinds without a case below change a limit
 	switch w.rng.IntN(kinds) {
 	case 0:
 		if c.ledger != nil {
@@ -44,7 +45,7 @@
 	}
 }
 
-// cutOffAll cuts all controllers off from the store, mostly for longer than a lease.
+// cutOffAll cuts all controllers off from the store, in most cases for longer than a lease.
 func (w *world) cutOffAll() {
 	until := w.now + w.randomDuration(sec, 6*sec)
 	for _, c := range w.controllers {
@@ -52,8 +53,8 @@
 	}
 }
 
-// changeOptions gives one controller options that differ from the others' for a while: another
-// limit, and possibly fewer groups.
+// changeOptions gives one controller different options for a while: another limit, and
+// possibly fewer groups.
 func (c *simulatedController) changeOptions() {
 	w := c.world
 	c.definitions = slices.Clone(w.definitions)
@@ -62,8 +63,8 @@
 	w.after(w.randomDuration(sec, 10*sec), func() { c.definitions = nil })
 }
 
-// changeLimit draws another limit for a group, and possibly one more before that is in
-// force.
+// changeLimit gives a random group a random limit, and in some cases another one shortly
+// after, possibly before the first is in force.
 func (w *world) changeLimit() {
 	group := w.definitions[w.rng.IntN(len(w.definitions))].Name
 	setAnother := func() {
--- a/quota/simulated_store_test.go
+++ b/quota/simulated_store_test.go
@@ -1,17 +1,19 @@
 package quota
 
-// writeTimeout is after how long a write that was not answered has an unknown outcome.
+// writeTimeout is how long a controller waits for the response to a write. After that the
+// outcome is unknown.
 const writeTimeout = sec
 
-// fencedWrite is a write with the conditions on its writer, as of when it was sent.
+// fencedWrite is a write together with the ownership and leadership of its sender when it was
+// sent. The store refuses the write if these have changed.
 type fencedWrite struct {
 	Write
 	sender *simulatedController
-	owned  map[int]uint64 // the shards' owner keys and their revisions
+	owned  map[int]uint64 // revisions of the owner keys, by shard
 	leads  bool
 }
 
-// write sends a write to the store.
+// write sends a write to the store. It may be carried out late, and its response may be lost.
 func (c *simulatedController) write(e Write) {
 	w := c.world
 	sent := fencedWrite{Write: e, sender: c, owned: map[int]uint64{}, leads: w.leader == c.id}
@@ -26,7 +28,7 @@
 	}
 	timeOut := func() { w.after(writeTimeout, func() { done(Unknown, 0) }) }
 	if c.cutOff() {
-		if w.chance(0.3) { // carried out after the cut
+		if w.chance(0.3) { // carried out after the connection returns
 			w.after(c.cutOffUntil-w.now+w.randomDuration(0, 4*sec), func() { w.apply(sent) })
 		}
 		timeOut()
@@ -39,7 +41,7 @@
 			return
 		}
 		modRevision, applied := w.apply(sent)
-		if w.plan.storeFaults && w.chance(0.05) { // the answer is lost
+		if w.plan.storeFaults && w.chance(0.05) { // the response is lost
 			timeOut()
 			return
 		}
@@ -51,7 +53,7 @@
 	})
 }
 
-// apply carries a write out if its conditions are met.
+// apply carries out a write if its conditions are met.
 func (w *world) apply(e fencedWrite) (modRevision uint64, applied bool) {
 	stored := w.store[e.Group]
 	leads := e.leads && w.leader == e.sender.id
@@ -74,7 +76,7 @@
 	return w.revision, true
 }
 
-// watch brings a group's present record to a controller, in its time.
+// watch delivers a group's present record to a controller after a delay.
 func (c *simulatedController) watch(group string) {
 	w := c.world
 	stored := w.store[group]
@@ -93,7 +95,7 @@
 	})
 }
 
-// read reads a group's record.
+// read reads a group's record, once the controller reaches the store.
 func (c *simulatedController) read(group string) {
 	w := c.world
 	incarnation := c.incarnation
--- a/quota/simulated_tasks_test.go
+++ b/quota/simulated_tasks_test.go
@@ -2,14 +2,14 @@
 
 import "slices"
 
-// simulatedTask is a task that runs, or waits, in a shard.
+// simulatedTask is a running or waiting task of a shard.
 type simulatedTask struct {
 	shard     int
-	group     string // the innermost that it is in
+	group     string // the innermost group of the task
 	size      float64
 	running   bool
-	since     Micros // since when it runs or waits
-	fitsSince Micros // since when it has fitted beside free quota; 0: it does not fit
+	since     Micros // when it began to run or to wait
+	fitsSince Micros // since when free quota has had room for it; 0: there is no room
 }
 
 // inGroup reports whether a task counts in a group.
@@ -17,10 +17,10 @@
 	return slices.Contains(w.enclosingGroups(t.group), group)
 }
 
-// allShards has used sum over all of them.
+// allShards makes usedCPUs add up all shards.
 const allShards = -1
 
-// usedCPUs returns what the tasks of a shard use of a group, in CPUs.
+// usedCPUs returns the CPUs that the tasks of a shard use in a group.
 func (w *world) usedCPUs(shard int, group string) (sum float64) {
 	for _, t := range w.tasks {
 		if t.running && (shard == allShards || t.shard == shard) && w.inGroup(t, group) {
@@ -30,7 +30,7 @@
 	return sum
 }
 
-// addDemand adds waiting tasks to a shard, up to its demand.
+// addDemand adds waiting tasks to a shard until waitingPerShard of them wait.
 func (w *world) addDemand(shard int) {
 	waiting := 0
 	for _, t := range w.tasks {
@@ -64,14 +64,14 @@
 	return w.randomDuration(100*ms, longest)
 }
 
-// finish ends a task, unless it has ended.
+// finish ends a task, unless it has ended already.
 func (w *world) finish(t *simulatedTask) {
 	if i := slices.Index(w.tasks, t); i >= 0 {
 		w.tasks = slices.Delete(w.tasks, i, i+1)
 	}
 }
 
-// stopTasks stops what a Reclaim asks for.
+// stopTasks stops enough tasks for a Reclaim, each after a short delay.
 func (w *world) stopTasks(e Reclaim) {
 	over := e.Excess.CPUs
 	for _, t := range slices.Clone(w.tasks) {
--- a/quota/simulated_world_test.go
+++ b/quota/simulated_world_test.go
@@ -16,9 +16,9 @@
 // leaseDuration is how long a controller may grant after it last reached the store.
 const leaseDuration = 3 * sec
 
-// world is a simulation of several controllers that grant from groups over one store,
-// through losses, delays, ends and changes of limits. check is called after every change,
-// and knows nothing of Ledger.
+// world simulates several controllers that grant quota of groups whose records are in one
+// store. Messages are lost or delayed, processes end, and limits change. Its checks run after
+// every change, on the simulated tasks and the store alone: they do not rely on Ledger.
 type world struct {
 	plan   worldPlan
 	rng    *rand.Rand
@@ -26,11 +26,11 @@
 	events eventqueue.Queue
 	config Config
 
-	definitions []Definition // of the options of all controllers
+	definitions []Definition // the options of all controllers
 	store       map[string]storedRecord
-	revision    uint64           // the last of the store
+	revision    uint64           // the latest of the store
 	owners      []simulatedOwner // by shard
-	leader      int              // a controller's id
+	leader      int              // the ID of a controller
 	controllers []*simulatedController
 	tasks       []*simulatedTask
 
@@ -38,22 +38,23 @@
 	writes      int
 	changes     map[ChangeKind]int
 	violations  []string
-	longestWait Micros // the longest that a fitting task waited beside free quota
+	longestWait Micros // the longest time that a task waited although free quota had room for it
 }
 
-// worldPlan is what a world consists of, and for how long.
+// worldPlan describes a simulation: its size, its load and its duration.
 type worldPlan struct {
-	controllers int // and as many shards
+	controllers int // also the number of shards
 	duration    Micros
-	// storeFaults has writes delayed and answers lost.
+	// storeFaults lets the store carry out writes late and lose responses.
 	storeFaults bool
-	// taskSizes are the CPUs that tasks use; each is as likely.
+	// taskSizes are the CPUs that a task may use, all equally likely.
 	taskSizes []float64
-	// waitingPerShard is how many tasks wait in each shard, until demandEnds before the end.
+	// waitingPerShard is how many tasks are kept waiting in each shard, until
+	// demandEndsBeforeEnd before the end of the simulation.
 	waitingPerShard int
-	// maxTaskDuration is how long a task runs at most; 0: defaultLongestTask.
+	// maxTaskDuration is how long a task runs at most. 0 means defaultMaxTaskDuration.
 	maxTaskDuration Micros
-	// wantedGroups are those in which a shard has tasks; nil: all.
+	// wantedGroups returns the groups in which a shard has tasks. nil means all groups.
 	wantedGroups func(shard int, now Micros) []string
 }
 
@@ -62,18 +63,18 @@
 	defaultMaxTaskDuration = 2 * sec
 )
 
-// storedRecord is a record in the store. Its revision is 0 if there is none.
+// storedRecord is a record in the store. Its revision is 0 if the group has no record.
 type storedRecord struct {
 	record      Record
 	modRevision uint64
 }
 
-// noOwner stands for the controller of a shard that nobody owns.
+// noOwner stands for the controller of a shard without an owner.
 const noOwner = -1
 
-// simulatedOwner is the owner of a shard by the store.
+// simulatedOwner is the owner of a shard according to the store.
 type simulatedOwner struct {
-	controller  int    // its id, or noOwner
+	controller  int    // its ID, or noOwner
 	modRevision uint64 // of the shard's owner key
 }
 
@@ -101,27 +102,28 @@
 	return w
 }
 
-// after calls f once d has passed.
+// after calls f after the duration d.
 func (w *world) after(d Micros, f func()) { w.events.Add(w.now+d, f) }
 
-// randomDuration draws a span of time.
+// randomDuration draws a duration between from and to, both included.
 func (w *world) randomDuration(from, to Micros) Micros {
 	return from + Micros(w.rng.Int64N(int64(to-from)+1))
 }
 
-// chance draws whether something of that probability happens.
+// chance returns true with the given probability.
 func (w *world) chance(probability float64) bool { return w.rng.Float64() < probability }
 
-// run runs the world until its end, or until a check fails.
+// run runs the simulation until its end, or until a check fails.
 func (w *world) run() {
 	for w.now < w.plan.duration && len(w.violations) == 0 {
-		at, f := w.events.Take() // there is always a tick
+		at, f := w.events.Take() // never empty, since every tick adds the next
 		w.now = max(w.now, at)
 		f()
 	}
 }
 
-// tick lets the controllers renew their leases, claim, grant and report what they use.
+// tick lets the controllers renew their leases, acquire shards without an owner, grant, and
+// report usage. It also picks a new leader if the present one has no valid lease.
 func (w *world) tick() {
 	w.after(w.randomDuration(40*ms, 60*ms), w.tick)
 	for _, c := range w.controllers {
@@ -145,7 +147,8 @@
 	w.check()
 }
 
-// acquireShard gives a shard to a controller, if it reaches the store.
+// acquireShard gives a shard to a random controller, most often the one with the shard's
+// number, if that controller runs and reaches the store.
 func (w *world) acquireShard(shard int) {
 	c := w.controllers[w.rng.IntN(len(w.controllers))]
 	if w.chance(0.7) {
@@ -166,7 +169,7 @@
 	})
 }
 
-// storedGroups returns the groups that have a record, sorted.
+// storedGroups returns the names of the groups that have a record, sorted.
 func (w *world) storedGroups() []string {
 	var groups []string
 	for group := range w.store {
@@ -176,7 +179,7 @@
 	return groups
 }
 
-// definedGroups returns the groups of the options, in their order.
+// definedGroups returns the names of the configured groups, in the order of the options.
 func (w *world) definedGroups() (groups []string) {
 	for _, d := range w.definitions {
 		groups = append(groups, d.Name)
@@ -184,7 +187,7 @@
 	return groups
 }
 
-// enclosingGroups returns a group and all around it.
+// enclosingGroups returns a group and all groups around it, the innermost first.
 func (w *world) enclosingGroups(group string) (path []string) {
 	for group != "" {
 		path = append(path, group)
@@ -199,7 +202,7 @@
 	return path
 }
 
-// setLimit changes a group's limit in the options.
+// setLimit changes a group's limit in the options of all controllers.
 func (w *world) setLimit(group string, cpus float64) {
 	w.definitions = slices.Clone(w.definitions)
 	for i := range w.definitions {
--- a/quota/simulation_checks_test.go
+++ b/quota/simulation_checks_test.go
@@ -10,7 +10,8 @@
 	w.violations = append(w.violations, fmt.Sprintf("%.3f s: ", w.now.Seconds())+fmt.Sprintf(format, args...))
 }
 
-// check checks what runs against the limits in force and the allowances.
+// check checks that the use of each group is within the limit that was last in force, and the
+// use of each shard within its allowance.
 func (w *world) check() {
 	for group, s := range w.store {
 		if s.record.LastInForce == nil || s.record.Removed {
@@ -18,20 +19,20 @@
 		}
 		used := w.usedCPUs(allShards, group)
 		if !(Amount{CPUs: used}).Within(s.record.LastInForce.Amount()) {
-			w.recordViolation("%s uses %g, in force is %s", group, used, s.record.LastInForce)
+			w.recordViolation("group %s uses %g CPUs, the limit in force is %s", group, used, s.record.LastInForce)
 		}
 		for _, row := range s.record.Rows {
 			used := w.usedCPUs(row.Shard, group)
 			if !(Amount{CPUs: used}).Within(row.Allowance) {
-				w.recordViolation("shard %d uses %g of %s, its allowance is %g", row.Shard, used, group, row.Allowance.CPUs)
+				w.recordViolation("shard %d uses %g CPUs of group %s, its allowance is %g", row.Shard, used, group, row.Allowance.CPUs)
 			}
 		}
 	}
 	w.recordWaits()
 }
 
-// checkAcknowledged checks that the owner of a task's shard has not granted the task above
-// a limit whose epoch it has acknowledged.
+// checkAcknowledged checks that a started task does not take its shard above a limit whose
+// epoch the shard's owner has acknowledged in the record.
 func (w *world) checkAcknowledged(t *simulatedTask) {
 	for _, group := range w.enclosingGroups(t.group) {
 		record := w.store[group].record
@@ -41,13 +42,13 @@
 		}
 		used := w.usedCPUs(t.shard, group)
 		if !(Amount{CPUs: used}).Within(record.Limit.Amount()) {
-			w.recordViolation("shard %d grants %g of %s, its owner has acknowledged %s", t.shard, used, group, record.Limit)
+			w.recordViolation("shard %d has been granted %g CPUs of group %s, its owner has acknowledged the limit %s", t.shard, used, group, record.Limit)
 		}
 	}
 }
 
-// checkFences checks that a write names all shards whose rows it changes: a late write of a
-// former owner is void only then.
+// checkFences checks that a write names all shards whose rows it changes. Otherwise the store
+// could not refuse a late write of a former owner.
 func (w *world) checkFences(e fencedWrite, before Record) {
 	for _, row := range e.Record.Rows {
 		if _, fenced := e.owned[row.Shard]; fenced {
@@ -55,12 +56,12 @@
 		}
 		i := before.RowIndex(row.Shard)
 		if i < 0 || before.Rows[i] != row {
-			w.recordViolation("a write of %s changes the row of shard %d, and does not name it", e.Group, row.Shard)
+			w.recordViolation("a write of group %s changes the row of shard %d without naming the shard", e.Group, row.Shard)
 		}
 	}
 }
 
-// recordWaits records how long tasks wait beside quota that is in nobody's use.
+// recordWaits records how long tasks wait although unused quota has room for them.
 func (w *world) recordWaits() {
 	for _, t := range w.tasks {
 		switch {
@@ -74,8 +75,8 @@
 	}
 }
 
-// fitsFreeQuota reports whether a waiting task, whose shard has an owner, fits into what
-// is not used of the limit of each group around it, all of which are in force.
+// fitsFreeQuota reports whether a task waits in a shard with an owner, and fits into the unused
+// part of the limit of each group around it, with all of these limits in force.
 func (w *world) fitsFreeQuota(t *simulatedTask) bool {
 	if t.running || w.owners[t.shard].controller == noOwner {
 		return false
@@ -104,7 +105,7 @@
 	t.Helper()
 	for _, task := range w.tasks {
 		if !task.running {
-			t.Errorf("a task of %g in %s waits since %.3f s", task.size, task.group, task.since.Seconds())
+			t.Errorf("a task of %g CPUs in group %s has waited since %.3f s", task.size, task.group, task.since.Seconds())
 		}
 	}
 }
