--- a/quota/announce_test.go
+++ b/quota/announce_test.go
@@ -5,9 +5,10 @@
 	"testing"
 )
 
-// TestMembersOfNestedGroups checks that a group's record says by itself whom it binds, also before the record
-// of a group within it is known; and what a team used before it joined is registered anew before
-// the limit counts as in force.
+// TestMembersOfNestedGroups guards against a limit that misses teams of nested groups or new
+// members. A record lists all teams that it binds, so it binds them before the records of the
+// groups within it are known. When a team joins, the rows are dropped: they do not include what
+// the team used before, so every shard must register its use again before the limit is in force.
 func TestMembersOfNestedGroups(t *testing.T) {
 	all := Definition{Name: "all", Teams: []string{"a"}, Limit: CPULimit(4)}
 	lake := Definition{Name: "lake", Parent: "all", Teams: []string{"b"}}
@@ -31,11 +32,11 @@
 		}
 	}
 	if joined == nil || joined.LastInForce != nil || len(joined.Rows) != 0 || joined.Epoch != 2 {
-		t.Errorf("after team c joined: %+v", joined)
+		t.Errorf("after team c joined: %+v, want a record of epoch 2 without rows and without a limit in force", joined)
 	}
 }
 
-// requirePath fails the test if a team is in other groups, the innermost first.
+// requirePath fails the test unless a team is in exactly the given groups, the innermost first.
 func requirePath(t *testing.T, l *Ledger, team string, want ...string) {
 	t.Helper()
 	if path := l.Path(team); !slices.Equal(path, want) {
@@ -43,7 +44,7 @@
 	}
 }
 
-// synchronousLedger is a ledger whose writes are all carried out at once.
+// synchronousLedger is a ledger whose writes are carried out at once.
 type synchronousLedger struct {
 	ledger *Ledger
 	now    Instant
@@ -65,28 +66,29 @@
 	}
 }
 
-// announce announces one group of team t.
+// announce announces options with one group, whose only team is t.
 func (d *synchronousLedger) announce(group string, cpus float64) {
 	definition := Definition{Name: group, Teams: []string{"t"}, Limit: CPULimit(cpus)}
 	d.step(Announce{Definitions: []Definition{definition}})
 }
 
-// reportUsage reports that team t uses some CPUs of shard 0.
+// reportUsage reports that team t uses some CPUs in shard 0.
 func (d *synchronousLedger) reportUsage(cpus float64) {
 	team := TeamDemand{Groups: d.ledger.Path("t"), Used: Amount{CPUs: cpus}}
 	d.step(UsageReport{Shard: 0, Groups: d.ledger.Claims(0, true, []TeamDemand{team})})
 }
 
-// TestRenamedGroup checks that a group that is renamed is one that is removed and one that is new:
-// its limit is in force once every shard has registered what it uses, and the old name binds
-// nobody.
+// TestRenamedGroup guards against a renamed group that keeps its old limit, or whose new limit
+// counts as in force too early. A rename removes one group and adds another. The limit of the
+// new group is in force only once every shard has registered its use and that is within the
+// limit. The old name binds no team any more.
 func TestRenamedGroup(t *testing.T) {
 	l := NewLedger(Config{Shards: 1, Timing: DefaultTiming()})
 	d := synchronousLedger{ledger: l, store: map[string]storedRecord{}}
 	d.step(ShardAcquired{Shard: 0})
 	d.step(RecordsRead{Shard: 0})
 	if got := l.Allowed(0, "old"); got != Unlimited {
-		t.Errorf("an unknown group allows %v", got)
+		t.Errorf("an unknown group allows %v, want no limit", got)
 	}
 	d.announce("old", 5)
 	d.reportUsage(4)
@@ -94,17 +96,17 @@
 	d.announce("new", 3)
 	requirePath(t, l, "t", "new")
 	if got := l.Allowed(0, "old"); got != Unlimited {
-		t.Errorf("the old name allows %v", got)
+		t.Errorf("the old name allows %v, want no limit", got)
 	}
 	d.reportUsage(4)
 	if st := l.Status(); len(st) != 2 || st[0].State != StateAnnounced || st[0].LastInForce != nil || st[1].State != StateRemoved {
-		t.Errorf("while more than the limit is used: %+v", st)
+		t.Errorf("while more than the limit is used: status %+v", st)
 	}
 	if got := l.Allowed(0, "new"); got.CPUs > 3 {
 		t.Errorf("more than the limit is allowed: %v", got)
 	}
 	d.reportUsage(2)
 	if st := l.Status(); st[0].State != StateInForce {
-		t.Errorf("once less is used: %+v", st[0])
+		t.Errorf("once less than the limit is used: status %+v", st[0])
 	}
 }
--- a/quota/claims_test.go
+++ b/quota/claims_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// TestOuterClaimFollowsInnerAllowance checks that an outer group is asked only for tasks that have quota of
-// the inner one.
+// TestOuterClaimFollowsInnerAllowance guards against a deadlock of two owners, one with quota of
+// the inner group and the other with quota of the outer group. A shard claims quota of the outer
+// group only for tasks for which it has quota of the inner group.
 func TestOuterClaimFollowsInnerAllowance(t *testing.T) {
 	inner := recordInForce(10, row(0, 0, 0, 1), row(1, 10, 10, 1))
 	inner.Parent = outerGroup
@@ -14,12 +15,12 @@
 	wantInner := uses[innerGroup].Want.CPUs
 	wantOuter := uses[outerGroup].Want.CPUs
 	if wantInner != 5 || wantOuter != 0 {
-		t.Errorf("wants %g of the inner group and %g of the outer one", wantInner, wantOuter)
+		t.Errorf("without inner quota, wants %g CPUs of the inner group and %g of the outer group, want 5 and 0", wantInner, wantOuter)
 	}
 	h.step(UsageReport{Shard: 0, Groups: uses})
 	inner.Rows = []Row{row(0, 3, 5, 1), row(1, 7, 7, 1)}
 	h.learn(innerGroup, inner, 11)
 	if wantOuter := h.claims(0, 5)[outerGroup].Want.CPUs; wantOuter != 3 {
-		t.Errorf("wants %g of the outer group with quota for 3 of the inner one", wantOuter)
+		t.Errorf("with quota of the inner group for 3 CPUs, wants %g of the outer group, want 3", wantOuter)
 	}
 }
--- a/quota/example_test.go
+++ b/quota/example_test.go
@@ -6,7 +6,7 @@
 	"garnethitch/quota"
 )
 
-// memory is a store in memory, of one group.
+// memory is a store in memory that holds the record of one group.
 type memory struct {
 	record      quota.Record
 	modRevision uint64
@@ -23,8 +23,7 @@
 	return m.modRevision, true, nil
 }
 
-// Two parts of a program keep one limit of 10 CPUs together: each grants from the allowance
-// of its own shard.
+// Two controllers share a limit of 10 CPUs. Each grants from the allowance of its own shard.
 func Example() {
 	store := &memory{}
 	timing := quota.DefaultTiming()
@@ -33,13 +32,14 @@
 	for shard := range ledgers {
 		ledgers[shard] = quota.NewLedger(quota.Config{Shards: len(ledgers), Timing: timing})
 	}
-	// The leader, here the first, announces the limit.
+	// The leader, here the first controller, announces the limit.
 	build := quota.Definition{Name: "build", Teams: []string{"tools"}, Limit: quota.CPULimit(10)}
 	if _, err := ledgers[0].Sync(now, quota.Announce{Definitions: []quota.Definition{build}}, store); err != nil {
 		fmt.Println(err)
 	}
 
-	// Each reports what it uses and wants, a few times here, at intervals in a program.
+	// Each controller reports what it uses and wants: a few times here, at intervals in a
+	// program.
 	demand := quota.TeamDemand{
 		Groups:  []string{"build"},
 		Waiting: []quota.WaitingTasks{{Size: quota.Amount{CPUs: 1}, Count: 20, SinceMS: 1}},
@@ -60,9 +60,9 @@
 		}
 	}
 	for shard, ledger := range ledgers {
-		fmt.Printf("part %d may use %g CPUs\n", shard, ledger.Allowed(shard, "build").CPUs)
+		fmt.Printf("shard %d may use %g CPUs\n", shard, ledger.Allowed(shard, "build").CPUs)
 	}
 	// Output:
-	// part 0 may use 5 CPUs
-	// part 1 may use 5 CPUs
+	// shard 0 may use 5 CPUs
+	// shard 1 may use 5 CPUs
 }
--- a/quota/plan_test.go
+++ b/quota/plan_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// TestCompensatesForExcessOfOthers checks that where others don't give up their part of a lowered limit,
-// this shard gives up more after a while, as far as it is unused.
+// TestCompensatesForExcessOfOthers guards against a lowered limit that never comes into force
+// because another owner does not reduce its allowance. After Timing.ExcessTimeout this shard
+// gives up the remaining excess from its own allowance, as far as that is unused.
 func TestCompensatesForExcessOfOthers(t *testing.T) {
 	record := recordInForce(10, row(0, 10, 10, 1), row(1, 10, 10, 1))
 	before := CPULimit(20)
--- a/quota/set_test.go
+++ b/quota/set_test.go
@@ -2,23 +2,25 @@
 
 import "testing"
 
-// TestSetConflict checks that an operator's request that another has come before fails, one whose
-// write was carried out with its answer lost is recognised, one that waits too long fails.
+// TestSetConflict checks the answers to an operator's request whose write has an unknown
+// outcome. It fails as a conflict if another request was written first. It succeeds if the
+// record shows that its own write was carried out and only the response was lost. It fails as
+// busy if it has waited too long.
 func TestSetConflict(t *testing.T) {
 	limit := CPULimit(5)
 	other := CPULimit(7)
 	for _, tc := range []struct {
 		name string
 		// override and epoch are those of the record that is read after the write was not
-		// answered; epoch 1: none is read.
+		// answered. With epoch 1 no record is read.
 		override *Limit
 		epoch    uint64
 		later    Micros
 		want     SetStatus
 	}{
-		{name: "another's came first", override: &other, epoch: 2, want: SetConflict},
-		{name: "its own, with the answer lost", override: &limit, epoch: 2, want: SetAnnounced},
-		{name: "nothing can be read for long", epoch: 1, later: 10 * sec, want: SetBusy},
+		{name: "another request was written first", override: &other, epoch: 2, want: SetConflict},
+		{name: "the write was carried out, the response lost", override: &limit, epoch: 2, want: SetAnnounced},
+		{name: "no record can be read until the timeout", epoch: 1, later: 10 * sec, want: SetBusy},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			record := recordInForce(10, row(0, 5, 5, 1), row(1, 5, 5, 1))
@@ -26,7 +28,7 @@
 			h.step(SetLimit{Token: 1, Group: innerGroup, Limit: &limit})
 			h.requireWrites(t, "after the request", 1)
 			if override := h.writes[0].Record.Override; !override.Equal(limit) {
-				t.Fatalf("the write sets %v", override)
+				t.Fatalf("the write sets %v, want the requested limit", override)
 			}
 			h.now.Steady += tc.later
 			if tc.epoch > 1 {
--- a/quota/simulated_controller_test.go
+++ b/quota/simulated_controller_test.go
@@ -24,7 +24,7 @@
 
 func (c *simulatedController) cutOff() bool { return c.world.now < c.cutOffUntil }
 
-// start begins a process that knows nothing.
+// start begins a new process, which knows nothing of the earlier ones.
 func (c *simulatedController) start() {
 	c.incarnation++
 	c.ledger = NewLedger(c.world.config)
--- a/quota/simulation_test.go
+++ b/quota/simulation_test.go
@@ -6,9 +6,10 @@
 	"testing"
 )
 
-// TestConcurrentGrants has several controllers grant what is left of their groups' limits
-// through ends, cuts, late and lost writes and limits that change at any moment: what
-// runs never exceeds the limit in force, nor an allowance.
+// TestConcurrentGrants guards against use above a limit in force, or above an allowance, when
+// several controllers grant from the same groups. Meanwhile processes end, controllers are cut
+// off from the store, writes are late or lose their responses, and limits change at any moment.
+// It also checks that no task still waits at the end, long after the last fault.
 func TestConcurrentGrants(t *testing.T) {
 	single := []Definition{{Name: "all", Limit: CPULimit(20)}}
 	nested := []Definition{
@@ -25,31 +26,31 @@
 		seeds       uint64
 	}{
 		{
-			name:        "two, one group",
+			name:        "two controllers, one group",
 			plan:        worldPlan{controllers: 2, taskSizes: []float64{1}, waitingPerShard: 30},
 			definitions: single,
 			seeds:       6,
 		},
 		{
-			name:        "three, tasks of several sizes",
+			name:        "three controllers, tasks of several sizes",
 			plan:        worldPlan{controllers: 3, taskSizes: []float64{1, 2, 4}, waitingPerShard: 20},
 			definitions: single,
 			seeds:       6,
 		},
 		{
-			name:        "three, one guaranteed",
+			name:        "three controllers, one group with a guarantee",
 			plan:        worldPlan{controllers: 3, taskSizes: []float64{1, 2}, waitingPerShard: 20},
 			definitions: guaranteed,
 			seeds:       6,
 		},
 		{
-			name:        "three, nested",
+			name:        "three controllers, nested groups",
 			plan:        worldPlan{controllers: 3, taskSizes: []float64{1, 4}, waitingPerShard: 20},
 			definitions: nested,
 			seeds:       10,
 		},
 		{
-			name:        "five, nested",
+			name:        "five controllers, nested groups",
 			plan:        worldPlan{controllers: 5, taskSizes: []float64{1, 2, 8}, waitingPerShard: 12},
 			definitions: nested,
 			seeds:       10,
@@ -73,7 +74,7 @@
 	}
 }
 
-// requireEventfulRun fails the test if too little happened for its checks to mean anything.
+// requireEventfulRun fails the test if too little happened for the checks to be meaningful.
 func (w *world) requireEventfulRun(t *testing.T) {
 	t.Helper()
 	const (
@@ -88,8 +89,10 @@
 	}
 }
 
-// TestScatteredQuotaIsUsed checks that without faults, no task waits for long beside free quota that it fits
-// into, however it is spread over owners, and few writes are needed.
+// TestScatteredQuotaIsUsed guards against tasks that wait although the unused quota of all
+// shards together has room for them, and against too many writes of the records. Free quota is
+// spread over the allowances of several owners and must be gathered in one of them before a
+// large task can start. There are no faults.
 func TestScatteredQuotaIsUsed(t *testing.T) {
 	const longestWait = 4 * sec
 	for _, tc := range []struct {
@@ -105,7 +108,7 @@
 			mostWritesPerGrant: 2,
 		},
 		{
-			name:               "a task takes nearly all",
+			name:               "a task takes nearly the whole limit",
 			plan:               worldPlan{controllers: 3, taskSizes: []float64{9}, waitingPerShard: 2},
 			limit:              10,
 			mostWritesPerGrant: 4,
@@ -117,7 +120,7 @@
 			mostWritesPerGrant: 3,
 		},
 		{
-			name:               "plenty of small ones",
+			name:               "many small tasks",
 			plan:               worldPlan{controllers: 3, taskSizes: []float64{1}, waitingPerShard: 40},
 			limit:              80,
 			mostWritesPerGrant: 0.05,
@@ -130,7 +133,7 @@
 			w.run()
 			w.requireNoViolation(t)
 			if w.longestWait > longestWait {
-				t.Errorf("a task waited %.1f s beside free quota that it fits into", w.longestWait.Seconds())
+				t.Errorf("a task waited %.1f s although free quota had room for it", w.longestWait.Seconds())
 			}
 			if float64(w.writes) > tc.mostWritesPerGrant*float64(w.grants) {
 				t.Errorf("%d writes for %d grants", w.writes, w.grants)
@@ -141,8 +144,10 @@
 	}
 }
 
-// TestLentGuaranteeIsReturned checks that what a group's guarantee has lent out is there within the stated time
-// when its tasks come, also where the lender's owner is slow, cut off or ended.
+// TestLentGuaranteeIsReturned guards against a guarantee that is not honoured in time. While a
+// group has no tasks, other groups use its guarantee. Once its tasks come, it must have the
+// guarantee back within the stated time, also if the owners of the other shards get no watch
+// events, are cut off from the store or have ended.
 func TestLentGuaranteeIsReturned(t *testing.T) {
 	const (
 		tasksComeAt = 20 * sec
@@ -154,7 +159,8 @@
 		{Name: "lake", Parent: "all", Guarantee: Amount{CPUs: guarantee}},
 		{Name: "hill", Parent: "all"},
 	}
-	// Shard 0 has tasks of lake only, from some moment on; the others fill all with hill's.
+	// Shard 0 has tasks of group lake only, from tasksComeAt on. The other shards fill the limit
+	// of group all with tasks of group hill.
 	wantedGroups := func(shard int, now Micros) []string {
 		switch {
 		case shard != 0:
@@ -170,14 +176,14 @@
 		within Micros
 	}{
 		{"no fault", func(_, _ *simulatedController) {}, 5 * sec},
-		{"a lender's watch is stalled", func(first, _ *simulatedController) {
+		{"the watch of a lender is stalled", func(first, _ *simulatedController) {
 			first.watchStalledUntil = first.world.now + 5*sec
 		}, 10 * sec},
 		{"the lenders are cut off", func(first, second *simulatedController) {
 			first.cutOffUntil = first.world.now + 8*sec
 			second.cutOffUntil = second.world.now + 8*sec
 		}, 14 * sec},
-		{"the lenders end", func(first, second *simulatedController) {
+		{"the processes of the lenders end", func(first, second *simulatedController) {
 			first.stop(60 * sec)
 			second.stop(60 * sec)
 		}, 12 * sec},
@@ -198,10 +204,10 @@
 			w.run()
 			w.requireNoViolation(t)
 			if lent < leastLent {
-				t.Errorf("%g CPUs were lent before", lent)
+				t.Errorf("%g CPUs were lent before the tasks came", lent)
 			}
 			if received < guarantee {
-				t.Errorf("lake has %g CPUs %v s after its tasks came, its guarantee is %d", received, tc.within.Seconds(), guarantee)
+				t.Errorf("lake uses %g CPUs %v s after its tasks came, its guarantee is %d", received, tc.within.Seconds(), guarantee)
 			}
 		})
 	}
--- a/quota/tree_test.go
+++ b/quota/tree_test.go
@@ -5,12 +5,13 @@
 	"testing"
 )
 
-// TestInvalidOptions checks that an option that can't be used is named by its key.
+// TestInvalidOptions checks that the error for an invalid option names the option's key, on one
+// line.
 func TestInvalidOptions(t *testing.T) {
 	teams := []string{"rubavu", "karongi", "rusizi"}
 	monthly := ScheduleOptions{Rule: "FREQ=MONTHLY;BYMONTHDAY=1", From: "06:00", To: "12:00", Zone: "Africa/Kigali", Limit: CPULimit(5)}
 	nightly := ScheduleOptions{Rule: "FREQ=DAILY", From: "22:00", To: "05:00", Zone: "Europe/Paris", Limit: CPULimit(60)}
-	// groupWith returns a group whose schedule is the monthly one with a change.
+	// groupWith returns a group whose schedule is the monthly one with a change applied.
 	groupWith := func(change func(*ScheduleOptions)) []GroupOptions {
 		s := monthly
 		change(&s)
@@ -54,7 +55,7 @@
 			key:    "quota.groups[1].teams[0]",
 		},
 		{
-			name:   "a team twice in one",
+			name:   "a team twice in one group",
 			groups: []GroupOptions{{Name: "a", Teams: []string{"rubavu", "rubavu"}}},
 			key:    "quota.groups[0].teams[1]",
 		},
@@ -64,7 +65,7 @@
 			key:    "quota.groups[0].parent",
 		},
 		{
-			name:   "its own parent",
+			name:   "a group that is its own parent",
 			groups: []GroupOptions{{Name: "a", Parent: "a"}},
 			key:    "quota.groups[0].parent",
 		},
@@ -114,37 +115,37 @@
 			key: "quota.groups[0].limit",
 		},
 		{
-			name:   "a guarantee of nothing",
+			name:   "a guarantee without a parent",
 			groups: []GroupOptions{{Name: "a", Guarantee: GuaranteeOptions{CPUs: 6}}},
 			key:    "quota.groups[0].guarantee",
 		},
 		{
-			name:   "a zone that does not exist",
+			name:   "an unknown time zone",
 			groups: groupWith(func(s *ScheduleOptions) { s.Zone = "Africa/Rubavu" }),
 			key:    "quota.groups[0].schedule[0].zone",
 		},
 		{
-			name:   "the zone of the machine",
+			name:   "the local time zone of the machine",
 			groups: groupWith(func(s *ScheduleOptions) { s.Zone = "Local" }),
 			key:    "quota.groups[0].schedule[0].zone",
 		},
 		{
-			name:   "a rule that does not exist",
+			name:   "an invalid rule",
 			groups: groupWith(func(s *ScheduleOptions) { s.Rule = "FREQ=OFTEN" }),
 			key:    "quota.groups[0].schedule[0].rule",
 		},
 		{
-			name:   "no rule",
+			name:   "an empty rule",
 			groups: groupWith(func(s *ScheduleOptions) { s.Rule = "" }),
 			key:    "quota.groups[0].schedule[0].rule",
 		},
 		{
-			name:   "a rule of hours",
+			name:   "an hourly rule",
 			groups: groupWith(func(s *ScheduleOptions) { s.Rule = "FREQ=HOURLY" }),
 			key:    "quota.groups[0].schedule[0].rule",
 		},
 		{
-			name:   "no time of the day",
+			name:   "an invalid time of day",
 			groups: groupWith(func(s *ScheduleOptions) { s.To = "25:00" }),
 			key:    "quota.groups[0].schedule[0].to",
 		},
@@ -158,7 +159,7 @@
 			_, err := NewTree(Options{Groups: tc.groups}, teams)
 			if tc.key == "" {
 				if err != nil {
-					t.Errorf("refused: %v", err)
+					t.Errorf("valid options are refused: %v", err)
 				}
 				return
 			}
--- a/quota/writes_test.go
+++ b/quota/writes_test.go
@@ -2,18 +2,19 @@
 
 import "testing"
 
-// TestUnknownOutcome checks that what a write of unknown outcome gives up is not granted, and not
-// lost for ever either: the record is written again until the outcome is known.
+// TestUnknownOutcome guards against granting what a write of unknown outcome may have given up,
+// and against losing that amount forever. The record is written again until a newer write
+// settles which allowance the shard has.
 func TestUnknownOutcome(t *testing.T) {
 	h := newHarness(recordInForce(10, row(0, 8, 8, 1), row(1, 2, 2, 1)))
-	for range 9 { // until what is unused is given up
+	for range 9 { // long enough for the unused part to be given up
 		h.reportUsage(2, 0)
 	}
-	h.requireWrites(t, "once part has been unused", 1)
-	h.requireAllowed(t, "while a write gives up 6", 2)
+	h.requireWrites(t, "once part of the allowance has been unused for a while", 1)
+	h.requireAllowed(t, "while a write that gives up 6 is in flight", 2)
 
 	h.step(WriteResult{ID: h.writes[0].ID, Outcome: Unknown})
-	h.reportUsage(2, 6) // wanted again, and the record still says 8
+	h.reportUsage(2, 6) // the tasks are back, and the known record still allows 8
 	h.requireAllowed(t, "while a write that gives up 6 is in doubt", 2)
 	h.reportUsage(2, 6)
 	h.requireWrites(t, "after a write of unknown outcome", 2)
