--- a/quota/ledger.go
+++ b/quota/ledger.go
@@ -79,7 +79,7 @@
 // Usage is what a shard's tasks use and want of a group.
 type Usage struct {
 	// Exact is set if Claim.Used is exact. Otherwise Used is an upper bound, since some
-	// tasks may run on machines whose state is not known.
+	// tasks may run on machines that the controller does not know.
 	Exact bool
 	Claim
 }
