--- a/internal/controller/quota_records.go
+++ b/internal/controller/quota_records.go
@@ -48,7 +48,7 @@
 	if c.quota.ledger == nil {
 		return
 	}
-	c.stepQuota(quota.Held{Shard: s.id})
+	c.stepQuota(quota.ShardAcquired{Shard: s.id})
 	c.readAllQuotas(s, s.ownerEpoch, "")
 }
 
@@ -74,14 +74,14 @@
 			c.readAllQuotas(s, ownerEpoch, after)
 			return
 		}
-		c.stepQuota(quota.Refreshed{Shard: s.id})
+		c.stepQuota(quota.RecordsRead{Shard: s.id})
 		c.quota.nextUsageAt = 0
 		c.schedulingDue = true
 	})
 }
 
 // dropQuota tells the ledger that this controller no longer owns a shard.
-func (c *Controller) dropQuota(s *shard) { c.stepQuota(quota.Dropped{Shard: s.id}) }
+func (c *Controller) dropQuota(s *shard) { c.stepQuota(quota.ShardReleased{Shard: s.id}) }
 
 // rereadQuotas reads the records of stale groups: those that the ledger has asked for, and those
 // whose last read failed.
@@ -110,7 +110,7 @@
 // ledger.
 func (c *Controller) writeQuota(w quota.Write) {
 	done := func(o quota.Outcome, modRevision uint64) {
-		c.stepQuota(quota.Wrote{ID: w.ID, Outcome: o, ModRevision: modRevision})
+		c.stepQuota(quota.WriteResult{ID: w.ID, Outcome: o, ModRevision: modRevision})
 	}
 	value, err := wire.Encode(w.Record)
 	if err != nil || !c.storable(value) {
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -64,8 +64,8 @@
 	if len(started) != 3 {
 		t.Fatalf("%d tasks started, want 3, the group's limit", len(started))
 	}
-	if rec := h.groupRecord(); rec.Applied == nil || *rec.Applied.CPUs != 3 {
-		t.Errorf("limit in force: %v, want 3 CPUs", rec.Applied)
+	if rec := h.groupRecord(); rec.LastInForce == nil || *rec.LastInForce.CPUs != 3 {
+		t.Errorf("limit in force: %v, want 3 CPUs", rec.LastInForce)
 	}
 	// Writes of rows are conditional on the shard's owner key, those of definitions on the leader's.
 	writesByKey := map[string]int{}
@@ -83,7 +83,7 @@
 	}
 	h.run(sec)
 	st := h.quotaRequest(peer.QuotaRequest{})
-	if g := st.Groups[0]; g.State != quota.StateAnnounced || len(g.HeldUp) != 1 || g.HeldUp[0].Owner != "n-0" || g.HeldUp[0].Reason != quota.StillUsed || g.Source != quota.FromOperator {
+	if g := st.Groups[0]; g.State != quota.StateAnnounced || len(g.Blockers) != 1 || g.Blockers[0].Owner != "n-0" || g.Blockers[0].Reason != quota.StillUsed || g.Source != quota.FromOperator {
 		t.Errorf("status of the group: %+v", g)
 	}
 	// The job is cancelled, but its machine sends no heartbeat: tasks that may run there still count.
@@ -167,7 +167,7 @@
 	if s, ok := h.c.effects[0].(Span); !ok || s.Trace != trace || s.Parent != span || s.Name != "quota.shrinking" {
 		t.Errorf("span of the reduction: %+v", h.c.effects)
 	}
-	h.c.quota.traceQuota(quota.Changed{Kind: quota.Asked, Group: "all", Shard: 0})
+	h.c.quota.traceQuota(quota.Changed{Kind: quota.ClaimChanged, Group: "all", Shard: 0})
 	asked := h.c.effects[1].(Span)
 	if contexts := h.c.quota.openTraces(); len(contexts) != 1 || [16]byte(contexts[0].TraceID) != asked.Trace || [8]byte(contexts[0].SpanID) != asked.ID {
 		t.Errorf("trace contexts sent to others: %+v, want that of %+v", contexts, asked)
--- a/internal/controller/quota_usage.go
+++ b/internal/controller/quota_usage.go
@@ -80,7 +80,7 @@
 	}
 	c.refreshUsage(s)
 	teams := c.quotaDemands(s)
-	c.stepQuota(quota.Used{Shard: s.id, Groups: c.quota.ledger.Claims(s.id, accuracy == usageExact, teams)})
+	c.stepQuota(quota.UsageReport{Shard: s.id, Groups: c.quota.ledger.Claims(s.id, accuracy == usageExact, teams)})
 }
 
 // quotaDemands returns what each team uses and wants in a shard.
--- a/internal/simulation/groups.go
+++ b/internal/simulation/groups.go
@@ -127,11 +127,11 @@
 // are not checked, since controllers of a release without groups do not keep to the limits.
 func (s *Simulation) checkGroup(name string) {
 	record := s.groups[name]
-	if record.Applied == nil || record.Removed || s.plan.UpgradeFrom != ReleaseCurrent {
+	if record.LastInForce == nil || record.Removed || s.plan.UpgradeFrom != ReleaseCurrent {
 		return
 	}
-	if used := s.groupUsage(name); !used.Within(record.Applied.Amount()) {
-		s.violated("group: %s uses %g CPUs, the limit in force is %s", name, used.CPUs, record.Applied)
+	if used := s.groupUsage(name); !used.Within(record.LastInForce.Amount()) {
+		s.violated("group: %s uses %g CPUs, the limit in force is %s", name, used.CPUs, record.LastInForce)
 	}
 }
 
--- a/quota/amount.go
+++ b/quota/amount.go
@@ -9,7 +9,7 @@
 const epsilon = 1e-6
 
 // Amount is a quantity of each resource that tasks use or may use: CPUs in cores, GPUs in
-// devices, either also in fractions.
+// devices. Either may be a fraction.
 type Amount struct {
 	CPUs float64 `cbor:"c,omitempty" json:"cpus" msgpack:"c,omitempty"`
 	GPUs float64 `cbor:"g,omitempty" json:"gpus" msgpack:"g,omitempty"`
@@ -35,8 +35,9 @@
 // Times returns what n tasks of size a use.
 func (a Amount) Times(n int) Amount { return Amount{a.CPUs * float64(n), a.GPUs * float64(n)} }
 
-// Fits returns how many tasks of size a fit into what is available, at most math.MaxInt32.
-func (a Amount) Fits(available Amount) int {
+// CountFitting returns how many tasks of size a fit into the available amount, at most
+// math.MaxInt32.
+func (a Amount) CountFitting(available Amount) int {
 	n := float64(math.MaxInt32)
 	if a.CPUs > 0 {
 		n = min(n, (available.CPUs+epsilon)/a.CPUs)
@@ -47,15 +48,15 @@
 	return int(n)
 }
 
-// Within reports whether a exceeds b in no resource, but for rounding.
+// Within reports whether a exceeds b in no resource, up to rounding errors.
 func (a Amount) Within(b Amount) bool {
 	return a.CPUs <= b.CPUs+epsilon && a.GPUs <= b.GPUs+epsilon
 }
 
-// Equal reports whether the amounts are the same but for rounding.
+// Equal reports whether the amounts are the same up to rounding errors.
 func (a Amount) Equal(b Amount) bool { return a.Within(b) && b.Within(a) }
 
-// IsZero reports whether there is nothing of any resource, but for rounding.
+// IsZero reports whether a is zero for every resource, up to rounding errors.
 func (a Amount) IsZero() bool { return a.Within(Amount{}) }
 
 // Limit bounds each resource. A resource that is nil is not bounded.
@@ -82,8 +83,8 @@
 	return a
 }
 
-// bounded returns a with zero for each resource that the limit does not bound.
-func (l Limit) bounded(a Amount) Amount {
+// zeroWhereUnbounded returns a with zero for each resource that the limit does not bound.
+func (l Limit) zeroWhereUnbounded(a Amount) Amount {
 	if l.CPUs == nil {
 		a.CPUs = 0
 	}
@@ -93,8 +94,9 @@
 	return a
 }
 
-// unboundedOr returns a with Unlimited for each resource that the limit does not bound.
-func (l Limit) unboundedOr(a Amount) Amount {
+// unlimitedWhereUnbounded returns a with the quantity of Unlimited for each resource that
+// the limit does not bound.
+func (l Limit) unlimitedWhereUnbounded(a Amount) Amount {
 	if l.CPUs == nil {
 		a.CPUs = Unlimited.CPUs
 	}
@@ -104,8 +106,8 @@
 	return a
 }
 
-// boundsMoreThan reports whether l bounds a resource that o does not.
-func (l Limit) boundsMoreThan(o Limit) bool {
+// boundsNewResource reports whether l bounds a resource that o does not.
+func (l Limit) boundsNewResource(o Limit) bool {
 	return o.CPUs == nil && l.CPUs != nil || o.GPUs == nil && l.GPUs != nil
 }
 
--- a/quota/claims.go
+++ b/quota/claims.go
@@ -2,17 +2,17 @@
 
 import "slices"
 
-// TeamDemand is what a team's tasks use of a shard, and what waits.
+// TeamDemand is what a team's running tasks use in a shard, and which of its tasks wait.
 type TeamDemand struct {
-	// Groups are the groups that the team is in, the innermost first; see Ledger.Path.
+	// Groups are the groups that the team is in, the innermost first. See Ledger.Path.
 	Groups []string
 	Used   Amount
-	// Guarantee is the team's own.
+	// Guarantee is the guarantee of the team itself, not of a group that it is in.
 	Guarantee Amount
 	Waiting   []WaitingTasks
 }
 
-// want returns what the team's tasks use and would use.
+// want returns what the team's running tasks use and its waiting tasks would use.
 func (d TeamDemand) want() Amount {
 	want := d.Used
 	for _, w := range d.Waiting {
@@ -25,12 +25,12 @@
 type WaitingTasks struct {
 	Size  Amount
 	Count int
-	// SinceMS is since when they have waited with none started, by the time of day, in
+	// SinceMS is when the tasks began to wait with none of them started: a time of day in
 	// milliseconds since 1970.
 	SinceMS int64
 }
 
-// Path returns the groups that a team is in by the records, the innermost first.
+// Path returns the groups that a team is in according to the records, the innermost first.
 func (l *Ledger) Path(team string) []string {
 	var path []string
 	for _, name := range l.names() {
@@ -43,8 +43,8 @@
 	return path
 }
 
-// compareNesting orders a group before its parent, and otherwise the one with fewer members
-// first.
+// compareNesting orders a group before its parent. Of two other groups, the one with fewer
+// members comes first.
 func (l *Ledger) compareNesting(a, b string) int {
 	recordA := &l.groups[a].record
 	recordB := &l.groups[b].record
@@ -57,15 +57,15 @@
 	return len(recordA.Members) - len(recordB.Members)
 }
 
-// Claims returns what a shard uses and wants of each group, for Used. exact says that
-// what the teams use is exact. Of an outer group only the tasks for which the shard has
-// quota of the inner ones are wanted: otherwise two owners that each hold what the other
-// waits for would wait forever.
-func (l *Ledger) Claims(shard int, exact bool, teams []TeamDemand) map[string]Use {
+// Claims returns what a shard uses and wants of each group, for a UsageReport. exact is set
+// if TeamDemand.Used is exact. Claims wants quota of an outer group only for tasks for which
+// the shard has quota of the inner groups. Otherwise one owner could hold quota of the inner
+// group and another quota of the outer group, each waiting for the other forever.
+func (l *Ledger) Claims(shard int, exact bool, teams []TeamDemand) map[string]Usage {
 	b := claimBuilder{
 		ledger:    l,
 		shard:     shard,
-		uses:      map[string]*Use{},
+		usages:    map[string]*Usage{},
 		available: map[string]Amount{},
 	}
 	b.addUsed(teams, exact)
@@ -73,41 +73,41 @@
 		b.addWaiting(team)
 	}
 	b.addGuaranteed(teams)
-	out := map[string]Use{}
-	for group, use := range b.uses {
-		out[group] = *use
+	out := map[string]Usage{}
+	for group, usage := range b.usages {
+		out[group] = *usage
 	}
 	return out
 }
 
-// claimBuilder collects the claims of one shard.
+// claimBuilder computes the claims of one shard.
 type claimBuilder struct {
 	ledger    *Ledger
 	shard     int
-	uses      map[string]*Use
-	available map[string]Amount // what the shard may grant beside what it uses and wants
+	usages    map[string]*Usage
+	available map[string]Amount // what the shard may grant beyond what it uses and wants
 }
 
-// use returns the use of a group, which is added if there is none.
-func (b *claimBuilder) use(group string) *Use {
-	u := b.uses[group]
+// usage returns the usage of a group, and adds it if there is none.
+func (b *claimBuilder) usage(group string) *Usage {
+	u := b.usages[group]
 	if u == nil {
-		u = &Use{}
-		b.uses[group] = u
+		u = &Usage{}
+		b.usages[group] = u
 	}
 	return u
 }
 
-// addUsed adds what the teams use.
+// addUsed adds what the running tasks of the teams use.
 func (b *claimBuilder) addUsed(teams []TeamDemand, exact bool) {
 	for _, team := range teams {
 		for _, group := range team.Groups {
-			u := b.use(group)
+			u := b.usage(group)
 			u.Used = u.Used.Plus(team.Used)
 			u.Exact = exact
 		}
 	}
-	for group, u := range b.uses {
+	for group, u := range b.usages {
 		u.Want = u.Used
 		b.available[group] = b.ledger.Allowed(b.shard, group).Minus(u.Used)
 	}
@@ -118,8 +118,8 @@
 	for _, tasks := range team.Waiting {
 		count := tasks.Count
 		for _, group := range team.Groups {
-			b.use(group).addWaiting(tasks, count)
-			count = min(count, tasks.Size.Fits(b.available[group]))
+			b.usage(group).addWaiting(tasks, count)
+			count = min(count, tasks.Size.CountFitting(b.available[group]))
 			if count <= 0 {
 				break
 			}
@@ -128,17 +128,17 @@
 	}
 }
 
-// addWaiting adds that many of some waiting tasks to a claim.
+// addWaiting adds count of the waiting tasks to a claim.
 func (c *Claim) addWaiting(tasks WaitingTasks, count int) {
 	c.Want = c.Want.Plus(tasks.Size.Times(count))
 	c.SmallestTask = smallerTask(c.SmallestTask, tasks.Size)
-	if c.SinceMS == 0 || tasks.SinceMS < c.SinceMS {
-		c.SinceMS = tasks.SinceMS
+	if c.WaitingSinceMS == 0 || tasks.SinceMS < c.WaitingSinceMS {
+		c.WaitingSinceMS = tasks.SinceMS
 	}
 }
 
-// smallerTask returns the smaller of two sizes of tasks, by CPUs, then GPUs; a is zero if
-// there is only one.
+// smallerTask returns the smaller of two task sizes, compared by CPUs, then by GPUs. A zero a
+// stands for no size, and b is returned.
 func smallerTask(a, b Amount) Amount {
 	if a.IsZero() || b.CPUs < a.CPUs || b.CPUs == a.CPUs && b.GPUs < a.GPUs {
 		return b
@@ -146,12 +146,12 @@
 	return a
 }
 
-// addGuaranteed computes how much of each claim is guaranteed: within a team's own
-// guarantee, or within the shard's part of the guarantee of a group in this one.
+// addGuaranteed computes how much of each claim is guaranteed: by the guarantees of teams, or
+// by the shard's shares of the guarantees of the groups within the claim's group.
 func (b *claimBuilder) addGuaranteed(teams []TeamDemand) {
 	b.addTeamGuarantees(teams)
 	b.addGroupGuarantees(teams)
-	for _, u := range b.uses {
+	for _, u := range b.usages {
 		u.Guaranteed = u.Guaranteed.Min(u.Want)
 	}
 }
@@ -162,13 +162,13 @@
 		if len(team.Groups) == 0 {
 			continue
 		}
-		u := b.use(team.Groups[0])
+		u := b.usage(team.Groups[0])
 		u.Guaranteed = u.Guaranteed.Plus(team.want().Min(team.Guarantee))
 	}
 }
 
-// addGroupGuarantees adds what is guaranteed of each group to the group around it, once for
-// each group, the innermost first.
+// addGroupGuarantees adds what is guaranteed in each group to its parent, once for each
+// group. Inner groups come first, since the parent's amount depends on theirs.
 func (b *claimBuilder) addGroupGuarantees(teams []TeamDemand) {
 	done := map[string]bool{}
 	for depth := range longestPath(teams) {
@@ -178,16 +178,16 @@
 			}
 			name := team.Groups[depth]
 			done[name] = true
-			inner := b.use(name)
-			outer := b.use(team.Groups[depth+1])
-			part := b.ledger.guaranteePart(name, b.shard, inner.Claim)
-			guaranteed := inner.Want.Min(part.Max(inner.Guaranteed))
+			inner := b.usage(name)
+			outer := b.usage(team.Groups[depth+1])
+			share := b.ledger.guaranteeShare(name, b.shard, inner.Claim)
+			guaranteed := inner.Want.Min(share.Max(inner.Guaranteed))
 			outer.Guaranteed = outer.Guaranteed.Plus(guaranteed)
 		}
 	}
 }
 
-// longestPath returns how many groups the most deeply nested team is in.
+// longestPath returns the number of groups that the most deeply nested team is in.
 func longestPath(teams []TeamDemand) (longest int) {
 	for _, team := range teams {
 		longest = max(longest, len(team.Groups))
@@ -195,9 +195,9 @@
 	return longest
 }
 
-// guaranteePart returns a shard's part of a group's guarantee, which is divided by what the
-// shards want, without regard to the sizes of tasks.
-func (l *Ledger) guaranteePart(group string, shard int, own Claim) Amount {
+// guaranteeShare returns a shard's share of a group's guarantee. The guarantee is divided by
+// what the shards want, without regard to task sizes.
+func (l *Ledger) guaranteeShare(group string, shard int, own Claim) Amount {
 	g := l.groups[group]
 	if g == nil || g.record.Guarantee.IsZero() {
 		return Amount{}
@@ -206,7 +206,7 @@
 	for _, row := range g.record.Rows {
 		claims = append(claims, Claim{Want: row.Claim.Want})
 	}
-	i := g.record.Row(shard)
+	i := g.record.RowIndex(shard)
 	if i < 0 {
 		i = len(claims)
 		claims = append(claims, Claim{})
--- a/quota/divide.go
+++ b/quota/divide.go
@@ -8,37 +8,38 @@
 
 // Claim is what a shard uses and wants of a group.
 type Claim struct {
-	// Used is the most that the shard's tasks could be using.
+	// Used is the most that the shard's tasks may be using.
 	Used Amount `cbor:"x"`
-	// Want is Used and what the waiting tasks would use.
+	// Want is the sum of Used and what the waiting tasks would use.
 	Want Amount `cbor:"w"`
-	// Guaranteed is how much of Want lies within guarantees: those of the teams, and those
-	// of groups within this one.
+	// Guaranteed is how much of Want is within the guarantees of teams and of groups within
+	// this group.
 	Guaranteed Amount `cbor:"u"`
-	// SmallestTask is what the smallest waiting task uses; less is of no use to the shard.
+	// SmallestTask is the size of the smallest waiting task. The shard cannot use a smaller
+	// increase of its allowance.
 	SmallestTask Amount `cbor:"p"`
-	// SinceMS is since when tasks have waited with none started, by the time of day of the
-	// shard's owner, in milliseconds since 1970; 0: none waits.
-	SinceMS int64 `cbor:"t,omitempty"`
+	// WaitingSinceMS is when tasks began to wait with none started: the time of day at the
+	// shard's owner, in milliseconds since 1970. It is 0 if no task waits.
+	WaitingSinceMS int64 `cbor:"t,omitempty"`
 }
 
-// boundedBy returns the claim with zero for each resource that the limit does not bound.
-func (c Claim) boundedBy(limit Limit) Claim {
-	c.Used = limit.bounded(c.Used)
-	c.Want = limit.bounded(c.Want)
-	c.Guaranteed = limit.bounded(c.Guaranteed)
-	c.SmallestTask = limit.bounded(c.SmallestTask)
+// zeroWhereUnbounded returns the claim with zero for each resource that the limit does not bound.
+func (c Claim) zeroWhereUnbounded(limit Limit) Claim {
+	c.Used = limit.zeroWhereUnbounded(c.Used)
+	c.Want = limit.zeroWhereUnbounded(c.Want)
+	c.Guaranteed = limit.zeroWhereUnbounded(c.Guaranteed)
+	c.SmallestTask = limit.zeroWhereUnbounded(c.SmallestTask)
 	return c
 }
 
-// Divide returns how much of a limit the shard of each claim should have. Guaranteed claims
-// come first. What remains is divided evenly among those that want more (max-min
-// fairness), in steps of their smallest tasks. A claim that would otherwise have no task
-// running gets its smallest task ahead of what is not guaranteed, the one that has waited
-// for longest first.
+// Divide returns the fair share of each claim in a limit. Guaranteed claims come first. The
+// rest of the limit is divided evenly among the claims that want more (max-min fairness), in
+// whole tasks of their smallest size. If claims would neither run a task nor get a share for
+// one, the one of them that has waited longest gets its smallest task ahead of everything
+// that is not guaranteed.
 func Divide(limit Amount, claims []Claim) []Amount {
-	cpus := divideOne(limit.CPUs, claims, func(a Amount) float64 { return a.CPUs })
-	gpus := divideOne(limit.GPUs, claims, func(a Amount) float64 { return a.GPUs })
+	cpus := divideResource(limit.CPUs, claims, func(a Amount) float64 { return a.CPUs })
+	gpus := divideResource(limit.GPUs, claims, func(a Amount) float64 { return a.GPUs })
 	out := make([]Amount, len(claims))
 	for i := range out {
 		out[i] = Amount{CPUs: cpus[i], GPUs: gpus[i]}
@@ -46,17 +47,18 @@
 	return out
 }
 
-// resourceClaim is a claim of one resource.
+// resourceClaim is the part of a Claim that concerns one resource.
 type resourceClaim struct {
 	used, want, smallestTask float64
 	sinceMS                  int64
 }
 
-// divideOne divides one resource, which of selects.
-func divideOne(limit float64, all []Claim, of func(Amount) float64) []float64 {
+// divideResource divides the limit of one resource among the claims. quantity selects the
+// resource of an amount.
+func divideResource(limit float64, all []Claim, quantity func(Amount) float64) []float64 {
 	want := make([]float64, len(all))
 	for i, c := range all {
-		want[i] = of(c.Want)
+		want[i] = quantity(c.Want)
 	}
 	if sum(want) <= limit+epsilon {
 		return want
@@ -65,42 +67,42 @@
 	reserved := make([]float64, len(all))
 	for i, c := range all {
 		claims[i] = resourceClaim{
-			used:         of(c.Used),
+			used:         quantity(c.Used),
 			want:         want[i],
-			smallestTask: of(c.SmallestTask),
-			sinceMS:      c.SinceMS,
+			smallestTask: quantity(c.SmallestTask),
+			sinceMS:      c.WaitingSinceMS,
 		}
-		reserved[i] = min(of(c.Guaranteed), want[i])
+		reserved[i] = min(quantity(c.Guaranteed), want[i])
 	}
 	maxMinFair(limit, reserved)
-	parts := addEvenly(limit, reserved, want)
-	if i := longestWithoutTask(claims, parts); i >= 0 {
+	shares := addEvenly(limit, reserved, want)
+	if i := longestWithoutTask(claims, shares); i >= 0 {
 		task := claims[i].smallestTask
 		if sum(reserved)-reserved[i]+task <= limit+epsilon {
 			reserved[i] = task
-			parts = addEvenly(limit, reserved, want)
+			shares = addEvenly(limit, reserved, want)
 		}
 	}
-	roundToTasks(limit, claims, parts)
-	return parts
+	roundToTasks(limit, claims, shares)
+	return shares
 }
 
-// addEvenly adds to what is reserved for each an even part of what remains of a limit, up to
-// what each wants.
+// addEvenly returns the shares of all claims: what is reserved for each, plus an even share
+// of the rest of the limit, up to what the claim wants.
 func addEvenly(limit float64, reserved, want []float64) []float64 {
-	parts := make([]float64, len(reserved))
-	for i := range parts {
-		parts[i] = want[i] - reserved[i]
+	shares := make([]float64, len(reserved))
+	for i := range shares {
+		shares[i] = want[i] - reserved[i]
 	}
-	maxMinFair(limit-sum(reserved), parts)
-	for i := range parts {
-		parts[i] += reserved[i]
+	maxMinFair(limit-sum(reserved), shares)
+	for i := range shares {
+		shares[i] += reserved[i]
 	}
-	return parts
+	return shares
 }
 
-// maxMinFair divides an amount evenly, nobody getting more than it wants. It replaces what
-// each wants by what it gets.
+// maxMinFair divides an amount evenly (max-min fairness), with no claim getting more than it
+// wants. It replaces each element of wants by what the claim gets.
 func maxMinFair(amount float64, wants []float64) {
 	order := make([]int, len(wants))
 	for i := range order {
@@ -108,26 +110,26 @@
 	}
 	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(wants[a], wants[b]) })
 	for n, i := range order {
-		even := max(0, amount) / float64(len(order)-n)
-		wants[i] = min(wants[i], even)
+		evenShare := max(0, amount) / float64(len(order)-n)
+		wants[i] = min(wants[i], evenShare)
 		amount -= wants[i]
 	}
 }
 
-func sum(parts []float64) (total float64) {
-	for _, p := range parts {
-		total += p
+func sum(shares []float64) (total float64) {
+	for _, share := range shares {
+		total += share
 	}
 	return total
 }
 
-// longestWithoutTask returns the index of the claim that has waited for longest of those that
-// neither run a task of their smallest size nor have a part for one; -1: there is none.
-func longestWithoutTask(claims []resourceClaim, parts []float64) int {
+// longestWithoutTask returns the index of the claim that has waited longest among those that
+// neither run a task of their smallest size nor have a share for one, or -1 if there is none.
+func longestWithoutTask(claims []resourceClaim, shares []float64) int {
 	longest := -1
 	for i, c := range claims {
 		waits := c.sinceMS != 0 && c.want+epsilon >= c.smallestTask
-		served := c.used+epsilon >= c.smallestTask || parts[i]+epsilon >= c.smallestTask
+		served := c.used+epsilon >= c.smallestTask || shares[i]+epsilon >= c.smallestTask
 		if !waits || served {
 			continue
 		}
@@ -138,30 +140,31 @@
 	return longest
 }
 
-// roundToTasks rounds the parts of claims that want more down to what they use and whole
-// tasks beside it. What that leaves goes to those that have least, and of these to those
-// that have waited for longest, again in whole tasks.
-func roundToTasks(limit float64, claims []resourceClaim, parts []float64) {
+// roundToTasks rounds the share of each claim that wants more down to what it uses plus a
+// whole number of its smallest tasks. It hands out the remainder in whole tasks, in rounds of
+// one task for each claim, beginning with the smallest share and, among equal shares, with
+// the claim that has waited longest.
+func roundToTasks(limit float64, claims []resourceClaim, shares []float64) {
 	var order []int
 	for i, c := range claims {
-		if c.smallestTask <= 0 || parts[i]+epsilon >= c.want {
+		if c.smallestTask <= 0 || shares[i]+epsilon >= c.want {
 			continue
 		}
-		used := min(c.used, parts[i])
-		tasks := math.Floor((parts[i] - used + epsilon) / c.smallestTask)
-		parts[i] = used + tasks*c.smallestTask
+		used := min(c.used, shares[i])
+		tasks := math.Floor((shares[i] - used + epsilon) / c.smallestTask)
+		shares[i] = used + tasks*c.smallestTask
 		order = append(order, i)
 	}
 	slices.SortStableFunc(order, func(a, b int) int {
-		return cmp.Or(cmp.Compare(parts[a], parts[b]), cmp.Compare(claims[a].sinceMS, claims[b].sinceMS))
+		return cmp.Or(cmp.Compare(shares[a], shares[b]), cmp.Compare(claims[a].sinceMS, claims[b].sinceMS))
 	})
-	rest := limit - sum(parts)
+	rest := limit - sum(shares)
 	for given := true; given; {
 		given = false
 		for _, i := range order {
 			task := claims[i].smallestTask
-			if task <= rest+epsilon && parts[i]+task <= claims[i].want+epsilon {
-				parts[i] += task
+			if task <= rest+epsilon && shares[i]+task <= claims[i].want+epsilon {
+				shares[i] += task
 				rest -= task
 				given = true
 			}
--- a/quota/plan.go
+++ b/quota/plan.go
@@ -5,11 +5,12 @@
 	"slices"
 )
 
-// shortage names the resources of which some shards lack more of their parts than is free.
+// shortage holds the resources for which the shards together lack more of their fair shares
+// than is free.
 type shortage struct{ cpus, gpus bool }
 
-// of returns a with zero for each resource of which there is no shortage.
-func (s shortage) of(a Amount) Amount {
+// zeroUnlessShort returns a with zero for each resource that is not short.
+func (s shortage) zeroUnlessShort(a Amount) Amount {
 	if !s.cpus {
 		a.CPUs = 0
 	}
@@ -19,25 +20,25 @@
 	return a
 }
 
-// waitingTime says whether something waits, and since when.
+// waitingTime tells whether a claim waits, and since when.
 type waitingTime struct {
 	waits bool
 	since Micros
 }
 
-// longerThan reports whether it has waited for at least d.
+// longerThan reports whether the claim has waited for at least d.
 func (w waitingTime) longerThan(d, now Micros) bool { return w.waits && now >= w.since+d }
 
-// plan updates what this controller's shards may use of a group, and writes those of their
-// rows that have to change.
+// plan updates what this controller's shards may use of a group, and sends a write of the
+// shards' rows if any has changed enough.
 func (l *Ledger) plan(g *groupState) {
 	clear(g.allowed)
-	if !g.binds() {
+	if !g.hasLimit() {
 		return
 	}
-	l.divide(g)
+	l.computeFairShares(g)
 	next := g.record.clone()
-	changed := l.planShards(g, &next)
+	changed := l.updateRows(g, &next)
 	l.updateAllowed(g)
 	if len(changed) == 0 || !l.mayWrite(g) || len(g.setRequests) > 0 {
 		return
@@ -45,22 +46,22 @@
 	l.sendRows(g, next, changed)
 	for _, shard := range changed {
 		g.publishedAt[shard] = l.now.Steady
-		g.allowed[shard] = l.allowedNow(g, shard) // a reduction counts from now on
+		g.allowed[shard] = l.effectiveAllowance(g, shard) // a reduction applies once its write is sent
 	}
 }
 
-// planShards updates the rows of own shards in the next record, and returns the shards
-// that are worth a write.
-func (l *Ledger) planShards(g *groupState, next *Record) (changed []int) {
+// updateRows updates the rows of owned shards in the next record. It returns the shards for
+// which the record must be written.
+func (l *Ledger) updateRows(g *groupState, next *Record) (changed []int) {
 	for _, shard := range slices.Sorted(maps.Keys(l.owned)) {
-		use, known := l.currentUse(g, shard)
+		usage, known := l.currentUsage(g, shard)
 		if !known {
 			continue
 		}
-		l.reclaim(g, shard, use)
-		update := l.planShard(g, shard, use, next)
-		// While a reduction is in doubt, nobody can use what it gives up. Any newer write
-		// ends the doubt.
+		l.reclaim(g, shard, usage)
+		update := l.updateRow(g, shard, usage, next)
+		// While a reduction is in doubt, no shard can use the amount that it gives up. Any
+		// newer write resolves the doubt.
 		if update || g.reductionInDoubt(shard) {
 			changed = append(changed, shard)
 		}
@@ -68,39 +69,40 @@
 	return changed
 }
 
-// updateAllowed computes what each own shard may use.
+// updateAllowed computes what each owned shard may use.
 func (l *Ledger) updateAllowed(g *groupState) {
 	for shard, s := range l.owned {
 		if s.recordsRead {
-			g.allowed[shard] = l.allowedNow(g, shard)
+			g.allowed[shard] = l.effectiveAllowance(g, shard)
 		}
 	}
 }
 
-// currentUse returns what an own shard uses of a group; known is false before the shard's
-// use and all records are known, and for shards of others.
-func (l *Ledger) currentUse(g *groupState, shard int) (use Use, known bool) {
+// currentUsage returns what an owned shard uses of a group. known is false for a shard that is
+// not owned, before its use has been reported, and before all records have been read.
+func (l *Ledger) currentUsage(g *groupState, shard int) (usage Usage, known bool) {
 	s := l.owned[shard]
 	if s == nil || !s.recordsRead {
-		return Use{}, false
+		return Usage{}, false
 	}
-	use, known = s.usage[g.name]
-	return use, known
+	usage, known = s.usage[g.name]
+	return usage, known
 }
 
-// divide computes the part of each row, and what is short.
-func (l *Ledger) divide(g *groupState) {
+// computeFairShares computes the fair share of each row, the shortage, and whether a
+// guaranteed claim waits.
+func (l *Ledger) computeFairShares(g *groupState) {
 	limit := g.record.Limit.Amount()
-	claims := l.claims(g)
-	g.parts = Divide(limit, claims)
+	claims := l.currentClaims(g)
+	g.fairShares = Divide(limit, claims)
 	var lacking, lackingGuaranteed Amount
 	for i, row := range g.record.Rows {
-		guaranteedPart := g.parts[i].Min(claims[i].Guaranteed)
-		lacking = lacking.Plus(g.parts[i].Minus(row.Allowance))
-		lackingGuaranteed = lackingGuaranteed.Plus(guaranteedPart.Minus(row.Allowance))
+		guaranteedShare := g.fairShares[i].Min(claims[i].Guaranteed)
+		lacking = lacking.Plus(g.fairShares[i].Minus(row.Allowance))
+		lackingGuaranteed = lackingGuaranteed.Plus(guaranteedShare.Minus(row.Allowance))
 	}
 	free := g.record.Free()
-	g.short = shortage{
+	g.shortage = shortage{
 		cpus: lacking.CPUs > free.CPUs+epsilon,
 		gpus: lacking.GPUs > free.GPUs+epsilon,
 	}
@@ -112,28 +114,28 @@
 	}
 }
 
-// claims returns the claim of each row: the present one of own shards, the recorded one of
-// others, within the limit.
-func (l *Ledger) claims(g *groupState) []Claim {
+// currentClaims returns the claim of each row, with Want cut to the limit: the current claim
+// of an owned shard, and the recorded one of any other.
+func (l *Ledger) currentClaims(g *groupState) []Claim {
 	limit := g.record.Limit.Amount()
 	claims := make([]Claim, len(g.record.Rows))
 	for i, row := range g.record.Rows {
 		claims[i] = row.Claim
-		if use, known := l.currentUse(g, row.Shard); known {
-			claims[i] = use.Claim
+		if usage, known := l.currentUsage(g, row.Shard); known {
+			claims[i] = usage.Claim
 		}
 		claims[i].Want = claims[i].Want.Min(limit)
 	}
 	return claims
 }
 
-// planShard updates a shard's row in the next record, and reports whether it is worth a
-// write.
-func (l *Ledger) planShard(g *groupState, shard int, use Use, next *Record) bool {
-	claim := use.Claim.boundedBy(g.record.Limit)
-	i := next.Row(shard)
+// updateRow updates a shard's row in the next record, and reports whether the row has changed
+// enough for a write.
+func (l *Ledger) updateRow(g *groupState, shard int, usage Usage, next *Record) bool {
+	claim := usage.Claim.zeroWhereUnbounded(g.record.Limit)
+	i := next.RowIndex(shard)
 	if i < 0 {
-		if !use.Exact {
+		if !usage.Exact {
 			return false
 		}
 		g.register(shard, claim, next)
@@ -141,87 +143,88 @@
 	}
 	row := &next.Rows[i]
 	before := *row
-	row.Allowance = l.allowance(g, shard, claim, use.Exact, next)
-	exceeded := use.Exact && !claim.Used.Within(before.Allowance)
+	row.Allowance = l.targetAllowance(g, shard, claim, usage.Exact, next)
+	exceeded := usage.Exact && !claim.Used.Within(before.Allowance)
 	if exceeded && !row.Allowance.Within(before.Allowance) {
-		next.Applied = nil // a controller that does not know of groups has granted more
+		next.LastInForce = nil // a controller of a release without groups has granted more
 	}
 	row.Claim = claim
-	row.Seen = next.Epoch
+	row.SeenEpoch = next.Epoch
 	if l.worthWriting(g, before, *row) {
 		return true
 	}
-	*row = before // the write of another shard's row must not change this one
+	*row = before // a write for another shard must leave this row as it is
 	return false
 }
 
-// register adds the row of a shard that has none to the next record.
+// register adds a row to the next record for a shard that has none.
 func (g *groupState) register(shard int, claim Claim, next *Record) {
-	next.Rows = append(next.Rows, Row{Shard: shard, Allowance: claim.Used, Claim: claim, Seen: next.Epoch})
+	next.Rows = append(next.Rows, Row{Shard: shard, Allowance: claim.Used, Claim: claim, SeenEpoch: next.Epoch})
 	if !claim.Used.Within(g.record.Free()) {
-		next.Applied = nil // it uses what others may have been granted
+		next.LastInForce = nil // it uses quota that may be in the allowances of other shards
 	}
 }
 
-// allowance returns what a shard's allowance should be. It never leaves less than what is
-// in use, and grows within what is free in the next record only, unless the shard uses
-// more than its allowance already.
-func (l *Ledger) allowance(g *groupState, shard int, claim Claim, exact bool, next *Record) Amount {
-	i := g.record.Row(shard)
-	has := next.Rows[next.Row(shard)].Allowance
-	if exact && !claim.Used.Within(has) {
-		return has.Max(claim.Used)
-	}
-	used := claim.Used.Min(has)
-	part := g.part(shard, has)
+// targetAllowance returns what a shard's allowance should become. It is never less than what
+// is in use. It grows only by what is free in the next record, unless the shard already uses
+// more than its allowance.
+func (l *Ledger) targetAllowance(g *groupState, shard int, claim Claim, exact bool, next *Record) Amount {
+	i := g.record.RowIndex(shard)
+	current := next.Rows[next.RowIndex(shard)].Allowance
+	if exact && !claim.Used.Within(current) {
+		return current.Max(claim.Used)
+	}
+	used := claim.Used.Min(current)
+	capped := g.cappedAllowance(shard, current)
 	if excess := next.Excess(); !excess.IsZero() {
 		if l.now.Steady >= g.epochSeenAt+l.cfg.Timing.ExcessTimeout {
-			part = part.Min(has.Minus(excess)) // others have not given up theirs
+			capped = capped.Min(current.Minus(excess)) // other owners have not reduced theirs in time
 		}
-		return part.Max(used)
+		return capped.Max(used)
 	}
-	if !part.Equal(has) {
-		return part.Max(used)
+	if !capped.Equal(current) {
+		return capped.Max(used)
 	}
-	growth := g.parts[i].Minus(has).Min(next.Free())
-	grown := has.Plus(growth)
+	growth := g.fairShares[i].Minus(current).Min(next.Free())
+	grown := current.Plus(growth)
 	if !growth.IsZero() && claim.SmallestTask.Within(grown.Minus(used)) {
 		return grown
 	}
-	return l.withoutUnused(g, shard, has, used.Max(claim.Want))
+	return l.withoutUnused(g, shard, current, used.Max(claim.Want))
 }
 
-// withoutUnused returns what a shard has, without what it has not needed for
-// Timing.UnusedTimeout.
-func (l *Ledger) withoutUnused(g *groupState, shard int, has, needed Amount) Amount {
-	if has.Minus(needed).IsZero() {
+// withoutUnused returns a shard's current allowance, reduced to what the shard needs once
+// part of the allowance has been unused for Timing.UnusedTimeout.
+func (l *Ledger) withoutUnused(g *groupState, shard int, current, needed Amount) Amount {
+	if current.Minus(needed).IsZero() {
 		delete(g.unusedSince, shard)
-		return has
+		return current
 	}
 	since, ok := g.unusedSince[shard]
 	if !ok {
 		g.unusedSince[shard] = l.now.Steady
-		return has
+		return current
 	}
 	if l.now.Steady < since+l.cfg.Timing.UnusedTimeout {
-		return has
+		return current
 	}
-	return has.Min(needed)
+	return current.Min(needed)
 }
 
-// reclaim asks for tasks of a shard to be stopped where it uses more than its part, beyond
-// what is guaranteed to it, and a guaranteed claim has waited for long enough.
-func (l *Ledger) reclaim(g *groupState, shard int, use Use) {
-	i := g.record.Row(shard)
+// reclaim asks for tasks of a shard to be stopped if a guaranteed claim has waited for
+// Timing.ReclaimDelay and the shard uses more of a short resource than both its fair share
+// and what is guaranteed to it.
+func (l *Ledger) reclaim(g *groupState, shard int, usage Usage) {
+	i := g.record.RowIndex(shard)
 	delay := l.cfg.Timing.ReclaimDelay
 	if i < 0 || !g.guaranteeWait.longerThan(delay, l.now.Steady) || l.now.Steady < g.reclaimedAt+delay {
 		return
 	}
-	over := use.Used.Minus(g.parts[i].Max(use.Guaranteed))
-	over = g.short.of(g.record.Limit.bounded(over))
-	if over.IsZero() {
+	excess := usage.Used.Minus(g.fairShares[i].Max(usage.Guaranteed))
+	excess = g.shortage.zeroUnlessShort(g.record.Limit.zeroWhereUnbounded(excess))
+	if excess.IsZero() {
 		return
 	}
 	g.reclaimedAt = l.now.Steady
-	l.emit(Reclaim{Shard: shard, Group: g.name, Over: over})
+	l.emit(Reclaim{Shard: shard, Group: g.name, Excess: excess})
 }
--- a/quota/simulated_faults_test.go
+++ b/quota/simulated_faults_test.go
@@ -2,15 +2,16 @@
 
 import "slices"
 
-// startFaults has faults happen from one time to another, and ends all of them at a third.
+// startFaults injects faults at random times between from and to. At allEndAt it ends all faults
+// and restores the options.
 func (w *world) startFaults(from, to, allEndAt Micros) {
 	definitions := w.definitions
-	for at := from; at < to; at += w.between(500*ms, 4*sec) {
+	for at := from; at < to; at += w.randomDuration(500*ms, 4*sec) {
 		w.after(at, w.injectFault)
 	}
 	w.after(allEndAt, func() {
 		w.definitions = definitions
-		w.plan.faults = false
+		w.plan.storeFaults = false
 		for _, c := range w.controllers {
 			c.cutOffUntil = 0
 			c.watchStalledUntil = 0
@@ -18,19 +19,19 @@
 	})
 }
 
-// injectFault draws one fault, or a change of a limit, and causes it.
+// injectFault injects a random fault or changes a limit.
 func (w *world) injectFault() {
 	c := w.controllers[w.rng.IntN(len(w.controllers))]
-	const kinds = 8 // the last ones change a limit
+	const kinds = 8 // the kinds without a case below change a limit
 	switch w.rng.IntN(kinds) {
 	case 0:
 		if c.ledger != nil {
-			c.end(w.between(10*ms, 6*sec))
+			c.stop(w.randomDuration(10*ms, 6*sec))
 		}
 	case 1:
-		c.cutOffUntil = w.now + w.between(500*ms, 8*sec)
+		c.cutOffUntil = w.now + w.randomDuration(500*ms, 8*sec)
 	case 2:
-		c.watchStalledUntil = w.now + w.between(sec, 10*sec)
+		c.watchStalledUntil = w.now + w.randomDuration(sec, 10*sec)
 	case 3:
 		w.cutOffAll()
 	case 4:
@@ -44,26 +45,26 @@
 	}
 }
 
-// cutOffAll cuts all controllers off from the store, mostly for longer than a lease.
+// cutOffAll cuts all controllers off from the store, in most cases for longer than a lease.
 func (w *world) cutOffAll() {
-	until := w.now + w.between(sec, 6*sec)
+	until := w.now + w.randomDuration(sec, 6*sec)
 	for _, c := range w.controllers {
 		c.cutOffUntil = until
 	}
 }
 
-// changeOptions gives one controller options that differ from the others' for a while: another
-// limit, and possibly fewer groups.
+// changeOptions gives one controller different options for a while: another limit, and
+// possibly fewer groups.
 func (c *simulatedController) changeOptions() {
 	w := c.world
 	c.definitions = slices.Clone(w.definitions)
 	c.definitions[0].Limit = CPULimit(5)
 	c.definitions = c.definitions[:1+w.rng.IntN(len(c.definitions))]
-	w.after(w.between(sec, 10*sec), func() { c.definitions = nil })
+	w.after(w.randomDuration(sec, 10*sec), func() { c.definitions = nil })
 }
 
-// changeLimit draws another limit for a group, and possibly one more before that is in
-// force.
+// changeLimit gives a random group a random limit, and in some cases another one shortly
+// after, possibly before the first is in force.
 func (w *world) changeLimit() {
 	group := w.definitions[w.rng.IntN(len(w.definitions))].Name
 	setAnother := func() {
@@ -72,6 +73,6 @@
 	}
 	setAnother()
 	if w.chance(0.4) {
-		w.after(w.between(0, 300*ms), setAnother)
+		w.after(w.randomDuration(0, 300*ms), setAnother)
 	}
 }
--- a/quota/simulated_store_test.go
+++ b/quota/simulated_store_test.go
@@ -1,17 +1,19 @@
 package quota
 
-// writeTimeout is after how long a write that was not answered has an unknown outcome.
+// writeTimeout is how long a controller waits for the response to a write. After that the
+// outcome is unknown.
 const writeTimeout = sec
 
-// fencedWrite is a write with the conditions on its writer, as of when it was sent.
+// fencedWrite is a write together with the ownership and leadership of its sender when it was
+// sent. The store refuses the write if these have changed.
 type fencedWrite struct {
 	Write
 	sender *simulatedController
-	owned  map[int]uint64 // the shards' owner keys and their revisions
+	owned  map[int]uint64 // revisions of the owner keys, by shard
 	leads  bool
 }
 
-// write sends a write to the store.
+// write sends a write to the store. It may be carried out late, and its response may be lost.
 func (c *simulatedController) write(e Write) {
 	w := c.world
 	sent := fencedWrite{Write: e, sender: c, owned: map[int]uint64{}, leads: w.leader == c.id}
@@ -21,25 +23,25 @@
 	incarnation := c.incarnation
 	done := func(outcome Outcome, modRevision uint64) {
 		if c.incarnation == incarnation {
-			c.step(Wrote{ID: e.ID, Outcome: outcome, ModRevision: modRevision})
+			c.step(WriteResult{ID: e.ID, Outcome: outcome, ModRevision: modRevision})
 		}
 	}
 	timeOut := func() { w.after(writeTimeout, func() { done(Unknown, 0) }) }
 	if c.cutOff() {
-		if w.chance(0.3) { // carried out after the cut
-			w.after(c.cutOffUntil-w.now+w.between(0, 4*sec), func() { w.apply(sent) })
+		if w.chance(0.3) { // carried out after the connection returns
+			w.after(c.cutOffUntil-w.now+w.randomDuration(0, 4*sec), func() { w.apply(sent) })
 		}
 		timeOut()
 		return
 	}
-	w.after(w.between(ms, 15*ms), func() {
-		if w.plan.faults && w.chance(0.05) { // carried out late
-			w.after(w.between(0, 5*sec), func() { w.apply(sent) })
+	w.after(w.randomDuration(ms, 15*ms), func() {
+		if w.plan.storeFaults && w.chance(0.05) { // carried out late
+			w.after(w.randomDuration(0, 5*sec), func() { w.apply(sent) })
 			timeOut()
 			return
 		}
 		modRevision, applied := w.apply(sent)
-		if w.plan.faults && w.chance(0.05) { // the answer is lost
+		if w.plan.storeFaults && w.chance(0.05) { // the response is lost
 			timeOut()
 			return
 		}
@@ -47,11 +49,11 @@
 		if applied {
 			outcome = Applied
 		}
-		w.after(w.between(ms, 15*ms), func() { done(outcome, modRevision) })
+		w.after(w.randomDuration(ms, 15*ms), func() { done(outcome, modRevision) })
 	})
 }
 
-// apply carries a write out if its conditions are met.
+// apply carries out a write if its conditions are met.
 func (w *world) apply(e fencedWrite) (modRevision uint64, applied bool) {
 	stored := w.store[e.Group]
 	leads := e.leads && w.leader == e.sender.id
@@ -74,16 +76,16 @@
 	return w.revision, true
 }
 
-// watch brings a group's present record to a controller, in its time.
+// watch delivers a group's present record to a controller after a delay.
 func (c *simulatedController) watch(group string) {
 	w := c.world
 	stored := w.store[group]
-	delay := w.between(ms, 120*ms)
+	delay := w.randomDuration(ms, 120*ms)
 	if w.now < c.watchStalledUntil {
 		delay += c.watchStalledUntil - w.now
 	}
 	if c.cutOff() {
-		delay = max(delay, c.cutOffUntil-w.now+w.between(ms, 100*ms))
+		delay = max(delay, c.cutOffUntil-w.now+w.randomDuration(ms, 100*ms))
 	}
 	incarnation := c.incarnation
 	w.after(delay, func() {
@@ -93,11 +95,11 @@
 	})
 }
 
-// read reads a group's record.
+// read reads a group's record, once the controller reaches the store.
 func (c *simulatedController) read(group string) {
 	w := c.world
 	incarnation := c.incarnation
-	delay := max(w.between(ms, 20*ms), c.cutOffUntil-w.now)
+	delay := max(w.randomDuration(ms, 20*ms), c.cutOffUntil-w.now)
 	w.after(delay, func() {
 		stored := w.store[group]
 		if c.incarnation == incarnation && stored.modRevision != 0 {
--- a/quota/tree.go
+++ b/quota/tree.go
@@ -8,25 +8,26 @@
 	"time"
 )
 
-// Tree is a valid set of groups.
+// Tree is a valid set of groups, as configured.
 type Tree struct {
-	groups []*group
-	byName map[string]*group
+	groups []*configuredGroup
+	byName map[string]*configuredGroup
 }
 
-// group is a group of the options.
-type group struct {
+// configuredGroup is a group of the options with its parsed schedule.
+type configuredGroup struct {
 	GroupOptions
 	windows []*window
 }
 
-// maxNameLength bounds a group's name, in bytes; it is part of a key of the store.
+// maxNameLength bounds the length of a group's name in bytes, since the name is part of a key
+// of the store.
 const maxNameLength = 60
 
-// NewTree checks the options and returns the groups. teams are the teams that exist. It
-// returns an OptionError for the first option that can't be used.
+// NewTree checks the options and returns the groups. teams are the names of all existing teams.
+// The error is an *OptionError for the first invalid option.
 func NewTree(options Options, teams []string) (*Tree, error) {
-	t := &Tree{byName: map[string]*group{}}
+	t := &Tree{byName: map[string]*configuredGroup{}}
 	for i, o := range options.Groups {
 		if err := t.add(groupKey(i), o); err != nil {
 			return nil, err
@@ -44,17 +45,17 @@
 	return t, nil
 }
 
-// groupKey returns the key of the group at index i of the options.
+// groupKey returns the key, in errors, of the group at index i of the options.
 func groupKey(i int) string { return fmt.Sprintf("quota.groups[%d]", i) }
 
-// add checks what concerns one group alone, and adds it.
+// add checks the options of one group apart from its relations to others, and adds the group.
 func (t *Tree) add(key string, o GroupOptions) error {
 	if !validName(o.Name) {
-		want := fmt.Sprintf("letters, digits, '-', '_' or '.', %d at most", maxNameLength)
+		want := fmt.Sprintf("letters, digits, '-', '_' or '.', at most %d characters", maxNameLength)
 		return &OptionError{key + ".name", fmt.Sprintf("%q", o.Name), want}
 	}
 	if t.byName[o.Name] != nil {
-		return &OptionError{key + ".name", o.Name, "a name used once"}
+		return &OptionError{key + ".name", o.Name, "a name that no other group has"}
 	}
 	if err := CheckLimit(key+".limit", o.Limit); err != nil {
 		return err
@@ -62,7 +63,7 @@
 	if err := o.Guarantee.check(key + ".guarantee"); err != nil {
 		return err
 	}
-	g := &group{GroupOptions: o}
+	g := &configuredGroup{GroupOptions: o}
 	for i, s := range o.Schedule {
 		w, err := newWindow(fmt.Sprintf("%s.schedule[%d].", key, i), s)
 		if err != nil {
@@ -104,17 +105,17 @@
 	return &OptionError{key, v, "a finite number of at least 0"}
 }
 
-// checkTeams checks that each team exists and is in one group at most.
+// checkTeams checks that each team exists and is in at most one group.
 func (t *Tree) checkTeams(teams []string) error {
 	groupOf := map[string]string{}
 	for i, g := range t.groups {
 		for k, team := range g.Teams {
 			key := fmt.Sprintf("%s.teams[%d]", groupKey(i), k)
 			if !slices.Contains(teams, team) {
-				return &OptionError{key, team, "a team of the settings"}
+				return &OptionError{key, team, "a team that exists in the settings"}
 			}
 			if other, ok := groupOf[team]; ok {
-				return &OptionError{key, team, "a team in one group; it is in " + other + " already"}
+				return &OptionError{key, team, "a team that is listed only once; it is in " + other + " already"}
 			}
 			groupOf[team] = g.Name
 		}
@@ -122,22 +123,23 @@
 	return nil
 }
 
-// checkParents checks that the parents exist and that no group is within itself.
+// checkParents checks that each parent exists and that the parents form no cycle.
 func (t *Tree) checkParents() error {
 	for i, g := range t.groups {
 		key := groupKey(i) + ".parent"
 		if g.Parent != "" && t.byName[g.Parent] == nil {
-			return &OptionError{key, g.Parent, "a group of this file"}
+			return &OptionError{key, g.Parent, "the name of a group in this file"}
 		}
 		if t.inCycle(g) {
-			return &OptionError{key, g.Parent, "no group that is within this one"}
+			return &OptionError{key, g.Parent, "a group that is not within this one"}
 		}
 	}
 	return nil
 }
 
-// inCycle reports whether a group is within itself or within such a group.
-func (t *Tree) inCycle(g *group) bool {
+// inCycle reports whether following the parents of a group never ends: the group or one around
+// it is within itself.
+func (t *Tree) inCycle(g *configuredGroup) bool {
 	ancestor := g
 	for range t.groups {
 		ancestor = t.byName[ancestor.Parent]
@@ -148,14 +150,14 @@
 	return true
 }
 
-// checkGuarantees checks that each group's guarantee is a part of a parent's limit and within
-// its own limit, and that its limit is at least the guarantees of the groups in it.
+// checkGuarantees checks that only groups with a parent have a guarantee, that each guarantee is
+// within the group's own limits, and that each limit covers the guarantees of the groups in it.
 func (t *Tree) checkGuarantees() error {
 	for i, g := range t.groups {
 		guarantee := Amount(g.Guarantee)
 		text := fmt.Sprintf("%g CPUs, %g GPUs", guarantee.CPUs, guarantee.GPUs)
 		if g.Parent == "" && !guarantee.IsZero() {
-			return &OptionError{groupKey(i) + ".guarantee", text, "none for a group without a parent: there is no limit to have a part of"}
+			return &OptionError{groupKey(i) + ".guarantee", text, "no guarantee for a group without a parent, since there is no limit to guarantee a part of"}
 		}
 		inner := t.guaranteedIn(g.Name)
 		for _, limit := range g.limits() {
@@ -163,7 +165,7 @@
 				return &OptionError{groupKey(i) + ".guarantee", text, "at most the group's own limit, " + limit.String()}
 			}
 			if !inner.Within(limit.Amount()) {
-				want := fmt.Sprintf("at least the guarantees of the groups in it, %g CPUs and %g GPUs", inner.CPUs, inner.GPUs)
+				want := fmt.Sprintf("at least the sum of the guarantees of the groups in it, %g CPUs and %g GPUs", inner.CPUs, inner.GPUs)
 				return &OptionError{groupKey(i) + ".limit", limit.String(), want}
 			}
 		}
@@ -171,8 +173,8 @@
 	return nil
 }
 
-// limits returns the group's limit and those of its schedule.
-func (g *group) limits() []Limit {
+// limits returns the group's own limit and the limits of its schedule.
+func (g *configuredGroup) limits() []Limit {
 	out := []Limit{g.Limit}
 	for _, s := range g.Schedule {
 		out = append(out, s.Limit)
@@ -190,10 +192,10 @@
 	return sum
 }
 
-// Has reports whether a group is in the options. A nil Tree has none.
+// Has reports whether a group is configured. A nil Tree has no groups.
 func (t *Tree) Has(name string) bool { return t != nil && t.byName[name] != nil }
 
-// Names returns the names of the groups, in the order of the options. A nil Tree has none.
+// Names returns the names of the groups, in the order of the options. A nil Tree has no groups.
 func (t *Tree) Names() (names []string) {
 	if t == nil {
 		return nil
@@ -204,7 +206,7 @@
 	return names
 }
 
-// Definitions returns the groups with the limits that they have at a time of day.
+// Definitions returns the groups with the limits that apply at a time.
 func (t *Tree) Definitions(at time.Time) []Definition {
 	var out []Definition
 	for _, g := range t.groups {
@@ -213,9 +215,9 @@
 	return out
 }
 
-// definition returns the group with its limit at a time of day: that of the first window
-// that contains it, or else the group's own.
-func (g *group) definition(at time.Time) Definition {
+// definition returns the group with the limit that applies at a time: that of the first window
+// that contains the time, or else the group's own.
+func (g *configuredGroup) definition(at time.Time) Definition {
 	d := Definition{
 		Name:      g.Name,
 		Parent:    g.Parent,
