--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -18,7 +18,7 @@
 // These tests compare the encoded form of every record and message byte for byte with
 // testdata/golden.json. After an intended change of the protocol, write that file again with
 //
-// go test ./internal/controller -run TestGoldenBytes -update-golden
+//	go test ./internal/controller -run TestGoldenBytes -update-golden
 
 var updateGolden = flag.Bool("update-golden", false, "rewrite testdata/golden.json")
 
@@ -142,7 +142,7 @@
 
 func writeGolden(t *testing.T, golden map[string]string) {
 	t.Helper()
-	text, err := json.MarshalIndent(golden, "", " ")
+	text, err := json.MarshalIndent(golden, "", "  ")
 	if err != nil {
 		t.Fatal(err)
 	}
