--- a/internal/controller/cancellation_cascade.go
+++ b/internal/controller/cancellation_cascade.go
@@ -335,9 +335,9 @@
 	return ids
 }
 
-// takeRecordRequests stores an owner's requests to record dependents, with the epochs of its claims.
+// applyRecordRequests stores an owner's requests to record dependents, with the epochs of its claims.
 // It ignores jobs that this node does not know to have a cancelled dependency.
-func (c *Controller) takeRecordRequests(ids []string, claims []peer.ShardClaim) {
+func (c *Controller) applyRecordRequests(ids []string, claims []peer.ShardClaim) {
 	for _, id := range ids {
 		j := c.cascade.jobs[id]
 		if j == nil || j.run != nil {
--- a/internal/controller/checkpoints.go
+++ b/internal/controller/checkpoints.go
@@ -125,7 +125,7 @@
 			r.checkpoint.setRecorded(revision, covered)
 			return
 		}
-		c.checkpointNotRecorded(j, r, res.Outcome(), len(value))
+		c.handleUnrecordedCheckpoint(j, r, res.Outcome(), len(value))
 	})
 }
 
@@ -143,8 +143,8 @@
 	}
 }
 
-// checkpointNotRecorded handles a checkpoint whose write failed or is in doubt.
-func (c *Controller) checkpointNotRecorded(j *job, r *run, outcome statestore.Outcome, valueBytes int) {
+// handleUnrecordedCheckpoint handles a checkpoint whose write failed or is in doubt.
+func (c *Controller) handleUnrecordedCheckpoint(j *job, r *run, outcome statestore.Outcome, valueBytes int) {
 	p := &r.checkpoint
 	p.dirty = true
 	p.nextWriteAt = c.now + c.jitter(checkpointInterval)
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -118,13 +118,13 @@
 	s.queueStale = true
 	c.schedulingDue = true
 	j.run.arrivedAt = c.now
-	c.noteArrival(s, j)
+	c.recordArrival(s, j)
 	c.log(Info, "job unblocked, all its dependencies are done", "job", j.id, "after_ms", c.wall.Millis()-endMS, "class", j.sub.Class, "priority", j.priority)
 }
 
-// noteArrival adds the expected CPU seconds of a job that may start from now on to the arrivals of
+// recordArrival adds the expected CPU seconds of a job that may start from now on to the arrivals of
 // its shard.
-func (c *Controller) noteArrival(s *shard, j *job) {
+func (c *Controller) recordArrival(s *shard, j *job) {
 	work := float64(j.sub.Tasks) * j.sub.CPUs * c.estimates.Expect(j.sub).Seconds()
 	s.arrivals.Add(c.now, work)
 }
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -89,7 +89,7 @@
 	if j.run.acceptedUnderClaim {
 		j.run.checkpointApplied = true
 		if !j.blocked() {
-			c.noteArrival(s, j)
+			c.recordArrival(s, j)
 		}
 	} else if s.checkpointsLoaded {
 		c.applyCheckpoint(s, j)
--- a/internal/controller/ownership_test.go
+++ b/internal/controller/ownership_test.go
@@ -179,7 +179,7 @@
 	}
 }
 
-// TestReleaseShardBesideQuestions checks that the deletion of an owner key is sent ahead of users'
+// TestReleaseShardBesideStatusRequests checks that the deletion of an owner key is sent ahead of users'
 // reads: beside more requests than can be read, the key is deleted within a few seconds. While a
 // shard is being released no node answers for its jobs from memory, so that each user request takes
 // a read. The deletion once waited behind these reads, which lasted as long as the release did. At
@@ -187,7 +187,7 @@
 // and its machines got no answers: "state requests" showed 8,309 sent and 10,715 expired requests
 // in the class of the reads, 45 and 261 in that of the deletion. See
 // docs/incidents/2026-12-share-stood-still.md.
-func TestReleaseShardBesideQuestions(t *testing.T) {
+func TestReleaseShardBesideStatusRequests(t *testing.T) {
 	h := newOwnerHarness(t, func(c *Config) {
 		withPeer(c)
 		c.StateRPS = 60
--- a/internal/controller/peer_requests.go
+++ b/internal/controller/peer_requests.go
@@ -51,7 +51,7 @@
 	}
 	c.applyBroadcastCancellations(p, status.Cancelled)
 	c.quota.noteTraces(status.Traces)
-	c.takeRecordRequests(status.JobsToCancel, status.Claims)
+	c.applyRecordRequests(status.JobsToCancel, status.Claims)
 	return &peer.StatusAck{ControllerState: c.controllerStateFor(p), QuiescedShards: quiesced}
 }
 
--- a/internal/controller/watch_test.go
+++ b/internal/controller/watch_test.go
@@ -63,9 +63,9 @@
 	}
 }
 
-// TestWatchMustListAgain checks that a watch whose response is too large, or whose changes are no
+// TestWatchRelists checks that a watch whose response is too large, or whose changes are no
 // longer kept, leads to a new listing instead of the same request for ever.
-func TestWatchMustListAgain(t *testing.T) {
+func TestWatchRelists(t *testing.T) {
 	for _, status := range []int{410, StatusResponseTooLarge} {
 		h := newHarness(t, nil)
 		h.blockedWatchPrefix = wire.PrefixJob
