--- a/internal/controller/attempt_end.go
+++ b/internal/controller/attempt_end.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// logFreedTasks logs that the tasks on a machine are gone, unless there were none.
+// logFreedTasks logs that the tasks on a machine are gone, if it had tasks that have not exited.
 func (c *Controller) logFreedTasks(m *machine, reason string) {
 	tasks := 0
 	for _, att := range m.view.attemptList {
@@ -81,8 +81,8 @@
 	case wire.ExitError:
 		c.recordFailure(att)
 	case wire.ExitNoCapacity, wire.ExitInUse, wire.ExitUnknown:
-		// The machine's state differs from this node's view of it. That is not a failure of the
-		// task: it is retried after the backoff.
+		// The machine's state differs from this node's view of it. The task has not failed and is
+		// queued again; the backoff delays further starts on this machine.
 		m := att.machine
 		m.view.backoffUntil = c.now + refusedStartBackoff
 		c.log(Info, "start refused", "task", wire.TaskName(att.job.id, att.index), "machine", m.id, "reason", string(att.exitReason))
--- a/internal/controller/attempts.go
+++ b/internal/controller/attempts.go
@@ -28,7 +28,7 @@
 	return ownerEpoch<<attemptCounterBits | counter&attemptCounterMask
 }
 
-// epochOfAttempt returns the epoch of the owner that started the attempt with a number.
+// epochOfAttempt returns the epoch of the owner that started the attempt, from the attempt number.
 func epochOfAttempt(attempt uint64) uint64 { return attempt >> attemptCounterBits }
 
 // attemptState is the progress of an attempt. In the states up to attemptInDoubt the worker may not
--- a/internal/controller/cancellation_cascade.go
+++ b/internal/controller/cancellation_cascade.go
@@ -33,20 +33,20 @@
 	// cascadeTxnsPerSecond is the least number of transactions into which the writes of one second
 	// are split. A more urgent request waits no longer than one of them takes.
 	cascadeTxnsPerSecond = 4
-	// maxCascadeBurst bounds the burst of writes after a pause: it is the time for which unused
-	// writes may be made up.
+	// maxCascadeBurst bounds the burst of writes after a pause: writes that were not used in the
+	// pause may be made up for at most this time.
 	maxCascadeBurst = micros.Second / 2
 	// dependentsWritesFraction is the greatest fraction of this node's writes that dependents may
 	// take. They go before the records of machines, which need the rest.
 	dependentsWritesFraction = 0.75
-	// helpThreshold is the time that an owner would need to record all dependents alone from which
-	// on it requests help.
+	// helpThreshold bounds the time in which an owner records dependents without help. If it would
+	// need longer, it requests the other controllers to record some.
 	helpThreshold = 3 * micros.Second
-	// maxRecordRequests bounds the jobs named in one status message. The message is repeated each
-	// second.
+	// maxRecordRequests bounds the jobs that one status message requests another controller to
+	// record. The message is repeated each second.
 	maxRecordRequests = 200
 	// lostClaimBackoff is the time before a dependent is retried after its transaction found that
-	// the owner's claim is no longer valid. The watch brings the new owner.
+	// the owner's claim is no longer valid. By then the watch should have shown the new owner.
 	lostClaimBackoff = micros.Second
 	// helpDelay is the time until the other controllers know of a cancellation and of the
 	// dependents that they are requested to record.
@@ -67,7 +67,7 @@
 	recording    map[string]bool
 	txnsInFlight int
 	retryAt      micros.Micros
-	// nextTxnAt is when the fraction of writes for dependents allows the next transaction.
+	// nextTxnAt is when dependentsWritesFraction allows the next transaction.
 	nextTxnAt micros.Micros
 	// generation is incremented when this node loses a shard. Transactions of earlier generations
 	// no longer count as in flight.
@@ -81,8 +81,8 @@
 	cascade.recording = map[string]bool{}
 }
 
-// forgetTransactions stops counting the transactions in flight, since their conditions name a claim
-// that is no longer valid.
+// forgetTransactions stops counting the transactions in flight. It is called when this node loses a
+// shard: the conditions of its transactions then name a claim that is no longer valid.
 func (cascade *cancellationCascade) forgetTransactions() {
 	cascade.generation++
 	cascade.txnsInFlight = 0
@@ -100,9 +100,9 @@
 }
 
 // CancellableDependents returns how many dependents of a cancelled job can be recorded within
-// cfg.Cancel while controllersDown controllers are down and the state service is unavailable for
-// the given part of that time. Each dependent takes one write. Acceptances and ends of jobs go first
-// and reduce the number.
+// cfg.CancelWithin if controllersDown controllers are down and the state service is unavailable for
+// a part of that time of length outage. Each dependent takes one write. Acceptances and ends of jobs
+// go first and reduce the number.
 func CancellableDependents(cfg Config, controllersDown int, outage micros.Micros) int {
 	nodes := len(cfg.Peers) + 1
 	available := cfg.CancelWithin - outage - helpDelay
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -28,8 +28,8 @@
 )
 
 // linkDependencies adds a new job to the dependency graph. It computes the job's effective priority
-// and deadline, marks the job if a dependency is cancelled, and passes priority and deadline on to
-// its dependencies.
+// and deadline from its dependents, marks the job if a dependency is cancelled, and updates the
+// effective priorities and deadlines of its dependencies.
 func (c *Controller) linkDependencies(j *job) {
 	c.updatePriority(j)
 	delete(c.jobs.unknownDependencies, j.id)
@@ -94,7 +94,7 @@
 		return
 	}
 	if !f.recorded {
-		t.unknownDependencies[id] = c.now // only the record unblocks, not another controller's message
+		t.unknownDependencies[id] = c.now // read at once: another controller's message does not unblock
 		return
 	}
 	delete(t.dependents, id)
@@ -111,8 +111,8 @@
 	}
 }
 
-// unblockJob makes a job that this node owns eligible to start. endMS is when its last dependency was
-// done, as a time of day in milliseconds.
+// unblockJob makes a job that this node owns eligible to start. endMS is the time of day, in
+// milliseconds, at which its last dependency was done.
 func (c *Controller) unblockJob(j *job, endMS int64) {
 	s := c.ownership.shards[j.shard]
 	s.queueStale = true
--- a/internal/controller/job_end.go
+++ b/internal/controller/job_end.go
@@ -18,22 +18,25 @@
 const (
 	// maxCancelWaiters bounds the requests that wait for the cancellation of one job.
 	maxCancelWaiters = 64
-	// rejectedWriteBackoff is the time before a write is retried that the state service refused as
-	// malformed or too large.
+	// rejectedWriteBackoff is the time before the retry of a write that the state service refused
+	// as malformed or too large.
 	rejectedWriteBackoff = 15 * micros.Second
 
 	endTimeout = 1500 * micros.Millisecond
-	// endRetryInterval is the mean time before an end is retried whose transaction was not executed.
+	// endRetryInterval is the mean time before the retry of an end whose transaction was not
+	// executed.
 	endRetryInterval = 400 * micros.Millisecond
-	// endReadRetryInterval is the mean time before a read that resolves an end in doubt is retried.
+	// endReadRetryInterval is the mean time before the retry of a read that resolves an end in
+	// doubt.
 	endReadRetryInterval = 500 * micros.Millisecond
 )
 
 // unavailable returns the answer for a job whose state this node can't determine: 503.
 func unavailable() peer.JobResponse { return peer.JobResponse{Status: http.StatusServiceUnavailable} }
 
-// cancelJob cancels a job that this node owns. It calls done once the cancellation is recorded, or
-// with unavailable if that fails or too many requests wait for it.
+// cancelJob cancels a job that this node owns. It calls done with the recorded final state, which is
+// done if the job was done first, or with unavailable if the record fails or too many requests wait
+// for it.
 func (c *Controller) cancelJob(j *job, done func(peer.JobResponse)) {
 	end := &j.run.end
 	if len(end.waiters) >= maxCancelWaiters {
@@ -50,8 +53,8 @@
 // requestCancellation starts a cancellation that a user requested. The job's tasks are stopped
 // before the record is written and even if writing it fails: nobody needs their work any more, and
 // another controller may answer "cancelled" before this one knows that its record was written. The
-// tasks count against limits until their machines no longer list them, and the owner retries the
-// record until it is written.
+// tasks count against limits until they are known to be gone from their machines, and the owner
+// retries the record until it is written.
 func (c *Controller) requestCancellation(j *job) {
 	if j.run.end.requested() {
 		return
@@ -90,8 +93,9 @@
 // stopsForCancelledTasks ensures that the reply to a heartbeat stops each cancelled task that the
 // heartbeat lists. Every reply renews the machine's lease, so every reply must contain the stops,
 // including the first one after a claim: the owner of the shard may change again before the machine
-// receives the next. For a reconciled machine the stops are requested through c.stop; for any other
-// the function returns them. An old task list does no harm, since no attempt number is used twice.
+// receives the next reply. For a reconciled machine the stops are requested through c.stop; for any
+// other machine the function returns them. An old task list does no harm here, since no attempt
+// number is used twice.
 func (c *Controller) stopsForCancelledTasks(s *shard, m *machine, heartbeat *wire.Heartbeat) (stops []wire.Command) {
 	if m.view.reconciled {
 		for _, att := range m.view.attemptList {
--- a/internal/controller/job_status.go
+++ b/internal/controller/job_status.go
@@ -39,8 +39,8 @@
 	c.findJobState(in.ID, func(a peer.JobResponse) { c.answerJobStatus(in.Reply, in.ID, a) })
 }
 
-// findJobState finds the state of a job and calls done with it. A final state comes from memory, any
-// other from the job's owner or from a read of its record.
+// findJobState finds the state of a job and calls done with it. A final state comes from memory if it
+// is there, any other from the job's owner or from a read of the record.
 func (c *Controller) findJobState(id string, done func(peer.JobResponse)) {
 	if f, ok := c.jobs.final(id); ok {
 		done(f.answer())
@@ -111,7 +111,7 @@
 }
 
 // readJob reads a job's record for internal work of the given class. Users' requests use
-// readForUser.
+// readJobForUser.
 func (c *Controller) readJob(class statestore.Class, id string, done func(statestore.Lookup)) {
 	c.queueStateRequest(class, statestore.GetKey{Key: wire.JobKey(id)}, statestore.ReadTimeout, func(r statestore.Reply) { done(c.applyJobRead(r)) })
 }
--- a/internal/controller/job_table.go
+++ b/internal/controller/job_table.go
@@ -56,8 +56,8 @@
 	open             map[string]*job
 	finals           finalJobs
 	pendingCreations map[string]*jobCreation
-	// unusable holds the ids of jobs whose records this node can't use. They are in neither open
-	// nor finals.
+	// unusable holds the ids of jobs whose records this node can't use. Such jobs are in neither
+	// open nor finals.
 	unusable map[string]bool
 	// dependents holds the open jobs that wait for a job, by the id of that job.
 	dependents map[string][]*job
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -211,8 +211,9 @@
 	return j.run.end.due(c.now) || j.run.checkpoint.due(c.now)
 }
 
-// adjustJobWatch sets the interval and the timeout of the watch of jobs. Both are shorter while
-// jobs are blocked, since the watch brings the ends that unblock them.
+// adjustJobWatch sets the timeout and the interval of the watch of jobs, which brings the ends that
+// unblock jobs. The timeout is shorter while any job is blocked, and the interval while a job that
+// this node owns is.
 func (o *ownershipState) adjustJobWatch(scan openJobsScan) {
 	watch := &o.jobWatch
 	watch.PollTimeout = statestore.WatchTimeout
--- a/internal/controller/submission.go
+++ b/internal/controller/submission.go
@@ -64,8 +64,9 @@
 	c.refuseSubmission(r, err.ID, http.StatusBadRequest)
 }
 
-// refusalOf returns the HTTP status if a submission is refused permanently. The size of the record
-// is checked before the dependencies are looked up, since there may be thousands of them.
+// refusalOf reports whether a submission is refused permanently, and with which HTTP status. The size
+// of the record is checked here, before the dependencies are looked up, since there may be thousands
+// of them.
 func (c *Controller) refusalOf(sub *wire.Submission) (status int, refused bool) {
 	if !c.canRun(sub) {
 		return http.StatusUnprocessableEntity, true
@@ -154,7 +155,8 @@
 	return sub.Types == nil || slices.Contains(sub.Types, name)
 }
 
-// createJob writes the record of a new job and calls done with 201 once it is written.
+// createJob writes the record of a new job and calls done with 201 once it is written, or with the
+// answer for the existing record, or with 503.
 func (c *Controller) createJob(sub wire.Submission, done func(peer.JobResponse)) {
 	id := sub.ID
 	if pending := c.jobs.pendingCreations[id]; pending != nil {
--- a/internal/controller/task_lists.go
+++ b/internal/controller/task_lists.go
@@ -17,8 +17,8 @@
 	answerToRequest
 )
 
-// maxListedAttempts bounds the attempts that are tracked per machine. Further listed tasks are
-// ignored.
+// maxListedAttempts bounds the attempts that are added from the task lists of a machine. Further
+// listed tasks are ignored.
 const maxListedAttempts = 4000
 
 // applyTaskList updates a machine's attempts from the task list of a heartbeat.
@@ -62,7 +62,7 @@
 func (c *Controller) handleMissingAttempt(att *attempt, heartbeat *wire.Heartbeat, source heartbeatSource) {
 	switch att.state {
 	case attemptAssigned, attemptCommanded, attemptInDoubt:
-		// The start was not sent, or may still be in flight.
+		// The start was not sent, or a direct command with it may still be in flight.
 	case attemptSent:
 		if source == sentByWorker && heartbeat.Sequence > att.sentSequence {
 			c.freeAttempt(att, false) // the reply with the start was lost
@@ -121,8 +121,8 @@
 
 // taskListUnchanged reports whether a heartbeat has the same task list as the last one and no
 // attempt was added or dropped in between, so that the list need not be applied. This holds for
-// most heartbeats. Lists are compared by their address, not by their content, because
-// wire.HeartbeatReader returns the same slice for an unchanged list as long as it remembers it.
+// most heartbeats. Lists are compared by address, because wire.HeartbeatReader returns the same
+// slice for an unchanged list while it has the list in its cache.
 func (v *machineView) taskListUnchanged(heartbeat *wire.Heartbeat) bool {
 	n := len(heartbeat.Tasks)
 	if n != len(v.attemptList) || n != len(v.lastTaskList) {
--- a/internal/controller/unknown_jobs.go
+++ b/internal/controller/unknown_jobs.go
@@ -13,7 +13,7 @@
 // done with such a task, without a read; see authority.JobStatusOf.
 
 // jobStatusOf returns what this node knows about the job of an attempt on a machine of the shard.
-// seenAt is the time since which the attempt has been seen there.
+// seenAt is a time by which the attempt had been seen there; a later one gives a less certain status.
 func (c *Controller) jobStatusOf(s *shard, job string, attempt uint64, seenAt micros.Micros) authority.JobStatus {
 	_, ended := c.jobs.final(job)
 	jobsView := &c.ownership.jobWatch
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -16,8 +16,8 @@
 	retryWhenFull = 2
 )
 
-// answerJobStatus answers a status request. A user who is refused should retry when the backlog of
-// reads can have been worked off.
+// answerJobStatus answers a status request. The retry time of a refused user gives the controller
+// time to work off its backlog of reads.
 func (c *Controller) answerJobStatus(r ReplyID, id string, a peer.JobResponse) {
 	c.answerJob(r, id, a, c.retryAfter())
 }
