--- a/internal/controller/authority.go
+++ b/internal/controller/authority.go
@@ -52,8 +52,8 @@
 	}, o.bounds)
 }
 
-// activeShard returns the shard with an ID if this node owns it and may command its machines, else
-// nil.
+// activeShard returns the shard with the given id if this node owns it and may command its machines,
+// and nil otherwise.
 func (o *ownershipState) activeShard(id int) *shard {
 	if s := o.shards[id]; o.mayCommandShard(s).Allowed {
 		return s
@@ -113,8 +113,8 @@
 }
 
 // mayReceiveLateStart reports whether a command whose delivery is in doubt could still start a task
-// whose stop was requested at least LateStartGrace ago. The command is valid only in the machine's
-// current agent epoch, so that epoch must be ended: the machine's lease must not be renewed.
+// whose immediate stop was requested at least LateStartGrace ago. The command names the machine's
+// agent epoch and is void once that epoch ends, so the machine's lease must not be renewed.
 func (c *Controller) mayReceiveLateStart(m *machine) bool {
 	if m.view.inDoubtToken == 0 {
 		return false
--- a/internal/controller/checkpoint_recovery.go
+++ b/internal/controller/checkpoint_recovery.go
@@ -22,8 +22,8 @@
 	modRevisions map[string]uint64
 }
 
-// loadCheckpoints reads all checkpoints after a claim. After the claim only this owner writes the
-// checkpoints of its jobs.
+// loadCheckpoints reads all checkpoints after a claim. What it reads of the shard's jobs stays
+// current, since only this owner writes their checkpoints from the claim on.
 func (c *Controller) loadCheckpoints(s *shard) {
 	c.listCheckpoints(s, &checkpointListing{
 		records:      map[string]wire.CheckpointRecord{},
@@ -81,8 +81,8 @@
 			c.applyCheckpoint(s, j)
 		}
 	}
-	// Tasks of machines that were reconciled before the checkpoints were loaded have only been
-	// noted until now.
+	// Tasks on machines that were reconciled before the checkpoints were loaded are known but not
+	// adopted yet.
 	c.reconcileAfterCheckpointLoad(s)
 	c.schedulingDue = true
 }
--- a/internal/controller/config.go
+++ b/internal/controller/config.go
@@ -73,8 +73,8 @@
 	// 0 means that silent machines are never returned; a negative value means a time derived from
 	// HeartbeatInterval.
 	SilentReturn micros.Micros
-	// DrainHorizon is the time within which the fleet should be able to work off the backlog;
-	// scaling out aims at it.
+	// DrainHorizon is the time within which the fleet should be able to work off the backlog. The
+	// size of the fleet is planned for it.
 	DrainHorizon micros.Micros
 	// IdleReturn is how long a machine may be idle before it is returned to the cloud.
 	IdleReturn micros.Micros
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -17,7 +17,7 @@
 	stepContext
 
 	userReads            *statestore.ReadCoalescer // reads of job records for user requests
-	unsentRequestsLogged uint64                    // requests dropped before they were sent, as of the last log line
+	unsentRequestsLogged uint64                    // requests dropped before they were sent, as last logged
 
 	ownership                 ownershipState
 	jobSharding               jobSharding
--- a/internal/controller/first_start.go
+++ b/internal/controller/first_start.go
@@ -47,8 +47,9 @@
 }
 
 // reserveCapacity reserves the capacity that becomes free on one machine for an overdue job that
-// fits on no machine. Otherwise small tasks would take each piece of free capacity at once, and a
-// task that needs a whole machine would never start. Nothing is preempted for the reservation.
+// found no machine with enough free capacity. Otherwise small tasks would take each piece of free
+// capacity at once, and a task that needs a whole machine would never start. Nothing is preempted
+// for the reservation.
 func (c *Controller) reserveCapacity(s *shard, j *job) {
 	r := j.run
 	if !c.overdue(j) || c.now < r.reservedUntil || c.scheduling.preemptionBudget.searches <= 0 {
@@ -98,7 +99,7 @@
 }
 
 // timeUntilCapacity returns the expected time until enough of a machine's tasks have ended for a
-// task of a job to fit. It returns micros.Never if the task would not fit even then.
+// task of a job to fit. It returns micros.Never if the task would not fit even after all of them.
 func (c *Controller) timeUntilCapacity(j *job, m *machine) micros.Micros {
 	need := resourcesOf(j.sub)
 	free := c.freeCapacity(m)
--- a/internal/controller/lock.go
+++ b/internal/controller/lock.go
@@ -87,9 +87,9 @@
 	c.claimLock(l)
 }
 
-// claimLock sends a claim of a lock. The watch, not the response, shows whether the claim took
-// effect: it also shows claims that were executed late, and with a claim all machine records
-// written before it.
+// claimLock sends a claim of a lock. The watch, not the response, decides whether this node holds the
+// lock: the watch also shows a claim that was executed late, and by then it has shown all machine
+// records written before the claim.
 func (c *Controller) claimLock(l *lock) {
 	owner := c.ownership.ownerRecord()
 	value, err := wire.Encode(owner)
@@ -112,7 +112,7 @@
 	case outcome == statestore.Applied || outcome == statestore.ConditionFailed:
 		c.ownership.lastStateReplyAt = c.now
 		c.deferToStepEnd(func() { l.claiming = false })
-		l.freeSince = c.now // delays the next claim until the watch has shown this one
+		l.freeSince = c.now // gives the watch time to show this claim before the next one
 	default:
 		l.claiming = false
 		l.freeSince = c.now
@@ -120,8 +120,9 @@
 }
 
 // releaseLock deletes this node's key of a lock. Once the deletion was sent, this node never acts
-// under that epoch again, even if the deletion fails: a late copy of it could delete the key while
-// the lease is valid, and a successor relies on this node having stopped its commands by then.
+// under that epoch again, even if the deletion seems to have failed: a late copy of it could delete
+// the key while the lease is valid, and a successor relies on this node having stopped its commands
+// by the time the key is deleted.
 func (o *ownershipState) releaseLock(l *lock) {
 	if !l.releaseDue(o.now) {
 		return
--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -17,7 +17,8 @@
 	Steady micros.Micros
 	// Wall is the time of day.
 	Wall micros.Micros
-	// PreviousStepDuration is how long the previous step took, including its effects.
+	// PreviousStepDuration is how long the previous step took, including the time to carry out its
+	// effects.
 	PreviousStepDuration micros.Micros
 }
 
@@ -81,8 +82,8 @@
 func (PeerRequest) isInput()      {}
 func (Result) isInput()           {}
 
-// StatusResponseTooLarge is the Status of a Result whose response exceeds this controller's size limit. Repeating
-// the request would give the same result.
+// StatusResponseTooLarge is the Status of a Result whose response exceeds this controller's size
+// limit. Repeating the request would give the same result.
 const StatusResponseTooLarge = http.StatusRequestEntityTooLarge
 
 // Target is the kind of service that a Call is sent to.
--- a/internal/controller/ownership.go
+++ b/internal/controller/ownership.go
@@ -24,7 +24,7 @@
 type shardOwnership int
 
 const (
-	// shardNotOwned means that another node or none owns the shard.
+	// shardNotOwned means that another node owns the shard, or that no node does.
 	shardNotOwned shardOwnership = iota
 	// shardOwned means that this node has seen its claim in the watch. Its view of machines is
 	// therefore at least as new as the claim.
@@ -51,7 +51,7 @@
 	machines      []*machine // with a record in this shard, sorted by name
 	dirtyMachines []*machine // machines whose usage must be counted again
 	recountAll    bool       // the usage of all machines must be counted again
-	usage         []usage    // upper bound of the resources in use on the machines, by team
+	usage         []usage    // upper bound of the resources in use on the machines, by team number
 	queue         []*job     // unfinished jobs in scheduling order
 	// firstWaiting is a position in the queue: no job before it has a waiting task. It saves a
 	// heartbeat from scanning hundreds of jobs.
--- a/internal/controller/peer_requests.go
+++ b/internal/controller/peer_requests.go
@@ -66,8 +66,8 @@
 	return true
 }
 
-// handleJobRequest answers a request about a job as the job's owner. If this node does not own the
-// job, the response is unavailable (503).
+// handleJobRequest answers a request about a job as the job's owner. If this node can't answer as the
+// owner and does not know a final state of the job, the response is unavailable (503).
 func (c *Controller) handleJobRequest(req peer.JobRequest, done func(peer.JobResponse)) {
 	if f, ok := c.jobs.final(req.ID); ok {
 		done(f.answer())
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -12,10 +12,11 @@
 const (
 	// statusInterval is the time between two statuses sent to another controller.
 	statusInterval = micros.Second
-	// peerTimeout is how long a controller counts as alive after its last message.
+	// peerTimeout is how long a controller counts as alive after its last status or
+	// acknowledgement.
 	peerTimeout = 5 * statusInterval / 2
-	// peerStatusOverdue is the maximum time between two statuses of another controller for it to
-	// count as the one of the pair that sends statuses; see peerSendsStatus.
+	// peerStatusOverdue is the maximum age of another controller's last status at which that
+	// controller counts as the one of the pair that sends statuses; see peerSendsStatus.
 	peerStatusOverdue = 6 * statusInterval / 5
 	// stateReachablePeriod is how long the state service counts as reachable after its last answer.
 	stateReachablePeriod = 5 * micros.Second / 2
@@ -36,12 +37,12 @@
 // peerView is what this node knows of another controller.
 type peerView struct {
 	label         string
-	lastContactAt micros.Micros // when its last message arrived
+	lastContactAt micros.Micros // when its last status or acknowledgement arrived
 	// lastStatusAt is when its last status arrived. Its acknowledgements of this node's statuses do
 	// not count.
 	lastStatusAt   micros.Micros
 	uptime         micros.Micros
-	stateReachable bool // it reaches the state service
+	stateReachable bool // it reports that it reaches the state service
 	withoutWorkers bool
 	hasQuota       bool // it has quota groups
 	// statusInFlight is set while a status sent to it has not been answered.
@@ -96,13 +97,13 @@
 		}
 		c.finishJob(id, f)
 		if i := slices.Index(p.pendingCancellations, id); i >= 0 {
-			p.pendingCancellations = slices.Delete(p.pendingCancellations, i, i+1) // it knows the cancellation already
+			p.pendingCancellations = slices.Delete(p.pendingCancellations, i, i+1) // the other controller knows the cancellation already
 		}
 	}
 }
 
-// alive reports whether a message of another controller arrived within peerTimeout. Time during
-// which this node itself was stalled does not count.
+// alive reports whether a status or acknowledgement of another controller arrived within
+// peerTimeout. Time before the end of this node's last stall does not count.
 func (sc *stepContext) alive(p *peerView) bool {
 	contacted := p.lastContactAt > -micros.Never
 	return contacted && sc.now-max(p.lastContactAt, sc.lastStalledAt) < peerTimeout
--- a/internal/controller/shard_recovery.go
+++ b/internal/controller/shard_recovery.go
@@ -72,8 +72,8 @@
 }
 
 // machineFreeDelay returns how long after a claim a machine without a heartbeat may still hold
-// tasks. A node without peers has no predecessor that could have answered the machine since, so
-// that the machine's own lease is the bound.
+// tasks. A node without peers has no predecessor that could have answered the machine since, so the
+// machine's own lease is the bound.
 func (sc *stepContext) machineFreeDelay() micros.Micros {
 	if len(sc.cfg.Peers) == 0 {
 		return sc.bounds.WorkerExpiry
@@ -165,8 +165,8 @@
 }
 
 // recordQuiescedPeer records that a peer issues no commands for a shard under an earlier claim than
-// this node's. Once all peers have confirmed that, a machine without a heartbeat is free when its
-// own lease has expired.
+// this node's. Once all peers have confirmed that, a machine without a heartbeat is free after
+// WorkerExpiry at the latest, since no other node renews its lease any more.
 func (o *ownershipState) recordQuiescedPeer(s *shard, label string) {
 	if !s.owned() {
 		return
--- a/internal/controller/state_requests.go
+++ b/internal/controller/state_requests.go
@@ -17,8 +17,8 @@
 	})
 }
 
-// queueStateRequest queues a request to the state service. done is called exactly once; if the
-// queue is full or the request expires in it, the reply has NotSent set.
+// queueStateRequest queues a request to the state service. done is called exactly once. If the queue
+// is full or the request expires in it, the reply passed to done has NotSent set.
 func (sc *stepContext) queueStateRequest(class statestore.Class, body any, timeout micros.Micros, done func(statestore.Reply)) {
 	request := statestore.Request{
 		Body:      body,
@@ -66,8 +66,8 @@
 	})
 }
 
-// hasSpareRequests reports whether at least half of a second's requests to the state service are
-// unused and no request is waiting.
+// hasSpareRequests reports whether no request to the state service is waiting and at least half of a
+// second's requests are unused.
 func (c *Controller) hasSpareRequests() bool {
 	return c.userReads.Waiting() == 0 && c.stateQueue.HasSpareRequests(c.now)
 }
@@ -88,7 +88,7 @@
 	return metrics
 }
 
-// logStateRequests logs the metrics of all classes in use. The level is Info if requests were
+// logStateRequests logs the metrics of all classes that were used. The level is Info if requests were
 // dropped unsent since the last line, and Debug otherwise.
 func (c *Controller) logStateRequests() {
 	level, unsent := Debug, uint64(0)
--- a/internal/controller/step_context.go
+++ b/internal/controller/step_context.go
@@ -27,7 +27,8 @@
 	lastStalledAt micros.Micros
 	schedulingDue bool // there may be tasks to schedule
 
-	// The effects of the current step and the calls in flight; see effects.go.
+	// The effects and deferred functions of the current step, and the calls in flight; see
+	// effects.go.
 	effects  []Effect
 	deferred []func()
 	calls    map[uint64]func(Result) // callbacks of the calls in flight, by Call.ID
