--- a/internal/controller/cancellation_cascade_test.go
+++ b/internal/controller/cancellation_cascade_test.go
@@ -230,7 +230,7 @@
 		reply = h.lastReply
 		h.run(sec)
 		if a := h.answers[reply]; stateOf(a) != wire.StateCancelled {
-			t.Fatalf("a cancellation while dependents are recorded is answered %d %s", a.Status, stateOf(a))
+			t.Fatalf("a cancellation while dependents are recorded is answered %d %s, want cancelled", a.Status, stateOf(a))
 		}
 	}
 	if !h.c.ownership.leaseValid() {
--- a/internal/controller/compat_test.go
+++ b/internal/controller/compat_test.go
@@ -188,10 +188,10 @@
 		t.Errorf("%d machines, want 50, vm-000103 cordoned", len(c.machines))
 	}
 	if a := h.submit(dependentSubmission("job-000500", 1, "job-000001", "job-000413")); a.Status != 201 {
-		t.Errorf("a submission that depends on jobs of the older version is answered %d", a.Status)
+		t.Errorf("a submission that depends on jobs of the older version is answered %d, want 201", a.Status)
 	}
 	if a := h.submit(dependentSubmission("job-000501", 1, "job-000002")); a.Status != 201 || stateOf(a) != wire.StateCancelled {
-		t.Errorf("a submission that depends on a job cancelled by the older version is answered %d, state %s", a.Status, stateOf(a))
+		t.Errorf("a submission that depends on a job cancelled by the older version is answered %d, state %s, want 201 and cancelled", a.Status, stateOf(a))
 	}
 	if j := c.jobs.open["job-000500"]; j == nil || !j.blocked() || j.unmetDependencies["job-000001"] {
 		t.Errorf("%+v: want it blocked by job-000413 alone", j)
@@ -199,10 +199,10 @@
 	h.cancel("job-000413")
 	h.run(2 * sec)
 	if s := h.jobState("job-000414"); version == lastLandedVersion && s != wire.StateCancelled {
-		t.Errorf("the job with dependencies is reported as %q after a dependency was cancelled", s)
+		t.Errorf("the job with dependencies is in state %q after a dependency was cancelled, want cancelled", s)
 	}
 	if s := h.jobState("job-000500"); s != wire.StateCancelled {
-		t.Errorf("job-000500 is reported as %q after its dependency was cancelled", s)
+		t.Errorf("job-000500 is in state %q after its dependency was cancelled, want cancelled", s)
 	}
 	// Requests of the older version are answered.
 	for name, b := range samples["messages"] {
@@ -212,7 +212,7 @@
 		}
 		req.From = "n-1"
 		if a := h.request(func(r ReplyID) Input { return PeerRequest{Reply: r, Req: req} }); a.Status != 200 {
-			t.Errorf("message %s is answered %d", name, a.Status)
+			t.Errorf("message %s is answered %d, want 200", name, a.Status)
 		}
 	}
 }
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -373,7 +373,7 @@
 			h.run(sec)
 			for i := 1; i < n; i++ {
 				if s := h.jobState(chainID(i)); s != "" && s != wire.StateCancelled {
-					t.Errorf("a dependent of a cancelled job is in state %q, want cancelled", s)
+					t.Errorf("a dependent of a cancelled job is in state %q, want cancelled or no answer", s)
 				}
 			}
 			h.run(8 * sec)
@@ -491,7 +491,7 @@
 		{"in order, cancelled", []int{1, 2, 3, 4}, wire.StateCancelled},
 		{"the last first, cancelled", []int{4, 3, 2, 1}, wire.StateCancelled},
 		{"mixed, cancelled", []int{2, 4, 1, 3}, wire.StateCancelled},
-		{"the last comes late, ended elsewhere", []int{1, 2, 3, 4}, wire.StateDone},
+		{"in order, ended by another controller", []int{1, 2, 3, 4}, wire.StateDone},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newOwnerHarness(t, func(c *Config) {
@@ -537,18 +537,18 @@
 
 // TestBlockedIsPendingOnlyWithNewView checks that a blocked job is answered as pending only while the
 // view of jobs is recent. After an outage, a partition or a start, a controller may not know of a
-// cancellation of which a user was notified long ago. The simulation found the fault with a
-// controller that came back from an outage longer than the time allowed for a cancellation.
+// cancellation of which a user was notified long ago. The simulation found this fault: a controller
+// came back from an outage longer than the time allowed for a cancellation.
 func TestBlockedIsPendingOnlyWithNewView(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		lose func(h *harness)
 	}{
-		{"its watch brings nothing", func(h *harness) {
+		{"the watch delivers nothing", func(h *harness) {
 			h.blockedWatchPrefix = wire.PrefixJob
 			h.run(11 * sec)
 		}},
-		{"what its watch brought was long on its way", func(h *harness) {
+		{"the answer to the watch took long", func(h *harness) {
 			h.blockedWatchPrefix = wire.PrefixJob
 			h.run(7 * sec)
 			for i, w := range h.watches {
@@ -560,7 +560,7 @@
 			}
 			h.run(4 * sec) // 11 s after the watch request was sent
 		}},
-		{"it is listing anew", func(h *harness) {
+		{"the jobs are being listed again", func(h *harness) {
 			h.blockedWatchPrefix = wire.PrefixJob
 			h.c.ownership.jobWatch.Relist()
 			h.c.ownership.jobWatch.InFlight = true
@@ -568,7 +568,7 @@
 		{"the dependency's end is not in memory", func(h *harness) {
 			h.c.jobs.unknownDependencies["job-000001"] = micros.Never
 		}},
-		{"an end further up is not in memory", func(h *harness) {
+		{"the end of a transitive dependency is not in memory", func(h *harness) {
 			h.c.jobs.unknownDependencies["job-000000"] = micros.Never
 		}},
 	} {
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -45,7 +45,7 @@
 	// applyDelayedTxns.
 	delayPrefix          string
 	delayedTxns          []Call
-	unansweredStateCalls []Call // calls that were made while stateDown was set
+	unansweredStateCalls []Call // state service calls held while stateDown is set
 	// jobRequests are the job requests sent to the other controllers.
 	jobRequests []peer.JobRequest
 	// statusesSent are the statuses that reached the other controllers.
@@ -59,10 +59,10 @@
 	cloudMachines []wire.ListedMachine
 	// logs are the lines logged so far.
 	logs []Log
-	// unlistablePrefix is a key prefix whose listings are refused with 429, unreadablePrefix one
-	// whose reads of single keys are.
+	// unlistablePrefix is a key prefix whose listings are refused with 429. unreadablePrefix is one
+	// whose reads of single keys are refused with 429.
 	unlistablePrefix, unreadablePrefix string
-	// blockedWatchPrefix is the prefix of the keys whose watches deliver nothing.
+	// blockedWatchPrefix is the prefix whose watches deliver nothing.
 	blockedWatchPrefix string
 }
 
@@ -453,8 +453,8 @@
 	return cmds[0].Attempt
 }
 
-// runOneTask has the one task of job-000001 running on vm-1. It returns the machine's fencing token
-// and the attempt.
+// runOneTask reconciles vm-1, submits job-000001 with one task and reports the task as running on
+// vm-1. It returns the machine's fencing token and the attempt.
 func (h *harness) runOneTask() (fencingToken, attempt uint64) {
 	fencingToken = h.reconcileMachine("vm-1")
 	attempt = h.startOneTask(fencingToken)
--- a/internal/controller/idempotency_test.go
+++ b/internal/controller/idempotency_test.go
@@ -22,7 +22,7 @@
 }
 
 // checkRepeatsDoNothing executes all transactions so far a second time and fails if the store
-// changes. after names what was done last.
+// changes. after names the writes that preceded the call, for failure texts.
 func (h *harness) checkRepeatsDoNothing(after string) {
 	h.t.Helper()
 	before := h.modRevisionsOf()
@@ -251,7 +251,7 @@
 		name string
 		req  peer.Request
 	}{
-		{"a status from before our claim", peer.Request{Status: &peer.Status{ControllerState: peer.ControllerState{Claims: []peer.ShardClaim{{Shard: 0, OwnerEpoch: s.ownerEpoch - 1}}}}}},
+		{"a status from before this node's claim", peer.Request{Status: &peer.Status{ControllerState: peer.ControllerState{Claims: []peer.ShardClaim{{Shard: 0, OwnerEpoch: s.ownerEpoch - 1}}}}}},
 		{"a release of a busy machine", peer.Request{Release: &peer.Release{Machines: []string{"vm-1"}, Cordon: true}}},
 		{"a release of a machine that is gone", peer.Request{Release: &peer.Release{Machines: []string{"vm-8"}, Cordon: true}}},
 		{"a hint about an ended job", peer.Request{JobRecordHint: &peer.JobRecordHint{ID: "job-000001", ModRevision: 1, Record: record}}},
--- a/internal/controller/job_reads_test.go
+++ b/internal/controller/job_reads_test.go
@@ -25,7 +25,7 @@
 type statusRequestLoad struct {
 	h    *harness
 	next int
-	ids  int // number of jobs that the requests are about
+	ids  int // number of different jobs in the requests
 }
 
 // run runs the harness for a duration and sends two status requests every 20 ms.
@@ -48,12 +48,12 @@
 	c.StateRPS, c.WriteRPS = 60, 20
 }
 
-// longestWorkWait is how long work of any class may wait while status requests arrive. It suffices
-// for a record set of TxnOps changes at the minimum rate of its class, with the other due work.
+// longestWorkWait is how long work of any class may wait while status requests arrive. It is long
+// enough for a record set of TxnOps changes at the minimum rate of its class, and for other due work.
 const longestWorkWait = 10 * sec
 
-// TestWorkBesideStatusRequests checks that all other work makes progress while status requests arrive,
-// about one job and about many.
+// TestWorkBesideStatusRequests checks that all other work makes progress while status requests for one
+// job or for many jobs arrive.
 func TestWorkBesideStatusRequests(t *testing.T) {
 	for _, tc := range []struct {
 		name string
@@ -132,8 +132,8 @@
 	return rec
 }
 
-// TestStatusRequestsAreFairAmongJobs checks that status requests for a job are answered although
-// another job is requested more often, or more jobs are requested than can be read at once. The
+// TestStatusRequestsAreFairAmongJobs checks that status requests for a job are answered even if the
+// status of another job is requested more often, or that of more jobs than can be read at once. The
 // status of each of 150 jobs is requested every 2 s, and that of one other a hundred times a second.
 // 150 reads take about 33 s at the minimum rate of the class of status requests; the bound is 75 s.
 func TestStatusRequestsAreFairAmongJobs(t *testing.T) {
@@ -203,10 +203,10 @@
 // another controller is slow, calls accumulate until the process can't make any more. Calls for users
 // stop before that, so that lease renewals, watches and messages between controllers are still sent.
 func TestCallsInFlightAreBounded(t *testing.T) {
-	const stateRequests, peerQuestions = 6, 4
+	const maxStateRequests, maxForwarded = 6, 4
 	limits := func(c *Config) {
 		withPeer(c)
-		c.MaxStateRequests, c.MaxForwardedRequests = stateRequests, peerQuestions
+		c.MaxStateRequests, c.MaxForwardedRequests = maxStateRequests, maxForwarded
 	}
 	ask := func(h *harness, id string, d micros.Micros) {
 		for until := h.now + d; h.now < until; {
@@ -232,8 +232,8 @@
 				renewals++
 			}
 		}
-		if reads > stateRequests || renewals == 0 {
-			t.Errorf("%d reads are in flight, want at most %d; %d lease renewals were sent, want some", reads, stateRequests, renewals)
+		if reads > maxStateRequests || renewals == 0 {
+			t.Errorf("%d reads are in flight, want at most %d; %d lease renewals were sent, want some", reads, maxStateRequests, renewals)
 		}
 	})
 	t.Run("other controller", func(t *testing.T) {
@@ -244,8 +244,8 @@
 		h.peersDown = true
 		before := len(h.jobRequests)
 		ask(h, "job-000001", sec/5)
-		if n := len(h.jobRequests) - before; n == 0 || n > peerQuestions {
-			t.Errorf("%d requests to the other controller are in flight, want some and at most %d", n, peerQuestions)
+		if n := len(h.jobRequests) - before; n == 0 || n > maxForwarded {
+			t.Errorf("%d requests to the other controller are in flight, want some and at most %d", n, maxForwarded)
 		}
 	})
 }
--- a/internal/controller/job_table_test.go
+++ b/internal/controller/job_table_test.go
@@ -9,7 +9,8 @@
 	"garnethitch/internal/wire"
 )
 
-// TestFinalJobsForgetOldest checks that finalJobs keeps the most recently ended jobs, up to its limit.
+// TestFinalJobsForgetOldest checks that finalJobs keeps the most recently ended jobs, up to its
+// limit.
 func TestFinalJobsForgetOldest(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
--- a/internal/controller/ownership_test.go
+++ b/internal/controller/ownership_test.go
@@ -179,14 +179,15 @@
 	}
 }
 
-// TestReleaseShardBesideStatusRequests checks that the deletion of an owner key is sent ahead of users'
-// reads: beside more requests than can be read, the key is deleted within a few seconds. While a
-// shard is being released no node answers for its jobs from memory, so that each user request takes
-// a read. The deletion once waited behind these reads, which lasted as long as the release did. At
-// 4,000 machines and a state service with a low request rate a shard was being released for 100 s,
-// and its machines got no answers: "state requests" showed 8,309 sent and 10,715 expired requests
-// in the class of the reads, 45 and 261 in that of the deletion. See
-// docs/incidents/2026-12-share-stood-still.md.
+// TestReleaseShardBesideStatusRequests checks that the deletion of an owner key is sent ahead of
+// users' reads: while more status requests arrive than can be answered by reads, the key is deleted
+// within 5 s.
+// While a shard is being released no node answers for its jobs from memory, so that each user request
+// takes a read. In a fault that the simulation found, the deletion waited behind these reads, which
+// lasted as long as the release did. With 4,000 machines and a state service with a low request rate
+// a shard was being released for 100 s, and its machines got no answers: "state requests" showed
+// 8,309 sent and 10,715 expired requests in the class of the reads, 45 and 261 in that of the
+// deletion. See docs/incidents/2026-12-share-stood-still.md.
 func TestReleaseShardBesideStatusRequests(t *testing.T) {
 	h := newOwnerHarness(t, func(c *Config) {
 		withPeer(c)
--- a/internal/controller/peers_test.go
+++ b/internal/controller/peers_test.go
@@ -99,7 +99,7 @@
 			t.Errorf("commands %v, want the task stopped", body.Commands)
 		}
 		if s := h.jobState("job-000001"); s != wire.StateCancelled {
-			t.Errorf("reported as %q after another controller confirmed the cancellation", s)
+			t.Errorf("the job is in state %q after another controller announced its cancellation, want cancelled", s)
 		}
 	})
 	for _, tc := range []struct {
@@ -167,7 +167,7 @@
 		t.Error("a cancelled job is open again")
 	}
 	if s := h.jobState("job-000001"); s != wire.StateCancelled {
-		t.Errorf("the cancelled job is reported as %q", s)
+		t.Errorf("the cancelled job is in state %q, want cancelled", s)
 	}
 }
 
--- a/internal/controller/unknown_jobs_test.go
+++ b/internal/controller/unknown_jobs_test.go
@@ -168,7 +168,7 @@
 }
 
 // TestUnknownJobIsRenewedForBoundedTime checks that the lease of a machine with a task of an unknown
-// job is renewed for a bounded time only. If the view of jobs does not advance, it becomes so old that
+// job is renewed for a bounded time only. A view of jobs that does not advance becomes so old that
 // the job may have ended and its user may have been notified in the meantime.
 func TestUnknownJobIsRenewedForBoundedTime(t *testing.T) {
 	h := newOwnerHarness(t, withPeer)
@@ -221,7 +221,7 @@
 		}
 	}
 	if reads != 1 || h.c.jobs.open["job-000001"] != nil {
-		t.Errorf("%d reads were answered, and the job is open: %v", reads, h.c.jobs.open["job-000001"] != nil)
+		t.Errorf("%d reads were answered, and the job is open: %v; want one read and no open job", reads, h.c.jobs.open["job-000001"] != nil)
 	}
 	if got := h.answers[h.lastReply].Status; got != 503 {
 		t.Errorf("answered %d, want 503: the record that was read is no longer current", got)
--- a/internal/controller/user_requests_test.go
+++ b/internal/controller/user_requests_test.go
@@ -6,8 +6,8 @@
 	"garnethitch/internal/wire"
 )
 
-// TestSubmissionsAndStatusRequests checks the answers to submissions and status requests for known and
-// unknown jobs.
+// TestSubmissionsAndStatusRequests checks the answers to submissions and status requests for known
+// and unknown jobs.
 func TestSubmissionsAndStatusRequests(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.Teams = []Team{{Name: "t", CPUsMax: 3}, {Name: "u"}} })
 	change := func(f func(*wire.Submission)) wire.Submission {
@@ -63,8 +63,9 @@
 	}
 }
 
-// TestFullJobTable checks the bounds of the job table: a new job is refused with a retry time, a known
-// job is answered as before, and a final state that was evicted from memory is read again.
+// TestFullJobTable checks the bounds of the job table: a new job is refused with a retry time, a
+// submission of a known job is answered as before, and a final state that was evicted from memory is
+// read again.
 func TestFullJobTable(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.MaxOpenJobs, c.MaxFinalJobs = 3, 2 })
 	ids := []string{"job-000001", "job-000002", "job-000003", "job-000004"}
@@ -99,8 +100,8 @@
 }
 
 // TestUnacceptableSubmissions checks that a submission that can't be accepted is answered 400 or 422
-// only if its job was certainly never accepted. For an accepted job no controller answers so, during
-// any fault.
+// only if its job was certainly never accepted. For an accepted job no controller answers 400 or 422,
+// whatever faults occur.
 func TestUnacceptableSubmissions(t *testing.T) {
 	malformed := func(r ReplyID) Input {
 		return SubmitRequest{Reply: r, Err: &wire.SubmissionError{ID: "job-000001", Reason: "x"}}
