--- a/internal/controller/cancellation_test.go
+++ b/internal/controller/cancellation_test.go
@@ -12,7 +12,7 @@
 // cancel_s after its user had been notified of the cancellation.
 //
 // The stop did not reach the machine. The machine then reached a controller only from time to time,
-// each time just after its shard had been claimed again. The first reply after a claim renewed the
+// each time just after another claim of its shard. The first reply after a claim renewed the
 // machine's lease with the new fencing token and contained no stop, because a controller ignored the
 // task list until the machine had shown that token. The test checks that a machine that executes
 // every command it receives no longer runs the task when the time allowed for a cancellation ends.
--- a/internal/controller/checkpoints_test.go
+++ b/internal/controller/checkpoints_test.go
@@ -25,7 +25,7 @@
 	h.run(sec)
 	_, body := h.heartbeat(heartbeatFrom("vm-2", 1, 10, other))
 	if len(startCommands(body.Commands)) != 0 || len(h.directStarts()) != 0 {
-		t.Errorf("the task was started again: commands in the answer %v, direct commands %v", body.Commands, h.directStarts())
+		t.Errorf("the task was started again: commands in the reply %v, direct commands %v", body.Commands, h.directStarts())
 	}
 }
 
@@ -83,7 +83,7 @@
 	}
 	h.run(sec / 2) // the controller reads the revision: there is no checkpoint
 	if a := h.cancel("job-000001"); a.Status != 200 {
-		t.Fatalf("cancellation was answered %d", a.Status)
+		t.Fatalf("cancellation answered %d, want 200", a.Status)
 	}
 	h.delayedTxns = late
 	if n := h.applyDelayedTxns(); n != 0 {
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -36,8 +36,7 @@
 	msgpackCodec = codec{"msgpack", peer.Encode, peer.Decode}
 )
 
-// goldenSample is a type of record or message. Its label does not depend on its Go name and stays
-// when that changes.
+// goldenSample is a type of record or message. Its label stays the same when the Go type is renamed.
 type goldenSample struct {
 	label string
 	codec codec
--- a/internal/controller/job_end_test.go
+++ b/internal/controller/job_end_test.go
@@ -53,7 +53,7 @@
 			h.dropWorkerCalls()
 			tc.fault(h)
 			if got := h.cancel("job-000001"); got.Status == 200 {
-				t.Fatalf("answered as cancelled without a record")
+				t.Fatalf("the cancellation is answered 200 without a record")
 			}
 			if tc.later != nil {
 				tc.later(h)
--- a/internal/controller/job_reads_test.go
+++ b/internal/controller/job_reads_test.go
@@ -19,7 +19,8 @@
 // acceptances, whose priority is second only to leases, and a class with a backlog blocked all
 // classes below it. With seed 1, the log line "state requests" showed accept_sent 8,309 and
 // accept_expired 10,715, fleet_sent 45 and fleet_expired 261. The deletion of the owner key was among
-// the 261. Until it is applied nobody owns the shard, so that status requests continue to take reads.
+// the 261. Until it is applied no controller owns the shard, so status requests continue to take
+// reads.
 
 // statusRequestLoad sends users' job status requests for more jobs than can be read.
 type statusRequestLoad struct {
--- a/internal/controller/lock_test.go
+++ b/internal/controller/lock_test.go
@@ -17,7 +17,7 @@
 		wantOwned  bool
 		wantFormer bool
 	}{
-		{"nobody holds it", lock{}, self, false, false},
+		{"not held", lock{}, self, false, false},
 		{"this process", lock{owner: self, ownerEpoch: 3}, self, true, false},
 		{"released, the owner record still in memory", lock{owner: self}, self, false, false},
 		{"a former process of this node", lock{owner: wire.OwnerRecord{Label: "n-0", Incarnation: 6}, ownerEpoch: 3}, self, false, true},
--- a/internal/controller/state_records.go
+++ b/internal/controller/state_records.go
@@ -185,8 +185,8 @@
 	}
 }
 
-// dropUnlistedLock frees a lock whose key is missing from the listing. A lock that this node has never
-// seen held counts as free from now on.
+// dropUnlistedLock frees a lock whose key is missing from the listing. A lock that this node has
+// never seen held counts as free from now on.
 func (c *Controller) dropUnlistedLock(l *lock, key string, listed map[string]bool, revision uint64) {
 	switch {
 	case l.ownerEpoch == 0:
