--- a/internal/controller/cancellation_cascade_test.go
+++ b/internal/controller/cancellation_cascade_test.go
@@ -62,7 +62,7 @@
 	}
 	h.run(10 * sec)
 	if got := h.cancelledDependents(n); got != n {
-		t.Errorf("%d of %d dependents recorded: the others did not help and the owner did not record the rest", got, n)
+		t.Errorf("%d of %d dependents recorded, want all: the owner did not record those that the others left", got, n)
 	}
 	most := 0
 	for _, txn := range h.appliedTxns {
@@ -92,7 +92,7 @@
 		}
 	}
 	if got := h.cancelledDependents(6); got != 6 {
-		t.Errorf("%d of 6 dependents recorded", got)
+		t.Errorf("%d of 6 dependents recorded, want all", got)
 	}
 }
 
--- a/internal/controller/cancellation_test.go
+++ b/internal/controller/cancellation_test.go
@@ -21,7 +21,7 @@
 	fencingToken, attempt := h.runOneTask()
 	w := newSlowWorker(h, fencingToken, attempt)
 	if a := h.cancel("job-000001"); a.Status != 200 {
-		t.Fatalf("cancellation answered %d", a.Status)
+		t.Fatalf("cancellation answered %d, want 200", a.Status)
 	}
 	notifiedAt := h.now
 	for w.alive() {
@@ -184,7 +184,7 @@
 	h.delayPrefix = wire.PrefixFleet // the raised fencing token is never recorded
 	h.step(Result{ID: commands[0].ID})
 	if a := h.cancel("job-000001"); a.Status != 200 {
-		t.Fatalf("cancellation answered %d", a.Status)
+		t.Fatalf("cancellation answered %d, want 200", a.Status)
 	}
 	notifiedAt, leaseEnds, answered := h.now, h.now+h.c.cfg.WorkerLease, 0
 	for seq := uint64(20); h.now < notifiedAt+3*h.c.cfg.CancelWithin && h.now < leaseEnds; seq++ {
--- a/internal/controller/checkpoints_test.go
+++ b/internal/controller/checkpoints_test.go
@@ -87,6 +87,6 @@
 	}
 	h.delayedTxns = late
 	if n := h.applyDelayedTxns(); n != 0 {
-		t.Errorf("%d checkpoints of a job that has ended were written", n)
+		t.Errorf("%d checkpoints of an ended job were written, want none", n)
 	}
 }
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -412,7 +412,7 @@
 		h.recordChain(3)
 		h.recordEnd("job-000100", wire.StateDone, 0)
 		if a := h.cancel("job-000100"); stateOf(a) != wire.StateDone {
-			t.Fatalf("cancellation answered %q", stateOf(a))
+			t.Fatalf("cancellation answered %q, want done", stateOf(a))
 		}
 		h.run(3 * sec)
 		if got := h.chainStates(3); got[wire.StatePending] != 2 {
@@ -451,7 +451,7 @@
 		return j.priority, j.deadline
 	}
 	if p, due := at("job-000001"); p != wire.PriorityLow || due != micros.Never {
-		t.Errorf("priority %d, due %v before an urgent job depends on it", p, due)
+		t.Errorf("priority %d, due %v before an urgent job depends on it, want low and never", p, due)
 	}
 	last := dependentSubmission("job-000004", 1, "job-000002", "job-000003")
 	last.Priority = "high"
@@ -474,7 +474,7 @@
 	h.cancel("job-000004")
 	h.run(2 * sec)
 	if p, d := at("job-000001"); p != wire.PriorityLow || d != micros.Never {
-		t.Errorf("priority %d, due %v after its urgent dependent is cancelled", p, d)
+		t.Errorf("priority %d, due %v after its urgent dependent is cancelled, want low and never", p, d)
 	}
 }
 
@@ -528,7 +528,7 @@
 			for i := 1; i < ids; i++ {
 				j := h.c.jobs.open[fmt.Sprintf("job-%06d", i)]
 				if j.priority != wire.PriorityLow || j.deadline != micros.Never {
-					t.Errorf("%s still has priority %d, due %v", j.id, j.priority, j.deadline)
+					t.Errorf("%s still has priority %d, due %v; want low and never", j.id, j.priority, j.deadline)
 				}
 			}
 		})
--- a/internal/controller/first_start_test.go
+++ b/internal/controller/first_start_test.go
@@ -54,7 +54,7 @@
 				}
 			}
 			if (begun > 0) != tc.want {
-				t.Errorf("%d tasks of the overdue job were started", begun)
+				t.Errorf("%d tasks of the overdue job were started, want one if BeginWithin is set and none otherwise", begun)
 			}
 			if begun > 1 {
 				t.Errorf("%d tasks of the overdue job were started, want at most one", begun)
--- a/internal/controller/idempotency_test.go
+++ b/internal/controller/idempotency_test.go
@@ -154,7 +154,7 @@
 		}
 	}
 	if len(h.appliedTxns) < 12 || len(kinds) < 3 {
-		t.Errorf("only %d transactions of the kinds %v were repeated", len(h.appliedTxns), kinds)
+		t.Errorf("%d transactions of the kinds %v were repeated, want at least 12 of at least 3 kinds", len(h.appliedTxns), kinds)
 	}
 }
 
--- a/internal/controller/job_end_test.go
+++ b/internal/controller/job_end_test.go
@@ -72,7 +72,7 @@
 			// A 503 from the state service means that nothing was written, so no controller can have
 			// answered with a newer state.
 			if s := h.jobState("job-000001"); s != "" && (s != wire.StateRunning || tc.name != "refused before the record") {
-				t.Errorf("the job is in state %q while its state is not known", s)
+				t.Errorf("the job is in state %q, want no answer, or running if the write was refused", s)
 			}
 			// The task counts until its machine lists it as exited, and is not retried after that.
 			if n := h.c.ownership.shards[0].usage[0].cpus; n < 1 {
@@ -130,7 +130,7 @@
 		t.Fatalf("%d of the copies were executed, want 1", n)
 	}
 	if s := h.jobState("job-000001"); s == wire.StateRunning || s == wire.StatePending {
-		t.Errorf("the job is in state %q although it is recorded as cancelled", s)
+		t.Errorf("the job is in state %q although it is recorded as cancelled, want neither running nor pending", s)
 	}
 	h.stateDown = false
 	if s := h.jobState("job-000001"); s != wire.StateCancelled {
--- a/internal/controller/job_reads_test.go
+++ b/internal/controller/job_reads_test.go
@@ -163,7 +163,7 @@
 		}
 	}
 	if len(answered) < jobs {
-		t.Errorf("%d of %d jobs had an answer within %v s", len(answered), jobs, within.Seconds())
+		t.Errorf("%d of %d jobs had an answer within %v s, want all", len(answered), jobs, within.Seconds())
 	}
 }
 
@@ -175,7 +175,7 @@
 	first := h.jobStatus("job-000777")
 	second := h.jobStatus("job-000777")
 	if first.Status != 0 || second.Status != 0 {
-		t.Fatalf("answered %d and %d at once", first.Status, second.Status)
+		t.Fatalf("answered %d and %d at once, want no answer yet", first.Status, second.Status)
 	}
 	firstReply, secondReply := h.lastReply-1, h.lastReply
 	h.stateDown = false
--- a/internal/controller/ownership_test.go
+++ b/internal/controller/ownership_test.go
@@ -28,7 +28,7 @@
 	fencingToken := h.c.fencingToken(s, h.c.machines["vm-1"])
 	_, body := h.heartbeat(heartbeatFrom("vm-1", 1, 5, fencingToken))
 	if n := len(startCommands(body.Commands)); n != 0 {
-		t.Fatalf("%d tasks of the old job started while vm-2 may still run them", n)
+		t.Fatalf("%d tasks of the old job started while vm-2 may still run them, want none", n)
 	}
 	h.submit(newSubmission("job-000002", 1))
 	h.dropWorkerCalls()
@@ -66,11 +66,11 @@
 		seq++
 		status, _ := h.heartbeat(heartbeatFrom("vm-1", 1, seq, fencingToken))
 		if want := h.now < last+h.c.bounds.CommandValidity; (status == 200) != want {
-			t.Fatalf("%v s after the last renewal a heartbeat got %d", (h.now - last).Seconds(), status)
+			t.Fatalf("%v s after the last renewal a heartbeat was answered %d, want 200 only within CommandValidity", (h.now - last).Seconds(), status)
 		}
 		a := h.jobStatus("job-000001")
 		if want := h.now < last+h.c.bounds.LeaseValidity; (a.Status == 200) != want {
-			t.Fatalf("%v s after the last renewal a request for the job's status got %d", (h.now - last).Seconds(), a.Status)
+			t.Fatalf("%v s after the last renewal a status request was answered %d, want 200 only within LeaseValidity", (h.now - last).Seconds(), a.Status)
 		}
 	}
 	if h.c.bounds.CommandValidity <= h.c.bounds.LeaseValidity+micros.Second {
@@ -107,7 +107,7 @@
 		t.Errorf("answered from memory about an open job: %v", a.Body)
 	}
 	if s := h.jobState("job-000002"); s != wire.StateCancelled {
-		t.Errorf("the cancelled job is reported as %q", s)
+		t.Errorf("the cancelled job is in state %q, want cancelled", s)
 	}
 }
 
@@ -135,7 +135,7 @@
 		t.Fatalf("the shard has owner %+v, ownership %v; want it owned by this process under a new epoch", s.owner, s.ownership)
 	}
 	if got := h.keys[key].ModRevision; got != s.ownerEpoch {
-		t.Errorf("the owner key has revision %d, the shard has owner epoch %d", got, s.ownerEpoch)
+		t.Errorf("the owner key has revision %d, but the shard has owner epoch %d, want the same", got, s.ownerEpoch)
 	}
 	// A late write of the former process under its old epoch does not apply.
 	if status, _ := h.applyTxn(wire.Txn{Conditions: []wire.Condition{{Key: key, ModRevision: stale}}, Changes: []wire.Change{{Delete: key}}}); status != 409 {
@@ -233,7 +233,7 @@
 			sent, at = sent[1:], at[1:]
 		}
 		if len(sent) > ownership.MaxRenewalsInFlight {
-			t.Fatalf("%d renewals in flight", len(sent))
+			t.Fatalf("%d renewals in flight, want at most MaxRenewalsInFlight", len(sent))
 		}
 		if !h.c.ownership.leaseValid() {
 			t.Fatalf("the lease is not valid %v s after the last successful renewal was sent", (h.now - h.c.ownership.lease.RenewedAt()).Seconds())
--- a/internal/controller/peers_test.go
+++ b/internal/controller/peers_test.go
@@ -45,7 +45,7 @@
 				}
 			}
 			if len(notified) != all {
-				t.Errorf("notified of %d of %d cancellations", len(notified), all)
+				t.Errorf("notified of %d of %d cancellations, want all", len(notified), all)
 			}
 		})
 	}
--- a/internal/controller/user_requests_test.go
+++ b/internal/controller/user_requests_test.go
@@ -48,7 +48,7 @@
 	}
 	h.stateDown = true
 	if a := h.submit(newSubmission("job-000003", 1)); a.Status != 0 {
-		t.Errorf("answered %d while the outcome is not known", a.Status)
+		t.Errorf("answered %d while the outcome is not known, want no answer yet", a.Status)
 	}
 	h.run(2 * sec) // the write is not answered, and the read that would resolve it is not either
 	for _, c := range h.unansweredStateCalls {
--- a/internal/controller/watch_test.go
+++ b/internal/controller/watch_test.go
@@ -53,13 +53,13 @@
 		status, body := h.heartbeat(heartbeatFrom("vm-1", 1, seq, fencingToken))
 		fencingToken = max(fencingToken, body.FencingToken)
 		if want := h.now < complete+h.c.bounds.StaleViewGrace; (status == 200) != want {
-			t.Fatalf("%v s after its view of jobs was complete a heartbeat was answered %d", (h.now - complete).Seconds(), status)
+			t.Fatalf("%v s after its view of jobs was complete a heartbeat was answered %d, want 200 only within StaleViewGrace", (h.now - complete).Seconds(), status)
 		}
 	}
 	h.blockedWatchPrefix = ""
 	h.run(2 * sec)
 	if status, _ := h.heartbeat(heartbeatFrom("vm-1", 1, 100, fencingToken)); status != 200 {
-		t.Errorf("a heartbeat was answered %d once the view of jobs was current", status)
+		t.Errorf("a heartbeat was answered %d once the view of jobs was current, want 200", status)
 	}
 }
 
