--- a/internal/controller/cancellation_test.go
+++ b/internal/controller/cancellation_test.go
@@ -12,7 +12,7 @@
 // cancel_s after its user had been notified of the cancellation.
 //
 // The stop did not reach the machine. The machine then reached a controller only from time to time,
-// each time just after its shard had been claimed again. The first reply after a claim renewed the
+// each time just after another claim of its shard. The first reply after a claim renewed the
 // machine's lease with the new fencing token and contained no stop, because a controller ignored the
 // task list until the machine had shown that token. The test checks that a machine that executes
 // every command it receives no longer runs the task when the time allowed for a cancellation ends.
@@ -21,7 +21,7 @@
 	fencingToken, attempt := h.runOneTask()
 	w := newSlowWorker(h, fencingToken, attempt)
 	if a := h.cancel("job-000001"); a.Status != 200 {
-		t.Fatalf("cancellation answered %d", a.Status)
+		t.Fatalf("cancellation answered %d, want 200", a.Status)
 	}
 	notifiedAt := h.now
 	for w.alive() {
@@ -184,7 +184,7 @@
 	h.delayPrefix = wire.PrefixFleet // the raised fencing token is never recorded
 	h.step(Result{ID: commands[0].ID})
 	if a := h.cancel("job-000001"); a.Status != 200 {
-		t.Fatalf("cancellation answered %d", a.Status)
+		t.Fatalf("cancellation answered %d, want 200", a.Status)
 	}
 	notifiedAt, leaseEnds, answered := h.now, h.now+h.c.cfg.WorkerLease, 0
 	for seq := uint64(20); h.now < notifiedAt+3*h.c.cfg.CancelWithin && h.now < leaseEnds; seq++ {
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -28,8 +28,8 @@
 )
 
 // linkDependencies adds a new job to the dependency graph. It computes the job's effective priority
-// and deadline, marks the job if a dependency is cancelled, and passes priority and deadline on to
-// its dependencies.
+// and deadline from its dependents, marks the job if a dependency is cancelled, and updates the
+// effective priorities and deadlines of its dependencies.
 func (c *Controller) linkDependencies(j *job) {
 	c.updatePriority(j)
 	delete(c.jobs.unknownDependencies, j.id)
@@ -94,7 +94,7 @@
 		return
 	}
 	if !f.recorded {
-		t.unknownDependencies[id] = c.now // only the record unblocks, not another controller's message
+		t.unknownDependencies[id] = c.now // read at once: another controller's message does not unblock
 		return
 	}
 	delete(t.dependents, id)
@@ -111,20 +111,20 @@
 	}
 }
 
-// unblockJob makes a job that this node owns eligible to start. endMS is when its last dependency was
-// done, as a time of day in milliseconds.
+// unblockJob makes a job that this node owns eligible to start. endMS is the time of day, in
+// milliseconds, at which its last dependency was done.
 func (c *Controller) unblockJob(j *job, endMS int64) {
 	s := c.ownership.shards[j.shard]
 	s.queueStale = true
 	c.schedulingDue = true
 	j.run.arrivedAt = c.now
-	c.noteArrival(s, j)
+	c.recordArrival(s, j)
 	c.log(Info, "job unblocked, all its dependencies are done", "job", j.id, "after_ms", c.wall.Millis()-endMS, "class", j.sub.Class, "priority", j.priority)
 }
 
-// noteArrival adds the expected CPU seconds of a job that may start from now on to the arrivals of
+// recordArrival adds the expected CPU seconds of a job that may start from now on to the arrivals of
 // its shard.
-func (c *Controller) noteArrival(s *shard, j *job) {
+func (c *Controller) recordArrival(s *shard, j *job) {
 	work := float64(j.sub.Tasks) * j.sub.CPUs * c.estimates.Expect(j.sub).Seconds()
 	s.arrivals.Add(c.now, work)
 }
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -373,7 +373,7 @@
 			h.run(sec)
 			for i := 1; i < n; i++ {
 				if s := h.jobState(chainID(i)); s != "" && s != wire.StateCancelled {
-					t.Errorf("a dependent of a cancelled job is in state %q, want cancelled", s)
+					t.Errorf("a dependent of a cancelled job is in state %q, want cancelled or no answer", s)
 				}
 			}
 			h.run(8 * sec)
@@ -412,7 +412,7 @@
 		h.recordChain(3)
 		h.recordEnd("job-000100", wire.StateDone, 0)
 		if a := h.cancel("job-000100"); stateOf(a) != wire.StateDone {
-			t.Fatalf("cancellation answered %q", stateOf(a))
+			t.Fatalf("cancellation answered %q, want done", stateOf(a))
 		}
 		h.run(3 * sec)
 		if got := h.chainStates(3); got[wire.StatePending] != 2 {
@@ -451,7 +451,7 @@
 		return j.priority, j.deadline
 	}
 	if p, due := at("job-000001"); p != wire.PriorityLow || due != micros.Never {
-		t.Errorf("priority %d, due %v before an urgent job depends on it", p, due)
+		t.Errorf("priority %d, due %v before an urgent job depends on it, want low and never", p, due)
 	}
 	last := dependentSubmission("job-000004", 1, "job-000002", "job-000003")
 	last.Priority = "high"
@@ -474,7 +474,7 @@
 	h.cancel("job-000004")
 	h.run(2 * sec)
 	if p, d := at("job-000001"); p != wire.PriorityLow || d != micros.Never {
-		t.Errorf("priority %d, due %v after its urgent dependent is cancelled", p, d)
+		t.Errorf("priority %d, due %v after its urgent dependent is cancelled, want low and never", p, d)
 	}
 }
 
@@ -491,7 +491,7 @@
 		{"in order, cancelled", []int{1, 2, 3, 4}, wire.StateCancelled},
 		{"the last first, cancelled", []int{4, 3, 2, 1}, wire.StateCancelled},
 		{"mixed, cancelled", []int{2, 4, 1, 3}, wire.StateCancelled},
-		{"the last comes late, ended elsewhere", []int{1, 2, 3, 4}, wire.StateDone},
+		{"in order, ended by another controller", []int{1, 2, 3, 4}, wire.StateDone},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newOwnerHarness(t, func(c *Config) {
@@ -528,7 +528,7 @@
 			for i := 1; i < ids; i++ {
 				j := h.c.jobs.open[fmt.Sprintf("job-%06d", i)]
 				if j.priority != wire.PriorityLow || j.deadline != micros.Never {
-					t.Errorf("%s still has priority %d, due %v", j.id, j.priority, j.deadline)
+					t.Errorf("%s still has priority %d, due %v; want low and never", j.id, j.priority, j.deadline)
 				}
 			}
 		})
@@ -537,18 +537,18 @@
 
 // TestBlockedIsPendingOnlyWithNewView checks that a blocked job is answered as pending only while the
 // view of jobs is recent. After an outage, a partition or a start, a controller may not know of a
-// cancellation of which a user was notified long ago. The simulation found the fault with a
-// controller that came back from an outage longer than the time allowed for a cancellation.
+// cancellation of which a user was notified long ago. The simulation found this fault: a controller
+// came back from an outage longer than the time allowed for a cancellation.
 func TestBlockedIsPendingOnlyWithNewView(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		lose func(h *harness)
 	}{
-		{"its watch brings nothing", func(h *harness) {
+		{"the watch delivers nothing", func(h *harness) {
 			h.blockedWatchPrefix = wire.PrefixJob
 			h.run(11 * sec)
 		}},
-		{"what its watch brought was long on its way", func(h *harness) {
+		{"the answer to the watch took long", func(h *harness) {
 			h.blockedWatchPrefix = wire.PrefixJob
 			h.run(7 * sec)
 			for i, w := range h.watches {
@@ -560,7 +560,7 @@
 			}
 			h.run(4 * sec) // 11 s after the watch request was sent
 		}},
-		{"it is listing anew", func(h *harness) {
+		{"the jobs are being listed again", func(h *harness) {
 			h.blockedWatchPrefix = wire.PrefixJob
 			h.c.ownership.jobWatch.Relist()
 			h.c.ownership.jobWatch.InFlight = true
@@ -568,7 +568,7 @@
 		{"the dependency's end is not in memory", func(h *harness) {
 			h.c.jobs.unknownDependencies["job-000001"] = micros.Never
 		}},
-		{"an end further up is not in memory", func(h *harness) {
+		{"the end of a transitive dependency is not in memory", func(h *harness) {
 			h.c.jobs.unknownDependencies["job-000000"] = micros.Never
 		}},
 	} {
--- a/internal/controller/job_reads_test.go
+++ b/internal/controller/job_reads_test.go
@@ -19,13 +19,14 @@
 // acceptances, whose priority is second only to leases, and a class with a backlog blocked all
 // classes below it. With seed 1, the log line "state requests" showed accept_sent 8,309 and
 // accept_expired 10,715, fleet_sent 45 and fleet_expired 261. The deletion of the owner key was among
-// the 261. Until it is applied nobody owns the shard, so that status requests continue to take reads.
+// the 261. Until it is applied no controller owns the shard, so status requests continue to take
+// reads.
 
 // statusRequestLoad sends users' job status requests for more jobs than can be read.
 type statusRequestLoad struct {
 	h    *harness
 	next int
-	ids  int // number of jobs that the requests are about
+	ids  int // number of different jobs in the requests
 }
 
 // run runs the harness for a duration and sends two status requests every 20 ms.
@@ -48,12 +49,12 @@
 	c.StateRPS, c.WriteRPS = 60, 20
 }
 
-// longestWorkWait is how long work of any class may wait while status requests arrive. It suffices
-// for a record set of TxnOps changes at the minimum rate of its class, with the other due work.
+// longestWorkWait is how long work of any class may wait while status requests arrive. It is long
+// enough for a record set of TxnOps changes at the minimum rate of its class, and for other due work.
 const longestWorkWait = 10 * sec
 
-// TestWorkBesideStatusRequests checks that all other work makes progress while status requests arrive,
-// about one job and about many.
+// TestWorkBesideStatusRequests checks that all other work makes progress while status requests for one
+// job or for many jobs arrive.
 func TestWorkBesideStatusRequests(t *testing.T) {
 	for _, tc := range []struct {
 		name string
@@ -132,8 +133,8 @@
 	return rec
 }
 
-// TestStatusRequestsAreFairAmongJobs checks that status requests for a job are answered although
-// another job is requested more often, or more jobs are requested than can be read at once. The
+// TestStatusRequestsAreFairAmongJobs checks that status requests for a job are answered even if the
+// status of another job is requested more often, or that of more jobs than can be read at once. The
 // status of each of 150 jobs is requested every 2 s, and that of one other a hundred times a second.
 // 150 reads take about 33 s at the minimum rate of the class of status requests; the bound is 75 s.
 func TestStatusRequestsAreFairAmongJobs(t *testing.T) {
@@ -162,7 +163,7 @@
 		}
 	}
 	if len(answered) < jobs {
-		t.Errorf("%d of %d jobs had an answer within %v s", len(answered), jobs, within.Seconds())
+		t.Errorf("%d of %d jobs had an answer within %v s, want all", len(answered), jobs, within.Seconds())
 	}
 }
 
@@ -174,7 +175,7 @@
 	first := h.jobStatus("job-000777")
 	second := h.jobStatus("job-000777")
 	if first.Status != 0 || second.Status != 0 {
-		t.Fatalf("answered %d and %d at once", first.Status, second.Status)
+		t.Fatalf("answered %d and %d at once, want no answer yet", first.Status, second.Status)
 	}
 	firstReply, secondReply := h.lastReply-1, h.lastReply
 	h.stateDown = false
@@ -203,10 +204,10 @@
 // another controller is slow, calls accumulate until the process can't make any more. Calls for users
 // stop before that, so that lease renewals, watches and messages between controllers are still sent.
 func TestCallsInFlightAreBounded(t *testing.T) {
-	const stateRequests, peerQuestions = 6, 4
+	const maxStateRequests, maxForwarded = 6, 4
 	limits := func(c *Config) {
 		withPeer(c)
-		c.MaxStateRequests, c.MaxForwardedRequests = stateRequests, peerQuestions
+		c.MaxStateRequests, c.MaxForwardedRequests = maxStateRequests, maxForwarded
 	}
 	ask := func(h *harness, id string, d micros.Micros) {
 		for until := h.now + d; h.now < until; {
@@ -232,8 +233,8 @@
 				renewals++
 			}
 		}
-		if reads > stateRequests || renewals == 0 {
-			t.Errorf("%d reads are in flight, want at most %d; %d lease renewals were sent, want some", reads, stateRequests, renewals)
+		if reads > maxStateRequests || renewals == 0 {
+			t.Errorf("%d reads are in flight, want at most %d; %d lease renewals were sent, want some", reads, maxStateRequests, renewals)
 		}
 	})
 	t.Run("other controller", func(t *testing.T) {
@@ -244,8 +245,8 @@
 		h.peersDown = true
 		before := len(h.jobRequests)
 		ask(h, "job-000001", sec/5)
-		if n := len(h.jobRequests) - before; n == 0 || n > peerQuestions {
-			t.Errorf("%d requests to the other controller are in flight, want some and at most %d", n, peerQuestions)
+		if n := len(h.jobRequests) - before; n == 0 || n > maxForwarded {
+			t.Errorf("%d requests to the other controller are in flight, want some and at most %d", n, maxForwarded)
 		}
 	})
 }
--- a/internal/controller/ownership_test.go
+++ b/internal/controller/ownership_test.go
@@ -28,7 +28,7 @@
 	fencingToken := h.c.fencingToken(s, h.c.machines["vm-1"])
 	_, body := h.heartbeat(heartbeatFrom("vm-1", 1, 5, fencingToken))
 	if n := len(startCommands(body.Commands)); n != 0 {
-		t.Fatalf("%d tasks of the old job started while vm-2 may still run them", n)
+		t.Fatalf("%d tasks of the old job started while vm-2 may still run them, want none", n)
 	}
 	h.submit(newSubmission("job-000002", 1))
 	h.dropWorkerCalls()
@@ -66,11 +66,11 @@
 		seq++
 		status, _ := h.heartbeat(heartbeatFrom("vm-1", 1, seq, fencingToken))
 		if want := h.now < last+h.c.bounds.CommandValidity; (status == 200) != want {
-			t.Fatalf("%v s after the last renewal a heartbeat got %d", (h.now - last).Seconds(), status)
+			t.Fatalf("%v s after the last renewal a heartbeat was answered %d, want 200 only within CommandValidity", (h.now - last).Seconds(), status)
 		}
 		a := h.jobStatus("job-000001")
 		if want := h.now < last+h.c.bounds.LeaseValidity; (a.Status == 200) != want {
-			t.Fatalf("%v s after the last renewal a request for the job's status got %d", (h.now - last).Seconds(), a.Status)
+			t.Fatalf("%v s after the last renewal a status request was answered %d, want 200 only within LeaseValidity", (h.now - last).Seconds(), a.Status)
 		}
 	}
 	if h.c.bounds.CommandValidity <= h.c.bounds.LeaseValidity+micros.Second {
@@ -107,7 +107,7 @@
 		t.Errorf("answered from memory about an open job: %v", a.Body)
 	}
 	if s := h.jobState("job-000002"); s != wire.StateCancelled {
-		t.Errorf("the cancelled job is reported as %q", s)
+		t.Errorf("the cancelled job is in state %q, want cancelled", s)
 	}
 }
 
@@ -135,7 +135,7 @@
 		t.Fatalf("the shard has owner %+v, ownership %v; want it owned by this process under a new epoch", s.owner, s.ownership)
 	}
 	if got := h.keys[key].ModRevision; got != s.ownerEpoch {
-		t.Errorf("the owner key has revision %d, the shard has owner epoch %d", got, s.ownerEpoch)
+		t.Errorf("the owner key has revision %d, but the shard has owner epoch %d, want the same", got, s.ownerEpoch)
 	}
 	// A late write of the former process under its old epoch does not apply.
 	if status, _ := h.applyTxn(wire.Txn{Conditions: []wire.Condition{{Key: key, ModRevision: stale}}, Changes: []wire.Change{{Delete: key}}}); status != 409 {
@@ -179,15 +179,16 @@
 	}
 }
 
-// TestReleaseShardBesideQuestions checks that the deletion of an owner key is sent ahead of users'
-// reads: beside more requests than can be read, the key is deleted within a few seconds. While a
-// shard is being released no node answers for its jobs from memory, so that each user request takes
-// a read. The deletion once waited behind these reads, which lasted as long as the release did. At
-// 4,000 machines and a state service with a low request rate a shard was being released for 100 s,
-// and its machines got no answers: "state requests" showed 8,309 sent and 10,715 expired requests
-// in the class of the reads, 45 and 261 in that of the deletion. See
-// docs/incidents/2026-12-share-stood-still.md.
-func TestReleaseShardBesideQuestions(t *testing.T) {
+// TestReleaseShardBesideStatusRequests checks that the deletion of an owner key is sent ahead of
+// users' reads: while more status requests arrive than can be answered by reads, the key is deleted
+// within 5 s.
+// While a shard is being released no node answers for its jobs from memory, so that each user request
+// takes a read. In a fault that the simulation found, the deletion waited behind these reads, which
+// lasted as long as the release did. With 4,000 machines and a state service with a low request rate
+// a shard was being released for 100 s, and its machines got no answers: "state requests" showed
+// 8,309 sent and 10,715 expired requests in the class of the reads, 45 and 261 in that of the
+// deletion. See docs/incidents/2026-12-share-stood-still.md.
+func TestReleaseShardBesideStatusRequests(t *testing.T) {
 	h := newOwnerHarness(t, func(c *Config) {
 		withPeer(c)
 		c.StateRPS = 60
@@ -232,7 +233,7 @@
 			sent, at = sent[1:], at[1:]
 		}
 		if len(sent) > ownership.MaxRenewalsInFlight {
-			t.Fatalf("%d renewals in flight", len(sent))
+			t.Fatalf("%d renewals in flight, want at most MaxRenewalsInFlight", len(sent))
 		}
 		if !h.c.ownership.leaseValid() {
 			t.Fatalf("the lease is not valid %v s after the last successful renewal was sent", (h.now - h.c.ownership.lease.RenewedAt()).Seconds())
