--- a/internal/controller/assignment.go
+++ b/internal/controller/assignment.go
@@ -75,7 +75,7 @@
 		c.ownership.markDirty(m)
 	}
 	c.queueCommand(m)
-	c.quota.noteQuotaGrant(s, j)
+	c.quota.recordQuotaGrant(s, j)
 	return att
 }
 
--- a/internal/controller/candidates.go
+++ b/internal/controller/candidates.go
@@ -34,7 +34,7 @@
 	return fmt.Sprintf("%t %s %s", sub.Spot, sub.Zone, strings.Join(sub.Types, " "))
 }
 
-// zonesOf counts a job's tasks by zone, including tasks whose start is not confirmed. It returns
+// zonesOf counts a job's tasks by zone, including tasks whose start is not confirmed yet. It returns
 // nil if the job does not constrain the zones of its tasks.
 func (c *Controller) zonesOf(j *job) map[string]int {
 	if !j.sub.SameZone && !j.sub.Spread {
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -17,9 +17,9 @@
 	inDirectCommand
 )
 
-// commands returns the commands for a machine: stops first, so that the bound never delays them,
-// then attempts to forget, then starts. A direct command carries starts only while no earlier
-// direct command is in doubt. A machine that is not reconciled gets no commands.
+// commands returns the commands for a machine: stops first, so that they never wait behind other
+// commands, then attempts to forget, then starts. A direct command carries starts only while no
+// earlier direct command is in doubt. A machine that is not reconciled gets no commands.
 func (c *Controller) commands(m *machine, carrier commandCarrier) []wire.Command {
 	v := m.view
 	out := []wire.Command{}
--- a/internal/controller/demand.go
+++ b/internal/controller/demand.go
@@ -26,15 +26,16 @@
 	maxTotalRowBytes = 640 << 10
 	// rowOverheadBytes is the maximum encoded size of a row without the machine's name.
 	rowOverheadBytes = 60
-	// minUnansweredCommands is the number of unanswered direct commands at which an unreconciled
-	// machine counts as silent.
+	// minUnansweredCommands is the number of unanswered direct commands from which on an
+	// unreconciled machine is reported with the time since the claim, after which the leader may
+	// return it. With fewer it is reported with zero.
 	minUnansweredCommands = 2
-	// bootTimeout is how long a machine that has sent no heartbeat counts as booting.
+	// bootTimeout is how long a machine that has sent no heartbeat is reported as booting.
 	bootTimeout = 4 * micros.Minute
-	// unhealthySlowness is the slowness above which a machine is replaced if more than minSlowTasks
-	// of its tasks were slow.
-	unhealthySlowness = 0.4
-	minSlowTasks      = 3
+	// unhealthySlowness is the slowness above which a machine is replaced, if the weight of its run
+	// times (healthView.runTimeWeight) is above minUnhealthyRunTimeWeight.
+	unhealthySlowness         = 0.4
+	minUnhealthyRunTimeWeight = 3
 	// movableRunTimeDivisor limits which tasks that cannot save may be moved: they must have run
 	// for at most 1/movableRunTimeDivisor of their expected run time.
 	movableRunTimeDivisor = 3
@@ -265,7 +266,7 @@
 func (c *Controller) needsReplacement(m *machine) bool {
 	v := m.view
 	fails := v.faulty && c.now < v.cordonedUntil
-	return fails || v.reclaimAt != 0 || c.slowness(m) > unhealthySlowness && v.runTimeWeight > minSlowTasks
+	return fails || v.reclaimAt != 0 || c.slowness(m) > unhealthySlowness && v.runTimeWeight > minUnhealthyRunTimeWeight
 }
 
 // maxWaitingTaskGroups bounds the groups of waiting tasks in the demand of a shard.
@@ -286,7 +287,8 @@
 }
 
 // waitingTaskGroups groups a shard's waiting tasks by their needs. Tasks beyond the limit or the
-// quota of their team are not counted as waiting, as more machines would not let them start.
+// quota of their team are left out of the counts, since more machines would not let them start. Their
+// run time is included in the work all the same.
 func (c *Controller) waitingTaskGroups(s *shard) []peer.WaitingTasks {
 	index := map[waitingTasksKey]int{}
 	var groups []peer.WaitingTasks
@@ -338,7 +340,7 @@
 	}
 }
 
-// teamHeadroom is how many more CPUs each team may use, indexed by team.
+// teamHeadroom holds how many more CPUs each team may use, indexed by team.
 type teamHeadroom []float64
 
 // teamHeadroom returns how many more CPUs each team may use in a shard.
--- a/internal/controller/direct_commands.go
+++ b/internal/controller/direct_commands.go
@@ -69,10 +69,10 @@
 	return commandsInDoubt
 }
 
-// needsDirectCommand reports whether a machine should be sent something before its next heartbeat.
-// While a command is in doubt, no start may follow it. Stops may, and so may the raised fencing
-// token that voids the command in doubt: a machine whose heartbeats are not answered can't be
-// reached in any other way.
+// needsDirectCommand reports whether a machine should be sent a direct command, without waiting for
+// its next heartbeat. While a direct command is in doubt, no start may follow it. Stops may, and so
+// may the raised fencing token that voids the command in doubt: a machine whose heartbeats are not
+// answered can't be reached in any other way.
 func (c *Controller) needsDirectCommand(m *machine) bool {
 	v := m.view
 	if c.mustShowHigherToken(m) {
@@ -133,9 +133,9 @@
 	})
 }
 
-// sendCommands sends commands to a machine in a direct command. If it is not answered, it may
-// still act later. Its starts then stay in doubt until the machine has shown a higher fencing
-// token.
+// sendCommands sends commands to a machine in a direct command. A direct command that is not
+// answered may still act later, so its starts stay in doubt until the machine has shown a higher
+// fencing token.
 func (c *Controller) sendCommands(s *shard, m *machine, commands []wire.Command) {
 	v := m.view
 	v.commandInFlight = true
--- a/internal/controller/direct_commands_test.go
+++ b/internal/controller/direct_commands_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestCommandOutcome checks that a direct command that was not executed counts as refused only if it
-// was not sent or the machine itself refused it. In all other cases it may still act.
+// TestCommandOutcome checks that the outcome of a direct command is refused only if the command was
+// not sent or the machine itself refused it. Any other command that was not confirmed may still act.
 func TestCommandOutcome(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -35,7 +35,7 @@
 	machineMoves
 }
 
-// assignments are the machines that are being assigned to shards.
+// assignments holds the machines that are being assigned to shards.
 type assignments struct {
 	pendingCreations   map[string]*recordSetCreation // record sets being written, by key
 	assigning          map[string]bool               // IDs of machines in these record sets or waiting for one
--- a/internal/controller/fleet_plan.go
+++ b/internal/controller/fleet_plan.go
@@ -15,7 +15,7 @@
 	// firstPlanDelay is how long a new leader waits for the demands of all shards before it plans
 	// with those that it has.
 	firstPlanDelay = 20 * micros.Second
-	// rentalValidity is how long a rented machine is expected to appear on record.
+	// rentalValidity is how long after its rental a machine is still expected to come on record.
 	rentalValidity = 5 * micros.Minute
 )
 
--- a/internal/controller/heartbeats_test.go
+++ b/internal/controller/heartbeats_test.go
@@ -92,7 +92,7 @@
 func TestSilentMachineWithinSuccessorWait(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
-		alone bool // it has lost the state service and the other controllers
+		alone bool // the controller has lost the state service and the other controllers
 	}{
 		{"with the state service: restarted once the lease has run out", false},
 		{"without it: a successor may have renewed the machine's lease", true},
@@ -198,8 +198,8 @@
 }
 
 // TestHeartbeatsUnanswered has a machine whose heartbeats reach no controller while direct commands
-// reach it. It must get no more tasks, since they would end with its lease. The tasks that it
-// completes count, and it must not count as silent as long as a task on it may be completed.
+// reach the machine. It must get no more tasks, since they would end with its lease. The tasks that
+// it completes count, and it must not be reported as silent as long as a task on it may be completed.
 func TestHeartbeatsUnanswered(t *testing.T) {
 	h := newOwnerHarness(t, func(c *Config) {
 		withPeer(c)
@@ -230,7 +230,7 @@
 	}
 	m := h.c.machines["vm-1"]
 	if st := h.c.machineState(m); st == peer.MachineSilent {
-		t.Error("machine counts as silent although a task on it may be completed")
+		t.Error("machine reported as silent although a task on it may be completed")
 	}
 	for range 12 {
 		h.run(sec / 2)
@@ -248,7 +248,7 @@
 }
 
 // TestOldHeartbeatsAtNewOwner checks that late copies of heartbeats do not reconcile a machine at a
-// controller that has just claimed its shard, and that the tasks they list do not count as the
+// controller that has just claimed its shard, and that the tasks they list are not taken for the
 // machine's present state.
 func TestOldHeartbeatsAtNewOwner(t *testing.T) {
 	h := newOwnerHarness(t, withPeer)
--- a/internal/controller/inventory.go
+++ b/internal/controller/inventory.go
@@ -90,8 +90,10 @@
 	})
 }
 
-// typesDue reports whether this controller is to read the machine types from the cloud: the leader
-// at each interval, and any controller that does not know them.
+// typesDue reports whether this controller is to read the machine types from the cloud now. The
+// leader reads them every typesInterval. Any controller that does not know them reads them every
+// firstTypesInterval, once it has listed the control keys of the state service, among which the
+// types may be.
 func (c *Controller) typesDue() bool {
 	if !c.types.known() {
 		return c.ownership.controlWatch.Ready() && c.now >= c.fleet.typesReadAt+firstTypesInterval
@@ -200,7 +202,7 @@
 	c.compareList()
 }
 
-// complete replaces the list with the pages that were read. Each machine counts once.
+// complete replaces the list with the pages that were read. A machine on two pages is listed once.
 func (l *cloudList) complete() {
 	l.listed = make(map[string]wire.ListedMachine, len(l.pages))
 	l.listedIDs = l.listedIDs[:0]
--- a/internal/controller/job_end.go
+++ b/internal/controller/job_end.go
@@ -244,7 +244,7 @@
 		c.logCancelled(j, f)
 		c.broadcastCancellation(id)
 	case wire.StateDone:
-		c.notePrefetchImage(j)
+		c.recordPrefetchImage(j)
 	}
 	if j.run != nil {
 		c.finishRun(j, f)
--- a/internal/controller/job_queue.go
+++ b/internal/controller/job_queue.go
@@ -82,7 +82,7 @@
 		compareByAge(a, b))
 }
 
-// compareByAge compares jobs by the time from which their waiting counts.
+// compareByAge compares jobs by the time from which their waiting counts, and then by ID.
 func compareByAge(a, b *job) int {
 	return cmp.Or(cmp.Compare(a.waitingSinceMS(), b.waitingSinceMS()), cmp.Compare(a.id, b.id))
 }
@@ -131,8 +131,8 @@
 	}
 }
 
-// exceedsGuarantee reports whether the resources of a team's jobs exceed the team's guarantee. A
-// team without a guarantee is always exceeded.
+// exceedsGuarantee reports whether the resources of a team's jobs exceed the team's guarantee. It
+// returns true for a team without a guarantee.
 func exceedsGuarantee(sum usage, t Team) bool {
 	noGuarantee := t.CPUs <= 0 && t.GPUs <= 0
 	return noGuarantee || sum.cpus > t.CPUs+scheduling.Tolerance || sum.gpus > t.GPUs+scheduling.Tolerance && sum.gpus > 0
--- a/internal/controller/machine_assignment.go
+++ b/internal/controller/machine_assignment.go
@@ -12,7 +12,7 @@
 )
 
 // recordSetCreation is the creation of a record set by the leader. The write is repeated under the
-// same key until the record set is known to stand, or the leadership ends. The machines are
+// same key until the record set is known to exist, or the leadership ends. The machines are
 // assigned to no other record set meanwhile, since a late copy of the write could still record
 // them.
 type recordSetCreation struct {
@@ -123,7 +123,7 @@
 	c.sendCreation(creation)
 }
 
-// maintainCreations repeats the writes of the record sets that are not known to stand.
+// maintainCreations repeats the writes of the record sets that are not known to exist.
 func (c *Controller) maintainCreations() {
 	for _, key := range sortedKeys(c.fleet.pendingCreations) {
 		c.sendCreation(c.fleet.pendingCreations[key])
@@ -148,7 +148,7 @@
 		if outcome == writeApplied || c.machineRecords.sets[creation.key] != nil {
 			c.fleet.endCreation(creation)
 		}
-		// Otherwise maintainCreations repeats it. If it stands already, the watch shows it.
+		// Otherwise maintainCreations repeats the write. The watch shows a record set that exists already.
 	})
 }
 
@@ -166,8 +166,8 @@
 	}
 }
 
-// endCreation removes the pending creation of a record set that stands. Its machines may be
-// assigned again once they are off the record.
+// endCreation removes the pending creation of a record set that exists. Its machines may be assigned
+// again once they are off the record.
 func (f *fleetState) endCreation(creation *recordSetCreation) {
 	delete(f.pendingCreations, creation.key)
 	for _, m := range creation.rec.Machines {
--- a/internal/controller/machine_health.go
+++ b/internal/controller/machine_health.go
@@ -20,7 +20,7 @@
 	backoffUntil                      micros.Micros // no start is sent before this time, after a refused one
 }
 
-// Thresholds from which on failures count as the fault of a machine or of a job.
+// Thresholds at which failed tasks are attributed to a machine or to a job.
 const (
 	// faultyMachineAfterJobs is how many jobs must have failed tasks on a machine for it to be at
 	// fault.
@@ -36,8 +36,8 @@
 	// runsWellFactor is how many tasks of a job must run well for each machine on which one
 	// failed, for the job not to be at fault.
 	runsWellFactor = 2
-	// runsWellMargin is by how much longer a task must have run than any failed task of its job
-	// to count as running well.
+	// runsWellMargin is by how much longer than any failed task of its job a task must have run
+	// to be considered running well.
 	runsWellMargin = micros.Second
 	// provenRunTime is how long a task must have run on another machine to show that the job's
 	// tasks can run.
@@ -157,8 +157,8 @@
 	return runningWell < runsWellFactor*len(r.failuresByMachine)
 }
 
-// provenElsewhere reports whether the job has completed a task or runs one on another machine than
-// m for long enough.
+// provenElsewhere reports whether the job has completed a task, or has run one on a machine other
+// than m for longer than provenRunTime.
 func (c *Controller) provenElsewhere(j *job, m *machine) bool {
 	if j.run.doneCount > 0 {
 		return true
@@ -240,12 +240,12 @@
 	runTimeDecay = 0.9
 	// maxLogRunTimeRatio bounds the absolute logarithm of one run time's ratio to the expected one.
 	maxLogRunTimeRatio = 1.5
-	// minRunTimeWeight is the weight of run times below which no machine counts as slow.
+	// minRunTimeWeight is the weight of run times below which a machine is not considered slow.
 	minRunTimeWeight = 2
-	// priorRunTimeWeight is the weight of the run times, equal to the expected ones, that are
-	// added to those observed.
+	// priorRunTimeWeight is the weight of assumed run times, equal to the expected ones, that are
+	// added to the observed ones.
 	priorRunTimeWeight = 2
-	// minSlowness is the slowness below which a machine counts as ordinary.
+	// minSlowness is the slowness below which a machine is considered ordinary.
 	minSlowness = 0.3
 )
 
--- a/internal/controller/machine_health_test.go
+++ b/internal/controller/machine_health_test.go
@@ -68,8 +68,8 @@
 	for _, tc := range []struct {
 		name   string
 		gap    micros.Micros // time between two steps
-		silent bool          // the machine counts as silent
-		alive  bool          // the peer counts as alive
+		silent bool          // the machine is considered silent
+		alive  bool          // the peer is considered alive
 		learns bool          // the run time is learned
 	}{
 		{"in time", 20 * ms, true, false, true},
@@ -112,10 +112,10 @@
 			}
 			pass(20 * sec)
 			if got := h.c.sinceLastHeartbeat(v) > h.c.heartbeatDeadlines.Timeout; got != tc.silent {
-				t.Errorf("the machine counts as silent: %v, want %v", got, tc.silent)
+				t.Errorf("the machine is considered silent: %v, want %v", got, tc.silent)
 			}
 			if got := h.c.alive(p); got != tc.alive {
-				t.Errorf("the peer counts as alive: %v, want %v", got, tc.alive)
+				t.Errorf("the peer is considered alive: %v, want %v", got, tc.alive)
 			}
 		})
 	}
--- a/internal/controller/machine_record_sets.go
+++ b/internal/controller/machine_record_sets.go
@@ -11,7 +11,7 @@
 )
 
 // machineRecordSet is one record that holds several machines: a write for each machine would use
-// up the write limit of the state service at the start of a large deployment. A machine stands in
+// up the write limit of the state service at the start of a large deployment. A machine is in
 // one record set at a time. A transaction that moves it removes it from one record set and adds it
 // to another. Rewriting a record set raises the fencing token of all machines in it, which is
 // harmless: workers accept a higher token at any time.
--- a/internal/controller/machine_records.go
+++ b/internal/controller/machine_records.go
@@ -110,7 +110,7 @@
 	c.reconcileMachine(s, m)
 }
 
-// dropMachinesWithoutRecordSet drops the machines that stand in no record set any more. It is
+// dropMachinesWithoutRecordSet drops the machines that are in no record set any more. It is
 // called once all changes of a transaction have been applied: a machine that left one record set
 // may have been added to another, and the two changes arrive in any order.
 func (c *Controller) dropMachinesWithoutRecordSet() {
--- a/internal/controller/machine_records_test.go
+++ b/internal/controller/machine_records_test.go
@@ -39,7 +39,7 @@
 				}
 				h.timeOutLostAnswers()
 				if v := m.view; v == nil || v.inDoubtToken == 0 {
-					t.Error("move counts as not applied although it may have been")
+					t.Error("move treated as not applied although it may have been applied")
 				}
 				h.loseAnswersPrefix, h.blockedWatchPrefix = "", ""
 				h.run(sec)
@@ -56,7 +56,7 @@
 				}
 			}
 			if in != 1 {
-				t.Errorf("machine stands in %d record sets, want 1", in)
+				t.Errorf("machine is in %d record sets, want 1", in)
 			}
 		})
 	}
@@ -121,7 +121,7 @@
 }
 
 // TestOldMachineRecordSetAfterClaim checks that the machines of a record set that is older than the
-// claim do not count as never commanded, even if this node learns of it only after the claim: the
+// claim are not taken for never commanded, even if this node learns of it only after the claim: the
 // former owner may have commanded them.
 func TestOldMachineRecordSetAfterClaim(t *testing.T) {
 	for _, tc := range []struct {
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -2,7 +2,7 @@
 
 import "garnethitch/internal/micros"
 
-// machine is a machine that stands in a record set of the state service.
+// machine is a machine that is in a record set of the state service.
 type machine struct {
 	id        string
 	rec       machineRecord
--- a/internal/controller/maintenance.go
+++ b/internal/controller/maintenance.go
@@ -90,8 +90,8 @@
 	}
 }
 
-// restAfter puts off the next scheduling round or walk if the last step, which took the given time,
-// ran one.
+// restAfter puts off the next scheduling round if the last step ran a round, and the next walk if it
+// ran a walk. took is how long the last step took.
 func (c *Controller) restAfter(took micros.Micros) {
 	until := c.now + min(restFactor*took, maxRest)
 	c.scheduling.postponeNextRound(until)
@@ -141,7 +141,7 @@
 	c.maintainFleet()
 }
 
-// jitter returns a random duration within a quarter of d.
+// jitter returns a random duration between three and five quarters of d.
 func (sc *stepContext) jitter(d micros.Micros) micros.Micros {
 	return d*3/4 + micros.Micros(sc.rng.Int64N(int64(d/2)+1))
 }
--- a/internal/controller/peer_requests.go
+++ b/internal/controller/peer_requests.go
@@ -50,7 +50,7 @@
 		c.machineReturned(id)
 	}
 	c.applyBroadcastCancellations(p, status.Cancelled)
-	c.quota.noteTraces(status.Traces)
+	c.quota.recordTraces(status.Traces)
 	c.takeRecordRequests(status.JobsToCancel, status.Claims)
 	return &peer.StatusAck{ControllerState: c.controllerStateFor(p), QuiescedShards: quiesced}
 }
--- a/internal/controller/prefetch.go
+++ b/internal/controller/prefetch.go
@@ -29,7 +29,7 @@
 	fetchTimeDivisor = 4
 )
 
-// prefetchImages are the images to prefetch, at most maxPrefetchImages.
+// prefetchImages holds the images to prefetch, at most maxPrefetchImages.
 type prefetchImages []prefetchImage
 
 // add records the image of a job that is done. Of several jobs with the same image, the one whose
@@ -64,9 +64,9 @@
 	return oldest
 }
 
-// notePrefetchImage records the image of a job that is done, if its class has an objective for the
+// recordPrefetchImage records the image of a job that is done, if its class has an objective for the
 // start of tasks.
-func (c *Controller) notePrefetchImage(j *job) {
+func (c *Controller) recordPrefetchImage(j *job) {
 	_, urgent := c.cfg.StartWithin[j.sub.Class]
 	dependsOnOtherTasks := j.sub.SameZone || j.sub.Spread // its zone constraints depend on its other attempts
 	if urgent && !dependsOnOtherTasks {
--- a/internal/controller/quota.go
+++ b/internal/controller/quota.go
@@ -84,7 +84,7 @@
 		case quota.Reclaim:
 			c.reclaimQuota(c.ownership.shards[e.Shard], e)
 		case quota.Changed:
-			c.quota.noteQuotaChange(e)
+			c.quota.logQuotaChange(e)
 		case quota.SetDone:
 			c.quota.finishQuotaSet(e)
 		}
@@ -123,8 +123,8 @@
 	c.stepQuota(quota.Announce{Definitions: q.tree.Definitions(time.UnixMicro(int64(c.wall)))})
 }
 
-// noteQuotaChange logs a change of a group and adds it to the traces.
-func (q *quotas) noteQuotaChange(e quota.Changed) {
+// logQuotaChange logs a change of a group and adds it to the traces.
+func (q *quotas) logQuotaChange(e quota.Changed) {
 	switch e.Kind {
 	case quota.Announced:
 		q.log(Info, "limit of a group announced", "group", e.Group, "limit", e.Limit.String(), "source", string(e.Source), "epoch", e.Epoch)
--- a/internal/controller/quota_limits.go
+++ b/internal/controller/quota_limits.go
@@ -35,9 +35,9 @@
 	return "", false
 }
 
-// noteQuotaGrant counts the start of a task in the ledger at once. Otherwise a record that arrives
+// recordQuotaGrant counts the start of a task in the ledger at once. Otherwise a record that arrives
 // before the next update of the usage could make the ledger give up what has just been granted.
-func (q *quotas) noteQuotaGrant(s *shard, j *job) {
+func (q *quotas) recordQuotaGrant(s *shard, j *job) {
 	if q.ledger == nil {
 		return
 	}
@@ -46,8 +46,8 @@
 	}
 }
 
-// quotaHeadroom is how much more of each group a shard may use now, or should be able to use once
-// other shards have given up their excess.
+// quotaHeadroom holds how much more of each group a shard may use now, or should be able to use once
+// other shards have given up their excess, whichever is more.
 type quotaHeadroom map[string]quota.Amount
 
 // takeQuota returns how many of count tasks of a job fit into the headroom of all groups of its
@@ -72,7 +72,7 @@
 
 // reclaimQuota stops tasks of a group whose jobs are beyond their team's guarantee, because tasks
 // within a guarantee wait. Tasks of the lowest priority are stopped first and, among these, those
-// that started last.
+// that entered their state last.
 func (c *Controller) reclaimQuota(s *shard, e quota.Reclaim) {
 	if c.ownership.activeShard(s.id) == nil {
 		return
--- a/internal/controller/quota_records.go
+++ b/internal/controller/quota_records.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// learnQuota handles the record of a group that came with a watch event, a listing or a read.
-func (c *Controller) learnQuota(group string, rec quota.Record, modRevision uint64) {
+// applyQuotaRecord handles the record of a group that came with a watch event, a listing or a read.
+func (c *Controller) applyQuotaRecord(group string, rec quota.Record, modRevision uint64) {
 	if c.quota.ledger == nil {
 		return
 	}
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -11,8 +11,8 @@
 	"garnethitch/quota"
 )
 
-// withGroup returns a configuration change that limits one group of all teams to a number of CPUs,
-// and enables tracing.
+// withGroup returns a function that adds a group of all teams with the given limit of CPUs to a
+// configuration, and enables tracing.
 func withGroup(t *testing.T, cpus float64) func(*Config) {
 	return func(c *Config) {
 		var teams []string
@@ -118,7 +118,7 @@
 		{"a negative limit", "limit.cpus = -1", peer.SetLimit{Group: "all", Limit: quota.Limit{CPUs: &negative}}},
 	} {
 		if resp := h.quotaRequest(peer.QuotaRequest{Set: &tc.set}); !strings.Contains(resp.Problem, tc.want) {
-			t.Errorf("%s: answer %q does not hold the reason", tc.name, resp.Problem)
+			t.Errorf("%s: answer %q does not contain the reason", tc.name, resp.Problem)
 		}
 	}
 	h.run(sec)
--- a/internal/controller/quota_trace.go
+++ b/internal/controller/quota_trace.go
@@ -187,8 +187,8 @@
 	}
 }
 
-// noteTraces records the trace contexts received from another controller.
-func (q *quotas) noteTraces(contexts []peer.TraceContext) {
+// recordTraces records the trace contexts received from another controller.
+func (q *quotas) recordTraces(contexts []peer.TraceContext) {
 	if !q.cfg.Trace || q.ledger == nil || len(contexts) > maxTraces {
 		return
 	}
--- a/internal/controller/quota_usage.go
+++ b/internal/controller/quota_usage.go
@@ -20,7 +20,7 @@
 func (u usage) amount() quota.Amount { return quota.Amount{CPUs: u.cpus, GPUs: u.gpus} }
 
 // groupUsage returns an upper bound of what the tasks of a group use in a shard. An unreconciled
-// machine counts in full for each team of the group, as it does for the limits of teams.
+// machine counts in full for each team of the group, as for the limits of teams.
 func (q *quotas) groupUsage(s *shard, group string) (sum quota.Amount) {
 	for _, team := range q.members[group] {
 		sum = sum.Plus(s.usage[team].amount())
@@ -100,7 +100,7 @@
 		if waiting := c.waitingTasks(s, j); waiting.Count > 0 {
 			teams[j.team].Waiting = append(teams[j.team].Waiting, waiting)
 		}
-		c.quota.noteQuotaWait(s, j)
+		c.quota.recordQuotaWait(s, j)
 	}
 	return teams
 }
@@ -123,8 +123,8 @@
 	}
 }
 
-// noteQuotaWait records since when a job's tasks have waited for quota, and logs a long wait once.
-func (q *quotas) noteQuotaWait(s *shard, j *job) {
+// recordQuotaWait records since when a job's tasks have waited for quota, and logs a long wait once.
+func (q *quotas) recordQuotaWait(s *shard, j *job) {
 	r := j.run
 	group, exceeded := q.exceededGroup(s, j)
 	switch {
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -8,7 +8,7 @@
 	"garnethitch/internal/wire"
 )
 
-// contactView is when a machine's last heartbeat came and when one was last answered, by this
+// contactView holds when a machine's last heartbeat came and when one was last answered, by this
 // node's clock, and whether the machine receives the replies.
 type contactView struct {
 	lastHeartbeatAt micros.Micros
@@ -45,16 +45,16 @@
 }
 
 // unreachable reports whether a machine sends heartbeats but does not receive the replies. Such a
-// machine gets no more tasks. Its tasks count until its lease has provably ended: it shows a higher
-// agent epoch, the cloud confirms its return, or the bound since the last reply has passed.
+// machine gets no more tasks. Its tasks are taken to run until its lease has provably ended: it shows
+// a higher agent epoch, the cloud confirms its return, or the bound since the last reply has passed.
 func (c *Controller) unreachable(m *machine) bool {
 	return m.view.reachability.Unreachable()
 }
 
 // leaseRunningOut reports whether a machine's lease is running out because none of its heartbeats
-// has been answered for long. Its answers to direct requests do not renew the lease. Such a machine
-// gets no more tasks, since they would end with the lease. The tasks on it may be completed in
-// time.
+// has been answered for longer than the heartbeat timeout. Its answers to direct requests do not
+// renew the lease. Such a machine gets no more tasks, since they would end with the lease. The tasks
+// on it may be completed in time.
 func (c *Controller) leaseRunningOut(v *machineView) bool {
 	return v.sequenceKnown && c.sinceLastReply(v) > c.heartbeatDeadlines.Timeout
 }
--- a/internal/controller/reconciliation.go
+++ b/internal/controller/reconciliation.go
@@ -5,8 +5,8 @@
 	"garnethitch/internal/wire"
 )
 
-// reconciliationView is the position of a machine's last heartbeat, and whether commands or tasks of
-// a former owner may still be on the machine. A heartbeat that is not newer than (agentEpoch,
+// reconciliationView holds the position of a machine's last heartbeat, and whether commands or tasks
+// of a former owner may still be on the machine. A heartbeat that is not newer than (agentEpoch,
 // sequence) changes nothing.
 //
 // The booleans occur in these combinations:
@@ -28,7 +28,8 @@
 	neverCommanded bool // nobody but this owner can have commanded the machine
 	reconciledAt   micros.Micros
 	// unreconciledFromPredecessor is set if the machine was on record at the claim and has since
-	// neither been reconciled nor lost its lease: tasks of a former owner may be on it.
+	// neither been reconciled, nor lost its lease, nor been returned: tasks of a former owner may
+	// be on it.
 	unreconciledFromPredecessor bool
 	leaseExpired                bool // the machine can hold no task any more
 	sequenceKnown               bool // agentEpoch and sequence are set
@@ -120,8 +121,8 @@
 	c.sendCommands(s, m, []wire.Command{})
 }
 
-// allReconciled reports whether each machine of a shard has been reconciled or has lost its lease,
-// so that none may hold unknown tasks of a former owner.
+// allReconciled reports whether no machine of a shard may still hold unknown tasks of a former
+// owner; see unreconciledFromPredecessor.
 func (o *ownershipState) allReconciled(s *shard) bool {
 	for _, m := range s.machines {
 		if m.view != nil && m.view.unreconciledFromPredecessor {
--- a/internal/controller/registration.go
+++ b/internal/controller/registration.go
@@ -118,7 +118,7 @@
 	f.wakeIn(f.registrationsDueAt - f.now)
 }
 
-// recordRegistrations assigns the registered machines to shards, once the collection is due.
+// recordRegistrations assigns the registered machines to shards, once registrationsDueAt is reached.
 func (c *Controller) recordRegistrations() {
 	f := &c.fleet
 	if len(f.registrations) == 0 || c.now < f.registrationsDueAt {
--- a/internal/controller/registration_test.go
+++ b/internal/controller/registration_test.go
@@ -34,8 +34,8 @@
 }
 
 // TestLateRecordSetWrite checks that a machine is recorded under no other key while the write of its
-// record set is unanswered: that write may still be applied, and the machine would stand in two
-// record sets.
+// record set is unanswered: that write may still be applied, and the machine would be in two record
+// sets.
 func TestLateRecordSetWrite(t *testing.T) {
 	h := newHarness(t, nil)
 	h.c.fleet.rented["vm-1"] = &rentedMachine{kind: fleet.Kind{Type: "m", Zone: "a", Spot: true}, at: h.now}
--- a/internal/controller/replacement_test.go
+++ b/internal/controller/replacement_test.go
@@ -19,7 +19,7 @@
 		blocked      micros.Micros
 		busy         float64
 		wait         int
-		since        micros.Micros // how long the machines have been unreconciled
+		since        micros.Micros // reported time unreconciled; 0: fewer than two commands unanswered
 		partitioned  bool
 		want         bool
 	}{
@@ -27,7 +27,7 @@
 		{"a fifth, for long", 20, 40 * sec, 200, 1000, 6 * sec, false, true},
 		{"a fifth, for a moment only", 20, 5 * sec, 200, 1000, 6 * sec, false, false},
 		{"nothing waits", 20, 40 * sec, 200, 0, 6 * sec, false, false},
-		{"not asked twice yet", 20, 40 * sec, 200, 1000, 0, false, false},
+		{"fewer than two commands unanswered", 20, 40 * sec, 200, 1000, 0, false, false},
 		{"most of them: rather the owner's network", 60, 60 * sec, 0, 1000, 6 * sec, false, false},
 		{"most of them, in a partitioned zone", 60, 60 * sec, 0, 10000, 6 * sec, true, true},
 	} {
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -22,7 +22,7 @@
 	bootTimeoutFactor = 4
 	bootGrace         = 45 * micros.Second
 	// listLagMargin is added to twice the lag of the cloud's list to get the time after which a
-	// machine that is missing from the list counts as gone.
+	// machine that is missing from the list is considered gone.
 	listLagMargin = micros.Second
 	// maxConsolidationDuration is how long a machine may be drained for its return.
 	maxConsolidationDuration = 30 * micros.Second
@@ -112,7 +112,7 @@
 }
 
 // scaleInIdle returns idle machines to the cloud, the most expensive first, as long as the fleet
-// has more than it needs. fleetFull reports whether the fleet has reached its maximum size.
+// has more than it needs. fleetFull is whether the fleet has reached its maximum size.
 func (c *Controller) scaleInIdle(demands fleet.Demands, sums fleet.Totals, fleetFull bool) {
 	choice := fleet.ScaleIn{
 		Totals:       sums,
--- a/internal/controller/scale_out.go
+++ b/internal/controller/scale_out.go
@@ -25,7 +25,7 @@
 	maxRefusalBackoff = 40 * micros.Second
 )
 
-// rentals are the leader's rental requests and the machines that they have brought.
+// rentals holds the leader's rental requests and the machines that the cloud has rented out to it.
 type rentals struct {
 	scaleOutSequence uint64             // number of the last rental request
 	scaleOuts        []*scaleOutRequest // requests under way
@@ -161,10 +161,10 @@
 		f.addRented(req, names.Machines)
 	case r.Status == http.StatusServiceUnavailable && r.Body == noCapacity:
 		f.endScaleOut(req)
-		f.noteRefusal(req.kind())
+		f.recordRefusal(req.kind())
 	case r.Status == http.StatusBadRequest:
 		f.endScaleOut(req)
-		f.noteRefusal(req.kind())
+		f.recordRefusal(req.kind())
 		f.log(Error, "rental request called malformed", "request", req.rental.RequestID)
 	default:
 		req.nextSendAt = f.now + f.jitter(scaleOutRetryInterval)
@@ -178,13 +178,13 @@
 	f.nextPlanAt = f.now
 }
 
-// addRented records the machines that a rental request has brought. Fewer than were requested count
-// as a refusal of more.
+// addRented records the machines that the cloud has rented out for a request. If they are fewer than
+// were requested, the cloud has refused further machines of this kind.
 func (f *fleetState) addRented(req *scaleOutRequest, machines []string) {
 	k := req.kind()
 	f.log(Info, "scaled out", "type", k.Type, "zone", k.Zone, "spot", k.Spot, "wanted", req.rental.Count, "got", len(machines))
 	if len(machines) < req.rental.Count {
-		f.noteRefusal(k)
+		f.recordRefusal(k)
 	} else {
 		delete(f.refused, k)
 	}
@@ -205,9 +205,9 @@
 // of capacity.
 const RefusedRental = noCapacity
 
-// noteRefusal stops requests for machines of a kind for a while; the backoff doubles with each
+// recordRefusal stops requests for machines of a kind for a while; the backoff doubles with each
 // refusal.
-func (f *fleetState) noteRefusal(k fleet.Kind) {
+func (f *fleetState) recordRefusal(k fleet.Kind) {
 	r := f.refused[k]
 	if r == nil {
 		r = &refusal{}
--- a/internal/controller/state_records.go
+++ b/internal/controller/state_records.go
@@ -118,7 +118,7 @@
 	if err := wire.Decode(value, &rec); err != nil {
 		return err
 	}
-	c.learnQuota(group, rec, modRevision)
+	c.applyQuotaRecord(group, rec, modRevision)
 	return nil
 }
 
--- a/internal/controller/worker_contact.go
+++ b/internal/controller/worker_contact.go
@@ -16,15 +16,15 @@
 	workerContactInterval = micros.Second / 2
 	// workerProbeTimeout is how long a machine has to answer a probe.
 	workerProbeTimeout = micros.Second
-	// workerProbesNeeded is how many probes in a row must be answered before contact counts
-	// as restored.
+	// workerProbesNeeded is how many probes in a row must be answered before contact is
+	// considered restored.
 	workerProbesNeeded = 3
-	// minSilentMachines is how many machines must be silent for contact to count as lost: if only
-	// one is, that machine has failed.
+	// minSilentMachines is how many machines must be silent for contact to be considered lost: if
+	// only one is, that machine has failed.
 	minSilentMachines = 2
 )
 
-// contactState is whether this node has contact with the workers.
+// contactState says whether this node has contact with the workers.
 type contactState int
 
 const (
@@ -175,7 +175,7 @@
 }
 
 // probeWorkers probes the next machine in turn, to find out whether the workers can be reached
-// again. If there are no machines, contact counts as held.
+// again. If there are no machines, it sets contact to held.
 func (c *Controller) probeWorkers() {
 	w := &c.workerContact
 	if w.probeInFlight {
--- a/internal/controller/worker_contact_test.go
+++ b/internal/controller/worker_contact_test.go
@@ -49,8 +49,7 @@
 	}
 }
 
-// TestHeartbeatSilence checks the thresholds at which silent machines count as most or nearly all of
-// them, and as trying another controller.
+// TestHeartbeatSilence checks the thresholds of mostSilent, nearlyAllSilent and mostTryElsewhere.
 func TestHeartbeatSilence(t *testing.T) {
 	for _, tc := range []struct {
 		name                                   string
