--- a/internal/controller/assignment.go
+++ b/internal/controller/assignment.go
@@ -20,7 +20,7 @@
 		c.assign(s, j, index, m)
 		if firstOfOverdue {
 			s.queueStale = true
-			return false // the job is no longer overdue: its other tasks wait in the usual order
+			return false // the job is not overdue any more, so its other tasks wait in the usual order
 		}
 		if zones != nil {
 			zones[m.rec.Zone]++
--- a/internal/controller/capacity_test.go
+++ b/internal/controller/capacity_test.go
@@ -75,7 +75,7 @@
 		want              int // of 10 tasks
 	}{
 		{"no limit", 0, 50, 1, 10},
-		{"needs nothing of it", 8, 8, 0, 10},
+		{"tasks need nothing", 8, 8, 0, 10},
 		{"limit far off", 100, 20, 2, 10},
 		{"limit near", 8, 3, 2, 2},
 		{"exactly one, but for rounding", 0.3, 0.2, 0.1, 1},
--- a/internal/controller/command_queue.go
+++ b/internal/controller/command_queue.go
@@ -34,7 +34,7 @@
 // full reports whether no further request may begin.
 func (q *commandQueue) full() bool { return q.inFlight >= q.maxInFlight }
 
-// push adds a machine to the queue, unless it waits already or this node does not own its shard.
+// push adds a machine to the queue, unless it waits already or this node has no view of it.
 func (q *commandQueue) push(m *machine) {
 	if m.view == nil || m.view.commandQueued {
 		return
@@ -48,7 +48,7 @@
 func (q *commandQueue) next() *machine {
 	for i, m := range q.waiting {
 		if m.view == nil || !m.view.commandQueued {
-			continue // this node has lost the machine's shard, or the machine, since push
+			continue // this node has lost the machine or its shard since push
 		}
 		if q.full() {
 			q.waiting = q.waiting[i:]
--- a/internal/controller/commands_test.go
+++ b/internal/controller/commands_test.go
@@ -217,9 +217,9 @@
 	return out
 }
 
-// TestStartsBeyondTheLease checks that an owner whose lease has expired starts tasks only while every
-// other controller reports that it has lost the state service too. Otherwise a successor may have
-// confirmed a job's cancellation to a user, and this owner would start its tasks nevertheless.
+// TestStartsBeyondTheLease checks that an owner whose lease has expired starts tasks only while
+// every other controller reports that it has lost the state service too. Otherwise a successor may
+// have confirmed a job's cancellation to a user, and this owner would start its tasks nevertheless.
 func TestStartsBeyondTheLease(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
--- a/internal/controller/demand.go
+++ b/internal/controller/demand.go
@@ -213,8 +213,8 @@
 }
 
 // movable reports whether an attempt may be stopped so that its machine can be released. It must be
-// running, and either able to save or the attempt of a job that is past its due time, has not been
-// stopped before and has most of its work still ahead.
+// running. If its task cannot save, the job must also be past its due time, the task must not have
+// been stopped before, and most of the task's work must still be ahead.
 func (c *Controller) movable(att *attempt) bool {
 	if !att.tracked || att.state != attemptRunning || att.job.run == nil {
 		return false
@@ -287,8 +287,8 @@
 }
 
 // waitingTaskGroups groups a shard's waiting tasks by their needs. Tasks beyond the limit or the
-// quota of their team are left out of the counts, since more machines would not let them start. Their
-// run time is included in the work all the same.
+// quota of their team are left out of the counts, since more machines would not let them start.
+// Their run time is included in the work all the same.
 func (c *Controller) waitingTaskGroups(s *shard) []peer.WaitingTasks {
 	index := map[waitingTasksKey]int{}
 	var groups []peer.WaitingTasks
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -38,7 +38,7 @@
 // assignments holds the machines that are being assigned to shards.
 type assignments struct {
 	pendingCreations   map[string]*recordSetCreation // record sets being written, by key
-	assigning          map[string]bool               // IDs of machines in these record sets or waiting for one
+	assigning          map[string]bool               // IDs of machines in these record sets, waiting for one, or probed before
 	registrations      []registration                // of machines that have sent a heartbeat but have no record
 	registrationsDueAt micros.Micros                 // when the registrations are recorded
 }
--- a/internal/controller/heartbeats_test.go
+++ b/internal/controller/heartbeats_test.go
@@ -64,7 +64,7 @@
 		want         int
 	}{
 		{"all machines reconciled", false, 4},
-		{"one may hold four CPUs of tasks", true, 0},
+		{"one machine may hold four CPUs of tasks", true, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t, func(c *Config) { c.Teams = []Team{{Name: "t", CPUsMax: 4}, {Name: "u"}}; c.Shards = 1 })
@@ -95,7 +95,7 @@
 		alone bool // the controller has lost the state service and the other controllers
 	}{
 		{"with the state service: restarted once the lease has run out", false},
-		{"without it: a successor may have renewed the machine's lease", true},
+		{"without the state service: a successor may have renewed the machine's lease", true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t, func(c *Config) { c.CancelWithin = 40 * sec; c.SilentReturn = 0; c.Peers = []string{"n-1"} })
@@ -199,7 +199,8 @@
 
 // TestHeartbeatsUnanswered has a machine whose heartbeats reach no controller while direct commands
 // reach the machine. It must get no more tasks, since they would end with its lease. The tasks that
-// it completes count, and it must not be reported as silent as long as a task on it may be completed.
+// it completes count, and it must not be reported as silent as long as a task on it may be
+// completed.
 func TestHeartbeatsUnanswered(t *testing.T) {
 	h := newOwnerHarness(t, func(c *Config) {
 		withPeer(c)
--- a/internal/controller/machine_record_writes.go
+++ b/internal/controller/machine_record_writes.go
@@ -12,8 +12,8 @@
 const (
 	// recordSetWriteTimeout is how long a write of record sets may take.
 	recordSetWriteTimeout = 1500 * micros.Millisecond
-	// recordSetWriteInterval is the least time between two writes of the same record set,
-	// before jitter.
+	// recordSetWriteInterval is the time, before jitter, from the result of a write to the next
+	// write of the same record set.
 	recordSetWriteInterval = micros.Second
 	// splitRetryDelay is the time after which a failed split of a record set is tried again.
 	splitRetryDelay = 5 * micros.Second
--- a/internal/controller/maintenance.go
+++ b/internal/controller/maintenance.go
@@ -3,8 +3,9 @@
 import "garnethitch/internal/micros"
 
 // The time between two runs of maintain. idleMaintenanceInterval applies if this controller's view
-// is complete, each shard has an owner, and each shard that it owns is recovered. It is longer
-// because each run wakes the process, even if nothing is due.
+// is complete, it knows the machine types, each shard has an owner, and each shard that this
+// controller owns is recovered. It is longer because each run wakes the process, even if nothing is
+// due.
 const (
 	activeMaintenanceInterval = 100 * micros.Millisecond
 	idleMaintenanceInterval   = 300 * micros.Millisecond
@@ -46,7 +47,8 @@
 // Wake returns the latest steady time (see Instant) at which Step must be called next.
 func (sc *stepContext) Wake() micros.Micros { return sc.wakeAt }
 
-// wakeIn makes Wake at most d from now, but not less than a millisecond from now.
+// wakeIn requests a step within d, or within a millisecond if d is less: it lowers the time that
+// Wake returns if that is later.
 func (sc *stepContext) wakeIn(d micros.Micros) {
 	sc.wakeAt = min(sc.wakeAt, sc.now+max(d, micros.Millisecond))
 }
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -64,7 +64,7 @@
 
 // preemptionPlan lists the ways to free capacity for a job's waiting tasks.
 type preemptionPlan struct {
-	tasks   int            // for which capacity is to be freed
+	tasks   int            // number of tasks for which capacity is to be freed
 	options preemptionHeap // at most one for each machine
 }
 
@@ -249,8 +249,8 @@
 	c.refreshUsage(c.ownership.shards[option.machine.rec.Shard])
 }
 
-// stop requests that an attempt be stopped. An attempt that was never sent to its machine is
-// removed at once.
+// stop requests that an attempt be stopped, unless a stop of this mode or a stricter one has been
+// requested already. An attempt that was never sent to its machine is removed at once.
 func (c *Controller) stop(att *attempt, mode stopMode) {
 	if att.state == attemptAssigned {
 		c.freeAttempt(att, false)
--- a/internal/controller/quota_usage.go
+++ b/internal/controller/quota_usage.go
@@ -106,7 +106,7 @@
 }
 
 // waitingTasks returns how many tasks of a job wait, as far as the limit of its team lets them
-// start.
+// start. A job that is tried one task at a time has at most one.
 func (c *Controller) waitingTasks(s *shard, j *job) quota.WaitingTasks {
 	team := c.cfg.Teams[j.team]
 	used := s.usage[j.team]
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -45,8 +45,9 @@
 }
 
 // unreachable reports whether a machine sends heartbeats but does not receive the replies. Such a
-// machine gets no more tasks. Its tasks are taken to run until its lease has provably ended: it shows
-// a higher agent epoch, the cloud confirms its return, or the bound since the last reply has passed.
+// machine gets no more tasks. Its tasks are taken to run until its lease has provably ended: it
+// shows a higher agent epoch, the cloud confirms its return, or the bound since the last reply has
+// passed.
 func (c *Controller) unreachable(m *machine) bool {
 	return m.view.reachability.Unreachable()
 }
--- a/internal/controller/reachability_test.go
+++ b/internal/controller/reachability_test.go
@@ -85,7 +85,7 @@
 		{"small settings", 3 * sec, 19 * sec, -1, 13250 * ms},
 		{"grown settings", 10 * sec, 45 * sec, -1, 22 * sec},
 		{"slow heartbeats", 30 * sec, 120 * sec, -1, 47 * sec},
-		{"the operators' own", 10 * sec, 45 * sec, 30 * sec, 30 * sec},
+		{"set by the operators", 10 * sec, 45 * sec, 30 * sec, 30 * sec},
 	} {
 		c := New(Config{Label: "a", Shards: 1, Teams: []Team{{Name: "t"}}, HeartbeatInterval: tc.interval, WorkerLease: tc.lease, SilentReturn: tc.given, StateRPS: 10, WriteRPS: 10, CloudRPS: 10}, 1)
 		if got := c.heartbeatDeadlines.Return; got != tc.want {
--- a/internal/controller/readiness_test.go
+++ b/internal/controller/readiness_test.go
@@ -15,8 +15,8 @@
 	}{
 		{"lost by all", true, false, 200},
 		{"lost by this node alone", true, true, 503},
-		{"started without it, as all", false, false, 200},
-		{"started without it, alone", false, true, 503},
+		{"all started without the state service", false, false, 200},
+		{"started without the state service, which a peer has", false, true, 503},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t, func(c *Config) { c.Peers = []string{"n-1"} })
--- a/internal/controller/registration_test.go
+++ b/internal/controller/registration_test.go
@@ -7,9 +7,9 @@
 	"garnethitch/internal/wire"
 )
 
-// TestRegistrationAcrossOutage checks that a machine is assigned after an outage if it sent its first
-// heartbeat just before the leader's lease ran out. The leader leads again under the same key, and
-// must assign the machine then.
+// TestRegistrationAcrossOutage checks that a machine is assigned after an outage if it sent its
+// first heartbeat just before the leader's lease ran out. The leader leads again under the same
+// key, and must assign the machine then.
 func TestRegistrationAcrossOutage(t *testing.T) {
 	h := newOwnerHarness(t, withPeer)
 	h.c.fleet.rented["vm-7"] = &rentedMachine{kind: fleet.Kind{Type: "m", Zone: "a", Spot: false}, at: h.now}
--- a/internal/controller/replacement.go
+++ b/internal/controller/replacement.go
@@ -15,8 +15,8 @@
 	// rentalOverheadS is the time in seconds that renting a machine takes in addition to its
 	// boot time.
 	rentalOverheadS = 10
-	// partitionedReturnLeases is for how many times the worker lease the silent machines of a
-	// partitioned zone are kept before they are returned.
+	// partitionedReturnLeases is how long the silent machines of a partitioned zone are kept
+	// before they are returned, as a multiple of the worker lease.
 	partitionedReturnLeases = 3
 )
 
--- a/internal/controller/replacement_test.go
+++ b/internal/controller/replacement_test.go
@@ -28,7 +28,7 @@
 		{"a fifth, for a moment only", 20, 5 * sec, 200, 1000, 6 * sec, false, false},
 		{"nothing waits", 20, 40 * sec, 200, 0, 6 * sec, false, false},
 		{"fewer than two commands unanswered", 20, 40 * sec, 200, 1000, 0, false, false},
-		{"most of them: rather the owner's network", 60, 60 * sec, 0, 1000, 6 * sec, false, false},
+		{"most of them: more likely the owner's network", 60, 60 * sec, 0, 1000, 6 * sec, false, false},
 		{"most of them, in a partitioned zone", 60, 60 * sec, 0, 10000, 6 * sec, true, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -66,9 +66,9 @@
 		want  bool
 	}{
 		{"a dead machine", "a", 30 * sec, []peer.ZoneMachines{{Name: "a", TotalMachines: 50, SilentMachines: 5}, {Name: "b", TotalMachines: 50}}, true},
-		{"its zone is partitioned", "a", 30 * sec, []peer.ZoneMachines{{Name: "a", TotalMachines: 20, SilentMachines: 20}, {Name: "b", TotalMachines: 80}}, false},
-		{"another zone is", "b", 30 * sec, []peer.ZoneMachines{{Name: "a", TotalMachines: 20, SilentMachines: 20}, {Name: "b", TotalMachines: 80, SilentMachines: 1}}, true},
-		{"its zone is, for minutes", "a", 140 * sec, []peer.ZoneMachines{{Name: "a", TotalMachines: 20, SilentMachines: 20}, {Name: "b", TotalMachines: 80}}, true},
+		{"the machine's zone is partitioned", "a", 30 * sec, []peer.ZoneMachines{{Name: "a", TotalMachines: 20, SilentMachines: 20}, {Name: "b", TotalMachines: 80}}, false},
+		{"another zone is partitioned", "b", 30 * sec, []peer.ZoneMachines{{Name: "a", TotalMachines: 20, SilentMachines: 20}, {Name: "b", TotalMachines: 80, SilentMachines: 1}}, true},
+		{"the machine's zone is partitioned, for minutes", "a", 140 * sec, []peer.ZoneMachines{{Name: "a", TotalMachines: 20, SilentMachines: 20}, {Name: "b", TotalMachines: 80}}, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			c := New(Config{Label: "a", Shards: 1, Teams: []Team{{Name: "t"}}, StateRPS: 10, WriteRPS: 10, CloudRPS: 10,
--- a/internal/controller/returned_machines_test.go
+++ b/internal/controller/returned_machines_test.go
@@ -22,7 +22,7 @@
 		{"one of eight, for long", 8, 1, 20 * sec, true},
 		{"a quarter", 8, 2, 0, true},
 		{"all", 8, 8, 0, true},
-		{"it holds nothing", 0, 0, 0, true},
+		{"no machines", 0, 0, 0, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t, nil)
--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -109,7 +109,8 @@
 }
 
 // machinesWithCapacity returns the usable machines of a shard that have free CPUs, or only free
-// memory if some job of the queue needs no CPU.
+// memory if some job of the queue needs no CPU. It requests another round for when the backoff of a
+// machine ends.
 func (c *Controller) machinesWithCapacity(s *shard, queue []*job) []*machine {
 	needsNoCPU := slices.ContainsFunc(queue, func(j *job) bool { return j.sub.CPUs <= scheduling.Tolerance })
 	var free []*machine
--- a/internal/controller/worker_contact_test.go
+++ b/internal/controller/worker_contact_test.go
@@ -19,7 +19,7 @@
 		{"all are silent, no peer is alive", machines, true, false, false, true},
 		{"all are silent, and so is the state service", machines, true, true, false, false},
 		{"all are silent, and none tries the peer", machines, false, false, false, false},
-		{"all are silent, but it is stalled itself", machines, true, false, true, false},
+		{"all are silent, but the controller is stalled", machines, true, false, true, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t, func(c *Config) { c.Peers = []string{"n-1"}; c.MaxMachines = 100 })
