--- a/internal/controller/release_requests.go
+++ b/internal/controller/release_requests.go
@@ -15,11 +15,11 @@
 )
 
 // machineMoves holds the releases of machines that the leader requests from the owners of their
-// shards.
+// shards, and the machines that it has drained for another shard or for their return.
 type machineMoves struct {
 	releaseRequestedAt map[string]micros.Micros // when the release of a machine was last requested
 	releaseRequests    []releaseRequest         // not sent yet
-	plannedMoves       map[string]plannedMove
+	plannedMoves       map[string]plannedMove   // by machine ID
 }
 
 // reset clears all requests and planned moves.
--- a/internal/controller/replacement_test.go
+++ b/internal/controller/replacement_test.go
@@ -10,8 +10,8 @@
 )
 
 // TestUnreconciledReturn checks that unreachable machines that block a failover are returned if the
-// work that they block costs more than replacing them, but not if the owner's network is the likely
-// cause.
+// work that they block is worth more than what replacing them costs, but not if the owner's network
+// is the likely cause.
 func TestUnreconciledReturn(t *testing.T) {
 	for _, tc := range []struct {
 		name         string
