--- a/internal/controller/release_requests.go
+++ b/internal/controller/release_requests.go
@@ -15,7 +15,7 @@
 )
 
 // machineMoves holds the releases of machines that the leader requests from the owners of their
-// shards, and the machines that it has drained for another shard or for their return.
+// shards, and the machines that it has drained before they move or are returned.
 type machineMoves struct {
 	releaseRequestedAt map[string]micros.Micros // when the release of a machine was last requested
 	releaseRequests    []releaseRequest         // not sent yet
