--- a/internal/controller/heartbeats_test.go
+++ b/internal/controller/heartbeats_test.go
@@ -64,7 +64,7 @@
 		want         int
 	}{
 		{"all machines reconciled", false, 4},
-		{"one may hold four CPUs of tasks", true, 0},
+		{"one machine may hold four CPUs of tasks", true, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t, func(c *Config) { c.Teams = []Team{{Name: "t", CPUsMax: 4}, {Name: "u"}}; c.Shards = 1 })
@@ -92,10 +92,10 @@
 func TestSilentMachineWithinSuccessorWait(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
-		alone bool // it has lost the state service and the other controllers
+		alone bool // the controller has lost the state service and the other controllers
 	}{
 		{"with the state service: restarted once the lease has run out", false},
-		{"without it: a successor may have renewed the machine's lease", true},
+		{"without the state service: a successor may have renewed the machine's lease", true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t, func(c *Config) { c.CancelWithin = 40 * sec; c.SilentReturn = 0; c.Peers = []string{"n-1"} })
@@ -198,8 +198,9 @@
 }
 
 // TestHeartbeatsUnanswered has a machine whose heartbeats reach no controller while direct commands
-// reach it. It must get no more tasks, since they would end with its lease. The tasks that it
-// completes count, and it must not count as silent as long as a task on it may be completed.
+// reach the machine. It must get no more tasks, since they would end with its lease. The tasks that
+// it completes count, and it must not be reported as silent as long as a task on it may be
+// completed.
 func TestHeartbeatsUnanswered(t *testing.T) {
 	h := newOwnerHarness(t, func(c *Config) {
 		withPeer(c)
@@ -230,7 +231,7 @@
 	}
 	m := h.c.machines["vm-1"]
 	if st := h.c.machineState(m); st == peer.MachineSilent {
-		t.Error("machine counts as silent although a task on it may be completed")
+		t.Error("machine reported as silent although a task on it may be completed")
 	}
 	for range 12 {
 		h.run(sec / 2)
@@ -248,7 +249,7 @@
 }
 
 // TestOldHeartbeatsAtNewOwner checks that late copies of heartbeats do not reconcile a machine at a
-// controller that has just claimed its shard, and that the tasks they list do not count as the
+// controller that has just claimed its shard, and that the tasks they list are not taken for the
 // machine's present state.
 func TestOldHeartbeatsAtNewOwner(t *testing.T) {
 	h := newOwnerHarness(t, withPeer)
--- a/internal/controller/maintenance.go
+++ b/internal/controller/maintenance.go
@@ -3,8 +3,9 @@
 import "garnethitch/internal/micros"
 
 // The time between two runs of maintain. idleMaintenanceInterval applies if this controller's view
-// is complete, each shard has an owner, and each shard that it owns is recovered. It is longer
-// because each run wakes the process, even if nothing is due.
+// is complete, it knows the machine types, each shard has an owner, and each shard that this
+// controller owns is recovered. It is longer because each run wakes the process, even if nothing is
+// due.
 const (
 	activeMaintenanceInterval = 100 * micros.Millisecond
 	idleMaintenanceInterval   = 300 * micros.Millisecond
@@ -46,7 +47,8 @@
 // Wake returns the latest steady time (see Instant) at which Step must be called next.
 func (sc *stepContext) Wake() micros.Micros { return sc.wakeAt }
 
-// wakeIn makes Wake at most d from now, but not less than a millisecond from now.
+// wakeIn requests a step within d, or within a millisecond if d is less: it lowers the time that
+// Wake returns if that is later.
 func (sc *stepContext) wakeIn(d micros.Micros) {
 	sc.wakeAt = min(sc.wakeAt, sc.now+max(d, micros.Millisecond))
 }
@@ -90,8 +92,8 @@
 	}
 }
 
-// restAfter puts off the next scheduling round or walk if the last step, which took the given time,
-// ran one.
+// restAfter puts off the next scheduling round if the last step ran a round, and the next walk if it
+// ran a walk. took is how long the last step took.
 func (c *Controller) restAfter(took micros.Micros) {
 	until := c.now + min(restFactor*took, maxRest)
 	c.scheduling.postponeNextRound(until)
@@ -141,7 +143,7 @@
 	c.maintainFleet()
 }
 
-// jitter returns a random duration within a quarter of d.
+// jitter returns a random duration between three and five quarters of d.
 func (sc *stepContext) jitter(d micros.Micros) micros.Micros {
 	return d*3/4 + micros.Micros(sc.rng.Int64N(int64(d/2)+1))
 }
--- a/internal/controller/replacement_test.go
+++ b/internal/controller/replacement_test.go
@@ -10,8 +10,8 @@
 )
 
 // TestUnreconciledReturn checks that unreachable machines that block a failover are returned if the
-// work that they block costs more than replacing them, but not if the owner's network is the likely
-// cause.
+// work that they block is worth more than what replacing them costs, but not if the owner's network
+// is the likely cause.
 func TestUnreconciledReturn(t *testing.T) {
 	for _, tc := range []struct {
 		name         string
@@ -19,7 +19,7 @@
 		blocked      micros.Micros
 		busy         float64
 		wait         int
-		since        micros.Micros // how long the machines have been unreconciled
+		since        micros.Micros // reported time unreconciled; 0: fewer than two commands unanswered
 		partitioned  bool
 		want         bool
 	}{
@@ -27,8 +27,8 @@
 		{"a fifth, for long", 20, 40 * sec, 200, 1000, 6 * sec, false, true},
 		{"a fifth, for a moment only", 20, 5 * sec, 200, 1000, 6 * sec, false, false},
 		{"nothing waits", 20, 40 * sec, 200, 0, 6 * sec, false, false},
-		{"not asked twice yet", 20, 40 * sec, 200, 1000, 0, false, false},
-		{"most of them: rather the owner's network", 60, 60 * sec, 0, 1000, 6 * sec, false, false},
+		{"fewer than two commands unanswered", 20, 40 * sec, 200, 1000, 0, false, false},
+		{"most of them: more likely the owner's network", 60, 60 * sec, 0, 1000, 6 * sec, false, false},
 		{"most of them, in a partitioned zone", 60, 60 * sec, 0, 10000, 6 * sec, true, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -66,9 +66,9 @@
 		want  bool
 	}{
 		{"a dead machine", "a", 30 * sec, []peer.ZoneMachines{{Name: "a", TotalMachines: 50, SilentMachines: 5}, {Name: "b", TotalMachines: 50}}, true},
-		{"its zone is partitioned", "a", 30 * sec, []peer.ZoneMachines{{Name: "a", TotalMachines: 20, SilentMachines: 20}, {Name: "b", TotalMachines: 80}}, false},
-		{"another zone is", "b", 30 * sec, []peer.ZoneMachines{{Name: "a", TotalMachines: 20, SilentMachines: 20}, {Name: "b", TotalMachines: 80, SilentMachines: 1}}, true},
-		{"its zone is, for minutes", "a", 140 * sec, []peer.ZoneMachines{{Name: "a", TotalMachines: 20, SilentMachines: 20}, {Name: "b", TotalMachines: 80}}, true},
+		{"the machine's zone is partitioned", "a", 30 * sec, []peer.ZoneMachines{{Name: "a", TotalMachines: 20, SilentMachines: 20}, {Name: "b", TotalMachines: 80}}, false},
+		{"another zone is partitioned", "b", 30 * sec, []peer.ZoneMachines{{Name: "a", TotalMachines: 20, SilentMachines: 20}, {Name: "b", TotalMachines: 80, SilentMachines: 1}}, true},
+		{"the machine's zone is partitioned, for minutes", "a", 140 * sec, []peer.ZoneMachines{{Name: "a", TotalMachines: 20, SilentMachines: 20}, {Name: "b", TotalMachines: 80}}, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			c := New(Config{Label: "a", Shards: 1, Teams: []Team{{Name: "t"}}, StateRPS: 10, WriteRPS: 10, CloudRPS: 10,
