--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -26,8 +26,9 @@
 var ErrRefused = errors.New("refused")
 
 // RequestQuota sends a request about groups to the controller at an address (IP:port). The error
-// wraps ErrRefused if the controller responds that it cannot carry out the request, or does not
-// support groups.
+// wraps ErrRefused if the controller responds that it cannot carry out the request, for example
+// because its options have no groups, or if its response has no part about groups. A controller of
+// a version that does not know groups sends such a response.
 func RequestQuota(ctx context.Context, addr string, req peer.QuotaRequest) (*peer.QuotaResponse, error) {
 	body, err := peer.Encode(peer.Request{Quota: &req})
 	if err != nil {
@@ -42,7 +43,7 @@
 		err = peer.Decode(msg.Body, &resp)
 	}
 	if err != nil || resp.Quota == nil {
-		return nil, fmt.Errorf("controller at %s: status %d, groups are not supported: %w", addr, msg.Status, ErrRefused)
+		return nil, fmt.Errorf("controller at %s: status %d, no response about groups, its version may not know them: %w", addr, msg.Status, ErrRefused)
 	}
 	if resp.Quota.Problem != "" {
 		return nil, fmt.Errorf("%s: %w", resp.Quota.Problem, ErrRefused)
@@ -69,8 +70,7 @@
 	})
 }
 
-// WriteJSON writes the groups, and the names of the controllers that do not support groups, as
-// JSON.
+// WriteJSON writes the groups, and the labels in QuotaResponse.ControllersWithoutQuota, as JSON.
 func WriteJSON(w io.Writer, resp *peer.QuotaResponse) error {
 	enc := json.NewEncoder(w)
 	enc.SetIndent("", "  ")
@@ -84,8 +84,8 @@
 	})
 }
 
-// WriteTable writes a table of groups and a table of their shards, followed by one line for
-// each reason why a limit is not in force.
+// WriteTable writes a table of groups and a table of their shards. One line follows for each shard
+// that holds up a limit, and for each controller that does not enforce limits.
 func WriteTable(w io.Writer, resp *peer.QuotaResponse) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	writeGroups(t, resp.Groups)
@@ -119,8 +119,8 @@
 	}
 }
 
-// writeObstacles writes a line for each shard that holds up a limit and for each controller that
-// does not support groups.
+// writeObstacles writes a line for each shard that holds up a limit and for each controller in
+// QuotaResponse.ControllersWithoutQuota.
 func writeObstacles(w io.Writer, resp *peer.QuotaResponse) {
 	for _, g := range resp.Groups {
 		for _, h := range g.HeldUp {
@@ -128,7 +128,7 @@
 		}
 	}
 	for _, label := range resp.ControllersWithoutQuota {
-		fmt.Fprintf(w, "controller %s does not support groups: limits do not apply to it\n", label)
+		fmt.Fprintf(w, "controller %s does not enforce the limits of groups\n", label)
 	}
 }
 
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -68,11 +68,11 @@
 	}
 }
 
-// TestCheckSetLimit checks that a request that no controller would accept fails before it is sent, with
-// the reason in the error.
+// TestCheckSetLimit checks that a request that no controller would accept is refused, with the
+// reason in the error.
 func TestCheckSetLimit(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "options.yaml")
-	if err := os.WriteFile(path, []byte("quota:\n groups:\n - {name: lake, teams: [rubavu], limit: {cpus: 5}}\n"), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte("quota:\n  groups:\n    - {name: lake, teams: [rubavu], limit: {cpus: 5}}\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	negative := -2.0
--- a/internal/peer/quota.go
+++ b/internal/peer/quota.go
@@ -21,8 +21,9 @@
 	Problem string              `msgpack:"p,omitempty"` // why the request was refused
 	Epoch   uint64              `msgpack:"e,omitempty"` // epoch of the limit that was set
 	Groups  []quota.GroupStatus `msgpack:"g,omitempty"`
-	// ControllersWithoutQuota lists the controllers that do not enforce the quota of groups:
-	// their version or their options have no groups.
+	// ControllersWithoutQuota lists the labels of the other controllers that have not reported
+	// that they enforce the quota of groups: their version or their options have no groups, or
+	// the answering controller has not heard of them since it started.
 	ControllersWithoutQuota []string `msgpack:"w,omitempty"`
 }
 
