--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -97,9 +97,9 @@
 	}
 }
 
-// TestLimitsToCome checks that planned limits apply from the start where they are lower, and
+// TestNextLimits checks that planned limits apply from the start where they are lower, and
 // that missing fields leave the current limits unchanged.
-func TestLimitsToCome(t *testing.T) {
+func TestNextLimits(t *testing.T) {
 	current := StateLimits{RPS: 150, WriteRPS: 25, ValueKB: 8, TxnOps: 8}
 	for _, tc := range []struct {
 		name, next string
--- a/internal/controller/authority/bounds.go
+++ b/internal/controller/authority/bounds.go
@@ -48,10 +48,10 @@
 //
 // An owner may write the end of a job, have the write applied and lose the response, just before
 // the state service starts to refuse its writes. Another node may then read the record and report
-// the job as cancelled right after the owner's last renewal. From that moment the machines have
-// cancel to get rid of the job's tasks. A machine keeps them for at most workerLease after the
-// last reply, so the owner may keep replying for replyGrace = cancel - workerLease - cancelMargin
-// after that renewal.
+// the job as cancelled right after the owner's last renewal. The tasks of the job must end within
+// the time cancel after that renewal. A machine keeps them for at most workerLease after the last
+// reply, so the owner may keep replying for replyGrace = cancel - workerLease - cancelMargin after
+// the renewal.
 //
 // SuccessorWait allows a former owner more time, because owners of an older version counted
 // replyGrace from the end of their lease.
--- a/internal/controller/authority/machine.go
+++ b/internal/controller/authority/machine.go
@@ -84,8 +84,8 @@
 	case known.LateStart:
 		return Refuse(ReasonLateStart)
 	case known.Unreachable:
-		// Heartbeats of the machine are processed, but replies do not reach it. A reply that
-		// happened to arrive would renew the lease while this node relies on the lease expiring.
+		// Heartbeats of the machine are used, but replies do not reach it. No reply is sent, because
+		// one that arrived by chance would renew the lease while this node relies on its expiry.
 		return Refuse(ReasonUnreachable)
 	}
 	return Allow(ReasonHeartbeatAccepted)
@@ -114,9 +114,10 @@
 	Now            micros.Micros
 }
 
-// MayFreeMachine reports whether the machine's lease has expired, so that the machine provably
-// holds no tasks. A node whose own lease is not valid cannot tell, because another node may own
-// the shard and may have renewed the machine's lease.
+// MayFreeMachine reports whether the lease of a machine that may hold tasks has now expired, so that
+// the machine provably holds none any more. It returns false if the expiry is already known. A node
+// whose own lease is not valid cannot tell, because another node may own the shard and may have
+// renewed the machine's lease.
 func MayFreeMachine(known MachineTasksKnowledge, bounds Bounds) bool {
 	mayHoldTasks := known.HeartbeatSeen || known.UnreconciledFromPredecessor
 	if known.LeaseExpired || !mayHoldTasks || !known.LeaseValid {
@@ -140,15 +141,16 @@
 	Reconciled, LeaseExpired bool
 	// HeartbeatSeen is true if a heartbeat of the machine has been accepted.
 	HeartbeatSeen bool
-	// Empty is true if the machine holds no task that is still needed.
+	// Empty is true if every task on the machine has exited and its outcome has been handled.
 	Empty bool
 	// ReturnToCloud is true if the machine is to be returned to the cloud rather than moved to
 	// another shard.
 	ReturnToCloud bool
 }
 
-// MayReleaseMachine reports whether a machine may leave its shard: it holds no tasks and no
-// command can start one. A machine that moves to another shard must also be sending heartbeats.
+// MayReleaseMachine reports whether a machine may leave its shard: it is known to be empty, and no
+// pending command can start a task on it. A machine that moves to another shard must also be in
+// contact: it has sent a heartbeat, and its lease is not known to have expired.
 func MayReleaseMachine(known ReleaseKnowledge) bool {
 	contentsKnown := known.Reconciled || known.LeaseExpired
 	inContact := known.HeartbeatSeen && !known.LeaseExpired
--- a/internal/controller/authority/machine_test.go
+++ b/internal/controller/authority/machine_test.go
@@ -124,7 +124,7 @@
 	for _, tc := range []struct {
 		name                 string
 		change               func(k *ReleaseKnowledge)
-		wantMove, wantRetire bool // moved to another shard, returned to the cloud
+		wantMove, wantReturn bool // moved to another shard, returned to the cloud
 	}{
 		{"empty and in contact", func(*ReleaseKnowledge) {}, true, true},
 		{"tasks on it", func(k *ReleaseKnowledge) { k.Empty = false }, false, false},
@@ -141,8 +141,8 @@
 				t.Errorf("to another shard: %v, want %v", got, tc.wantMove)
 			}
 			known.ReturnToCloud = true
-			if got := MayReleaseMachine(known); got != tc.wantRetire {
-				t.Errorf("to the cloud: %v, want %v", got, tc.wantRetire)
+			if got := MayReleaseMachine(known); got != tc.wantReturn {
+				t.Errorf("to the cloud: %v, want %v", got, tc.wantReturn)
 			}
 		})
 	}
--- a/internal/controller/authority/reason.go
+++ b/internal/controller/authority/reason.go
@@ -19,7 +19,7 @@
 	// claim.
 	ReasonCurrentView
 	// ReasonStaleViewWithinGrace allows commands for a shard: the view of jobs is older than the
-	// claim, but not older than Bounds.StaleViewGrace.
+	// claim, but was complete less than Bounds.StaleViewGrace ago.
 	ReasonStaleViewWithinGrace
 	// ReasonHeartbeatAccepted allows the reply to a heartbeat.
 	ReasonHeartbeatAccepted
@@ -32,8 +32,8 @@
 	ReasonNewerClaim
 	// ReasonLeaseTooOld refuses: this node has no lease, or last renewed it too long ago.
 	ReasonLeaseTooOld
-	// ReasonStaleViewBeyondGrace refuses: the view of jobs is older than the claim and older than
-	// Bounds.StaleViewGrace.
+	// ReasonStaleViewBeyondGrace refuses: the view of jobs is older than the claim, and was last
+	// complete Bounds.StaleViewGrace ago or earlier.
 	ReasonStaleViewBeyondGrace
 
 	// ReasonCordoned refuses a heartbeat: the machine is cordoned.
--- a/internal/controller/fleet/catalog_test.go
+++ b/internal/controller/fleet/catalog_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-func TestCatalogHosts(t *testing.T) {
+func TestCatalogCanRun(t *testing.T) {
 	task := peer.WaitingTasks{AnyType: true, Spot: true, CPUs: 1, MemGB: 1, Count: 1}
 	with := func(change func(*peer.WaitingTasks)) peer.WaitingTasks {
 		g := task
--- a/internal/controller/fleet/demand.go
+++ b/internal/controller/fleet/demand.go
@@ -79,12 +79,13 @@
 	Work     float64 // unfinished work, in CPU seconds
 	Arrival  float64 // recent rate of arriving work, in CPUs that it would keep busy
 	Parallel float64 // CPUs that could be in use at the same time
-	Have     float64 // CPUs of machines that are up, leaving or booting
+	Have     float64 // CPUs of machines that are up, draining or booting; see Add
 	Busy     float64 // CPUs in use
 	Booting  float64 // CPUs of machines that are booting; included in Have
 }
 
-// Add adds the demand of a shard.
+// Add adds the demand of a shard. The CPUs of booting machines are added to Booting only; the caller
+// adds Booting to Have after the last shard.
 func (s *Totals) Add(demand *peer.Demand) {
 	s.Have += demand.CPUs
 	s.Booting += demand.BootingCPUs
--- a/internal/controller/fleet/rebalancing_test.go
+++ b/internal/controller/fleet/rebalancing_test.go
@@ -85,7 +85,7 @@
 	}
 }
 
-func TestRebalancingWanted(t *testing.T) {
+func TestRebalancingNeededInOwnShard(t *testing.T) {
 	demands := rebalancingDemands(1000, 80)
 	m := movable("vm-2", peer.MachineDraining, 4, 0)
 	if NewRebalancing(testCatalog(), demands).NeededInOwnShard(m) {
--- a/internal/controller/fleet/scale_out.go
+++ b/internal/controller/fleet/scale_out.go
@@ -64,7 +64,8 @@
 	return wire.RentalRequest{}, false
 }
 
-// rentalFor returns a rental for a group's tasks. It returns false if none is needed.
+// rentalFor returns a rental for a group's tasks. It returns false if none is needed, or if no
+// machine that the group can use is available and worth its price.
 func (s *ScaleOut) rentalFor(group peer.WaitingTasks, lowestPrice float64) (wire.RentalRequest, bool) {
 	shortfall := s.Totals.Parallel - s.Totals.Have
 	groupShortfall := 0.0
@@ -107,8 +108,8 @@
 	kind     Kind
 	cpus     float64
 	cpuPrice float64 // price of one CPU per hour
-	// usedPrice is the price per hour divided by the CPUs that would be used, because unused CPUs
-	// must be paid for as well.
+	// usedPrice is the price of the machine per hour, divided by the CPUs that would be used: the
+	// unused CPUs must be paid for as well.
 	usedPrice float64
 }
 
--- a/internal/controller/reachability/deadlines.go
+++ b/internal/controller/reachability/deadlines.go
@@ -20,7 +20,7 @@
 	// Overdue is when the next heartbeat should have arrived. A heartbeat or a reply may have been
 	// lost, so the controller only sends the machine a direct request.
 	Overdue micros.Micros
-	// Timeout is when a machine that has not answered the direct request either counts as silent.
+	// Timeout is when a machine that has also not answered the direct request counts as silent.
 	Timeout micros.Micros
 	// Return is when a silent machine is returned to the cloud; 0 means never.
 	Return micros.Micros
--- a/internal/controller/reachability/reachability.go
+++ b/internal/controller/reachability/reachability.go
@@ -46,9 +46,9 @@
 // to use and expects nothing of the next heartbeat.
 type Tracker struct {
 	unconfirmedReplies int           // consecutive
-	unconfirmedSince   micros.Micros // when the first of these was noticed
+	unconfirmedSince   micros.Micros // when the first unconfirmed reply was noticed
 
-	// What the next heartbeat must show.
+	// Effects of the last reply that the next heartbeat must show.
 	expectedToken   uint64       // the fencing token that the last reply raised; 0: none
 	expectedCommand wire.Command // one command of the last reply; Op is empty if the reply had no commands
 }
--- a/internal/controller/scheduling/preemption_test.go
+++ b/internal/controller/scheduling/preemption_test.go
@@ -17,7 +17,7 @@
 		need    float64 // CPUs
 		free    float64 // CPUs
 		want    []int   // attempts
-		cost    float64 // with 3 to begin with
+		cost    float64 // including the 3 that each case passes in
 		enough  bool
 	}{
 		{"enough is free", []Victim{victim(0, "a", 5, 1)}, 1, 1, nil, 3, true},
--- a/internal/controller/scheduling/score.go
+++ b/internal/controller/scheduling/score.go
@@ -36,8 +36,8 @@
 	CPUs, FreeCPUs float64
 }
 
-// The weights of the parts of a score. The fill level of the machine adds at most 1, so it only
-// decides between machines that are otherwise alike.
+// The weights of the parts of a score. The fill level of the machine adds at most 1, so that it
+// decides between machines that are otherwise alike, and does not outweigh an image or a failure.
 const (
 	imageCachedScore     = 4
 	imageFetchingScore   = 2
--- a/internal/controller/statestore/reads.go
+++ b/internal/controller/statestore/reads.go
@@ -99,7 +99,8 @@
 }
 
 // Read requests a record. done is called exactly once with the result of the read. If a bound on
-// records or waiters is reached, done is called with LookupFailed, possibly before Read returns.
+// records or waiters is reached, or ReadTimeout passes before the read is sent, done is called with
+// LookupFailed. That may happen before Read returns.
 func (r *ReadCoalescer) Read(now micros.Micros, id string, done func(Lookup)) {
 	record := r.records[id]
 	if record == nil {
@@ -231,7 +232,8 @@
 	}
 }
 
-// dropAbandoned drops records that have not been requested for recordRetention.
+// dropAbandoned drops records that have no waiters and no read in flight, and that have not been
+// requested for recordRetention.
 func (r *ReadCoalescer) dropAbandoned(now micros.Micros) {
 	if len(r.records) == 0 || now < r.sweepAt {
 		return
--- a/internal/controller/statestore/reads_test.go
+++ b/internal/controller/statestore/reads_test.go
@@ -93,8 +93,8 @@
 	}
 }
 
-// TestReadCoalescerBounds checks that a caller beyond any of the bounds is refused. The refusal is
-// counted if the record already has a place in the order of reads.
+// TestReadCoalescerBounds checks that a caller beyond any of the bounds is refused. Refusals because
+// too many records wait, or because the time is over, must be counted.
 func TestReadCoalescerBounds(t *testing.T) {
 	refused := func(r *ReadCoalescer, now micros.Micros, id string) bool {
 		status := Lookup(-1)
--- a/internal/controller/statestore/reply.go
+++ b/internal/controller/statestore/reply.go
@@ -21,7 +21,8 @@
 type Outcome int
 
 const (
-	// InDoubt means that the transaction was sent and may have been applied, or may still be.
+	// InDoubt means that the transaction was sent and may have been applied, or may yet be
+	// applied.
 	InDoubt Outcome = iota
 	// Applied means that the transaction was applied.
 	Applied
--- a/internal/peer/demand.go
+++ b/internal/peer/demand.go
@@ -30,11 +30,12 @@
 	Machines    []Machine `msgpack:"m,omitempty"`
 }
 
-// ZoneMachines counts a shard's machines in one zone, without those that are booting.
+// ZoneMachines counts a shard's machines in one zone, without those that are booting. A machine that
+// stays unreconciled for some time after the claim of the shard counts as silent.
 type ZoneMachines struct {
 	Name           string `msgpack:"n"`
 	TotalMachines  int    `msgpack:"a"`
-	SilentMachines int    `msgpack:"s,omitempty"` // machines whose heartbeats have stopped
+	SilentMachines int    `msgpack:"s,omitempty"` // machines in state MachineSilent, and those that count as silent
 }
 
 // WaitingTasks is a group of waiting tasks with the same requirements, so that the same machines
@@ -54,9 +55,11 @@
 
 // Machine describes one machine of a shard that is relevant to the leader's decisions.
 type Machine struct {
-	ID        string       `msgpack:"i"`
-	State     MachineState `msgpack:"s"`
-	InStateUS int64        `msgpack:"t"` // microseconds spent in the state, for idle, silent and unreconciled machines
+	ID    string       `msgpack:"i"`
+	State MachineState `msgpack:"s"`
+	// InStateUS is the time in microseconds spent in the state. It is set for idle and silent
+	// machines, and for unreconciled machines that leave commands unanswered.
+	InStateUS int64 `msgpack:"t"`
 	// RemainingUS is the estimated time in microseconds until all tasks of the machine end.
 	RemainingUS int64   `msgpack:"l,omitempty"`
 	BusyCPUs    float64 `msgpack:"b,omitempty"` // CPUs in use
--- a/internal/wire/heartbeat_test.go
+++ b/internal/wire/heartbeat_test.go
@@ -112,8 +112,8 @@
 			t.Fatal(err)
 		}
 		size := 0
-		for _, half := range []map[string]taskList{reader.current, reader.previous} {
-			for _, l := range half {
+		for _, generation := range []map[string]taskList{reader.current, reader.previous} {
+			for _, l := range generation {
 				size += l.bytes()
 			}
 		}
