--- a/dependencies_test.go
+++ b/dependencies_test.go
@@ -138,7 +138,7 @@
 		}
 		p.send("turns 16")
 		var states [3]wire.JobState
-		for i := 2; i >= 0; i-- { // in reverse, so that a dependency's state is never older than that of its dependent
+		for i := 2; i >= 0; i-- { // a dependency after its dependent, so that its state is no older
 			_, states[i] = u.status(501 + i)
 		}
 		for i := 1; i < 3; i++ {
--- a/garnethitch_test.go
+++ b/garnethitch_test.go
@@ -82,7 +82,8 @@
 	}
 }
 
-// wellFormedSubmission returns a submission with all fields except dependencies, encoded in CBOR by hand.
+// wellFormedSubmission returns a submission with all fields except dependencies, encoded in CBOR by
+// hand.
 func wellFormedSubmission() []byte {
 	const (
 		mapOf20    = 0xb4
--- a/internal/client/pool.go
+++ b/internal/client/pool.go
@@ -58,7 +58,7 @@
 	return nil, nil
 }
 
-// unreserve undoes the reservation of a connection that is not open.
+// unreserve undoes the reservation of a connection that could not be opened.
 func (c *Client) unreserve() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/client/pool_test.go
+++ b/internal/client/pool_test.go
@@ -25,6 +25,6 @@
 		t.Errorf("%d connections opened, %d open now, want 10 and 4", *dials, c.openConns)
 	}
 	if ask(0); *dials != 11 {
-		t.Errorf("%d connections opened, want 11: the longest idle one was to be evicted", *dials)
+		t.Errorf("%d connections opened, want 11: the connection that was idle for the longest time must have been closed", *dials)
 	}
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestMachineStateIsSentAsInteger checks that a MachineState is encoded as a plain integer, which
-// other versions expect.
+// TestMachineStateIsSentAsInteger checks that a MachineState is encoded as a plain integer, because
+// other versions of the controller read it as one.
 func TestMachineStateIsSentAsInteger(t *testing.T) {
 	for state := MachineIdle; state <= MachineUnreconciled; state++ {
 		got, err := Encode(state)
--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -39,7 +39,7 @@
 	QuiescedShards []int `msgpack:"q,omitempty"`
 }
 
-// ShardClaim tells that the sender owns a shard.
+// ShardClaim states that the sender owns a shard.
 type ShardClaim struct {
 	Shard      int    `msgpack:"s"`
 	OwnerEpoch uint64 `msgpack:"m"` // the revision of the claim in the state service
--- a/internal/runtime/calls.go
+++ b/internal/runtime/calls.go
@@ -12,9 +12,9 @@
 // the cloud in flight.
 const cloudConnsDivisor = 8
 
-// callsPerWorkerRequest is the ratio of the maximum number of calls to workers in flight to the
-// number of requests that the controller counts. Beside the requests that it counts, as many calls
-// again may still be in flight.
+// callsPerWorkerRequest is the ratio of the maximum number of calls to workers in flight to
+// Sizes.WorkerCalls, the maximum number of requests that the controller counts as in flight. As many
+// calls again may still be in flight beside those.
 const callsPerWorkerRequest = 2
 
 // callCounts holds the number of calls to each target.
--- a/internal/runtime/routes.go
+++ b/internal/runtime/routes.go
@@ -58,9 +58,9 @@
 	}
 }
 
-// handleHeartbeat handles a worker's heartbeat. It exempts the worker's connection from eviction:
-// a user whose connection is closed immediately finds another node, but a worker that is refused
-// by one node after the other loses its lease.
+// handleHeartbeat handles a worker's heartbeat. It exempts the worker's connection from eviction.
+// A user whose connection is closed finds another node at once, but a worker that is refused by
+// one node after the other loses its lease.
 func (rt *Runtime) handleHeartbeat(req server.Request) {
 	req.ExemptFromEviction()
 	heartbeat, err := rt.heartbeats.Parse(req.Message.Body)
--- a/internal/runtime/runtime.go
+++ b/internal/runtime/runtime.go
@@ -175,9 +175,9 @@
 	}
 }
 
-// step passes one input to the controller and executes the effects. It reads the clock while it
-// holds the lock, so that a process that was suspended while it waited does not act on an old
-// reading.
+// step passes one input to the controller and executes the effects. The clock is read while the
+// lock is held, so that a process that was suspended while it waited for the lock does not act on
+// an old reading.
 func (rt *Runtime) step(in controller.Input) {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
--- a/internal/server/connection.go
+++ b/internal/server/connection.go
@@ -46,8 +46,8 @@
 	closed         bool
 	evicted        bool          // closing to make room for another connection
 	evictableEntry *list.Element // in Server.evictable; nil if the connection must not be evicted
-	requestStarted time.Time     // when the first byte of an incomplete request arrived
-	lastUsed       time.Time     // when input last arrived
+	requestStarted time.Time     // when an incomplete request began to arrive, or a request was refused
+	lastUsed       time.Time     // when the connection was opened or input last arrived
 }
 
 // receive handles input and returns the output to write now, which is valid until the next
@@ -111,7 +111,7 @@
 	return true
 }
 
-// keepUnparsed stores the input after the first used bytes. buffered tells that in is c.input.
+// keepUnparsed stores the input after the first used bytes. buffered is true if in is c.input.
 func (s *Server) keepUnparsed(c *conn, in []byte, used int, buffered bool) {
 	switch {
 	case !buffered && used < len(in):
@@ -180,8 +180,8 @@
 }
 
 // refuse responds with an error status to a request that cannot be parsed. The connection is
-// closed after the response; if the body is too large, only once the rest of the request has been
-// discarded or exceeds a limit.
+// closed after the response. If the body is too large, further input is discarded first, until
+// the client closes the connection, maxDiscardedBytes are exceeded or discardTimeout has passed.
 func (s *Server) refuse(c *conn, status int, now time.Time) {
 	c.output = http1.AppendResponse(c.output, status, "", nil, 0, true)
 	c.refused = status == http.StatusRequestEntityTooLarge
--- a/internal/server/connection_test.go
+++ b/internal/server/connection_test.go
@@ -24,7 +24,7 @@
 }
 
 // TestBadRequestsNotHandled checks that malformed and oversized requests are refused without a call
-// of the handler, whose time is needed for heartbeats and leases.
+// of the handler, so that they take no time from heartbeats and lease renewals.
 func TestBadRequestsNotHandled(t *testing.T) {
 	var handled atomic.Int64
 	addr := serveWith(t, 10, func(r Request) {
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -26,7 +26,7 @@
 	MaxBodyBytes     []int            // maximum size of a request body, by Listener
 	MaxBufferedBytes int64            // maximum size of buffered input over all connections
 	RequestTimeout   time.Duration    // maximum time from the first byte of a request to its last
-	IdleTimeout      time.Duration    // maximum time that a connection may be without input
+	IdleTimeout      time.Duration    // maximum time without input, unless a response is pending
 	Log              *slog.Logger     // also receives gnet's log lines
 	Handler          Handler          // called for every well-formed request
 	Now              func() time.Time // the clock
@@ -150,7 +150,8 @@
 func (s *Server) OnOpen(stream gnet.Conn) ([]byte, gnet.Action) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	// The bound keeps file descriptors free: without one accept fails, and gnet's loop ends.
+	// The bound keeps file descriptors free. If none were free, accept would fail and gnet's event
+	// loop would end.
 	if len(s.conns)-s.evicting >= s.cfg.MaxConns && !s.evictLongestUnused() {
 		return nil, gnet.Close
 	}
--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -136,8 +136,8 @@
 
 func wallTime(t micros.Micros) time.Time { return time.UnixMicro(int64(t)) }
 
-// contextIDGenerator is an ID generator that takes the IDs from the context. The controller generates
-// the IDs itself so that runs with equal seeds produce equal traces.
+// contextIDGenerator is an ID generator that takes the IDs from the context. The controller
+// generates the IDs itself so that runs with equal seeds produce equal traces.
 type contextIDGenerator struct{}
 
 // spanIDsKey is the context key of the spanIDs.
--- a/internal/wire/heartbeat.go
+++ b/internal/wire/heartbeat.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// Errors of ParseHeartbeat, which may also return ErrTaskName or a decoding error.
+// Errors of ParseHeartbeat, which may also wrap ErrTaskName or return a decoding error.
 var (
 	// ErrWorkerIdentity is returned for a heartbeat without a valid machine name or agent epoch.
 	ErrWorkerIdentity = errors.New("wire: heartbeat without a valid machine name or agent epoch")
--- a/internal/wire/protocolwords_test.go
+++ b/internal/wire/protocolwords_test.go
@@ -32,8 +32,8 @@
 // consist of one of them alone.
 var textWords = []string{"drop", "flushing", "halted", "kept", "ledger", "load", "truncated"}
 
-// protocolTexts are paths, names of query parameters and content types. No string may contain
-// one.
+// protocolTexts are paths, names of query parameters and content types. No string may contain one
+// of them.
 var protocolTexts = []string{
 	"/checkin", "/flavors", "/rentals", "/orders", "/show", "/keys", "/multi", "/grants", "/watch", "/submissions",
 	"/ready", "/extend", "/peer", "starts=", "most=", "since=", "blockMs", "application/cbor", "application/msgpack",
--- a/internal/wire/records.go
+++ b/internal/wire/records.go
@@ -85,7 +85,7 @@
 // Final reports whether the job is done or cancelled.
 func (r JobRecord) Final() bool { return r.State.Final() }
 
-// FinishedTask tells where and when a finished task ran. Times are Unix times in milliseconds, by
+// FinishedTask records where and when a finished task ran. Times are Unix times in milliseconds, by
 // the clock of the controller that observed them.
 type FinishedTask struct {
 	Task    int    `cbor:"t"`
@@ -134,8 +134,8 @@
 // maxKeyBytes is the largest length of a key (protocol: "Controller nodes -> state service").
 const maxKeyBytes = 200
 
-// ValidKey reports whether the state service accepts a key, and whether a path can contain it
-// without escaping.
+// ValidKey reports whether the state service accepts a key and a path can contain the key without
+// escaping.
 func ValidKey(key string) bool {
 	return key != "" && len(key) <= maxKeyBytes && !strings.ContainsAny(key, " ?#%\r\n\t")
 }
--- a/internal/wire/submission.go
+++ b/internal/wire/submission.go
@@ -143,8 +143,8 @@
 	return ""
 }
 
-// fieldCheck validates the fields of a submission one after the other. reason tells what is
-// wrong with the first invalid field; it is empty as long as all are valid.
+// fieldCheck validates the fields of a submission one after the other. reason describes the
+// error of the first invalid field; it is empty as long as all are valid.
 type fieldCheck struct{ reason string }
 
 // fail records a reason unless an earlier field was already invalid.
