--- a/internal/controller/fleet/consolidation.go
+++ b/internal/controller/fleet/consolidation.go
@@ -10,7 +10,7 @@
 
 const (
 	// maxDrainingDivisor divides the number of a shard's machines to give the maximum number of
-	// machines that are drained at the same time.
+	// machines that are drained at the same time. One machine may always be drained.
 	maxDrainingDivisor = 20
 	// minRemainingRunTime is how long a machine's tasks must still run for the machine to be worth
 	// draining.
--- a/internal/controller/fleet/rebalancing.go
+++ b/internal/controller/fleet/rebalancing.go
@@ -13,7 +13,7 @@
 	// time, beyond those that can be drained without loss. A machine that empties slowly remains
 	// half used in the meantime.
 	maxDraining = 2
-	// maxDrainTime is the time within which such a machine must become empty.
+	// maxDrainTime is the longest time that the tasks of such a machine may still take.
 	maxDrainTime = 15 * micros.Second
 	// minMoveGain is the smallest shortage of CPUs for which a machine is moved.
 	minMoveGain = 0.5
--- a/internal/controller/fleet/rebalancing_test.go
+++ b/internal/controller/fleet/rebalancing_test.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// TestRebalancingDraining checks that a machine that is being drained for another shard counts as
-// capacity of that shard, and counts towards maxDraining.
+// TestRebalancingDraining checks that a machine that is being drained for another shard is counted
+// as capacity of that shard and among the machines that maxDraining limits.
 func TestRebalancingDraining(t *testing.T) {
 	r := NewRebalancing(testCatalog(), rebalancingDemands(1000, 80))
 	for _, id := range []string{"vm-8", "vm-9"} {
--- a/internal/controller/fleet/zones_test.go
+++ b/internal/controller/fleet/zones_test.go
@@ -6,8 +6,8 @@
 	"garnethitch/internal/peer"
 )
 
-// TestPartitionedZones checks that a zone counts as partitioned only if hardly any of its machines
-// send heartbeats while the machines of another zone do, regardless of how many shards report
+// TestPartitionedZones checks that a zone counts as partitioned only if most of its machines are
+// silent while the machines of another zone send heartbeats, regardless of how many shards report
 // machines of the zone.
 func TestPartitionedZones(t *testing.T) {
 	for _, tc := range []struct {
--- a/internal/controller/scheduling/preemption.go
+++ b/internal/controller/scheduling/preemption.go
@@ -67,8 +67,8 @@
 	// earlierPreemptionCost is what each earlier preemption of a task adds to its loss, in CPU
 	// seconds.
 	earlierPreemptionCost = 25
-	// onlyRunningTaskPreemptions is the number of earlier preemptions that being the only running
-	// task of an overdue job counts as.
+	// onlyRunningTaskPreemptions is the number of earlier preemptions that is added for the only
+	// running task of an overdue job.
 	onlyRunningTaskPreemptions = 10
 )
 
--- a/internal/controller/statestore/watch_test.go
+++ b/internal/controller/statestore/watch_test.go
@@ -11,8 +11,8 @@
 const sec = micros.Second
 
 // TestWatchPhases checks that a watch lists its keys page by page, follows changes from the
-// revision of the first page, and counts as complete as of the times at which its requests were
-// made, not answered.
+// revision of the first page, and takes its view to be complete as of the time at which a request
+// was made, not answered.
 func TestWatchPhases(t *testing.T) {
 	w := NewWatch("p/", sec)
 	page := func(at micros.Micros, after string, revision uint64, keys ...string) {
--- a/internal/runtime/runtime_test.go
+++ b/internal/runtime/runtime_test.go
@@ -126,11 +126,11 @@
 	sizes := SizesOf(settings)
 	rt := New(settings, config.Defaults(), nil, 1)
 	sum := 0
-	for target, most := range rt.limits.max {
-		if most < 2 {
-			t.Errorf("target %d may have %d calls in flight, want at least 2", target, most)
+	for target, limit := range rt.limits.max {
+		if limit < 2 {
+			t.Errorf("target %d may have %d calls in flight, want at least 2", target, limit)
 		}
-		sum += most
+		sum += limit
 	}
 	if sum > sizes.ServiceConns+sizes.WorkerConns {
 		t.Errorf("%d calls in flight over only %d connections", sum, sizes.ServiceConns+sizes.WorkerConns)
