--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -43,7 +43,7 @@
 		err = peer.Decode(msg.Body, &resp)
 	}
 	if err != nil || resp.Quota == nil {
-		return nil, fmt.Errorf("controller at %s: status %d, no response about groups, its version may not know them: %w", addr, msg.Status, ErrRefused)
+		return nil, fmt.Errorf("controller at %s: status %d, no answer about groups, its version may not know them: %w", addr, msg.Status, ErrRefused)
 	}
 	if resp.Quota.Problem != "" {
 		return nil, fmt.Errorf("%s: %w", resp.Quota.Problem, ErrRefused)
--- a/internal/client/client_test.go
+++ b/internal/client/client_test.go
@@ -64,7 +64,7 @@
 			for i, fails := range tc.fails {
 				_, err := c.Do(t.Context(), Call{Addr: "a:1", Method: "GET", Target: "/", Timeout: time.Hour})
 				if (err != nil) != fails {
-					t.Errorf("call %d: %v", i, err)
+					t.Errorf("call %d: unexpected result, error %v", i, err)
 				}
 				if errors.Is(err, ErrNotSent) {
 					t.Errorf("call %d was sent, but returned ErrNotSent", i)
--- a/internal/controller/authority/bounds_test.go
+++ b/internal/controller/authority/bounds_test.go
@@ -28,7 +28,7 @@
 				t.Errorf("lease valid until %v, but the lease may end at %v", b.LeaseValidity, lease)
 			}
 			if b.CommandValidity < b.LeaseValidity {
-				t.Errorf("commands end at %v, before the lease at %v", b.CommandValidity, b.LeaseValidity)
+				t.Errorf("commands end at %v, before the lease validity ends at %v", b.CommandValidity, b.LeaseValidity)
 			}
 			// Users may be notified right after the last renewal: the record was applied, its
 			// response was lost, and another node has read the record.
@@ -44,12 +44,12 @@
 				t.Errorf("a task of a cancelled job may be started until %v, allowed is %v", last, cancel)
 			}
 			if b.WorkerExpiry < slow(worker) {
-				t.Errorf("a machine counts as free after %v, its lease may last %v", b.WorkerExpiry, slow(worker))
+				t.Errorf("a machine is taken to be free after %v, but its lease may last %v", b.WorkerExpiry, slow(worker))
 			}
 			// A former owner may answer until CommandValidity after a renewal that it sent no
 			// later than lease before the claim.
 			if need := slow(b.CommandValidity) - lease + slow(worker); b.SuccessorWait < need {
-				t.Errorf("a successor waits %v, a machine may last %v", b.SuccessorWait, need)
+				t.Errorf("a successor waits %v, but a machine may hold tasks of a former owner for %v", b.SuccessorWait, need)
 			}
 		})
 	}
--- a/internal/controller/checkpoint/checkpoint_test.go
+++ b/internal/controller/checkpoint/checkpoint_test.go
@@ -92,7 +92,7 @@
 	rec, covered := NewRecord(p, testMaxBytes)
 	value, err := wire.Encode(rec)
 	if err != nil || len(value) > testMaxBytes || rec.DoneCount == 0 {
-		t.Errorf("the largest record has %d bytes for %d tasks, %v", len(value), rec.DoneCount, err)
+		t.Errorf("the largest record has %d bytes for %d done tasks, error %v; want it within the limit, with done tasks", len(value), rec.DoneCount, err)
 	}
 	for task := range covered.All() {
 		if !p.Done.Has(task) {
--- a/internal/controller/estimate/estimate_test.go
+++ b/internal/controller/estimate/estimate_test.go
@@ -56,7 +56,7 @@
 	}
 	other := &wire.Submission{Class: "other", EstimateS: 10}
 	if got := r.Expect(other); got != 10*sec {
-		t.Errorf("a class that was not learned has an expected run time of %v", got)
+		t.Errorf("a class that was not learned has an expected run time of %v, want the estimate of 10 s", got)
 	}
 }
 
--- a/internal/controller/fleet/rebalancing_test.go
+++ b/internal/controller/fleet/rebalancing_test.go
@@ -53,7 +53,7 @@
 			for _, move := range moves {
 				got = append(got, move.Machine.ID)
 				if move.To != 0 || move.Drain != (move.Machine.State == peer.MachineBusy) {
-					t.Errorf("%+v", move)
+					t.Errorf("move %+v, want shard 0 as its destination, and a drain of busy machines only", move)
 				}
 			}
 			if len(got) != len(tc.want) {
@@ -76,7 +76,7 @@
 		r.AddDraining(movable(id, peer.MachineDraining, 4, 5*micros.Second), 0)
 	}
 	if moves := r.Moves([]Machine{movable("vm-2", peer.MachineBusy, 4, 5*micros.Second)}); len(moves) != 0 {
-		t.Errorf("a third machine is drained: %+v", moves)
+		t.Errorf("a third machine is drained although maxDraining is 2: %+v", moves)
 	}
 	r = NewRebalancing(testCatalog(), rebalancingDemands(4, 40))
 	r.AddDraining(movable("vm-8", peer.MachineDraining, 1, 5*micros.Second), 0)
--- a/internal/controller/ownership/lease_test.go
+++ b/internal/controller/ownership/lease_test.go
@@ -11,24 +11,24 @@
 func TestLeaseIsRequestedOnce(t *testing.T) {
 	l := NewLease(8 * sec)
 	if !l.RequestDue() || l.Held() || l.RenewalDue(100*sec) {
-		t.Fatalf("a new lease is %s", l.state)
+		t.Fatalf("a new lease is %s, want it due to be requested", l.state)
 	}
 	l.Requested()
 	if l.RequestDue() || l.Held() {
-		t.Fatalf("a lease that has been requested is %s", l.state)
+		t.Fatalf("a lease that has been requested is %s, want no further request due and no lease held", l.state)
 	}
 	l.RequestFailed()
 	if !l.RequestDue() {
-		t.Fatalf("a lease whose request failed is %s", l.state)
+		t.Fatalf("a lease whose request failed is %s, want it due to be requested", l.state)
 	}
 	l.Requested()
 	l.Granted(7, 10*sec, 11*sec)
 	if !l.Held() || l.RequestDue() || l.ID() != 7 || l.RenewedAt() != 10*sec {
-		t.Fatalf("a lease that has been granted is %+v", l)
+		t.Fatalf("a lease that has been granted is %+v, want lease 7 held and renewed at 10 s", l)
 	}
 	l.Lost()
 	if l.Held() || l.ID() != 0 || !l.RequestDue() {
-		t.Fatalf("a lost lease is %+v", l)
+		t.Fatalf("a lost lease is %+v, want it not held and due to be requested", l)
 	}
 }
 
--- a/internal/controller/scheduling/score_test.go
+++ b/internal/controller/scheduling/score_test.go
@@ -20,7 +20,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if better, worse := tc.better.Score(), tc.worse.Score(); better <= worse {
-				t.Errorf("scores %v and %v", better, worse)
+				t.Errorf("the better candidate has score %v, the worse one %v", better, worse)
 			}
 		})
 	}
--- a/internal/controller/statestore/queue_test.go
+++ b/internal/controller/statestore/queue_test.go
@@ -118,7 +118,7 @@
 		t.Error("accepted beyond the bound, or another class rejected")
 	}
 	if got := q.counters[ClassCheckpoint].rejected; got != 1 {
-		t.Errorf("%d counted as rejected", got)
+		t.Errorf("%d counted as rejected, want 1", got)
 	}
 }
 
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -28,12 +28,12 @@
 	for state := MachineIdle; state <= MachineUnreconciled; state++ {
 		name := state.String()
 		if seen[name] || name[0] < 'a' || name[0] > 'z' {
-			t.Errorf("state %d is named %q", int(state), name)
+			t.Errorf("state %d is named %q, want a unique name that begins with a lower-case letter", int(state), name)
 		}
 		seen[name] = true
 	}
 	if got := MachineState(99).String(); got != "99" {
-		t.Errorf("an unknown state is named %q", got)
+		t.Errorf("an unknown state is named %q, want its number", got)
 	}
 }
 
@@ -43,7 +43,7 @@
 	} {
 		var request Request
 		if err := Decode(body, &request); err == nil {
-			t.Errorf("%s is decoded as %+v", name, request)
+			t.Errorf("%s is decoded without an error, as %+v", name, request)
 		}
 	}
 }
--- a/internal/runtime/runtime_test.go
+++ b/internal/runtime/runtime_test.go
@@ -37,10 +37,10 @@
 			t.Errorf("%d sockets: %d requests to workers, silent machines returned after %d", tc.sockets, cfg.MaxWorkerRequests, cfg.SilentReturn)
 		}
 		if cfg.GuaranteeWithin != 150*micros.Second {
-			t.Errorf("work within a guarantee is to start within %v", cfg.GuaranteeWithin)
+			t.Errorf("work within a guarantee is to start within %v, want 150 s", cfg.GuaranteeWithin)
 		}
 		if len(cfg.StartWithin) != 1 || cfg.StartWithin["x"] != 6*micros.Second || len(cfg.FinishWithin) != 1 || cfg.FinishWithin["x"] != 250*micros.Second {
-			t.Errorf("objectives: start within %v, finish within %v", cfg.StartWithin, cfg.FinishWithin)
+			t.Errorf("objectives: start within %v, finish within %v; want 6 s and 250 s for class x only", cfg.StartWithin, cfg.FinishWithin)
 		}
 	}
 }
@@ -87,7 +87,7 @@
 				t.Errorf("%d sockets allocated to connections, only %d available", all, tc.sockets)
 			}
 			if sizes.IdleTimeout < 13*time.Second+4*time.Second || sizes.IdleTimeout > 75*time.Second {
-				t.Errorf("idle connections are closed after %v", sizes.IdleTimeout)
+				t.Errorf("idle connections are closed after %v, want 17 s to 75 s", sizes.IdleTimeout)
 			}
 			if sizes.WorkerCalls > sizes.WorkerConns || sizes.ServedConns < 1 || sizes.ServiceConns < 16 {
 				t.Errorf("too few connections for calls or for serving: %+v", sizes)
@@ -98,7 +98,7 @@
 			live := tc.machines*3/2*machineBytes + sizes.OpenJobs*openJobBytes + sizes.FinalJobs*finalJobBytes + sizes.TaskListBytes + int(sizes.BufferedBytes) +
 				sizes.ServedConns*connBytes + sizes.StateBodyBytes
 			if tc.machines > 0 && live > limit*4/5 {
-				t.Errorf("%d bytes of live data, the limit is %d", live, limit)
+				t.Errorf("%d bytes of live data, want at most four fifths of the limit of %d", live, limit)
 			}
 			// No bound on a number of machines is lower than one and a half times the machines.
 			opt := config.Defaults()
@@ -110,7 +110,7 @@
 				t.Errorf("at most %d unfinished jobs, want at least 3000", sizes.OpenJobs)
 			}
 			if ram := int(tc.ramMB * (1 << 20)); sizes.StateBodyBytes < 2*statePageBytes || 3*sizes.StateBodyBytes+int(sizes.BufferedBytes) > ram/2 {
-				t.Errorf("responses of the state service of up to %d bytes in a memory of %d bytes", sizes.StateBodyBytes, ram)
+				t.Errorf("responses of the state service of up to %d bytes in a memory of %d bytes: too small for two pages, or too large for the memory", sizes.StateBodyBytes, ram)
 			}
 		})
 	}
--- a/internal/server/address_test.go
+++ b/internal/server/address_test.go
@@ -70,7 +70,7 @@
 		}
 		defer client.Close()
 		if resp := get(t, client, "/a"); resp.StatusCode != 200 {
-			t.Errorf("status %d", resp.StatusCode)
+			t.Errorf("status %d, want 200", resp.StatusCode)
 		}
 		cancel() // the server closes first
 		if err := <-ended; err != nil {
--- a/internal/server/eviction_test.go
+++ b/internal/server/eviction_test.go
@@ -34,7 +34,7 @@
 	addr := serve(t, 5)
 	for i := range 5 {
 		if resp := get(t, dial(t, addr), "/close-if-nearly-full"); resp.Close != (i == 4) {
-			t.Errorf("connection %d of 5: closed %v", i+1, resp.Close)
+			t.Errorf("connection %d of 5: closed %v, want only the last one closed", i+1, resp.Close)
 		}
 	}
 }
--- a/internal/tracing/tracing_test.go
+++ b/internal/tracing/tracing_test.go
@@ -33,7 +33,7 @@
 		StartTime           string
 	}
 	if err := json.Unmarshal(text, &got); err != nil {
-		t.Fatalf("%v in %s", err, text)
+		t.Fatalf("error %v in the exported span %s", err, text)
 	}
 	if got.Name != "quota.growing" || got.SpanContext != (spanContext{"ab000000000000000000000000000000", "cd00000000000000"}) || got.Parent.SpanID != "ef00000000000000" {
 		t.Errorf("unexpected span %+v", got)
--- a/internal/wire/heartbeat_test.go
+++ b/internal/wire/heartbeat_test.go
@@ -51,7 +51,7 @@
 			}
 			_, err = ParseHeartbeat(body)
 			if (err == nil) != tc.ok {
-				t.Errorf("error %v", err)
+				t.Errorf("unexpected result, error %v", err)
 			}
 			if tc.err != nil && !errors.Is(err, tc.err) {
 				t.Errorf("error %v, want %v", err, tc.err)
--- a/internal/wire/submission_test.go
+++ b/internal/wire/submission_test.go
@@ -76,13 +76,13 @@
 			}
 			s, serr := ParseSubmission(body)
 			if (serr == nil) != tc.ok {
-				t.Fatalf("error %v", serr)
+				t.Fatalf("unexpected result, error %v", serr)
 			}
 			if serr != nil && serr.ID != tc.id {
 				t.Errorf("the error has the id %q, want %q", serr.ID, tc.id)
 			}
 			if serr == nil && (s.ID != "job-000412" || s.Tasks < 1 || s.Image != "img-07") {
-				t.Errorf("parsed as %+v", s)
+				t.Errorf("parsed as %+v, want job-000412 with tasks and the image img-07", s)
 			}
 		})
 	}
@@ -113,7 +113,7 @@
 	} {
 		job, index, err := ParseTaskName(tc.name)
 		if (err == nil) != tc.ok || job != tc.job || index != tc.index {
-			t.Errorf("%q is parsed as %q, %d, %v", tc.name, job, index, err)
+			t.Errorf("%q is parsed as job %q, index %d, error %v", tc.name, job, index, err)
 		}
 		if err != nil && !errors.Is(err, ErrTaskName) {
 			t.Errorf("%q: error %v is not ErrTaskName", tc.name, err)
