--- a/internal/config/options.go
+++ b/internal/config/options.go
@@ -78,8 +78,9 @@
 }
 
 // ParseOptions parses and validates the text of an options file. name is the file name used
-// in errors. An unknown key or an invalid value is reported as a *FieldError. Groups are not
-// validated here but by BuildGroups, which knows the teams.
+// in errors. An unknown key, or an invalid value of the right type, is reported as a
+// *FieldError; invalid trace options wrap tracing.ErrOptions. Groups are not validated here but
+// by BuildGroups, which knows the teams.
 func ParseOptions(name string, text []byte) (Options, error) {
 	o := Defaults()
 	var values map[string]any
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -136,7 +136,7 @@
 }
 
 // ParseSettings parses and validates the text of a settings file. name is the file name used
-// in errors. An invalid value is reported as a *FieldError.
+// in errors. An invalid value of the right type is reported as a *FieldError.
 func ParseSettings(name string, text []byte) (Settings, error) {
 	var s Settings
 	err := toml.Unmarshal(text, &s)
--- a/internal/controller/ownership/lease.go
+++ b/internal/controller/ownership/lease.go
@@ -33,7 +33,7 @@
 }
 
 // Lease tracks the state of a controller's lease in the state service, to which its locks are
-// bound. It keeps the times only; the caller sends the requests.
+// bound. It keeps the state and the times; the caller sends the requests.
 //
 // Renewals are sent at fixed intervals, whether or not earlier responses have arrived. A renewal
 // takes effect from the time at which it was sent, so a late response still extends the lease.
