--- a/internal/controller/fleet/rebalancing_test.go
+++ b/internal/controller/fleet/rebalancing_test.go
@@ -53,7 +53,7 @@
 			for _, move := range moves {
 				got = append(got, move.Machine.ID)
 				if move.To != 0 || move.Drain != (move.Machine.State == peer.MachineBusy) {
-					t.Errorf("%+v", move)
+					t.Errorf("move %+v, want shard 0 as its destination, and a drain of busy machines only", move)
 				}
 			}
 			if len(got) != len(tc.want) {
@@ -68,15 +68,15 @@
 	}
 }
 
-// TestRebalancingDraining checks that a machine that is being drained for another shard counts as
-// capacity of that shard, and counts towards maxDraining.
+// TestRebalancingDraining checks that a machine that is being drained for another shard is counted
+// as capacity of that shard and among the machines that maxDraining limits.
 func TestRebalancingDraining(t *testing.T) {
 	r := NewRebalancing(testCatalog(), rebalancingDemands(1000, 80))
 	for _, id := range []string{"vm-8", "vm-9"} {
 		r.AddDraining(movable(id, peer.MachineDraining, 4, 5*micros.Second), 0)
 	}
 	if moves := r.Moves([]Machine{movable("vm-2", peer.MachineBusy, 4, 5*micros.Second)}); len(moves) != 0 {
-		t.Errorf("a third machine is drained: %+v", moves)
+		t.Errorf("a third machine is drained although maxDraining is 2: %+v", moves)
 	}
 	r = NewRebalancing(testCatalog(), rebalancingDemands(4, 40))
 	r.AddDraining(movable("vm-8", peer.MachineDraining, 1, 5*micros.Second), 0)
@@ -85,7 +85,7 @@
 	}
 }
 
-func TestRebalancingWanted(t *testing.T) {
+func TestRebalancingNeededInOwnShard(t *testing.T) {
 	demands := rebalancingDemands(1000, 80)
 	m := movable("vm-2", peer.MachineDraining, 4, 0)
 	if NewRebalancing(testCatalog(), demands).NeededInOwnShard(m) {
