--- a/internal/digest/digest.go
+++ b/internal/digest/digest.go
@@ -42,8 +42,8 @@
 	return fmt.Sprintf("%s/%d %d %s", d.Plan, d.Seed, d.Messages, d.Hash)
 }
 
-// Play plays one run and returns its digest. It returns an error if a message can't be encoded.
-func Play(run Run) (Digest, error) {
+// Compute plays one run and returns its digest. It returns an error if a message can't be encoded.
+func Compute(run Run) (Digest, error) {
 	recorder := newRecorder()
 	sim := simulation.New(run.Plan.WithSeed(run.Seed))
 	sim.OnSend = recorder.record
--- a/internal/digest/digest_test.go
+++ b/internal/digest/digest_test.go
@@ -49,7 +49,7 @@
 			if i < 0 {
 				t.Fatal("RulePlans has no plan of this name")
 			}
-			got, err := Play(Run{Plan: plans[i], Seed: 1})
+			got, err := Compute(Run{Plan: plans[i], Seed: 1})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/digest/parallel.go
+++ b/internal/digest/parallel.go
@@ -5,9 +5,9 @@
 	"sync"
 )
 
-// PlayAll plays the runs, at most parallel of them at a time, and returns their digests in the
+// ComputeAll plays the runs, at most parallel of them at a time, and returns their digests in the
 // order of the runs. The error joins those of all runs that failed.
-func PlayAll(runs []Run, parallel int) ([]Digest, error) {
+func ComputeAll(runs []Run, parallel int) ([]Digest, error) {
 	digests := make([]Digest, len(runs))
 	failures := make([]error, len(runs))
 	indexes := make(chan int)
@@ -15,7 +15,7 @@
 	for range max(parallel, 1) {
 		workers.Go(func() {
 			for i := range indexes {
-				digests[i], failures[i] = Play(runs[i])
+				digests[i], failures[i] = Compute(runs[i])
 			}
 		})
 	}
--- a/internal/fakes/world.go
+++ b/internal/fakes/world.go
@@ -56,7 +56,7 @@
 //	polls N           send N requests for the status of the last job
 //	jobs N            submit N jobs of one task each
 func ServeLoadHarness(in io.Reader, out io.Writer) error {
-	w := &LoadHarness{
+	h := &LoadHarness{
 		server:       NewServer(StateLimits{ValueBytes: maxValueBytes, TxnOps: maxTxnOps}),
 		workerByHost: map[string]*loadWorker{},
 	}
@@ -65,24 +65,24 @@
 		return fmt.Errorf("load harness: %w", err)
 	}
 	defer listener.Close()
-	_, w.port, _ = net.SplitHostPort(listener.Addr().String())
-	go func() { _ = http.Serve(listener, w) }()
-	go w.server.RunDueEvents(eventInterval, func(d time.Duration) bool {
+	_, h.port, _ = net.SplitHostPort(listener.Addr().String())
+	go func() { _ = http.Serve(listener, h) }()
+	go h.server.RunDueEvents(eventInterval, func(d time.Duration) bool {
 		time.Sleep(d)
 		return true
 	})
-	return w.serveCommands(in, out)
+	return h.serveCommands(in, out)
 }
 
 // serveCommands executes the commands in order and writes their answers.
-func (w *LoadHarness) serveCommands(in io.Reader, out io.Writer) error {
+func (h *LoadHarness) serveCommands(in io.Reader, out io.Writer) error {
 	lines := bufio.NewScanner(in)
 	for lines.Scan() {
 		words := strings.Fields(lines.Text())
 		if len(words) == 0 {
 			continue
 		}
-		answer, err := w.execute(words[0], words[1:])
+		answer, err := h.execute(words[0], words[1:])
 		if err != nil {
 			answer = "failed: " + err.Error()
 		}
@@ -94,15 +94,15 @@
 }
 
 // execute executes one command and returns the answer to it.
-func (w *LoadHarness) execute(name string, arguments []string) (answer string, err error) {
+func (h *LoadHarness) execute(name string, arguments []string) (answer string, err error) {
 	if name == "machines" {
-		return w.startFleet(arguments)
+		return h.startFleet(arguments)
 	}
 	count := 0
 	if len(arguments) > 0 {
 		count, _ = strconv.Atoi(arguments[0])
 	}
-	command := w.countCommands()[name]
+	command := h.countCommands()[name]
 	if command == nil {
 		return "", fmt.Errorf("unknown command %q", name)
 	}
@@ -110,20 +110,20 @@
 }
 
 // countCommands returns the commands whose argument is a count, and "ready", which has none.
-func (w *LoadHarness) countCommands() map[string]func(count int) error {
+func (h *LoadHarness) countCommands() map[string]func(count int) error {
 	return map[string]func(count int) error{
-		"ready":   func(int) error { return w.awaitReady() },
-		"job":     func(tasks int) error { return w.submit(NewConnection(w.controllerAddress, 0), tasks) },
-		"reports": w.sendHeartbeats,
-		"apart":   w.sendPacedHeartbeats,
-		"turns":   w.sendTaskEnds,
-		"polls":   w.requestStatus,
-		"jobs":    w.submitJobs,
+		"ready":   func(int) error { return h.awaitReady() },
+		"job":     func(tasks int) error { return h.submit(NewConnection(h.controllerAddress, 0), tasks) },
+		"reports": h.sendHeartbeats,
+		"apart":   h.sendPacedHeartbeats,
+		"turns":   h.sendTaskEnds,
+		"polls":   h.requestStatus,
+		"jobs":    h.submitJobs,
 	}
 }
 
 // startFleet creates the fleet. The arguments are its size and the controller's address.
-func (w *LoadHarness) startFleet(arguments []string) (answer string, err error) {
+func (h *LoadHarness) startFleet(arguments []string) (answer string, err error) {
 	if len(arguments) != 2 {
 		return "", errUsage
 	}
@@ -131,23 +131,23 @@
 	if err != nil {
 		return "", err
 	}
-	w.controllerAddress = arguments[1]
-	w.submitConnection = NewConnection(w.controllerAddress, 0)
+	h.controllerAddress = arguments[1]
+	h.submitConnection = NewConnection(h.controllerAddress, 0)
 	for range parallelRequests {
-		w.statusConnections = append(w.statusConnections, NewConnection(w.controllerAddress, 0))
+		h.statusConnections = append(h.statusConnections, NewConnection(h.controllerAddress, 0))
 	}
 	for i := range count {
-		w.addWorker(i)
+		h.addWorker(i)
 	}
-	return "at 127.0.0.1:" + w.port, nil
+	return "at 127.0.0.1:" + h.port, nil
 }
 
-func (w *LoadHarness) addWorker(i int) {
-	m := LoopbackMachine(i, w.port)
-	worker := newLoadWorker(m, NewConnection(w.controllerAddress, 0))
-	w.workers = append(w.workers, worker)
-	w.workerByHost[m.Address] = worker
-	w.server.AddMachine(m)
+func (h *LoadHarness) addWorker(i int) {
+	m := LoopbackMachine(i, h.port)
+	worker := newLoadWorker(m, NewConnection(h.controllerAddress, 0))
+	h.workers = append(h.workers, worker)
+	h.workerByHost[m.Address] = worker
+	h.server.AddMachine(m)
 }
 
 // machinesPerSubnet is how many machines have addresses that differ only in the last byte.
@@ -163,9 +163,9 @@
 }
 
 // ServeHTTP serves the workers' direct commands, the state service and the cloud.
-func (w *LoadHarness) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
+func (h *LoadHarness) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	if !strings.HasPrefix(r.URL.Path, wire.PathDirectCommand) {
-		w.server.ServeHTTP(rw, r)
+		h.server.ServeHTTP(rw, r)
 		return
 	}
 	body, err := io.ReadAll(r.Body)
@@ -173,7 +173,7 @@
 		return
 	}
 	var command wire.DirectCommand
-	worker := w.workerByHost[r.Host]
+	worker := h.workerByHost[r.Host]
 	if worker == nil || wire.Decode(body, &command) != nil {
 		WriteAnswer(rw, http.StatusNotFound, nil)
 		return
@@ -183,14 +183,14 @@
 }
 
 // awaitReady waits until the controller is ready, for about a minute at most.
-func (w *LoadHarness) awaitReady() error {
+func (h *LoadHarness) awaitReady() error {
 	const (
 		attempts = 6000
 		pause    = 10 * time.Millisecond
 	)
 	var last error
 	for range attempts {
-		msg, err := RequestOnce(w.controllerAddress, 0, "GET", wire.PathReadiness, nil)
+		msg, err := RequestOnce(h.controllerAddress, 0, "GET", wire.PathReadiness, nil)
 		if err == nil && msg.Status == http.StatusOK {
 			return nil
 		}
@@ -201,14 +201,14 @@
 }
 
 // submit submits a job, with retries while the controller refuses it for the time being.
-func (w *LoadHarness) submit(connection *Connection, tasks int) error {
+func (h *LoadHarness) submit(connection *Connection, tasks int) error {
 	const (
 		attempts = 600
 		pause    = 20 * time.Millisecond
 	)
-	w.submittedJobs++
+	h.submittedJobs++
 	body, err := wire.Encode(wire.Submission{
-		ID: w.lastJob(), Class: "c", Team: "t", Kind: "sweep", Priority: "standard",
+		ID: h.lastJob(), Class: "c", Team: "t", Kind: "sweep", Priority: "standard",
 		Tasks: tasks, CPUs: 1, MemGB: 1, Image: "i", ImageGB: 1, Spot: true, EstimateS: 600,
 	})
 	if err != nil {
@@ -232,24 +232,24 @@
 }
 
 // lastJob returns the ID of the job that was submitted last.
-func (w *LoadHarness) lastJob() string { return fmt.Sprintf("job-%06d", w.submittedJobs) }
+func (h *LoadHarness) lastJob() string { return fmt.Sprintf("job-%06d", h.submittedJobs) }
 
-func (w *LoadHarness) submitJobs(count int) error {
+func (h *LoadHarness) submitJobs(count int) error {
 	for range count {
-		if err := w.submit(w.submitConnection, 1); err != nil {
+		if err := h.submit(h.submitConnection, 1); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (w *LoadHarness) sendHeartbeats(count int) error {
-	return w.requestInParallel(count, func(_ int, worker *loadWorker) error { return worker.sendHeartbeat(false) })
+func (h *LoadHarness) sendHeartbeats(count int) error {
+	return h.requestInParallel(count, func(_ int, worker *loadWorker) error { return worker.sendHeartbeat(false) })
 }
 
-func (w *LoadHarness) sendPacedHeartbeats(count int) error {
+func (h *LoadHarness) sendPacedHeartbeats(count int) error {
 	for i := range count {
-		if err := w.workers[i%len(w.workers)].sendHeartbeat(false); err != nil {
+		if err := h.workers[i%len(h.workers)].sendHeartbeat(false); err != nil {
 			return err
 		}
 		time.Sleep(heartbeatPause)
@@ -257,14 +257,14 @@
 	return nil
 }
 
-func (w *LoadHarness) sendTaskEnds(count int) error {
-	return w.requestInParallel(count, func(_ int, worker *loadWorker) error { return worker.sendHeartbeat(true) })
+func (h *LoadHarness) sendTaskEnds(count int) error {
+	return h.requestInParallel(count, func(_ int, worker *loadWorker) error { return worker.sendHeartbeat(true) })
 }
 
-func (w *LoadHarness) requestStatus(count int) error {
-	path := wire.JobStatusPath(w.lastJob())
-	return w.requestInParallel(count, func(sender int, _ *loadWorker) error {
-		msg, err := w.statusConnections[sender].Request("GET", path, nil)
+func (h *LoadHarness) requestStatus(count int) error {
+	path := wire.JobStatusPath(h.lastJob())
+	return h.requestInParallel(count, func(sender int, _ *loadWorker) error {
+		msg, err := h.statusConnections[sender].Request("GET", path, nil)
 		if err == nil && msg.Status != http.StatusOK {
 			err = fmt.Errorf("job status: status %d", msg.Status)
 		}
@@ -274,10 +274,10 @@
 
 // requestInParallel spreads requests over the workers in turn, with parallelRequests senders. A
 // worker has at most one request in flight. It returns the first error.
-func (w *LoadHarness) requestInParallel(count int, request func(sender int, worker *loadWorker) error) error {
+func (h *LoadHarness) requestInParallel(count int, request func(sender int, worker *loadWorker) error) error {
 	results := make(chan error, parallelRequests)
 	for sender := range parallelRequests {
-		go func() { results <- w.requestInTurn(sender, count, request) }()
+		go func() { results <- h.requestInTurn(sender, count, request) }()
 	}
 	var first error
 	for range parallelRequests {
@@ -290,10 +290,10 @@
 
 // requestInTurn sends the requests of one sender, one after the other. No two senders share a
 // worker.
-func (w *LoadHarness) requestInTurn(sender, count int, request func(sender int, worker *loadWorker) error) error {
-	usedWorkers := len(w.workers) / parallelRequests * parallelRequests
+func (h *LoadHarness) requestInTurn(sender, count int, request func(sender int, worker *loadWorker) error) error {
+	usedWorkers := len(h.workers) / parallelRequests * parallelRequests
 	for i := sender; i < count; i += parallelRequests {
-		if err := request(sender, w.workers[i%usedWorkers]); err != nil {
+		if err := request(sender, h.workers[i%usedWorkers]); err != nil {
 			return err
 		}
 	}
--- a/internal/faulttest/cluster.go
+++ b/internal/faulttest/cluster.go
@@ -77,7 +77,7 @@
 
 // ClusterTimes are the intervals, leases and timeouts of a cluster; zero values select defaults.
 type ClusterTimes struct {
-	HeartbeatInterval, WorkerLease, CancelTimeout, ControllerLease time.Duration
+	HeartbeatInterval, WorkerLease, CancelWithin, ControllerLease time.Duration
 	// MinTaskDuration and MaxTaskDuration bound how long a task runs.
 	MinTaskDuration, MaxTaskDuration time.Duration
 }
@@ -87,7 +87,7 @@
 	return ClusterTimes{
 		HeartbeatInterval: cmp.Or(t.HeartbeatInterval, 400*time.Millisecond),
 		WorkerLease:       cmp.Or(t.WorkerLease, 3*time.Second),
-		CancelTimeout:     cmp.Or(t.CancelTimeout, 10*time.Second),
+		CancelWithin:      cmp.Or(t.CancelWithin, 10*time.Second),
 		ControllerLease:   cmp.Or(t.ControllerLease, time.Second),
 		MinTaskDuration:   cmp.Or(t.MinTaskDuration, 40*time.Millisecond),
 		MaxTaskDuration:   cmp.Or(t.MaxTaskDuration, 120*time.Millisecond),
--- a/internal/faulttest/machine_faults.go
+++ b/internal/faulttest/machine_faults.go
@@ -14,9 +14,9 @@
 	// rareReplyInterval is how long a rarely reached machine is cut off after each reply. It is
 	// less than a worker's lease in a soak.
 	rareReplyInterval = 3500 * time.Millisecond
-	// duplicatedFraction of the heartbeats of a machine with faultDuplicates arrive a second
+	// duplicateFraction of the heartbeats of a machine with faultDuplicates arrive a second
 	// time, at most maxDuplicateDelayLeases worker leases later.
-	duplicatedFraction      = 0.2
+	duplicateFraction       = 0.2
 	maxDuplicateDelayLeases = 2
 )
 
@@ -88,7 +88,7 @@
 // replies to these duplicates are lost.
 func (m *machine) maybeDuplicateLater(body []byte) {
 	c := m.cluster
-	if !m.faults.active(faultDuplicates) || !c.chance(duplicatedFraction) {
+	if !m.faults.active(faultDuplicates) || !c.chance(duplicateFraction) {
 		return
 	}
 	to := c.drawNode().settings.ServeOn
--- a/internal/faulttest/node.go
+++ b/internal/faulttest/node.go
@@ -96,7 +96,7 @@
 	cluster.Nodes = c.plan.Nodes
 	cluster.Zones = fakes.Zones()
 	times := c.plan.Times
-	cluster.Workers = config.Workers{ReportS: times.HeartbeatInterval.Seconds(), LeaseS: times.WorkerLease.Seconds(), CancelS: times.CancelTimeout.Seconds()}
+	cluster.Workers = config.Workers{ReportS: times.HeartbeatInterval.Seconds(), LeaseS: times.WorkerLease.Seconds(), CancelS: times.CancelWithin.Seconds()}
 	cluster.State = config.StateLimits{RPS: cmp.Or(c.plan.StateRPS, defaultStateRPS), WriteRPS: cmp.Or(c.plan.WriteRPS, defaultWriteRPS), ValueKB: 8, TxnOps: stateTxnOps}
 	cluster.Cloud = config.CloudLimits{RPS: 10, ListLagS: 0.2}
 	cluster.Resources = config.Resources{CoreShare: 0.5, RAMMB: 128, Sockets: 1024}
--- a/internal/faulttest/soak.go
+++ b/internal/faulttest/soak.go
@@ -57,7 +57,7 @@
 // that the bounds include.
 func SoakTimes() ClusterTimes {
 	return ClusterTimes{
-		HeartbeatInterval: time.Second, WorkerLease: 6 * time.Second, CancelTimeout: 13 * time.Second, ControllerLease: time.Second,
+		HeartbeatInterval: time.Second, WorkerLease: 6 * time.Second, CancelWithin: 13 * time.Second, ControllerLease: time.Second,
 		MinTaskDuration: 2 * time.Second, MaxTaskDuration: 40 * time.Second,
 	}
 }
@@ -94,16 +94,16 @@
 }
 
 // injectFaults injects the plan's faults, each at its time, and returns how many there were.
-func (s *soak) injectFaults(began time.Time) (played int) {
+func (s *soak) injectFaults(began time.Time) (injected int) {
 	for i, fault := range s.plan.Faults() {
 		if len(s.plan.OnlyFaults) > 0 && !slices.Contains(s.plan.OnlyFaults, i) {
 			continue
 		}
 		s.cluster.pause(time.Until(began.Add(fault.At)))
 		s.cluster.inject(fault)
-		played++
+		injected++
 	}
-	return played
+	return injected
 }
 
 // result checks a soak and returns its result.
@@ -119,7 +119,7 @@
 	}
 	s.cluster.mu.Lock()
 	defer s.cluster.mu.Unlock()
-	r.Violations = slices.Concat(s.violations, CheckTaskRuns(runs, cancelledAt, s.cluster.plan.Times.CancelTimeout), s.cluster.problems)
+	r.Violations = slices.Concat(s.violations, CheckTaskRuns(runs, cancelledAt, s.cluster.plan.Times.CancelWithin), s.cluster.problems)
 	return r
 }
 
--- a/internal/faulttest/soak_faults.go
+++ b/internal/faulttest/soak_faults.go
@@ -77,37 +77,37 @@
 // Faults returns the faults of the soak in order of time. The plan alone determines them. Two or
 // three faults overlap, and at times owners are killed one after the other.
 func (p SoakPlan) Faults() []Fault {
-	d := &faultGenerator{rng: rand.New(rand.NewPCG(p.Seed, soakSeedStream)), nodes: p.Nodes}
-	faultFreeTime := SoakTimes().CancelTimeout
-	for at := firstFaultAt; at < p.Length-faultFreeTime; at += d.drawDuration(time.Second, 3*time.Second) {
-		kind := FaultKind(d.rng.IntN(int(faultKindCount)))
-		d.add(at, kind, d.drawDuration(300*time.Millisecond, 8*time.Second))
-		if d.rng.IntN(8) == 0 {
-			d.addOwnerKillSeries(at)
+	g := &faultGenerator{rng: rand.New(rand.NewPCG(p.Seed, soakSeedStream)), nodes: p.Nodes}
+	faultFreeTime := SoakTimes().CancelWithin
+	for at := firstFaultAt; at < p.Length-faultFreeTime; at += g.drawDuration(time.Second, 3*time.Second) {
+		kind := FaultKind(g.rng.IntN(int(faultKindCount)))
+		g.add(at, kind, g.drawDuration(300*time.Millisecond, 8*time.Second))
+		if g.rng.IntN(8) == 0 {
+			g.addOwnerKillSeries(at)
 		}
 	}
-	faults := slices.DeleteFunc(d.faults, func(f Fault) bool { return f.At > p.Length-faultsEndMargin })
+	faults := slices.DeleteFunc(g.faults, func(f Fault) bool { return f.At > p.Length-faultsEndMargin })
 	slices.SortStableFunc(faults, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
 	return faults
 }
 
 // addOwnerKillSeries kills owners one after the other while machines are rarely reached.
-func (d *faultGenerator) addOwnerKillSeries(at time.Duration) {
-	d.add(at, FaultMachinesRarelyReached, d.drawDuration(12*time.Second, 24*time.Second))
+func (g *faultGenerator) addOwnerKillSeries(at time.Duration) {
+	g.add(at, FaultMachinesRarelyReached, g.drawDuration(12*time.Second, 24*time.Second))
 	for i := range time.Duration(ownerKillsInSeries) {
-		d.add(at+i*(rareReplyInterval+500*time.Millisecond), FaultKillOwner, d.drawDuration(50*time.Millisecond, 2*time.Second))
+		g.add(at+i*(rareReplyInterval+500*time.Millisecond), FaultKillOwner, g.drawDuration(50*time.Millisecond, 2*time.Second))
 	}
 }
 
-func (d *faultGenerator) add(at time.Duration, kind FaultKind, duration time.Duration) {
-	node := d.rng.IntN(d.nodes)
-	other := (node + 1 + d.rng.IntN(d.nodes-1)) % d.nodes
-	fraction := 0.1 + 0.4*d.rng.Float64()
-	d.faults = append(d.faults, Fault{At: at, Duration: duration, Kind: kind, Node: node, Other: other, Fraction: fraction})
+func (g *faultGenerator) add(at time.Duration, kind FaultKind, duration time.Duration) {
+	node := g.rng.IntN(g.nodes)
+	other := (node + 1 + g.rng.IntN(g.nodes-1)) % g.nodes
+	fraction := 0.1 + 0.4*g.rng.Float64()
+	g.faults = append(g.faults, Fault{At: at, Duration: duration, Kind: kind, Node: node, Other: other, Fraction: fraction})
 }
 
-func (d *faultGenerator) drawDuration(from, to time.Duration) time.Duration {
-	return from + time.Duration(d.rng.Int64N(int64(to-from)))
+func (g *faultGenerator) drawDuration(from, to time.Duration) time.Duration {
+	return from + time.Duration(g.rng.Int64N(int64(to-from)))
 }
 
 // inject injects one fault.
--- a/internal/faulttest/task_runs.go
+++ b/internal/faulttest/task_runs.go
@@ -65,9 +65,9 @@
 // CheckTaskRuns describes tasks that ran for longer than cancel after their job was reported as
 // cancelled, and tasks that started on one machine while they ran on another. The runs are in
 // order of task and start; cancelledAt is keyed by job ID.
-func CheckTaskRuns(runs []TaskRun, cancelledAt map[string]time.Time, cancel time.Duration) (violations []string) {
+func CheckTaskRuns(runs []TaskRun, cancelledAt map[string]time.Time, cancelWithin time.Duration) (violations []string) {
 	for i, run := range runs {
-		if at, ok := cancelledAt[run.job()]; ok && run.To.Sub(at) > cancel {
+		if at, ok := cancelledAt[run.job()]; ok && run.To.Sub(at) > cancelWithin {
 			violations = append(violations, fmt.Sprintf("ran_cancelled: %s ran on %s until %.1f s after its job was reported as cancelled", run.Task, run.Machine, run.To.Sub(at).Seconds()))
 		}
 		for _, later := range runs[i+1:] {
--- a/internal/measure/digest.go
+++ b/internal/measure/digest.go
@@ -20,7 +20,7 @@
 	if len(runs) == 0 {
 		return fmt.Errorf("no plan's name contains %q", d.Plan)
 	}
-	digests, err := digest.PlayAll(runs, d.Parallel)
+	digests, err := digest.ComputeAll(runs, d.Parallel)
 	if err != nil {
 		return err
 	}
--- a/internal/measure/grants.go
+++ b/internal/measure/grants.go
@@ -22,7 +22,7 @@
 		return faulttest.RunGrants(faulttest.GrantsPlan{Seed: seed, Nodes: nodesFor(seed), MinGrants: g.Grants, Timeout: 3 * time.Minute, Faults: !g.Calm})
 	}
 	var sum faulttest.GrantsResult
-	var rates, inForce []float64
+	var rates, delays []float64
 	err := runSeeds(seedsFrom(g.Seed, g.Seeds), g.Parallel, run, func(seed uint64, r faulttest.GrantsResult) {
 		fmt.Printf("seed %d: %s\n", seed, r)
 		for _, line := range r.Overshoots {
@@ -37,7 +37,7 @@
 		sum.Overshoots = append(sum.Overshoots, r.Overshoots...)
 		rates = append(rates, float64(r.Grants)/r.Duration.Seconds())
 		for _, d := range r.EnforcementDelays {
-			inForce = append(inForce, d.Seconds())
+			delays = append(delays, d.Seconds())
 		}
 	})
 	if err != nil {
@@ -46,7 +46,7 @@
 	fmt.Printf("all: %s\n", sum)
 	fmt.Printf("grants a second, by seed: %s\n", summarize(rates))
 	fmt.Printf("writes per thousand grants: %.1f\n", 1000*float64(sum.Writes)/float64(max(sum.Grants, 1)))
-	fmt.Printf("seconds from announced to in force: %s\n", summarize(inForce))
+	fmt.Printf("seconds from announced to in force: %s\n", summarize(delays))
 	if len(sum.Overshoots) > 0 {
 		return fmt.Errorf("%d overshoots, the first: %s", len(sum.Overshoots), sum.Overshoots[0])
 	}
--- a/internal/measure/main.go
+++ b/internal/measure/main.go
@@ -50,6 +50,6 @@
 	return summary{len(s), quantile(0.5), quantile(0.99), s[len(s)-1]}
 }
 
-func (f summary) String() string {
-	return fmt.Sprintf("%d samples, median %.3g, p99 %.3g, max %.3g", f.count, f.median, f.p99, f.max)
+func (s summary) String() string {
+	return fmt.Sprintf("%d samples, median %.3g, p99 %.3g, max %.3g", s.count, s.median, s.p99, s.max)
 }
--- a/internal/simulation/cascade.go
+++ b/internal/simulation/cascade.go
@@ -13,9 +13,9 @@
 // limit that they reach would hide whatever else a run is meant to test.
 
 const (
-	// cascadeAcceptedBy is the time by which the jobs of a cascade are submitted. The cancellation
+	// cascadeSubmittedBy is the time by which the jobs of a cascade are submitted. The cancellation
 	// follows once all are accepted.
-	cascadeAcceptedBy = 20 * sec
+	cascadeSubmittedBy = 20 * sec
 	// cascadeFaultDuration is how long the fault of a cascade lasts.
 	cascadeFaultDuration = 15 * sec
 )
@@ -98,7 +98,7 @@
 	if c.CancelMiddle {
 		c.target = c.members[len(c.members)/2]
 	}
-	s.after(cascadeAcceptedBy, c.start)
+	s.after(cascadeSubmittedBy, c.start)
 }
 
 // addMembers adds the users of the jobs, beginning with the job that all others depend on.
@@ -138,7 +138,7 @@
 	u.dependOn(dependencies)
 	s.addUser(u)
 	c.members = append(c.members, u)
-	s.after(s.between(5*sec, cascadeAcceptedBy), func() { u.submitAfterDependencies(false) })
+	s.after(s.between(5*sec, cascadeSubmittedBy), func() { u.submitAfterDependencies(false) })
 	return u
 }
 
--- a/internal/simulation/check_service.go
+++ b/internal/simulation/check_service.go
@@ -90,7 +90,7 @@
 
 // maxCompletionTime returns the time within which a job must be done, counted from the end of
 // ActiveTime or of the job's dependencies. cancel is the time that a cancellation may take.
-func (p Plan) maxCompletionTime(cancel micros.Micros) micros.Micros {
+func (p Plan) maxCompletionTime(cancelWithin micros.Micros) micros.Micros {
 	limit := micros.Minute
 	if p.FleetFaults {
 		limit *= 2
@@ -98,7 +98,7 @@
 	if p.hasLongTasks() {
 		// In these plans tasks last up to a minute instead of 12 s, and the last fault may go on
 		// after ActiveTime for as long as a cancellation may take.
-		limit += cancel + micros.Minute
+		limit += cancelWithin + micros.Minute
 	}
 	if p.Groups != nil {
 		limit += 2 * micros.Minute // quota limits are low, and drop to zero at times
--- a/internal/simulation/concurrent_faults.go
+++ b/internal/simulation/concurrent_faults.go
@@ -49,21 +49,21 @@
 }
 
 // affects reports whether a call of a controller is a transaction that may get no answer.
-func (l *unansweredWrites) affects(n *node, call controller.Call, now micros.Micros) bool {
+func (w *unansweredWrites) affects(n *node, call controller.Call, now micros.Micros) bool {
 	_, isTxn := call.Req.(wire.Txn)
-	return isTxn && now < l.until && (l.onlyNode == nil || l.onlyNode == n)
+	return isTxn && now < w.until && (w.onlyNode == nil || w.onlyNode == n)
 }
 
 // maybeExecuteUnanswered decides whether a call is executed without an answer, and reports whether
 // it is.
 func (s *Simulation) maybeExecuteUnanswered(n *node, call controller.Call) bool {
-	late := &s.concurrentFaults.unansweredWrites
-	if !late.affects(n, call, s.now) || !s.chance(late.fraction) {
+	fault := &s.concurrentFaults.unansweredWrites
+	if !fault.affects(n, call, s.now) || !s.chance(fault.fraction) {
 		return false
 	}
 	s.Concurrent.UnansweredWrites++
 	delay := micros.Micros(0)
-	if !late.immediate {
+	if !fault.immediate {
 		delay = s.between(2*sec, 12*sec)
 	}
 	s.after(delay, func() { s.serve(call, func(controller.Result) {}) })
--- a/internal/simulation/large_fleet_test.go
+++ b/internal/simulation/large_fleet_test.go
@@ -9,7 +9,7 @@
 func TestLargeFleet(t *testing.T) {
 	t.Parallel()
 	type cost struct{ heartbeat, round, mostRound float64 } // mean heartbeat; mean and costliest round per machine
-	play := func(machines int, seed uint64) cost {
+	run := func(machines int, seed uint64) cost {
 		s := New(Plan{Seed: seed, Nodes: 3, Machines: machines, InitialMachines: machines, Jobs: machines / 8, Large: true, ReconnectionWaves: true, Teams: oneTeam(), ActiveTime: 90 * sec, RecoveryTime: 300 * sec})
 		s.Run()
 		reportViolations(t, s)
@@ -29,15 +29,15 @@
 	}
 	// The cost of the costliest round depends on chance. The large fleet is therefore compared with
 	// the average over several seeds of the small one.
-	const plays = 5
+	const runs = 5
 	var small cost
-	for seed := range uint64(plays) {
-		c := play(1000, seed+1)
-		small.heartbeat += c.heartbeat / plays
-		small.round += c.round / plays
-		small.mostRound += c.mostRound / plays
+	for seed := range uint64(runs) {
+		c := run(1000, seed+1)
+		small.heartbeat += c.heartbeat / runs
+		small.round += c.round / runs
+		small.mostRound += c.mostRound / runs
 	}
-	large := play(4000, 1)
+	large := run(4000, 1)
 	if large.heartbeat > small.heartbeat+maxMoreVisited {
 		t.Errorf("with 4000 machines a heartbeat visits %.1f machines, jobs and attempts, with 1000 machines %.1f", large.heartbeat, small.heartbeat)
 	}
--- a/internal/simulation/rules_test.go
+++ b/internal/simulation/rules_test.go
@@ -43,15 +43,15 @@
 		for seed := range seeds(plan.Seeds) {
 			t.Run(fmt.Sprintf("%s/%d", plan.Name, seed), func(t *testing.T) {
 				t.Parallel()
-				playAndCheck(t, plan.WithSeed(uint64(seed)+1))
+				runAndCheck(t, plan.WithSeed(uint64(seed)+1))
 			})
 		}
 	}
 }
 
-// playAndCheck runs a plan. It checks that no rule was broken, and that the run did what the plan
+// runAndCheck runs a plan. It checks that no rule was broken, and that the run did what the plan
 // is meant to test.
-func playAndCheck(t *testing.T, p Plan) {
+func runAndCheck(t *testing.T, p Plan) {
 	t.Helper()
 	s := newTraced(t, p)
 	s.Run()
@@ -94,12 +94,12 @@
 // TestSameSeed checks that two runs with the same plan and seed are equal. Otherwise a failure
 // could not be reproduced.
 func TestSameSeed(t *testing.T) {
-	play := func() string {
+	run := func() string {
 		s := New(Plan{Seed: 5, Nodes: 3, Machines: 8, Jobs: 15, Faults: true, Teams: fourTeams(), ActiveTime: 60 * sec, RecoveryTime: 200 * sec})
 		s.Run()
 		return fmt.Sprint(s.now, s.Started, s.Finished, s.Restarts, s.state.Revision(), s.Violations)
 	}
-	if a, b := play(), play(); a != b {
+	if a, b := run(), run(); a != b {
 		t.Errorf("two runs with the same seed differ:\n%s\n%s", a, b)
 	}
 }
--- a/internal/simulation/upgrade.go
+++ b/internal/simulation/upgrade.go
@@ -81,8 +81,8 @@
 // does not know the lowered limits, and older releases do not know groups.
 func (s *Simulation) settingsFor(release Release) controller.Config {
 	cfg := s.cfg
-	changesToCome := s.plan.UpgradeFrom != ReleaseCurrent || s.plan.Cascade != nil
-	if changesToCome && release != ReleaseWithoutDependencies {
+	limitsLowered := s.plan.UpgradeFrom != ReleaseCurrent || s.plan.Cascade != nil
+	if limitsLowered && release != ReleaseWithoutDependencies {
 		cfg.ValueBytes = loweredValueBytes
 		cfg.TxnOps = loweredTxnOps
 		cfg.WriteRPS = loweredWriteRate
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -76,8 +76,8 @@
 	if !s.plan.Faults {
 		return
 	}
-	copied := s.chance(duplicateFraction) || s.now < s.duplicateBurstUntil && s.chance(burstDuplicateFraction)
-	if !copied {
+	duplicated := s.chance(duplicateFraction) || s.now < s.duplicateBurstUntil && s.chance(burstDuplicateFraction)
+	if !duplicated {
 		return
 	}
 	delay := s.between(200*ms, 8*sec)
