--- a/internal/digest/digest.go
+++ b/internal/digest/digest.go
@@ -42,7 +42,8 @@
 	return fmt.Sprintf("%s/%d %d %s", d.Plan, d.Seed, d.Messages, d.Hash)
 }
 
-// Compute plays one run and returns its digest. It returns an error if a message can't be encoded.
+// Compute runs one simulation and returns its digest. It returns an error if a message can't be
+// encoded.
 func Compute(run Run) (Digest, error) {
 	recorder := newRecorder()
 	sim := simulation.New(run.Plan.WithSeed(run.Seed))
@@ -160,7 +161,7 @@
 	// plan.
 	defaultSeeds      = 2
 	defaultSeedsLarge = 1
-	// largeMachines is the number of machines from which on a plan is large.
+	// largeMachines is the least number of machines of a large plan.
 	largeMachines = 300
 )
 
--- a/internal/digest/digest_test.go
+++ b/internal/digest/digest_test.go
@@ -26,7 +26,7 @@
 }
 
 // TestBehaviourIsPreserved guards against refactorings that change the controllers' messages: it
-// plays a few small plans and compares their digests with the recorded ones. The other recorded
+// runs a few small plans and compares their digests with the recorded ones. The other recorded
 // digests are checked by comparing the whole file with the output of "go run ./internal/measure
 // digest".
 func TestBehaviourIsPreserved(t *testing.T) {
@@ -60,7 +60,7 @@
 	}
 }
 
-// TestEveryRunIsRecorded checks that the file has a line for each run that is played by default, in
+// TestEveryRunIsRecorded checks that the file has a line for each run that Runs lists by default, in
 // the same order.
 func TestEveryRunIsRecorded(t *testing.T) {
 	t.Parallel()
--- a/internal/digest/parallel.go
+++ b/internal/digest/parallel.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// ComputeAll plays the runs, at most parallel of them at a time, and returns their digests in the
-// order of the runs. The error joins those of all runs that failed.
+// ComputeAll computes the digests of runs, at most parallel of them at a time, and returns them in
+// the order of the runs. The error joins those of all runs that failed.
 func ComputeAll(runs []Run, parallel int) ([]Digest, error) {
 	digests := make([]Digest, len(runs))
 	failures := make([]error, len(runs))
--- a/internal/fakes/agent_test.go
+++ b/internal/fakes/agent_test.go
@@ -83,7 +83,7 @@
 				t.Errorf("fencing token %d, want %d", after.FencingToken, want)
 			}
 			if after.Sequence != before.Sequence+1 {
-				t.Errorf("sequence number %d after %d", after.Sequence, before.Sequence)
+				t.Errorf("sequence number %d after %d, want the next one", after.Sequence, before.Sequence)
 			}
 		})
 	}
--- a/internal/fakes/cloud_test.go
+++ b/internal/fakes/cloud_test.go
@@ -33,7 +33,7 @@
 	first := mustAnswer(t, cloud, rental, 200).(*wire.MachineNames).Machines
 	again := mustAnswer(t, cloud, rental, 200).(*wire.MachineNames).Machines
 	if len(first) != 2 || !slices.Equal(first, again) {
-		t.Errorf("a repeated rental gives %v, the first gave %v", again, first)
+		t.Errorf("a repeated rental gives %v, the first gave %v, want the same two machines", again, first)
 	}
 	rental.RequestID = "r2"
 	if names := mustAnswer(t, cloud, rental, 200).(*wire.MachineNames).Machines; len(names) != 1 {
@@ -41,7 +41,7 @@
 	}
 	rental.RequestID = "r3"
 	if body := mustAnswer(t, cloud, rental, 503); body != controller.RefusedRental {
-		t.Errorf("a rental without capacity is answered with %v", body)
+		t.Errorf("a rental without capacity is answered with %v, want RefusedRental", body)
 	}
 	mustAnswer(t, cloud, controller.ReturnMachines{Machines: append(first, "vm-unknown")}, 200)
 	if !slices.Equal(*returned, first) {
@@ -62,15 +62,15 @@
 		return states
 	}
 	if states := stateOf(); states[booting] != wire.MachineRunning {
-		t.Errorf("a machine that has booted is listed as %q", states[booting])
+		t.Errorf("a machine that has booted is listed as %q, want MachineRunning", states[booting])
 	}
 	cloud.byID[booting].Dead = true
 	if states := stateOf(); states[booting] != wire.MachineFailed {
-		t.Errorf("a dead machine is listed as %q", states[booting])
+		t.Errorf("a dead machine is listed as %q, want MachineFailed", states[booting])
 	}
 	cloud.byID[booting].Reclaimed = true
 	if states := stateOf(); len(states) != 0 {
-		t.Errorf("a reclaimed machine is listed: %v", states)
+		t.Errorf("machines %v are listed after the only one was reclaimed, want none", states)
 	}
 	cloud.SetOutage(clock.Now() + second)
 	mustAnswer(t, cloud, controller.ListMachines{}, 503)
--- a/internal/fakes/server_test.go
+++ b/internal/fakes/server_test.go
@@ -55,6 +55,6 @@
 	status, body := serve(controller.ToCloud, controller.ListMachines{After: "vm-000000", Limit: 10})
 	var list wire.MachineList
 	if err := wire.Decode(body, &list); err != nil || status != http.StatusOK || len(list.Machines) != 2 {
-		t.Errorf("status %d, %v, machines %+v, want two", status, err, list.Machines)
+		t.Errorf("status %d, error %v, machines %+v, want status 200 and two machines", status, err, list.Machines)
 	}
 }
--- a/internal/fakes/state_test.go
+++ b/internal/fakes/state_test.go
@@ -86,7 +86,7 @@
 	mustAnswer(t, state, put(t, "a/1", 1), 200)
 	past := mustAnswer(t, state, statestore.WatchKeys{Prefix: "a/", WaitMS: 1000}, 200).(*wire.Events)
 	if len(past.Events) != 1 || past.Events[0].Put != "a/1" {
-		t.Errorf("events %+v, want that of a/1", past.Events)
+		t.Errorf("events %+v, want the put of a/1", past.Events)
 	}
 
 	waiting := send(state, statestore.WatchKeys{Prefix: "a/", Since: 1, WaitMS: 1000})
--- a/internal/fakes/task.go
+++ b/internal/fakes/task.go
@@ -166,7 +166,8 @@
 	}
 }
 
-// start adds a task. It fetches its image first, or exits at once if it cannot run.
+// start adds a task. The task first fetches its image unless the machine has it. A task that cannot
+// run exits at once.
 func (w *Worker) start(command wire.Command) {
 	name, index, err := wire.ParseTaskName(command.Task)
 	job := w.host.Job(name)
--- a/internal/fakes/worker.go
+++ b/internal/fakes/worker.go
@@ -30,7 +30,7 @@
 	// with ok false if there is no answer in time. It returns false without calling done if the
 	// machine cannot reach a controller.
 	SendHeartbeat(node int, heartbeat *wire.Heartbeat, done func(answer controller.Answer, ok bool)) (sent bool)
-	// Job returns the job with the given name, or nil if nobody submitted it.
+	// Job returns the job with the given ID, or nil if no user has it.
 	Job(name string) *Job
 	// TaskAdded is called when a worker has added a task, even if the task exited at once.
 	TaskAdded(*Task)
@@ -60,8 +60,8 @@
 	Nodes                            []string // labels of the controllers
 }
 
-// Worker is a machine and the worker on it. Whoever drives it injects faults by setting the
-// exported fields.
+// Worker is a machine and the worker on it. Simulations and tests inject its faults through the
+// exported fields and AnnounceReclaim.
 type Worker struct {
 	*Machine
 	// HungUntil is when the machine stops hanging.
@@ -76,7 +76,7 @@
 
 	agentEpoch, sequence, fencingToken uint64
 
-	leaseStart    micros.Micros // when the last answered heartbeat was sent, or the agent's epoch began
+	leaseStart    micros.Micros // when the last answered heartbeat was sent or the agent's epoch began, by the worker's clock
 	tasks         map[taskKey]*Task
 	images        map[string]bool
 	node          int // index of the controller that heartbeats go to
@@ -264,8 +264,8 @@
 	w.host.LeaseRenewed()
 }
 
-// followRedirect switches to the controller that a redirect names. If that one is unknown, or is
-// the one that sent the redirect, it switches to the next controller.
+// followRedirect switches to the controller that a redirect names. If that controller is unknown, or
+// sent the redirect itself, the worker switches to the next controller.
 func (w *Worker) followRedirect(redirect wire.Redirect) {
 	i := slices.Index(w.config.Nodes, redirect.Controller)
 	if i < 0 || i == w.node {
--- a/internal/fakes/worker_test.go
+++ b/internal/fakes/worker_test.go
@@ -90,11 +90,11 @@
 		t.Errorf("tasks %+v, want one that is done", heartbeat.Tasks)
 	}
 	if host.started != 1 || host.completed != 1 || !host.job.Done[0] {
-		t.Errorf("%d started, %d completed, done %v", host.started, host.completed, host.job.Done)
+		t.Errorf("%d started, %d completed, done %v, want one of each and task 0 done", host.started, host.completed, host.job.Done)
 	}
 	forget := wire.Command{Op: wire.OpForget, Task: "job-000001/0", Attempt: 1}
 	if heartbeat := command(t, w, 200, 1, forget); len(heartbeat.Tasks) != 0 {
-		t.Errorf("tasks %+v after the task was forgotten", heartbeat.Tasks)
+		t.Errorf("tasks %+v after the task was forgotten, want none", heartbeat.Tasks)
 	}
 }
 
@@ -136,7 +136,7 @@
 			clock.advance(1500 * millisecond)
 			task := command(t, w, 200, 1).Tasks[0]
 			if task.State != wire.TaskExited || task.ExitReason != wire.ExitStopped || task.Saved != tc.saved {
-				t.Errorf("%+v, want it stopped, saved %v", task, tc.saved)
+				t.Errorf("task %+v, want a stopped one with saved %v", task, tc.saved)
 			}
 			if kept := host.job.Progress[0] > 0; kept != tc.saved {
 				t.Errorf("progress kept: %v, want %v", kept, tc.saved)
@@ -149,11 +149,11 @@
 	_, _, w := newTestWorker()
 	command(t, w, 200, 5)
 	if heartbeat := command(t, w, 409, 4, start("job-000001/0")); len(heartbeat.Tasks) != 0 || heartbeat.FencingToken != 5 {
-		t.Errorf("an earlier owner's command: %+v", heartbeat)
+		t.Errorf("after a command of an earlier owner the heartbeat is %+v, want no tasks and fencing token 5", heartbeat)
 	}
 	earlier := wire.DirectCommand{FencingToken: 5, AgentEpoch: w.AgentEpoch() - 1, Commands: []wire.Command{start("job-000001/0")}}
 	if heartbeat := mustAnswer(t, w, earlier, 409).(*wire.Heartbeat); len(heartbeat.Tasks) != 0 {
-		t.Errorf("a command for an earlier epoch of the agent: %+v", heartbeat)
+		t.Errorf("after a command for an earlier epoch of the agent the heartbeat is %+v, want no tasks", heartbeat)
 	}
 }
 
@@ -164,17 +164,17 @@
 	clock, host, w := newTestWorker()
 	clock.advance(3 * testLease)
 	if w.AgentEpoch() != 1 || host.renewed == 0 {
-		t.Fatalf("epoch %d after %d renewals", w.AgentEpoch(), host.renewed)
+		t.Fatalf("epoch %d after %d renewals, want epoch 1 and at least one renewal", w.AgentEpoch(), host.renewed)
 	}
 	command(t, w, 200, 1, start("job-000001/0"))
 	w.HungUntil = clock.Now() + 2*testLease
 	clock.advance(2*testLease - millisecond)
 	if w.AgentEpoch() != 1 || !w.LeaseExpired() {
-		t.Errorf("epoch %d while it hangs, lease expired: %v", w.AgentEpoch(), w.LeaseExpired())
+		t.Errorf("epoch %d while the machine hangs, lease expired: %v, want epoch 1 and true", w.AgentEpoch(), w.LeaseExpired())
 	}
 	clock.advance(second)
 	if w.AgentEpoch() != 2 || len(w.Tasks()) != 0 {
-		t.Errorf("epoch %d with %d tasks after the lease", w.AgentEpoch(), len(w.Tasks()))
+		t.Errorf("epoch %d with %d tasks after the lease expired, want epoch 2 without tasks", w.AgentEpoch(), len(w.Tasks()))
 	}
 }
 
@@ -202,7 +202,7 @@
 	clock.advance(10 * second)
 	for _, node := range host.nodes {
 		if node != 1 {
-			t.Errorf("heartbeats went to %v after a redirect to 1", host.nodes)
+			t.Errorf("heartbeats went to %v after a redirect to controller 1, want that one only", host.nodes)
 			break
 		}
 	}
--- a/internal/faulttest/cluster.go
+++ b/internal/faulttest/cluster.go
@@ -271,7 +271,8 @@
 }
 
 // Submit submits a job with the given number of tasks of one CPU each. It tries random controllers
-// until one accepts the job.
+// until one accepts the job, and returns an error if none does after many attempts or the cluster
+// stops.
 func (c *Cluster) Submit(tasks int) error {
 	const (
 		attempts = 600
--- a/internal/faulttest/grants_test.go
+++ b/internal/faulttest/grants_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// seeds returns n, or the number of seeds that the environment variable GARNETHITCH_SEEDS sets.
+// seeds returns the number of seeds in the environment variable GARNETHITCH_SEEDS, or n if that is
+// not a positive number.
 func seeds(n int) int {
 	if v, err := strconv.Atoi(os.Getenv("GARNETHITCH_SEEDS")); err == nil && v > 0 {
 		return v
@@ -32,7 +33,7 @@
 				t.Error(o)
 			}
 			if r.Grants < 200 || r.LimitsSet == 0 || r.Writes < 10 {
-				t.Errorf("too little activity: %s", r)
+				t.Errorf("too little activity: %s; want at least 200 grants, 10 writes and one limit set", r)
 			}
 			t.Log(r)
 		})
--- a/internal/faulttest/link.go
+++ b/internal/faulttest/link.go
@@ -11,7 +11,7 @@
 const (
 	linkDialTimeout = time.Second
 	linkBufferBytes = 32 << 10
-	// linkPollInterval is how often a link that holds data back checks whether to go on with it.
+	// linkPollInterval is how often a link that holds data back checks whether it still has to.
 	linkPollInterval = 50 * time.Millisecond
 )
 
--- a/internal/faulttest/soak.go
+++ b/internal/faulttest/soak.go
@@ -39,8 +39,8 @@
 	Jobs, Cancelled, Tasks, Answers int
 	InjectedFaults                  int
 	// UnknownJobRequests counts the requests about jobs that nobody submitted, and Refused those
-	// of them that got no proper answer. LongestUnanswered is the longest time that requests
-	// about a job went unanswered.
+	// of them that got neither status 200 nor 404. LongestUnanswered is the longest time that
+	// requests about an accepted job went unanswered.
 	UnknownJobRequests, Refused int
 	LongestUnanswered           time.Duration
 	Violations                  []string
--- a/internal/faulttest/soak_faults.go
+++ b/internal/faulttest/soak_faults.go
@@ -75,7 +75,7 @@
 }
 
 // Faults returns the faults of the soak in order of time. The plan alone determines them. Two or
-// three faults overlap, and at times owners are killed one after the other.
+// three faults overlap most of the time, and at times owners are killed one after the other.
 func (p SoakPlan) Faults() []Fault {
 	g := &faultGenerator{rng: rand.New(rand.NewPCG(p.Seed, soakSeedStream)), nodes: p.Nodes}
 	faultFreeTime := SoakTimes().CancelWithin
--- a/internal/faulttest/soak_faults_test.go
+++ b/internal/faulttest/soak_faults_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestSoakFaults checks that a plan always gives the same faults, and that faults of every kind
-// occur.
+// TestSoakFaults checks that a plan always gives the same faults, that faults of every kind occur,
+// and that each begins during the soak and names two different controllers.
 func TestSoakFaults(t *testing.T) {
 	kinds := map[FaultKind]int{}
 	for seed := range uint64(20) {
@@ -19,7 +19,7 @@
 		for _, fault := range list {
 			kinds[fault.Kind]++
 			if fault.Node == fault.Other || fault.At > p.Length {
-				t.Errorf("seed %d: %s", seed, fault)
+				t.Errorf("seed %d: fault %s, want two different nodes and a time within the soak", seed, fault)
 			}
 		}
 	}
--- a/internal/faulttest/soak_users.go
+++ b/internal/faulttest/soak_users.go
@@ -24,8 +24,9 @@
 	// submits.
 	firstUnknownJob = 800_000
 	unknownJobCount = 100_000
-	// The streams separate the random numbers of users from others of the same seed.
-	// jobNumbersPerUser is how many job numbers each user has.
+	// unknownJobsSeedStream, and the streams from firstUserSeedStream on, separate the random
+	// numbers of users from others of the same seed. jobNumbersPerUser is how many job numbers
+	// each user has.
 	unknownJobsSeedStream = 99
 	firstUserSeedStream   = 100
 	jobNumbersPerUser     = 1000
@@ -41,9 +42,9 @@
 	answers    int
 	violations []string
 	// unknownJobRequests counts the requests of requestUnknownJobs, and refused those of them
-	// that got no proper answer.
+	// that got neither status 200 nor 404.
 	unknownJobRequests, refused int
-	longestUnanswered           time.Duration // about a job that was accepted
+	longestUnanswered           time.Duration // longest time that requests about an accepted job went unanswered
 }
 
 // soakJob is a job as seen by its user.
--- a/internal/faulttest/state_faults.go
+++ b/internal/faulttest/state_faults.go
@@ -14,7 +14,7 @@
 	// heldFraction of the requests of a controller that is cut off are executed after the cut.
 	// The others are lost.
 	heldFraction = 0.3
-	// lateFraction of a controller's transactions are executed late during that fault.
+	// lateFraction of a controller's transactions are executed late during FaultLateWrites.
 	lateFraction = 0.3
 	// A late transaction is executed minLateDelay to minLateDelay+lateDelaySpread after it
 	// arrived. Its connection is closed after lateConnectionTimeout.
--- a/internal/faulttest/task_runs.go
+++ b/internal/faulttest/task_runs.go
@@ -62,8 +62,8 @@
 	return runs
 }
 
-// CheckTaskRuns describes tasks that ran for longer than cancel after their job was reported as
-// cancelled, and tasks that started on one machine while they ran on another. The runs are in
+// CheckTaskRuns describes tasks that ran for longer than cancelWithin after their job was reported
+// as cancelled, and tasks that started on one machine while they ran on another. The runs are in
 // order of task and start; cancelledAt is keyed by job ID.
 func CheckTaskRuns(runs []TaskRun, cancelledAt map[string]time.Time, cancelWithin time.Duration) (violations []string) {
 	for i, run := range runs {
--- a/internal/simulation/check_service.go
+++ b/internal/simulation/check_service.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// maxLargestStart is the time within which the largest jobs must start, counted from when
-	// their dependencies are done.
+	// maxLargestStart is the time within which the largest jobs must start, counted from when they
+	// are accepted and their dependencies are done.
 	maxLargestStart = 4 * micros.Minute
 	// maxWaitDespiteCapacity is how long, once faults are over, a job may wait although there is
 	// free capacity for it.
@@ -52,7 +52,8 @@
 type completionCount struct{ all, inTime int }
 
 // checkCompletedInTime checks that at least half of the jobs of each class, of each team and of
-// each class's largest jobs were done in time.
+// each class's largest jobs were done in time. It leaves out jobs that are not accepted, that may
+// be cancelled or whose dependencies are not done.
 func (s *Simulation) checkCompletedInTime() {
 	limit := s.plan.maxCompletionTime(s.cfg.CancelWithin)
 	groups := map[string]*completionCount{}
@@ -89,7 +90,8 @@
 }
 
 // maxCompletionTime returns the time within which a job must be done, counted from the end of
-// ActiveTime or of the job's dependencies. cancel is the time that a cancellation may take.
+// ActiveTime or from when the job's dependencies are done, whichever is later. cancelWithin is the
+// time that a cancellation may take.
 func (p Plan) maxCompletionTime(cancelWithin micros.Micros) micros.Micros {
 	limit := micros.Minute
 	if p.FleetFaults {
@@ -119,7 +121,8 @@
 	}
 }
 
-// checkWaiting checks that the job does not wait for longer than maxWaitDespiteCapacity.
+// checkWaiting checks that the job does not wait for longer than maxWaitDespiteCapacity while one of
+// its tasks could be placed.
 func (u *user) checkWaiting() {
 	s := u.sim
 	if at, ok := u.dependenciesDoneAt(); !ok || s.now < at+propagationMargin {
--- a/internal/simulation/concurrent_faults.go
+++ b/internal/simulation/concurrent_faults.go
@@ -31,7 +31,7 @@
 
 	repeatUntil      micros.Micros // until then users repeat requests within milliseconds
 	cancelAtEndUntil micros.Micros // until then users cancel jobs as the last task ends
-	fastBootUntil    micros.Micros // until then rented machines are up within two seconds
+	fastBootUntil    micros.Micros // machines that are rented until then are up within two seconds
 }
 
 // unansweredWrites describes the fault that transactions are executed but get no answer.
@@ -101,7 +101,7 @@
 	}
 }
 
-// makeUnreachable loses everything that is sent to a fraction of the machines for the duration d.
+// makeUnreachable drops everything that is sent to a fraction of the machines for the duration d.
 func (s *Simulation) makeUnreachable(fraction float64, d micros.Micros) {
 	for _, w := range s.drawMachines(fraction) {
 		w.unreachableUntil = s.now + d
@@ -152,8 +152,8 @@
 }
 
 // oldHeartbeatsAtFailover replays old heartbeats to every controller just as a new leader takes its
-// lock. Duplicates of heartbeats also arrive after the new leader has acted, and after newer
-// heartbeats.
+// lock. In plans with Faults, duplicates of heartbeats also arrive after the new leader has acted,
+// and after newer heartbeats.
 func (s *Simulation) oldHeartbeatsAtFailover() {
 	s.concurrentFaults.keepUntil = s.now + 20*sec
 	s.duplicateBurstUntil = s.now + 30*sec
@@ -168,8 +168,8 @@
 	}
 }
 
-// allAwayForLongerThanLease crashes all controllers for longer than a worker's lease, just after
-// jobs are cancelled.
+// allAwayForLongerThanLease crashes all controllers for longer than a worker's lease, just as users
+// cancel jobs.
 func (s *Simulation) allAwayForLongerThanLease() {
 	s.cancelRunning(3, 0)
 	for _, n := range s.nodes {
@@ -177,7 +177,7 @@
 	}
 }
 
-// heartbeatsLostAtFailover loses the heartbeats of workers, while commands still reach the workers.
+// heartbeatsLostAtFailover drops the heartbeats of some workers, while commands still reach the workers.
 // The leader crashes meanwhile.
 func (s *Simulation) heartbeatsLostAtFailover() {
 	lease := s.cfg.WorkerLease
@@ -231,16 +231,16 @@
 	}
 }
 
-// machinesUnreachableAtFailover crashes the leader while machines can't be reached, or before they
-// get a reply of the new leader.
+// machinesUnreachableAtFailover crashes the leader while machines can't be reached, so that
+// they may get no reply from the new leader either.
 func (s *Simulation) machinesUnreachableAtFailover() {
 	lease := s.cfg.WorkerLease
 	s.makeUnreachable(0.4, s.between(lease/2, lease+5*sec))
 	s.after(s.between(0, 4*sec), func() { s.crashOwner(5 * sec) })
 }
 
-// leaderCutFromStateAndPeers cuts the leader off from everything but its workers and users. Jobs
-// are cancelled through other controllers meanwhile.
+// leaderCutFromStateAndPeers cuts the leader off from the state service and the other controllers.
+// It still reaches its workers and users. Jobs are cancelled meanwhile, also through the others.
 func (s *Simulation) leaderCutFromStateAndPeers() {
 	lease := s.cfg.WorkerLease
 	n := s.owner()
@@ -250,8 +250,8 @@
 	}
 }
 
-// cancelOnHangingMachines cancels jobs whose machines hang, while teams are at their limits and the
-// leader crashes.
+// cancelOnHangingMachines cancels jobs whose machines hang, and crashes the leader meanwhile. Until
+// the leases of these machines expire, the tasks on them count towards the limits of their teams.
 func (s *Simulation) cancelOnHangingMachines() {
 	lease := s.cfg.WorkerLease
 	s.cancelRunning(6, s.between(lease/2, lease+4*sec))
--- a/internal/simulation/concurrent_faults_test.go
+++ b/internal/simulation/concurrent_faults_test.go
@@ -34,7 +34,7 @@
 			sum += tc.count(counts)
 		}
 		if sum == 0 {
-			t.Errorf("no %s in eight runs", tc.name)
+			t.Errorf("no %s in eight runs, want at least one", tc.name)
 		}
 	}
 }
--- a/internal/simulation/dags.go
+++ b/internal/simulation/dags.go
@@ -129,8 +129,7 @@
 	return u.cachedAncestors
 }
 
-// mayBeCancelled reports whether the user has asked to cancel the job, or the user of an ancestor
-// has asked to cancel that one.
+// mayBeCancelled reports whether a user has asked to cancel the job or one of its ancestors.
 func (u *user) mayBeCancelled() bool {
 	return u.cancelRequested || slices.ContainsFunc(u.ancestors(), func(a *user) bool { return a.cancelRequested })
 }
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// injectFault injects a random fault at a random controller or machine.
+// injectFault injects a random fault of controllers, machines, messages or services.
 func (s *Simulation) injectFault() {
 	n := s.drawNode()
 	mode := cutHold
@@ -140,7 +140,7 @@
 		s.cut(append(append(n.workerLinks(), n.peerLinks()...), n.stateLink(), n.cloudLink()), mode, d)
 	case faultCutFromPeers:
 		s.cut(n.peerLinks(), mode, d)
-	case faultLateCommands: // messages to workers are held back, the controller crashes, and they arrive after those of its successor
+	case faultLateCommands: // messages to workers arrive after the controller has crashed, and after those of its successor
 		s.cut(n.workerLinks(), cutHold, s.between(4*sec, 14*sec))
 		s.after(s.between(100*ms, 3*sec), func() { n.crash(s.between(4*sec, 20*sec)) })
 	case faultLongCutFromState: // the controller loses its locks, returns with a stale view and soon owns shards again
@@ -188,7 +188,7 @@
 // duplicated.
 func (s *Simulation) injectMessageFault(kind faultKind, d micros.Micros) {
 	switch kind {
-	case faultUnreachableMachines: // heartbeats of the machines arrive, but replies and commands do not reach the machines
+	case faultUnreachableMachines: // heartbeats arrive, but replies and commands do not reach the machines
 		for range min(len(s.machineNames), 1+s.rng.IntN(4)) {
 			s.drawWorker().unreachableUntil = s.now + s.between(4*sec, 30*sec)
 			s.Unreachable++
--- a/internal/simulation/large_fleet_test.go
+++ b/internal/simulation/large_fleet_test.go
@@ -18,10 +18,10 @@
 			up = s.UpWithSingle // with other seeds idle machines may have been returned by then
 		}
 		if s.CommandedBySingle < up*9/10 {
-			t.Errorf("the single remaining controller commands %d of %d machines", s.CommandedBySingle, up)
+			t.Errorf("the single remaining controller commands %d of %d machines, want at least nine tenths", s.CommandedBySingle, up)
 		}
 		if s.Started == 0 || s.Finished == 0 {
-			t.Errorf("no tasks ran to the end: %d started, %d finished", s.Started, s.Finished)
+			t.Errorf("%d tasks started and %d finished, want at least one of each", s.Started, s.Finished)
 		}
 		t.Logf("%d machines: %d heartbeats, each visits %.1f items on average; %d rounds, each visits %.0f on average, %d at most; %d tasks finished",
 			machines, s.Heartbeats.steps, s.Heartbeats.mean(), s.Rounds.steps, s.Rounds.mean(), s.Rounds.maxVisited, s.Finished)
@@ -39,13 +39,13 @@
 	}
 	large := run(4000, 1)
 	if large.heartbeat > small.heartbeat+maxMoreVisited {
-		t.Errorf("with 4000 machines a heartbeat visits %.1f machines, jobs and attempts, with 1000 machines %.1f", large.heartbeat, small.heartbeat)
+		t.Errorf("with 4000 machines a heartbeat visits %.1f machines, jobs and attempts, with 1000 machines %.1f, want at most maxMoreVisited more", large.heartbeat, small.heartbeat)
 	}
 	if large.round > 1.5*small.round {
-		t.Errorf("with 4000 machines a round visits %.2f items per machine, with 1000 machines %.2f", large.round, small.round)
+		t.Errorf("with 4000 machines a round visits %.2f items per machine, with 1000 machines %.2f, want at most 1.5 times as many", large.round, small.round)
 	}
 	if large.mostRound > 2*small.mostRound+1 {
-		t.Errorf("with 4000 machines the costliest round visits %.1f items per machine, with 1000 machines %.1f", large.mostRound, small.mostRound)
+		t.Errorf("with 4000 machines the costliest round visits %.1f items per machine, with 1000 machines %.1f, want at most twice as many plus one", large.mostRound, small.mostRound)
 	}
 }
 
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -120,7 +120,7 @@
 }
 
 // process runs one step of the controller with an input, and executes the step's effects. took is
-// the duration of the step.
+// the duration of a step that the controller is told; a slow step has waited for that long already.
 func (n *node) process(in controller.Input, took micros.Micros) {
 	at := controller.Instant{Steady: n.steadyClock(), Wall: n.wallClock(), PreviousStepDuration: took}
 	effects := n.controller.Step(at, in)
--- a/internal/simulation/plan.go
+++ b/internal/simulation/plan.go
@@ -30,8 +30,8 @@
 	// addition to the requests of users about their own jobs.
 	StatusRequestRate float64
 
-	// StateRPS and WriteRPS limit the requests and the writes to the state service, per second.
-	// 0: a high limit.
+	// StateRPS and WriteRPS are the limits of the state service that the controllers' settings
+	// state, in requests and writes per second. 0: a high limit.
 	StateRPS, WriteRPS float64
 	// MaxFinalJobs is the number of final jobs that a controller keeps in memory. 0: the
 	// controller's default.
@@ -60,8 +60,8 @@
 	// all. Inputs queue up meanwhile.
 	SlowStep micros.Micros
 
-	// ActiveTime is the time during which jobs are submitted and faults injected. After it there
-	// are no more faults, and every job must end within RecoveryTime.
+	// ActiveTime is the time during which jobs are submitted and faults begin. After it only
+	// faults that have begun go on, and every job must end within RecoveryTime.
 	ActiveTime, RecoveryTime micros.Micros
 }
 
--- a/internal/simulation/rules_test.go
+++ b/internal/simulation/rules_test.go
@@ -8,7 +8,7 @@
 )
 
 // seeds returns the number of seeds in the environment variable GARNETHITCH_SEEDS, or n if that is
-// not set.
+// not a positive number.
 func seeds(n int) int {
 	if v, err := strconv.Atoi(os.Getenv("GARNETHITCH_SEEDS")); err == nil && v > 0 {
 		return v
@@ -58,10 +58,10 @@
 	reportViolations(t, s)
 	checkPlanTookEffect(t, s)
 	if s.ReturnedBusy > 0 {
-		t.Errorf("%d machines were returned while running tasks, although no fault explains it", s.ReturnedBusy)
+		t.Errorf("%d machines were returned while running tasks, although no fault explains it; want none", s.ReturnedBusy)
 	}
 	if s.Started == 0 || s.Finished == 0 {
-		t.Errorf("no tasks ran to the end: %d started, %d finished", s.Started, s.Finished)
+		t.Errorf("%d tasks started and %d finished, want at least one of each", s.Started, s.Finished)
 	}
 }
 
@@ -72,22 +72,22 @@
 	p := s.plan
 	passed := len(s.Violations) == 0
 	if p.FleetFaults && (s.ZoneCuts < 3 || p.Machines > 100 && (s.Died == 0 || s.Hung == 0)) {
-		t.Errorf("too few fleet faults: %d zones cut off, %d machines died, %d machines hung, %d controllers frozen", s.ZoneCuts, s.Died, s.Hung, s.Frozen)
+		t.Errorf("too few fleet faults: %d zones cut off, %d machines died, %d machines hung, %d controllers frozen; want at least 3 zones and, in a large fleet, dead and hung machines", s.ZoneCuts, s.Died, s.Hung, s.Frozen)
 	}
 	if p.SlowStep > 0 && s.LongestInputWait < 3*p.SlowStep {
-		t.Errorf("slow steps delayed no input enough: inputs waited for %v s at most", s.LongestInputWait.Seconds())
+		t.Errorf("slow steps delayed no input enough: inputs waited for %v s at most, want 3 times SlowStep or more", s.LongestInputWait.Seconds())
 	}
 	if p.StaleJobs && passed && (s.StaleEpisodes < 2 || s.Concurrent.Cancelled == 0) {
-		t.Errorf("too few stale views: %d episodes, %d jobs cancelled", s.StaleEpisodes, s.Concurrent.Cancelled)
+		t.Errorf("too few stale views: %d episodes, %d jobs cancelled, want at least 2 and 1", s.StaleEpisodes, s.Concurrent.Cancelled)
 	}
 	if p.StatusRequestRate > 0 && passed && (s.StatusRequests < 1000 || s.RefusedRequests < 100) {
-		t.Errorf("too few status requests: %d sent, %d refused", s.StatusRequests, s.RefusedRequests)
+		t.Errorf("too few status requests: %d rounds, %d refused, want at least 1000 and 100", s.StatusRequests, s.RefusedRequests)
 	}
 	if p.DAGs > 0 && !p.ConcurrentFaults && !p.Faults && s.DependentStarts == 0 {
 		t.Error("no task of a job with dependencies started")
 	}
 	if p.Groups != nil && !p.Rollback && (s.LimitsSet == 0 || s.GroupWrites < 10) {
-		t.Errorf("too few changes of limits: operators set %d, group records were written %d times", s.LimitsSet, s.GroupWrites)
+		t.Errorf("too few changes of limits: operators set %d, group records were written %d times, want at least 1 and 10", s.LimitsSet, s.GroupWrites)
 	}
 }
 
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -66,7 +66,7 @@
 	// jobs.
 	jobsRefusedUntil micros.Micros
 	// duplicateBurstUntil is the time until which burstDuplicateFraction of heartbeats are
-	// duplicated.
+	// duplicated, in plans with Faults.
 	duplicateBurstUntil micros.Micros
 	concurrentFaults    concurrentFaults
 }
@@ -125,7 +125,7 @@
 		StartWithin: map[string]micros.Micros{"rush": 3 * sec}, MaxFinalJobs: p.MaxFinalJobs,
 	}
 	if p.LongOutage {
-		cfg.Lease = 6 * sec // twice the margin of the time bounds, so that it can't hide a term that a bound omits
+		cfg.Lease = 6 * sec // twice the margin of the time bounds: the margin can't make up for a term that a bound omits
 	}
 	return cfg
 }
@@ -185,7 +185,7 @@
 }
 
 // Run processes events until the run ends or a rule is broken. A run ends when all jobs have
-// ended, or when RecoveryTime is over.
+// ended, at the earliest settleTime after ActiveTime, or when RecoveryTime is over.
 func (s *Simulation) Run() {
 	end := s.plan.ActiveTime + s.plan.RecoveryTime
 	for _, more := s.queue.Due(); more && s.now < end && len(s.Violations) == 0; _, more = s.queue.Due() {
@@ -225,8 +225,8 @@
 	return true
 }
 
-// violated records the violation of a rule. Most texts begin with the name of the rule and a
-// colon.
+// violated records the violation of a rule, with the current time. Most texts begin with the name
+// of the rule and a colon.
 func (s *Simulation) violated(format string, args ...any) {
 	s.Violations = append(s.Violations, fmt.Sprintf("%.3f s: ", s.now.Seconds())+fmt.Sprintf(format, args...))
 }
--- a/internal/simulation/status_requests.go
+++ b/internal/simulation/status_requests.go
@@ -13,8 +13,9 @@
 const (
 	// firstStatusRequest is when the status requests begin.
 	firstStatusRequest = 5 * sec
-	// unknownJobFraction is the fraction of the requests about jobs that no user submitted. Every
-	// controller has to read the state service for such a job, whichever shards it owns.
+	// unknownJobFraction is the fraction of the requests that are about jobs that no user
+	// submitted. Every controller has to read the state service for such a job, whichever shards
+	// it owns.
 	unknownJobFraction = 0.75
 )
 
--- a/internal/simulation/upgrade.go
+++ b/internal/simulation/upgrade.go
@@ -21,8 +21,8 @@
 // upgradeInterval is the time between the upgrades of two controllers.
 const upgradeInterval = 7 * sec
 
-// upgradeStart returns when the first controller is upgraded. With a cascade it is a few seconds
-// after cascadeAcceptedBy, so that the upgrade overlaps the cancellation if all jobs are accepted
+// upgradeStart returns when the first controller is upgraded. With a cascade this is a few seconds
+// after cascadeSubmittedBy, so that the upgrade overlaps the cancellation if all jobs are accepted
 // by then.
 func (s *Simulation) upgradeStart() micros.Micros {
 	if s.plan.Cascade != nil {
@@ -39,7 +39,7 @@
 
 // scheduleUpgrade schedules the upgrades of the controllers one by one in random order, and the
 // lowering of the state service's limits. With some seeds the first two controllers are upgraded at
-// once.
+// once. With Plan.Rollback the controllers return to the older release later, in the same order.
 func (s *Simulation) scheduleUpgrade() {
 	order := s.rng.Perm(len(s.nodes))
 	for _, n := range s.nodes {
@@ -78,7 +78,7 @@
 func (n *node) config() controller.Config { return n.sim.settingsFor(n.release) }
 
 // settingsFor returns the settings of a controller of the given release. ReleaseWithoutDependencies
-// does not know the lowered limits, and older releases do not know groups.
+// does not know the lowered limits, and only the current release knows groups.
 func (s *Simulation) settingsFor(release Release) controller.Config {
 	cfg := s.cfg
 	limitsLowered := s.plan.UpgradeFrom != ReleaseCurrent || s.plan.Cascade != nil
