--- a/internal/faulttest/cluster.go
+++ b/internal/faulttest/cluster.go
@@ -75,7 +75,7 @@
 	Times ClusterTimes
 }
 
-// ClusterTimes are the intervals, leases and timeouts of a cluster; zero values select defaults.
+// ClusterTimes are the intervals, leases and time bounds of a cluster; zero values select defaults.
 type ClusterTimes struct {
 	HeartbeatInterval, WorkerLease, CancelWithin, ControllerLease time.Duration
 	// MinTaskDuration and MaxTaskDuration bound how long a task runs.
--- a/internal/simulation/concurrent_faults.go
+++ b/internal/simulation/concurrent_faults.go
@@ -177,8 +177,8 @@
 	}
 }
 
-// heartbeatsLostAtFailover drops the heartbeats of some workers, while commands still reach the workers.
-// The leader crashes meanwhile.
+// heartbeatsLostAtFailover drops the heartbeats of some workers, while commands still reach these
+// workers. The leader crashes meanwhile.
 func (s *Simulation) heartbeatsLostAtFailover() {
 	lease := s.cfg.WorkerLease
 	s.cutHeartbeats(0.5, s.between(lease/2, 2*lease))
