--- a/internal/simulation/counts.go
+++ b/internal/simulation/counts.go
@@ -36,8 +36,8 @@
 	// LimitsSet counts the limits of groups that operators set or cleared, GroupWrites the writes
 	// of group records.
 	LimitsSet, GroupWrites int
-	// Heartbeats is the cost of the steps that handle a heartbeat, Rounds the cost of the steps in
-	// which a controller visits whole shards.
+	// Heartbeats is the cost of the steps that handle a heartbeat, Rounds the cost of the steps that
+	// run a scheduling round over whole shards or walk over all machines and jobs.
 	Heartbeats, Rounds workSum
 	// CommandedBySingle is the number of machines that the single remaining controller commanded,
 	// UpWithSingle the number of machines that were up at that time.
