--- a/internal/faulttest/cluster.go
+++ b/internal/faulttest/cluster.go
@@ -75,9 +75,9 @@
 	Times ClusterTimes
 }
 
-// ClusterTimes are the intervals, leases and timeouts of a cluster; zero values select defaults.
+// ClusterTimes are the intervals, leases and time bounds of a cluster; zero values select defaults.
 type ClusterTimes struct {
-	HeartbeatInterval, WorkerLease, CancelTimeout, ControllerLease time.Duration
+	HeartbeatInterval, WorkerLease, CancelWithin, ControllerLease time.Duration
 	// MinTaskDuration and MaxTaskDuration bound how long a task runs.
 	MinTaskDuration, MaxTaskDuration time.Duration
 }
@@ -87,7 +87,7 @@
 	return ClusterTimes{
 		HeartbeatInterval: cmp.Or(t.HeartbeatInterval, 400*time.Millisecond),
 		WorkerLease:       cmp.Or(t.WorkerLease, 3*time.Second),
-		CancelTimeout:     cmp.Or(t.CancelTimeout, 10*time.Second),
+		CancelWithin:      cmp.Or(t.CancelWithin, 10*time.Second),
 		ControllerLease:   cmp.Or(t.ControllerLease, time.Second),
 		MinTaskDuration:   cmp.Or(t.MinTaskDuration, 40*time.Millisecond),
 		MaxTaskDuration:   cmp.Or(t.MaxTaskDuration, 120*time.Millisecond),
@@ -271,7 +271,8 @@
 }
 
 // Submit submits a job with the given number of tasks of one CPU each. It tries random controllers
-// until one accepts the job.
+// until one accepts the job, and returns an error if none does after many attempts or the cluster
+// stops.
 func (c *Cluster) Submit(tasks int) error {
 	const (
 		attempts = 600
