--- a/quota/announce_test.go
+++ b/quota/announce_test.go
@@ -79,9 +79,9 @@
 }
 
 // TestRenamedGroup guards against a renamed group that keeps its old limit, or whose new limit
-// counts as in force too early. A rename removes one group and adds another. The limit of the
-// new group is in force only once every shard has registered its use and that is within the
-// limit. The old name binds no team any more.
+// is reported as in force too early. A rename removes one group and adds another. The limit of
+// the new group is in force only once every shard has registered its use and the sum of the
+// allowances is within the limit. The old group no longer binds any team.
 func TestRenamedGroup(t *testing.T) {
 	l := NewLedger(Config{Shards: 1, Timing: DefaultTiming()})
 	d := synchronousLedger{ledger: l, store: map[string]storedRecord{}}
@@ -100,13 +100,13 @@
 	}
 	d.reportUsage(4)
 	if st := l.Status(); len(st) != 2 || st[0].State != StateAnnounced || st[0].LastInForce != nil || st[1].State != StateRemoved {
-		t.Errorf("while more than the limit is used: status %+v", st)
+		t.Errorf("while more than the limit is used: status %+v, want the new group announced and never in force, and the old one removed", st)
 	}
 	if got := l.Allowed(0, "new"); got.CPUs > 3 {
-		t.Errorf("more than the limit is allowed: %v", got)
+		t.Errorf("the new group allows %v, want at most 3 CPUs", got)
 	}
 	d.reportUsage(2)
 	if st := l.Status(); st[0].State != StateInForce {
-		t.Errorf("once less than the limit is used: status %+v", st[0])
+		t.Errorf("once less than the limit is used: status %+v, want it in force", st[0])
 	}
 }
--- a/quota/claims.go
+++ b/quota/claims.go
@@ -25,8 +25,8 @@
 type WaitingTasks struct {
 	Size  Amount
 	Count int
-	// SinceMS is when the tasks began to wait with none of them started: a time of day in
-	// milliseconds since 1970.
+	// SinceMS is since when the tasks have waited without any of them being started: a time of
+	// day in milliseconds since 1970.
 	SinceMS int64
 }
 
@@ -58,9 +58,9 @@
 }
 
 // Claims returns what a shard uses and wants of each group, for a UsageReport. exact is set
-// if TeamDemand.Used is exact. Claims wants quota of an outer group only for tasks for which
-// the shard has quota of the inner groups. Otherwise one owner could hold quota of the inner
-// group and another quota of the outer group, each waiting for the other forever.
+// if TeamDemand.Used is exact. The claim on an outer group includes only those waiting tasks
+// for which the shard has quota of the inner groups. Otherwise one owner could hold quota of
+// the inner group and another quota of the outer group, each waiting for the other forever.
 func (l *Ledger) Claims(shard int, exact bool, teams []TeamDemand) map[string]Usage {
 	b := claimBuilder{
 		ledger:    l,
@@ -137,8 +137,8 @@
 	}
 }
 
-// smallerTask returns the smaller of two task sizes, compared by CPUs, then by GPUs. A zero a
-// stands for no size, and b is returned.
+// smallerTask returns the smaller of two task sizes, compared by CPUs, then by GPUs. If a is
+// zero, there is only one size, and smallerTask returns b.
 func smallerTask(a, b Amount) Amount {
 	if a.IsZero() || b.CPUs < a.CPUs || b.CPUs == a.CPUs && b.GPUs < a.GPUs {
 		return b
--- a/quota/divide.go
+++ b/quota/divide.go
@@ -18,8 +18,8 @@
 	// SmallestTask is the size of the smallest waiting task. The shard cannot use a smaller
 	// increase of its allowance.
 	SmallestTask Amount `cbor:"p"`
-	// WaitingSinceMS is when tasks began to wait with none started: the time of day at the
-	// shard's owner, in milliseconds since 1970. It is 0 if no task waits.
+	// WaitingSinceMS is the earliest WaitingTasks.SinceMS of the waiting tasks: a time of day
+	// by the clock of the shard's owner, in milliseconds since 1970. It is 0 if no task waits.
 	WaitingSinceMS int64 `cbor:"t,omitempty"`
 }
 
@@ -32,11 +32,12 @@
 	return c
 }
 
-// Divide returns the fair share of each claim in a limit. Guaranteed claims come first. The
-// rest of the limit is divided evenly among the claims that want more (max-min fairness), in
-// whole tasks of their smallest size. If claims would neither run a task nor get a share for
-// one, the one of them that has waited longest gets its smallest task ahead of everything
-// that is not guaranteed.
+// Divide returns the fair share of each claim in a limit. It divides each resource separately.
+// Guaranteed claims come first. The rest of the limit is divided evenly among the claims that
+// want more (max-min fairness), in whole tasks of their smallest size. Some claims may neither
+// run a task nor get a share for one. Of these, the claim that has waited longest gets its
+// smallest task ahead of everything that is not guaranteed, if the guaranteed claims of the
+// others leave room for the task.
 func Divide(limit Amount, claims []Claim) []Amount {
 	cpus := divideResource(limit.CPUs, claims, func(a Amount) float64 { return a.CPUs })
 	gpus := divideResource(limit.GPUs, claims, func(a Amount) float64 { return a.GPUs })
--- a/quota/harness_test.go
+++ b/quota/harness_test.go
@@ -11,7 +11,8 @@
 	outerGroup = "outer"
 )
 
-// harness is a ledger that owns shard 0 of two shards, and records the effects of its steps.
+// harness is a ledger that owns shard 0 of two shards, and records its writes and its answers
+// to operators' requests.
 type harness struct {
 	ledger *Ledger
 	now    Instant
--- a/quota/ledger.go
+++ b/quota/ledger.go
@@ -21,10 +21,12 @@
 
 // Timing holds the intervals of a Ledger. That a limit is kept does not depend on them.
 type Timing struct {
-	// WriteInterval is the minimum time between two writes of one group's record.
+	// WriteInterval is the minimum time from the outcome of a write of a group's record to
+	// this controller's next write of that record. After a write that was refused or not
+	// sent, the minimum is a quarter of WriteInterval.
 	WriteInterval Micros
-	// PublishInterval is the minimum time between two writes of a row that change only its
-	// claim.
+	// PublishInterval is the minimum time from a write of a row to a write that changes only
+	// the claim of that row.
 	PublishInterval Micros
 	// UnusedTimeout is how long part of an allowance may be unused before it is given up.
 	UnusedTimeout Micros
@@ -94,8 +96,9 @@
 	writeInFlight bool // a write has been sent and has no outcome yet
 	nextWriteAt   Micros
 	// inDoubt holds the writes that may have been carried out, or may still be: those in
-	// flight and those of unknown outcome. A write is no longer in doubt once a record is
-	// known that is newer than the one that the write was conditional on.
+	// flight and those of unknown outcome. A write is no longer in doubt once it has another
+	// outcome, or once a record is known that is newer than the one that the write was
+	// conditional on.
 	inDoubt     []sentWrite
 	setRequests []*setRequest // in the order of arrival
 
@@ -105,7 +108,7 @@
 	reclaimedAt   Micros         // when a Reclaim was last emitted
 	allowed       map[int]Amount // what each owned shard may use now
 	unusedSince   map[int]Micros // when part of a shard's allowance became unused
-	publishedAt   map[int]Micros // when a shard's row was last written
+	publishedAt   map[int]Micros // when a write of a shard's row was last sent
 }
 
 // NewLedger returns a ledger that knows no group and owns no shard.
--- a/quota/messages.go
+++ b/quota/messages.go
@@ -113,7 +113,7 @@
 		Limit    Limit
 		Source   Source
 	}
-	// SetDone answers a Set.
+	// SetDone answers a SetLimit.
 	SetDone struct {
 		Token  uint64
 		Status SetStatus
--- a/quota/plan.go
+++ b/quota/plan.go
@@ -20,13 +20,13 @@
 	return a
 }
 
-// waitingTime tells whether a claim waits, and since when.
+// waitingTime tells whether guaranteed claims of a group wait for quota, and since when.
 type waitingTime struct {
 	waits bool
 	since Micros
 }
 
-// longerThan reports whether the claim has waited for at least d.
+// longerThan reports whether guaranteed claims have waited for at least d.
 func (w waitingTime) longerThan(d, now Micros) bool { return w.waits && now >= w.since+d }
 
 // plan updates what this controller's shards may use of a group, and sends a write of the
@@ -89,8 +89,8 @@
 	return usage, known
 }
 
-// computeFairShares computes the fair share of each row, the shortage, and whether a
-// guaranteed claim waits.
+// computeFairShares computes the fair share of each row, the shortage, and since when
+// guaranteed claims wait, which they do while they lack more together than is free.
 func (l *Ledger) computeFairShares(g *groupState) {
 	limit := g.record.Limit.Amount()
 	claims := l.currentClaims(g)
@@ -213,7 +213,7 @@
 
 // reclaim asks for tasks of a shard to be stopped if a guaranteed claim has waited for
 // Timing.ReclaimDelay and the shard uses more of a short resource than both its fair share
-// and what is guaranteed to it.
+// and what is guaranteed to it. It asks at most once per group in each Timing.ReclaimDelay.
 func (l *Ledger) reclaim(g *groupState, shard int, usage Usage) {
 	i := g.record.RowIndex(shard)
 	delay := l.cfg.Timing.ReclaimDelay
--- a/quota/plan_test.go
+++ b/quota/plan_test.go
@@ -14,7 +14,7 @@
 	h.reportUsage(2, 8)
 	h.requireWrites(t, "once the epoch is seen", 1)
 	if own := h.writes[0].Record.Rows[0]; own.Allowance.CPUs != 5 || own.SeenEpoch != 2 {
-		t.Fatalf("once the epoch is seen: %+v, want an allowance of 5", own)
+		t.Fatalf("once the epoch is seen: %+v, want an allowance of 5 and seen epoch 2", own)
 	}
 	h.step(WriteResult{ID: h.writes[0].ID, Outcome: Applied, ModRevision: 11})
 	for range 6 {
--- a/quota/publish.go
+++ b/quota/publish.go
@@ -1,12 +1,14 @@
 package quota
 
-// claimSteps is the number of steps into which a group's CPU limit is divided. A claim that
-// changes by no more than one step is not written again.
+// claimSteps is the number of steps into which a group's CPU limit is divided. While a shard
+// lacks quota, a change by at most one step in the CPUs that its claim wants or has guaranteed
+// does not cause a write.
 const claimSteps = 20
 
 // worthWriting reports whether a row has changed enough for a write: its allowance or the
 // epoch that its owner has seen has changed, or the claim has changed in a way that affects
-// how the limit is divided. The last counts only once Timing.PublishInterval has passed.
+// how the limit is divided. A changed claim alone causes a write only once
+// Timing.PublishInterval has passed since a write of the row was last sent.
 func (l *Ledger) worthWriting(g *groupState, before, after Row) bool {
 	if !after.Allowance.Equal(before.Allowance) || after.SeenEpoch != before.SeenEpoch {
 		return true
--- a/quota/record.go
+++ b/quota/record.go
@@ -53,8 +53,9 @@
 	Definition `cbor:"d"`
 	// Epoch increases with every change of the limit or the definition.
 	Epoch uint64 `cbor:"e"`
-	// LastInForce is the limit that was last in force. It is nil if none has been yet, or if a
-	// shard has used more than its allowance, which an owner of a release without groups may do.
+	// LastInForce is the limit that was last in force. It is nil if none has been in force since
+	// the rows were dropped, since a shard registered a use that exceeds the free quota, or since
+	// a shard used more than its allowance, as an owner of a release without groups may let it.
 	LastInForce *Limit `cbor:"f,omitempty"`
 	// Override is a limit that an operator has set. It takes precedence over the options until
 	// it is cleared. It is nil if there is none.
--- a/quota/schedule_test.go
+++ b/quota/schedule_test.go
@@ -30,7 +30,7 @@
 		{"past midnight", sundayNight, "2027-01-04T04:59:00Z", true},
 		{"past midnight, after the end", sundayNight, "2027-01-04T05:00:00Z", false},
 		{"all day", daily("00:00", "00:00"), "2027-06-01T12:00:00Z", true},
-		// 02:30 is skipped. It counts as 03:30 summer time, which is 07:30 UTC.
+		// 02:30 is skipped. It is read as 03:30 summer time, which is 07:30 UTC.
 		{"begins in the skipped hour, before", daily("02:30", "06:00"), "2027-03-14T07:29:00Z", false},
 		{"begins in the skipped hour", daily("02:30", "06:00"), "2027-03-14T07:30:00Z", true},
 		{"ends in the skipped hour", daily("00:30", "02:30"), "2027-03-14T07:29:00Z", true},
--- a/quota/set.go
+++ b/quota/set.go
@@ -11,11 +11,11 @@
 }
 
 const (
-	// maxSetAttempts is how often the limit of a SetLimit is written while writes of allowances
-	// come first.
+	// maxSetAttempts is the maximum number of writes for one SetLimit. A write is refused if
+	// another controller changes allowances in the record first.
 	maxSetAttempts = 20
-	// setTimeout is how long a SetLimit may wait. It is shorter than the timeout of the operator
-	// who sent it, so that a request is never carried out after a later one.
+	// setTimeout is how long a SetLimit may wait. It is shorter than the timeout of the operator's
+	// request, so that a request is never carried out after a later one.
 	setTimeout = 4 * micros.Second
 )
 
--- a/quota/set_test.go
+++ b/quota/set_test.go
@@ -11,8 +11,8 @@
 	other := CPULimit(7)
 	for _, tc := range []struct {
 		name string
-		// override and epoch are those of the record that is read after the write was not
-		// answered. With epoch 1 no record is read.
+		// override and epoch are those of the record that the ledger learns before the write
+		// gets its outcome. With epoch 1 it learns none.
 		override *Limit
 		epoch    uint64
 		later    Micros
--- a/quota/simulated_controller_test.go
+++ b/quota/simulated_controller_test.go
@@ -15,7 +15,7 @@
 	watchStalledUntil Micros
 	leaseUntil        Micros // when its right to grant ends
 	nextUsageReportAt Micros
-	clockDriftPPM     int64 // how fast its steady clock runs
+	clockDriftPPM     int64 // by how much its steady clock runs fast, in parts per million
 }
 
 // usageReportInterval is the time between two usage reports to a ledger. Grants continue
@@ -37,8 +37,8 @@
 	}
 }
 
-// stop ends the process and starts another after restartAfter. If that takes longer than the
-// lease, other controllers acquire its shards once the lease has expired.
+// stop ends the process and starts another after restartAfter. Its shards can be acquired again
+// once its lease has expired or the new process has started, whichever comes first.
 func (c *simulatedController) stop(restartAfter Micros) {
 	c.incarnation++
 	c.ledger = nil
@@ -71,7 +71,8 @@
 	}
 }
 
-// dropShard tells the ledger that the controller no longer owns a shard.
+// dropShard removes a shard from those that the controller believes it owns, and tells the
+// ledger.
 func (c *simulatedController) dropShard(shard int) {
 	delete(c.shards, shard)
 	c.step(ShardReleased{Shard: shard})
@@ -96,8 +97,9 @@
 	c.step(Learned{Group: group, Record: stored.record.clone(), ModRevision: stored.modRevision})
 }
 
-// act grants waiting tasks that fit, reports usage, and announces the options if the controller
-// is the leader. Without a valid lease it neither grants nor announces.
+// act drops shards that another controller has acquired, grants waiting tasks that fit, reports
+// usage at intervals, and announces the options if the controller is the leader. Without a valid
+// lease it neither grants nor announces.
 func (c *simulatedController) act() {
 	w := c.world
 	if c.ledger == nil {
--- a/quota/simulated_faults_test.go
+++ b/quota/simulated_faults_test.go
@@ -2,8 +2,9 @@
 
 import "slices"
 
-// startFaults injects faults at random times between from and to. At allEndAt it ends all faults
-// and restores the options.
+// startFaults injects faults at random times between from and to. At allEndAt it connects all
+// controllers to the store, ends stalls of watches and faults of the store, and restores the
+// options. Ended processes restart, and differing options of a controller end, at their own times.
 func (w *world) startFaults(from, to, allEndAt Micros) {
 	definitions := w.definitions
 	for at := from; at < to; at += w.randomDuration(500*ms, 4*sec) {
--- a/quota/simulated_store_test.go
+++ b/quota/simulated_store_test.go
@@ -5,7 +5,8 @@
 const writeTimeout = sec
 
 // fencedWrite is a write together with the ownership and leadership of its sender when it was
-// sent. The store refuses the write if these have changed.
+// sent. The store refuses the write if the owner key of one of its shards has changed since, or
+// if Write.Leader is set and the sender did not lead then or does not lead now.
 type fencedWrite struct {
 	Write
 	sender *simulatedController
@@ -13,7 +14,8 @@
 	leads  bool
 }
 
-// write sends a write to the store. It may be carried out late, and its response may be lost.
+// write sends a write to the store. The write may be lost or carried out late, and its response
+// may be lost.
 func (c *simulatedController) write(e Write) {
 	w := c.world
 	sent := fencedWrite{Write: e, sender: c, owned: map[int]uint64{}, leads: w.leader == c.id}
--- a/quota/simulated_tasks_test.go
+++ b/quota/simulated_tasks_test.go
@@ -9,10 +9,10 @@
 	size      float64
 	running   bool
 	since     Micros // when it began to run or to wait
-	fitsSince Micros // since when free quota has had room for it; 0: there is no room
+	fitsSince Micros // since when free quota has had room for it; 0 if there is no room
 }
 
-// inGroup reports whether a task counts in a group.
+// inGroup reports whether a task counts in a group: its innermost group or one around that.
 func (w *world) inGroup(t *simulatedTask, group string) bool {
 	return slices.Contains(w.enclosingGroups(t.group), group)
 }
@@ -20,7 +20,7 @@
 // allShards makes usedCPUs add up all shards.
 const allShards = -1
 
-// usedCPUs returns the CPUs that the tasks of a shard use in a group.
+// usedCPUs returns the CPUs that the running tasks of a shard use in a group.
 func (w *world) usedCPUs(shard int, group string) (sum float64) {
 	for _, t := range w.tasks {
 		if t.running && (shard == allShards || t.shard == shard) && w.inGroup(t, group) {
@@ -30,7 +30,8 @@
 	return sum
 }
 
-// addDemand adds waiting tasks to a shard until waitingPerShard of them wait.
+// addDemand adds waiting tasks to a shard until waitingPerShard of them wait. It adds none in the
+// last demandEndsBeforeEnd of the simulation.
 func (w *world) addDemand(shard int) {
 	waiting := 0
 	for _, t := range w.tasks {
@@ -73,10 +74,10 @@
 
 // stopTasks stops enough tasks for a Reclaim, each after a short delay.
 func (w *world) stopTasks(e Reclaim) {
-	over := e.Excess.CPUs
+	excess := e.Excess.CPUs
 	for _, t := range slices.Clone(w.tasks) {
-		if over > epsilon && t.running && t.shard == e.Shard && w.inGroup(t, e.Group) {
-			over -= t.size
+		if excess > epsilon && t.running && t.shard == e.Shard && w.inGroup(t, e.Group) {
+			excess -= t.size
 			w.after(w.randomDuration(10*ms, 300*ms), func() { w.finish(t) })
 		}
 	}
--- a/quota/simulated_world_test.go
+++ b/quota/simulated_world_test.go
@@ -17,8 +17,9 @@
 const leaseDuration = 3 * sec
 
 // world simulates several controllers that grant quota of groups whose records are in one
-// store. Messages are lost or delayed, processes end, and limits change. Its checks run after
-// every change, on the simulated tasks and the store alone: they do not rely on Ledger.
+// store. Messages are lost or delayed, processes end, and limits change. Its checks run at
+// every tick, write and start of a task. They use the simulated tasks and the store alone, so
+// that they do not rely on Ledger.
 type world struct {
 	plan   worldPlan
 	rng    *rand.Rand
@@ -123,7 +124,8 @@
 }
 
 // tick lets the controllers renew their leases, acquire shards without an owner, grant, and
-// report usage. It also picks a new leader if the present one has no valid lease.
+// report usage. It also ends the ownership of controllers whose lease has expired, and picks a
+// random leader if the present one does not run or has no valid lease.
 func (w *world) tick() {
 	w.after(w.randomDuration(40*ms, 60*ms), w.tick)
 	for _, c := range w.controllers {
--- a/quota/simulation_test.go
+++ b/quota/simulation_test.go
@@ -136,7 +136,7 @@
 				t.Errorf("a task waited %.1f s although free quota had room for it", w.longestWait.Seconds())
 			}
 			if float64(w.writes) > tc.mostWritesPerGrant*float64(w.grants) {
-				t.Errorf("%d writes for %d grants", w.writes, w.grants)
+				t.Errorf("%d writes for %d grants, more than the case permits", w.writes, w.grants)
 			}
 			w.requireNoneWaiting(t)
 			t.Logf("%d grants, %d writes, longest wait %.2f s", w.grants, w.writes, w.longestWait.Seconds())
@@ -146,8 +146,8 @@
 
 // TestLentGuaranteeIsReturned guards against a guarantee that is not honoured in time. While a
 // group has no tasks, other groups use its guarantee. Once its tasks come, it must have the
-// guarantee back within the stated time, also if the owners of the other shards get no watch
-// events, are cut off from the store or have ended.
+// guarantee back within the time that each case states, also if the watch of one owner that
+// uses the guarantee is stalled, or all such owners are cut off from the store or have ended.
 func TestLentGuaranteeIsReturned(t *testing.T) {
 	const (
 		tasksComeAt = 20 * sec
@@ -204,7 +204,7 @@
 			w.run()
 			w.requireNoViolation(t)
 			if lent < leastLent {
-				t.Errorf("%g CPUs were lent before the tasks came", lent)
+				t.Errorf("only %g CPUs were lent before the tasks came, too few for this test", lent)
 			}
 			if received < guarantee {
 				t.Errorf("lake uses %g CPUs %v s after its tasks came, its guarantee is %d", received, tc.within.Seconds(), guarantee)
--- a/quota/store.go
+++ b/quota/store.go
@@ -16,7 +16,8 @@
 
 // Sync applies one input and carries out the effects on a store, including those that follow
 // from the results. It returns the effects that are left to the caller: Reclaim, Changed and
-// SetDone. The error is that of a failed read. A failed write counts as outcome Unknown.
+// SetDone. The error is that of a failed read. A write that returns an error
+// has the outcome Unknown.
 func (l *Ledger) Sync(now Instant, in Input, store Store) ([]Effect, error) {
 	var rest []Effect
 	pending := l.Step(now, in)
--- a/quota/tree_test.go
+++ b/quota/tree_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestInvalidOptions checks that the error for an invalid option names the option's key, on one
-// line.
+// TestInvalidOptions checks that the error for an invalid option is one line that begins with the
+// option's key. A case without a key has valid options, which must be accepted.
 func TestInvalidOptions(t *testing.T) {
 	teams := []string{"rubavu", "karongi", "rusizi"}
 	monthly := ScheduleOptions{Rule: "FREQ=MONTHLY;BYMONTHDAY=1", From: "06:00", To: "12:00", Zone: "Africa/Kigali", Limit: CPULimit(5)}
@@ -168,7 +168,7 @@
 			}
 			text := err.Error()
 			if !strings.HasPrefix(text, tc.key+" = ") || strings.Contains(text, "\n") {
-				t.Errorf("%q, want one line that names %s", text, tc.key)
+				t.Errorf("%q, want one line that begins with \"%s = \"", text, tc.key)
 			}
 		})
 	}
--- a/quota/writes.go
+++ b/quota/writes.go
@@ -102,8 +102,9 @@
 	g.inDoubt = slices.DeleteFunc(g.inDoubt, func(w sentWrite) bool { return w.id == id })
 }
 
-// learn takes over a group's record, unless a newer one is known. A write that was conditional
-// on an older record has been carried out by now or never will be, so it leaves inDoubt.
+// learn replaces the known record of a group by a newer one, and ignores any other. A write
+// that was conditional on a record older than the new one has been carried out by now or never
+// will be, so learn removes it from inDoubt.
 func (l *Ledger) learn(name string, record Record, modRevision uint64) {
 	g := l.group(name)
 	if modRevision <= g.modRevision {
@@ -129,7 +130,7 @@
 		return
 	}
 	if w.modRevision != g.modRevision {
-		return // the record that the write replaced is no longer known
+		return // a newer record is known, and the one that the write replaced is not kept
 	}
 	for _, row := range w.record.Rows {
 		l.reportRowChange(g, &w.record, row)
