--- a/quota/announce_test.go
+++ b/quota/announce_test.go
@@ -100,7 +100,7 @@
 	}
 	d.reportUsage(4)
 	if st := l.Status(); len(st) != 2 || st[0].State != StateAnnounced || st[0].LastInForce != nil || st[1].State != StateRemoved {
-		t.Errorf("while more than the limit is used: status %+v, want the new group announced and never in force, and the old one removed", st)
+		t.Errorf("while more than the limit is used: status %+v, want the new group announced without a limit in force, and the old group removed", st)
 	}
 	if got := l.Allowed(0, "new"); got.CPUs > 3 {
 		t.Errorf("the new group allows %v, want at most 3 CPUs", got)
--- a/quota/doc.go
+++ b/quota/doc.go
@@ -15,8 +15,8 @@
 // Beside the allowance of its shard, each owner publishes a claim: what the shard uses and
 // wants, and how much of that is guaranteed. From the claims, Divide computes the fair
 // share of each shard in the limit, guaranteed claims first. Owners move their allowances
-// towards the fair shares. Claims only affect how a limit is divided. That a limit is kept
-// depends neither on claims nor on clocks.
+// towards the fair shares. Claims only affect how a limit is divided. Whether a limit is
+// kept depends neither on claims nor on clocks.
 //
 // Every change of a limit or of a definition begins a new epoch of the group. A limit is
 // announced once it is stored in the record. It is in force once every shard has a row in
--- a/quota/ledger.go
+++ b/quota/ledger.go
@@ -15,11 +15,12 @@
 	// Steady is the time by a monotonic clock.
 	Steady Micros
 	// WallMS is the time of day in milliseconds since 1970. It orders claims by age and is
-	// stored in records for people to read. That a limit is kept does not depend on it.
+	// stored in records for people to read. No limit depends on it to be kept.
 	WallMS int64
 }
 
-// Timing holds the intervals of a Ledger. That a limit is kept does not depend on them.
+// Timing holds the intervals of a Ledger. They affect how soon quota moves between shards, not
+// whether a limit is kept.
 type Timing struct {
 	// WriteInterval is the minimum time from the outcome of a write of a group's record to
 	// this controller's next write of that record. After a write that was refused or not
--- a/quota/messages.go
+++ b/quota/messages.go
@@ -23,7 +23,7 @@
 	// ShardReleased reports that this controller no longer owns a shard, for whatever reason.
 	ShardReleased struct{ Shard int }
 	// UsageReport reports what a shard uses and wants, by group. Ledger.Claims computes it. The
-	// ledger keeps the map.
+	// ledger keeps the map and changes it.
 	UsageReport struct {
 		Shard  int
 		Groups map[string]Usage
@@ -107,8 +107,8 @@
 	Changed struct {
 		Kind     ChangeKind
 		Group    string
-		Shard    int // of ClaimChanged, Grown and Shrunk
-		From, To Amount
+		Shard    int    // of ClaimChanged, Grown and Shrunk
+		From, To Amount // the shard's allowance before and after the change
 		Epoch    uint64
 		Limit    Limit
 		Source   Source
--- a/quota/simulation_checks_test.go
+++ b/quota/simulation_checks_test.go
@@ -11,8 +11,8 @@
 }
 
 // check checks that the use of each group is within the limit that was last in force, and the
-// use of each shard within its allowance. It skips removed groups, and groups of which no limit
-// has been in force.
+// use of each shard within its allowance. It skips removed groups, and groups whose record has
+// no LastInForce.
 func (w *world) check() {
 	for group, s := range w.store {
 		if s.record.LastInForce == nil || s.record.Removed {
--- a/quota/status.go
+++ b/quota/status.go
@@ -14,7 +14,8 @@
 	State       State  `json:"state" msgpack:"s"`
 	Guarantee   Amount `json:"guarantee" msgpack:"u"`
 	// Lent is the part of the guarantee that other groups have at present.
-	Lent     Amount        `json:"lent" msgpack:"b"`
+	Lent Amount `json:"lent" msgpack:"b"`
+	// Free is the part of the limit that is in no allowance, or zero for an unlimited resource.
 	Free     Amount        `json:"free" msgpack:"r"`
 	Blockers []Blocker     `json:"held_up_by,omitempty" msgpack:"h,omitempty"`
 	Shards   []ShardStatus `json:"shares" msgpack:"w,omitempty"`
