--- a/internal/controller/authority/job_status.go
+++ b/internal/controller/authority/job_status.go
@@ -46,9 +46,9 @@
 	JobEnded, JobOpen bool
 	// StartEpoch is the revision of the claim under which the task was started.
 	StartEpoch uint64
-	// FirstSeenAt is when the task was first seen on the machine.
-	FirstSeenAt micros.Micros
-	Now         micros.Micros
+	// SeenAt is when the task was first seen on the machine.
+	SeenAt micros.Micros
+	Now    micros.Micros
 }
 
 // JobStatusOf returns what a controller knows about the job of a task. The job may be missing from
@@ -66,7 +66,7 @@
 		// started a task of a job that was accepted after the view caught up with this node's
 		// claim, and every job of which this node has started a task was open in its memory.
 		return JobEnded
-	case view.CompleteAsOf > task.FirstSeenAt:
+	case view.CompleteAsOf > task.SeenAt:
 		return JobEnded // the job's record is older than the task, and the task is older than the view
 	case task.StartEpoch > view.Revision && task.Now < view.CompleteAsOf+bounds.StaleViewGrace:
 		// The owner that started the task knew of all jobs that had ended before its own claim. If
--- a/internal/controller/authority/job_status_test.go
+++ b/internal/controller/authority/job_status_test.go
@@ -19,15 +19,15 @@
 	}{
 		{"remembered as ended", TaskKnowledge{JobEnded: true, JobOpen: true}, stale, JobEnded},
 		{"known as open", TaskKnowledge{JobOpen: true}, current, JobOpen},
-		{"started under a claim that the view includes", TaskKnowledge{StartEpoch: 20, FirstSeenAt: now}, current, JobEnded},
-		{"started under a later claim, just seen", TaskKnowledge{StartEpoch: 21, FirstSeenAt: now}, current, JobStatusUnknown},
-		{"started under a later claim, older than the view", TaskKnowledge{StartEpoch: 21, FirstSeenAt: current.CompleteAsOf - 1}, current, JobEnded},
-		{"started under a claim later than the view's revision, within the grace", TaskKnowledge{StartEpoch: 31, FirstSeenAt: now}, current, JobOpen},
-		{"stale view, started before it", TaskKnowledge{StartEpoch: 15, FirstSeenAt: now}, stale, JobStatusUnknown},
-		{"stale view, started after it, within the grace", TaskKnowledge{StartEpoch: 16, FirstSeenAt: now}, stale, JobOpen},
-		{"stale view, started after it, beyond the grace", TaskKnowledge{StartEpoch: 16, FirstSeenAt: now}, beyondGrace, JobStatusUnknown},
-		{"stale view, first seen when it was last complete", TaskKnowledge{StartEpoch: 15, FirstSeenAt: stale.CompleteAsOf}, stale, JobStatusUnknown},
-		{"stale view, first seen before it was last complete", TaskKnowledge{StartEpoch: 15, FirstSeenAt: stale.CompleteAsOf - 1}, stale, JobEnded},
+		{"started under a claim that the view includes", TaskKnowledge{StartEpoch: 20, SeenAt: now}, current, JobEnded},
+		{"started under a later claim, just seen", TaskKnowledge{StartEpoch: 21, SeenAt: now}, current, JobStatusUnknown},
+		{"started under a later claim, older than the view", TaskKnowledge{StartEpoch: 21, SeenAt: current.CompleteAsOf - 1}, current, JobEnded},
+		{"started under a claim later than the view's revision, within the grace", TaskKnowledge{StartEpoch: 31, SeenAt: now}, current, JobOpen},
+		{"stale view, started before it", TaskKnowledge{StartEpoch: 15, SeenAt: now}, stale, JobStatusUnknown},
+		{"stale view, started after it, within the grace", TaskKnowledge{StartEpoch: 16, SeenAt: now}, stale, JobOpen},
+		{"stale view, started after it, beyond the grace", TaskKnowledge{StartEpoch: 16, SeenAt: now}, beyondGrace, JobStatusUnknown},
+		{"stale view, first seen when it was last complete", TaskKnowledge{StartEpoch: 15, SeenAt: stale.CompleteAsOf}, stale, JobStatusUnknown},
+		{"stale view, first seen before it was last complete", TaskKnowledge{StartEpoch: 15, SeenAt: stale.CompleteAsOf - 1}, stale, JobEnded},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			tc.task.Now = now
--- a/internal/controller/cancellation_cascade_test.go
+++ b/internal/controller/cancellation_cascade_test.go
@@ -167,7 +167,7 @@
 			h.putRecord(ownerKey(0), wire.OwnerRecord{Label: "n-1", Incarnation: 99})
 			h.appliedTxns = nil
 			tc.act(h, func(modRevision uint64) {
-				st := &peer.Status{ControllerState: peer.ControllerState{StateServiceOK: true}, JobsToCancel: append(all(), "job-000777", "no id")}
+				st := &peer.Status{ControllerState: peer.ControllerState{StateReachable: true}, JobsToCancel: append(all(), "job-000777", "no id")}
 				if modRevision != 0 {
 					st.Claims = []peer.ShardClaim{{Shard: 0, OwnerEpoch: modRevision}}
 				}
--- a/internal/controller/checkpoint/checkpoint.go
+++ b/internal/controller/checkpoint/checkpoint.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// MaxSteps is the maximum number of a job's latest steps that a checkpoint keeps.
-	MaxSteps = 16
+	// MaxFinishedTasks is the maximum number of a job's latest steps that a checkpoint keeps.
+	MaxFinishedTasks = 16
 	// MaxRecoveries is the maximum number of a job's latest recoveries that a checkpoint keeps.
 	MaxRecoveries = 8
 )
@@ -19,14 +19,14 @@
 // Sizes in bytes of the parts of a record in the textual form that the state service's
 // limit counts.
 const (
-	stepBytes  = 75
-	rangeBytes = 12
-	wordBytes  = 21
+	finishedTaskBytes = 75
+	rangeBytes        = 12
+	wordBytes         = 21
 	// otherBytes is the size of everything in a record except the steps and the done tasks.
 	otherBytes = 250
-	// limitPerStep is the part of the size limit that allows for one step. It exceeds stepBytes so
+	// limitPerFinishedTask is the part of the size limit that allows for one step. It exceeds stepBytes so
 	// that space is left for the done tasks.
-	limitPerStep = 128
+	limitPerFinishedTask = 128
 )
 
 // minRangesForSet is the number of ranges up to which a record always uses ranges rather than a
@@ -35,12 +35,12 @@
 
 // Progress is the progress of a job.
 type Progress struct {
-	Tasks     int
-	Done      TaskSet
-	DoneCount int
-	Steps     []wire.FinishedTask
-	// Recoveries holds the times of the job's recoveries, as wall-clock times in milliseconds.
-	Recoveries []int64
+	Tasks         int
+	Done          TaskSet
+	DoneCount     int
+	FinishedTasks []wire.FinishedTask
+	// RecoveriesMS holds the times of the job's recoveries, as wall-clock times in milliseconds.
+	RecoveriesMS []int64
 }
 
 // NewRecord returns the checkpoint record of a job's progress that takes at most maxBytes, and the
@@ -48,10 +48,10 @@
 // them again, which is harmless.
 func NewRecord(progress Progress, maxBytes int) (wire.CheckpointRecord, TaskSet) {
 	rec := wire.CheckpointRecord{
-		FinishedTasks: latestSteps(progress.Steps, maxBytes),
-		RecoveriesMS:  progress.Recoveries,
+		FinishedTasks: latestFinishedTasks(progress.FinishedTasks, maxBytes),
+		RecoveriesMS:  progress.RecoveriesMS,
 	}
-	remainingBytes := maxBytes - stepBytes*len(rec.FinishedTasks) - otherBytes
+	remainingBytes := maxBytes - finishedTaskBytes*len(rec.FinishedTasks) - otherBytes
 	if setIsShorter(progress, remainingBytes) {
 		rec.DoneBitmap = slices.Clone(progress.Done)
 		rec.DoneCount = progress.DoneCount
@@ -62,13 +62,13 @@
 	return rec, covered
 }
 
-// latestSteps returns the latest steps, as many as maxBytes allows.
-func latestSteps(steps []wire.FinishedTask, maxBytes int) []wire.FinishedTask {
-	limit := max(min(MaxSteps, maxBytes/limitPerStep), 1)
-	if len(steps) <= limit {
-		return steps
+// latestFinishedTasks returns the latest steps, as many as maxBytes allows.
+func latestFinishedTasks(tasks []wire.FinishedTask, maxBytes int) []wire.FinishedTask {
+	limit := max(min(MaxFinishedTasks, maxBytes/limitPerFinishedTask), 1)
+	if len(tasks) <= limit {
+		return tasks
 	}
-	return steps[len(steps)-limit:]
+	return tasks[len(tasks)-limit:]
 }
 
 // setIsShorter reports whether encoding the done tasks as a set of words is shorter than encoding
--- a/internal/controller/checkpoint/checkpoint_test.go
+++ b/internal/controller/checkpoint/checkpoint_test.go
@@ -86,8 +86,8 @@
 // that are done.
 func TestNewRecordFitsLimit(t *testing.T) {
 	p := progressOf(wire.MaxTasks, func(i int) bool { return i%2 == 0 })
-	for range MaxSteps {
-		p.Steps = append(p.Steps, wire.FinishedTask{Task: 99_999, Machine: "vm-000000000", StartMS: 1 << 41, EndMS: 1 << 41})
+	for range MaxFinishedTasks {
+		p.FinishedTasks = append(p.FinishedTasks, wire.FinishedTask{Task: 99_999, Machine: "vm-000000000", StartMS: 1 << 41, EndMS: 1 << 41})
 	}
 	rec, covered := NewRecord(p, testMaxBytes)
 	value, err := wire.Encode(rec)
--- a/internal/controller/checkpoints.go
+++ b/internal/controller/checkpoints.go
@@ -86,11 +86,11 @@
 // buildCheckpoint returns a job's checkpoint record and the set of done tasks that it contains.
 func (c *Controller) buildCheckpoint(j *job) (wire.CheckpointRecord, checkpoint.TaskSet) {
 	progress := checkpoint.Progress{
-		Tasks:      j.sub.Tasks,
-		Done:       j.run.doneTasks,
-		DoneCount:  j.run.doneCount,
-		Steps:      j.run.finishedTasks,
-		Recoveries: j.run.checkpoint.recoveries,
+		Tasks:         j.sub.Tasks,
+		Done:          j.run.doneTasks,
+		DoneCount:     j.run.doneCount,
+		FinishedTasks: j.run.finishedTasks,
+		RecoveriesMS:  j.run.checkpoint.recoveries,
 	}
 	return checkpoint.NewRecord(progress, c.cfg.ValueBytes)
 }
--- a/internal/controller/commands_test.go
+++ b/internal/controller/commands_test.go
@@ -222,10 +222,10 @@
 // have confirmed a job's cancellation to a user, and this owner would start its tasks nevertheless.
 func TestStartsBeyondTheLease(t *testing.T) {
 	for _, tc := range []struct {
-		name    string
-		stateOK bool // the status of the other controller says that it has the state service
-		silent  bool // the other controller sends no status
-		want    int
+		name           string
+		stateReachable bool // the status of the other controller says that it has the state service
+		silent         bool // the other controller sends no status
+		want           int
 	}{
 		{"the outage is common", false, false, 1},
 		{"the other has the state service", true, false, 0},
@@ -248,7 +248,7 @@
 			for seq := uint64(11); h.now < h.c.ownership.lease.RenewedAt()+h.c.bounds.LeaseValidity+sec; seq++ {
 				h.run(sec / 2)
 				if !tc.silent {
-					h.step(PeerRequest{Reply: ReplyID(9000 + seq), Req: peer.Request{From: "n-1", Status: &peer.Status{ControllerState: peer.ControllerState{StateServiceOK: tc.stateOK}}}})
+					h.step(PeerRequest{Reply: ReplyID(9000 + seq), Req: peer.Request{From: "n-1", Status: &peer.Status{ControllerState: peer.ControllerState{StateReachable: tc.stateReachable}}}})
 				}
 				h.heartbeat(heartbeatFrom("vm-1", 1, seq, fencingToken, append([]wire.TaskStatus{{Task: first[0].Task, Attempt: first[0].Attempt, State: wire.TaskRunning}}, list...)...))
 			}
--- a/internal/controller/compat_test.go
+++ b/internal/controller/compat_test.go
@@ -220,7 +220,7 @@
 // TestOlderVersionsReadRequestsToRecord checks that an older version ignores a request to record
 // dependents but reads the rest of the message.
 func TestOlderVersionsReadRequestsToRecord(t *testing.T) {
-	about := peer.ControllerState{UptimeUS: 5, StateServiceOK: true, Claims: []peer.ShardClaim{{Shard: 1, OwnerEpoch: 77}}}
+	about := peer.ControllerState{UptimeUS: 5, StateReachable: true, Claims: []peer.ShardClaim{{Shard: 1, OwnerEpoch: 77}}}
 	sent, err := peer.Encode(peer.Request{From: "n-1", Status: &peer.Status{ControllerState: about, Cancelled: []string{"job-000412"}, JobsToCancel: []string{"job-000413"}}})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -105,7 +105,7 @@
 // beginStep advances both clocks and accounts for the duration of the previous step. The steady
 // clock never runs backwards.
 func (c *Controller) beginStep(at Instant) {
-	c.now = max(c.now, at.Steady)
+	c.now = max(c.now, at.Monotonic)
 	c.wall = at.Wall
 	c.visitedBefore = c.visited
 	if c.startedAt < 0 {
--- a/internal/controller/fleet/demand.go
+++ b/internal/controller/fleet/demand.go
@@ -27,8 +27,8 @@
 	return false
 }
 
-// Groups returns the groups of waiting tasks of all shards.
-func (d Demands) Groups() []peer.WaitingTasks {
+// WaitingTasks returns the groups of waiting tasks of all shards.
+func (d Demands) WaitingTasks() []peer.WaitingTasks {
 	var groups []peer.WaitingTasks
 	for _, shard := range d.Shards() {
 		groups = append(groups, d[shard].WaitingTasks...)
--- a/internal/controller/fleet/demand_test.go
+++ b/internal/controller/fleet/demand_test.go
@@ -26,7 +26,7 @@
 	if !demands.Waiting() || (Demands{0: demands[0]}).Waiting() {
 		t.Errorf("waiting: %v, and without shard 1: %v; want true and false", demands.Waiting(), Demands{0: demands[0]}.Waiting())
 	}
-	if groups := demands.Groups(); len(groups) != 1 || groups[0].Count != 5 {
+	if groups := demands.WaitingTasks(); len(groups) != 1 || groups[0].Count != 5 {
 		t.Errorf("groups %+v, want one group of 5 tasks", groups)
 	}
 }
--- a/internal/controller/fleet/scale_out.go
+++ b/internal/controller/fleet/scale_out.go
@@ -26,7 +26,7 @@
 	Catalog      Catalog
 	DrainHorizon micros.Micros // see Totals.Need
 	Totals       Totals
-	Groups       []peer.WaitingTasks // groups of waiting tasks
+	WaitingTasks []peer.WaitingTasks // groups of waiting tasks
 	Free         map[Kind]float64    // CPUs of machines that are idle or booting
 	// MachinesInZone holds the number of machines by zone.
 	MachinesInZone map[string]int
@@ -49,11 +49,11 @@
 // cheapest machines that a group can use, as long as the fleet has fewer machines than are worth
 // their price. It returns false if nothing more is to be rented. It sorts Groups.
 func (s *ScaleOut) Next() (wire.RentalRequest, bool) {
-	slices.SortStableFunc(s.Groups, func(a, b peer.WaitingTasks) int {
+	slices.SortStableFunc(s.WaitingTasks, func(a, b peer.WaitingTasks) int {
 		return cmp.Compare(float64(b.WorkUS)*b.CPUs, float64(a.WorkUS)*a.CPUs)
 	})
 	lowestPrice := s.Catalog.LowestPrice()
-	for _, group := range s.Groups {
+	for _, group := range s.WaitingTasks {
 		if group.Count == 0 {
 			continue
 		}
--- a/internal/controller/fleet_plan.go
+++ b/internal/controller/fleet_plan.go
@@ -59,11 +59,11 @@
 	}
 	c.pruneRentals()
 	machines, bootingCPUs := c.countFleet()
-	sums := c.sumDemands(demands, bootingCPUs)
-	c.scaleOut(demands, sums, c.cfg.MaxMachines-machines)
+	totals := c.sumDemands(demands, bootingCPUs)
+	c.scaleOut(demands, totals, c.cfg.MaxMachines-machines)
 	c.rebalance(demands)
-	c.scaleInIdle(demands, sums, machines >= c.cfg.MaxMachines)
-	c.consolidate(demands, sums)
+	c.scaleInIdle(demands, totals, machines >= c.cfg.MaxMachines)
+	c.consolidate(demands, totals)
 	c.replaceUnhealthy(demands)
 }
 
@@ -118,13 +118,13 @@
 
 // sumDemands adds up the demands of all shards and the CPUs of machines that are not on record yet.
 func (c *Controller) sumDemands(demands fleet.Demands, bootingCPUs float64) fleet.Totals {
-	sums := fleet.Totals{Booting: bootingCPUs}
+	totals := fleet.Totals{Booting: bootingCPUs}
 	for _, id := range demands.Shards() {
 		d := demands[id]
-		sums.Add(d)
+		totals.Add(d)
 		for _, m := range d.Machines {
 			if rec := c.machines[m.ID]; rec != nil && m.State == peer.MachineDraining && !rec.rec.Cordoned {
-				sums.Have += c.types.byName[rec.rec.Type].CPUs
+				totals.Have += c.types.byName[rec.rec.Type].CPUs
 			}
 		}
 		c.log(Debug, "shard demand",
@@ -136,12 +136,12 @@
 			"work", fleet.UnfinishedWork(d))
 	}
 	c.log(Debug, "fleet",
-		"have", sums.Have,
-		"busy", sums.Busy,
-		"booting", sums.Booting,
-		"work", sums.Work,
-		"arrival", sums.Arrival,
-		"parallel", sums.Parallel)
-	sums.Have += sums.Booting
-	return sums
+		"have", totals.Have,
+		"busy", totals.Busy,
+		"booting", totals.Booting,
+		"work", totals.Work,
+		"arrival", totals.Arrival,
+		"parallel", totals.Parallel)
+	totals.Have += totals.Booting
+	return totals
 }
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -95,7 +95,7 @@
 // step passes an input to the controller, carries out the effects, and answers watches that have
 // changes. It fails the test if the controller logs a broken invariant.
 func (h *harness) step(in Input) {
-	for _, e := range h.c.Step(Instant{Steady: h.now, Wall: h.now}, in) {
+	for _, e := range h.c.Step(Instant{Monotonic: h.now, Wall: h.now}, in) {
 		switch e := e.(type) {
 		case Answer:
 			h.answers[e.Reply] = e
@@ -158,7 +158,7 @@
 	resp := &peer.Response{From: c.Addr}
 	if req := c.Req.(peer.Request); req.Status != nil {
 		h.statusesSent = append(h.statusesSent, *req.Status)
-		resp.Status = &peer.StatusAck{ControllerState: peer.ControllerState{StateServiceOK: true}}
+		resp.Status = &peer.StatusAck{ControllerState: peer.ControllerState{StateReachable: true}}
 		for _, claim := range req.Status.Claims {
 			resp.Status.QuiescedShards = append(resp.Status.QuiescedShards, claim.Shard)
 		}
--- a/internal/controller/job.go
+++ b/internal/controller/job.go
@@ -114,7 +114,7 @@
 // checkpoint.MaxSteps.
 func (r *run) addFinishedTask(step wire.FinishedTask) {
 	r.finishedTasks = append(r.finishedTasks, step)
-	if excess := len(r.finishedTasks) - checkpoint.MaxSteps; excess > 0 {
+	if excess := len(r.finishedTasks) - checkpoint.MaxFinishedTasks; excess > 0 {
 		r.finishedTasks = r.finishedTasks[excess:]
 	}
 }
--- a/internal/controller/job_reads_test.go
+++ b/internal/controller/job_reads_test.go
@@ -241,7 +241,7 @@
 		h := newOwnerHarness(t, limits)
 		h.submit(newSubmission("job-000001", 1))
 		h.putRecord(ownerKey(0), wire.OwnerRecord{Label: "n-1", Incarnation: 99})
-		h.step(PeerRequest{Reply: 900, Req: peer.Request{From: "n-1", Status: &peer.Status{ControllerState: peer.ControllerState{StateServiceOK: true}}}})
+		h.step(PeerRequest{Reply: 900, Req: peer.Request{From: "n-1", Status: &peer.Status{ControllerState: peer.ControllerState{StateReachable: true}}}})
 		h.peersDown = true
 		before := len(h.jobRequests)
 		ask(h, "job-000001", sec/5)
--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -13,8 +13,8 @@
 
 // Instant is a reading of the steady clock and of the wall clock.
 type Instant struct {
-	// Steady is the monotonic time.
-	Steady micros.Micros
+	// Monotonic is the monotonic time.
+	Monotonic micros.Micros
 	// Wall is the time of day.
 	Wall micros.Micros
 	// PreviousStepDuration is how long the previous step took, including the time to carry out its
--- a/internal/controller/ownership_test.go
+++ b/internal/controller/ownership_test.go
@@ -169,7 +169,7 @@
 			}
 			tc.change(h.c.machines["vm-1"].view)
 			h.request(func(r ReplyID) Input {
-				return PeerRequest{Reply: r, Req: peer.Request{From: "n-0", Status: &peer.Status{ControllerState: peer.ControllerState{StateServiceOK: true, UptimeUS: int64(tc.uptime)}}}}
+				return PeerRequest{Reply: r, Req: peer.Request{From: "n-0", Status: &peer.Status{ControllerState: peer.ControllerState{StateReachable: true, UptimeUS: int64(tc.uptime)}}}}
 			})
 			h.c.releaseToPreferredOwner()
 			if s.releasing() != tc.want {
@@ -219,7 +219,7 @@
 	var at []micros.Micros
 	for end := h.now + 30*sec; h.now < end; {
 		h.now += 20 * ms
-		for _, e := range h.c.Step(Instant{Steady: h.now, Wall: h.now}, Tick{}) {
+		for _, e := range h.c.Step(Instant{Monotonic: h.now, Wall: h.now}, Tick{}) {
 			if call, ok := e.(Call); ok {
 				if _, renew := call.Req.(statestore.RenewLease); renew {
 					sent, at = append(sent, call), append(at, h.now)
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -40,11 +40,11 @@
 	lastContactAt micros.Micros // when its last status or acknowledgement arrived
 	// lastStatusAt is when its last status arrived. Its acknowledgements of this node's statuses do
 	// not count.
-	lastStatusAt   micros.Micros
-	uptime         micros.Micros
-	stateReachable bool // it reports that it reaches the state service
-	withoutWorkers bool
-	hasQuota       bool // it has quota groups
+	lastStatusAt       micros.Micros
+	uptime             micros.Micros
+	stateReachable     bool // it reports that it reaches the state service
+	workersUnreachable bool
+	enforcesQuota      bool // it has quota groups
 	// statusInFlight is set while a status sent to it has not been answered.
 	statusInFlight bool
 	nextStatusAt   micros.Micros
@@ -175,8 +175,8 @@
 func (c *Controller) controllerStateFor(p *peerView) peer.ControllerState {
 	return peer.ControllerState{
 		UptimeUS:            int64(c.now - c.startedAt),
-		StateServiceOK:      c.ownership.stateReachable(),
-		WithoutWorkers:      c.workerContact.lost(),
+		StateReachable:      c.ownership.stateReachable(),
+		WorkersUnreachable:  c.workerContact.lost(),
 		EnforcesQuota:       c.quota.ledger != nil,
 		Claims:              c.ownership.shardClaims(),
 		MisdirectedMachines: c.misdirectedMachinesOf(p),
@@ -215,9 +215,9 @@
 func (c *Controller) applyControllerState(p *peerView, state *peer.ControllerState) (quiesced []int) {
 	p.lastContactAt = c.now
 	p.uptime = micros.Micros(state.UptimeUS)
-	p.stateReachable = state.StateServiceOK
-	p.withoutWorkers = state.WithoutWorkers
-	p.hasQuota = state.EnforcesQuota
+	p.stateReachable = state.StateReachable
+	p.workersUnreachable = state.WorkersUnreachable
+	p.enforcesQuota = state.EnforcesQuota
 	if state.EnforcesQuota {
 		c.enableQuota()
 	}
@@ -257,7 +257,7 @@
 	status.ReturnedMachines = p.pendingReturnedMachines[:min(len(p.pendingReturnedMachines), maxNamesPerStatus)]
 	status.JobsToCancel = c.recordRequestsFor(p)
 	status.Cancelled = slices.Clone(p.pendingCancellations[:min(len(p.pendingCancellations), maxNamesPerStatus)])
-	if p.hasQuota {
+	if p.enforcesQuota {
 		status.Traces = c.quota.openTraces()
 	}
 	return status
--- a/internal/controller/peers_test.go
+++ b/internal/controller/peers_test.go
@@ -34,7 +34,7 @@
 			}
 			notified := map[string]bool{}
 			for range 2*all/maxNamesPerStatus + 4 { // about one message a second
-				h.step(PeerRequest{Reply: 900, Req: peer.Request{From: "n-1", Status: &peer.Status{ControllerState: peer.ControllerState{StateServiceOK: true}}}})
+				h.step(PeerRequest{Reply: 900, Req: peer.Request{From: "n-1", Status: &peer.Status{ControllerState: peer.ControllerState{StateReachable: true}}}})
 				h.peersDown = false
 				before := len(h.statusesSent)
 				h.run(statusInterval + 100*ms)
@@ -73,7 +73,7 @@
 			h.run(5 * sec)
 			if tc.receivesStatus {
 				h.request(func(r ReplyID) Input {
-					return PeerRequest{Reply: r, Req: peer.Request{From: "n-1", Status: &peer.Status{ControllerState: peer.ControllerState{StateServiceOK: true}}}}
+					return PeerRequest{Reply: r, Req: peer.Request{From: "n-1", Status: &peer.Status{ControllerState: peer.ControllerState{StateReachable: true}}}}
 				})
 			}
 			tc.change(h)
@@ -94,7 +94,7 @@
 		h.stateDown, h.stateRefuses = true, true
 		h.run(sec / 2)
 		h.step(PeerRequest{Reply: 900, Req: peer.Request{From: "n-1", Status: &peer.Status{
-			ControllerState: peer.ControllerState{StateServiceOK: true}, Cancelled: []string{"job-000001", "nonsense", "job-000777"}}}})
+			ControllerState: peer.ControllerState{StateReachable: true}, Cancelled: []string{"job-000001", "nonsense", "job-000777"}}}})
 		if _, body := h.heartbeat(h.runningHeartbeat(12, fencingToken, attempt)); countImmediateStops(body.Commands) != 1 {
 			t.Errorf("commands %v, want the task stopped", body.Commands)
 		}
--- a/internal/controller/quota_requests.go
+++ b/internal/controller/quota_requests.go
@@ -75,7 +75,7 @@
 func (c *Controller) peersWithoutQuota() []string {
 	var without []string
 	for _, label := range c.cfg.Peers {
-		if !c.peers[label].hasQuota {
+		if !c.peers[label].enforcesQuota {
 			without = append(without, label)
 		}
 	}
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -142,7 +142,7 @@
 	}
 	// Once another controller reports that it handles quotas, this one handles them too.
 	withoutOption.request(func(r ReplyID) Input {
-		return PeerRequest{Reply: r, Req: peer.Request{From: "n-1", Status: &peer.Status{ControllerState: peer.ControllerState{StateServiceOK: true, EnforcesQuota: true}}}}
+		return PeerRequest{Reply: r, Req: peer.Request{From: "n-1", Status: &peer.Status{ControllerState: peer.ControllerState{StateReachable: true, EnforcesQuota: true}}}}
 	})
 	withoutOption.run(sec)
 	if resp := withoutOption.quotaRequest(peer.QuotaRequest{}); resp.Problem != "" {
@@ -159,7 +159,7 @@
 	})
 	trace, span := [16]byte{1, 2}, [8]byte{3}
 	h.request(func(r ReplyID) Input {
-		return PeerRequest{Reply: r, Req: peer.Request{From: "n-1", Status: &peer.Status{ControllerState: peer.ControllerState{StateServiceOK: true, EnforcesQuota: true},
+		return PeerRequest{Reply: r, Req: peer.Request{From: "n-1", Status: &peer.Status{ControllerState: peer.ControllerState{StateReachable: true, EnforcesQuota: true},
 			Traces: []peer.TraceContext{{Group: "all", Shard: 1, TraceID: trace[:], SpanID: span[:], BeganUS: 1}, {Group: "all", Shard: 2, TraceID: []byte("short")}}}}}
 	})
 	h.c.effects = nil
@@ -177,7 +177,7 @@
 // TestOlderVersionsReadStatusWithGroups checks that an older version can read the fields that it
 // knows from a status message with quota fields.
 func TestOlderVersionsReadStatusWithGroups(t *testing.T) {
-	st := &peer.Status{ControllerState: peer.ControllerState{UptimeUS: 5, StateServiceOK: true, Claims: []peer.ShardClaim{{Shard: 1, OwnerEpoch: 7}}, EnforcesQuota: true}, ReturnedMachines: []string{"vm-1"},
+	st := &peer.Status{ControllerState: peer.ControllerState{UptimeUS: 5, StateReachable: true, Claims: []peer.ShardClaim{{Shard: 1, OwnerEpoch: 7}}, EnforcesQuota: true}, ReturnedMachines: []string{"vm-1"},
 		Traces: []peer.TraceContext{{Group: "all", TraceID: make([]byte, 16), SpanID: make([]byte, 8)}}}
 	sent, err := peer.Encode(peer.Request{From: "n-1", Status: st})
 	if err != nil {
--- a/internal/controller/record_limits_test.go
+++ b/internal/controller/record_limits_test.go
@@ -114,7 +114,7 @@
 				j.run.doneCount++
 			}
 			j.run.finishedTasks, j.run.checkpoint.recoveries = nil, nil
-			for i := range checkpoint.MaxSteps {
+			for i := range checkpoint.MaxFinishedTasks {
 				j.run.finishedTasks = append(j.run.finishedTasks, wire.FinishedTask{Task: 99_000 + i, Machine: "vm-123456", StartMS: 1_800_000_000_000, EndMS: 1_800_000_000_000})
 			}
 			for range checkpoint.MaxRecoveries {
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -113,12 +113,12 @@
 
 // scaleInIdle returns idle machines to the cloud, the most expensive first, as long as the fleet
 // has more than it needs. fleetFull is whether the fleet has reached its maximum size.
-func (c *Controller) scaleInIdle(demands fleet.Demands, sums fleet.Totals, fleetFull bool) {
+func (c *Controller) scaleInIdle(demands fleet.Demands, totals fleet.Totals, fleetFull bool) {
 	choice := fleet.ScaleIn{
-		Totals:       sums,
+		Totals:       totals,
 		DrainHorizon: c.cfg.DrainHorizon,
 		LowestPrice:  c.catalog().LowestPrice(),
-		Reserve:      c.reservedCPUs(sums),
+		Reserve:      c.reservedCPUs(totals),
 		MaxIdle:      c.cfg.IdleReturn,
 		FleetFull:    fleetFull,
 	}
@@ -154,11 +154,11 @@
 // reservedCPUs returns how many CPUs are kept although no task waits. If some class must start
 // tasks in less than half the longest boot time, this covers the work that arrives while a machine
 // boots; otherwise it is 0.
-func (c *Controller) reservedCPUs(sums fleet.Totals) float64 {
+func (c *Controller) reservedCPUs(totals fleet.Totals) float64 {
 	boot := c.catalog().LongestBoot()
 	for _, within := range c.cfg.StartWithin {
 		if within < boot/2 {
-			return max(sums.Arrival, sums.Parallel)
+			return max(totals.Arrival, totals.Parallel)
 		}
 	}
 	return 0
@@ -167,8 +167,8 @@
 // consolidate drains mostly unused machines of shards without waiting tasks, if the machines would
 // stay mostly unused for long and their tasks can continue in the free capacity of the shard's
 // other machines.
-func (c *Controller) consolidate(demands fleet.Demands, sums fleet.Totals) {
-	choice := fleet.Consolidation{Have: sums.Have, Need: max(sums.Parallel, c.reservedCPUs(sums))}
+func (c *Controller) consolidate(demands fleet.Demands, totals fleet.Totals) {
+	choice := fleet.Consolidation{Have: totals.Have, Need: max(totals.Parallel, c.reservedCPUs(totals))}
 	for _, shard := range demands.Shards() {
 		d := demands[shard]
 		if fleet.WaitingCPUs(d) > 0 {
--- a/internal/controller/scale_out.go
+++ b/internal/controller/scale_out.go
@@ -111,13 +111,13 @@
 
 // scaleOut rents the cheapest machines that the waiting tasks can use, as long as further machines
 // are worth their price. It rents at most maxMachines machines.
-func (c *Controller) scaleOut(demands fleet.Demands, sums fleet.Totals, maxMachines int) {
+func (c *Controller) scaleOut(demands fleet.Demands, totals fleet.Totals, maxMachines int) {
 	f := &c.fleet
 	choice := fleet.ScaleOut{
 		Catalog:        c.catalog(),
 		DrainHorizon:   c.cfg.DrainHorizon,
-		Totals:         sums,
-		Groups:         demands.Groups(),
+		Totals:         totals,
+		WaitingTasks:   demands.WaitingTasks(),
 		Free:           c.freeCPUsByKind(demands),
 		MachinesInZone: c.machinesByZone(),
 		MaxMachines:    maxMachines,
--- a/internal/controller/scale_out_test.go
+++ b/internal/controller/scale_out_test.go
@@ -20,7 +20,7 @@
 	for _, tc := range []struct {
 		name        string
 		group       peer.WaitingTasks
-		sums        fleet.Totals
+		totals      fleet.Totals
 		free        map[fleet.Kind]float64
 		spotRefused bool
 		partitioned string // name of the partitioned zone; empty: none
@@ -31,57 +31,57 @@
 		{
 			name:     "a large backlog: as many as one rental takes",
 			group:    waiting(10_000, 1, 100),
-			sums:     fleet.Totals{Work: 1e6, Parallel: 10_000},
+			totals:   fleet.Totals{Work: 1e6, Parallel: 10_000},
 			wantSpot: true, wantCount: 50,
 		},
 		{
-			name:  "enough machines are booting",
-			group: waiting(100, 1, 100),
-			sums:  fleet.Totals{Work: 1e4, Parallel: 100, Have: 400},
+			name:   "enough machines are booting",
+			group:  waiting(100, 1, 100),
+			totals: fleet.Totals{Work: 1e4, Parallel: 100, Have: 400},
 		},
 		{
 			name:     "little work, no machines",
 			group:    waiting(2, 1, 6),
-			sums:     fleet.Totals{Work: 12, Parallel: 2},
+			totals:   fleet.Totals{Work: 12, Parallel: 2},
 			wantSpot: true, wantCount: 1,
 		},
 		{
 			name:        "expensive machines only for work that would wait long",
 			group:       waiting(100, 1, 60),
-			sums:        fleet.Totals{Work: 6000, Parallel: 100, Have: 100},
+			totals:      fleet.Totals{Work: 6000, Parallel: 100, Have: 100},
 			spotRefused: true,
 		},
 		{
 			name:        "expensive machines for a long backlog",
 			group:       waiting(400, 1, 600),
-			sums:        fleet.Totals{Work: 240_000, Parallel: 400, Have: 100},
+			totals:      fleet.Totals{Work: 240_000, Parallel: 400, Have: 100},
 			spotRefused: true,
 			wantCount:   50,
 		},
 		{
 			name:      "the fleet is large, but none of it can be used",
 			group:     noSpot,
-			sums:      fleet.Totals{Work: 1200, Parallel: 304, Have: 400},
+			totals:    fleet.Totals{Work: 1200, Parallel: 304, Have: 400},
 			wantCount: 1,
 		},
 		{
 			name:        "a zone is partitioned: what is rented there could not send heartbeats",
 			group:       waiting(100, 1, 100),
-			sums:        fleet.Totals{Work: 1e4, Parallel: 100},
+			totals:      fleet.Totals{Work: 1e4, Parallel: 100},
 			partitioned: "a",
 		},
 		{
 			name:        "another zone is partitioned",
 			group:       waiting(100, 1, 100),
-			sums:        fleet.Totals{Work: 1e4, Parallel: 100},
+			totals:      fleet.Totals{Work: 1e4, Parallel: 100},
 			partitioned: "b",
 			wantSpot:    true, wantCount: 25,
 		},
 		{
-			name:  "a usable machine is idle",
-			group: noSpot,
-			sums:  fleet.Totals{Work: 1200, Parallel: 304, Have: 400},
-			free:  map[fleet.Kind]float64{onDemand: 40},
+			name:   "a usable machine is idle",
+			group:  noSpot,
+			totals: fleet.Totals{Work: 1200, Parallel: 304, Have: 400},
+			free:   map[fleet.Kind]float64{onDemand: 40},
 		},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -97,8 +97,8 @@
 			choice := fleet.ScaleOut{
 				Catalog:        c.catalog(),
 				DrainHorizon:   c.cfg.DrainHorizon,
-				Totals:         tc.sums,
-				Groups:         []peer.WaitingTasks{tc.group},
+				Totals:         tc.totals,
+				WaitingTasks:   []peer.WaitingTasks{tc.group},
 				Free:           free,
 				MachinesInZone: map[string]int{},
 				MaxMachines:    1000,
--- a/internal/controller/scheduling_test.go
+++ b/internal/controller/scheduling_test.go
@@ -102,7 +102,7 @@
 		for end := h.now + 20*sec; h.now < end; {
 			h.now += 20 * ms
 			h.c.schedulingDue = true
-			for _, e := range h.c.Step(Instant{Steady: h.now, Wall: h.now, PreviousStepDuration: tc.took}, Tick{}) {
+			for _, e := range h.c.Step(Instant{Monotonic: h.now, Wall: h.now, PreviousStepDuration: tc.took}, Tick{}) {
 				if call, ok := e.(Call); ok {
 					h.handleCall(call)
 				}
--- a/internal/controller/unknown_jobs.go
+++ b/internal/controller/unknown_jobs.go
@@ -18,11 +18,11 @@
 	_, ended := c.jobs.final(job)
 	jobsView := &c.ownership.jobWatch
 	return authority.JobStatusOf(authority.TaskKnowledge{
-		JobEnded:    ended,
-		JobOpen:     c.jobs.open[job] != nil || c.jobs.unusable[job],
-		StartEpoch:  epochOfAttempt(attempt),
-		FirstSeenAt: seenAt,
-		Now:         c.now,
+		JobEnded:   ended,
+		JobOpen:    c.jobs.open[job] != nil || c.jobs.unusable[job],
+		StartEpoch: epochOfAttempt(attempt),
+		SeenAt:     seenAt,
+		Now:        c.now,
 	}, authority.JobsView{
 		Current:      s.jobsViewCurrent,
 		OwnerEpoch:   s.ownerEpoch,
--- a/internal/controller/worker_contact.go
+++ b/internal/controller/worker_contact.go
@@ -142,7 +142,7 @@
 }
 
 // hasWorkers reports whether another controller is alive and in contact with the workers.
-func (c *Controller) hasWorkers(p *peerView) bool { return c.alive(p) && !p.withoutWorkers }
+func (c *Controller) hasWorkers(p *peerView) bool { return c.alive(p) && !p.workersUnreachable }
 
 // workersLost reports whether the silence shows that this node has lost contact with the workers,
 // rather than that the machines have failed.
--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -2,11 +2,11 @@
 
 // ControllerState describes the sender of a Status or a StatusAck.
 type ControllerState struct {
-	UptimeUS       int64        `msgpack:"u"`           // microseconds since the controller started
-	StateServiceOK bool         `msgpack:"k"`           // the state service has responded recently
-	WithoutWorkers bool         `msgpack:"e,omitempty"` // the controller receives no heartbeats
-	EnforcesQuota  bool         `msgpack:"y,omitempty"` // the controller enforces the quota of groups of teams
-	Claims         []ShardClaim `msgpack:"o,omitempty"`
+	UptimeUS           int64        `msgpack:"u"`           // microseconds since the controller started
+	StateReachable     bool         `msgpack:"k"`           // the state service has responded recently
+	WorkersUnreachable bool         `msgpack:"e,omitempty"` // the controller receives no heartbeats
+	EnforcesQuota      bool         `msgpack:"y,omitempty"` // the controller enforces the quota of groups of teams
+	Claims             []ShardClaim `msgpack:"o,omitempty"`
 	// MisdirectedMachines are machines in the receiver's shards that recently sent their
 	// heartbeats to the sender instead.
 	MisdirectedMachines []string `msgpack:"h,omitempty"`
--- a/internal/runtime/runtime.go
+++ b/internal/runtime/runtime.go
@@ -31,7 +31,7 @@
 	connSweepInterval   = 10 * time.Second
 	firstTimerInterval  = time.Hour // replaced in the first step
 	minTimerInterval    = time.Millisecond
-	steadyClockStart    = micros.Second // first reading of the steady clock; a time of 0 means "never"
+	monotonicClockStart = micros.Second // first reading of the steady clock; a time of 0 means "never"
 	encodingErrorRetryS = 1             // Retry-After, in seconds, if a response cannot be encoded
 )
 
@@ -170,8 +170,8 @@
 func (rt *Runtime) instant() controller.Instant {
 	now := time.Now()
 	return controller.Instant{
-		Steady: micros.FromDuration(now.Sub(rt.startedAt)) + steadyClockStart,
-		Wall:   micros.Micros(now.UnixMicro()),
+		Monotonic: micros.FromDuration(now.Sub(rt.startedAt)) + monotonicClockStart,
+		Wall:      micros.Micros(now.UnixMicro()),
 	}
 }
 
@@ -191,9 +191,9 @@
 	for _, effect := range rt.controller.Step(at, in) {
 		rt.execute(effect)
 	}
-	end := rt.instant().Steady
-	rt.lastStepDuration = end - at.Steady
-	rt.meter.add(in, at.Steady, rt.lastStepDuration, rt.srv.OpenConns, rt.log)
+	end := rt.instant().Monotonic
+	rt.lastStepDuration = end - at.Monotonic
+	rt.meter.add(in, at.Monotonic, rt.lastStepDuration, rt.srv.OpenConns, rt.log)
 	_, timerFired := in.(controller.Tick)
 	rt.setTimer(end, timerFired)
 }
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -98,8 +98,8 @@
 	n.sim.after(down, n.start)
 }
 
-// steadyClock returns the time on the process's steady clock, which drifts.
-func (n *node) steadyClock() micros.Micros { return n.clockDrift.Apply(n.sim.now) }
+// monotonicClock returns the time on the process's steady clock, which drifts.
+func (n *node) monotonicClock() micros.Micros { return n.clockDrift.Apply(n.sim.now) }
 
 // wallClock returns the time on the process's wall clock.
 func (n *node) wallClock() micros.Micros { return n.sim.now + micros.Micros(n.id)*wallClockOffset }
@@ -122,13 +122,13 @@
 // process runs one step of the controller with an input, and executes the step's effects. took is
 // the duration of a step that the controller is told; a slow step has waited for that long already.
 func (n *node) process(in controller.Input, took micros.Micros) {
-	at := controller.Instant{Steady: n.steadyClock(), Wall: n.wallClock(), PreviousStepDuration: took}
+	at := controller.Instant{Monotonic: n.monotonicClock(), Wall: n.wallClock(), PreviousStepDuration: took}
 	effects := n.controller.Step(at, in)
 	n.sim.countWork(in, n.controller.LastWork())
 	for _, effect := range effects {
 		n.executeEffect(effect)
 	}
-	n.scheduleWake(at.Steady)
+	n.scheduleWake(at.Monotonic)
 }
 
 // executeEffect delivers an answer, sends a call or handles a log entry.
@@ -179,16 +179,16 @@
 }
 
 // scheduleWake schedules the controller's next tick at the time that the controller asks for.
-func (n *node) scheduleWake(steadyNow micros.Micros) {
+func (n *node) scheduleWake(monotonicNow micros.Micros) {
 	wake := n.controller.Wake()
-	planned := n.wakeAt > steadyNow && wake >= n.wakeAt
+	planned := n.wakeAt > monotonicNow && wake >= n.wakeAt
 	if planned {
 		return
 	}
 	n.wakeAt = wake
 	incarnation := n.incarnation
-	n.sim.after(max(wake-steadyNow, ms), func() {
-		if n.isRunning(incarnation) && n.steadyClock() >= n.wakeAt {
+	n.sim.after(max(wake-monotonicNow, ms), func() {
+		if n.isRunning(incarnation) && n.monotonicClock() >= n.wakeAt {
 			n.handleInput(controller.Tick{})
 		}
 	})
