--- a/docs_test.go
+++ b/docs_test.go
@@ -342,7 +342,7 @@
 }
 
 // protocolWords are words of the wire protocol that look like identifiers of the code when they
-// stand in backticks.
+// appear in backticks.
 var protocolWords = map[string]bool{"oneZone": true, "dueS": true}
 
 // TestPagesNameCode checks that the functions, types, tests and files that the pages name exist in
--- a/internal/controller/attempts.go
+++ b/internal/controller/attempts.go
@@ -37,7 +37,7 @@
 
 const (
 	attemptAssigned  attemptState = iota // not sent yet
-	attemptSent                          // sent in the reply to a heartbeat; the next heartbeat must list it
+	attemptSent                          // sent in a heartbeat reply; the next heartbeat must list it
 	attemptCommanded                     // sent in a direct command whose answer is awaited
 	attemptInDoubt                       // sent in a direct command that was not answered
 	attemptFetching
--- a/internal/controller/authority/bounds_test.go
+++ b/internal/controller/authority/bounds_test.go
@@ -23,7 +23,8 @@
 		t.Run(tc.name, func(t *testing.T) {
 			lease, worker, cancel := micros.FromSeconds(tc.lease), micros.FromSeconds(tc.worker), micros.FromSeconds(tc.cancel)
 			b := NewBounds(lease, worker, cancel)
-			slow := func(d micros.Micros) micros.Micros { return d + d/1000 } // true time while a slow clock measures d
+			// slow returns the true time that passes while a slow clock measures d.
+			slow := func(d micros.Micros) micros.Micros { return d + d/1000 }
 			if slow(b.LeaseValidity) >= lease {
 				t.Errorf("lease valid until %v, but the lease may end at %v", b.LeaseValidity, lease)
 			}
--- a/internal/controller/authority/job_status_test.go
+++ b/internal/controller/authority/job_status_test.go
@@ -26,8 +26,8 @@
 		{"stale view, started before it", TaskKnowledge{StartEpoch: 15, SeenAt: now}, stale, JobStatusUnknown},
 		{"stale view, started after it, within the grace", TaskKnowledge{StartEpoch: 16, SeenAt: now}, stale, JobOpen},
 		{"stale view, started after it, beyond the grace", TaskKnowledge{StartEpoch: 16, SeenAt: now}, beyondGrace, JobStatusUnknown},
-		{"stale view, first seen when it was last complete", TaskKnowledge{StartEpoch: 15, SeenAt: stale.CompleteAsOf}, stale, JobStatusUnknown},
-		{"stale view, first seen before it was last complete", TaskKnowledge{StartEpoch: 15, SeenAt: stale.CompleteAsOf - 1}, stale, JobEnded},
+		{"stale view, seen only when it was last complete", TaskKnowledge{StartEpoch: 15, SeenAt: stale.CompleteAsOf}, stale, JobStatusUnknown},
+		{"stale view, seen before it was last complete", TaskKnowledge{StartEpoch: 15, SeenAt: stale.CompleteAsOf - 1}, stale, JobEnded},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			tc.task.Now = now
--- a/internal/controller/cancellation_cascade.go
+++ b/internal/controller/cancellation_cascade.go
@@ -37,7 +37,8 @@
 	// pause may be made up for at most this time.
 	maxCascadeBurst = micros.Second / 2
 	// dependentsWritesFraction is the greatest fraction of this node's writes that dependents may
-	// take. They go before the records of machines, which need the rest.
+	// take. They are written before the records of machines, which need the remaining
+	// writes.
 	dependentsWritesFraction = 0.75
 	// helpThreshold bounds the time in which an owner records dependents without help. If it would
 	// need longer, it requests the other controllers to record some.
@@ -144,8 +145,8 @@
 	c.recordCancelled(batch)
 }
 
-// recordingEpoch returns the epoch of the claim under which this node records a dependent: that of
-// its own claim, or of the claim of the owner that requested it.
+// recordingEpoch returns the epoch of the claim under which this node records a dependent: the
+// claim of this node if it owns the job, otherwise the claim of the owner that requested the record.
 func (c *Controller) recordingEpoch(j *job) uint64 {
 	if c.OwnsJob(j.id) {
 		return c.ownership.shards[j.shard].ownerEpoch
--- a/internal/controller/cancellation_test.go
+++ b/internal/controller/cancellation_test.go
@@ -26,7 +26,8 @@
 	notifiedAt := h.now
 	for w.alive() {
 		w.checkDeadline(notifiedAt)
-		h.applyTxn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}}) // the owner is gone, the next one claims
+		// The owner's key is deleted, and the next owner claims the shard.
+		h.applyTxn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}})
 		h.run(3 * sec)
 		w.sendHeartbeat()
 		h.run(3 * sec) // direct commands do not reach the machine
@@ -91,7 +92,8 @@
 	h.putRecord(wire.JobKey("job-000001"), wire.JobRecord{State: wire.StateCancelled, Tasks: 1})
 	notifiedAt := h.now
 	for w.alive() {
-		h.applyTxn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}}) // the owner is gone, this node claims
+		// The owner's key is deleted, and this node claims the shard.
+		h.applyTxn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}})
 		for until := h.now + 8*sec; h.now < until && w.alive(); {
 			h.run(sec)
 			w.sendHeartbeat()
@@ -119,7 +121,8 @@
 	notifiedAt := h.now
 	h.putRecord(wire.JobKey("job-000002"), wire.JobRecord{State: wire.StateDone, Tasks: 1})
 	h.unreadablePrefix = wire.PrefixJob
-	h.applyTxn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}}) // the owner is gone, this node claims
+	// The owner's key is deleted, and this node claims the shard.
+	h.applyTxn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}})
 	for w.alive() {
 		h.run(sec)
 		w.sendHeartbeat()
--- a/internal/controller/checkpoint/checkpoint.go
+++ b/internal/controller/checkpoint/checkpoint.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// MaxFinishedTasks is the maximum number of a job's latest steps that a checkpoint keeps.
+	// MaxFinishedTasks is the maximum number of a job's latest finished tasks that a checkpoint lists.
 	MaxFinishedTasks = 16
 	// MaxRecoveries is the maximum number of a job's latest recoveries that a checkpoint keeps.
 	MaxRecoveries = 8
@@ -22,10 +22,11 @@
 	finishedTaskBytes = 75
 	rangeBytes        = 12
 	wordBytes         = 21
-	// otherBytes is the size of everything in a record except the steps and the done tasks.
+	// otherBytes is the size of everything in a record except the list of the latest finished tasks and
+	// the set of all done tasks.
 	otherBytes = 250
-	// limitPerFinishedTask is the part of the size limit that allows for one step. It exceeds stepBytes so
-	// that space is left for the done tasks.
+	// limitPerFinishedTask is the part of the size limit that allows for one entry of the list of
+	// finished tasks. It exceeds finishedTaskBytes so that space is left for the set of done tasks.
 	limitPerFinishedTask = 128
 )
 
@@ -62,7 +63,7 @@
 	return rec, covered
 }
 
-// latestFinishedTasks returns the latest steps, as many as maxBytes allows.
+// latestFinishedTasks returns the last entries of tasks, as many as maxBytes allows.
 func latestFinishedTasks(tasks []wire.FinishedTask, maxBytes int) []wire.FinishedTask {
 	limit := max(min(MaxFinishedTasks, maxBytes/limitPerFinishedTask), 1)
 	if len(tasks) <= limit {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -17,7 +17,7 @@
 	stepContext
 
 	userReads            *statestore.ReadCoalescer // reads of job records for user requests
-	unsentRequestsLogged uint64                    // requests dropped before they were sent, as last logged
+	unsentRequestsLogged uint64                    // unsent requests dropped, as last logged
 
 	ownership                 ownershipState
 	jobSharding               jobSharding
@@ -30,11 +30,13 @@
 	forwardedRequestsInFlight int      // user requests forwarded to other controllers
 	nodes                     []string // labels of all controllers, sorted
 
-	machines              map[string]*machine
-	machineRecords        machineRecords
-	commandQueue          commandQueue
-	taskListRound         uint64                   // counts the calls of applyTaskList
-	misdirectedHeartbeats map[string]micros.Micros // time of the last misdirected heartbeat received here, by machine
+	machines       map[string]*machine
+	machineRecords machineRecords
+	commandQueue   commandQueue
+	taskListRound  uint64 // counts the calls of applyTaskList
+	// misdirectedHeartbeats holds the time of the last misdirected heartbeat received here, by
+	// machine.
+	misdirectedHeartbeats map[string]micros.Micros
 
 	types          machineTypes
 	estimates      estimate.RunTimes
@@ -102,8 +104,8 @@
 	return c.takeEffects()
 }
 
-// beginStep advances both clocks and accounts for the duration of the previous step. The steady
-// clock never runs backwards.
+// beginStep advances both clocks and accounts for the duration of the previous step. The
+// monotonic time of the steps never decreases.
 func (c *Controller) beginStep(at Instant) {
 	c.now = max(c.now, at.Monotonic)
 	c.wall = at.Wall
--- a/internal/controller/estimate/estimate_test.go
+++ b/internal/controller/estimate/estimate_test.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// TestRateMeter checks that the meter reports the rate of a steady arrival, and that the reported
-// rate decays after the arrival ends.
+// TestRateMeter checks that the meter reports a constant rate of arrivals, and that the reported
+// rate decays after the arrivals end.
 func TestRateMeter(t *testing.T) {
 	var r RateMeter
 	now := micros.Micros(0)
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -37,10 +37,12 @@
 
 // assignments holds the machines that are being assigned to shards.
 type assignments struct {
-	pendingCreations   map[string]*recordSetCreation // record sets being written, by key
-	assigning          map[string]bool               // IDs of machines in these record sets, waiting for one, or probed before
-	registrations      []registration                // of machines that have sent a heartbeat but have no record
-	registrationsDueAt micros.Micros                 // when the registrations are recorded
+	pendingCreations map[string]*recordSetCreation // record sets being written, by key
+	// assigning holds the IDs of the machines in these record sets, of those that wait for a record
+	// set, and of those that are probed before they are registered.
+	assigning          map[string]bool
+	registrations      []registration // of machines that sent a heartbeat but have no record
+	registrationsDueAt micros.Micros  // when the registrations are recorded
 }
 
 // init prepares the state of a controller that does not lead.
--- a/internal/controller/fleet/demand.go
+++ b/internal/controller/fleet/demand.go
@@ -27,7 +27,7 @@
 	return false
 }
 
-// WaitingTasks returns the groups of waiting tasks of all shards.
+// WaitingTasks returns the groups of waiting tasks of all shards, shard by shard.
 func (d Demands) WaitingTasks() []peer.WaitingTasks {
 	var groups []peer.WaitingTasks
 	for _, shard := range d.Shards() {
--- a/internal/controller/fleet/scale_out.go
+++ b/internal/controller/fleet/scale_out.go
@@ -26,7 +26,7 @@
 	Catalog      Catalog
 	DrainHorizon micros.Micros // see Totals.Need
 	Totals       Totals
-	WaitingTasks []peer.WaitingTasks // groups of waiting tasks
+	WaitingTasks []peer.WaitingTasks // of all shards, grouped by their requirements
 	Free         map[Kind]float64    // CPUs of machines that are idle or booting
 	// MachinesInZone holds the number of machines by zone.
 	MachinesInZone map[string]int
@@ -47,7 +47,7 @@
 
 // Next returns the next rental. It serves the groups in decreasing order of waiting work, with the
 // cheapest machines that a group can use, as long as the fleet has fewer machines than are worth
-// their price. It returns false if nothing more is to be rented. It sorts Groups.
+// their price. It returns false if nothing more is to be rented. It sorts WaitingTasks.
 func (s *ScaleOut) Next() (wire.RentalRequest, bool) {
 	slices.SortStableFunc(s.WaitingTasks, func(a, b peer.WaitingTasks) int {
 		return cmp.Compare(float64(b.WorkUS)*b.CPUs, float64(a.WorkUS)*a.CPUs)
--- a/internal/controller/job.go
+++ b/internal/controller/job.go
@@ -111,9 +111,9 @@
 }
 
 // addFinishedTask adds a completed task to finishedTasks and drops the oldest entries beyond
-// checkpoint.MaxSteps.
-func (r *run) addFinishedTask(step wire.FinishedTask) {
-	r.finishedTasks = append(r.finishedTasks, step)
+// checkpoint.MaxFinishedTasks.
+func (r *run) addFinishedTask(task wire.FinishedTask) {
+	r.finishedTasks = append(r.finishedTasks, task)
 	if excess := len(r.finishedTasks) - checkpoint.MaxFinishedTasks; excess > 0 {
 		r.finishedTasks = r.finishedTasks[excess:]
 	}
--- a/internal/controller/job_end_test.go
+++ b/internal/controller/job_end_test.go
@@ -226,7 +226,8 @@
 		sub := newSubmission("job-000002", 2)
 		h.putRecord(wire.JobKey("job-000001"), wire.JobRecord{State: wire.StateCancelled, Tasks: 2})
 		h.putMachines("h-1-1", "vm-1", "vm-2")
-		h.applyTxn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}}) // a new claim, so that the machines are older than it
+		// After a new claim of the shard the machines are older than the claim.
+		h.applyTxn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}})
 		h.run(sec)
 		h.putRecord(wire.JobKey("job-000002"), wire.JobRecord{Submission: &sub, State: wire.StatePending, Tasks: 2})
 		h.workerCalls = nil
--- a/internal/controller/job_reads_test.go
+++ b/internal/controller/job_reads_test.go
@@ -188,7 +188,8 @@
 			continue
 		}
 		found = true
-		h.putRecord(wire.JobKey("job-000777"), wire.NewJobRecord(new(newSubmission("job-000777", 1)), 1)) // after the read, before its answer
+		// The record is written after the read, but before the answer to the read arrives.
+		h.putRecord(wire.JobKey("job-000777"), wire.NewJobRecord(new(newSubmission("job-000777", 1)), 1))
 		h.answerCall(c, 404, nil)
 	}
 	h.run(200 * ms)
--- a/internal/controller/machine_record_writes.go
+++ b/internal/controller/machine_record_writes.go
@@ -177,7 +177,8 @@
 		return
 	}
 	c.log(Info, "machine record set split for smaller limits", "batch", set.key, "machines", len(set.machines), "parts", len(writes))
-	c.writeRecordSets(ownerKey(s.id), s.ownerEpoch, writes, func(writeOutcome) {}) // the watch shows whether it was applied
+	// The watch shows whether the write was applied.
+	c.writeRecordSets(ownerKey(s.id), s.ownerEpoch, writes, func(writeOutcome) {})
 }
 
 // splitWrites returns the writes that keep the first machines of a record set in it and move
--- a/internal/controller/maintenance.go
+++ b/internal/controller/maintenance.go
@@ -44,7 +44,7 @@
 	return Work{Visited: c.visited - c.visitedBefore, Round: c.scheduling.scheduledLastStep || c.maintenance.walkedLastStep}
 }
 
-// Wake returns the latest steady time (see Instant) at which Step must be called next.
+// Wake returns the latest time of the monotonic clock at which Step must be called next; see Instant.
 func (sc *stepContext) Wake() micros.Micros { return sc.wakeAt }
 
 // wakeIn requests a step within d, or within a millisecond if d is less: it lowers the time that
--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -11,9 +11,9 @@
 // This file declares the messages of a Controller: the inputs of Step, its effects, and the request
 // types that an effect can carry.
 
-// Instant is a reading of the steady clock and of the wall clock.
+// Instant is a reading of the monotonic clock and of the wall clock.
 type Instant struct {
-	// Monotonic is the monotonic time.
+	// Monotonic is the time of the monotonic clock.
 	Monotonic micros.Micros
 	// Wall is the time of day.
 	Wall micros.Micros
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -97,7 +97,8 @@
 		}
 		c.finishJob(id, f)
 		if i := slices.Index(p.pendingCancellations, id); i >= 0 {
-			p.pendingCancellations = slices.Delete(p.pendingCancellations, i, i+1) // the other controller knows the cancellation already
+			// The other controller knows the cancellation already.
+			p.pendingCancellations = slices.Delete(p.pendingCancellations, i, i+1)
 		}
 	}
 }
--- a/internal/controller/preemption_test.go
+++ b/internal/controller/preemption_test.go
@@ -8,7 +8,7 @@
 )
 
 // TestPreemptedCapacityIsReserved checks that capacity that is being freed for one job is not given
-// to another job. The other job's task would only be stopped in turn: without the reservation the
+// to another job. The other job's task would only be preempted next: without the reservation the
 // simulation saw forty stops a second.
 func TestPreemptedCapacityIsReserved(t *testing.T) {
 	h := newHarness(t, nil)
--- a/internal/controller/prefetch.go
+++ b/internal/controller/prefetch.go
@@ -68,7 +68,8 @@
 // start of tasks.
 func (c *Controller) recordPrefetchImage(j *job) {
 	_, urgent := c.cfg.StartWithin[j.sub.Class]
-	dependsOnOtherTasks := j.sub.SameZone || j.sub.Spread // its zone constraints depend on its other attempts
+	// The job's zone constraints depend on its other attempts.
+	dependsOnOtherTasks := j.sub.SameZone || j.sub.Spread
 	if urgent && !dependsOnOtherTasks {
 		c.prefetchImages.add(j, c.now)
 	}
--- a/internal/controller/quota_requests.go
+++ b/internal/controller/quota_requests.go
@@ -30,8 +30,10 @@
 	c.answer(reply, http.StatusOK, &peer.Response{From: c.cfg.Label, Quota: &resp}, 0)
 }
 
-// setQuota has the ledger set or clear an operator's limit. The request is answered when the ledger
-// reports the result.
+// setQuota has the ledger set or clear an operator's limit. The operator's request arrives as a
+// peer.SetLimit, a message of the command line; the ledger gets a quota.SetLimit, an input of
+// Ledger.Step, whose nil Limit clears the limit. The request is answered when the ledger reports the
+// result.
 func (c *Controller) setQuota(reply ReplyID, set peer.SetLimit) {
 	if err := quota.CheckLimit("limit", set.Limit); err != nil {
 		c.answerQuota(reply, peer.QuotaResponse{Problem: err.Error()})
--- a/internal/controller/reachability_test.go
+++ b/internal/controller/reachability_test.go
@@ -33,7 +33,8 @@
 				h.run(sec / 2)
 				h.dropWorkerCalls()
 				seq++
-				status, body := h.heartbeat(heartbeatFrom("vm-1", 1, seq, fencingToken, running)) // never lists the started tasks
+				// The heartbeats never list the started tasks.
+				status, body := h.heartbeat(heartbeatFrom("vm-1", 1, seq, fencingToken, running))
 				statuses[status]++
 				if status == 200 {
 					last = h.now
--- a/internal/controller/step_context.go
+++ b/internal/controller/step_context.go
@@ -18,7 +18,7 @@
 	heartbeatDeadlines reachability.Deadlines
 	rng                *rand.Rand
 
-	// now is the steady time of the current step, wall its time of day.
+	// now is the monotonic time of the current step, wall its time of day.
 	now, wall micros.Micros
 	startedAt micros.Micros // time of the first step; negative before it
 	wakeAt    micros.Micros // time at which the next step is due at the latest; see Wake
--- a/internal/controller/unknown_jobs_test.go
+++ b/internal/controller/unknown_jobs_test.go
@@ -80,7 +80,8 @@
 		h.unreadablePrefix = wire.PrefixJob
 		later := uint64(1000)
 		h.heartbeat(lists("vm-1", 20, fencingToken, "job-000007", later<<32|1))
-		h.putRecord(wire.JobKey("job-000009"), wire.JobRecord{State: wire.StateDone, Tasks: 1}) // the view of jobs advances
+		// The view of jobs advances.
+		h.putRecord(wire.JobKey("job-000009"), wire.JobRecord{State: wire.StateDone, Tasks: 1})
 		h.run(sec)
 		if status, body := h.heartbeat(lists("vm-1", 21, fencingToken, "job-000007", later<<32|1)); status == 200 && countImmediateStops(body.Commands) != 1 {
 			t.Errorf("answered 200 with %v, want the task stopped", body.Commands)
--- a/internal/controller/watch_test.go
+++ b/internal/controller/watch_test.go
@@ -48,7 +48,8 @@
 		t.Fatalf("test setup: shard %v, job view current %v; want an owned shard with a stale view", s.ownership, s.jobsViewCurrent)
 	}
 	complete := h.c.ownership.jobWatch.CompleteAsOf
-	for seq := uint64(20); h.now < complete+h.c.bounds.StaleViewGrace+4*sec; seq++ { // its lease is renewed throughout
+	// The machine's lease is renewed throughout.
+	for seq := uint64(20); h.now < complete+h.c.bounds.StaleViewGrace+4*sec; seq++ {
 		h.run(sec / 2)
 		status, body := h.heartbeat(heartbeatFrom("vm-1", 1, seq, fencingToken))
 		fencingToken = max(fencingToken, body.FencingToken)
--- a/internal/fakes/worker.go
+++ b/internal/fakes/worker.go
@@ -76,7 +76,9 @@
 
 	agentEpoch, sequence, fencingToken uint64
 
-	leaseStart    micros.Micros // when the last answered heartbeat was sent or the agent's epoch began, by the worker's clock
+	// leaseStart is when the last answered heartbeat was sent or the agent's epoch began, by the
+	// worker's clock.
+	leaseStart    micros.Micros
 	tasks         map[taskKey]*Task
 	images        map[string]bool
 	node          int // index of the controller that heartbeats go to
--- a/internal/faulttest/machine_faults.go
+++ b/internal/faulttest/machine_faults.go
@@ -28,7 +28,7 @@
 	faultReceivesNothing                     // neither commands nor replies reach the machine
 	faultSendsNothing                        // the machine cannot reach any controller
 	faultDuplicates                          // some heartbeats arrive a second time, late
-	faultRarelyReached                       // no command reaches the machine, and about one reply per lease does
+	faultRarelyReached                       // no commands and about one reply per lease arrive
 	machineFaultCount
 )
 
--- a/internal/faulttest/soak_users.go
+++ b/internal/faulttest/soak_users.go
@@ -44,7 +44,8 @@
 	// unknownJobRequests counts the requests of requestUnknownJobs, and refused those of them
 	// that got neither status 200 nor 404.
 	unknownJobRequests, refused int
-	longestUnanswered           time.Duration // longest time that requests about an accepted job went unanswered
+	// longestUnanswered is the longest time that requests about an accepted job went unanswered.
+	longestUnanswered time.Duration
 }
 
 // soakJob is a job as seen by its user.
--- a/internal/peer/demand.go
+++ b/internal/peer/demand.go
@@ -33,9 +33,10 @@
 // ZoneMachines counts a shard's machines in one zone, without those that are booting. A machine that
 // stays unreconciled for some time after the claim of the shard counts as silent.
 type ZoneMachines struct {
-	Name           string `msgpack:"n"`
-	TotalMachines  int    `msgpack:"a"`
-	SilentMachines int    `msgpack:"s,omitempty"` // machines in state MachineSilent, and those that count as silent
+	Name          string `msgpack:"n"`
+	TotalMachines int    `msgpack:"a"`
+	// SilentMachines counts the machines in state MachineSilent, and those that count as silent.
+	SilentMachines int `msgpack:"s,omitempty"`
 }
 
 // WaitingTasks is a group of waiting tasks with the same requirements, so that the same machines
--- a/internal/peer/quota.go
+++ b/internal/peer/quota.go
@@ -30,8 +30,10 @@
 // TraceContext identifies a span of the sender's work on a group's quota. Other controllers use it
 // as the parent of the spans of their related work.
 type TraceContext struct {
-	Group   string `msgpack:"g"`
-	Shard   int    `msgpack:"s"` // the shard that asks for more quota; -1: the work follows from an announced limit
+	Group string `msgpack:"g"`
+	// Shard is the shard that asks for more quota, or -1 if the work follows from an announced
+	// limit.
+	Shard   int    `msgpack:"s"`
 	TraceID []byte `msgpack:"t"`
 	SpanID  []byte `msgpack:"p"`
 	BeganUS int64  `msgpack:"b"` // Unix time in microseconds at which the trace began
--- a/internal/runtime/runtime.go
+++ b/internal/runtime/runtime.go
@@ -31,7 +31,7 @@
 	connSweepInterval   = 10 * time.Second
 	firstTimerInterval  = time.Hour // replaced in the first step
 	minTimerInterval    = time.Millisecond
-	monotonicClockStart = micros.Second // first reading of the steady clock; a time of 0 means "never"
+	monotonicClockStart = micros.Second // first reading of the monotonic clock; a time of 0 means "never"
 	encodingErrorRetryS = 1             // Retry-After, in seconds, if a response cannot be encoded
 )
 
@@ -45,7 +45,7 @@
 type Runtime struct {
 	settings  config.Settings
 	log       *slog.Logger
-	startedAt time.Time // when the steady clock read steadyClockStart
+	startedAt time.Time // when the monotonic clock read monotonicClockStart
 
 	mu               sync.Mutex // guards the fields from controller to timer
 	controller       *controller.Controller
@@ -166,7 +166,7 @@
 	}
 }
 
-// instant returns the current readings of the steady clock and the time of day.
+// instant returns the current readings of the monotonic clock and the time of day.
 func (rt *Runtime) instant() controller.Instant {
 	now := time.Now()
 	return controller.Instant{
--- a/internal/simulation/dags.go
+++ b/internal/simulation/dags.go
@@ -70,7 +70,8 @@
 	u.Submission.Tasks = min(u.Submission.Tasks, 3)
 	u.TaskDurations = u.TaskDurations[:u.Submission.Tasks]
 	for i := range u.TaskDurations {
-		u.TaskDurations[i] = s.between(2*sec, 6*sec) // short enough for a whole chain to be done within RecoveryTime
+		// Short enough for a whole chain to be done within RecoveryTime.
+		u.TaskDurations[i] = s.between(2*sec, 6*sec)
 	}
 	if u.Submission.Class == "rush" && len(dependencies) < 2 {
 		u.Submission.Priority = "best_effort"
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -140,10 +140,13 @@
 		s.cut(append(append(n.workerLinks(), n.peerLinks()...), n.stateLink(), n.cloudLink()), mode, d)
 	case faultCutFromPeers:
 		s.cut(n.peerLinks(), mode, d)
-	case faultLateCommands: // messages to workers arrive after the controller has crashed, and after those of its successor
+	case faultLateCommands:
+		// Messages to workers arrive after the controller has crashed, and after those of its
+		// successor.
 		s.cut(n.workerLinks(), cutHold, s.between(4*sec, 14*sec))
 		s.after(s.between(100*ms, 3*sec), func() { n.crash(s.between(4*sec, 20*sec)) })
-	case faultLongCutFromState: // the controller loses its locks, returns with a stale view and soon owns shards again
+	case faultLongCutFromState:
+		// The controller loses its locks, returns with a stale view and soon owns shards again.
 		s.cut(state, mode, s.between(5*sec, 25*sec))
 	case faultCutFromStateAndPeers: // the controller still reaches its workers
 		s.cut(append(n.peerLinks(), state...), mode, s.between(5*sec, 35*sec))
@@ -188,12 +191,14 @@
 // duplicated.
 func (s *Simulation) injectMessageFault(kind faultKind, d micros.Micros) {
 	switch kind {
-	case faultUnreachableMachines: // heartbeats arrive, but replies and commands do not reach the machines
+	case faultUnreachableMachines:
+		// Heartbeats arrive, but replies and commands do not reach the machines.
 		for range min(len(s.machineNames), 1+s.rng.IntN(4)) {
 			s.drawWorker().unreachableUntil = s.now + s.between(4*sec, 30*sec)
 			s.Unreachable++
 		}
-	case faultLateHeartbeats: // many heartbeats are duplicated, and the duplicates arrive late at any controller
+	case faultLateHeartbeats:
+		// Many heartbeats are duplicated, and the duplicates arrive late at any controller.
 		s.duplicateBurstUntil = s.now + d
 	case faultLostCommandReplies: // a machine's replies to commands are lost
 		if len(s.machineNames) > 0 {
--- a/internal/simulation/large_fleet_test.go
+++ b/internal/simulation/large_fleet_test.go
@@ -8,7 +8,9 @@
 // heartbeat must not grow with the fleet, and neither must the cost of a round for each machine.
 func TestLargeFleet(t *testing.T) {
 	t.Parallel()
-	type cost struct{ heartbeat, round, mostRound float64 } // mean heartbeat; mean and costliest round per machine
+	// cost holds the mean cost of a heartbeat, and the mean and the highest cost of a round per
+	// machine.
+	type cost struct{ heartbeat, round, mostRound float64 }
 	run := func(machines int, seed uint64) cost {
 		s := New(Plan{Seed: seed, Nodes: 3, Machines: machines, InitialMachines: machines, Jobs: machines / 8, Large: true, ReconnectionWaves: true, Teams: oneTeam(), ActiveTime: 90 * sec, RecoveryTime: 300 * sec})
 		s.Run()
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -36,7 +36,7 @@
 	incarnation     int // number of the process; each start increments it
 	nextReplyID     controller.ReplyID
 	pendingReplies  map[controller.ReplyID]func(controller.Answer)
-	wakeAt          micros.Micros // on the steady clock
+	wakeAt          micros.Micros // on the monotonic clock
 	recentCalls     []controller.Call
 	heartbeatReader *wire.HeartbeatReader // decodes heartbeats as a real controller does
 
@@ -98,7 +98,7 @@
 	n.sim.after(down, n.start)
 }
 
-// monotonicClock returns the time on the process's steady clock, which drifts.
+// monotonicClock returns the time on the process's monotonic clock, which drifts.
 func (n *node) monotonicClock() micros.Micros { return n.clockDrift.Apply(n.sim.now) }
 
 // wallClock returns the time on the process's wall clock.
--- a/internal/simulation/reconnection_waves.go
+++ b/internal/simulation/reconnection_waves.go
@@ -1,7 +1,7 @@
 package simulation
 
-// This file holds the faults of Plan.ReconnectionWaves, in which all workers of a large fleet turn
-// to another controller at once.
+// This file holds the faults of Plan.ReconnectionWaves, in which all workers of a large fleet
+// switch to another controller at once.
 
 const (
 	// leaderDowntime is how long the leader is down after its crash.
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -125,7 +125,9 @@
 		StartWithin: map[string]micros.Micros{"rush": 3 * sec}, MaxFinalJobs: p.MaxFinalJobs,
 	}
 	if p.LongOutage {
-		cfg.Lease = 6 * sec // twice the margin of the time bounds: the margin can't make up for a term that a bound omits
+		// This is twice the margin of the time bounds, so that the margin can't make up for a term
+		// that a bound omits.
+		cfg.Lease = 6 * sec
 	}
 	return cfg
 }
--- a/internal/simulation/upgrade.go
+++ b/internal/simulation/upgrade.go
@@ -57,7 +57,8 @@
 			s.after(s.plan.ActiveTime*2/3+delay, func() { n.upgradeTo(s.plan.UpgradeFrom) })
 		}
 	}
-	s.after(s.between(12*sec, s.upgradeEnd()+30*sec), s.lowerLimits) // while controllers of the old release run, or later
+	// The limits are lowered while controllers of the old release run, or later.
+	s.after(s.between(12*sec, s.upgradeEnd()+30*sec), s.lowerLimits)
 }
 
 // upgradeTo restarts a controller with another release.
--- a/internal/simulation/user.go
+++ b/internal/simulation/user.go
@@ -46,10 +46,12 @@
 	finalState        wire.JobState // reported final state; empty: none yet
 
 	// The following fields are used by checks only.
-	largest                bool          // the job is among the largest of its class
-	waitingSince           micros.Micros // start of the current wait despite free capacity, reset by each start of a task; 0: blocked or unchecked
-	starts                 int           // number of starts of the job's tasks
-	startsWhenWaitingSince int           // value of starts when waitingSince was set
+	largest bool // the job is among the largest of its class
+	// waitingSince is the start of the current wait despite free capacity. Each start of a task
+	// resets it. 0: the job is blocked or has not been checked.
+	waitingSince           micros.Micros
+	starts                 int // number of starts of the job's tasks
+	startsWhenWaitingSince int // value of starts when waitingSince was set
 }
 
 // send sends a request to a random controller, as through a load balancer.
