--- a/internal/controller/authority/job_status.go
+++ b/internal/controller/authority/job_status.go
@@ -46,8 +46,8 @@
 	JobEnded, JobOpen bool
 	// StartEpoch is the revision of the claim under which the task was started.
 	StartEpoch uint64
-	// SeenAt is a time by which the task had been seen on the machine. It may be later than the time at
-	// which the task was first seen; the later it is, the less certain is the status.
+	// SeenAt is a time by which the task had been seen on the machine. It may be later than the
+	// time at which the task was first seen; the later it is, the less certain is the status.
 	SeenAt micros.Micros
 	Now    micros.Micros
 }
--- a/internal/controller/checkpoint/checkpoint.go
+++ b/internal/controller/checkpoint/checkpoint.go
@@ -10,7 +10,8 @@
 )
 
 const (
-	// MaxFinishedTasks is the maximum number of a job's latest finished tasks that a checkpoint lists.
+	// MaxFinishedTasks is the maximum number of finished tasks, the latest of a job, that a
+	// checkpoint lists.
 	MaxFinishedTasks = 16
 	// MaxRecoveries is the maximum number of a job's latest recoveries that a checkpoint keeps.
 	MaxRecoveries = 8
@@ -22,8 +23,8 @@
 	finishedTaskBytes = 75
 	rangeBytes        = 12
 	wordBytes         = 21
-	// otherBytes is the size of everything in a record except the list of the latest finished tasks and
-	// the set of all done tasks.
+	// otherBytes is the size of everything in a record except the list of the latest finished
+	// tasks and the set of all done tasks.
 	otherBytes = 250
 	// limitPerFinishedTask is the part of the size limit that allows for one entry of the list of
 	// finished tasks. It exceeds finishedTaskBytes so that space is left for the set of done tasks.
--- a/internal/controller/checkpoint_recovery.go
+++ b/internal/controller/checkpoint_recovery.go
@@ -113,5 +113,5 @@
 		r.checkpoint.recorded.Add(task)
 	}
 	r.finishedTasks = rec.FinishedTasks
-	r.checkpoint.recoveries = rec.RecoveriesMS
+	r.checkpoint.recoveriesMS = rec.RecoveriesMS
 }
--- a/internal/controller/checkpoints.go
+++ b/internal/controller/checkpoints.go
@@ -36,8 +36,8 @@
 	recorded checkpoint.TaskSet
 	// awaiting are the exited attempts whose end is not in a recorded checkpoint yet.
 	awaiting []*attempt
-	// recoveries are the times of the latest recoveries of the job, in Unix milliseconds.
-	recoveries []int64
+	// recoveriesMS are the times of the latest recoveries of the job, in Unix milliseconds.
+	recoveriesMS []int64
 }
 
 // due reports whether a checkpoint should be written now.
@@ -50,9 +50,9 @@
 
 // addRecovery adds a recovery of the job at a time of day to the next checkpoint.
 func (p *jobCheckpoint) addRecovery(wall micros.Micros) {
-	p.recoveries = append(p.recoveries, wall.Millis())
-	if excess := len(p.recoveries) - checkpoint.MaxRecoveries; excess > 0 {
-		p.recoveries = p.recoveries[excess:]
+	p.recoveriesMS = append(p.recoveriesMS, wall.Millis())
+	if excess := len(p.recoveriesMS) - checkpoint.MaxRecoveries; excess > 0 {
+		p.recoveriesMS = p.recoveriesMS[excess:]
 	}
 }
 
@@ -90,7 +90,7 @@
 		Done:          j.run.doneTasks,
 		DoneCount:     j.run.doneCount,
 		FinishedTasks: j.run.finishedTasks,
-		RecoveriesMS:  j.run.checkpoint.recoveries,
+		RecoveriesMS:  j.run.checkpoint.recoveriesMS,
 	}
 	return checkpoint.NewRecord(progress, c.cfg.ValueBytes)
 }
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -94,7 +94,9 @@
 		return
 	}
 	if !f.recorded {
-		t.unknownDependencies[id] = c.now // read at once: another controller's message does not unblock
+		// The record of the dependency is read at once, since a message from another controller does
+		// not unblock its dependents.
+		t.unknownDependencies[id] = c.now
 		return
 	}
 	delete(t.dependents, id)
--- a/internal/controller/machine_assignment.go
+++ b/internal/controller/machine_assignment.go
@@ -148,7 +148,8 @@
 		if outcome == writeApplied || c.machineRecords.sets[creation.key] != nil {
 			c.fleet.endCreation(creation)
 		}
-		// Otherwise maintainCreations repeats the write. The watch shows a record set that exists already.
+		// Otherwise maintainCreations repeats the write. The watch shows a record set that exists
+		// already.
 	})
 }
 
--- a/internal/controller/machine_health.go
+++ b/internal/controller/machine_health.go
@@ -17,7 +17,8 @@
 	// expected ones, and runTimeWeight the number of these tasks. With each further run time
 	// the earlier ones lose weight in both.
 	logRunTimeRatioSum, runTimeWeight float64
-	backoffUntil                      micros.Micros // no start is sent before this time, after a refused one
+	// backoffUntil is the time before which no start is sent, after a refused one.
+	backoffUntil micros.Micros
 }
 
 // Thresholds at which failed tasks are attributed to a machine or to a job.
--- a/internal/controller/ownership.go
+++ b/internal/controller/ownership.go
@@ -161,7 +161,7 @@
 		WorkersUnreachable: c.workerContact.lost(),
 	}
 	for _, label := range c.nodes {
-		if p := c.peers[label]; p != nil && c.hasWorkers(p) {
+		if p := c.peers[label]; p != nil && c.reachesWorkers(p) {
 			known.Candidates = append(known.Candidates, ownership.Candidate{Label: label, Shards: shardsByOwner[label]})
 		}
 	}
@@ -190,7 +190,7 @@
 // readyToOwnShard reports whether another controller can own a shard and has been up for
 // stableOwnerPeriod.
 func (c *Controller) readyToOwnShard(p *peerView) bool {
-	return c.hasWorkers(p) && p.stateReachable && p.uptime >= stableOwnerPeriod
+	return c.reachesWorkers(p) && p.stateReachable && p.uptime >= stableOwnerPeriod
 }
 
 // mayReleaseShard reports whether this node has owned a shard for stableOwnerPeriod and all its
--- a/internal/controller/ownership/claim_test.go
+++ b/internal/controller/ownership/claim_test.go
@@ -23,8 +23,8 @@
 	}{
 		{"the preferred owner", ClaimKnowledge{Label: "b", PreferredOwner: "b", Shards: 3, Candidates: []Candidate{{"a", 0}}}, 0},
 		{"the preferred owner, just started", ClaimKnowledge{Label: "b", PreferredOwner: "b", Starting: true}, 0},
-		{"the preferred owner without workers", ClaimKnowledge{Label: "b", PreferredOwner: "b", WorkersUnreachable: true}, 8 * claimStep},
-		{"the preferred owner without workers, just started", ClaimKnowledge{Label: "b", PreferredOwner: "b", WorkersUnreachable: true, Starting: true}, 2 * claimStep},
+		{"the preferred owner, workers unreachable", ClaimKnowledge{Label: "b", PreferredOwner: "b", WorkersUnreachable: true}, 8 * claimStep},
+		{"the preferred owner, workers unreachable, just started", ClaimKnowledge{Label: "b", PreferredOwner: "b", WorkersUnreachable: true, Starting: true}, 2 * claimStep},
 		{"the preferred owner is down, no other candidates", ClaimKnowledge{Label: "b", PreferredOwner: "a"}, 0},
 		{"just started, the preferred owner is down", ClaimKnowledge{Label: "b", PreferredOwner: "a", Starting: true}, 2 * claimStep},
 		{"the preferred owner may claim, and owns more", ClaimKnowledge{Label: "b", PreferredOwner: "a", Candidates: []Candidate{{"a", 1}}}, claimStep},
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -42,9 +42,9 @@
 	// not count.
 	lastStatusAt       micros.Micros
 	uptime             micros.Micros
-	stateReachable     bool // it reports that it reaches the state service
-	workersUnreachable bool
-	enforcesQuota      bool // it has quota groups
+	stateReachable     bool // the state service has responded to it recently
+	workersUnreachable bool // it has lost contact with the workers
+	enforcesQuota      bool // it enforces the quota of groups of teams
 	// statusInFlight is set while a status sent to it has not been answered.
 	statusInFlight bool
 	nextStatusAt   micros.Micros
--- a/internal/controller/reachability/reachability.go
+++ b/internal/controller/reachability/reachability.go
@@ -50,7 +50,7 @@
 
 	// Effects of the last reply that the next heartbeat must show.
 	expectedToken   uint64       // the fencing token that the last reply raised; 0: none
-	expectedCommand wire.Command // one command of the last reply; Op is empty if the reply had no commands
+	expectedCommand wire.Command // one command of the last reply; Op is empty if it had none
 }
 
 // ReplySent records a reply: its fencing token, its commands, and the highest fencing token that
--- a/internal/controller/record_limits_test.go
+++ b/internal/controller/record_limits_test.go
@@ -113,12 +113,12 @@
 				j.run.doneTasks.Add(i)
 				j.run.doneCount++
 			}
-			j.run.finishedTasks, j.run.checkpoint.recoveries = nil, nil
+			j.run.finishedTasks, j.run.checkpoint.recoveriesMS = nil, nil
 			for i := range checkpoint.MaxFinishedTasks {
 				j.run.finishedTasks = append(j.run.finishedTasks, wire.FinishedTask{Task: 99_000 + i, Machine: "vm-123456", StartMS: 1_800_000_000_000, EndMS: 1_800_000_000_000})
 			}
 			for range checkpoint.MaxRecoveries {
-				j.run.checkpoint.recoveries = append(j.run.checkpoint.recoveries, 1_800_000_000_000)
+				j.run.checkpoint.recoveriesMS = append(j.run.checkpoint.recoveriesMS, 1_800_000_000_000)
 			}
 			rec, _ := h.c.buildCheckpoint(j)
 			value := encoded(t, rec)
--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -170,7 +170,8 @@
 		if !c.packJob(round, j) {
 			return
 		}
-		if !j.sub.SameZone && !j.sub.Spread { // zone constraints of this job say nothing about other jobs
+		// The zone constraints of this job say nothing about other jobs.
+		if !j.sub.SameZone && !j.sub.Spread {
 			round.unplaced = append(round.unplaced, unplacedTask{resourcesOf(j.sub), j.constraint})
 		}
 	}
--- a/internal/controller/state_requests.go
+++ b/internal/controller/state_requests.go
@@ -84,7 +84,8 @@
 // class first.
 func (c *Controller) StateRequests() []statestore.ClassMetrics {
 	metrics := c.stateQueue.Metrics(c.now)
-	metrics[statestore.ClassUserRead].Depth = c.userReads.Waiting() // at most one of them is in the queue
+	// At most one of the waiting reads is in the queue.
+	metrics[statestore.ClassUserRead].Depth = c.userReads.Waiting()
 	return metrics
 }
 
--- a/internal/controller/worker_contact.go
+++ b/internal/controller/worker_contact.go
@@ -134,15 +134,15 @@
 func (c *Controller) triesAnotherController(m *machine) bool {
 	for _, label := range c.cfg.Peers {
 		p := c.peers[label]
-		if c.hasWorkers(p) && p.misdirectedHeartbeats[m.id] {
+		if c.reachesWorkers(p) && p.misdirectedHeartbeats[m.id] {
 			return true
 		}
 	}
 	return false
 }
 
-// hasWorkers reports whether another controller is alive and in contact with the workers.
-func (c *Controller) hasWorkers(p *peerView) bool { return c.alive(p) && !p.workersUnreachable }
+// reachesWorkers reports whether another controller is alive and in contact with the workers.
+func (c *Controller) reachesWorkers(p *peerView) bool { return c.alive(p) && !p.workersUnreachable }
 
 // workersLost reports whether the silence shows that this node has lost contact with the workers,
 // rather than that the machines have failed.
--- a/internal/controller/worker_contact_test.go
+++ b/internal/controller/worker_contact_test.go
@@ -24,7 +24,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t, func(c *Config) { c.Peers = []string{"n-1"}; c.MaxMachines = 100 })
 			h.submit(newSubmission("job-000001", 4000)) // keeps the machines busy, so that none is returned
-			h.run(8 * sec)                              // becomes the leader and waits out the lag of the list
+			h.run(8 * sec)                              // becomes the leader; the lag of the list passes
 			tokens := map[string]uint64{}
 			for i := range machines {
 				tokens[machineName(i)] = h.reconcileMachine(machineName(i))
--- a/internal/peer/machinestate.go
+++ b/internal/peer/machinestate.go
@@ -10,7 +10,7 @@
 const (
 	MachineIdle      MachineState = 1 // has no tasks
 	MachineSilent    MachineState = 2 // its heartbeats are overdue, or replies do not reach it
-	MachineUnhealthy MachineState = 3 // to be replaced: fails or slows down tasks, or is being reclaimed
+	MachineUnhealthy MachineState = 3 // to be replaced: fails or slows tasks, or is being reclaimed
 	MachineBusy      MachineState = 4 // has tasks
 	MachineDraining  MachineState = 5 // starts no new tasks, and is released once it is empty
 	MachineBooting   MachineState = 6 // rented, but has not sent a heartbeat yet
--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -4,8 +4,8 @@
 type ControllerState struct {
 	UptimeUS           int64        `msgpack:"u"`           // microseconds since the controller started
 	StateReachable     bool         `msgpack:"k"`           // the state service has responded recently
-	WorkersUnreachable bool         `msgpack:"e,omitempty"` // the controller receives no heartbeats
-	EnforcesQuota      bool         `msgpack:"y,omitempty"` // the controller enforces the quota of groups of teams
+	WorkersUnreachable bool         `msgpack:"e,omitempty"` // the controller has lost contact with the workers
+	EnforcesQuota      bool         `msgpack:"y,omitempty"` // the controller enforces quotas
 	Claims             []ShardClaim `msgpack:"o,omitempty"`
 	// MisdirectedMachines are machines in the receiver's shards that recently sent their
 	// heartbeats to the sender instead.
--- a/internal/runtime/runtime.go
+++ b/internal/runtime/runtime.go
@@ -31,7 +31,7 @@
 	connSweepInterval   = 10 * time.Second
 	firstTimerInterval  = time.Hour // replaced in the first step
 	minTimerInterval    = time.Millisecond
-	monotonicClockStart = micros.Second // first reading of the monotonic clock; a time of 0 means "never"
+	monotonicClockStart = micros.Second // first reading of the monotonic clock; 0 means "never"
 	encodingErrorRetryS = 1             // Retry-After, in seconds, if a response cannot be encoded
 )
 
--- a/internal/server/connection.go
+++ b/internal/server/connection.go
@@ -46,7 +46,7 @@
 	closed         bool
 	evicted        bool          // closing to make room for another connection
 	evictableEntry *list.Element // in Server.evictable; nil if the connection must not be evicted
-	requestStarted time.Time     // when an incomplete request began to arrive, or a request was refused
+	requestStarted time.Time     // when an incomplete request began, or a request was refused
 	lastUsed       time.Time     // when the connection was opened or input last arrived
 }
 
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -56,7 +56,7 @@
 	machineNames  []string // all machines ever rented, in the order in which they were rented
 	users         []*user
 	userByJob     map[string]*user
-	tasksByJob    map[string]map[*fakes.Task]*worker // tasks that workers know of, including exited ones
+	tasksByJob    map[string]map[*fakes.Task]*worker // tasks that workers know of, also exited ones
 	groups        map[string]quota.Record            // stored records by group; nil without groups
 	stateRequests []statestore.ClassMetrics          // counted by processes that have ended
 
