--- a/internal/controller/authority.go
+++ b/internal/controller/authority.go
@@ -19,9 +19,9 @@
 }
 
 // mayStartTasks reports whether tasks may be started. That requires that no other node can have
-// confirmed a cancellation to a user that this node does not know of. A valid lease ensures it.
-// Without one it holds only while every other controller reports that it has lost the state service
-// too: otherwise a successor may have confirmed a cancellation, and its broadcast to this node may
+// confirmed to a user a cancellation that this node does not know of. A valid lease ensures this.
+// Without a valid lease it is ensured only while every other controller reports that it has lost
+// the state service too: otherwise a successor may have confirmed a cancellation, and its broadcast to this node may
 // still be in flight.
 func (c *Controller) mayStartTasks() bool {
 	return c.ownership.leaseValid() || c.allPeersLostState()
--- a/internal/controller/cancellation_test.go
+++ b/internal/controller/cancellation_test.go
@@ -78,7 +78,7 @@
 // lease renewals but no watch of jobs. Owners with a stale view of jobs followed one another, and
 // each renewed its machines' leases for a period that began with its own claim. The length of that
 // period assumed that the previous owner had a current view. The test checks that a machine whose
-// heartbeats all arrive is rid of the task in time, whatever the number of claims.
+// heartbeats all arrive stops the task in time, whatever the number of claims.
 func TestOwnersWithStaleViewsInSeries(t *testing.T) {
 	h := newOwnerHarness(t, func(c *Config) {
 		withPeer(c)
@@ -109,7 +109,7 @@
 // refused. The lease of a machine with a task of an unknown job was renewed without a bound until a
 // read succeeded, although the view of jobs showed that the job had ended: the log line "shard
 // entitlement" said current_view, and each "report" said answered=true commands=0. The test checks
-// that a machine whose heartbeats all arrive is rid of the task in time.
+// that a machine whose heartbeats all arrive stops the task in time.
 func TestUnknownJobUnreadable(t *testing.T) {
 	h := newOwnerHarness(t, func(c *Config) {
 		withPeer(c)
--- a/internal/controller/inventory.go
+++ b/internal/controller/inventory.go
@@ -250,7 +250,7 @@
 }
 
 // compareWithList records since when a machine on record has not been listed. If it is listed and
-// has no address yet, it gets that of the list.
+// has no address yet, it gets the address in the list.
 func (f *fleetState) compareWithList(m *machine) {
 	l, listed := f.listed[m.id]
 	if !listed {
--- a/internal/controller/job_reads_test.go
+++ b/internal/controller/job_reads_test.go
@@ -134,8 +134,9 @@
 }
 
 // TestStatusRequestsAreFairAmongJobs checks that status requests for a job are answered even if the
-// status of another job is requested more often, or that of more jobs than can be read at once. The
-// status of each of 150 jobs is requested every 2 s, and that of one other a hundred times a second.
+// status of another job is requested more often, or the status of more jobs than can be read at
+// once. The status of each of 150 jobs is requested every 2 s, and the status of one other job a
+// hundred times a second.
 // 150 reads take about 33 s at the minimum rate of the class of status requests; the bound is 75 s.
 func TestStatusRequestsAreFairAmongJobs(t *testing.T) {
 	const jobs, within = 150, 75 * sec
--- a/internal/controller/machine_record_sets.go
+++ b/internal/controller/machine_record_sets.go
@@ -86,8 +86,8 @@
 // modification revision of the lock under which it was written, and a counter, so that no name is
 // used twice.
 const (
-	recordSetRegistered = "h" // the machines were on no record and sent a heartbeat
-	recordSetListed     = "l" // the machines were on no record and were in the cloud's list
+	recordSetRegistered = "h" // the machines had no record and sent a heartbeat
+	recordSetListed     = "l" // the machines had no record and were in the cloud's list
 	recordSetMoved      = "m" // the machines came from another record set
 )
 
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -130,15 +130,16 @@
 	}
 }
 
-// peerUpToDate reports whether another controller needs no status: it keeps sending its own, and
-// the acknowledgements of those contain all that a status of this node would.
+// peerUpToDate reports whether another controller needs no status from this node: it keeps sending
+// statuses, and the acknowledgements that this node returns contain all that a status would.
 func (c *Controller) peerUpToDate(p *peerView) bool {
 	return c.peerSendsStatus(p) && !c.hasPendingNotifications(p) && c.ownership.quiescedByPeer(p)
 }
 
 // peerSendsStatus reports whether, of this node and another controller, the other is the one that
-// sends statuses, and is doing so. If one of the two is the leader, the other one sends, because it
-// has its demand to report; otherwise the one with the first label does.
+// sends statuses, and that its next status is not overdue. If one of the two is the leader, the
+// other one sends, because it reports its demand to the leader; otherwise the one whose label comes
+// first sends.
 func (c *Controller) peerSendsStatus(p *peerView) bool {
 	if c.now-p.lastStatusAt > peerStatusOverdue {
 		return false
--- a/internal/controller/reconciliation.go
+++ b/internal/controller/reconciliation.go
@@ -44,8 +44,8 @@
 }
 
 // confirmNeverCommanded checks by its first heartbeat that nobody but this owner has commanded a
-// machine: a fencing token below this node's would be that of another owner, and the machine then
-// has to be reconciled.
+// machine: a fencing token below this node's comes from another owner, and the machine then has to
+// be reconciled.
 func (c *Controller) confirmNeverCommanded(s *shard, m *machine, heartbeat *wire.Heartbeat) {
 	v := m.view
 	foreignToken := heartbeat.FencingToken != 0 && heartbeat.FencingToken < c.fencingToken(s, m)
--- a/internal/controller/returned_machines.go
+++ b/internal/controller/returned_machines.go
@@ -69,7 +69,8 @@
 }
 
 // dropReturned rewrites record sets without their returned machines. It does not rewrite a record
-// set for each machine, since all others in it then send an additional heartbeat.
+// set for each returned machine, since all other machines of the set send an additional heartbeat
+// after a rewrite.
 func (c *Controller) dropReturned() {
 	var writes []recordSetWrite
 	for _, key := range sortedKeys(c.machineRecords.sets) {
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -120,7 +120,8 @@
 }
 
 // process runs one step of the controller with an input, and executes the step's effects. took is
-// the duration of a step that the controller is told; a slow step has waited for that long already.
+// passed to the controller as the duration of its previous step; a slow step has already been
+// delayed by that time.
 func (n *node) process(in controller.Input, took micros.Micros) {
 	at := controller.Instant{Monotonic: n.monotonicClock(), Wall: n.wallClock(), PreviousStepDuration: took}
 	effects := n.controller.Step(at, in)
