--- a/internal/controller/authority.go
+++ b/internal/controller/authority.go
@@ -21,8 +21,8 @@
 // mayStartTasks reports whether tasks may be started. That requires that no other node can have
 // confirmed to a user a cancellation that this node does not know of. A valid lease ensures this.
 // Without a valid lease it is ensured only while every other controller reports that it has lost
-// the state service too: otherwise a successor may have confirmed a cancellation, and its broadcast to this node may
-// still be in flight.
+// the state service too: otherwise a successor may have confirmed a cancellation, and its broadcast
+// to this node may still be in flight.
 func (c *Controller) mayStartTasks() bool {
 	return c.ownership.leaseValid() || c.allPeersLostState()
 }
