--- a/internal/controller/commands_test.go
+++ b/internal/controller/commands_test.go
@@ -150,8 +150,8 @@
 }
 
 // TestDelayedCommand checks what is sent to a machine whose heartbeats do not arrive while a direct
-// command to it is in doubt: stops are, starts are not, and a raised fencing token, which voids the
-// command in doubt, is sent at once.
+// command to it is in doubt: stops are sent, starts are not, and a raised fencing token, which
+// voids the command in doubt, is sent at once.
 func TestDelayedCommand(t *testing.T) {
 	h := newOwnerHarness(t, withPeer)
 	fencingToken, a := h.runOneTask()
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -183,9 +183,10 @@
 }
 
 // mayAnswerPending reports whether a job's dependencies allow the answer that it is pending. A job
-// with a cancelled dependency may not be called pending. A blocked job may be only while this node's
-// view of jobs is recent and holds the states of all its dependencies: after an outage of the state
-// service, this node may not know of a cancellation of which a user was notified long ago.
+// with a cancelled dependency may not be called pending. A blocked job may be called pending only
+// while this node's view of jobs is recent and holds the states of all its dependencies: after an
+// outage of the state service, this node may not know of a cancellation of which a user was
+// notified long ago.
 func (c *Controller) mayAnswerPending(j *job) bool {
 	if j.dependencyCancelled {
 		return false
--- a/internal/controller/job_reads_test.go
+++ b/internal/controller/job_reads_test.go
@@ -53,8 +53,8 @@
 // enough for a record set of TxnOps changes at the minimum rate of its class, and for other due work.
 const longestWorkWait = 10 * sec
 
-// TestWorkBesideStatusRequests checks that all other work makes progress while status requests for one
-// job or for many jobs arrive.
+// TestWorkBesideStatusRequests checks that all other work makes progress while status requests for
+// one job or for many jobs arrive.
 func TestWorkBesideStatusRequests(t *testing.T) {
 	for _, tc := range []struct {
 		name string
--- a/internal/controller/machine_health_test.go
+++ b/internal/controller/machine_health_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// TestStalledNode checks that a node that was stalled does not take a machine or a peer for dead
+// TestStalledNode checks that a node that was stalled does not consider a machine or a peer dead
 // because of messages that it has not read, and does not learn run times from ends of tasks that it
 // saw late. A node that was not stalled does both.
 func TestStalledNode(t *testing.T) {
--- a/internal/controller/machine_records.go
+++ b/internal/controller/machine_records.go
@@ -24,7 +24,7 @@
 	}
 	set.modRevision = modRevision
 	s := c.ownership.shards[shardID]
-	// A node commands only machines on record. So nobody else can have commanded a machine that
+	// A node commands only machines on record. So no other node can have commanded a machine that
 	// was first recorded after this node's claim and did not come from another shard.
 	neverCommanded := created && isCreation(name) && modRevision > s.ownerEpoch
 	before := set.machines
--- a/internal/controller/machine_records_test.go
+++ b/internal/controller/machine_records_test.go
@@ -111,7 +111,7 @@
 	if len(startCommands(body.Commands)) != 2 {
 		t.Errorf("first heartbeat answered with %v, want 2 starts", body.Commands)
 	}
-	// A heartbeat that shows a fencing token of somebody else is not answered with starts.
+	// A heartbeat that shows a fencing token of another owner is not answered with starts.
 	h.submit(newSubmission("job-000002", 2))
 	h.dropWorkerCalls()
 	_, body = h.heartbeat(heartbeatFrom(ids[1], 1, 1, 1))
@@ -121,8 +121,8 @@
 }
 
 // TestOldMachineRecordSetAfterClaim checks that the machines of a record set that is older than the
-// claim are not taken for never commanded, even if this node learns of it only after the claim: the
-// former owner may have commanded them.
+// claim are not considered never commanded, even if this node learns of it only after the claim:
+// the former owner may have commanded them.
 func TestOldMachineRecordSetAfterClaim(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -8,8 +8,8 @@
 	rec       machineRecord
 	recordSet *machineRecordSet
 	// agentEpoch is the last agent epoch that the machine showed to this node, whether or not
-	// this node owned its shard then. The first command to the machine names it, even if it is
-	// out of date.
+	// this node owned its shard then. The first command to the machine names this epoch, even if
+	// it is out of date.
 	agentEpoch uint64
 	// returned is set once the cloud has confirmed the machine's return: it never comes back.
 	returned bool
--- a/internal/controller/reconciliation.go
+++ b/internal/controller/reconciliation.go
@@ -25,7 +25,7 @@
 // neverCommanded hold.
 type reconciliationView struct {
 	reconciled     bool // the task list is complete, and no command of a former owner can still act
-	neverCommanded bool // nobody but this owner can have commanded the machine
+	neverCommanded bool // no other owner can have commanded the machine
 	reconciledAt   micros.Micros
 	// unreconciledFromPredecessor is set if the machine was on record at the claim and has since
 	// neither been reconciled, nor lost its lease, nor been returned: tasks of a former owner may
@@ -43,9 +43,9 @@
 	return positionOf(heartbeat).After(v.lastPosition())
 }
 
-// confirmNeverCommanded checks by its first heartbeat that nobody but this owner has commanded a
-// machine: a fencing token below this node's comes from another owner, and the machine then has to
-// be reconciled.
+// confirmNeverCommanded checks by its first heartbeat that no other owner has commanded a machine:
+// a fencing token below this node's comes from another owner, and the machine then has to be
+// reconciled.
 func (c *Controller) confirmNeverCommanded(s *shard, m *machine, heartbeat *wire.Heartbeat) {
 	v := m.view
 	foreignToken := heartbeat.FencingToken != 0 && heartbeat.FencingToken < c.fencingToken(s, m)
--- a/internal/controller/registration.go
+++ b/internal/controller/registration.go
@@ -137,7 +137,7 @@
 // assignListed assigns machines that the cloud lists as running and that are on no record: those of
 // the first start of the fleet, and any whose heartbeats do not arrive. The list lags, so that a new
 // leader waits before it relies on it: a machine that a former leader has just returned must not
-// come back to the record.
+// be recorded again.
 func (c *Controller) assignListed(demand map[int]*peer.Demand) {
 	f := &c.fleet
 	if !f.noRecordsAtStart && c.now-f.leadingSince <= 2*c.cfg.ListLag+listedAssignmentMargin {
--- a/internal/simulation/cascade.go
+++ b/internal/simulation/cascade.go
@@ -13,8 +13,9 @@
 // limit that they reach would hide whatever else a run is meant to test.
 
 const (
-	// cascadeSubmittedBy is the time by which users begin to submit the jobs of a cascade; a job waits
-	// until its dependencies are accepted. The cancellation follows once all jobs are accepted.
+	// cascadeSubmittedBy is the time by which users begin to submit the jobs of a cascade; a job
+	// waits until its dependencies are accepted. The cancellation follows once all jobs are
+	// accepted.
 	cascadeSubmittedBy = 20 * sec
 	// cascadeFaultDuration is how long the fault of a cascade lasts.
 	cascadeFaultDuration = 15 * sec
--- a/internal/simulation/concurrent_faults.go
+++ b/internal/simulation/concurrent_faults.go
@@ -186,7 +186,7 @@
 }
 
 // fastBootsAndUnansweredWrites makes new machines come up within seconds while writes get no
-// answer. Machines die and the leader crashes meanwhile.
+// answer. Machines fail and the leader crashes meanwhile.
 func (s *Simulation) fastBootsAndUnansweredWrites() {
 	s.concurrentFaults.fastBootUntil = s.now + 30*sec
 	s.startUnansweredWrites(0.5, s.chance(0.5), 20*sec)
--- a/internal/wire/codec_test.go
+++ b/internal/wire/codec_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// TestStoredSize checks that a value fits a limit only if both its textual form and its CBOR form fit.
+// TestStoredSize checks that a value fits a limit only if both its textual form and its CBOR form
+// fit.
 func TestStoredSize(t *testing.T) {
 	list := make([]bool, 300)
 	value, err := Encode(map[string]any{"k": list})
