--- a/internal/controller/heartbeats_test.go
+++ b/internal/controller/heartbeats_test.go
@@ -249,8 +249,8 @@
 }
 
 // TestOldHeartbeatsAtNewOwner checks that late copies of heartbeats do not reconcile a machine at a
-// controller that has just claimed its shard, and that the tasks they list are not taken for the
-// machine's present state.
+// controller that has just claimed its shard, and that the tasks they list are not considered
+// the machine's present state.
 func TestOldHeartbeatsAtNewOwner(t *testing.T) {
 	h := newOwnerHarness(t, withPeer)
 	sub := newSubmission("job-000001", 3)
--- a/internal/controller/user_requests_test.go
+++ b/internal/controller/user_requests_test.go
@@ -50,7 +50,7 @@
 	if a := h.submit(newSubmission("job-000003", 1)); a.Status != 0 {
 		t.Errorf("answered %d while the outcome is not known, want no answer yet", a.Status)
 	}
-	h.run(2 * sec) // the write is not answered, and the read that would resolve it is not either
+	h.run(2 * sec) // neither the write nor the read that would resolve it is answered
 	for _, c := range h.unansweredStateCalls {
 		h.step(Result{ID: c.ID})
 	}
--- a/internal/controller/worker_contact_test.go
+++ b/internal/controller/worker_contact_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// TestWorkersUnreachable checks when a controller takes contact with the workers for lost, and so
+// TestWorkersUnreachable checks when a controller considers contact with the workers lost, and so
 // releases its locks: not if it is stalled, and not if only some machines of the fleet have failed.
 func TestWorkersUnreachable(t *testing.T) {
 	const machines = 10
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -22,7 +22,7 @@
 // limit the lists that grow with the fleet, in particular those of Demand, to stay below it.
 const MaxMessage = 1 << 20
 
-// Request is a message to another controller. Exactly one field beside From is set.
+// Request is a message to another controller. Exactly one field besides From is set.
 type Request struct {
 	From          string         `msgpack:"f"` // the sender's label
 	Status        *Status        `msgpack:"s,omitempty"`
--- a/internal/runtime/calls.go
+++ b/internal/runtime/calls.go
@@ -13,8 +13,8 @@
 const cloudConnsDivisor = 8
 
 // callsPerWorkerRequest is the ratio of the maximum number of calls to workers in flight to
-// Sizes.WorkerCalls, the maximum number of requests that the controller counts as in flight. As many
-// calls again may still be in flight beside those.
+// Sizes.WorkerCalls, the maximum number of requests that the controller counts as in flight.
+// Besides these, as many calls again may still be in flight.
 const callsPerWorkerRequest = 2
 
 // callCounts holds the number of calls to each target.
