--- a/internal/controller/cancellation_test.go
+++ b/internal/controller/cancellation_test.go
@@ -26,7 +26,8 @@
 	notifiedAt := h.now
 	for w.alive() {
 		w.checkDeadline(notifiedAt)
-		h.applyTxn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}}) // the owner is gone, the next one claims
+		// The owner's key is deleted, and the next owner claims the shard.
+		h.applyTxn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}})
 		h.run(3 * sec)
 		w.sendHeartbeat()
 		h.run(3 * sec) // direct commands do not reach the machine
@@ -77,7 +78,7 @@
 // lease renewals but no watch of jobs. Owners with a stale view of jobs followed one another, and
 // each renewed its machines' leases for a period that began with its own claim. The length of that
 // period assumed that the previous owner had a current view. The test checks that a machine whose
-// heartbeats all arrive is rid of the task in time, whatever the number of claims.
+// heartbeats all arrive stops the task in time, whatever the number of claims.
 func TestOwnersWithStaleViewsInSeries(t *testing.T) {
 	h := newOwnerHarness(t, func(c *Config) {
 		withPeer(c)
@@ -91,7 +92,8 @@
 	h.putRecord(wire.JobKey("job-000001"), wire.JobRecord{State: wire.StateCancelled, Tasks: 1})
 	notifiedAt := h.now
 	for w.alive() {
-		h.applyTxn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}}) // the owner is gone, this node claims
+		// The owner's key is deleted, and this node claims the shard.
+		h.applyTxn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}})
 		for until := h.now + 8*sec; h.now < until && w.alive(); {
 			h.run(sec)
 			w.sendHeartbeat()
@@ -107,7 +109,7 @@
 // refused. The lease of a machine with a task of an unknown job was renewed without a bound until a
 // read succeeded, although the view of jobs showed that the job had ended: the log line "shard
 // entitlement" said current_view, and each "report" said answered=true commands=0. The test checks
-// that a machine whose heartbeats all arrive is rid of the task in time.
+// that a machine whose heartbeats all arrive stops the task in time.
 func TestUnknownJobUnreadable(t *testing.T) {
 	h := newOwnerHarness(t, func(c *Config) {
 		withPeer(c)
@@ -119,7 +121,8 @@
 	notifiedAt := h.now
 	h.putRecord(wire.JobKey("job-000002"), wire.JobRecord{State: wire.StateDone, Tasks: 1})
 	h.unreadablePrefix = wire.PrefixJob
-	h.applyTxn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}}) // the owner is gone, this node claims
+	// The owner's key is deleted, and this node claims the shard.
+	h.applyTxn(wire.Txn{Changes: []wire.Change{{Delete: ownerKey(0)}}})
 	for w.alive() {
 		h.run(sec)
 		w.sendHeartbeat()
--- a/internal/controller/checkpoints.go
+++ b/internal/controller/checkpoints.go
@@ -36,8 +36,8 @@
 	recorded checkpoint.TaskSet
 	// awaiting are the exited attempts whose end is not in a recorded checkpoint yet.
 	awaiting []*attempt
-	// recoveries are the times of the latest recoveries of the job, in Unix milliseconds.
-	recoveries []int64
+	// recoveriesMS are the times of the latest recoveries of the job, in Unix milliseconds.
+	recoveriesMS []int64
 }
 
 // due reports whether a checkpoint should be written now.
@@ -50,9 +50,9 @@
 
 // addRecovery adds a recovery of the job at a time of day to the next checkpoint.
 func (p *jobCheckpoint) addRecovery(wall micros.Micros) {
-	p.recoveries = append(p.recoveries, wall.Millis())
-	if excess := len(p.recoveries) - checkpoint.MaxRecoveries; excess > 0 {
-		p.recoveries = p.recoveries[excess:]
+	p.recoveriesMS = append(p.recoveriesMS, wall.Millis())
+	if excess := len(p.recoveriesMS) - checkpoint.MaxRecoveries; excess > 0 {
+		p.recoveriesMS = p.recoveriesMS[excess:]
 	}
 }
 
@@ -86,11 +86,11 @@
 // buildCheckpoint returns a job's checkpoint record and the set of done tasks that it contains.
 func (c *Controller) buildCheckpoint(j *job) (wire.CheckpointRecord, checkpoint.TaskSet) {
 	progress := checkpoint.Progress{
-		Tasks:      j.sub.Tasks,
-		Done:       j.run.doneTasks,
-		DoneCount:  j.run.doneCount,
-		Steps:      j.run.finishedTasks,
-		Recoveries: j.run.checkpoint.recoveries,
+		Tasks:         j.sub.Tasks,
+		Done:          j.run.doneTasks,
+		DoneCount:     j.run.doneCount,
+		FinishedTasks: j.run.finishedTasks,
+		RecoveriesMS:  j.run.checkpoint.recoveriesMS,
 	}
 	return checkpoint.NewRecord(progress, c.cfg.ValueBytes)
 }
--- a/internal/controller/job_reads_test.go
+++ b/internal/controller/job_reads_test.go
@@ -53,8 +53,8 @@
 // enough for a record set of TxnOps changes at the minimum rate of its class, and for other due work.
 const longestWorkWait = 10 * sec
 
-// TestWorkBesideStatusRequests checks that all other work makes progress while status requests for one
-// job or for many jobs arrive.
+// TestWorkBesideStatusRequests checks that all other work makes progress while status requests for
+// one job or for many jobs arrive.
 func TestWorkBesideStatusRequests(t *testing.T) {
 	for _, tc := range []struct {
 		name string
@@ -134,8 +134,9 @@
 }
 
 // TestStatusRequestsAreFairAmongJobs checks that status requests for a job are answered even if the
-// status of another job is requested more often, or that of more jobs than can be read at once. The
-// status of each of 150 jobs is requested every 2 s, and that of one other a hundred times a second.
+// status of another job is requested more often, or the status of more jobs than can be read at
+// once. The status of each of 150 jobs is requested every 2 s, and the status of one other job a
+// hundred times a second.
 // 150 reads take about 33 s at the minimum rate of the class of status requests; the bound is 75 s.
 func TestStatusRequestsAreFairAmongJobs(t *testing.T) {
 	const jobs, within = 150, 75 * sec
@@ -188,7 +189,8 @@
 			continue
 		}
 		found = true
-		h.putRecord(wire.JobKey("job-000777"), wire.NewJobRecord(new(newSubmission("job-000777", 1)), 1)) // after the read, before its answer
+		// The record is written after the read, but before the answer to the read arrives.
+		h.putRecord(wire.JobKey("job-000777"), wire.NewJobRecord(new(newSubmission("job-000777", 1)), 1))
 		h.answerCall(c, 404, nil)
 	}
 	h.run(200 * ms)
@@ -241,7 +243,7 @@
 		h := newOwnerHarness(t, limits)
 		h.submit(newSubmission("job-000001", 1))
 		h.putRecord(ownerKey(0), wire.OwnerRecord{Label: "n-1", Incarnation: 99})
-		h.step(PeerRequest{Reply: 900, Req: peer.Request{From: "n-1", Status: &peer.Status{ControllerState: peer.ControllerState{StateServiceOK: true}}}})
+		h.step(PeerRequest{Reply: 900, Req: peer.Request{From: "n-1", Status: &peer.Status{ControllerState: peer.ControllerState{StateReachable: true}}}})
 		h.peersDown = true
 		before := len(h.jobRequests)
 		ask(h, "job-000001", sec/5)
--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -11,10 +11,10 @@
 // This file declares the messages of a Controller: the inputs of Step, its effects, and the request
 // types that an effect can carry.
 
-// Instant is a reading of the steady clock and of the wall clock.
+// Instant is a reading of the monotonic clock and of the wall clock.
 type Instant struct {
-	// Steady is the monotonic time.
-	Steady micros.Micros
+	// Monotonic is the time of the monotonic clock.
+	Monotonic micros.Micros
 	// Wall is the time of day.
 	Wall micros.Micros
 	// PreviousStepDuration is how long the previous step took, including the time to carry out its
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -40,11 +40,11 @@
 	lastContactAt micros.Micros // when its last status or acknowledgement arrived
 	// lastStatusAt is when its last status arrived. Its acknowledgements of this node's statuses do
 	// not count.
-	lastStatusAt   micros.Micros
-	uptime         micros.Micros
-	stateReachable bool // it reports that it reaches the state service
-	withoutWorkers bool
-	hasQuota       bool // it has quota groups
+	lastStatusAt       micros.Micros
+	uptime             micros.Micros
+	stateReachable     bool // the state service has responded to it recently
+	workersUnreachable bool // it has lost contact with the workers
+	enforcesQuota      bool // it enforces the quota of groups of teams
 	// statusInFlight is set while a status sent to it has not been answered.
 	statusInFlight bool
 	nextStatusAt   micros.Micros
@@ -97,7 +97,8 @@
 		}
 		c.finishJob(id, f)
 		if i := slices.Index(p.pendingCancellations, id); i >= 0 {
-			p.pendingCancellations = slices.Delete(p.pendingCancellations, i, i+1) // the other controller knows the cancellation already
+			// The other controller knows the cancellation already.
+			p.pendingCancellations = slices.Delete(p.pendingCancellations, i, i+1)
 		}
 	}
 }
@@ -129,15 +130,16 @@
 	}
 }
 
-// peerUpToDate reports whether another controller needs no status: it keeps sending its own, and
-// the acknowledgements of those contain all that a status of this node would.
+// peerUpToDate reports whether another controller needs no status from this node: it keeps sending
+// statuses, and the acknowledgements that this node returns contain all that a status would.
 func (c *Controller) peerUpToDate(p *peerView) bool {
 	return c.peerSendsStatus(p) && !c.hasPendingNotifications(p) && c.ownership.quiescedByPeer(p)
 }
 
 // peerSendsStatus reports whether, of this node and another controller, the other is the one that
-// sends statuses, and is doing so. If one of the two is the leader, the other one sends, because it
-// has its demand to report; otherwise the one with the first label does.
+// sends statuses, and that its next status is not overdue. If one of the two is the leader, the
+// other one sends, because it reports its demand to the leader; otherwise the one whose label comes
+// first sends.
 func (c *Controller) peerSendsStatus(p *peerView) bool {
 	if c.now-p.lastStatusAt > peerStatusOverdue {
 		return false
@@ -175,8 +177,8 @@
 func (c *Controller) controllerStateFor(p *peerView) peer.ControllerState {
 	return peer.ControllerState{
 		UptimeUS:            int64(c.now - c.startedAt),
-		StateServiceOK:      c.ownership.stateReachable(),
-		WithoutWorkers:      c.workerContact.lost(),
+		StateReachable:      c.ownership.stateReachable(),
+		WorkersUnreachable:  c.workerContact.lost(),
 		EnforcesQuota:       c.quota.ledger != nil,
 		Claims:              c.ownership.shardClaims(),
 		MisdirectedMachines: c.misdirectedMachinesOf(p),
@@ -215,9 +217,9 @@
 func (c *Controller) applyControllerState(p *peerView, state *peer.ControllerState) (quiesced []int) {
 	p.lastContactAt = c.now
 	p.uptime = micros.Micros(state.UptimeUS)
-	p.stateReachable = state.StateServiceOK
-	p.withoutWorkers = state.WithoutWorkers
-	p.hasQuota = state.EnforcesQuota
+	p.stateReachable = state.StateReachable
+	p.workersUnreachable = state.WorkersUnreachable
+	p.enforcesQuota = state.EnforcesQuota
 	if state.EnforcesQuota {
 		c.enableQuota()
 	}
@@ -257,7 +259,7 @@
 	status.ReturnedMachines = p.pendingReturnedMachines[:min(len(p.pendingReturnedMachines), maxNamesPerStatus)]
 	status.JobsToCancel = c.recordRequestsFor(p)
 	status.Cancelled = slices.Clone(p.pendingCancellations[:min(len(p.pendingCancellations), maxNamesPerStatus)])
-	if p.hasQuota {
+	if p.enforcesQuota {
 		status.Traces = c.quota.openTraces()
 	}
 	return status
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -56,7 +56,7 @@
 	machineNames  []string // all machines ever rented, in the order in which they were rented
 	users         []*user
 	userByJob     map[string]*user
-	tasksByJob    map[string]map[*fakes.Task]*worker // tasks that workers know of, including exited ones
+	tasksByJob    map[string]map[*fakes.Task]*worker // tasks that workers know of, also exited ones
 	groups        map[string]quota.Record            // stored records by group; nil without groups
 	stateRequests []statestore.ClassMetrics          // counted by processes that have ended
 
@@ -125,7 +125,9 @@
 		StartWithin: map[string]micros.Micros{"rush": 3 * sec}, MaxFinalJobs: p.MaxFinalJobs,
 	}
 	if p.LongOutage {
-		cfg.Lease = 6 * sec // twice the margin of the time bounds: the margin can't make up for a term that a bound omits
+		// This is twice the margin of the time bounds, so that the margin can't make up for a term
+		// that a bound omits.
+		cfg.Lease = 6 * sec
 	}
 	return cfg
 }
